--- /dev/null
+++ b/internal/snapshot/golden_test.go
@@ -0,0 +1,173 @@
+package snapshot
+
+import (
+	"bytes"
+	"encoding/binary"
+	"flag"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"calicohill"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// record has the golden files of this package written. They were made by the version before the renames of the
+// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
+// pass: a file that is there already is not overwritten.
+var record = flag.Bool("record", false, "write the golden files that are missing")
+
+// goldenPath is the path of a golden file.
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+// readGolden returns the content of a golden file.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// recordGolden writes a golden file that must not exist.
+func recordGolden(t *testing.T, name string, content []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.Write(content); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// compareGolden compares bytes with a golden file, or writes it under -record.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if *record {
+		recordGolden(t, name, got)
+		return
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: written as\n%q\nwant\n%q", name, got, want)
+	}
+}
+
+const (
+	goldenFleet = "gt-registros"
+	goldenTime  = 1_790_000_000 * time.Second // Unix time of the golden records
+	goldenAge   = time.Hour                   // oldest record that counts
+)
+
+// goldenFeed is an endpoint list in the form of an answer of the list service.
+const goldenFeed = `{"no":41,"items":[{"no":41,"roster":{"all":true,"targets":[` +
+	`{"uid":"w-1","endpoint":"127.0.0.1:9001","az":"az-a","model":"m5","pod_group":1,"state":"SERVING",` +
+	`"capacity_hint":1.5,"boot_ms":1789990000000},` +
+	`{"uid":"w-2","endpoint":"[::1]:9002","az":"az-b","model":"m6","pod_group":0,"state":"DRAINING",` +
+	`"capacity_hint":null,"boot_ms":1789990000250.5}]}}]}`
+
+// goldenRecord returns the endpoint list and the learned state that the golden files hold.
+func goldenRecord() Record {
+	return Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: calicohill.Memory{
+		At:        goldenTime - 250*time.Millisecond,
+		Calls:     1234.5678,
+		PerWeight: 17.25,
+		Press:     0.1,
+		Functions: []calicohill.FunctionMemory{
+			{Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
+				Copies: []calicohill.CopyMemory{
+					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
+					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
+				}},
+			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
+		},
+		Workers: []calicohill.WorkerMemory{
+			{ID: "w-1", Started: 1_789_990_000 * time.Second, Press: -0.5, Pace: 0.3333333333333333},
+			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, Press: 2, Pace: 0},
+		},
+	}}
+}
+
+// A record is encoded to the golden bytes, and the golden bytes decode to the record.
+func TestGoldenRecord(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		record Record
+	}{
+		{"full.snapshot", goldenRecord()},
+		{"empty.snapshot", Record{Fleet: goldenFleet, At: goldenTime}},
+	} {
+		encoded, err := Seal(c.record)
+		if err != nil {
+			t.Fatal(err)
+		}
+		compareGolden(t, c.name, encoded)
+		decoded, err := Open(readGolden(t, c.name), goldenFleet, goldenTime+time.Minute, goldenAge)
+		if err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+		if !reflect.DeepEqual(decoded, c.record) {
+			t.Errorf("%s: read as\n%+v\nwant\n%+v", c.name, decoded, c.record)
+		}
+	}
+}
+
+// A record of a version that kept no learned state is read, with the learned state empty.
+func TestGoldenRecordWithoutMemory(t *testing.T) {
+	const name = "without-memory.snapshot"
+	if *record {
+		body, err := cbor.Marshal(map[int]any{1: goldenFleet, 2: 41, 3: goldenTime, 4: []byte(goldenFeed)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		content := binary.BigEndian.AppendUint32([]byte("calicohill snapshot 1\n"),
+			crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)))
+		recordGolden(t, name, append(content, body...))
+	}
+	want := goldenRecord()
+	want.Memory = calicohill.Memory{}
+	got, err := Open(readGolden(t, name), goldenFleet, goldenTime, goldenAge)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+	}
+}
+
+// The error texts of golden bytes that do not count.
+func TestGoldenErrors(t *testing.T) {
+	whole := readGolden(t, "full.snapshot")
+	damaged := bytes.Clone(whole)
+	damaged[len(damaged)-1] ^= 1
+	otherVersion := bytes.Replace(whole, []byte("snapshot 1"), []byte("snapshot 2"), 1)
+	for _, c := range []struct {
+		content []byte
+		fleet   string
+		now     time.Duration
+		want    string
+	}{
+		{whole[:10], goldenFleet, goldenTime, "snapshot of 10 bytes: not whole"},
+		{damaged, goldenFleet, goldenTime, "snapshot: checksum: not whole"},
+		{otherVersion, goldenFleet, goldenTime, `snapshot "2": of another version`},
+		{whole, "other", goldenTime, `snapshot of "gt-registros": of another fleet`},
+		{whole, goldenFleet, goldenTime + 2*time.Hour, "snapshot of 2h0m0s ago: too old"},
+		{whole, goldenFleet, goldenTime - 2*time.Minute, "snapshot of 2m0s ahead: of a time to come"},
+		{make([]byte, MaxSize+1), goldenFleet, goldenTime, "snapshot of 6295553 bytes: too large"},
+	} {
+		if _, err := Open(c.content, c.fleet, c.now, goldenAge); err == nil || err.Error() != c.want {
+			t.Errorf("error %v, want %s", err, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/snapshotfile/golden_test.go
@@ -0,0 +1,163 @@
+package snapshotfile
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"calicohill"
+	"calicohill/internal/bulletin"
+	"calicohill/internal/snapshot"
+)
+
+// record has the golden files of this package written. They were made by the version before the renames of the
+// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
+// pass: a file that is there already is not overwritten.
+var record = flag.Bool("record", false, "write the golden files that are missing")
+
+// goldenPath is the path of a golden file.
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+// readGolden returns the content of a golden file.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// recordGolden writes a golden file that must not exist.
+func recordGolden(t *testing.T, name string, content []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.Write(content); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+const (
+	goldenFleet = "gt-registros"
+	goldenTime  = 1_790_000_000 * time.Second // Unix time of the golden records
+	goldenAge   = time.Hour                   // oldest record that counts
+)
+
+// goldenFeed is an endpoint list in the form of an answer of the list service.
+const goldenFeed = `{"no":41,"items":[{"no":41,"roster":{"all":true,"targets":[` +
+	`{"uid":"w-1","endpoint":"127.0.0.1:9001","az":"az-a","model":"m5","pod_group":1,"state":"SERVING",` +
+	`"capacity_hint":1.5,"boot_ms":1789990000000},` +
+	`{"uid":"w-2","endpoint":"[::1]:9002","az":"az-b","model":"m6","pod_group":0,"state":"DRAINING",` +
+	`"capacity_hint":null,"boot_ms":1789990000250.5}]}}]}`
+
+// goldenRecord returns the endpoint list and the learned state that the golden files hold.
+func goldenRecord() snapshot.Record {
+	return snapshot.Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: calicohill.Memory{
+		At:        goldenTime - 250*time.Millisecond,
+		Calls:     1234.5678,
+		PerWeight: 17.25,
+		Press:     0.1,
+		Functions: []calicohill.FunctionMemory{
+			{Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
+				Copies: []calicohill.CopyMemory{
+					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
+					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
+				}},
+			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
+		},
+		Workers: []calicohill.WorkerMemory{
+			{ID: "w-1", Started: 1_789_990_000 * time.Second, Press: -0.5, Pace: 0.3333333333333333},
+			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, Press: 2, Pace: 0},
+		},
+	}}
+}
+
+const goldenName = "workers.snapshot"
+
+// writeGolden has a File write the golden record to a new directory, and returns the path.
+func writeGolden(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), goldenName)
+	r := goldenRecord()
+	r.Feed = nil
+	f := &File{path: path, fleet: goldenFleet}
+	if err := f.write(r, func() ([]byte, error) { return []byte(goldenFeed), nil }); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// A snapshot file is written as the golden bytes, with mode 0600 and nothing beside it.
+func TestGoldenWrite(t *testing.T) {
+	path := writeGolden(t)
+	got, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *record {
+		recordGolden(t, goldenName, got)
+	}
+	if want := readGolden(t, goldenName); !bytes.Equal(got, want) {
+		t.Errorf("written as\n%q\nwant\n%q", got, want)
+	}
+	info, err := os.Stat(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if info.Mode() != 0o600 {
+		t.Errorf("mode %v, want 0600", info.Mode())
+	}
+	entries, err := os.ReadDir(filepath.Dir(path))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(entries) != 1 {
+		t.Errorf("beside the file: %v", entries)
+	}
+}
+
+// The golden file is read as the endpoint list and the learned state that it was made of.
+func TestGoldenRead(t *testing.T) {
+	got, err := Read(goldenPath(goldenName), goldenFleet, goldenTime+time.Minute, goldenAge)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenRecord(); !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+	}
+	if err := bulletin.Check(got.Feed, []string{"az-a", "az-b"}, []string{"m5", "m6"}); err != nil {
+		t.Errorf("the list in it: %v", err)
+	}
+}
+
+// A golden file that is cut off is an error of a known text, and is set aside under a known name.
+func TestGoldenTorn(t *testing.T) {
+	path := filepath.Join(t.TempDir(), goldenName)
+	torn := readGolden(t, goldenName)[:100]
+	if err := os.WriteFile(path, torn, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	const want = "snapshot: checksum: not whole"
+	if _, err := Read(path, goldenFleet, goldenTime, goldenAge); err == nil || err.Error() != want {
+		t.Errorf("error %v, want %s", err, want)
+	}
+	if aside, err := os.ReadFile(path + ".aside"); err != nil || !bytes.Equal(aside, torn) {
+		t.Errorf("set aside: %q, %v", aside, err)
+	}
+	if got, err := Read(path, goldenFleet, goldenTime, goldenAge); err != nil || !reflect.DeepEqual(got, snapshot.Record{}) {
+		t.Errorf("without a file: %+v, %v", got, err)
+	}
+}
--- /dev/null
+++ b/internal/suspicion/golden_test.go
@@ -0,0 +1,120 @@
+package suspicion
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"calicohill"
+)
+
+// record has the golden files of this package written. They were made by the version before the renames of the
+// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
+// pass: a file that is there already is not overwritten.
+var record = flag.Bool("record", false, "write the golden files that are missing")
+
+// goldenPath is the path of a golden file.
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+// readGolden returns the content of a golden file.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// recordGolden writes a golden file that must not exist.
+func recordGolden(t *testing.T, name string, content []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.Write(content); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// compareGolden compares bytes with a golden file, or writes it under -record.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if *record {
+		recordGolden(t, name, got)
+		return
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: written as\n%q\nwant\n%q", name, got, want)
+	}
+}
+
+// A statement's body is encoded to the golden bytes, and the golden bytes decode to its accusations.
+func TestGoldenStatements(t *testing.T) {
+	silent := Accusation{Worker: "w-1", Trouble: calicohill.Silent, First: 1200, Last: 0, Attempts: 7}
+	stalled := Accusation{Worker: "w-2", Trouble: calicohill.Stalled, First: 30_000, Last: 24, Attempts: 300}
+	failing := Accusation{Worker: "vävare/3", Trouble: calicohill.Failing, First: 4_294_967_295, Last: 256, Attempts: 65_535}
+	unreachable := Accusation{Worker: "w-4", Trouble: calicohill.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
+	var long []Accusation // more than fit: those with the least Last are kept
+	for i := range uint32(14) {
+		long = append(long, Accusation{Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: calicohill.Silent,
+			First: 100_000, Last: 100 - i, Attempts: 10})
+	}
+	for _, c := range []struct {
+		name       string
+		list, want []Accusation
+	}{
+		{"none.cbor", []Accusation{}, []Accusation{}},
+		{"silent.cbor", []Accusation{silent}, []Accusation{silent}},
+		{"stalled.cbor", []Accusation{stalled}, []Accusation{stalled}},
+		{"failing.cbor", []Accusation{failing}, []Accusation{failing}},
+		{"unreachable.cbor", []Accusation{unreachable}, []Accusation{unreachable}},
+		{"all.cbor", []Accusation{unreachable, failing, stalled, silent}, []Accusation{silent, stalled, failing, unreachable}},
+		{"long.cbor", long, []Accusation{long[13], long[12], long[11], long[10], long[9], long[8], long[7]}},
+	} {
+		encoded, err := Encode(c.list)
+		if err != nil {
+			t.Fatal(err)
+		}
+		compareGolden(t, c.name, encoded)
+		decoded, err := Decode(readGolden(t, c.name))
+		if err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+		if !reflect.DeepEqual(decoded, c.want) {
+			t.Errorf("%s: read as\n%+v\nwant\n%+v", c.name, decoded, c.want)
+		}
+	}
+}
+
+// The error texts of bodies that do not count.
+func TestGoldenErrors(t *testing.T) {
+	whole := readGolden(t, "all.cbor")
+	wrongTrouble := bytes.Clone(readGolden(t, "silent.cbor"))
+	place := bytes.Index(wrongTrouble, []byte("w-1")) + len("w-1")
+	wrongTrouble[place] = byte(calicohill.Unreachable) + 1
+	for _, c := range []struct {
+		body []byte
+		want string
+	}{
+		{whole[:len(whole)-1], "suspicion: malformed statement: unexpected EOF"},
+		{wrongTrouble, "suspicion: malformed statement"},
+		{make([]byte, maxBody+1), "suspicion: malformed statement"},
+	} {
+		if _, err := Decode(c.body); err == nil || err.Error() != c.want || !errors.Is(err, ErrMalformed) {
+			t.Errorf("error %v, want %s", err, c.want)
+		}
+	}
+}
