--- /dev/null
+++ b/cmd/calicohill/golden_test.go
@@ -0,0 +1,584 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// record writes testdata/golden/exchanges.txt anew instead of comparing with it.
+//
+// The file was made by the program as it stood before the code's names were changed. It shows that no later change of
+// names touched a byte on the wire, so it is never made anew to get a pass: only a change of the protocol itself, stated
+// as such in its commit, may change it.
+var record = flag.Bool("record", false, "write the golden files instead of comparing with them")
+
+const goldenFile = "testdata/golden/exchanges.txt"
+
+// What differs between runs, and nothing else, is replaced by a name.
+var (
+	patienceField = regexp.MustCompile(`,patience=([1-9][0-9]{0,3})([, ])`)
+	hostHeader    = regexp.MustCompile(`\r\nHost: 127\.0\.0\.1:[0-9]{1,5}\r\n`)
+)
+
+const (
+	goldenID       = "00000000000c0de1"
+	goldenFunction = "7f3a9c21e0b4d655"
+	goldenKey      = "000102030405060708090a0b0c0d0e0f"
+	goldenBudget   = 9000 // in ms
+)
+
+// agentMessage is one whole message that an agent received.
+type agentMessage struct {
+	conn net.Conn
+	text string
+}
+
+// id is the request id that the message names.
+func (m agentMessage) id() string { return strings.Fields(m.text)[1] }
+
+// recorder runs one exchange step by step and writes down the bytes that each side sends and receives. The test takes
+// every step itself, so that the order of the steps never depends on the time.
+type recorder struct {
+	t        *testing.T
+	s        *site
+	messages chan agentMessage // received by the agents, in order
+	polls    chan string       // received by the list service
+	client   net.Conn
+	out      *strings.Builder
+}
+
+// newRecorder starts the program with so many agents, all of which the recorder plays.
+func newRecorder(t *testing.T, out *strings.Builder, agents int) *recorder {
+	t.Helper()
+	r := &recorder{t: t, s: newSite(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
+	r.recordPolls()
+	var workers []string
+	for i := range agents {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { l.Close() })
+		go r.acceptAgent(l)
+		workers = append(workers, fmt.Sprintf("%c SERVING %s", 'a'+i, l.Addr()))
+	}
+	r.s.tell(true, workers...)
+	r.s.start()
+	c, err := net.Dial("tcp", r.s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	r.client = c
+	return r
+}
+
+// acceptAgent reads the messages on all connections to an agent.
+func (r *recorder) acceptAgent(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		r.t.Cleanup(func() { c.Close() })
+		go r.readAgent(c)
+	}
+}
+
+func (r *recorder) readAgent(c net.Conn) {
+	for in := bufio.NewReader(c); ; {
+		text, err := in.ReadString('\n')
+		if err == nil && strings.HasPrefix(text, "go ") {
+			words := strings.Fields(text)
+			size, _ := strconv.Atoi(words[len(words)-1])
+			body := make([]byte, size+len("\r\n"))
+			_, err = io.ReadFull(in, body)
+			text += string(body)
+		}
+		if text != "" {
+			r.messages <- agentMessage{conn: c, text: text}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// recordPolls puts a list service in place of the site's, one that keeps the bytes of each poll.
+func (r *recorder) recordPolls() {
+	r.s.bulletin.Close()
+	r.s.bulletin = httptest.NewUnstartedServer(http.HandlerFunc(r.s.poll))
+	r.s.bulletin.Listener = recordingListener{r.s.bulletin.Listener, r.polls}
+	r.s.bulletin.Start()
+}
+
+// recordingListener reports all that is received on its connections, a request at a time.
+type recordingListener struct {
+	net.Listener
+	requests chan string
+}
+
+func (l recordingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &recordingConn{Conn: c, requests: l.requests}, nil
+}
+
+type recordingConn struct {
+	net.Conn
+	requests chan string
+	pending  []byte
+}
+
+func (c *recordingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.pending = append(c.pending, b[:n]...)
+	const headEnd = "\r\n\r\n" // polls have no body
+	for end := bytes.Index(c.pending, []byte(headEnd)); end >= 0; end = bytes.Index(c.pending, []byte(headEnd)) {
+		end += len(headEnd)
+		select {
+		case c.requests <- string(c.pending[:end]):
+		default: // more than any exchange looks at
+		}
+		c.pending = c.pending[end:]
+	}
+	return n, err
+}
+
+// write adds bytes to the record.
+func (r *recorder) write(who, text string) { fmt.Fprintf(r.out, "%s %s\n", who, quote(text)) }
+
+// quote writes bytes as Go does, with long runs of one letter as a product.
+func quote(text string) string {
+	const long = 64
+	var parts []string
+	rest := 0
+	for i := 0; i < len(text); {
+		n := len(text[i:]) - len(strings.TrimLeft(text[i:], text[i:i+1]))
+		if n = max(n, 1); n >= long {
+			if rest < i {
+				parts = append(parts, strconv.QuoteToASCII(text[rest:i]))
+			}
+			parts = append(parts, fmt.Sprintf("%s*%d", strconv.QuoteToASCII(text[i:i+1]), n))
+			rest = i + n
+		}
+		i += n
+	}
+	if rest < len(text) || text == "" {
+		parts = append(parts, strconv.QuoteToASCII(text[rest:]))
+	}
+	return strings.Join(parts, " + ")
+}
+
+// splitRecords cuts FastCGI bytes at the ends of records.
+func splitRecords(b []byte) (records []string) {
+	const header = 8
+	for len(b) >= header && b[0] == 1 {
+		n := header + int(binary.BigEndian.Uint16(b[4:])) + int(b[6])
+		if n > len(b) {
+			break
+		}
+		records, b = append(records, string(b[:n])), b[n:]
+	}
+	if len(b) > 0 {
+		records = append(records, string(b))
+	}
+	return records
+}
+
+// sends writes bytes as the client.
+func (r *recorder) sends(b []byte) {
+	r.t.Helper()
+	for _, text := range splitRecords(b) {
+		r.write("client sends   ", text)
+	}
+	if _, err := r.client.Write(b); err != nil {
+		r.t.Fatalf("client: %v", err)
+	}
+}
+
+// receives reads as the client, up to and with a record of a type.
+func (r *recorder) receives(last byte) {
+	r.t.Helper()
+	for {
+		r.client.SetReadDeadline(time.Now().Add(patient))
+		b := make([]byte, 8)
+		if _, err := io.ReadFull(r.client, b); err != nil {
+			r.t.Fatalf("client: reading a record: %v", err)
+		}
+		content := make([]byte, int(binary.BigEndian.Uint16(b[4:]))+int(b[6]))
+		if _, err := io.ReadFull(r.client, content); err != nil {
+			r.t.Fatalf("client: reading a record: %v", err)
+		}
+		r.write("client receives", string(append(b, content...)))
+		if b[1] == last {
+			return
+		}
+	}
+}
+
+// receivesEnd reads as the client until the connection ends.
+func (r *recorder) receivesEnd() {
+	r.t.Helper()
+	r.client.SetReadDeadline(time.Now().Add(patient))
+	b, err := io.ReadAll(r.client)
+	var late net.Error
+	if errors.As(err, &late) && late.Timeout() {
+		r.t.Fatal("client: the connection does not end")
+	}
+	for _, text := range splitRecords(b) {
+		r.write("client receives", text)
+	}
+	fmt.Fprintln(r.out, "client receives the end of the connection")
+}
+
+// agentReceives is the next message that an agent receives.
+func (r *recorder) agentReceives() agentMessage {
+	r.t.Helper()
+	select {
+	case m := <-r.messages:
+		r.write("agent receives ", r.withoutPatience(m.text))
+		return m
+	case <-time.After(patient):
+		r.t.Fatal("nothing comes to an agent")
+		return agentMessage{}
+	}
+}
+
+// withoutPatience replaces the time that an attempt has left, which must be within the budget of its request.
+func (r *recorder) withoutPatience(text string) string {
+	if m := patienceField.FindStringSubmatch(text); m != nil {
+		if ms, err := strconv.Atoi(m[1]); err != nil || ms <= 0 || ms > goldenBudget {
+			r.t.Errorf("patience %s of a budget of %d", m[1], goldenBudget)
+		}
+	}
+	return patienceField.ReplaceAllString(text, ",patience=PATIENCE$2")
+}
+
+// agentSends answers a message; {id} stands for its request id.
+func (r *recorder) agentSends(m agentMessage, text string) {
+	r.t.Helper()
+	text = strings.ReplaceAll(text, "{id}", m.id())
+	r.write("agent sends    ", text)
+	if _, err := io.WriteString(m.conn, text); err != nil {
+		r.t.Fatalf("agent: %v", err)
+	}
+}
+
+// agentEnds closes the connection that a message came on, by a reset if told so.
+func (r *recorder) agentEnds(m agentMessage, reset bool) {
+	how := "closes"
+	if reset {
+		how = "resets"
+		m.conn.(*net.TCPConn).SetLinger(0)
+	}
+	fmt.Fprintf(r.out, "agent %s the connection\n", how)
+	m.conn.Close()
+}
+
+// polled adds the next poll that the list service receives.
+func (r *recorder) polled() {
+	r.t.Helper()
+	select {
+	case text := <-r.polls:
+		r.write("list service receives", hostHeader.ReplaceAllString(text, "\r\nHost: 127.0.0.1:PORT\r\n"))
+	case <-time.After(patient):
+		r.t.Fatal("the list service is not polled")
+	}
+}
+
+// finish checks that the agents receive nothing else. The program has answered a request of its own connection by then,
+// so that what it does about the exchange is done.
+func (r *recorder) finish() {
+	r.t.Helper()
+	f := r.s.front()
+	f.send(request{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
+	f.read()
+	for {
+		select {
+		case m := <-r.messages:
+			r.t.Errorf("an agent received more: %q", m.text)
+		default:
+			return
+		}
+	}
+}
+
+// goldenCall is a request with fixed parameters; change edits them, and drops those set to "-".
+func goldenCall(class, body string, change ...[2]string) request {
+	fixed := [][2]string{{"HTTP_REQUEST_ID", goldenID}, {"HTTP_RESOURCE_KEY", goldenFunction}, {"HTTP_ONCE_KEY", goldenKey},
+		{"HTTP_BUDGET_MS", strconv.Itoa(goldenBudget)}}
+	return call(class, body, append(fixed, change...)...)
+}
+
+// answered is an exchange of one attempt: the agent answers, and the client receives what comes of it.
+func answered(class, answer string) func(*recorder) {
+	return func(r *recorder) {
+		r.sends(goldenCall(class, "x").bytes())
+		r.agentSends(r.agentReceives(), answer)
+		r.receives(typeEndRequest)
+	}
+}
+
+// retried is an exchange of two attempts: the first ends in some way, the second is served.
+func retried(class, answer string) func(*recorder) {
+	return func(r *recorder) {
+		r.sends(goldenCall(class, "x").bytes())
+		r.agentSends(r.agentReceives(), answer)
+		r.agentSends(r.agentReceives(), servedAnswer)
+		r.receives(typeEndRequest)
+	}
+}
+
+// rejected is an exchange that reaches no agent: the client receives an answer at once.
+func rejected(q request) func(*recorder) {
+	return func(r *recorder) {
+		r.sends(q.bytes())
+		r.receives(typeEndRequest)
+	}
+}
+
+// closed is an exchange that the program cannot understand: it ends the connection.
+func closed(b []byte) func(*recorder) {
+	return func(r *recorder) {
+		r.sends(b)
+		r.receivesEnd()
+	}
+}
+
+// managed is an exchange of records that belong to no request.
+func managed(b []byte, answer byte) func(*recorder) {
+	return func(r *recorder) {
+		r.sends(b)
+		r.receives(answer)
+	}
+}
+
+// Types of FastCGI records.
+const (
+	typeEndRequest  = 3
+	typeValues      = 10
+	typeUnknownType = 11
+)
+
+const servedAnswer = "{id} OK depth=2,l=inflight:3;queue:1;util:0.5;x0:512;x1:4 6\r\nserved\r\n"
+
+// exchange is one entry of the golden file.
+type exchange struct {
+	name   string
+	agents int
+	run    func(*recorder)
+}
+
+func exchanges() []exchange {
+	const nonIdempotent = "certificado" // a class whose requests are never attempted again once they may have run
+	begin := string([]byte{0, 1, 1, 0, 0, 0, 0, 0})
+	once := goldenCall("consulta", "x")
+	once.once = true
+	padded := goldenCall("registro-horas", "padded")
+	padded.id, padded.padding, padded.long = 300, 7, true
+	otherRole := goldenCall("consulta", "")
+	otherRole.role = 2
+	tooLong := goldenCall("consulta", strings.Repeat("x", 16<<10+1))
+	tooLong.open = true
+	health := request{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
+	return []exchange{
+		{"served", 1, answered("registro-horas", servedAnswer)},
+		{"served, no body", 1, func(r *recorder) {
+			r.sends(goldenCall("consulta", "").bytes())
+			r.agentSends(r.agentReceives(), "{id} OK - 0\r\n\r\n")
+			r.receives(typeEndRequest)
+		}},
+		{"served, no idempotency key", 1, func(r *recorder) {
+			r.sends(goldenCall("consulta", "x", [2]string{"HTTP_ONCE_KEY", "-"}).bytes())
+			r.agentSends(r.agentReceives(), servedAnswer)
+			r.receives(typeEndRequest)
+		}},
+		{"served, body of any bytes", 1, func(r *recorder) {
+			r.sends(goldenCall("certificado", "\x00\xff\r\n=, go").bytes())
+			r.agentSends(r.agentReceives(), "{id} OK - 7\r\n\x00\xff\r\nOK \r\n")
+			r.receives(typeEndRequest)
+		}},
+		{"served, padding and long lengths", 1, func(r *recorder) {
+			r.sends(padded.bytes())
+			r.agentSends(r.agentReceives(), servedAnswer)
+			r.receives(typeEndRequest)
+		}},
+		{"served, connection not kept", 1, func(r *recorder) {
+			r.sends(once.bytes())
+			r.agentSends(r.agentReceives(), servedAnswer)
+			r.receivesEnd()
+		}},
+		{"served, fields that are not known", 1, answered("consulta", "{id} OK other=1,depth=1,l=new:1;util:0.25 2\r\nok\r\n")},
+		{"served, answer in pieces", 1, func(r *recorder) {
+			r.sends(goldenCall("certificado", "x").bytes())
+			m := r.agentReceives()
+			for _, b := range m.id() + " OK - 2\r\nok\r\n" {
+				r.agentSends(m, string(b))
+			}
+			r.receives(typeEndRequest)
+		}},
+		{"served, answer of several records", 1, answered("certificado", "{id} OK - 140000\r\n"+strings.Repeat("y", 140000)+"\r\n")},
+		{"served after an answer to nobody", 1, answered("certificado", "0000 OK - 2\r\nno\r\n"+servedAnswer)},
+		{"two at a time, answered in the other order", 1, func(r *recorder) {
+			second := goldenCall("consulta", "second", [2]string{"HTTP_REQUEST_ID", "00000000000c0de2"})
+			second.id = 2
+			r.sends(goldenCall("consulta", "first").bytes())
+			first := r.agentReceives()
+			r.sends(second.bytes())
+			r.agentSends(r.agentReceives(), "{id} OK - 6\r\nsecond\r\n")
+			r.receives(typeEndRequest)
+			r.agentSends(first, "{id} OK - 5\r\nfirst\r\n")
+			r.receives(typeEndRequest)
+		}},
+		{"ERR, not idempotent", 2, answered(nonIdempotent, "{id} ERR - 0\r\n\r\n")},
+		{"ERR with a text, not idempotent", 2, answered(nonIdempotent, "{id} ERR l=util:0.5 5\r\ncause\r\n")},
+		{"ERR, then served", 2, retried("consulta", "{id} ERR - 0\r\n\r\n")},
+		{"MISS, then served", 2, retried("certificado", "{id} MISS l=util:0.5 0\r\n\r\n")},
+		{"BUSY, then served", 2, retried("certificado", "{id} BUSY depth=9,l=util:1 0\r\n\r\n")},
+		{"VOID, then served", 2, retried("certificado", "{id} VOID - 0\r\n\r\n")},
+		{"UP to a request, which counts as served without a body", 2, answered(nonIdempotent, "{id} UP l=util:0.5\r\n")},
+		{"DOWN to a request, which counts as an error", 2, answered(nonIdempotent, "{id} DOWN\r\n")},
+		{"connection closed", 2, func(r *recorder) {
+			r.sends(goldenCall(nonIdempotent, "x").bytes())
+			r.agentEnds(r.agentReceives(), false)
+			r.receives(typeEndRequest)
+		}},
+		{"connection reset", 2, func(r *recorder) {
+			r.sends(goldenCall(nonIdempotent, "x").bytes())
+			r.agentEnds(r.agentReceives(), true)
+			r.receives(typeEndRequest)
+		}},
+		{"connection closed, then served", 2, func(r *recorder) {
+			r.sends(goldenCall("consulta", "x").bytes())
+			r.agentEnds(r.agentReceives(), false)
+			r.agentSends(r.agentReceives(), servedAnswer)
+			r.receives(typeEndRequest)
+		}},
+		{"silence until the deadline", 1, func(r *recorder) {
+			r.sends(goldenCall(nonIdempotent, "x", [2]string{"HTTP_BUDGET_MS", "600"}).bytes())
+			r.agentReceives()
+			r.receives(typeEndRequest)
+			r.agentReceives() // that it was given up
+		}},
+		{"answer that stops short", 1, answered(nonIdempotent, "{id} OK - 100\r\nshort")},
+		{"answer with another word", 1, answered(nonIdempotent, "{id} WHAT - 0\r\n\r\n")},
+		{"answer too long", 1, answered(nonIdempotent, "{id} OK - 99999999\r\n")},
+		{"answer that runs on", 1, answered(nonIdempotent, "{id} OK - 2\r\nlong\r\n")},
+		{"answer with a bad field", 1, answered(nonIdempotent, "{id} OK depth=many 0\r\n\r\n")},
+		{"answer with a bad report", 1, answered(nonIdempotent, "{id} OK l=util:NaN 0\r\n\r\n")},
+		{"answer without a line end", 1, answered(nonIdempotent, strings.Repeat("x", 5000))},
+		{"aborted by the client", 1, func(r *recorder) {
+			r.sends(goldenCall("consulta", "x").bytes())
+			r.agentReceives()
+			r.sends(rec(2, 1, 0, ""))
+			r.receives(typeEndRequest)
+			r.agentReceives() // that it was given up
+		}},
+		{"refused, no worker", 0, rejected(goldenCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "600"}))},
+		{"rejected, no such class", 1, rejected(goldenCall("nonsense", "x"))},
+		{"rejected, no id", 1, rejected(goldenCall("consulta", "x", [2]string{"HTTP_REQUEST_ID", "-"}))},
+		{"rejected, no idempotency key", 1, rejected(goldenCall("registro-horas", "x", [2]string{"HTTP_ONCE_KEY", "-"}))},
+		{"rejected, no budget", 1, rejected(goldenCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "0"}))},
+		{"rejected, length of the body", 1, rejected(goldenCall("consulta", "four", [2]string{"CONTENT_LENGTH", "5"}))},
+		{"rejected, body too long", 1, rejected(tooLong)},
+		{"rejected, parameters too long", 1, rejected(goldenCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}))},
+		{"rejected, not complete in time", 1, func(r *recorder) {
+			// A first complete request, or the time of the connection would run out beside that of the request.
+			r.sends(health.bytes())
+			r.receives(typeEndRequest)
+			r.sends(rec(1, 1, 0, begin))
+			r.receives(typeEndRequest)
+		}},
+		{"nothing sent", 1, func(r *recorder) { r.receivesEnd() }},
+		{"unknown role", 1, rejected(otherRole)},
+		{"health", 1, rejected(health)},
+		{"values", 1, managed(rec(9, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeValues)},
+		{"unknown type", 1, managed(rec(99, 0, 0, "x"), typeUnknownType)},
+		{"other protocol", 1, closed([]byte("GET / HTTP/1.1\r\n\r\n"))},
+		{"begun twice", 1, closed(append(rec(1, 4, 0, begin), rec(1, 4, 0, begin)...))},
+		{"begun short", 1, closed(rec(1, 4, 0, "\x00"))},
+		{"polls of the list service", 0, func(r *recorder) {
+			r.polled()
+			r.s.tell(false)
+			r.polled()
+		}},
+	}
+}
+
+// TestGoldenExchanges compares what the program sends to clients, agents and the list service with what it sent when
+// the golden file was made, byte for byte.
+func TestGoldenExchanges(t *testing.T) {
+	whole := !strings.Contains(flag.Lookup("test.run").Value.String(), "/") // all exchanges are run
+	if *record && !whole {
+		t.Fatal("-record writes the whole file: it goes with all exchanges")
+	}
+	var all strings.Builder
+	for _, x := range exchanges() {
+		t.Run(x.name, func(t *testing.T) {
+			var out strings.Builder
+			fmt.Fprintf(&out, "== %s\n", x.name)
+			defer func() { all.WriteString(out.String()) }()
+			r := newRecorder(t, &out, x.agents)
+			x.run(r)
+			r.finish()
+			if !*record {
+				compareExchange(t, x.name, out.String())
+			}
+		})
+	}
+	switch {
+	case t.Failed():
+	case *record:
+		if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(goldenFile, []byte(all.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	case whole:
+		if want := readGolden(t); all.String() != want {
+			t.Error("the golden file has other exchanges than the test, or another order of them")
+		}
+	}
+}
+
+func readGolden(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// compareExchange compares an exchange with that of its name in the golden file.
+func compareExchange(t *testing.T, name, got string) {
+	t.Helper()
+	_, rest, ok := strings.Cut("\n"+readGolden(t), "\n== "+name+"\n")
+	if !ok {
+		t.Fatal("the golden file lacks this exchange")
+	}
+	want, _, _ := strings.Cut(rest, "\n== ")
+	want = "== " + name + "\n" + strings.TrimSuffix(want, "\n") + "\n"
+	if got != want {
+		t.Errorf("bytes differ from the golden file.\ngot:\n%s\nwant:\n%s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/agent/golden_test.go
@@ -0,0 +1,43 @@
+package agent
+
+import (
+	"testing"
+	"time"
+)
+
+// The commands as a node agent receives them, byte for byte, with a clock that stands still. They were written down
+// before the code's names were changed, and are not changed to get a pass.
+func TestGoldenCommands(t *testing.T) {
+	keyed := attempt(2, "a")
+	keyed.Key, keyed.Patience, keyed.Body = "k-1", 2500*time.Millisecond+999*time.Microsecond, []byte("two\r\nlines")
+	short := attempt(3, "a")
+	short.Patience = 999 * time.Microsecond
+	for _, c := range []struct {
+		name   string
+		before func(*Pool) // the connection is up
+		after  func(*Pool)
+		want   string
+	}{
+		{"attempt", func(p *Pool) { p.Send(attempt(1, "a")) }, nil,
+			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\n"},
+		{"attempt with key and body", func(p *Pool) { p.Send(keyed) }, nil,
+			"go 0000000000000002 sort=consulta,asset=f,patience=2500,op=k-1 10\r\ntwo\r\nlines\r\n"},
+		{"attempt with hardly any time", func(p *Pool) { p.Send(short) }, nil,
+			"go 0000000000000003 sort=consulta,asset=f,patience=1 0\r\n\r\n"},
+		{"attempt that is given up", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Halt(1) },
+			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\nhalt 0000000000000001\r\n"},
+		{"probe", func(p *Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p, l, _ := newPool(Options{MaxConns: 10, MaxFiles: 30}, "a")
+			c.before(p)
+			w := l.up()
+			if c.after != nil {
+				c.after(p)
+			}
+			if got := w.sent.String(); got != c.want {
+				t.Errorf("sent %q, want %q", got, c.want)
+			}
+		})
+	}
+}
