--- /dev/null
+++ b/cmd/drill/recording_test.go
@@ -0,0 +1,324 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"compress/gzip"
+	"flag"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// record writes testdata/recording.txt.gz anew. The recording was made by the program as it was before its names were
+// changed, as proof that the changes alter no decision. It is never made anew to get a pass: a reply that differs is a
+// fault of the change, unless the change was meant to alter decisions and its commit says so. It was made on amd64; a
+// processor for which Go fuses floating-point operations may differ in the last bits.
+var record = flag.Bool("record", false, "write testdata/recording.txt.gz instead of comparing with it")
+
+const (
+	recordedRounds     = 6400 // of all instances together
+	recordedInstances  = 3    // that run side by side
+	recordedMalformed  = 900  // short runs with a malformed line
+	recordingSeed      = 20260101
+	recordingStartTime = 1000000  // microseconds
+	inputMark          = "input " // begins the line with the checksum of what the program was told
+)
+
+// TestRecordedDecisions plays a seeded world against the adapter and compares all replies, byte for byte, with those
+// that the program gave when the recording was made. A checksum of each round's input stands before its replies: if
+// that is the first line to differ, the generator changed and not the decisions.
+func TestRecordedDecisions(t *testing.T) {
+	var got bytes.Buffer
+	if err := recordWorld(&got); err != nil {
+		t.Fatal(err)
+	}
+	recordMalformedInput(&got)
+	name := filepath.Join("testdata", "recording.txt.gz")
+	if *record {
+		if err := writeRecording(name, got.Bytes()); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := readRecording(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareRecordings(t, got.Bytes(), want)
+}
+
+// compareRecordings reports the first line that differs, and whether input or decisions differ there.
+func compareRecordings(t *testing.T, got, want []byte) {
+	t.Helper()
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] == wantLines[i] {
+			continue
+		}
+		what := "decisions changed"
+		if strings.HasPrefix(gotLines[i], inputMark) && strings.HasPrefix(wantLines[i], inputMark) {
+			what = "the generator's input changed, not the decisions before it"
+		}
+		t.Fatalf("line %d of the recording: %s: got %q, want %q", i+1, what, gotLines[i], wantLines[i])
+	}
+	t.Fatalf("got %d lines, want %d", len(gotLines), len(wantLines))
+}
+
+// recordWorld plays all profiles against one run of the program, several side by side, and writes checksums of the
+// input and all replies.
+func recordWorld(recording *bytes.Buffer) error {
+	programIn, toProgram := io.Pipe()
+	fromProgram, programOut := io.Pipe()
+	ended := make(chan error, 1)
+	go func() {
+		err := run(programIn, programOut)
+		programIn.CloseWithError(io.ErrClosedPipe)
+		programOut.CloseWithError(io.ErrUnexpectedEOF)
+		ended <- err
+	}()
+	replies := bufio.NewReader(fromProgram)
+	schedule := newInstanceSchedule()
+	for number := 1; number <= recordedRounds; number++ {
+		text := schedule.round(number)
+		fmt.Fprintf(recording, "%s%08x\n", inputMark, crc32.ChecksumIEEE([]byte(text)))
+		if _, err := io.WriteString(toProgram, text); err != nil {
+			return fmt.Errorf("round %d: %w, run: %w", number, err, <-ended)
+		}
+		if err := schedule.takeReply(replies, number, recording); err != nil {
+			return fmt.Errorf("round %d: %w", number, err)
+		}
+	}
+	if err := toProgram.Close(); err != nil {
+		return err
+	}
+	return <-ended
+}
+
+// instanceSchedule plays the profiles one after the other on a few instances.
+type instanceSchedule struct {
+	rng      *rand.Rand
+	now      int64
+	profiles []siteProfile
+	next     int // profile
+	worlds   [recordedInstances]*simulatedWorld
+	ends     [recordedInstances]int // round after which the instance is shut down
+}
+
+func newInstanceSchedule() *instanceSchedule {
+	return &instanceSchedule{rng: rand.New(rand.NewPCG(recordingSeed, 1)), now: recordingStartTime, profiles: siteProfiles()}
+}
+
+// round returns the lines of the next round.
+func (s *instanceSchedule) round(number int) string {
+	step := int64(12000)
+	if w := s.worlds[number%recordedInstances]; w != nil {
+		step = int64(w.profile.stepMs) * 1000
+	}
+	s.now += 1000 + s.rng.Int64N(2*step)
+	if s.rng.IntN(400) == 0 { // a stall
+		s.now += s.rng.Int64N(2000000)
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "round\t%s\t%d\n", millisText(s.now), number)
+	if number > 2 { // the first rounds are empty
+		for i := range s.worlds {
+			s.instance(&text, i, number)
+		}
+	}
+	text.WriteString("flush\n")
+	return text.String()
+}
+
+// instance writes what one instance is told.
+func (s *instanceSchedule) instance(text *strings.Builder, i, number int) {
+	w := s.worlds[i]
+	switch {
+	case w != nil && number < s.ends[i]:
+		if told := w.round(s.now); told != "" {
+			fmt.Fprintf(text, "target_instance\t%d\n%s", i, told)
+		}
+	case w != nil:
+		fmt.Fprintf(text, "target_instance\t%d\n%sshutdown\n", i, w.round(s.now))
+		s.worlds[i] = nil
+	case s.rng.IntN(20) == 0: // nothing runs there
+		fmt.Fprintf(text, "target_instance\t%d\nreminder\t1\n", i)
+	case s.rng.IntN(10) == 0:
+		fmt.Fprintf(text, "target_instance\t%d\npower_on\t1\t{\"balancers\":%d}\n", i, s.rng.IntN(2))
+	case s.rng.IntN(4) == 0:
+		duration := recordedRounds * recordedInstances / len(s.profiles)
+		seed := recordingSeed + uint64(s.next)
+		w = newSimulatedWorld(s.profiles[s.next%len(s.profiles)], seed, s.now)
+		s.next++
+		s.worlds[i], s.ends[i] = w, number+duration
+		fmt.Fprintf(text, "target_instance\t%d\n%s", i, w.first(seed))
+	}
+}
+
+// takeReply reads the reply to a round, records it and lets the worlds act on it.
+func (s *instanceSchedule) takeReply(replies *bufio.Reader, number int, recording *bytes.Buffer) error {
+	var w *simulatedWorld
+	for {
+		line, err := replies.ReadString('\n')
+		if err != nil {
+			return err
+		}
+		recording.WriteString(line)
+		line = strings.TrimSuffix(line, "\n")
+		name, value, _ := strings.Cut(line, "\t")
+		switch name {
+		case "ok":
+			if value != fmt.Sprint(number) {
+				return fmt.Errorf("reply %q", line)
+			}
+			return nil
+		case "instance":
+			var i int
+			if _, err := fmt.Sscan(value, &i); err != nil || i < 0 || i >= len(s.worlds) {
+				return fmt.Errorf("reply %q", line)
+			}
+			w = s.worlds[i]
+		default:
+			if w == nil {
+				continue // a start that failed, or an event for what does not run
+			}
+			if err := w.apply(line); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// wellFormed has a message of each kind, and some values that stand at the edges of what is read.
+var wellFormed = []string{
+	"view\t1\t1\t2\nm\t1\t1\tw-a\t0\t0\t0\t-\nm\t2.5\t2\tw-b\t1\t1\t1\t900.5",
+	"view\t0\t9\t1\nm\t-\t0\tw-a\t-\t-\t-\t-",
+	"view\t3\t-1\t0",
+	"call\tt/1\t0\t0\tf-a\t1900\t12.5\t300\t2\t900\t3",
+	"call\tt/2\t0\t-\tf-a\t1900\t-\t-\t-\t-\t-",
+	"first\tt/1\t0\tw-a\t9.25",
+	"outcome\tt/1\t0\t17\t18.5\tw-a\t0\tdelivered\tinflight:3,queue:1,util:0.5,x0:0.2,x1:1,new:-",
+	"outcome\tt/1\t1\t-\t-\tw-a\t0\tdropped\t-",
+	"expired\tt/1",
+	"reminder\t1",
+	"sampled\tdelivered\tw-a\t1.5\tutil:0.25",
+	"brought_up\tw-a\t640\t1\tf-a\tshed",
+	"datagram\t2\t6869",
+	"datagram\t2\t-",
+	"shutdown",
+	"target_instance\t1",
+	"power_on\t7\t" + `{"balancers":1,"ceilings":{"attemptsCap":2},"classes":[{"aimMs":500,"hardLimitMs":2000,"effect":"read_like"}]}`,
+	"flush",
+	"round\t12\t3",
+}
+
+// outOfRange has messages whose values are of the right form and can't be.
+var outOfRange = []string{
+	"view\t4\t1\t0", "view\t-1\t1\t0", "view\t1\t1\t-1", "view\t1\t1\t1\nm\t1\t3\tw-a\t0\t0\t0\t-",
+	"view\t1\t1\t1\nm\t1\t-1\tw-a\t0\t0\t0\t-", "view\t1\t1\t1\nn\t1\t1\tw-a\t0\t0\t0\t-",
+	"outcome\tt/1\t0\t-1\t5\tw-a\t0\tdelivered\t-", "outcome\tt/1\t0\t7\t5\tw-a\t0\tdelivered\t-",
+	"outcome\tt/1\t2\t-\t5\tw-a\t0\tdelivered\t-", "datagram\t1\t123", "power_on\t-1\t{}", "power_on\tx\t{",
+}
+
+// recordMalformedInput runs the program on short inputs with one altered message, and writes replies and error texts.
+// Values of a wrong type inside the settings object are left out, since the text for them comes from encoding/json and
+// names Go types.
+func recordMalformedInput(recording *bytes.Buffer) {
+	rng := rand.New(rand.NewPCG(recordingSeed, 3))
+	settings := siteProfiles()[0].settings()
+	start := "round\t1\t1\ntarget_instance\t0\npower_on\t5\t" + settings + "\nview\t1\t1\t1\nm\t1\t1\tw-a\t0\t0\t0\t-\n" +
+		"call\tt/1\t0\t-\tf-a\t900\t-\t-\t-\t-\t-\nflush\nround\t20\t2\ntarget_instance\t0\n"
+	inputs := []string{"", "\n", "flush\n", "round\t1\t1\nexpired\tt/a\nflush\n", "round\t1\t1\ntarget_instance\t0\nnews\t1\nflush\n"}
+	for _, bad := range []string{"{}", "{", "null", "", `{"balancers":1}`,
+		strings.Replace(settings, "read_like", "unheard_of", 1), strings.Replace(settings, `"cell"`, `"room"`, 1),
+		strings.Replace(settings, `"tickMs":4`, `"tickMs":-4`, 1), strings.Replace(settings, `"aimMs":500`, `"aimMs":0`, 1),
+		strings.Replace(settings, `"tickMs":4`, `"tickMs":1e300`, 1),
+		strings.Replace(settings, `"coldShare":0.25`, `"coldShare":-1`, 1),
+		strings.Replace(settings, `"tenants":[]`, `"tenants":[{"share":-1,"quotaPerS":2}]`, 1),
+		strings.Replace(settings, `"balancers":1`, `"balancers":0`, 1),
+		strings.Replace(settings, `"idleLifeMs":9000`, `"idleLifeMs":0`, 1)} {
+		inputs = append(inputs, "round\t1\t1\ntarget_instance\t0\npower_on\t5\t"+bad+"\nflush\n")
+	}
+	for _, bad := range outOfRange {
+		inputs = append(inputs, start+bad+"\nflush\n")
+	}
+	for i := len(inputs); i < recordedMalformed; i++ {
+		inputs = append(inputs, start+malformed(rng, wellFormed[i%len(wellFormed)])+"\nflush\n")
+	}
+	for i, in := range inputs {
+		if i%9 == 8 { // input that ends too early
+			in = in[:len(in)-rng.IntN(min(len(in), 40))]
+		}
+		fmt.Fprintf(recording, "%s%08x\n", inputMark, crc32.ChecksumIEEE([]byte(in)))
+		err := run(strings.NewReader(in), recording)
+		fmt.Fprintf(recording, "error %v\n", err)
+	}
+}
+
+// malformed alters one value of a message: it is left out, doubled, or replaced by one that may make no sense.
+func malformed(rng *rand.Rand, message string) string {
+	odd := []string{"", "-", "x", "-1", "1e999", "NaN", "0x1", "9223372036854775808", "18446744073709551616", "4", "1.5",
+		"inflight", "inflight:x", "inflight:1,,", "t/1", "delivered", "Delivered", "2", " 1", "1 ", "\x00", "é", "abc"}
+	lines := strings.Split(message, "\n")
+	n := rng.IntN(len(lines))
+	line := lines[n]
+	values := strings.Split(line, "\t")
+	at := rng.IntN(len(values))
+	switch rng.IntN(6) {
+	case 0: // cut
+		lines[n] = strings.Join(values[:at], "\t")
+	case 1: // one too few
+		lines[n] = strings.Join(append(append([]string{}, values[:at]...), values[at+1:]...), "\t")
+	case 2: // one too many
+		lines[n] = line + "\t" + odd[rng.IntN(len(odd))]
+	default:
+		if at == 0 && rng.IntN(4) > 0 {
+			at = len(values) - 1
+		}
+		if values[0] == "power_on" {
+			at = 1 // settings are altered one by one above
+		}
+		values[at] = odd[rng.IntN(len(odd))]
+		lines[n] = strings.Join(values, "\t")
+	}
+	if rng.IntN(12) == 0 { // a list that is cut short
+		lines = lines[:n+1]
+	}
+	return strings.Join(lines, "\n")
+}
+
+func readRecording(name string) ([]byte, error) {
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	r, err := gzip.NewReader(f)
+	if err != nil {
+		return nil, err
+	}
+	return io.ReadAll(r)
+}
+
+func writeRecording(name string, text []byte) error {
+	var out bytes.Buffer
+	w, err := gzip.NewWriterLevel(&out, gzip.BestCompression)
+	if err != nil {
+		return err
+	}
+	if _, err := w.Write(text); err != nil {
+		return err
+	}
+	if err := w.Close(); err != nil {
+		return err
+	}
+	return os.WriteFile(name, out.Bytes(), 0o644)
+}
