--- a/router.go
+++ b/router.go
@@ -8,7 +8,6 @@
 
 import (
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"time"
 )
@@ -67,17 +66,6 @@
 	coldTop = 0.025
 )
 
-// New returns a Router for these settings. All its randomness comes from the seed.
-func New(s Settings, seed uint64) (*Router, error) {
-	least, err := s.check()
-	if err != nil {
-		return nil, err
-	}
-	return &Router{set: s, rng: rand.New(rand.NewPCG(seed, 0)), leastAim: least.Seconds(), version: 1,
-		theirs: 1 - 1/float64(s.Schedulers), shares: s.shares(), requests: map[string]*request{},
-		workers: map[string]*worker{}, funcs: map[string]*function{}}, nil
-}
-
 // Step tells the Router everything that happened at one moment, in order, and returns what is to be done.
 // Ids that the Router does not hold are passed over.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
--- a/state.go
+++ b/state.go
@@ -43,6 +43,17 @@
 	blindTill                    time.Duration // nothing is sent until then: the list may be old
 }
 
+// New returns a Router for these settings. All its randomness comes from the seed.
+func New(s Settings, seed uint64) (*Router, error) {
+	least, err := s.check()
+	if err != nil {
+		return nil, err
+	}
+	return &Router{set: s, rng: rand.New(rand.NewPCG(seed, 0)), leastAim: least.Seconds(), version: 1,
+		theirs: 1 - 1/float64(s.Schedulers), shares: s.shares(), requests: map[string]*request{},
+		workers: map[string]*worker{}, funcs: map[string]*function{}}, nil
+}
+
 type worker struct {
 	Worker
 	loads             int // attempts of ours that wait for a load: they hold no lane
