--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -85,8 +85,10 @@
 		wg.Go(func() {
 			for i := range next {
 				sent := time.Now()
-				q := fastcgi.Request{Path: "/rpc/" + class, ID: randomHex(8), Function: c.function,
-					OnceKey: c.onceKey, Budget: c.budget, Spec: c.spec, Body: body}
+				q := fastcgi.Request{
+					Path: "/rpc/" + class, ID: randomHex(8), Function: c.function,
+					OnceKey: c.onceKey, Budget: c.budget, Spec: c.spec, Body: body,
+				}
 				if q.OnceKey == "" {
 					q.OnceKey = randomHex(16)
 				}
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -54,8 +54,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			day := lab.ColdDay{Program: self, Env: []string{"CALICOHILL_AS_PROGRAM=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
-				Workers: 10, Scenario: script, Seconds: c.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) }}
+			day := lab.ColdDay{
+				Program: self, Env: []string{"CALICOHILL_AS_PROGRAM=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
+				Workers: 10, Scenario: script, Seconds: c.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
+			}
 			least := 0.0
 			switch cold := strings.Contains(c.script, "boot") || strings.Contains(c.script, "cold"); {
 			case cold && strings.HasPrefix(c.script, "0s boot"):
--- a/cmd/calicohill/confined_test.go
+++ b/cmd/calicohill/confined_test.go
@@ -25,8 +25,10 @@
 		filter = append(filter, unix.SockFilter{Code: code, K: k, Jt: yes, Jf: no})
 	}
 	add(load, number, 0, 0)
-	for _, call := range []uint32{unix.SYS_EXECVE, unix.SYS_CLONE3, unix.SYS_IO_URING_SETUP, unix.SYS_SPLICE,
-		unix.SYS_SENDFILE, unix.SYS_SOCKETPAIR} {
+	for _, call := range []uint32{
+		unix.SYS_EXECVE, unix.SYS_CLONE3, unix.SYS_IO_URING_SETUP, unix.SYS_SPLICE,
+		unix.SYS_SENDFILE, unix.SYS_SOCKETPAIR,
+	} {
 		add(equal, call, 0, 1)
 		add(ret, refuse(unix.ENOSYS), 0, 0)
 	}
--- a/cmd/calicohill/endings_test.go
+++ b/cmd/calicohill/endings_test.go
@@ -538,8 +538,11 @@
 	f := s.front()
 	f.send(call("certificado", "out"))
 	until(t, "the request is at the worker", func() bool { return len(a.had()) == 1 })
-	s.settings = [][2]string{{`"name":"certificado"`, `"name":"other"`}, {`"effect":"non_idempotent"`, `"effect":"read_like"`},
-		{`"hardLimitMs":3000`, `"hardLimitMs":30`}}
+	s.settings = [][2]string{
+		{`"name":"certificado"`, `"name":"other"`},
+		{`"effect":"non_idempotent"`, `"effect":"read_like"`},
+		{`"hardLimitMs":3000`, `"hardLimitMs":30`},
+	}
 	s.configure()
 	if err := s.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -79,8 +79,10 @@
 					return err
 				}
 				got := table.Match(q)
-				all = append(all, matched{got.Class, got.Key, got.Route, got.Labels, got.Rules, got.Cost, table.Limit(),
-					strings.Join(got.Failed, "; ")})
+				all = append(all, matched{
+					got.Class, got.Key, got.Route, got.Labels, got.Rules, got.Cost, table.Limit(),
+					strings.Join(got.Failed, "; "),
+				})
 			}
 			return printMatched(cmd.OutOrStdout(), all, asJSON)
 		},
@@ -131,8 +133,10 @@
 
 // requestOf makes a request of fields by name.
 func requestOf(fields map[string]string, slots []string) (*match.Request, error) {
-	q := &match.Request{Class: fields["class"], Handler: fields["handler"], Path: fields["path"], Method: fields["method"],
-		Client: fields["client"], OnceKey: fields["once_key"], ID: fields["id"], Local: time.Now()}
+	q := &match.Request{
+		Class: fields["class"], Handler: fields["handler"], Path: fields["path"], Method: fields["method"],
+		Client: fields["client"], OnceKey: fields["once_key"], ID: fields["id"], Local: time.Now(),
+	}
 	if q.Path == "" && q.Class != "" {
 		q.Path = "/rpc/" + q.Class
 	}
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -164,8 +164,11 @@
 		exit int
 		says string
 	}{
-		{[]string{"match", good, "--json", "--config", platform, "--requests", lines}, 0,
-			`{"class":"certificado","key":"cc1:z4","route":"slow-lane","labels":{"centre":"z4"},"rules":["certificates-by-function"],"cost":`},
+		{
+			[]string{"match", good, "--json", "--config", platform, "--requests", lines},
+			0,
+			`{"class":"certificado","key":"cc1:z4","route":"slow-lane","labels":{"centre":"z4"},"rules":["certificates-by-function"],"cost":`,
+		},
 		{[]string{"match", good, "--json", "--config", platform, "--requests", lines}, 0, `"class":"consulta","key":"","route":"","labels":null,"rules":["by-path"]`},
 		{[]string{"match", good, "--config", platform, "--request", "class=consulta,handler=cc1,budget=1s"}, 0, "broken: "},
 		{[]string{"match", good, "--request", "class"}, 2, "NAME=VALUE"},
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -100,9 +100,11 @@
 
 // callOf is a call of a class, with a body that says through whom it goes.
 func callOf(in *lab.Instance, class string, function int) fastcgi.Request {
-	return fastcgi.Request{Path: "/rpc/" + class, ID: randomHex(8), OnceKey: randomHex(16),
+	return fastcgi.Request{
+		Path: "/rpc/" + class, ID: randomHex(8), OnceKey: randomHex(16),
 		Function: fmt.Sprintf("%016x", function), Budget: 1500 * time.Millisecond, Spec: "memory_mb:64;lanes:4",
-		Body: []byte(in.Name + " asks")}
+		Body: []byte(in.Name + " asks"),
+	}
 }
 
 // ask sends a call through an instance and tells what became of it.
--- a/cmd/calicohill/program_test.go
+++ b/cmd/calicohill/program_test.go
@@ -67,7 +67,8 @@
 			delete(g.fields, "patience")
 			g.conn = 0
 			want := goLine{id: c.q.param("HTTP_REQUEST_ID"), body: c.q.body, fields: map[string]string{
-				"sort": strings.TrimPrefix(c.q.param("SCRIPT_NAME"), "/rpc/"), "asset": c.q.param("HTTP_RESOURCE_KEY")}}
+				"sort": strings.TrimPrefix(c.q.param("SCRIPT_NAME"), "/rpc/"), "asset": c.q.param("HTTP_RESOURCE_KEY"),
+			}}
 			if key := c.q.param("HTTP_ONCE_KEY"); key != "" {
 				want.fields["op"] = key
 			}
@@ -166,8 +167,10 @@
 		{"unknown type", rec(99, 0, 0, "x"), 11, "\x63\x00\x00\x00\x00\x00\x00\x00"},
 		{"values", rec(9, 0, 3, "\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), 10, "\x0f\x01FCGI_MPXS_CONNS1"},
 		{"abort", append(open.bytes(), rec(2, open.id, 0, "")...), 3, "\x00\x00\x00\x00\x00\x00\x00\x00"},
-		{"abort before the body", append(rec(1, 4, 0, begin(1)), rec(2, 4, 0, "")...), 3,
-			"\x00\x00\x00\x00\x00\x00\x00\x00"},
+		{
+			"abort before the body", append(rec(1, 4, 0, begin(1)), rec(2, 4, 0, "")...), 3,
+			"\x00\x00\x00\x00\x00\x00\x00\x00",
+		},
 		{"version", []byte("GET / HTTP/1.1\r\n\r\n"), 0, ""},
 		{"begun twice", append(rec(1, 4, 0, begin(1)), rec(1, 4, 0, begin(1))...), 0, ""},
 		{"begun without id", rec(1, 0, 0, begin(1)), 0, ""},
@@ -968,10 +971,12 @@
 		t.Fatal(err)
 	}
 	moved := strings.Replace(string(text), s.bulletin.Listener.Addr().String(), "127.0.0.1:1", 1)
-	for i, bad := range []string{`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
+	for i, bad := range []string{
+		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
 		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
 		strings.Replace(moved, `"state":"SERVING"`, `"state":"?"`, 1),
-		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1)} {
+		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1),
+	} {
 		if bad == moved {
 			t.Fatalf("file %d is as it was", i)
 		}
--- a/cmd/calicohill/rig_test.go
+++ b/cmd/calicohill/rig_test.go
@@ -209,10 +209,12 @@
 		}
 		settings = strings.ReplaceAll(settings, c[0], c[1])
 	}
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": s.addr, "seed": "8c1f30d27a5be964",
+	text, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": s.addr, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.memoryMB, "sockets": s.sockets},
 		"bulletin": s.bulletin.Listener.Addr().String(), "known": json.RawMessage(known),
-		"settings": json.RawMessage(settings)})
+		"settings": json.RawMessage(settings),
+	})
 	s.mu.Unlock()
 	if err != nil {
 		s.t.Fatal(err)
@@ -619,10 +621,14 @@
 func call(class string, body string, change ...[2]string) request {
 	lastID.Lock()
 	lastID.n++
-	q := request{id: 1, body: body, params: [][2]string{{"SCRIPT_NAME", "/rpc/" + class},
-		{"HTTP_REQUEST_ID", fmt.Sprintf("%016x", lastID.n)}, {"HTTP_BUDGET_MS", "9000"},
-		{"HTTP_ONCE_KEY", fmt.Sprintf("%032x", lastID.n)}, {"HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"},
-		{"HTTP_X_SPEC", "memory_mb:512;lanes:2"}}}
+	q := request{id: 1, body: body, params: [][2]string{
+		{"SCRIPT_NAME", "/rpc/" + class},
+		{"HTTP_REQUEST_ID", fmt.Sprintf("%016x", lastID.n)},
+		{"HTTP_BUDGET_MS", "9000"},
+		{"HTTP_ONCE_KEY", fmt.Sprintf("%032x", lastID.n)},
+		{"HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"},
+		{"HTTP_X_SPEC", "memory_mb:512;lanes:2"},
+	}}
 	lastID.Unlock()
 	for _, c := range change {
 		found := false
--- a/cmd/calicohill/run.go
+++ b/cmd/calicohill/run.go
@@ -140,11 +140,13 @@
 	// A third of the memory may go into what is read and not answered yet.
 	pool := buffer.NewPool(cfg.MemoryMB << 20 / 3 / buffer.Size)
 	d := dispatch.New(l, router, pool, cfg.Site.MaxOpen)
-	agents := agent.New(l, d, agent.Options{Classes: cfg.Site.ClassNames, Streams: cfg.Site.Streams,
+	agents := agent.New(l, d, agent.Options{
+		Classes: cfg.Site.ClassNames, Streams: cfg.Site.Streams,
 		Schedulers: cfg.Site.Schedulers, IdleClose: cfg.Site.IdleClose, ConnectTimeout: cfg.Site.ConnectTimeout,
 		MaxConns: cfg.Sockets / 3, MaxFiles: max(cfg.Sockets-clients-otherFiles, cfg.Sockets/3+2),
 		// Even if every connection had an answer coming that never ends, a quarter of the memory is enough.
-		MaxAnswer: min(max(cfg.MemoryMB<<20/4/(cfg.Sockets/3), leastAnswer), mostAnswer)}, parts.Part("agent"))
+		MaxAnswer: min(max(cfg.MemoryMB<<20/4/(cfg.Sockets/3), leastAnswer), mostAnswer),
+	}, parts.Part("agent"))
 	d.Use(agents)
 	// An eighth may wait for clients that do not read.
 	server := fastcgi.New(l, d, pool, &cfg.Site, clients, cfg.MemoryMB<<20/8, parts.Part("clients"), parts.Part("rules"))
@@ -265,7 +267,8 @@
 // restore takes up the list of an earlier life, if it counts, has the list and what is learned kept from now on, and
 // returns what was learned; nil if none of it counts.
 func restore(watch *bulletin.Watch, state *operator.State, l *loop.Loop, d *dispatch.Dispatcher, log *logrus.Entry) (
-	memory *calicohill.Memory) {
+	memory *calicohill.Memory,
+) {
 	r, err := snapshotfile.Read(state.Snapshot, state.Fleet, l.Now(), state.MaxAge)
 	newer := false
 	if err == nil && r.No > 0 {
@@ -277,8 +280,10 @@
 		log.WithError(err).Warn("snapshot set aside")
 		memory = nil
 	case r.No > 0:
-		log.WithFields(logrus.Fields{"event": r.No, "newer": newer, "functions": len(r.Memory.Functions),
-			"age": (l.Now() - r.At).Round(time.Second)}).Info("snapshot taken up")
+		log.WithFields(logrus.Fields{
+			"event": r.No, "newer": newer, "functions": len(r.Memory.Functions),
+			"age": (l.Now() - r.At).Round(time.Second),
+		}).Info("snapshot taken up")
 	}
 	watch.Changed = snapshotfile.New(l, state.Snapshot, state.Fleet, watch.List, d.Memory, log).Changed
 	return memory
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -230,8 +230,10 @@
 // Probe asks a worker for its load report.
 func (p *Pool) Probe(id string) {
 	p.probes++
-	j := &job{Attempt: dispatch.Attempt{Worker: id, ID: "p" + strconv.FormatUint(p.probes, 10)},
-		w: p.workers[id], probe: true, written: p.loop.Now()}
+	j := &job{
+		Attempt: dispatch.Attempt{Worker: id, ID: "p" + strconv.FormatUint(p.probes, 10)},
+		w:       p.workers[id], probe: true, written: p.loop.Now(),
+	}
 	j.late.Fire = func() {
 		p.forget(j)
 		p.finish(j, dispatch.End{Outcome: calicohill.TimedOut, Company: -1})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -104,8 +104,10 @@
 }
 
 func attempt(n int, worker string) dispatch.Attempt {
-	return dispatch.Attempt{Ref: slot.Ref(n), Worker: worker, ID: strings.Repeat("0", 15) + string(rune('0'+n)), Function: "f",
-		Patience: time.Second}
+	return dispatch.Attempt{
+		Ref: slot.Ref(n), Worker: worker, ID: strings.Repeat("0", 15) + string(rune('0'+n)), Function: "f",
+		Patience: time.Second,
+	}
 }
 
 // What is written to a connection on which something waits to be sent would be sent when nobody can take it back any
--- a/internal/agent/line.go
+++ b/internal/agent/line.go
@@ -110,8 +110,10 @@
 // parseReport reads a load report, as in inflight:7;util:0.61.
 func parseReport(list string) (*calicohill.Report, error) {
 	r := &calicohill.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
-	known := map[string]*float64{"inflight": &r.InFlight, "queue": &r.Queue, "util": &r.Util,
-		"x0": &r.MemoryHeld, "x1": &r.Loads}
+	known := map[string]*float64{
+		"inflight": &r.InFlight, "queue": &r.Queue, "util": &r.Util,
+		"x0": &r.MemoryHeld, "x1": &r.Loads,
+	}
 	for f := range strings.SplitSeq(list, ";") {
 		name, value, ok := strings.Cut(f, ":")
 		x, err := strconv.ParseFloat(value, 64)
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -30,8 +30,10 @@
 		var all []*player
 		var pool []Heard
 		fresh := func(p *player, i int) {
-			c, err := New(Config{Self: fmt.Sprint("n", i), Epoch: p.epoch, Members: n, Budgets: []Budget{{"b", whole, hold}}, Lease: lease,
-				Drift: drift})
+			c, err := New(Config{
+				Self: fmt.Sprint("n", i), Epoch: p.epoch, Members: n, Budgets: []Budget{{"b", whole, hold}}, Lease: lease,
+				Drift: drift,
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/allowance/checker_test.go
+++ b/internal/allowance/checker_test.go
@@ -32,8 +32,10 @@
 )
 
 func (w *world) config(i int, epoch int64) Config {
-	return Config{Self: fmt.Sprint("n", i), Epoch: epoch, Members: 3, Budgets: []Budget{{"b", units, 0}}, Lease: 6 * time.Second,
-		Drift: third}
+	return Config{
+		Self: fmt.Sprint("n", i), Epoch: epoch, Members: 3, Budgets: []Budget{{"b", units, 0}}, Lease: 6 * time.Second,
+		Drift: third,
+	}
 }
 
 func newWorld(rates ...time.Duration) *world {
@@ -63,8 +65,10 @@
 }
 
 func (w *world) clone() *world {
-	n := &world{clock: slices.Clone(w.clock), rate: w.rate, stopped: slices.Clone(w.stopped), pool: slices.Clone(w.pool),
-		course: slices.Clone(w.course)}
+	n := &world{
+		clock: slices.Clone(w.clock), rate: w.rate, stopped: slices.Clone(w.stopped), pool: slices.Clone(w.pool),
+		course: slices.Clone(w.course),
+	}
 	for _, c := range w.members {
 		d := *c
 		d.asked, d.liars, d.budgets = slices.Clone(c.asked), maps.Clone(c.liars), nil
--- a/internal/bulletin/bulletin.go
+++ b/internal/bulletin/bulletin.go
@@ -68,9 +68,11 @@
 			}
 			state = calicohill.Draining
 		}
-		w := calicohill.Worker{ID: t.UID, State: state, Weight: 1, Cell: t.PodGroup,
+		w := calicohill.Worker{
+			ID: t.UID, State: state, Weight: 1, Cell: t.PodGroup,
 			Zone: max(slices.Index(zones, t.AZ), 0), Kind: max(slices.Index(kinds, t.Model), 0),
-			Started: time.Duration(t.BootMs * float64(time.Millisecond))}
+			Started: time.Duration(t.BootMs * float64(time.Millisecond)),
+		}
 		if t.Capacity != nil {
 			w.Weight = *t.Capacity
 		}
@@ -119,7 +121,8 @@
 // New returns a Watch that does nothing until Start. The events known already come in the form of a poll's
 // answer.
 func New(l Loop, addr string, known []byte, zones, kinds []string, core *polling.Core, sink func(dispatch.Roster),
-	log logrus.FieldLogger) (*Watch, error) {
+	log logrus.FieldLogger,
+) (*Watch, error) {
 	w := &Watch{loop: l, addr: addr, zones: zones, kinds: kinds, sink: sink, log: log, core: core, conns: map[int]*conn{}}
 	w.next.Fire = func() { w.step() }
 	var err error
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -56,8 +56,10 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Bulletin: f.Bulletin, Known: f.Known,
-		MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
+	c := &Config{
+		Name: f.Name, Listen: f.Listen, Bulletin: f.Bulletin, Known: f.Known,
+		MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
+	}
 	if name != "" {
 		c.Name = name
 	}
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -61,15 +61,18 @@
 func (h entries) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
+
 func (h entries) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].place, h[j].place = i+1, j+1
 }
+
 func (h *entries) Push(x any) {
 	e := x.(*Entry)
 	*h = append(*h, e)
 	e.place = len(*h)
 }
+
 func (h *entries) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -161,8 +161,10 @@
 
 // New returns a Dispatcher. Use must be called before anything else.
 func New(l Loop, r *calicohill.Router, pool *buffer.Pool, maxOpen int) *Dispatcher {
-	return &Dispatcher{loop: l, router: r, pool: pool, maxOpen: maxOpen,
-		byID: map[string]slot.Ref{}, states: map[string]calicohill.WorkerState{}, entries: map[string]pools.Attributes{}}
+	return &Dispatcher{
+		loop: l, router: r, pool: pool, maxOpen: maxOpen,
+		byID: map[string]slot.Ref{}, states: map[string]calicohill.WorkerState{}, entries: map[string]pools.Attributes{},
+	}
 }
 
 // Use names what reaches the workers.
@@ -229,8 +231,10 @@
 			function += "\x00" + c.Route // what is warm in one pool is not in another
 		}
 	}
-	d.tell(calicohill.Request{ID: c.ID, Class: c.Class, Function: function, Pool: pool, TimeLeft: max(q.end-now, 0),
-		Memory: c.Memory, Lanes: c.Lanes, LoadTime: c.LoadTime})
+	d.tell(calicohill.Request{
+		ID: c.ID, Class: c.Class, Function: function, Pool: pool, TimeLeft: max(q.end-now, 0),
+		Memory: c.Memory, Lanes: c.Lanes, LoadTime: c.LoadTime,
+	})
 	return q.ref, nil
 }
 
@@ -289,8 +293,10 @@
 	d.loop.Drop(&a.late)
 	d.attempts.Free(a.ref)
 	a.q.out--
-	d.tell(calicohill.AttemptEnd{ID: a.q.ID, Attempt: a.n, Worker: a.worker, Outcome: e.Outcome,
-		Closed: a.q.done, Latency: d.loop.Now() - a.sent, Company: e.Company, Report: e.Report})
+	d.tell(calicohill.AttemptEnd{
+		ID: a.q.ID, Attempt: a.n, Worker: a.worker, Outcome: e.Outcome,
+		Closed: a.q.done, Latency: d.loop.Now() - a.sent, Company: e.Company, Report: e.Report,
+	})
 }
 
 // halt gives an attempt up. One of which nothing was written has not run, whatever the reason.
@@ -452,8 +458,10 @@
 	}
 	a.late.Fire = func() { d.halt(a, calicohill.TimedOut, calicohill.Unreached) }
 	d.loop.At(&a.late, until)
-	at := Attempt{Ref: a.ref, Worker: s.Worker, ID: q.ID, Class: q.Class, Function: q.Function, Key: q.Key,
-		Patience: until - now}
+	at := Attempt{
+		Ref: a.ref, Worker: s.Worker, ID: q.ID, Class: q.Class, Function: q.Function, Key: q.Key,
+		Patience: until - now,
+	}
 	if q.Body != nil {
 		at.Body = q.Body.B
 	}
--- a/internal/fastcgi/call.go
+++ b/internal/fastcgi/call.go
@@ -25,9 +25,11 @@
 
 // parseFields reads the parameters. slots are further ones that rules read, by name.
 func parseFields(params []byte, slots map[string]int) (f fields, err error) {
-	known := map[string]*string{"SCRIPT_NAME": &f.path, "HTTP_REQUEST_ID": &f.id, "HTTP_BUDGET_MS": &f.budget,
+	known := map[string]*string{
+		"SCRIPT_NAME": &f.path, "HTTP_REQUEST_ID": &f.id, "HTTP_BUDGET_MS": &f.budget,
 		"HTTP_ONCE_KEY": &f.once, "HTTP_RESOURCE_KEY": &f.key, "HTTP_X_SPEC": &f.spec,
-		"CONTENT_LENGTH": &f.length, "REQUEST_METHOD": &f.method}
+		"CONTENT_LENGTH": &f.length, "REQUEST_METHOD": &f.method,
+	}
 	if len(slots) > 0 {
 		f.others = make([][]string, len(slots))
 	}
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -130,9 +130,12 @@
 	b = append(b, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
 	var params []byte
 	for _, p := range append([][2]string{
-		{"SCRIPT_NAME", q.Path}, {"HTTP_REQUEST_ID", q.ID}, {"HTTP_RESOURCE_KEY", q.Function},
+		{"SCRIPT_NAME", q.Path},
+		{"HTTP_REQUEST_ID", q.ID},
+		{"HTTP_RESOURCE_KEY", q.Function},
 		{"HTTP_BUDGET_MS", strconv.FormatInt(max(q.Budget.Milliseconds(), 1), 10)},
-		{"HTTP_ONCE_KEY", q.OnceKey}, {"HTTP_X_SPEC", q.Spec},
+		{"HTTP_ONCE_KEY", q.OnceKey},
+		{"HTTP_X_SPEC", q.Spec},
 	}, q.Params...) {
 		if p[1] == "" {
 			continue
--- a/internal/fastcgi/fields_test.go
+++ b/internal/fastcgi/fields_test.go
@@ -12,8 +12,10 @@
 func asked(t testing.TB) []byte {
 	t.Helper()
 	var params []byte
-	b := appendRequest(nil, 1, Request{Path: "/rpc/consulta", ID: "9b1f03aa5c7e2d41", Function: "7f3a9c21e0b4d655", OnceKey: "k",
-		Budget: time.Second, Spec: "memory_mb:512;lanes:2"})
+	b := appendRequest(nil, 1, Request{
+		Path: "/rpc/consulta", ID: "9b1f03aa5c7e2d41", Function: "7f3a9c21e0b4d655", OnceKey: "k",
+		Budget: time.Second, Spec: "memory_mb:512;lanes:2",
+	})
 	for len(b) > 0 {
 		r, n, err := parse(b)
 		if err != nil || n == 0 {
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -118,8 +118,10 @@
 
 // appendValues answers a GET_VALUES.
 func appendValues(b []byte, asked []byte, conns int) ([]byte, error) {
-	values := map[string]string{"FCGI_MAX_CONNS": strconv.Itoa(conns),
-		"FCGI_MAX_REQS": strconv.Itoa(conns * maxStreams), "FCGI_MPXS_CONNS": "1"}
+	values := map[string]string{
+		"FCGI_MAX_CONNS": strconv.Itoa(conns),
+		"FCGI_MAX_REQS":  strconv.Itoa(conns * maxStreams), "FCGI_MPXS_CONNS": "1",
+	}
 	var list []byte
 	err := pairs(asked, func(name, _ []byte) {
 		if v, ok := values[string(name)]; ok {
--- a/internal/fastcgi/rules.go
+++ b/internal/fastcgi/rules.go
@@ -56,9 +56,11 @@
 	_ = parseSpec(f.spec, &d) // a bad one is rejected after this, whatever rules make of it
 	ms, _ := strconv.ParseUint(f.budget, 10, 31)
 	size, _ := strconv.Atoi(f.length)
-	q := match.Request{Class: class, Handler: f.key, Path: f.path, Method: f.method, OnceKey: f.once, ID: f.id, Client: c.address(),
+	q := match.Request{
+		Class: class, Handler: f.key, Path: f.path, Method: f.method, OnceKey: f.once, ID: f.id, Client: c.address(),
 		Budget: time.Duration(ms) * time.Millisecond, Body: max(size, 0), Memory: d.Memory, Lanes: d.Lanes, Local: time.Now(),
-		Params: f.others}
+		Params: f.others,
+	}
 	got := s.rules.table.Match(&q)
 	for _, failed := range got.Failed {
 		// The reason may hold what the client sent: as a message it would get around the thinning out.
--- a/internal/fastcgi/server.go
+++ b/internal/fastcgi/server.go
@@ -117,8 +117,10 @@
 // New returns a Server that lets in at most maxConns connections, and has at most maxUnsent bytes wait for clients that
 // do not read.
 func New(l Loop, d Dispatcher, pool *buffer.Pool, site *settings.Site, maxConns, maxUnsent int, log, rules logrus.FieldLogger) *Server {
-	s := &Server{loop: l, dispatcher: d, pool: pool, site: site, classes: map[string]int{}, maxConns: maxConns,
-		maxUnsent: maxUnsent, unsent: map[*conn]struct{}{}, log: logs.Thinned{Log: log}, rulesLog: logs.Thinned{Log: rules}}
+	s := &Server{
+		loop: l, dispatcher: d, pool: pool, site: site, classes: map[string]int{}, maxConns: maxConns,
+		maxUnsent: maxUnsent, unsent: map[*conn]struct{}{}, log: logs.Thinned{Log: log}, rulesLog: logs.Thinned{Log: rules},
+	}
 	for i, name := range site.ClassNames {
 		s.classes[name] = i
 	}
--- a/internal/fleetkey/fleetkey.go
+++ b/internal/fleetkey/fleetkey.go
@@ -78,9 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	template := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{Organization: []string{fleet}},
+	template := &x509.Certificate{
+		SerialNumber: number, Subject: pkix.Name{Organization: []string{fleet}},
 		NotBefore: now, NotAfter: now.Add(good), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
+		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	}
 	cert, err := create(template, template, public, private)
 	if err != nil {
 		return nil, err
@@ -104,9 +106,11 @@
 	if err != nil {
 		return nil, err
 	}
-	template := &x509.Certificate{SerialNumber: number, NotBefore: now, NotAfter: now.Add(good),
+	template := &x509.Certificate{
+		SerialNumber: number, NotBefore: now, NotAfter: now.Add(good),
 		Subject:  pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
-		KeyUsage: x509.KeyUsageDigitalSignature}
+		KeyUsage: x509.KeyUsageDigitalSignature,
+	}
 	cert, err := create(template, a.Cert, public, a.Key)
 	if err != nil {
 		return nil, err
--- a/internal/gossip/core.go
+++ b/internal/gossip/core.go
@@ -204,8 +204,10 @@
 
 // New returns a Core that knows nobody.
 func New(c Config) *Core {
-	k := &Core{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), members: map[string]*member{}, queue: map[string]*news{},
-		found: map[string]Record{}, latest: map[string]Statement{}}
+	k := &Core{
+		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), members: map[string]*member{}, queue: map[string]*news{},
+		found: map[string]Record{}, latest: map[string]Statement{},
+	}
 	k.own = Record{Name: c.Name, Addr: Addr{c.Addr}, Epoch: c.Epoch, Inc: 1}
 	k.sign()
 	return k
--- a/internal/gossip/guard.go
+++ b/internal/gossip/guard.go
@@ -85,8 +85,10 @@
 
 // NewGuard returns a Guard.
 func NewGuard(c GuardConfig) *Guard {
-	g := &Guard{fleet: c.Fleet, own: c.Own, epoch: c.Epoch, trust: c.Trust, secret: c.Secret, checks: float64(c.Checks),
-		skew: c.Skew, peers: map[string]*peer{}, known: map[netip.AddrPort]bool{}}
+	g := &Guard{
+		fleet: c.Fleet, own: c.Own, epoch: c.Epoch, trust: c.Trust, secret: c.Secret, checks: float64(c.Checks),
+		skew: c.Skew, peers: map[string]*peer{}, known: map[netip.AddrPort]bool{},
+	}
 	for _, s := range c.Seeds {
 		g.known[s] = true
 	}
--- a/internal/gossip/guard_test.go
+++ b/internal/gossip/guard_test.go
@@ -52,8 +52,10 @@
 func (c *camp) guard(name string, epoch int64) *Guard { return c.guardOf(c.member(name), epoch) }
 
 func (c *camp) guardOf(m *fleetkey.Member, epoch int64) *Guard {
-	return NewGuard(GuardConfig{Fleet: "f", Own: m, Epoch: epoch, Trust: c.trust(), Secret: []byte(m.Name() + "secret"),
-		Checks: 400, Skew: 5 * time.Second})
+	return NewGuard(GuardConfig{
+		Fleet: "f", Own: m, Epoch: epoch, Trust: c.trust(), Secret: []byte(m.Name() + "secret"),
+		Checks: 400, Skew: 5 * time.Second,
+	})
 }
 
 func (c *camp) seal(g *Guard, to string, wall time.Time, m Message) []byte {
@@ -216,8 +218,10 @@
 	said := d.State(1, noon, []byte("one"))
 	wrong := said
 	wrong.Seq = 2
-	o, err := b.Open(time.Hour, noon, where, c.seal(a, "b", noon, Message{Kind: Gossip, Records: []Record{lie, own},
-		Statements: []Statement{wrong, said}}))
+	o, err := b.Open(time.Hour, noon, where, c.seal(a, "b", noon, Message{
+		Kind: Gossip, Records: []Record{lie, own},
+		Statements: []Statement{wrong, said},
+	}))
 	if err != nil || len(o.Records) != 1 || o.Records[0].Inc != 4 || len(o.Statements) != 1 || o.Statements[0].Seq != 1 {
 		t.Fatalf("kept %+v, %v", o, err)
 	}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -124,9 +124,11 @@
 		return m
 	}()
 	decoder = func() cbor.DecMode {
-		m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 6, MaxArrayElements: 32,
+		m, err := cbor.DecOptions{
+			DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 6, MaxArrayElements: 32,
 			MaxMapPairs: 16, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-			ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, UTF8: cbor.UTF8RejectInvalid}.DecMode()
+			ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, UTF8: cbor.UTF8RejectInvalid,
+		}.DecMode()
 		if err != nil {
 			panic(err) // the options are constant
 		}
--- a/internal/gossipnet/node.go
+++ b/internal/gossipnet/node.go
@@ -83,16 +83,22 @@
 	// An error leaves the system's size, which will do.
 	_ = conn.SetReadBuffer(readBuffer)
 	base := time.Now()
-	n := &Node{set: set, log: log, thin: logs.Thinned{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
+	n := &Node{
+		set: set, log: log, thin: logs.Thinned{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
 		epoch: base.UnixMilli(), held: map[string]calicohill.Word{}, in: make(chan datagram, waiting),
-		calls: make(chan func(), waiting), quit: make(chan struct{}), done: make(chan struct{})}
+		calls: make(chan func(), waiting), quit: make(chan struct{}), done: make(chan struct{}),
+	}
 	secret := make([]byte, 32)
 	rand.Read(secret) // which never fails
-	n.guard = gossip.NewGuard(gossip.GuardConfig{Fleet: set.Fleet, Own: own, Epoch: n.epoch, Trust: trust, Secret: secret,
-		Checks: set.Checks, Skew: set.ClockSkew, Seeds: set.Seeds})
-	n.core = gossip.New(gossip.Config{Name: own.Name(), Addr: set.Advertise, Epoch: n.epoch, Seeds: set.Seeds,
+	n.guard = gossip.NewGuard(gossip.GuardConfig{
+		Fleet: set.Fleet, Own: own, Epoch: n.epoch, Trust: trust, Secret: secret,
+		Checks: set.Checks, Skew: set.ClockSkew, Seeds: set.Seeds,
+	})
+	n.core = gossip.New(gossip.Config{
+		Name: own.Name(), Addr: set.Advertise, Epoch: n.epoch, Seeds: set.Seeds,
 		ProbeEvery: set.ProbeEvery, ProbeTimeout: set.ProbeTimeout, SuspectFor: set.SuspectFor, Messages: set.Messages,
-		MaxMembers: maxMembers, Seed: uint64(n.epoch), Sign: n.guard.SignRecord})
+		MaxMembers: maxMembers, Seed: uint64(n.epoch), Sign: n.guard.SignRecord,
+	})
 	n.words = suspicion.New(worth(set))
 	return n, nil
 }
@@ -264,8 +270,10 @@
 		case <-timer.C:
 		case <-n.quit:
 			n.step([]gossip.Event{gossip.Leave{}})
-			n.log.WithFields(logrus.Fields{"seconds": time.Since(n.base).Seconds(), "sent": n.sent, "bytes": n.bytes,
-				"peak": n.peak, "checks": n.guard.Spent, "members": n.core.Count()}).Info("gossip ended")
+			n.log.WithFields(logrus.Fields{
+				"seconds": time.Since(n.base).Seconds(), "sent": n.sent, "bytes": n.bytes,
+				"peak": n.peak, "checks": n.guard.Spent, "members": n.core.Count(),
+			}).Info("gossip ended")
 			return
 		}
 		n.step(events)
--- a/internal/gossipsim/gossip_test.go
+++ b/internal/gossipsim/gossip_test.go
@@ -11,8 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-var base = gossip.Config{ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
-	Messages: 20, MaxMembers: 4096}
+var base = gossip.Config{
+	ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
+	Messages: 20, MaxMembers: 4096,
+}
 
 // fleet is n nodes that found one another by one seed.
 func fleet(t testing.TB, n int, seed uint64) *Net {
@@ -195,8 +197,10 @@
 func TestUsurped(t *testing.T) {
 	net := fleet(t, 4, 6)
 	older := net.Nodes[2].Core
-	acts := older.Step(net.Now, []gossip.Event{gossip.Received{From: "n2", Epoch: net.Nodes[2].Epoch + 1,
-		Message: &gossip.Message{Kind: gossip.Ping, Nonce: 1}}})
+	acts := older.Step(net.Now, []gossip.Event{gossip.Received{
+		From: "n2", Epoch: net.Nodes[2].Epoch + 1,
+		Message: &gossip.Message{Kind: gossip.Ping, Nonce: 1},
+	}})
 	if len(acts) != 1 || acts[0] != (gossip.Usurped{Epoch: net.Nodes[2].Epoch + 1}) {
 		t.Errorf("actions %v", acts)
 	}
@@ -211,8 +215,10 @@
 	heard := map[string]int{}
 	net.Heard = func(n *Node, s gossip.Statement) { heard[n.Name+fmt.Sprint(s.Seq)]++ }
 	for seq := range uint64(10) {
-		net.Tell(net.Nodes[0], gossip.Say{Statement: gossip.Statement{Name: "n0", Epoch: 1, Seq: seq + 1, Body: make([]byte, 400),
-			Cert: make([]byte, 350), Sig: make([]byte, 64)}})
+		net.Tell(net.Nodes[0], gossip.Say{Statement: gossip.Statement{
+			Name: "n0", Epoch: 1, Seq: seq + 1, Body: make([]byte, 400),
+			Cert: make([]byte, 350), Sig: make([]byte, 64),
+		}})
 		net.Run(3 * time.Second)
 	}
 	missed := 0
@@ -256,9 +262,11 @@
 			case 4:
 				n.Side = 1 - n.Side
 			case 5:
-				net.Send(n, net.Nodes[0].Addr, &gossip.Message{Kind: gossip.Kind(rapid.IntRange(1, 5).Draw(t, "kind")),
+				net.Send(n, net.Nodes[0].Addr, &gossip.Message{
+					Kind:  gossip.Kind(rapid.IntRange(1, 5).Draw(t, "kind")),
 					Nonce: 1, Target: "n1", Claims: []gossip.Claim{{Name: "n1", Epoch: net.Nodes[1].Epoch, Inc: 1, State: gossip.Dead}},
-					Want: []string{"n0", "gone"}, Summaries: []gossip.Claim{{Name: "who"}}})
+					Want: []string{"n0", "gone"}, Summaries: []gossip.Claim{{Name: "who"}},
+				})
 			}
 			net.Run(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
 		}
--- a/internal/gossipsim/sim.go
+++ b/internal/gossipsim/sim.go
@@ -51,11 +51,15 @@
 
 // New returns a network of n nodes that are down. The configuration gives what all have in common.
 func New(n int, seed uint64, base gossip.Config) *Net {
-	net := &Net{Now: time.Second, rng: rand.New(rand.NewPCG(seed, 2)), byAddr: map[netip.AddrPort]*Node{}, base: base,
-		Delay: 2 * time.Millisecond}
+	net := &Net{
+		Now: time.Second, rng: rand.New(rand.NewPCG(seed, 2)), byAddr: map[netip.AddrPort]*Node{}, base: base,
+		Delay: 2 * time.Millisecond,
+	}
 	for i := range n {
-		node := &Node{Name: fmt.Sprintf("n%d", i),
-			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)}
+		node := &Node{
+			Name: fmt.Sprintf("n%d", i),
+			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 7946),
+		}
 		net.Nodes = append(net.Nodes, node)
 		net.byAddr[node.Addr] = node
 	}
@@ -176,8 +180,10 @@
 	from.Bytes += size
 	took := time.Duration((0.5 + n.rng.Float64()) * float64(n.Delay))
 	m := *t.Message
-	n.push(&event{at: n.Now + took, node: to, message: &gossip.Received{From: from.Name, Addr: from.Addr,
-		Epoch: from.Epoch, Message: &m, Trusted: true}})
+	n.push(&event{at: n.Now + took, node: to, message: &gossip.Received{
+		From: from.Name, Addr: from.Addr,
+		Epoch: from.Epoch, Message: &m, Trusted: true,
+	}})
 }
 
 // count keeps the most messages of any second.
--- a/internal/lab/asks.go
+++ b/internal/lab/asks.go
@@ -205,8 +205,10 @@
 		start := NewAsks(n, time.Second, seed, true)
 		start.Run(10 * time.Second)
 		v.Peaks["start"] = Peak(start.Polls, 0)
-		for name, do := range map[string]func(*Asks){"refused 8 s": eight(Refuse), "503 for 8 s": eight(Busy),
-			"silent 8 s": eight(Silent), "broken": (*Asks).Break, "event": (*Asks).Tell} {
+		for name, do := range map[string]func(*Asks){
+			"refused 8 s": eight(Refuse), "503 for 8 s": eight(Busy),
+			"silent 8 s": eight(Silent), "broken": (*Asks).Break, "event": (*Asks).Tell,
+		} {
 			f := NewAsks(n, time.Second, seed, true)
 			f.Run(10 * time.Second)
 			at := f.Now
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -313,10 +313,12 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(map[string]any{"name": in.Name, "listen": in.Addr, "seed": fmt.Sprintf("%016x", rank+1),
+	text, err := json.Marshal(map[string]any{
+		"name": in.Name, "listen": in.Addr, "seed": fmt.Sprintf("%016x", rank+1),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"bulletin": door, "known": json.RawMessage(f.known(in.Name)),
-		"settings": json.RawMessage(fmt.Sprintf(platform, max(f.Of, len(f.Instances)), rank))})
+		"settings": json.RawMessage(fmt.Sprintf(platform, max(f.Of, len(f.Instances)), rank)),
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/hostile.go
+++ b/internal/lab/hostile.go
@@ -51,11 +51,15 @@
 	}
 	secret := make([]byte, 32)
 	rand.Read(secret) // which never fails
-	h.guard = gossip.NewGuard(gossip.GuardConfig{Fleet: "lab", Own: m, Epoch: h.epoch, Trust: trust, Secret: secret,
-		Checks: 10000, Skew: 5 * time.Second, Seeds: seeds})
-	h.core = gossip.New(gossip.Config{Name: name, Addr: conn.LocalAddr().(*net.UDPAddr).AddrPort(), Epoch: h.epoch, Seeds: seeds,
+	h.guard = gossip.NewGuard(gossip.GuardConfig{
+		Fleet: "lab", Own: m, Epoch: h.epoch, Trust: trust, Secret: secret,
+		Checks: 10000, Skew: 5 * time.Second, Seeds: seeds,
+	})
+	h.core = gossip.New(gossip.Config{
+		Name: name, Addr: conn.LocalAddr().(*net.UDPAddr).AddrPort(), Epoch: h.epoch, Seeds: seeds,
 		ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second, Messages: 400,
-		MaxMembers: 4096, Seed: 1, Sign: h.guard.SignRecord})
+		MaxMembers: 4096, Seed: 1, Sign: h.guard.SignRecord,
+	})
 	go h.run()
 	return h, nil
 }
@@ -103,8 +107,10 @@
 				return
 			}
 			if o, err := h.guard.Open(h.now(), time.Now(), d.from, d.b); err == nil {
-				events = append(events, gossip.Received{From: o.From, Addr: d.from, Epoch: o.Epoch, Message: o.Message,
-					Trusted: o.Trusted})
+				events = append(events, gossip.Received{
+					From: o.From, Addr: d.from, Epoch: o.Epoch, Message: o.Message,
+					Trusted: o.Trusted,
+				})
 			}
 		case <-tick.C:
 			if list := h.accuse.Load(); list != nil && time.Since(said) > 300*time.Millisecond {
@@ -134,8 +140,10 @@
 // shout sends a statement to every member at once, whatever its budget would be.
 func (h *Hostile) shout(s gossip.Statement) {
 	for _, m := range h.core.Members() {
-		h.send(gossip.Transmit{To: m.Name, Addr: m.Addr.AddrPort, Message: &gossip.Message{Kind: gossip.Gossip,
-			Statements: []gossip.Statement{s}}})
+		h.send(gossip.Transmit{To: m.Name, Addr: m.Addr.AddrPort, Message: &gossip.Message{
+			Kind:       gossip.Gossip,
+			Statements: []gossip.Statement{s},
+		}})
 	}
 }
 
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -63,8 +63,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	k := &Link{Addr: l.Addr().String(), to: to, l: l.(*net.TCPListener), changed: make(chan struct{}), conns: map[*net.TCPConn]bool{},
-		parked: make(chan struct{}), resume: make(chan struct{})}
+	k := &Link{
+		Addr: l.Addr().String(), to: to, l: l.(*net.TCPListener), changed: make(chan struct{}), conns: map[*net.TCPConn]bool{},
+		parked: make(chan struct{}), resume: make(chan struct{}),
+	}
 	go k.accept()
 	return k, nil
 }
--- a/internal/lab/listservice.go
+++ b/internal/lab/listservice.go
@@ -54,8 +54,10 @@
 
 // NewListService starts a list service without events.
 func NewListService() *ListService {
-	s := &ListService{desk: Desk{Mood: Well}, began: time.Now().Add(-time.Hour), doors: map[string]*door{},
-		troubled: time.Now(), host: fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+services.Add(1)%250)}
+	s := &ListService{
+		desk: Desk{Mood: Well}, began: time.Now().Add(-time.Hour), doors: map[string]*door{},
+		troubled: time.Now(), host: fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+services.Add(1)%250),
+	}
 	s.timer = time.AfterFunc(time.Hour, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -112,9 +112,11 @@
 						return
 					}
 					class := classes[pickClass(rng.Float64())].name
-					q := fastcgi.Request{Path: "/rpc/" + class, ID: fmt.Sprintf("%04x%012x", i, rng.Uint64()&(1<<48-1)),
+					q := fastcgi.Request{
+						Path: "/rpc/" + class, ID: fmt.Sprintf("%04x%012x", i, rng.Uint64()&(1<<48-1)),
 						Function: fmt.Sprintf("%016x", zipf.Uint64()+1), OnceKey: fmt.Sprintf("%04x%016x", i, rng.Uint64()),
-						Budget: budget, Spec: "memory_mb:512;lanes:4", Body: []byte(in.Name + " asks")}
+						Budget: budget, Spec: "memory_mb:512;lanes:4", Body: []byte(in.Name + " asks"),
+					}
 					if l.Change != nil {
 						l.Change(&q)
 					}
--- a/internal/lab/match.go
+++ b/internal/lab/match.go
@@ -72,11 +72,15 @@
 func rulesOf(n int) (rules []match.Rule) {
 	text := func(s string) match.Text { return match.Text{Source: s} }
 	for i := range max(n-2, 0) {
-		rules = append(rules, match.Rule{Name: fmt.Sprint(i), Route: text("lane"), Key: text(`handler + ":" + param["HTTP_X_CENTRE"]`),
-			When: text(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i+1))})
+		rules = append(rules, match.Rule{
+			Name: fmt.Sprint(i), Route: text("lane"), Key: text(`handler + ":" + param["HTTP_X_CENTRE"]`),
+			When: text(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i+1)),
+		})
 	}
-	rules = append(rules, match.Rule{Name: "wide", When: text(`path.startsWith("/rpc/") && "HTTP_X_CENTRE" in param`),
-		Labels: []match.Label{{Name: "centre", Value: text(`param["HTTP_X_CENTRE"]`)}}})
+	rules = append(rules, match.Rule{
+		Name: "wide", When: text(`path.startsWith("/rpc/") && "HTTP_X_CENTRE" in param`),
+		Labels: []match.Label{{Name: "centre", Value: text(`param["HTTP_X_CENTRE"]`)}},
+	})
 	if n > 1 {
 		rules = append(rules, match.Rule{Name: "late", When: text(`hour >= 0 && lanes > 64`), Route: text("late")})
 	}
@@ -110,8 +114,10 @@
 			return r, fmt.Errorf("rules: %v", faults)
 		}
 		s := MatchSize{Rules: n, Load: float64(time.Since(began).Microseconds()) / 1000}
-		plain := &match.Request{Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", n/2+1),
-			OnceKey: "k", Budget: time.Second, Lanes: 2, Local: time.Now(), Params: [][]string{{"zona4"}}}
+		plain := &match.Request{
+			Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", n/2+1),
+			OnceKey: "k", Budget: time.Second, Lanes: 2, Local: time.Now(), Params: [][]string{{"zona4"}},
+		}
 		hostile := *plain
 		hostile.Path, hostile.Method = "/rpc/"+strings.Repeat("r", 251), strings.Repeat("M", 16)
 		hostile.Params = [][]string{{"zona" + strings.Repeat("z", 252)}}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -216,8 +216,10 @@
 }
 
 // ways is what links can be made to do.
-var ways = map[string]Way{"whole": {}, "cut": {There: true, Back: true}, "cut-there": {There: true}, "cut-back": {Back: true},
-	"lossy": {Loss: 0.33, Double: 0.1, Spread: 50 * time.Millisecond}, "hang": {Hang: true}, "slow": {Rate: 4000}, "far": {Delay: 100 * time.Millisecond, Spread: 100 * time.Millisecond}}
+var ways = map[string]Way{
+	"whole": {}, "cut": {There: true, Back: true}, "cut-there": {There: true}, "cut-back": {Back: true},
+	"lossy": {Loss: 0.33, Double: 0.1, Spread: 50 * time.Millisecond}, "hang": {Hang: true}, "slow": {Rate: 4000}, "far": {Delay: 100 * time.Millisecond, Spread: 100 * time.Millisecond},
+}
 
 // link changes the links between some schedulers and some workers.
 func (f *Fleet) link(s Step, schedulers, workers []int) error {
--- a/internal/lab/shoal.go
+++ b/internal/lab/shoal.go
@@ -84,8 +84,10 @@
 // Play plays the day.
 func (d VirtualDay) Play() (VirtualCourse, error) {
 	c := VirtualCourse{Schedulers: d.Schedulers, Workers: d.Workers}
-	f := &shoal{now: time.Hour, began: time.Hour, workers: map[string]*vessel{}, body: Bodies[d.Body], course: &c,
-		asked: make([]int, d.Seconds+1), served: make([]int, d.Seconds+1)}
+	f := &shoal{
+		now: time.Hour, began: time.Hour, workers: map[string]*vessel{}, body: Bodies[d.Body], course: &c,
+		asked: make([]int, d.Seconds+1), served: make([]int, d.Seconds+1),
+	}
 	list := calicohill.WorkerList{Kind: calicohill.ListFull}
 	for i := range d.Workers {
 		w := &vessel{loaded: map[string]time.Duration{}, held: map[string][]time.Duration{}, lanes: make([]time.Duration, f.body.Lanes), used: map[int]time.Duration{}}
@@ -128,8 +130,10 @@
 			w := &list.Workers[i]
 			old := f.workers[w.ID]
 			w.Started = f.now
-			f.workers[w.ID] = &vessel{born: f.now, loaded: map[string]time.Duration{}, held: map[string][]time.Duration{},
-				lanes: make([]time.Duration, f.body.Lanes), used: map[int]time.Duration{}, connects: old.connects}
+			f.workers[w.ID] = &vessel{
+				born: f.now, loaded: map[string]time.Duration{}, held: map[string][]time.Duration{},
+				lanes: make([]time.Duration, f.body.Lanes), used: map[int]time.Duration{}, connects: old.connects,
+			}
 		}
 		for _, s := range all {
 			s.step(list)
@@ -295,8 +299,10 @@
 // PlayWorkers plays starts of fleets in virtual time: workers that are warm, and that are cold, with schedulers that
 // know nothing, and with seven in ten of them killed at half time. Workers grow in number with the load.
 func PlayWorkers(schedulers, workers int, seed uint64) (map[string]VirtualCourse, error) {
-	days := map[string]VirtualDay{"warm": {}, "cold": {Cold: true}, "killed": {Killed: 0.7}, "cold, uneven": {Cold: true, Skew: 3},
-		"reborn": {Reborn: 0.6}}
+	days := map[string]VirtualDay{
+		"warm": {}, "cold": {Cold: true}, "killed": {Killed: 0.7}, "cold, uneven": {Cold: true, Skew: 3},
+		"reborn": {Reborn: 0.6},
+	}
 	all := map[string]VirtualCourse{}
 	var failed error
 	var mu sync.Mutex
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -46,8 +46,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	net := gossipsim.New(n, seed, gossip.Config{ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond,
-		SuspectFor: 5 * time.Second, Messages: messagesLimit, MaxMembers: maxVirtual})
+	net := gossipsim.New(n, seed, gossip.Config{
+		ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond,
+		SuspectFor: 5 * time.Second, Messages: messagesLimit, MaxMembers: maxVirtual,
+	})
 	for _, node := range net.Nodes {
 		net.Start(node)
 	}
@@ -104,8 +106,10 @@
 	net.Changed = nil
 	first = map[string]time.Duration{}
 	net.Heard = func(node *gossipsim.Node, _ gossip.Statement) { note(node) }
-	net.Tell(net.Nodes[0], gossip.Say{Statement: gossip.Statement{Name: net.Nodes[0].Name, Epoch: 1, Seq: 1,
-		Body: make([]byte, 100), Cert: make([]byte, 340), Sig: make([]byte, 64)}})
+	net.Tell(net.Nodes[0], gossip.Say{Statement: gossip.Statement{
+		Name: net.Nodes[0].Name, Epoch: 1, Seq: 1,
+		Body: make([]byte, 100), Cert: make([]byte, 340), Sig: make([]byte, 64),
+	}})
 	at = net.Now
 	net.Run(5 * time.Second)
 	v.Statement = known(n-deaths-1, at)
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -109,8 +109,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in worker: %w", err)
 	}
-	w := &Worker{ID: id, Addr: l.Addr().String(), body: b, store: s, born: born, l: l,
-		loaded: map[string]chan struct{}{}, conns: map[net.Conn]bool{}, lanes: make(chan struct{}, b.Lanes)}
+	w := &Worker{
+		ID: id, Addr: l.Addr().String(), body: b, store: s, born: born, l: l,
+		loaded: map[string]chan struct{}{}, conns: map[net.Conn]bool{}, lanes: make(chan struct{}, b.Lanes),
+	}
 	go func() {
 		for {
 			c, err := l.Accept()
--- a/internal/match/index.go
+++ b/internal/match/index.go
@@ -36,8 +36,10 @@
 		for _, a := range needs(n.Left) {
 			for _, b := range needs(n.Right) {
 				if a.field == b.field {
-					return []literals{{a.field, append(slices.Clone(a.equal), b.equal...),
-						append(slices.Clone(a.prefix), b.prefix...)}}
+					return []literals{{
+						a.field, append(slices.Clone(a.equal), b.equal...),
+						append(slices.Clone(a.prefix), b.prefix...),
+					}}
 				}
 			}
 		}
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -31,8 +31,10 @@
 
 // ask is a request with these parameters.
 func ask(t *Table, params map[string]string, change ...func(*Request)) *Request {
-	q := &Request{Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
-		OnceKey: "k1", Budget: time.Second, Body: 10, Memory: 512, Lanes: 2, Local: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC)}
+	q := &Request{
+		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
+		OnceKey: "k1", Budget: time.Second, Body: 10, Memory: 512, Lanes: 2, Local: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
+	}
 	for _, name := range t.Slots() {
 		var v []string
 		if s, ok := params[name]; ok {
@@ -159,8 +161,10 @@
 		Rule{Name: "d", Route: src(`"never"`)},
 	)
 	got := table.Match(ask(table, map[string]string{"C": "z4"}))
-	want := Result{Class: "certificado", Key: "7f3a9c21e0b4d655:z4", Route: "slow-lane", Labels: map[string]string{"c": "z4", "d": "x"},
-		Rules: []string{"a", "b", "c"}, Cost: got.Cost}
+	want := Result{
+		Class: "certificado", Key: "7f3a9c21e0b4d655:z4", Route: "slow-lane", Labels: map[string]string{"c": "z4", "d": "x"},
+		Rules: []string{"a", "b", "c"}, Cost: got.Cost,
+	}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
@@ -304,8 +308,10 @@
 
 // FuzzLoad loads any text as a condition: it ends soon, never panics, and what is accepted runs within its estimate.
 func FuzzLoad(f *testing.F) {
-	for _, s := range []string{`handler.startsWith("a") && "A" in param`, `param["A"] + path in ["x"]`, `path.matches("a+b")`,
-		`budget > duration("1s") ? keyed : !keyed`, `1 + 2 * lanes % 3 == hour`, `a.b.c()`, `((((`} {
+	for _, s := range []string{
+		`handler.startsWith("a") && "A" in param`, `param["A"] + path in ["x"]`, `path.matches("a+b")`,
+		`budget > duration("1s") ? keyed : !keyed`, `1 + 2 * lanes % 3 == hour`, `a.b.c()`, `((((`,
+	} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
@@ -329,8 +335,10 @@
 // Many is a table of n rules that tell requests apart by handler.
 func many(n int) (rules []Rule) {
 	for i := range n {
-		rules = append(rules, Rule{Name: fmt.Sprint(i), When: src(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
-			Key: src(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: src("lane"), Stop: true})
+		rules = append(rules, Rule{
+			Name: fmt.Sprint(i), When: src(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
+			Key: src(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: src("lane"), Stop: true,
+		})
 	}
 	return rules
 }
--- a/internal/match/schema.go
+++ b/internal/match/schema.go
@@ -101,10 +101,12 @@
 
 func (t *Table) env(q *Request) *env {
 	e := &t.scratch
-	*e = env{Class: capped(q.Class, mostClass), Handler: capped(q.Handler, mostFn), Path: capped(q.Path, mostPath),
+	*e = env{
+		Class: capped(q.Class, mostClass), Handler: capped(q.Handler, mostFn), Path: capped(q.Path, mostPath),
 		Method: capped(q.Method, mostMethod), Budget: q.Budget, Body: q.Body, Keyed: q.OnceKey != "",
 		Client: capped(q.Client, mostClient), MemoryMB: q.Memory, Lanes: q.Lanes, Hour: q.Local.Hour(),
-		Minute: q.Local.Minute(), Weekday: int(q.Local.Weekday()), Share: share(cmp.Or(q.OnceKey, q.ID)), Slots: e.Slots, Has: e.Has}
+		Minute: q.Local.Minute(), Weekday: int(q.Local.Weekday()), Share: share(cmp.Or(q.OnceKey, q.ID)), Slots: e.Slots, Has: e.Has,
+	}
 	for i := range e.Slots {
 		e.Slots[i], e.Has[i] = nil, false
 		if i < len(q.Params) && len(q.Params[i]) > 0 && len(q.Params[i][0]) <= mostValue {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -43,12 +43,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Settings{Log: Log{JSON: true, Level: "warning", Parts: map[string]string{"gossip": "debug"}},
-		Gossip: &Gossip{Listen: address("127.0.0.1:7946"), Advertise: address("127.0.0.1:7946"), Fleet: "gt-registros",
+	want := &Settings{
+		Log: Log{JSON: true, Level: "warning", Parts: map[string]string{"gossip": "debug"}},
+		Gossip: &Gossip{
+			Listen: address("127.0.0.1:7946"), Advertise: address("127.0.0.1:7946"), Fleet: "gt-registros",
 			Key: filepath.Join(dir, "n1.key"), Authorities: []string{filepath.Join(dir, "fleet.crt")},
 			ProbeEvery: 500 * time.Millisecond, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
 			Messages: 20, Checks: 400, ClockSkew: 5 * time.Second, Overlap: 10 * time.Minute, Liars: 2,
-			LeaveOut: 0.125, ForgetAfter: 10 * time.Second}}
+			LeaveOut: 0.125, ForgetAfter: 10 * time.Second,
+		},
+	}
 	want.Gossip.Seeds = append(want.Gossip.Seeds, address("127.0.0.1:7947"), address("[::1]:7948"))
 	if d := cmp.Diff(want, got, cmp.Comparer(func(a, b interface{ String() string }) bool { return a.String() == b.String() })); d != "" {
 		t.Error(d)
@@ -122,8 +126,10 @@
 // The example and the page that are in the repository are those that the table makes, and the example changes
 // nothing.
 func TestWrittenFromTheTable(t *testing.T) {
-	for file, want := range map[string]string{"../../deploy/calicohill.conf": Example(),
-		"../../docs/operators/settings.md": Page()} {
+	for file, want := range map[string]string{
+		"../../deploy/calicohill.conf":     Example(),
+		"../../docs/operators/settings.md": Page(),
+	} {
 		got, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/operator/settings.go
+++ b/internal/operator/settings.go
@@ -118,8 +118,10 @@
 func (f *File) rule(name string) match.Rule {
 	section := "match " + name
 	only := func(directive string) match.Text { return f.text(section, directive) }
-	r := match.Rule{Place: place(f.where[section]), Name: name, When: only("when"),
-		Class: only("class"), Key: only("key"), Route: only("route"), Stop: len(f.sections[section]["stop"]) > 0}
+	r := match.Rule{
+		Place: place(f.where[section]), Name: name, When: only("when"),
+		Class: only("class"), Key: only("key"), Route: only("route"), Stop: len(f.sections[section]["stop"]) > 0,
+	}
 	for _, e := range f.sections[section]["label"] {
 		r.Labels = append(r.Labels, match.Label{Name: e.values[0].text, Value: e.text(1)})
 	}
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -74,90 +74,154 @@
 
 // Directives is every directive, in the order of the example.
 var Directives = []Directive{
-	{Section: "log", Name: "format", Args: []Arg{{Name: "FORMAT", Type: Choice, Words: []string{"text", "json"}}},
-		Default: "text", Reload: true, Help: "Lines of name=value pairs, or of one JSON object each."},
-	{Section: "log", Name: "level",
-		Args: []Arg{{Name: "LEVEL", Type: Choice, Words: levels},
-			{Name: "PART", Type: Choice, Words: Parts, Optional: true}},
+	{
+		Section: "log", Name: "format", Args: []Arg{{Name: "FORMAT", Type: Choice, Words: []string{"text", "json"}}},
+		Default: "text", Reload: true, Help: "Lines of name=value pairs, or of one JSON object each.",
+	},
+	{
+		Section: "log", Name: "level",
+		Args: []Arg{
+			{Name: "LEVEL", Type: Choice, Words: levels},
+			{Name: "PART", Type: Choice, Words: Parts, Optional: true},
+		},
 		Default: "info", Repeated: true, Reload: true,
-		Help: "The least level that is written: of all parts, or of the one that is named."},
-	{Section: "log", Name: "status", Args: []Arg{{Name: "FILE", Type: Path}}, Example: "/run/calicohill/n1.json", Reload: true,
-		Help: "Where SIGUSR1 has the counts of all rules written, as a JSON object. They are logged too."},
-
-	{Section: "state", Name: "snapshot", Args: []Arg{{Name: "FILE", Type: Path}}, Required: true, Example: "/var/lib/calicohill/n1.list",
-		Help: "Where the list of workers, and what was learned, is kept. A start takes the list up if it is newer than the one\nthat the platform's file holds. Only where the list service's numbers outlast a restart of a scheduler."},
-	{Section: "state", Name: "fleet", Args: []Arg{{Name: "NAME", Type: Word}}, Required: true, Example: "gt-registros",
-		Help: "The fleet that the list is of. A list of another one is set aside."},
-	{Section: "state", Name: "max-age", Args: []Arg{{Name: "TIME", Type: Duration, Least: 1, Most: 30 * 86400}}, Default: "1h",
-		Help: "An older list is set aside."},
-	{Section: "gossip", Name: "listen", Args: []Arg{{Name: "ADDRESS", Type: Address}},
-		Example: "127.0.0.1:7946", Required: true, Help: "The UDP address that messages of peers come to."},
-	{Section: "gossip", Name: "fleet", Args: []Arg{{Name: "NAME", Type: Word}},
+		Help: "The least level that is written: of all parts, or of the one that is named.",
+	},
+	{
+		Section: "log", Name: "status", Args: []Arg{{Name: "FILE", Type: Path}}, Example: "/run/calicohill/n1.json", Reload: true,
+		Help: "Where SIGUSR1 has the counts of all rules written, as a JSON object. They are logged too.",
+	},
+
+	{
+		Section: "state", Name: "snapshot", Args: []Arg{{Name: "FILE", Type: Path}}, Required: true, Example: "/var/lib/calicohill/n1.list",
+		Help: "Where the list of workers, and what was learned, is kept. A start takes the list up if it is newer than the one\nthat the platform's file holds. Only where the list service's numbers outlast a restart of a scheduler.",
+	},
+	{
+		Section: "state", Name: "fleet", Args: []Arg{{Name: "NAME", Type: Word}}, Required: true, Example: "gt-registros",
+		Help: "The fleet that the list is of. A list of another one is set aside.",
+	},
+	{
+		Section: "state", Name: "max-age", Args: []Arg{{Name: "TIME", Type: Duration, Least: 1, Most: 30 * 86400}}, Default: "1h",
+		Help: "An older list is set aside.",
+	},
+	{
+		Section: "gossip", Name: "listen", Args: []Arg{{Name: "ADDRESS", Type: Address}},
+		Example: "127.0.0.1:7946", Required: true, Help: "The UDP address that messages of peers come to.",
+	},
+	{
+		Section: "gossip", Name: "fleet", Args: []Arg{{Name: "NAME", Type: Word}},
 		Example: "gt-registros", Required: true,
-		Help: "The fleet that keys and messages belong to. Those of another fleet are refused."},
-	{Section: "gossip", Name: "key", Args: []Arg{{Name: "FILE", Type: Path}},
+		Help: "The fleet that keys and messages belong to. Those of another fleet are refused.",
+	},
+	{
+		Section: "gossip", Name: "key", Args: []Arg{{Name: "FILE", Type: Path}},
 		Example: "n1.key", Required: true, Reload: true,
-		Help: "The key and certificate of this scheduler (calicohill key issue), readable by its owner alone."},
-	{Section: "gossip", Name: "authority", Args: []Arg{{Name: "FILE", Type: Path}},
+		Help: "The key and certificate of this scheduler (calicohill key issue), readable by its owner alone.",
+	},
+	{
+		Section: "gossip", Name: "authority", Args: []Arg{{Name: "FILE", Type: Path}},
 		Example: "fleet.pub", Required: true, Repeated: true, Reload: true,
 		Help: "The public key of an authority whose certificates count (calicohill key authority). With two of them\n" +
-			"members of the old one stay while the new one takes over."},
-	{Section: "gossip", Name: "revoked", Args: []Arg{{Name: "FILE", Type: Path}},
+			"members of the old one stay while the new one takes over.",
+	},
+	{
+		Section: "gossip", Name: "revoked", Args: []Arg{{Name: "FILE", Type: Path}},
 		Example: "fleet.revoked", Reload: true,
-		Help: "The list of revoked certificates (calicohill key revoke)."},
-	{Section: "gossip", Name: "seed", Args: []Arg{{Name: "ADDRESS", Type: Address}},
+		Help: "The list of revoked certificates (calicohill key revoke).",
+	},
+	{
+		Section: "gossip", Name: "seed", Args: []Arg{{Name: "ADDRESS", Type: Address}},
 		Example: "127.0.0.1:7947", Repeated: true, Reload: true,
-		Help: "Where another member may be found. It is asked at the start, and again while nobody is known."},
-	{Section: "gossip", Name: "advertise", Args: []Arg{{Name: "ADDRESS", Type: Address}},
-		Example: "127.0.0.1:7946", Help: "The address that peers reach this one at, where it is not the one of listen."},
-	{Section: "gossip", Name: "probe-every", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0.1, Most: 60}},
-		Default: "1s", Help: "How often one other member is asked whether it is there."},
-	{Section: "gossip", Name: "probe-timeout", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0.01, Most: 10}},
-		Default: "300ms", Help: "How long its answer may take until others are asked to ask it. Under probe-every."},
-	{Section: "gossip", Name: "suspect-for", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0.5, Most: 300}},
-		Default: "5s", Help: "How long a member that did not answer may say that it is there until it counts as dead."},
-	{Section: "gossip", Name: "messages", Args: []Arg{{Name: "NUMBER", Type: Count, Least: 5, Most: 1000}},
-		Default: "20", Help: "The most messages sent in a second, whatever is received."},
-	{Section: "gossip", Name: "checks", Args: []Arg{{Name: "NUMBER", Type: Count, Least: 20, Most: 10000}},
-		Default: "400", Help: "The most signatures checked in a second, whatever is received."},
-	{Section: "gossip", Name: "clock-skew", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0, Most: 60}},
-		Default: "5s", Help: "How far the clocks of members may be apart."},
-	{Section: "gossip", Name: "overlap", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0, Most: 86400}},
+		Help: "Where another member may be found. It is asked at the start, and again while nobody is known.",
+	},
+	{
+		Section: "gossip", Name: "advertise", Args: []Arg{{Name: "ADDRESS", Type: Address}},
+		Example: "127.0.0.1:7946", Help: "The address that peers reach this one at, where it is not the one of listen.",
+	},
+	{
+		Section: "gossip", Name: "probe-every", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0.1, Most: 60}},
+		Default: "1s", Help: "How often one other member is asked whether it is there.",
+	},
+	{
+		Section: "gossip", Name: "probe-timeout", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0.01, Most: 10}},
+		Default: "300ms", Help: "How long its answer may take until others are asked to ask it. Under probe-every.",
+	},
+	{
+		Section: "gossip", Name: "suspect-for", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0.5, Most: 300}},
+		Default: "5s", Help: "How long a member that did not answer may say that it is there until it counts as dead.",
+	},
+	{
+		Section: "gossip", Name: "messages", Args: []Arg{{Name: "NUMBER", Type: Count, Least: 5, Most: 1000}},
+		Default: "20", Help: "The most messages sent in a second, whatever is received.",
+	},
+	{
+		Section: "gossip", Name: "checks", Args: []Arg{{Name: "NUMBER", Type: Count, Least: 20, Most: 10000}},
+		Default: "400", Help: "The most signatures checked in a second, whatever is received.",
+	},
+	{
+		Section: "gossip", Name: "clock-skew", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0, Most: 60}},
+		Default: "5s", Help: "How far the clocks of members may be apart.",
+	},
+	{
+		Section: "gossip", Name: "overlap", Args: []Arg{{Name: "TIME", Type: Duration, Least: 0, Most: 86400}},
 		Default: "10m", Reload: true,
-		Help: "How long after a reload the certificates of an authority that is no longer named still count."},
-	{Section: "gossip", Name: "liars", Args: []Arg{{Name: "NUMBER", Type: Count, Least: 0, Most: 1000}},
+		Help: "How long after a reload the certificates of an authority that is no longer named still count.",
+	},
+	{
+		Section: "gossip", Name: "liars", Args: []Arg{{Name: "NUMBER", Type: Count, Least: 0, Most: 1000}},
 		Example: "1", Reload: true,
 		Help: "How many members may lie. It takes more accusers than that to leave a worker out. Where it is not\n" +
-			"set it is the most that are less than a third of the members."},
-	{Section: "gossip", Name: "leave-out", Args: []Arg{{Name: "SHARE", Type: Share, Least: 0, Most: 50}},
+			"set it is the most that are less than a third of the members.",
+	},
+	{
+		Section: "gossip", Name: "leave-out", Args: []Arg{{Name: "SHARE", Type: Share, Least: 0, Most: 50}},
 		Default: "25%", Reload: true,
-		Help: "The most of the listed workers that are left out on the word of peers. 0% listens and does nothing."},
-	{Section: "gossip", Name: "forget-after", Args: []Arg{{Name: "TIME", Type: Duration, Least: 1, Most: 300}},
-		Default: "10s", Reload: true, Help: "How long an accusation counts that is not said again."},
-
-	{Section: "match", Name: "when", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Reload: true,
+		Help: "The most of the listed workers that are left out on the word of peers. 0% listens and does nothing.",
+	},
+	{
+		Section: "gossip", Name: "forget-after", Args: []Arg{{Name: "TIME", Type: Duration, Least: 1, Most: 300}},
+		Default: "10s", Reload: true, Help: "How long an accusation counts that is not said again.",
+	},
+
+	{
+		Section: "match", Name: "when", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Reload: true,
 		Example: `handler.startsWith("7f") && budget >= duration("500ms")`,
 		Help: "What must hold for the rule to match; without it it always does. A condition that can't be evaluated,\n" +
-			"as one that reads a parameter which is missing, does not hold."},
-	{Section: "match", Name: "class", Args: []Arg{{Name: "CLASS", Type: Expr}}, Reload: true, Example: `certificado`,
-		Help: "The class: its name, or an expression. It must be as strict about repeats as the one asked for, or more."},
-	{Section: "match", Name: "key", Args: []Arg{{Name: "KEY", Type: Expr}}, Reload: true, Example: `handler + ":" + param["HTTP_X_CENTRE"]`,
-		Help: "The affinity key: requests of one key go to the same few workers. What is run stays the function."},
-	{Section: "match", Name: "route", Args: []Arg{{Name: "ROUTE", Type: Expr}}, Reload: true, Example: `slow-lane`,
-		Help: "The route: its name, or an expression. It is kept with the request and logged."},
-	{Section: "match", Name: "label", Args: []Arg{{Name: "NAME", Type: Word}, {Name: "VALUE", Type: Expr}}, Repeated: true, Reload: true,
-		Example: `centre param["HTTP_X_CENTRE"]`, Help: "A label of the request."},
-	{Section: "match", Name: "split", Args: []Arg{{Name: "ROUTE", Type: Word}, {Name: "PART", Type: Count, Least: 1, Most: 1000}},
+			"as one that reads a parameter which is missing, does not hold.",
+	},
+	{
+		Section: "match", Name: "class", Args: []Arg{{Name: "CLASS", Type: Expr}}, Reload: true, Example: `certificado`,
+		Help: "The class: its name, or an expression. It must be as strict about repeats as the one asked for, or more.",
+	},
+	{
+		Section: "match", Name: "key", Args: []Arg{{Name: "KEY", Type: Expr}}, Reload: true, Example: `handler + ":" + param["HTTP_X_CENTRE"]`,
+		Help: "The affinity key: requests of one key go to the same few workers. What is run stays the function.",
+	},
+	{
+		Section: "match", Name: "route", Args: []Arg{{Name: "ROUTE", Type: Expr}}, Reload: true, Example: `slow-lane`,
+		Help: "The route: its name, or an expression. It is kept with the request and logged.",
+	},
+	{
+		Section: "match", Name: "label", Args: []Arg{{Name: "NAME", Type: Word}, {Name: "VALUE", Type: Expr}}, Repeated: true, Reload: true,
+		Example: `centre param["HTTP_X_CENTRE"]`, Help: "A label of the request.",
+	},
+	{
+		Section: "match", Name: "split", Args: []Arg{{Name: "ROUTE", Type: Word}, {Name: "PART", Type: Count, Least: 1, Most: 1000}},
 		Repeated: true, Reload: true, Example: "trial 50",
 		Help: "So many in a thousand of the requests get this route; those left get the one of route. All tries under one\n" +
-			"idempotency key get the same."},
+			"idempotency key get the same.",
+	},
 	{Section: "match", Name: "stop", Reload: true, Help: "No further rule is tried once this one has matched."},
 
-	{Section: "pool", Name: "workers", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Required: true, Reload: true,
+	{
+		Section: "pool", Name: "workers", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Required: true, Reload: true,
 		Example: `model == "std" && zone == "guate-zona4"`,
-		Help:    "Which workers: a condition over id, model, zone, group and state (serving or draining)."},
-	{Section: "route", Name: "pool", Args: []Arg{{Name: "POOL", Type: Word}}, Required: true, Repeated: true, Reload: true,
-		Example: "fast", Help: "A pool; the first that stands here is preferred, the others stand in for it in turn."},
+		Help:    "Which workers: a condition over id, model, zone, group and state (serving or draining).",
+	},
+	{
+		Section: "route", Name: "pool", Args: []Arg{{Name: "POOL", Type: Word}}, Required: true, Repeated: true, Reload: true,
+		Example: "fast", Help: "A pool; the first that stands here is preferred, the others stand in for it in turn.",
+	},
 }
 
 // Lookup finds a directive of a section.
--- a/internal/polling/polling.go
+++ b/internal/polling/polling.go
@@ -144,9 +144,11 @@
 func New(schedulers int, grace time.Duration, seed uint64) *Core {
 	others := time.Duration(max(schedulers, 1) - 1)
 	part := func(p float64) time.Duration { return time.Duration(p * float64(grace)) }
-	c := &Core{window: min(window, others*windowEach), newsWindow: min(newsWindow, others*newsWindowEach, part(newsPart)),
+	c := &Core{
+		window: min(window, others*windowEach), newsWindow: min(newsWindow, others*newsWindowEach, part(newsPart)),
 		hasty: min(hasty, part(hastyPart)),
-		slow:  true, rng: rand.New(rand.NewPCG(seed, 0x706f6c6c))}
+		slow:  true, rng: rand.New(rand.NewPCG(seed, 0x706f6c6c)),
+	}
 	c.place = c.within(c.window)
 	c.patience = Patience + (longest-Patience)*c.window/window
 	c.grace = overdue + (longOverdue-overdue)*c.window/window
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -19,9 +19,14 @@
 }
 
 func load(t interface{ Fatal(...any) }) *Core {
-	c, faults := Load([]Pool{{Name: "fast", Workers: text(`model == "std" && zone in ["a", "b"]`)}, {Name: "slow", Workers: text(`id.startsWith("s")`)},
-		{Name: "rest", Workers: text(`group != 7`)}}, []Route{{Name: "lane", Pools: []match.Text{text("fast"), text("slow")}},
-		{Name: "any", Pools: []match.Text{text("rest")}}})
+	c, faults := Load([]Pool{
+		{Name: "fast", Workers: text(`model == "std" && zone in ["a", "b"]`)},
+		{Name: "slow", Workers: text(`id.startsWith("s")`)},
+		{Name: "rest", Workers: text(`group != 7`)},
+	}, []Route{
+		{Name: "lane", Pools: []match.Text{text("fast"), text("slow")}},
+		{Name: "any", Pools: []match.Text{text("rest")}},
+	})
 	if c == nil {
 		t.Fatal(faults)
 	}
@@ -32,8 +37,13 @@
 	return strings.Join(slices.Sorted(maps.Keys(c.Route(route).Workers)), " ")
 }
 
-var both = []Attributes{{"f1", "std", "a", 1, "serving"}, {"f2", "std", "b", 7, "serving"}, {"x", "std", "c", 1, "serving"},
-	{"s1", "old", "a", 1, "serving"}, {"s2", "old", "a", 1, "serving"}}
+var both = []Attributes{
+	{"f1", "std", "a", 1, "serving"},
+	{"f2", "std", "b", 7, "serving"},
+	{"x", "std", "c", 1, "serving"},
+	{"s1", "old", "a", 1, "serving"},
+	{"s2", "old", "a", 1, "serving"},
+}
 
 func TestFallback(t *testing.T) {
 	c, now := load(t), time.Hour
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,8 +142,10 @@
 		CanLoad: b.FamilyInfo.MayLoad, LoadsFree: b.FamilyInfo.LoadsAnyway,
 		LoadsPerCall: b.FamilyInfo.LoadRatio, LoadWindow: duration(b.FamilyInfo.LoadWindowMs),
 		LoadTimeout: duration(b.FamilyInfo.AnswerWithinMs), WorkerMemory: b.FamilyInfo.RAMMbByKind,
-		Fees: calicohill.Fees{Waste: b.Fees.Waste, LateFail: b.Fees.LateFail, Fetch: b.Fees.Origin,
-			Cross: b.Fees.CrossZone, Probe: b.Fees.Probe, Idle: b.FamilyInfo.IdlePrice},
+		Fees: calicohill.Fees{
+			Waste: b.Fees.Waste, LateFail: b.Fees.LateFail, Fetch: b.Fees.Origin,
+			Cross: b.Fees.CrossZone, Probe: b.Fees.Probe, Idle: b.FamilyInfo.IdlePrice,
+		},
 		WeightsTold:   b.Weights != "" && b.Weights != "silent",
 		ClientsRepeat: b.Callers.MarksRetry,
 	}
@@ -167,8 +169,10 @@
 		}
 		s.Tenants = append(s.Tenants, calicohill.Tenant{Share: t.Share, PerSecond: t.QuotaPerS})
 	}
-	site := Site{Settings: s, Zones: b.Zones, Kinds: b.Kinds, Streams: b.Ceilings.Multiplex,
-		IdleClose: duration(b.Ceilings.IdleCloseMs), ConnectTimeout: duration(b.Ceilings.ConnectTimeoutMs)}
+	site := Site{
+		Settings: s, Zones: b.Zones, Kinds: b.Kinds, Streams: b.Ceilings.Multiplex,
+		IdleClose: duration(b.Ceilings.IdleCloseMs), ConnectTimeout: duration(b.Ceilings.ConnectTimeoutMs),
+	}
 	for _, c := range b.Classes {
 		site.ClassNames = append(site.ClassNames, c.Name)
 	}
--- a/internal/snapshotfile/file.go
+++ b/internal/snapshotfile/file.go
@@ -37,7 +37,8 @@
 
 // New returns a File that keeps what list and memory give, which are called on the loop.
 func New(l Loop, path, fleet string, list func() (int, func() ([]byte, error)), memory func() calicohill.Memory,
-	log logrus.FieldLogger) *File {
+	log logrus.FieldLogger,
+) *File {
 	f := &File{path: path, fleet: fleet, loop: l, list: list, memory: memory, log: log}
 	f.wake.Fire = func() { f.step() }
 	return f
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -52,8 +52,10 @@
 		return m
 	}()
 	decoder = func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16,
-			IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, UTF8: cbor.UTF8RejectInvalid}.DecMode()
+		m, err := cbor.DecOptions{
+			MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16,
+			IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, UTF8: cbor.UTF8RejectInvalid,
+		}.DecMode()
 		if err != nil {
 			panic(err) // the options are constant
 		}
@@ -221,8 +223,10 @@
 
 // New returns a Core that knows nothing.
 func New(c Config) *Core {
-	return &Core{cfg: c, listed: map[string]bool{}, own: map[string]*finding{}, accusers: map[string]*accuser{},
-		words: map[string]calicohill.Word{}, members: 1}
+	return &Core{
+		cfg: c, listed: map[string]bool{}, own: map[string]*finding{}, accusers: map[string]*accuser{},
+		words: map[string]calicohill.Word{}, members: 1,
+	}
 }
 
 // Step tells the Core what happened at one moment and returns what is to be done.
@@ -443,8 +447,10 @@
 	var list []Accusation
 	for _, w := range slices.Sorted(maps.Keys(c.own)) {
 		if f := c.own[w]; f.trouble != calicohill.Well {
-			list = append(list, Accusation{Worker: w, Trouble: f.trouble, First: ago(c.now, f.first),
-				Last: ago(c.now, f.last), Attempts: f.attempts})
+			list = append(list, Accusation{
+				Worker: w, Trouble: f.trouble, First: ago(c.now, f.first),
+				Last: ago(c.now, f.last), Attempts: f.attempts,
+			})
 		}
 	}
 	if len(list) > 0 {
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -270,8 +270,10 @@
 				var lies []Accusation
 				for i := range rapid.IntRange(0, MaxAccusations).Draw(t, "lies") {
 					first := rapid.Uint32().Draw(t, "first")
-					lies = append(lies, Accusation{Worker: fmt.Sprintf("w%d", 1+i), First: first, Last: rapid.Uint32Range(0, first).Draw(t, "last"),
-						Trouble: calicohill.Trouble(rapid.IntRange(1, 4).Draw(t, "trouble"))})
+					lies = append(lies, Accusation{
+						Worker: fmt.Sprintf("w%d", 1+i), First: first, Last: rapid.Uint32Range(0, first).Draw(t, "last"),
+						Trouble: calicohill.Trouble(rapid.IntRange(1, 4).Draw(t, "trouble")),
+					})
 				}
 				honest := f.names[rapid.IntRange(liars, n-1).Draw(t, "to")]
 				f.say(f.names[rapid.IntRange(0, liars-1).Draw(t, "liar")], lies, honest)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,27 +19,42 @@
 		line string
 		want calicohill.Event
 	}{
-		{"call\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3", calicohill.Request{ID: "t/a", Function: "m-f",
-			TimeLeft: 240*ms + 500*time.Microsecond, Memory: 384, Lanes: 2, LoadTime: 900 * ms, Repeat: true}},
-		{"first\tt/a\t1\tworker-x\t9.25", calicohill.StreamStart{ID: "t/a", Attempt: 1, Worker: "worker-x",
-			Latency: 9250 * time.Microsecond}},
-		{"outcome\tt/a\t1\t17\t18.5\tworker-x\t0\tdelivered\tinflight:3,x1:1.5,new:9",
-			calicohill.AttemptEnd{ID: "t/a", Closed: true, Warmth: calicohill.FoundWarm, Company: 2,
+		{"call\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3", calicohill.Request{
+			ID: "t/a", Function: "m-f",
+			TimeLeft: 240*ms + 500*time.Microsecond, Memory: 384, Lanes: 2, LoadTime: 900 * ms, Repeat: true,
+		}},
+		{"first\tt/a\t1\tworker-x\t9.25", calicohill.StreamStart{
+			ID: "t/a", Attempt: 1, Worker: "worker-x",
+			Latency: 9250 * time.Microsecond,
+		}},
+		{
+			"outcome\tt/a\t1\t17\t18.5\tworker-x\t0\tdelivered\tinflight:3,x1:1.5,new:9",
+			calicohill.AttemptEnd{
+				ID: "t/a", Closed: true, Warmth: calicohill.FoundWarm, Company: 2,
 				Latency: 18500 * time.Microsecond, Worker: "worker-x", Outcome: calicohill.Served,
-				Report: &calicohill.Report{InFlight: 3, Queue: -1, Util: -1, MemoryHeld: -1, Loads: 1.5}}},
-		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", calicohill.AttemptEnd{ID: "t/a", Attempt: 2,
+				Report: &calicohill.Report{InFlight: 3, Queue: -1, Util: -1, MemoryHeld: -1, Loads: 1.5},
+			},
+		},
+		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", calicohill.AttemptEnd{
+			ID: "t/a", Attempt: 2,
 			Warmth: calicohill.LoadFailed, Company: -1, Latency: 18 * ms, Worker: "worker-x",
-			Outcome: calicohill.NotLoaded}},
+			Outcome: calicohill.NotLoaded,
+		}},
 		{"expired\tt/a", calicohill.Abandoned{ID: "t/a"}},
 		{"reminder\t9223372036854775808", calicohill.TimerFired{Token: 1 << 63}},
 		{"sampled\tdelivered\tworker-x\t1.5\t-", calicohill.ProbeEnd{Worker: "worker-x", Latency: 1500 * time.Microsecond}},
-		{"brought_up\tworker-x\t640\t1\tm-f\tshed", calicohill.LoadEnd{Worker: "worker-x", Latency: 640 * ms,
-			Copies: 1, Function: "m-f", Outcome: calicohill.Shed}},
+		{"brought_up\tworker-x\t640\t1\tm-f\tshed", calicohill.LoadEnd{
+			Worker: "worker-x", Latency: 640 * ms,
+			Copies: 1, Function: "m-f", Outcome: calicohill.Shed,
+		}},
 		{"datagram\t2\t6869", calicohill.PeerMessage{From: 2, Data: []byte("hi")}},
-		{"view\t0\t3\t2\nm\t1.5\t1\tworker-x\t1\t2\t3\t6100\nm\t1\t0\tworker-y\t0\t0\t0\t-",
+		{
+			"view\t0\t3\t2\nm\t1.5\t1\tworker-x\t1\t2\t3\t6100\nm\t1\t0\tworker-y\t0\t0\t0\t-",
 			calicohill.WorkerList{Workers: []calicohill.Worker{
 				{ID: "worker-x", State: calicohill.Ready, Weight: 1.5, Kind: 1, Zone: 2, Cell: 3, Started: 6100 * ms},
-				{ID: "worker-y", State: calicohill.Gone, Weight: 1}}}},
+				{ID: "worker-y", State: calicohill.Gone, Weight: 1},
+			}},
+		},
 	} {
 		d := NewDecoder(strings.NewReader("round\t5\t1\ntarget_instance\t3\n" + c.line + "\nflush\n"))
 		b, err := d.Next()
@@ -59,10 +74,15 @@
 	e.Instance(3)
 	for _, a := range []calicohill.Action{
 		calicohill.Send{ID: "t/a", Worker: "w", Timeout: 80*ms + 500*time.Microsecond},
-		calicohill.Cancel{ID: "t/a", Attempt: 1}, calicohill.Refuse{ID: "t/a", RetryAfter: 250 * ms},
-		calicohill.Fail{ID: "t/a"}, calicohill.SetTimer{After: 500 * ms, Token: 77}, calicohill.Probe{Worker: "w"},
-		calicohill.Load{Worker: "w", Function: "f", Copies: 2}, calicohill.Unload{Worker: "w", Function: "f"},
-		calicohill.Subscribe{On: true}, calicohill.FetchList{},
+		calicohill.Cancel{ID: "t/a", Attempt: 1},
+		calicohill.Refuse{ID: "t/a", RetryAfter: 250 * ms},
+		calicohill.Fail{ID: "t/a"},
+		calicohill.SetTimer{After: 500 * ms, Token: 77},
+		calicohill.Probe{Worker: "w"},
+		calicohill.Load{Worker: "w", Function: "f", Copies: 2},
+		calicohill.Unload{Worker: "w", Function: "f"},
+		calicohill.Subscribe{On: true},
+		calicohill.FetchList{},
 	} {
 		if err := e.Action(a); err != nil {
 			t.Fatal(err)
--- a/memory.go
+++ b/memory.go
@@ -59,8 +59,10 @@
 		m.Workers = append(m.Workers, WorkerMemory{w.ID, w.Started, w.press.At(r.now, r.set.KeepAlive), r.paceOf(w) - 1})
 	}
 	for name, f := range r.funcs {
-		k := FunctionMemory{Name: name, Class: f.class, Lanes: f.lanes, Calls: f.calls * r.fade(f.lastCall),
-			Mean: f.mean.At(r.now, r.set.KeepAlive), Told: f.told}
+		k := FunctionMemory{
+			Name: name, Class: f.class, Lanes: f.lanes, Calls: f.calls * r.fade(f.lastCall),
+			Mean: f.mean.At(r.now, r.set.KeepAlive), Told: f.told,
+		}
 		for _, p := range f.pairs {
 			if i, ok := place[p.w]; ok && r.isWarm(p) {
 				k.Copies = append(k.Copies, CopyMemory{i, p.at, p.copies})
--- a/memory_test.go
+++ b/memory_test.go
@@ -78,14 +78,18 @@
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
 	number, at := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
-		m := Memory{At: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), Calls: figure.Draw(rt, "calls"),
-			PerWeight: figure.Draw(rt, "rate"), Press: figure.Draw(rt, "press")}
+		m := Memory{
+			At: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), Calls: figure.Draw(rt, "calls"),
+			PerWeight: figure.Draw(rt, "rate"), Press: figure.Draw(rt, "press"),
+		}
 		for range rapid.IntRange(0, 3).Draw(rt, "workers") {
 			m.Workers = append(m.Workers, WorkerMemory{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
-			k := FunctionMemory{Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Lanes: number.Draw(rt, "lanes"),
-				Calls: figure.Draw(rt, "calls"), Mean: figure.Draw(rt, "mean"), Told: at.Draw(rt, "told")}
+			k := FunctionMemory{
+				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Lanes: number.Draw(rt, "lanes"),
+				Calls: figure.Draw(rt, "calls"), Mean: figure.Draw(rt, "mean"), Told: at.Draw(rt, "told"),
+			}
 			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
 				k.Copies = append(k.Copies, CopyMemory{number.Draw(rt, "place"), at.Draw(rt, "found"), number.Draw(rt, "copies")})
 			}
--- a/queue.go
+++ b/queue.go
@@ -14,8 +14,10 @@
 		return
 	}
 	c := &r.set.Classes[e.Class]
-	q := &request{Request: e, class: c, fn: r.function(e), end: r.now + e.TimeLeft,
-		due: r.now + min(e.TimeLeft, c.Deadline), half: r.now + e.TimeLeft/2 - 2*beat}
+	q := &request{
+		Request: e, class: c, fn: r.function(e), end: r.now + e.TimeLeft,
+		due: r.now + min(e.TimeLeft, c.Deadline), half: r.now + e.TimeLeft/2 - 2*beat,
+	}
 	r.requests[e.ID] = q
 	r.loads.Came(r.now, r.set.LoadWindow)
 	// Where a worker has room for this one, only what is out is ahead of it, not what waits for room.
--- a/router_test.go
+++ b/router_test.go
@@ -22,8 +22,10 @@
 		AnswerSlack: 8 * ms, DrainGrace: 500 * ms, ColdShare: 0.25, ColdFor: 10 * time.Second,
 		TipMultiple: 2, TipFor: time.Second, KeepAlive: 8 * time.Second, LoadOnDemand: true,
 		TellsWarm: true, TellsCompany: true,
-		Classes: []Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.3,
-			MemorySpan: 2 * time.Second}},
+		Classes: []Class{{
+			Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.3,
+			MemorySpan: 2 * time.Second,
+		}},
 	}
 	for _, f := range change {
 		f(&s)
@@ -96,8 +98,10 @@
 }
 
 func end(s Send, attempt int, o Outcome) AttemptEnd {
-	return AttemptEnd{ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: o, Closed: o == Served,
-		Latency: 50 * ms, Warmth: FoundWarm, Company: -1}
+	return AttemptEnd{
+		ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: o, Closed: o == Served,
+		Latency: 50 * ms, Warmth: FoundWarm, Company: -1,
+	}
 }
 
 func ready(id string, zone int) Worker { return Worker{ID: id, State: Ready, Weight: 1, Zone: zone} }
@@ -266,8 +270,10 @@
 			b := newBed(t, settings(c.change), fleet(6)...)
 			s := b.send("a", "f")
 			acts := b.step(c.after, end(s, 0, c.outcome))
-			got := map[string]int{again: len(only[Send](acts)), refuse: len(only[Refuse](acts)),
-				fail: len(only[Fail](acts))}
+			got := map[string]int{
+				again: len(only[Send](acts)), refuse: len(only[Refuse](acts)),
+				fail: len(only[Fail](acts)),
+			}
 			want := map[string]int{again: 0, refuse: 0, fail: 0}
 			want[c.want] = 1
 			if !reflect.DeepEqual(got, want) {
@@ -390,8 +396,10 @@
 	}
 	serve(5 * time.Second) // about 100 calls a second on one warm worker
 	rate := float64(b.r.perWeight)
-	b.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: b.now},
-		{ID: "w0", State: Draining}}})
+	b.step(0, WorkerList{Workers: []Worker{
+		{ID: "w1", State: Ready, Weight: 1, Started: b.now},
+		{ID: "w0", State: Draining},
+	}})
 	started := b.now
 	cold := serve(3 * time.Second)
 	bears(t, cold, started, rate)
@@ -791,8 +799,10 @@
 				} else if o != Shed && o != Unreached && o != Unsent && o != NotLoaded {
 					q.dirty = true
 				}
-				events = append(events, AttemptEnd{ID: id, Attempt: n, Worker: w, Outcome: o, Closed: q.done,
-					Latency: 30 * ms, Warmth: Warmth(rng.IntN(4)), Company: rng.IntN(3)})
+				events = append(events, AttemptEnd{
+					ID: id, Attempt: n, Worker: w, Outcome: o, Closed: q.done,
+					Latency: 30 * ms, Warmth: Warmth(rng.IntN(4)), Company: rng.IntN(3),
+				})
 			}
 		}
 		if rng.IntN(3) == 0 {
@@ -813,8 +823,10 @@
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
-	for name, change := range map[string]func(*Settings){"safe": settingsAsTold, "unsafe": unsafe,
-		"keyed": keyed, "hedging": hedging, "orders": mayOrder, "no cancel": noCancel} {
+	for name, change := range map[string]func(*Settings){
+		"safe": settingsAsTold, "unsafe": unsafe,
+		"keyed": keyed, "hedging": hedging, "orders": mayOrder, "no cancel": noCancel,
+	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
 				play(t, settings(change), seed, 3000)
--- a/state.go
+++ b/state.go
@@ -49,9 +49,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Router{set: s, rng: rand.New(rand.NewPCG(seed, 0)), leastAim: least.Seconds(), version: 1,
+	return &Router{
+		set: s, rng: rand.New(rand.NewPCG(seed, 0)), leastAim: least.Seconds(), version: 1,
 		theirs: 1 - 1/float64(s.Schedulers), shares: s.shares(), requests: map[string]*request{},
-		workers: map[string]*worker{}, funcs: map[string]*function{}}, nil
+		workers: map[string]*worker{}, funcs: map[string]*function{},
+	}, nil
 }
 
 type worker struct {
