--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -323,8 +323,12 @@
 
 // goldenCall is a request with fixed parameters; change edits them, and drops those set to "-".
 func goldenCall(class, body string, change ...[2]string) request {
-	fixed := [][2]string{{"HTTP_REQUEST_ID", goldenID}, {"HTTP_RESOURCE_KEY", goldenFunction}, {"HTTP_ONCE_KEY", goldenKey},
-		{"HTTP_BUDGET_MS", strconv.Itoa(goldenBudget)}}
+	fixed := [][2]string{
+		{"HTTP_REQUEST_ID", goldenID},
+		{"HTTP_RESOURCE_KEY", goldenFunction},
+		{"HTTP_ONCE_KEY", goldenKey},
+		{"HTTP_BUDGET_MS", strconv.Itoa(goldenBudget)},
+	}
 	return call(class, body, append(fixed, change...)...)
 }
 
--- a/cmd/drill/recording_test.go
+++ b/cmd/drill/recording_test.go
@@ -237,14 +237,16 @@
 	start := "round\t1\t1\ntarget_instance\t0\npower_on\t5\t" + settings + "\nview\t1\t1\t1\nm\t1\t1\tw-a\t0\t0\t0\t-\n" +
 		"call\tt/1\t0\t-\tf-a\t900\t-\t-\t-\t-\t-\nflush\nround\t20\t2\ntarget_instance\t0\n"
 	inputs := []string{"", "\n", "flush\n", "round\t1\t1\nexpired\tt/a\nflush\n", "round\t1\t1\ntarget_instance\t0\nnews\t1\nflush\n"}
-	for _, bad := range []string{"{}", "{", "null", "", `{"balancers":1}`,
+	for _, bad := range []string{
+		"{}", "{", "null", "", `{"balancers":1}`,
 		strings.Replace(settings, "read_like", "unheard_of", 1), strings.Replace(settings, `"cell"`, `"room"`, 1),
 		strings.Replace(settings, `"tickMs":4`, `"tickMs":-4`, 1), strings.Replace(settings, `"aimMs":500`, `"aimMs":0`, 1),
 		strings.Replace(settings, `"tickMs":4`, `"tickMs":1e300`, 1),
 		strings.Replace(settings, `"coldShare":0.25`, `"coldShare":-1`, 1),
 		strings.Replace(settings, `"tenants":[]`, `"tenants":[{"share":-1,"quotaPerS":2}]`, 1),
 		strings.Replace(settings, `"balancers":1`, `"balancers":0`, 1),
-		strings.Replace(settings, `"idleLifeMs":9000`, `"idleLifeMs":0`, 1)} {
+		strings.Replace(settings, `"idleLifeMs":9000`, `"idleLifeMs":0`, 1),
+	} {
 		inputs = append(inputs, "round\t1\t1\ntarget_instance\t0\npower_on\t5\t"+bad+"\nflush\n")
 	}
 	for _, bad := range outOfRange {
@@ -265,8 +267,10 @@
 
 // malformed alters one value of a message: it is left out, doubled, or replaced by one that may make no sense.
 func malformed(rng *rand.Rand, message string) string {
-	odd := []string{"", "-", "x", "-1", "1e999", "NaN", "0x1", "9223372036854775808", "18446744073709551616", "4", "1.5",
-		"inflight", "inflight:x", "inflight:1,,", "t/1", "delivered", "Delivered", "2", " 1", "1 ", "\x00", "é", "abc"}
+	odd := []string{
+		"", "-", "x", "-1", "1e999", "NaN", "0x1", "9223372036854775808", "18446744073709551616", "4", "1.5",
+		"inflight", "inflight:x", "inflight:1,,", "t/1", "delivered", "Delivered", "2", " 1", "1 ", "\x00", "é", "abc",
+	}
 	lines := strings.Split(message, "\n")
 	n := rng.IntN(len(lines))
 	line := lines[n]
--- a/cmd/drill/recording_world_test.go
+++ b/cmd/drill/recording_world_test.go
@@ -73,10 +73,12 @@
 
 // siteProfiles are the instances that the recording plays, in their order.
 func siteProfiles() []siteProfile {
-	base := siteProfile{balancers: 1, attempts: 4, cancel: true, probes: true, retryAfter: true, secondCopies: true,
+	base := siteProfile{
+		balancers: 1, attempts: 4, cancel: true, probes: true, retryAfter: true, secondCopies: true,
 		whenAbsent: "load", coldMs: 6000, tipMs: 2000, coldShare: 0.25, tipMultiple: 3, idleLifeMs: 9000,
 		weights: "silent", lateWorth: 0.2, workers: 8, functions: 12, callsPerSecond: 60, faultsPerMinute: 20,
-		restartsPerMin: 6, stepMs: 12, reportEverything: true}
+		restartsPerMin: 6, stepMs: 12, reportEverything: true,
+	}
 	vary := func(change func(p *siteProfile)) siteProfile {
 		p := base
 		change(&p)
@@ -198,8 +200,10 @@
 }
 
 func newSimulatedWorld(p siteProfile, seed uint64, now int64) *simulatedWorld {
-	w := &simulatedWorld{profile: p, rng: rand.New(rand.NewPCG(seed, 2)), now: now,
-		requests: map[string]*simulatedRequest{}, surgePercent: 100}
+	w := &simulatedWorld{
+		profile: p, rng: rand.New(rand.NewPCG(seed, 2)), now: now,
+		requests: map[string]*simulatedRequest{}, surgePercent: 100,
+	}
 	for range p.workers {
 		worker := w.addWorker()
 		if !p.startCold {
@@ -218,9 +222,11 @@
 
 func (w *simulatedWorld) addWorker() *simulatedWorker {
 	w.nextWorker++
-	worker := &simulatedWorker{id: fmt.Sprintf("w%s%d", strconv.FormatUint(w.rng.Uint64()%46656, 36), w.nextWorker),
+	worker := &simulatedWorker{
+		id:    fmt.Sprintf("w%s%d", strconv.FormatUint(w.rng.Uint64()%46656, 36), w.nextWorker),
 		state: 1, kind: w.rng.IntN(2), zone: w.rng.IntN(2), cell: w.rng.IntN(4), weight: 0.5 * float64(1+w.rng.IntN(4)),
-		startedMicros: w.now, loaded: map[string]bool{}}
+		startedMicros: w.now, loaded: map[string]bool{},
+	}
 	w.workers = append(w.workers, worker)
 	return worker
 }
@@ -615,7 +621,8 @@
 
 // scheduleEnd has an attempt end, unless it was called off before.
 func (w *simulatedWorld) scheduleEnd(q *simulatedRequest, a *simulatedAttempt, n int, took int64, outcome, info string,
-	timeout int64) {
+	timeout int64,
+) {
 	w.schedule(min(took, timeout), func() string {
 		if a.ended {
 			return ""
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -18,14 +18,22 @@
 		after  func(*Pool)
 		want   string
 	}{
-		{"attempt", func(p *Pool) { p.Send(attempt(1, "a")) }, nil,
-			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\n"},
-		{"attempt with key and body", func(p *Pool) { p.Send(keyed) }, nil,
-			"go 0000000000000002 sort=consulta,asset=f,patience=2500,op=k-1 10\r\ntwo\r\nlines\r\n"},
-		{"attempt with hardly any time", func(p *Pool) { p.Send(short) }, nil,
-			"go 0000000000000003 sort=consulta,asset=f,patience=1 0\r\n\r\n"},
-		{"attempt that is given up", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Halt(1) },
-			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\nhalt 0000000000000001\r\n"},
+		{
+			"attempt", func(p *Pool) { p.Send(attempt(1, "a")) }, nil,
+			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\n",
+		},
+		{
+			"attempt with key and body", func(p *Pool) { p.Send(keyed) }, nil,
+			"go 0000000000000002 sort=consulta,asset=f,patience=2500,op=k-1 10\r\ntwo\r\nlines\r\n",
+		},
+		{
+			"attempt with hardly any time", func(p *Pool) { p.Send(short) }, nil,
+			"go 0000000000000003 sort=consulta,asset=f,patience=1 0\r\n\r\n",
+		},
+		{
+			"attempt that is given up", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Halt(1) },
+			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\nhalt 0000000000000001\r\n",
+		},
 		{"probe", func(p *Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/fleetkey/golden_test.go
+++ b/internal/fleetkey/golden_test.go
@@ -324,18 +324,26 @@
 		err   error
 		want  string
 	}{
-		{"revoked", trust, revoked.Raw, goldenNow, ErrRevoked,
-			"the certificate was revoked: sched-2, number " + revoked.SerialNumber.String()},
-		{"expired", trust, member.Raw, goldenNow.Add(memberValidity + time.Minute), ErrExpired,
-			"the certificate does not hold now: it is good from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC"},
-		{"early", trust, member.Raw, goldenNow.Add(-time.Minute), ErrExpired,
-			"the certificate does not hold now: it is good from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC"},
+		{
+			"revoked", trust, revoked.Raw, goldenNow, ErrRevoked,
+			"the certificate was revoked: sched-2, number " + revoked.SerialNumber.String(),
+		},
+		{
+			"expired", trust, member.Raw, goldenNow.Add(memberValidity + time.Minute), ErrExpired,
+			"the certificate does not hold now: it is good from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC",
+		},
+		{
+			"early", trust, member.Raw, goldenNow.Add(-time.Minute), ErrExpired,
+			"the certificate does not hold now: it is good from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC",
+		},
 		{"no authority", nobody, member.Raw, goldenNow, ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
 		{"forged", trust, forged, goldenNow, ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
 		{"other fleet", other, member.Raw, goldenNow, ErrWrongFleet, `the certificate is of another fleet: "gt-registros"`},
 		{"an authority", trust, authority.Cert.Raw, goldenNow, ErrNotAMember, "not the certificate of a member"},
-		{"no certificate", trust, member.Raw[:20], goldenNow, ErrNotAMember,
-			"not the certificate of a member: x509: malformed certificate"},
+		{
+			"no certificate", trust, member.Raw[:20], goldenNow, ErrNotAMember,
+			"not the certificate of a member: x509: malformed certificate",
+		},
 	} {
 		if _, err := c.trust.Verify(c.der, c.now); err == nil || err.Error() != c.want || !errors.Is(err, c.err) {
 			t.Errorf("%s: error %v, want %s", c.name, err, c.want)
@@ -370,8 +378,10 @@
 		{"key without certificate", readKey, pem.EncodeToMemory(keyBlock), "a key and its certificate are needed"},
 		{"certificate without key", readKey, pem.EncodeToMemory(certBlock), "a key and its certificate are needed"},
 		{"cut off", readKey, member[:40], "a key and its certificate are needed"},
-		{"another's key", readKey, append(pem.EncodeToMemory(otherKey), pem.EncodeToMemory(certBlock)...),
-			"the certificate is not that of the key"},
+		{
+			"another's key", readKey, append(pem.EncodeToMemory(otherKey), pem.EncodeToMemory(certBlock)...),
+			"the certificate is not that of the key",
+		},
 		{"broken key", readKey, broken("PRIVATE KEY"), "asn1: structure error: "},
 		{"broken certificate", readKey, broken("CERTIFICATE"), "x509: malformed certificate"},
 		{"too large", readKey, make([]byte, 1<<20+1), "not a file of up to 1048576 bytes"},
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -149,9 +149,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return NewGuard(GuardConfig{Fleet: goldenFleet, Own: readGoldenKey(t, name+".key"), Epoch: goldenEpochs[name],
+	return NewGuard(GuardConfig{
+		Fleet: goldenFleet, Own: readGoldenKey(t, name+".key"), Epoch: goldenEpochs[name],
 		Trust: trust, Secret: []byte("secret of " + name), Checks: 400, Skew: goldenSkew,
-		Seeds: slices.Collect(maps.Values(goldenAddrs))})
+		Seeds: slices.Collect(maps.Values(goldenAddrs)),
+	})
 }
 
 // goldenStep is one datagram of a dialogue: who sends it to whom, in what file it is, and its message.
@@ -174,15 +176,21 @@
 		{Name: "förr", Epoch: -1, Inc: 4_294_967_295, State: Left},
 	}
 	return []goldenStep{
-		{"ping.datagram", "a", "", Message{Kind: Ping, Nonce: 0x0123_4567_89ab_cdef, Summaries: claims,
-			Records: []Record{newRecord(a, "a", 1, false)}}},
-		{"ack.datagram", "b", "a", Message{Kind: Ack, Nonce: 0x0123_4567_89ab_cdef, Want: []string{"c", "förr"},
-			Records: []Record{newRecord(b, "b", 23, false)}}},
+		{"ping.datagram", "a", "", Message{
+			Kind: Ping, Nonce: 0x0123_4567_89ab_cdef, Summaries: claims,
+			Records: []Record{newRecord(a, "a", 1, false)},
+		}},
+		{"ack.datagram", "b", "a", Message{
+			Kind: Ack, Nonce: 0x0123_4567_89ab_cdef, Want: []string{"c", "förr"},
+			Records: []Record{newRecord(b, "b", 23, false)},
+		}},
 		{"ask.datagram", "a", "b", Message{Kind: Ask, Nonce: 7, Target: "c", Claims: claims}},
 		{"nack.datagram", "b", "a", Message{Kind: Nack, Nonce: 7}},
-		{"gossip.datagram", "a", "b", Message{Kind: Gossip, Claims: claims[1:2],
+		{"gossip.datagram", "a", "b", Message{
+			Kind: Gossip, Claims: claims[1:2],
 			Records:    []Record{newRecord(a, "a", 2, true)},
-			Statements: []Statement{c.State(300, goldenNow, []byte("\x81\x85\x63w-1\x01\x19\x04\xb0\x00\x07"))}}},
+			Statements: []Statement{c.State(300, goldenNow, []byte("\x81\x85\x63w-1\x01\x19\x04\xb0\x00\x07"))},
+		}},
 		{"empty-gossip.datagram", "b", "a", Message{Kind: Gossip}},
 	}
 }
@@ -268,10 +276,14 @@
 		{"late", "b", whole, goldenNow.Add(time.Minute), ErrClock, "gossip: sent too long ago, or not yet"},
 		{"its own", "a", whole, goldenNow, ErrReplayed, "gossip: replayed"},
 		{"to another", "c", readGolden(t, "ack.datagram"), goldenNow, ErrNotForUs, "gossip: for another member"},
-		{"without certificate", "b", readGolden(t, "gossip.datagram"), goldenNow, ErrUnknown,
-			"gossip: the sender is not known and brings no certificate"},
-		{"early certificate", "b", whole, goldenNow.Add(-24 * time.Hour), fleetkey.ErrExpired,
-			"the certificate does not hold now: it is good from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC"},
+		{
+			"without certificate", "b", readGolden(t, "gossip.datagram"), goldenNow, ErrUnknown,
+			"gossip: the sender is not known and brings no certificate",
+		},
+		{
+			"early certificate", "b", whole, goldenNow.Add(-24 * time.Hour), fleetkey.ErrExpired,
+			"the certificate does not hold now: it is good from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC",
+		},
 	} {
 		_, err := goldenGuard(t, c.receiver).Open(goldenUptime, c.wall, goldenAddrs["a"], c.datagram)
 		if err == nil || err.Error() != c.want || !errors.Is(err, c.err) {
@@ -291,10 +303,12 @@
 func newGoldenNode(t *testing.T, name string, seed uint64) *goldenNode {
 	t.Helper()
 	n := &goldenNode{name: name, guard: goldenGuard(t, name)}
-	n.core = New(Config{Name: name, Addr: goldenAddrs[name], Epoch: goldenEpochs[name],
+	n.core = New(Config{
+		Name: name, Addr: goldenAddrs[name], Epoch: goldenEpochs[name],
 		Seeds:      []netip.AddrPort{goldenAddrs["a"]},
 		ProbeEvery: 500 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond, SuspectFor: 2 * time.Second,
-		Messages: 200, MaxMembers: 10, Seed: seed, Sign: n.guard.SignRecord})
+		Messages: 200, MaxMembers: 10, Seed: seed, Sign: n.guard.SignRecord,
+	})
 	return n
 }
 
@@ -352,8 +366,10 @@
 						fmt.Fprintf(&lines, "%v %s drops: %v\n", now, receiver.name, err)
 						continue
 					}
-					receiver.arrived = append(receiver.arrived, Received{From: opened.From, Addr: goldenAddrs[n.name],
-						Epoch: opened.Epoch, Message: opened.Message, Trusted: opened.Trusted})
+					receiver.arrived = append(receiver.arrived, Received{
+						From: opened.From, Addr: goldenAddrs[n.name],
+						Epoch: opened.Epoch, Message: opened.Message, Trusted: opened.Trusted,
+					})
 				case Changed:
 					m := action.Member
 					fmt.Fprintf(&lines, "%v %s holds %s of %d.%d to be state %d\n", now, n.name, m.Name, m.Epoch, m.Inc, m.State)
--- a/internal/snapshotfile/golden_test.go
+++ b/internal/snapshotfile/golden_test.go
@@ -71,11 +71,13 @@
 		PerWeight: 17.25,
 		Press:     0.1,
 		Functions: []calicohill.FunctionMemory{
-			{Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
+			{
+				Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
 				Copies: []calicohill.CopyMemory{
 					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
 					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
-				}},
+				},
+			},
 			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
 		},
 		Workers: []calicohill.WorkerMemory{
--- a/internal/suspicion/golden_test.go
+++ b/internal/suspicion/golden_test.go
@@ -69,8 +69,10 @@
 	unreachable := Accusation{Worker: "w-4", Trouble: calicohill.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
 	var long []Accusation // more than fit: those with the least Last are kept
 	for i := range uint32(14) {
-		long = append(long, Accusation{Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: calicohill.Silent,
-			First: 100_000, Last: 100 - i, Attempts: 10})
+		long = append(long, Accusation{
+			Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: calicohill.Silent,
+			First: 100_000, Last: 100 - i, Attempts: 10,
+		})
 	}
 	for _, c := range []struct {
 		name       string
