--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 
 test: ## all tests; those of the program start it as a process; the last finds mistakes that are built in on purpose
 	go test -count=1 ./...
-	go test -count=1 -tags faults -run FaultsAreFound ./internal/allowance
+	go test -count=1 -tags faults -run FaultsAreFound ./internal/fleet/quota
 
 race: ## the same under the race detector
 	go test -count=1 -race ./...
@@ -27,7 +27,7 @@
 	$(golangci) run --build-tags faults,race
 
 fuzz: ## each parser for a while
-	for p in fastcgi agent bulletin operator gossip suspicion snapshot; do go test -run '^$$' -fuzz Fuzz -fuzztime 30s ./internal/$$p || exit 1; done
+	for p in frontend/fastcgi nodeagent discovery config/operatorfile fleet/gossip fleet/faultreport snapshot; do go test -run '^$$' -fuzz Fuzz -fuzztime 30s ./internal/$$p || exit 1; done
 
 run: build ## the example: a toy bulletin and agent, a scheduler in front of them, and a call that it serves
 	@$(example); bin/calicohill call consulta --wait 10s --body hello
--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"calicohill/internal/fastcgi"
+	"calicohill/internal/frontend/fastcgi"
 
 	"github.com/spf13/cobra"
 )
--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"calicohill/internal/config"
-	"calicohill/internal/match"
-	"calicohill/internal/operator"
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/rules/match"
 
 	"github.com/spf13/cobra"
 )
@@ -31,11 +31,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
 			if example {
-				fmt.Fprint(out, operator.Example())
+				fmt.Fprint(out, operatorfile.Example())
 				return nil
 			}
 			if page {
-				fmt.Fprint(out, operator.Page())
+				fmt.Fprint(out, operatorfile.Page())
 				return nil
 			}
 			bad := 0
@@ -50,9 +50,9 @@
 				}
 			}
 			for _, file := range args {
-				set, err := operator.Read(file)
+				set, err := operatorfile.Read(file)
 				if err == nil {
-					var warnings operator.Faults
+					var warnings operatorfile.Faults
 					if _, _, warnings, err = set.Compile(classes); len(warnings) > 0 {
 						fmt.Fprintf(out, "warning: %s\n", strings.ReplaceAll(warnings.Error(), "\n", "\nwarning: "))
 					}
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"calicohill/internal/lab"
+	"calicohill/internal/testbed"
 )
 
 // Two dozen schedulers as processes, told that they are 24 of 300, before a list service and workers in trouble. None
@@ -50,11 +50,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			script, err := lab.ParseScenario(c.script)
+			script, err := testbed.ParseScenario(c.script)
 			if err != nil {
 				t.Fatal(err)
 			}
-			day := lab.ColdDay{
+			day := testbed.ColdDay{
 				Program: self, Env: []string{"CALICOHILL_AS_PROGRAM=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
 				Workers: 10, Scenario: script, Seconds: c.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
 			}
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"calicohill/internal/fleetkey"
+	"calicohill/internal/fleet/pki"
 
 	"github.com/spf13/cobra"
 )
@@ -36,14 +36,14 @@
 	cmd := &cobra.Command{
 		Use: "authority FLEET", Short: "Make the key that signs the members of a fleet", Args: exactly("FLEET"),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := fleetkey.NewAuthority(args[0], time.Now(), time.Duration(days)*day)
+			a, err := pki.NewAuthority(args[0], time.Now(), time.Duration(days)*day)
 			if err != nil {
 				return err
 			}
-			if err := fleetkey.WriteFile(out+".key", a.Key, a.Cert); err != nil {
+			if err := pki.WriteFile(out+".key", a.Key, a.Cert); err != nil {
 				return err
 			}
-			if err := os.WriteFile(out+".crt", fleetkey.EncodeCert(a.Cert), 0o644); err != nil {
+			if err := os.WriteFile(out+".crt", pki.EncodeCert(a.Cert), 0o644); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s.key signs for fleet %s until %s; name %s.crt as authority\n", out, args[0],
@@ -56,18 +56,18 @@
 	return cmd
 }
 
-func readAuthority(path string) (*fleetkey.Authority, error) {
+func readAuthority(path string) (*pki.Authority, error) {
 	if path == "" {
 		return nil, usageError{errors.New("--authority is needed")}
 	}
-	key, cert, err := fleetkey.ReadKey(path)
+	key, cert, err := pki.ReadKey(path)
 	if err != nil {
 		return nil, err
 	}
 	if !cert.IsCA {
 		return nil, fmt.Errorf("%s is the key of a member, not of an authority", path)
 	}
-	return &fleetkey.Authority{Cert: cert, Key: key}, nil
+	return &pki.Authority{Cert: cert, Key: key}, nil
 }
 
 func issueCommand() *cobra.Command {
@@ -87,7 +87,7 @@
 			if out == "" {
 				out = args[0] + ".key"
 			}
-			if err := fleetkey.WriteFile(out, m.Key, m.Cert); err != nil {
+			if err := pki.WriteFile(out, m.Key, m.Cert); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s is %s of fleet %s until %s\n", out, args[0], a.Fleet(),
@@ -106,14 +106,14 @@
 		Use: "show FILE", Short: "Print what a file of key says", Args: exactly("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
-			if list, err := fleetkey.ReadList(args[0], false); err == nil {
+			if list, err := pki.ReadList(args[0], false); err == nil {
 				fmt.Fprintf(out, "list of revoked certificates, number %v, of %s\n", list.Number, list.ThisUpdate.Format(time.RFC3339))
 				for _, e := range list.RevokedCertificateEntries {
 					fmt.Fprintf(out, "  %x since %s\n", e.SerialNumber, e.RevocationTime.Format(time.RFC3339))
 				}
 				return nil
 			}
-			c, err := fleetkey.ReadCert(args[0])
+			c, err := pki.ReadCert(args[0])
 			if err != nil {
 				return err
 			}
@@ -143,7 +143,7 @@
 			if err != nil {
 				return err
 			}
-			before, err := fleetkey.ReadList(path, true)
+			before, err := pki.ReadList(path, true)
 			if err != nil {
 				return err
 			}
@@ -163,7 +163,7 @@
 				return err
 			}
 			// A scheduler that reads it meanwhile must see one list or the other.
-			if err := os.WriteFile(path+".new", fleetkey.EncodeList(list), 0o644); err != nil {
+			if err := os.WriteFile(path+".new", pki.EncodeList(list), 0o644); err != nil {
 				return err
 			}
 			if err := os.Rename(path+".new", path); err != nil {
@@ -181,7 +181,7 @@
 
 // certificateNumber is the number of the certificate in a file, or the hexadecimal number itself.
 func certificateNumber(arg string) (*big.Int, error) {
-	c, err := fleetkey.ReadCert(arg)
+	c, err := pki.ReadCert(arg)
 	if err == nil {
 		return c.SerialNumber, nil
 	}
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"calicohill/internal/config"
-	"calicohill/internal/match"
-	"calicohill/internal/operator"
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/rules/match"
 
 	"github.com/spf13/cobra"
 )
@@ -57,7 +57,7 @@
 				}
 				classes = siteClasses(&cfg.Site)
 			}
-			set, err := operator.Read(args[0])
+			set, err := operatorfile.Read(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -12,21 +12,21 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/fastcgi"
-	"calicohill/internal/fleetkey"
-	"calicohill/internal/lab"
+	"calicohill/internal/fleet/pki"
+	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/testbed"
 )
 
 const dozen = 12
 
 // peers is a dozen schedulers, as processes, that share suspicions about a few workers.
-func peers(t *testing.T, instances, workers int) *lab.Fleet {
+func peers(t *testing.T, instances, workers int) *testbed.Fleet {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &lab.Fleet{Program: self, Env: []string{"CALICOHILL_AS_PROGRAM=1"}, Dir: t.TempDir(), Sharing: true}
+	f := &testbed.Fleet{Program: self, Env: []string{"CALICOHILL_AS_PROGRAM=1"}, Dir: t.TempDir(), Sharing: true}
 	if err := f.Prepare(instances, workers); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	return f
 }
 
-func joined(t *testing.T, f *lab.Fleet, members int) {
+func joined(t *testing.T, f *testbed.Fleet, members int) {
 	t.Helper()
 	if err := f.Joined(context.Background(), members, 2*patient); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 // all waits until something holds of each instance.
-func all(t *testing.T, f *lab.Fleet, what string, ok func(*lab.Instance) bool) {
+func all(t *testing.T, f *testbed.Fleet, what string, ok func(*testbed.Instance) bool) {
 	t.Helper()
 	for _, in := range f.Instances {
 		for end := time.Now().Add(2 * patient); !ok(in); time.Sleep(20 * time.Millisecond) {
@@ -70,7 +70,7 @@
 }
 
 // says reports whether a line of a log has this message and this field.
-func says(in *lab.Instance, msg, field, value string) bool {
+func says(in *testbed.Instance, msg, field, value string) bool {
 	for _, l := range in.Log.Lines() {
 		if l.Text("msg") == msg && l.Text(field) == value {
 			return true
@@ -80,7 +80,7 @@
 }
 
 // course is what each instance made of a member, line by line in the order of time.
-func course(f *lab.Fleet, peer string) string {
+func course(f *testbed.Fleet, peer string) string {
 	var lines []string
 	for _, in := range f.Instances {
 		for _, l := range in.Log.Lines() {
@@ -99,7 +99,7 @@
 )
 
 // callOf is a call of a class, with a body that says through whom it goes.
-func callOf(in *lab.Instance, class string, function int) fastcgi.Request {
+func callOf(in *testbed.Instance, class string, function int) fastcgi.Request {
 	return fastcgi.Request{
 		Path: "/rpc/" + class, ID: randomHex(8), OnceKey: randomHex(16),
 		Function: fmt.Sprintf("%016x", function), Budget: 1500 * time.Millisecond, Spec: "memory_mb:64;lanes:4",
@@ -108,7 +108,7 @@
 }
 
 // ask sends a call through an instance and tells what became of it.
-func ask(t *testing.T, c *fastcgi.Client, in *lab.Instance, class string, function int) string {
+func ask(t *testing.T, c *fastcgi.Client, in *testbed.Instance, class string, function int) string {
 	ctx, cancel := context.WithTimeout(context.Background(), patient)
 	defer cancel()
 	r, err := c.Do(ctx, callOf(in, class, function))
@@ -120,7 +120,7 @@
 }
 
 // work has instances call many functions, so that they reach all workers, until stop is called or the test ends.
-func work(t *testing.T, only []*lab.Instance) (stop func()) {
+func work(t *testing.T, only []*testbed.Instance) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -165,7 +165,7 @@
 		ids = append(ids, w.ID)
 	}
 	liar.Accuse(ids)
-	all(t, f, "a mass accuser is not heard", func(in *lab.Instance) bool { return says(in, lineUnheard, "peer", "liar") })
+	all(t, f, "a mass accuser is not heard", func(in *testbed.Instance) bool { return says(in, lineUnheard, "peer", "liar") })
 	for _, in := range f.Instances {
 		if in.Count(lineIll) > 0 {
 			t.Errorf("%s leaves a worker out on the word of a liar", in.Name)
@@ -194,7 +194,7 @@
 		}
 		return len(from) >= dozen/2
 	})
-	f.Workers[5].Set(lab.Mute)
+	f.Workers[5].Set(testbed.Mute)
 	idle := f.Instances[dozen-1]
 	for end := time.Now().Add(3 * patient); !says(idle, lineIll, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -208,8 +208,8 @@
 			}
 		}
 	}
-	f.Workers[5].Set(lab.Sound)
-	all(t, f, "the worker is taken back", func(in *lab.Instance) bool {
+	f.Workers[5].Set(testbed.Sound)
+	all(t, f, "the worker is taken back", func(in *testbed.Instance) bool {
 		n := in.Count(lineIll)
 		return n == 0 || in.Count("worker no longer ill on the word of peers") == n
 	})
@@ -217,9 +217,9 @@
 
 	// A flood of forged datagrams: nobody is taken for dead, calls are served, few signatures are checked.
 	halt, flooded := make(chan struct{}), make(chan error, 1)
-	go func() { flooded <- lab.Flood(f.Instances[0].Gossip, 5000, halt) }()
-	all(t, &lab.Fleet{Instances: f.Instances[:1]}, "datagrams are dropped",
-		func(in *lab.Instance) bool { return in.Count("gossip datagram dropped") >= 3 })
+	go func() { flooded <- testbed.Flood(f.Instances[0].Gossip, 5000, halt) }()
+	all(t, &testbed.Fleet{Instances: f.Instances[:1]}, "datagrams are dropped",
+		func(in *testbed.Instance) bool { return in.Count("gossip datagram dropped") >= 3 })
 	if got := ask(t, c, f.Instances[0], "consulta", 1); got != "served" {
 		t.Errorf("a call is %s during a flood", got)
 	}
@@ -236,7 +236,7 @@
 	if err := f.Instances[3].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	all(t, f, "the one that was stopped is taken for alive", func(in *lab.Instance) bool {
+	all(t, f, "the one that was stopped is taken for alive", func(in *testbed.Instance) bool {
 		last := ""
 		for _, l := range in.Log.Lines() {
 			switch msg := l.Text("msg"); msg {
@@ -284,7 +284,7 @@
 func TestPeersKeys(t *testing.T) {
 	t.Parallel()
 	f := peers(t, 4, 2)
-	hup := func(in *lab.Instance, more string) {
+	hup := func(in *testbed.Instance, more string) {
 		t.Helper()
 		if err := in.Rewrite(in.Operator(more)); err != nil {
 			t.Fatal(err)
@@ -294,7 +294,7 @@
 		}
 	}
 	authority := filepath.Join(f.Dir, "authority.key")
-	if err := fleetkey.WriteFile(authority, f.Authority.Key, f.Authority.Cert); err != nil {
+	if err := pki.WriteFile(authority, f.Authority.Key, f.Authority.Cert); err != nil {
 		t.Fatal(err)
 	}
 	list := filepath.Join(f.Dir, "fleet.revoked")
@@ -304,23 +304,23 @@
 	for _, in := range f.Instances[:3] {
 		hup(in, "  revoked fleet.revoked\n")
 	}
-	trusting := &lab.Fleet{Instances: f.Instances[:3]}
-	all(t, trusting, "a revoked member is dropped", func(in *lab.Instance) bool {
+	trusting := &testbed.Fleet{Instances: f.Instances[:3]}
+	all(t, trusting, "a revoked member is dropped", func(in *testbed.Instance) bool {
 		return says(in, "peer no longer counts: its certificate does not", "peer", "n3")
 	})
 
 	// A new authority beside the old one, and a member that has a key of it.
-	next, err := fleetkey.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
+	next, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(f.Dir, "next.crt"), fleetkey.EncodeCert(next.Cert), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(f.Dir, "next.crt"), pki.EncodeCert(next.Cert), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, in := range f.Instances[:3] {
 		hup(in, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	all(t, trusting, "the new authority is taken up", func(in *lab.Instance) bool { return in.Count("gossip settings taken up") == 2 })
+	all(t, trusting, "the new authority is taken up", func(in *testbed.Instance) bool { return in.Count("gossip settings taken up") == 2 })
 	f.Instances[3].Kill()
 	if err := f.Instances[3].NewKey(next); err != nil {
 		t.Fatal(err)
@@ -338,7 +338,7 @@
 		t.Fatal(err)
 	}
 	hup(f.Instances[0], "  revoked fleet.revoked\n")
-	all(t, &lab.Fleet{Instances: f.Instances[:1]}, "an open key is refused", func(in *lab.Instance) bool {
+	all(t, &testbed.Fleet{Instances: f.Instances[:1]}, "an open key is refused", func(in *testbed.Instance) bool {
 		return strings.Contains(in.Log.String(), "0600 is needed")
 	})
 
@@ -351,7 +351,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(twin.Kill)
-	all(t, &lab.Fleet{Instances: f.Instances[1:2]}, "the earlier of two with one name falls silent", func(in *lab.Instance) bool {
+	all(t, &testbed.Fleet{Instances: f.Instances[1:2]}, "the earlier of two with one name falls silent", func(in *testbed.Instance) bool {
 		return in.Count("another scheduler has this one's name: this one says no more") == 1
 	})
 }
--- a/cmd/calicohill/run.go
+++ b/cmd/calicohill/run.go
@@ -13,23 +13,23 @@
 	"syscall"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/agent"
-	"calicohill/internal/buffer"
-	"calicohill/internal/bulletin"
 	"calicohill/internal/config"
-	"calicohill/internal/deadline"
+	"calicohill/internal/config/deployment"
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/discovery"
+	"calicohill/internal/discovery/pollplan"
 	"calicohill/internal/dispatch"
-	"calicohill/internal/fastcgi"
-	"calicohill/internal/gossipnet"
-	"calicohill/internal/logs"
-	"calicohill/internal/loop"
-	"calicohill/internal/match"
-	"calicohill/internal/operator"
-	"calicohill/internal/polling"
-	"calicohill/internal/pools"
-	"calicohill/internal/settings"
-	"calicohill/internal/snapshotfile"
+	"calicohill/internal/fleet/transport"
+	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/nodeagent"
+	"calicohill/internal/rules/match"
+	"calicohill/internal/rules/pools"
+	"calicohill/internal/runtime/bufferpool"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/internal/runtime/logging"
+	"calicohill/internal/snapshot/snapshotfile"
+	"calicohill/routing"
 
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
@@ -74,7 +74,7 @@
 }
 
 // read reads all that there is to read. The settings of no file are returned where none is named.
-func (p *places) read() (*config.Config, *operator.Settings, error) {
+func (p *places) read() (*config.Config, *operatorfile.Settings, error) {
 	if p.config == "" {
 		return nil, nil, errors.New("no configuration: set ROUTER_CONFIG or --config")
 	}
@@ -83,16 +83,16 @@
 		return nil, nil, err
 	}
 	// What would end a start is of no use to a reload either, though it takes up little of it.
-	if _, err := calicohill.New(cfg.Site.Settings, cfg.Seed); err != nil {
+	if _, err := routing.New(cfg.Site.Settings, cfg.Seed); err != nil {
 		return nil, nil, fmt.Errorf("configuration %s: settings: %w", p.config, err)
 	}
-	if err := bulletin.Check(cfg.Known, cfg.Site.Zones, cfg.Site.Kinds); err != nil {
+	if err := discovery.Check(cfg.Known, cfg.Site.Zones, cfg.Site.Kinds); err != nil {
 		return nil, nil, fmt.Errorf("configuration %s: %w", p.config, err)
 	}
 	if p.operator == "" {
-		return cfg, operator.None(), nil
+		return cfg, operatorfile.None(), nil
 	}
-	set, err := operator.Read(p.operator)
+	set, err := operatorfile.Read(p.operator)
 	return cfg, set, err
 }
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	parts, err := logs.New(os.Stderr, own.Log)
+	parts, err := logging.New(os.Stderr, own.Log)
 	if err != nil {
 		return err
 	}
@@ -127,20 +127,20 @@
 		parts.Part("rules").WithError(w).Warn("rule of no use")
 	}
 	cfg.Site.Observed = from.operator != "" // for peers, and for routes, which may come by a reload
-	router, err := calicohill.New(cfg.Site.Settings, cfg.Seed)
+	router, err := routing.New(cfg.Site.Settings, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	runtime.GOMAXPROCS(1) // the machine has one core
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 
-	l := loop.New()
+	l := eventloop.New()
 	l.Logger = log
 	clients := cfg.Sockets / 3
 	// A third of the memory may go into what is read and not answered yet.
-	pool := buffer.NewPool(cfg.MemoryMB << 20 / 3 / buffer.Size)
+	pool := bufferpool.NewPool(cfg.MemoryMB << 20 / 3 / bufferpool.Size)
 	d := dispatch.New(l, router, pool, cfg.Site.MaxOpen)
-	agents := agent.New(l, d, agent.Options{
+	agents := nodeagent.New(l, d, nodeagent.Options{
 		Classes: cfg.Site.ClassNames, Streams: cfg.Site.Streams,
 		Schedulers: cfg.Site.Schedulers, IdleClose: cfg.Site.IdleClose, ConnectTimeout: cfg.Site.ConnectTimeout,
 		MaxConns: cfg.Sockets / 3, MaxFiles: max(cfg.Sockets-clients-otherFiles, cfg.Sockets/3+2),
@@ -153,9 +153,9 @@
 	server.Use(fastcgi.NewRules(rules))
 	d.Route(orNone(routes))
 	list := d.List
-	var peers *gossipnet.Node
+	var peers *transport.Node
 	if own.Gossip != nil {
-		peers, err = gossipnet.Open(*own.Gossip, func(h calicohill.PeersHold) { l.Post(func() { d.PeersHold(h) }) },
+		peers, err = transport.Open(*own.Gossip, func(h routing.PeersHold) { l.Post(func() { d.PeersHold(h) }) },
 			parts.Part("gossip"))
 		if err != nil {
 			return err
@@ -166,8 +166,8 @@
 			peers.Listed(d.Listed())
 		}
 	}
-	watch, err := bulletin.New(l, cfg.Bulletin, cfg.Known, cfg.Site.Zones, cfg.Site.Kinds,
-		polling.New(cfg.Site.Schedulers, cfg.Site.DrainGrace, cfg.Seed), list, parts.Part("bulletin"))
+	watch, err := discovery.New(l, cfg.Bulletin, cfg.Known, cfg.Site.Zones, cfg.Site.Kinds,
+		pollplan.New(cfg.Site.Schedulers, cfg.Site.DrainGrace, cfg.Seed), list, parts.Part("bulletin"))
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", from.config, err)
 	}
@@ -185,7 +185,7 @@
 			// The classes are those that the scheduler runs with: the platform's new ones are not taken up.
 			table, nextRoutes, _, err = nextOwn.Compile(siteClasses(&cfg.Site))
 		}
-		var faults operator.Faults
+		var faults operatorfile.Faults
 		if errors.As(err, &faults) {
 			for _, f := range faults {
 				log.WithError(f).Error("operator's file not read again: the old one stands")
@@ -220,13 +220,13 @@
 		log.WithField("bulletin", next.Bulletin).Info("configuration read again")
 	}
 	draining := false
-	var memory *calicohill.Memory
+	var memory *routing.Memory
 	if own.State != nil {
 		memory = restore(watch, own.State, l, d, parts.Part("bulletin"))
 	}
 	l.Accept, l.Stalled, watch.Blind = server.Accept, watch.Stalled, d.Blind
 	// What the next ask may wait and a stall that nobody notices pass together before a drain has to be heeded.
-	l.Stall = min(loop.LongestStall, max(leastStall, time.Duration(stallPart*float64(cfg.Site.DrainGrace))))
+	l.Stall = min(eventloop.LongestStall, max(leastStall, time.Duration(stallPart*float64(cfg.Site.DrainGrace))))
 	l.Boot = func() {
 		watch.Start()
 		if memory != nil {
@@ -266,8 +266,8 @@
 
 // restore takes up the list of an earlier life, if it counts, has the list and what is learned kept from now on, and
 // returns what was learned; nil if none of it counts.
-func restore(watch *bulletin.Watch, state *operator.State, l *loop.Loop, d *dispatch.Dispatcher, log *logrus.Entry) (
-	memory *calicohill.Memory,
+func restore(watch *discovery.Watch, state *operatorfile.State, l *eventloop.Loop, d *dispatch.Dispatcher, log *logrus.Entry) (
+	memory *routing.Memory,
 ) {
 	r, err := snapshotfile.Read(state.Snapshot, state.Fleet, l.Now(), state.MaxAge)
 	newer := false
@@ -298,7 +298,7 @@
 }
 
 // siteClasses is the site's classes as rules know them.
-func siteClasses(site *settings.Site) []match.Class {
+func siteClasses(site *deployment.Site) []match.Class {
 	list := make([]match.Class, len(site.Classes))
 	for i, c := range site.Classes {
 		list[i] = match.Class{Name: site.ClassNames[i], Effect: c.Effect}
@@ -342,7 +342,7 @@
 }
 
 // closeAfter is how long after drainFor what is still open is closed.
-func closeAfter(classes []calicohill.Class) time.Duration {
+func closeAfter(classes []routing.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
@@ -352,7 +352,7 @@
 
 // drain stops the loop once requests have ceased to come, all are answered, and the answers are sent. What is open after
 // a while is answered unserved.
-func drain(l *loop.Loop, d *dispatch.Dispatcher, server *fastcgi.Server, closeAfter time.Duration) {
+func drain(l *eventloop.Loop, d *dispatch.Dispatcher, server *fastcgi.Server, closeAfter time.Duration) {
 	wait, from := &deadline.Entry{}, l.Now()
 	owed := from // when something was last owed an answer
 	looks := 0   // not the time: after a stall all that came meanwhile is still to be read
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/snapshotfile"
+	"calicohill/internal/snapshot/snapshotfile"
 )
 
 // keeping is a site whose scheduler keeps its list, in the file that is returned.
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill lets the bench drive calicohill: it hosts one Router for each instance that the wire names and
+// Command simadapter lets the bench drive calicohill: it hosts one Router for each instance that the wire names and
 // translates between the wire's lines and the Router's events and actions.
 package main
 
@@ -8,13 +8,13 @@
 	"io"
 	"os"
 
-	"calicohill"
-	"calicohill/internal/wire"
+	"calicohill/internal/simwire"
+	"calicohill/routing"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -22,14 +22,14 @@
 // turn is what one instance is told in a batch.
 type turn struct {
 	instance int
-	start    *wire.Start
+	start    *simwire.Start
 	stopped  bool
-	events   []calicohill.Event
+	events   []routing.Event
 }
 
 // turns groups the items of a batch by instance, in the order of first appearance. Events that came before
 // a stop or a start in the same batch belong to a life that is over, and are dropped with it.
-func turns(items []wire.Item) []*turn {
+func turns(items []simwire.Item) []*turn {
 	var list []*turn
 	byInstance := map[int]*turn{}
 	for _, it := range items {
@@ -52,8 +52,8 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
-	routers := map[int]*calicohill.Router{}
+	dec, enc := simwire.NewDecoder(in), simwire.NewEncoder(out)
+	routers := map[int]*routing.Router{}
 	for {
 		batch, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -84,7 +84,7 @@
 }
 
 // play hands an instance its events. A panic in the decisions comes back as an error.
-func play(routers map[int]*calicohill.Router, t *turn, b *wire.Batch) (actions []calicohill.Action, err error) {
+func play(routers map[int]*routing.Router, t *turn, b *simwire.Batch) (actions []routing.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
@@ -94,7 +94,7 @@
 		delete(routers, t.instance)
 	}
 	if t.start != nil {
-		if routers[t.instance], err = calicohill.New(t.start.Settings, t.start.Seed); err != nil {
+		if routers[t.instance], err = routing.New(t.start.Settings, t.start.Seed); err != nil {
 			delete(routers, t.instance)
 			return nil, err
 		}
--- a/cmd/lab/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command lab is the laboratory: it runs fleets of real schedulers against stand-ins on loopback, or their cores in
+// Command testbed is the laboratory: it runs fleets of real schedulers against stand-ins on loopback, or their cores in
 // virtual time, makes things fail, and prints what was measured.
 package main
 
@@ -15,7 +15,7 @@
 	"strings"
 	"syscall"
 
-	"calicohill/internal/lab"
+	"calicohill/internal/testbed"
 
 	"github.com/spf13/cobra"
 )
@@ -23,23 +23,23 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "lab", Short: "The laboratory of calicohill", SilenceErrors: true, SilenceUsage: true}
+	root := &cobra.Command{Use: "testbed", Short: "The laboratory of calicohill", SilenceErrors: true, SilenceUsage: true}
 	root.AddCommand(gossipCommand(), matchCommand(), coldstartCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "lab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		stop()
 		os.Exit(1)
 	}
 }
 
 func gossipCommand() *cobra.Command {
-	var d lab.GossipDay
+	var d testbed.GossipDay
 	var virtual, asJSON bool
 	var plotTo string
 	cmd := &cobra.Command{
 		Use: "gossip", Short: "Shared suspicions: some workers fall silent, with and without liars, shared and alone",
-		Example: "  bin/lab gossip --instances 12 --hostile 1 --workers 40 --seconds 20 --json\n" +
-			"  bin/lab gossip --virtual --instances 1000 --plot gossip.svg --json",
+		Example: "  bin/testbed gossip --instances 12 --hostile 1 --workers 40 --seconds 20 --json\n" +
+			"  bin/testbed gossip --virtual --instances 1000 --plot gossip.svg --json",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if d.Instances < 2 || d.Workers < 4 || d.Seconds < 1 || d.Hostile < 0 || d.Rate <= 0 {
@@ -53,9 +53,9 @@
 						sizes = append(sizes, n)
 					}
 				}
-				r := lab.Virtual(append(sizes, d.Instances), d.Seed)
+				r := testbed.Virtual(append(sizes, d.Instances), d.Seed)
 				if plotTo != "" {
-					if err := lab.PlotVirtual(r, plotTo); err != nil {
+					if err := testbed.PlotVirtual(r, plotTo); err != nil {
 						return err
 					}
 				}
@@ -63,7 +63,7 @@
 			}
 			var err error
 			if d.Program == "" {
-				if d.Program, err = lab.Beside(); err != nil {
+				if d.Program, err = testbed.Beside(); err != nil {
 					return err
 				}
 			}
@@ -92,11 +92,11 @@
 }
 
 func matchCommand() *cobra.Command {
-	var d lab.MatchDay
+	var d testbed.MatchDay
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "match", Short: "What rules cost: an evaluation by itself, and requests through a scheduler",
-		Example: "  bin/lab match --rules 1000 --rate 1900 --hostile --json",
+		Example: "  bin/testbed match --rules 1000 --rate 1900 --hostile --json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if d.Rules < 1 || d.Rules > 10000 || d.Rate <= 0 || d.Seconds < 1 {
@@ -104,7 +104,7 @@
 			}
 			var err error
 			if d.Program == "" {
-				if d.Program, err = lab.Beside(); err != nil {
+				if d.Program, err = testbed.Beside(); err != nil {
 					return err
 				}
 			}
@@ -128,32 +128,32 @@
 }
 
 func coldstartCommand() *cobra.Command {
-	var d lab.ColdDay
+	var d testbed.ColdDay
 	var virtual, asJSON bool
 	var scenario, plotTo string
-	names := slices.Sorted(maps.Keys(lab.ColdStarts))
+	names := slices.Sorted(maps.Keys(testbed.ColdStarts))
 	cmd := &cobra.Command{
 		Use: "coldstart", Short: "Many schedulers at once before a list service and workers that have trouble",
 		Long: "Many schedulers at once before a list service and workers that have trouble.\n\n" +
 			"A scenario is one of " + strings.Join(names, ", ") + ", or a file with a script of the same form.",
-		Example: "  bin/lab coldstart --instances 300 --workers 60 --scenario crowded --baseline ../earlier/bin/calicohill --json\n" +
-			"  bin/lab coldstart --virtual --instances 5000 --json",
+		Example: "  bin/testbed coldstart --instances 300 --workers 60 --scenario crowded --baseline ../earlier/bin/calicohill --json\n" +
+			"  bin/testbed coldstart --virtual --instances 5000 --json",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) (err error) {
 			if d.Instances < 1 || d.Workers < 1 || d.Seconds < 1 || d.Rate <= 0 {
 				return errors.New("at least 1 instance, 1 worker, 1 second and a rate are needed")
 			}
 			if virtual {
-				workers, err := lab.PlayWorkers(d.Instances, d.Workers, d.Seed)
+				workers, err := testbed.PlayWorkers(d.Instances, d.Workers, d.Seed)
 				if err != nil {
 					return err
 				}
 				return show(cmd.OutOrStdout(), asJSON, struct {
-					List    []lab.VirtualAsks            `json:"list_service"`
-					Workers map[string]lab.VirtualCourse `json:"workers"`
-				}{lab.PlayAsks([]int{d.Instances}, d.Seed), workers})
+					List    []testbed.VirtualAsks            `json:"list_service"`
+					Workers map[string]testbed.VirtualCourse `json:"workers"`
+				}{testbed.PlayAsks([]int{d.Instances}, d.Seed), workers})
 			}
-			text, ok := lab.ColdStarts[scenario]
+			text, ok := testbed.ColdStarts[scenario]
 			if !ok {
 				b, err := os.ReadFile(scenario)
 				if err != nil {
@@ -161,11 +161,11 @@
 				}
 				text = string(b)
 			}
-			if d.Scenario, err = lab.ParseScenario(text); err != nil {
+			if d.Scenario, err = testbed.ParseScenario(text); err != nil {
 				return err
 			}
 			if d.Program == "" {
-				if d.Program, err = lab.Beside(); err != nil {
+				if d.Program, err = testbed.Beside(); err != nil {
 					return err
 				}
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"calicohill/internal/settings"
+	"calicohill/internal/config/deployment"
 )
 
 // Config is what a scheduler is told at its start.
@@ -23,7 +23,7 @@
 	Seed     uint64
 	MemoryMB int
 	Sockets  int
-	Site     settings.Site
+	Site     deployment.Site
 }
 
 type file struct {
@@ -94,7 +94,7 @@
 	if len(f.Settings) == 0 {
 		return errors.New("no settings")
 	}
-	if c.Site, err = settings.Parse(f.Settings); err != nil {
+	if c.Site, err = deployment.Parse(f.Settings); err != nil {
 		return err
 	}
 	for i, name := range c.Site.ClassNames {
--- a/internal/settings/settings.go
+++ b/internal/config/deployment/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings object that a scheduler is given, by the simulator or in its
+// Package deployment reads the settings object that a scheduler is given, by the simulator or in its
 // configuration.
-package settings
+package deployment
 
 import (
 	"encoding/json"
@@ -8,12 +8,12 @@
 	"math"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 )
 
 // Site is what the settings say: to the decisions, and to what is around them.
 type Site struct {
-	calicohill.Settings
+	routing.Settings
 
 	ClassNames     []string // by class number
 	Zones, Kinds   []string // by number
@@ -100,11 +100,11 @@
 }
 
 var (
-	effects = map[string]calicohill.Effect{
-		"read_like": calicohill.Safe, "idempotency_key": calicohill.Keyed, "non_idempotent": calicohill.Unsafe,
+	effects = map[string]routing.Effect{
+		"read_like": routing.Safe, "idempotency_key": routing.Keyed, "non_idempotent": routing.Unsafe,
 	}
-	scopes = map[string]calicohill.Scope{
-		"": calicohill.ScopeAll, "all": calicohill.ScopeAll, "zone": calicohill.ScopeZone, "cell": calicohill.ScopeCell,
+	scopes = map[string]routing.Scope{
+		"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell,
 	}
 )
 
@@ -124,7 +124,7 @@
 		}
 		return duration(ms)
 	}
-	s := calicohill.Settings{
+	s := routing.Settings{
 		Schedulers: b.Balancers, Rank: b.Rank, Zone: b.AZ, Tick: duration(b.TickMs),
 		OverShareWorth: b.OverShareWorth,
 		MaxAttempts:    b.Ceilings.AttemptsCap, MaxOpen: b.Ceilings.OpenCap,
@@ -142,7 +142,7 @@
 		CanLoad: b.FamilyInfo.MayLoad, LoadsFree: b.FamilyInfo.LoadsAnyway,
 		LoadsPerCall: b.FamilyInfo.LoadRatio, LoadWindow: duration(b.FamilyInfo.LoadWindowMs),
 		LoadTimeout: duration(b.FamilyInfo.AnswerWithinMs), WorkerMemory: b.FamilyInfo.RAMMbByKind,
-		Fees: calicohill.Fees{
+		Fees: routing.Fees{
 			Waste: b.Fees.Waste, LateFail: b.Fees.LateFail, Fetch: b.Fees.Origin,
 			Cross: b.Fees.CrossZone, Probe: b.Fees.Probe, Idle: b.FamilyInfo.IdlePrice,
 		},
@@ -158,7 +158,7 @@
 		if !ok {
 			return Site{}, fmt.Errorf("settings: class %d: unknown dedupScope %q", i, c.DedupScope)
 		}
-		s.Classes = append(s.Classes, calicohill.Class{
+		s.Classes = append(s.Classes, routing.Class{
 			Aim: duration(c.AimMs), Deadline: duration(c.HardLimitMs), Worth: c.Worth, LateWorth: c.LateWorth,
 			Effect: effect, Scope: scope, MemorySpan: duration(c.MemorySpanMs), Stream: c.Stream,
 		})
@@ -167,7 +167,7 @@
 		if t.QuotaPerS < 0 || t.Share < 0 {
 			return Site{}, fmt.Errorf("settings: tenant %d: share %g, %g a second", i, t.Share, t.QuotaPerS)
 		}
-		s.Tenants = append(s.Tenants, calicohill.Tenant{Share: t.Share, PerSecond: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, routing.Tenant{Share: t.Share, PerSecond: t.QuotaPerS})
 	}
 	site := Site{
 		Settings: s, Zones: b.Zones, Kinds: b.Kinds, Streams: b.Ceilings.Multiplex,
--- a/internal/operator/operator_test.go
+++ b/internal/config/operatorfile/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorfile
 
 import (
 	"errors"
@@ -127,8 +127,8 @@
 // nothing.
 func TestWrittenFromTheTable(t *testing.T) {
 	for file, want := range map[string]string{
-		"../../deploy/calicohill.conf":     Example(),
-		"../../docs/operators/settings.md": Page(),
+		"../../../deploy/calicohill.conf":     Example(),
+		"../../../docs/operators/settings.md": Page(),
 	} {
 		got, err := os.ReadFile(file)
 		if err != nil {
@@ -138,7 +138,7 @@
 			t.Errorf("%s is not what the table makes; run make generate:\n%s", file, d)
 		}
 	}
-	got, err := Read("../../deploy/calicohill.conf")
+	got, err := Read("../../../deploy/calicohill.conf")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operator/parse.go
+++ b/internal/config/operatorfile/parse.go
@@ -1,4 +1,4 @@
-// Package operator reads the operator's file: settings of this installation that are not the platform's.
+// Package operatorfile reads the operator's file: settings of this installation that are not the platform's.
 //
 // The file is made of lines. A section begins with its name at the margin; the directives that belong to it
 // follow, indented, a line each, as a name and arguments. '#' begins a comment, "..." holds what has blanks, with
@@ -6,7 +6,7 @@
 // declares all sections and directives.
 //
 // Reading reports every fault of all files at once, and a file with a fault yields no settings at all.
-package operator
+package operatorfile
 
 import (
 	"errors"
--- a/internal/operator/print.go
+++ b/internal/config/operatorfile/print.go
@@ -1,4 +1,4 @@
-package operator
+package operatorfile
 
 import (
 	"fmt"
--- a/internal/operator/settings.go
+++ b/internal/config/operatorfile/settings.go
@@ -1,4 +1,4 @@
-package operator
+package operatorfile
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"calicohill/internal/match"
-	"calicohill/internal/pools"
+	"calicohill/internal/rules/match"
+	"calicohill/internal/rules/pools"
 )
 
 // Settings is what an operator's file says. The zero Settings are those of no file, but for the levels of logging,
--- a/internal/bulletin/bulletin.go
+++ b/internal/discovery/bulletin.go
@@ -1,5 +1,5 @@
-// Package bulletin follows the bulletin: the numbered events that tell which node agents there are.
-package bulletin
+// Package discovery follows the bulletin: the numbered events that tell which node agents there are.
+package discovery
 
 import (
 	"encoding/json"
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/deadline"
+	"calicohill/internal/discovery/pollplan"
 	"calicohill/internal/dispatch"
-	"calicohill/internal/loop"
-	"calicohill/internal/polling"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/routing"
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/sirupsen/logrus"
@@ -51,8 +51,8 @@
 	BootMs   float64  `json:"boot_ms"`
 }
 
-var states = map[string]calicohill.WorkerState{
-	"SERVING": calicohill.Ready, "DRAINING": calicohill.Draining, "DELETED": calicohill.Gone,
+var states = map[string]routing.WorkerState{
+	"SERVING": routing.Ready, "DRAINING": routing.Draining, "DELETED": routing.Gone,
 }
 
 // read reads an event's list. A target that makes no sense is an error; with lenient it is read as far as it
@@ -62,13 +62,13 @@
 	for _, t := range e.Roster.Targets {
 		state, ok := states[t.State]
 		_, _, err := net.SplitHostPort(t.Endpoint)
-		if t.UID == "" || !ok || err != nil && state != calicohill.Gone {
+		if t.UID == "" || !ok || err != nil && state != routing.Gone {
 			if !lenient {
 				return r, fmt.Errorf("target %.40q: state %.20q, endpoint %.40q", t.UID, t.State, t.Endpoint)
 			}
-			state = calicohill.Draining
+			state = routing.Draining
 		}
-		w := calicohill.Worker{
+		w := routing.Worker{
 			ID: t.UID, State: state, Weight: 1, Cell: t.PodGroup,
 			Zone: max(slices.Index(zones, t.AZ), 0), Kind: max(slices.Index(kinds, t.Model), 0),
 			Started: time.Duration(t.BootMs * float64(time.Millisecond)),
@@ -84,7 +84,7 @@
 // Loop is what a Watch needs of the event loop.
 type Loop interface {
 	dispatch.Loop
-	Dial(addr string, timeout time.Duration, p loop.Peer, failed func(error))
+	Dial(addr string, timeout time.Duration, p eventloop.Peer, failed func(error))
 }
 
 // Watch asks the bulletin when its Core says so, and hands what it brings to a sink.
@@ -105,7 +105,7 @@
 	last  int               // number of the last event
 	bad   int               // number of an event that made no sense
 	gap   int               // up to this number what is left out is not to be had
-	core  *polling.Core
+	core  *pollplan.Core
 	conns map[int]*conn // by the core's number
 	down  bool          // the last poll failed, and that was logged
 	next  deadline.Entry
@@ -120,7 +120,7 @@
 
 // New returns a Watch that does nothing until Start. The events known already come in the form of a poll's
 // answer.
-func New(l Loop, addr string, known []byte, zones, kinds []string, core *polling.Core, sink func(dispatch.Roster),
+func New(l Loop, addr string, known []byte, zones, kinds []string, core *pollplan.Core, sink func(dispatch.Roster),
 	log logrus.FieldLogger,
 ) (*Watch, error) {
 	w := &Watch{loop: l, addr: addr, zones: zones, kinds: kinds, sink: sink, log: log, core: core, conns: map[int]*conn{}}
@@ -163,7 +163,7 @@
 		w.log.WithError(err).Error("known events") // New has read them once
 	}
 	w.known = Feed{}
-	w.step(polling.Begun{Listed: w.last > 0, Old: w.old})
+	w.step(pollplan.Begun{Listed: w.last > 0, Old: w.old})
 }
 
 // Restore has the list of an earlier life taken for what is known, where it is newer. It must be called before Start.
@@ -202,7 +202,7 @@
 		w.list = map[string]target{}
 	}
 	for _, t := range r.Targets {
-		if w.list[t.UID] = t; states[t.State] == calicohill.Gone {
+		if w.list[t.UID] = t; states[t.State] == routing.Gone {
 			delete(w.list, t.UID)
 		}
 	}
@@ -215,35 +215,35 @@
 		return
 	}
 	w.addr = addr
-	w.step(polling.Moved{})
+	w.step(pollplan.Moved{})
 }
 
 // Stalled says that the process did nothing for a while.
-func (w *Watch) Stalled() { w.step(polling.Stalled{}) }
+func (w *Watch) Stalled() { w.step(pollplan.Stalled{}) }
 
 // step tells the core what happened and does what it says.
-func (w *Watch) step(events ...polling.Event) {
+func (w *Watch) step(events ...pollplan.Event) {
 	for _, a := range slices.Clone(w.core.Step(w.loop.Now(), events...)) {
 		switch a := a.(type) {
-		case polling.Dial:
+		case pollplan.Dial:
 			c := &conn{w: w, n: a.Conn}
 			w.conns[a.Conn] = c
 			w.loop.Dial(w.addr, connectIn, c, func(err error) { c.fail(err, 0) })
-		case polling.Ask:
+		case pollplan.Ask:
 			// A failed write closes the connection and is seen by Closed.
 			_, _ = w.conns[a.Conn].c.Write(fmt.Appendf(nil, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 				w.last, a.Patience.Milliseconds(), w.addr))
-		case polling.Close:
+		case pollplan.Close:
 			c := w.conns[a.Conn]
 			delete(w.conns, a.Conn)
 			if c.c != nil {
 				_ = c.c.EventLoop().Close(c.c)
 			}
-		case polling.Blind:
+		case pollplan.Blind:
 			if w.Blind != nil {
 				w.Blind(a.For)
 			}
-		case polling.Slow:
+		case pollplan.Slow:
 			w.log.Warn("bulletin slow: polled once more")
 		}
 	}
@@ -324,7 +324,7 @@
 		w.down = true
 		w.log.WithError(err).Warn("bulletin not heard")
 	}
-	w.step(polling.Failed{Conn: c.n, After: after})
+	w.step(pollplan.Failed{Conn: c.n, After: after})
 }
 
 // Open reports a connection that is up.
@@ -334,7 +334,7 @@
 		_ = gc.EventLoop().Close(gc)
 		return
 	}
-	c.w.step(polling.Up{Conn: c.n})
+	c.w.step(pollplan.Up{Conn: c.n})
 }
 
 // Traffic reads the answer to a poll.
@@ -365,9 +365,9 @@
 		w.down = false
 		w.log.Info("bulletin heard again")
 	}
-	w.step(polling.Answered{Conn: c.n, News: w.last > before, Last: last})
+	w.step(pollplan.Answered{Conn: c.n, News: w.last > before, Last: last})
 	if w.last < before { // it is read from its beginning
-		w.step(polling.Stalled{})
+		w.step(pollplan.Stalled{})
 	}
 	return nil
 }
--- a/internal/bulletin/http.go
+++ b/internal/discovery/http.go
@@ -1,4 +1,4 @@
-package bulletin
+package discovery
 
 import (
 	"bytes"
--- a/internal/polling/polling.go
+++ b/internal/discovery/pollplan/polling.go
@@ -1,17 +1,17 @@
-// Package polling decides when a scheduler asks the list service, so that hundreds of schedulers which all lost it at
+// Package pollplan decides when a scheduler asks the list service, so that hundreds of schedulers which all lost it at
 // the same moment do not all come back at the same moment. No clock, no I/O: Step takes events and gives actions.
 //
 // A scheduler comes back to the service at times of its own: each window of the clock has one, at a place that it
 // draws at its start. So no trouble, however often it strikes the whole fleet, has more than the fleet's size come in a
 // window, or brings those into step that were not. A place by rank would be more even, and hundreds that were all told
 // the same rank would come as one; see docs/design/coldstart.md.
-package polling
+package pollplan
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"calicohill/internal/bucket"
+	"calicohill/internal/stats/ratelimit"
 )
 
 const (
@@ -134,7 +134,7 @@
 	inStep             bool          // the whole fleet may just have been answered
 	slow               bool          // the last answer came late, or there was none yet
 	blind              bool          // the service's word on what came during a stall is waited for
-	asks               bucket.Bucket
+	asks               ratelimit.Bucket
 	conns              int
 	out                []Action
 }
--- a/internal/polling/polling_test.go
+++ b/internal/discovery/pollplan/polling_test.go
@@ -1,12 +1,12 @@
-package polling_test
+package pollplan_test
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"calicohill/internal/lab"
-	"calicohill/internal/polling"
+	"calicohill/internal/discovery/pollplan"
+	"calicohill/internal/testbed"
 
 	"pgregory.net/rapid"
 )
@@ -21,28 +21,28 @@
 	for _, c := range []struct {
 		name  string
 		bound int
-		do    func(*lab.Asks)
+		do    func(*testbed.Asks)
 	}{
-		{"refused for 8 s", 2 * even(n), func(f *lab.Asks) { f.Set(lab.Refuse); f.Run(8 * time.Second); f.Set(lab.Well) }},
-		{"busy for 8 s", 2 * even(n), func(f *lab.Asks) { f.Set(lab.Busy); f.Run(8 * time.Second); f.Set(lab.Well) }},
+		{"refused for 8 s", 2 * even(n), func(f *testbed.Asks) { f.Set(testbed.Refuse); f.Run(8 * time.Second); f.Set(testbed.Well) }},
+		{"busy for 8 s", 2 * even(n), func(f *testbed.Asks) { f.Set(testbed.Busy); f.Run(8 * time.Second); f.Set(testbed.Well) }},
 		// Answered all at once, they have to ask again within the second that a drain allows.
-		{"silent for 8 s", 2 * n / 10, func(f *lab.Asks) { f.Set(lab.Silent); f.Run(8 * time.Second); f.Set(lab.Well) }},
-		{"broken", 2 * even(n), (*lab.Asks).Break},
-		{"broken twice", 2 * even(n), func(f *lab.Asks) { f.Break(); f.Run(time.Second); f.Break() }},
+		{"silent for 8 s", 2 * n / 10, func(f *testbed.Asks) { f.Set(testbed.Silent); f.Run(8 * time.Second); f.Set(testbed.Well) }},
+		{"broken", 2 * even(n), (*testbed.Asks).Break},
+		{"broken twice", 2 * even(n), func(f *testbed.Asks) { f.Break(); f.Run(time.Second); f.Break() }},
 	} {
 		for seed := range uint64(5) {
-			f := lab.NewAsks(n, time.Second, seed, true)
+			f := testbed.NewAsks(n, time.Second, seed, true)
 			f.Run(10 * time.Second)
-			if got := lab.Peak(f.Polls, 0); got > 2*n/10 {
+			if got := testbed.Peak(f.Polls, 0); got > 2*n/10 {
 				t.Errorf("start, seed %d: %d asks within 100 ms", seed, got)
 			}
 			at := f.Now
 			c.do(f)
 			f.Run(30 * time.Second)
-			if got := lab.Peak(f.Polls, at); got > c.bound {
+			if got := testbed.Peak(f.Polls, at); got > c.bound {
 				t.Errorf("%s, seed %d: %d asks within 100 ms, even are %d", c.name, seed, got, even(n))
 			}
-			if got := lab.Peak(f.Dials, at); got > 2*even(n) {
+			if got := testbed.Peak(f.Dials, at); got > 2*even(n) {
 				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", c.name, seed, got, even(n))
 			}
 		}
@@ -54,7 +54,7 @@
 func TestWellToldInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
-			f := lab.NewAsks(300, grace, seed, true)
+			f := testbed.NewAsks(300, grace, seed, true)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 20 {
 				f.Tell()
@@ -73,15 +73,15 @@
 // An event answers all polls at once. Those that come back for more are spread, and soon nobody is in step.
 func TestNotInStepAfterNews(t *testing.T) {
 	const n = 300
-	f := lab.NewAsks(n, time.Second, 1, true)
+	f := testbed.NewAsks(n, time.Second, 1, true)
 	f.Run(10 * time.Second)
 	f.Tell()
 	at := f.Now
 	f.Run(10 * time.Second)
-	if got := lab.Peak(f.Polls, at); got > 2*n/10 {
+	if got := testbed.Peak(f.Polls, at); got > 2*n/10 {
 		t.Errorf("%d of %d ask within 100 ms after an event", got, n)
 	}
-	if got := lab.Peak(f.Polls, at+time.Second); got > 2*even(n) {
+	if got := testbed.Peak(f.Polls, at+time.Second); got > 2*even(n) {
 		t.Errorf("%d ask within 100 ms a second after an event, even are %d", got, even(n))
 	}
 }
@@ -90,8 +90,8 @@
 // best, and nobody asks much oftener than the 7 s of the protocol demand.
 func TestCrowded(t *testing.T) {
 	const n = 300
-	f := lab.NewAsks(n, time.Second, 1, true)
-	f.Set(lab.Crowded)
+	f := testbed.NewAsks(n, time.Second, 1, true)
+	f.Set(testbed.Crowded)
 	f.Desk.Rate = n / 20.
 	f.Desk.Number = 2
 	limit := 20 * time.Second
@@ -116,7 +116,7 @@
 
 // Alone before a well service a scheduler asks as soon as it can: at the start, after each answer, after a break.
 func TestAlone(t *testing.T) {
-	f := lab.NewAsks(1, time.Second, 1, true)
+	f := testbed.NewAsks(1, time.Second, 1, true)
 	start := f.Now
 	f.Run(time.Second)
 	f.Tell()
@@ -139,35 +139,35 @@
 func TestStalled(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		stop func(*polling.Core, time.Duration) time.Duration // when it goes on
-		want bool                                             // that it is blind
+		stop func(*pollplan.Core, time.Duration) time.Duration // when it goes on
+		want bool                                              // that it is blind
 	}{
-		{"while an ask waits", func(_ *polling.Core, now time.Duration) time.Duration { return now + time.Second }, false},
-		{"past the end of its wait", func(_ *polling.Core, now time.Duration) time.Duration { return now + 9*time.Second }, true},
-		{"between two asks", func(c *polling.Core, now time.Duration) time.Duration {
-			c.Step(now, polling.Answered{Conn: 1, News: true})
+		{"while an ask waits", func(_ *pollplan.Core, now time.Duration) time.Duration { return now + time.Second }, false},
+		{"past the end of its wait", func(_ *pollplan.Core, now time.Duration) time.Duration { return now + 9*time.Second }, true},
+		{"between two asks", func(c *pollplan.Core, now time.Duration) time.Duration {
+			c.Step(now, pollplan.Answered{Conn: 1, News: true})
 			return now + 600*time.Millisecond
 		}, true},
 	} {
 		now := time.Hour
-		core := polling.New(300, time.Second, 1)
-		core.Step(now, polling.Begun{})
-		core.Step(now, polling.Up{Conn: 1})
+		core := pollplan.New(300, time.Second, 1)
+		core.Step(now, pollplan.Begun{})
+		core.Step(now, pollplan.Up{Conn: 1})
 		now = c.stop(core, now)
-		got := core.Step(now, polling.Stalled{})
-		if blind := len(got) > 0 && got[0] == (polling.Blind{For: 250 * time.Millisecond}); blind != c.want {
+		got := core.Step(now, pollplan.Stalled{})
+		if blind := len(got) > 0 && got[0] == (pollplan.Blind{For: 250 * time.Millisecond}); blind != c.want {
 			t.Errorf("%s: %v, want blind %v", c.name, got, c.want)
 		}
 		if !c.want {
 			continue
 		}
-		if asked := len(got) == 2 && got[1] == (polling.Ask{Conn: 1}); !asked {
+		if asked := len(got) == 2 && got[1] == (pollplan.Ask{Conn: 1}); !asked {
 			// The old ask is answered first, and the next is made at once, for an answer at once.
-			if got = core.Step(now+1, polling.Answered{Conn: 1}); len(got) != 1 || got[0] != (polling.Ask{Conn: 1}) {
+			if got = core.Step(now+1, pollplan.Answered{Conn: 1}); len(got) != 1 || got[0] != (pollplan.Ask{Conn: 1}) {
 				t.Errorf("%s: on the answer to the old ask %v", c.name, got)
 			}
 		}
-		if got = core.Step(now+2, polling.Answered{Conn: 1}); len(got) != 2 || got[0] != (polling.Blind{}) {
+		if got = core.Step(now+2, pollplan.Answered{Conn: 1}); len(got) != 2 || got[0] != (pollplan.Blind{}) {
 			t.Errorf("%s: on the answer %v", c.name, got)
 		}
 	}
@@ -176,8 +176,8 @@
 // Who has no list asks before all others.
 func TestUnlistedFirst(t *testing.T) {
 	for _, n := range []int{1, 300} {
-		c := polling.New(n, time.Second, 1)
-		if got := c.Step(time.Hour, polling.Begun{}); len(got) != 1 || got[0] != (polling.Dial{Conn: 1}) {
+		c := pollplan.New(n, time.Second, 1)
+		if got := c.Step(time.Hour, pollplan.Begun{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
 			t.Errorf("of %d: at its start it does %v", n, got)
 		}
 	}
@@ -188,7 +188,7 @@
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "schedulers")
-		f := lab.NewAsks(n, time.Second, rapid.Uint64().Draw(t, "seed"), rapid.Bool().Draw(t, "listed"))
+		f := testbed.NewAsks(n, time.Second, rapid.Uint64().Draw(t, "seed"), rapid.Bool().Draw(t, "listed"))
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(t, "do"); do {
 			case "break":
@@ -197,7 +197,7 @@
 				f.Tell()
 			case "run":
 			default:
-				f.Set(lab.Mood(do))
+				f.Set(testbed.Mood(do))
 			}
 			f.Run(time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond)
 			if f.Desk.Open() > 2*n {
@@ -205,7 +205,7 @@
 			}
 		}
 		// What it has to say after trouble is known 7 s later at the latest, and what it says when well at once.
-		f.Set(lab.Well)
+		f.Set(testbed.Well)
 		f.Run(7 * time.Second)
 		f.Tell()
 		f.Run(2 * time.Second)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -11,11 +11,11 @@
 	"slices"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/buffer"
-	"calicohill/internal/deadline"
-	"calicohill/internal/pools"
-	"calicohill/internal/slot"
+	"calicohill/internal/rules/pools"
+	"calicohill/internal/runtime/bufferpool"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
 )
 
 // Call is a client's request.
@@ -30,7 +30,7 @@
 	Memory   float64 // of a loaded copy, in MB; 0 if not told
 	Lanes    int     // 0 if not told
 	LoadTime time.Duration
-	Body     *buffer.Buffer // nil if empty; the dispatcher gives it back to the pool
+	Body     *bufferpool.Buffer // nil if empty; the dispatcher gives it back to the pool
 }
 
 // Verdict is what a final answer says.
@@ -52,12 +52,12 @@
 
 // Caller is whoever handed in a Call. It is given the one final answer, under the tag that it named.
 type Caller interface {
-	Answer(tag slot.Ref, a Answer)
+	Answer(tag slotmap.Ref, a Answer)
 }
 
 // Attempt is a request on its way to a worker.
 type Attempt struct {
-	Ref      slot.Ref // names it in Halt and Ended
+	Ref      slotmap.Ref // names it in Halt and Ended
 	Worker   string
 	ID       string
 	Class    int
@@ -72,16 +72,16 @@
 type Workers interface {
 	Follow(Roster)
 	Send(Attempt)
-	Halt(ref slot.Ref) (written bool)
+	Halt(ref slotmap.Ref) (written bool)
 	Probe(worker string)
 }
 
 // End is how an attempt or a probe ended.
 type End struct {
-	Outcome calicohill.Outcome
+	Outcome routing.Outcome
 	Body    []byte // of a served one; good only during the call
 	Company int    // requests for the function that the worker held; -1 if not told
-	Report  *calicohill.Report
+	Report  *routing.Report
 }
 
 // Roster is a list of workers, or what changed in it.
@@ -92,7 +92,7 @@
 
 // Entry is a worker and where to reach it.
 type Entry struct {
-	calicohill.Worker
+	routing.Worker
 	Addr            string
 	Model, ZoneName string
 }
@@ -117,39 +117,39 @@
 // Dispatcher is the engine of a scheduler. All its methods must be called on the loop.
 type Dispatcher struct {
 	loop    Loop
-	router  *calicohill.Router
+	router  *routing.Router
 	workers Workers
-	pool    *buffer.Pool
+	pool    *bufferpool.Pool
 	maxOpen int
 
-	requests slot.Table[*request]
-	byID     map[string]slot.Ref
-	attempts slot.Table[*attempt]
-	states   map[string]calicohill.WorkerState
+	requests slotmap.Table[*request]
+	byID     map[string]slotmap.Ref
+	attempts slotmap.Table[*attempt]
+	states   map[string]routing.WorkerState
 	entries  map[string]pools.Attributes
 	listed   bool
 	open     int // requests without a final answer
 
-	events []calicohill.Event
+	events []routing.Event
 	posted bool
 
-	observe func(calicohill.Observe) // nil where nobody is told
-	routes  *pools.Core              // nil where there are none
+	observe func(routing.Observe) // nil where nobody is told
+	routes  *pools.Core           // nil where there are none
 }
 
 type request struct {
 	Call
-	ref      slot.Ref
+	ref      slotmap.Ref
 	caller   Caller
-	tag      slot.Ref
+	tag      slotmap.Ref
 	end      time.Duration // when the client gives up, less the reserve
 	done     bool
-	attempts []slot.Ref
+	attempts []slotmap.Ref
 	out      int
 }
 
 type attempt struct {
-	ref    slot.Ref
+	ref    slotmap.Ref
 	q      *request
 	n      int
 	worker string
@@ -160,10 +160,10 @@
 }
 
 // New returns a Dispatcher. Use must be called before anything else.
-func New(l Loop, r *calicohill.Router, pool *buffer.Pool, maxOpen int) *Dispatcher {
+func New(l Loop, r *routing.Router, pool *bufferpool.Pool, maxOpen int) *Dispatcher {
 	return &Dispatcher{
 		loop: l, router: r, pool: pool, maxOpen: maxOpen,
-		byID: map[string]slot.Ref{}, states: map[string]calicohill.WorkerState{}, entries: map[string]pools.Attributes{},
+		byID: map[string]slotmap.Ref{}, states: map[string]routing.WorkerState{}, entries: map[string]pools.Attributes{},
 	}
 }
 
@@ -171,10 +171,10 @@
 func (d *Dispatcher) Use(w Workers) { d.workers = w }
 
 // Tell names who is told what the Router finds of workers. It must not wait.
-func (d *Dispatcher) Tell(observe func(calicohill.Observe)) { d.observe = observe }
+func (d *Dispatcher) Tell(observe func(routing.Observe)) { d.observe = observe }
 
 // PeersHold takes in what other schedulers hold of workers.
-func (d *Dispatcher) PeersHold(h calicohill.PeersHold) { d.tell(h) }
+func (d *Dispatcher) PeersHold(h routing.PeersHold) { d.tell(h) }
 
 // Route has requests that come from now on go by these routes; nil is none. Those that are taken keep the workers
 // that theirs had last.
@@ -186,7 +186,7 @@
 // reroute tells the routes what happened, and the Router if some have other workers for it.
 func (d *Dispatcher) reroute(e pools.Event) {
 	if d.routes != nil && d.routes.Step(d.loop.Now(), []pools.Event{e}) {
-		d.tell(calicohill.PoolsChanged{})
+		d.tell(routing.PoolsChanged{})
 	}
 }
 
@@ -212,7 +212,7 @@
 
 // Take takes a request in and owes its caller one final answer. With an error nothing is owed, and the body
 // stays the caller's.
-func (d *Dispatcher) Take(c Call, from Caller, tag slot.Ref) (slot.Ref, error) {
+func (d *Dispatcher) Take(c Call, from Caller, tag slotmap.Ref) (slotmap.Ref, error) {
 	// The Router passes over an id that it still holds, and would never answer it.
 	if _, ok := d.byID[c.ID]; ok {
 		return 0, ErrKnownID
@@ -225,13 +225,13 @@
 	q.ref = d.requests.Put(q)
 	d.byID[c.ID] = q.ref
 	d.open++
-	function, pool := cmp.Or(c.Affinity, c.Function), (*calicohill.Pool)(nil)
+	function, pool := cmp.Or(c.Affinity, c.Function), (*routing.Pool)(nil)
 	if d.routes != nil && c.Route != "" {
 		if pool = d.routes.Route(c.Route); pool != nil {
 			function += "\x00" + c.Route // what is warm in one pool is not in another
 		}
 	}
-	d.tell(calicohill.Request{
+	d.tell(routing.Request{
 		ID: c.ID, Class: c.Class, Function: function, Pool: pool, TimeLeft: max(q.end-now, 0),
 		Memory: c.Memory, Lanes: c.Lanes, LoadTime: c.LoadTime,
 	})
@@ -239,10 +239,10 @@
 }
 
 // Abandon says that the client has left. Nothing more is owed.
-func (d *Dispatcher) Abandon(ref slot.Ref) {
+func (d *Dispatcher) Abandon(ref slotmap.Ref) {
 	if q, ok := d.requests.Get(ref); ok && !q.done {
 		d.finish(q)
-		d.tell(calicohill.Abandoned{ID: q.ID})
+		d.tell(routing.Abandoned{ID: q.ID})
 	}
 }
 
@@ -277,12 +277,12 @@
 // ---- workers ----
 
 // Ended reports how an attempt ended.
-func (d *Dispatcher) Ended(ref slot.Ref, e End) {
+func (d *Dispatcher) Ended(ref slotmap.Ref, e End) {
 	a, ok := d.attempts.Get(ref)
 	if !ok {
 		return
 	}
-	if e.Outcome == calicohill.Served {
+	if e.Outcome == routing.Served {
 		d.answer(a.q, Answer{Verdict: Served, Body: e.Body})
 	}
 	d.end(a, e)
@@ -293,14 +293,14 @@
 	d.loop.Drop(&a.late)
 	d.attempts.Free(a.ref)
 	a.q.out--
-	d.tell(calicohill.AttemptEnd{
+	d.tell(routing.AttemptEnd{
 		ID: a.q.ID, Attempt: a.n, Worker: a.worker, Outcome: e.Outcome,
 		Closed: a.q.done, Latency: d.loop.Now() - a.sent, Company: e.Company, Report: e.Report,
 	})
 }
 
 // halt gives an attempt up. One of which nothing was written has not run, whatever the reason.
-func (d *Dispatcher) halt(a *attempt, written calicohill.Outcome, unwritten calicohill.Outcome) {
+func (d *Dispatcher) halt(a *attempt, written routing.Outcome, unwritten routing.Outcome) {
 	e := End{Outcome: written, Company: -1}
 	if !d.workers.Halt(a.ref) {
 		e.Outcome = unwritten
@@ -310,15 +310,15 @@
 
 // Probed reports how a probe ended.
 func (d *Dispatcher) Probed(worker string, took time.Duration, e End) {
-	d.tell(calicohill.ProbeEnd{Worker: worker, Outcome: e.Outcome, Latency: took, Report: e.Report})
+	d.tell(routing.ProbeEnd{Worker: worker, Outcome: e.Outcome, Latency: took, Report: e.Report})
 }
 
 // May reports whether an attempt may still be written. The client may have left, its time be over after a stall, or
 // the worker have begun to drain, since the Router was told last; and workers may have forgotten an earlier attempt
 // while this one waited for a connection.
-func (d *Dispatcher) May(ref slot.Ref) bool {
+func (d *Dispatcher) May(ref slotmap.Ref) bool {
 	a, ok := d.attempts.Get(ref)
-	return ok && !a.q.done && d.loop.Now() < min(a.until, a.begin) && d.states[a.worker] == calicohill.Ready
+	return ok && !a.q.done && d.loop.Now() < min(a.until, a.begin) && d.states[a.worker] == routing.Ready
 }
 
 // ---- the list ----
@@ -326,16 +326,16 @@
 // List takes in a list of workers.
 func (d *Dispatcher) List(r Roster) {
 	d.listed = true
-	l := calicohill.WorkerList{Kind: calicohill.ListChanges}
+	l := routing.WorkerList{Kind: routing.ListChanges}
 	if r.Full {
-		l.Kind = calicohill.ListFull
+		l.Kind = routing.ListFull
 		clear(d.states)
 		clear(d.entries)
 	}
 	for _, e := range r.Entries {
 		l.Workers = append(l.Workers, e.Worker)
 		d.states[e.ID] = e.State
-		if e.State == calicohill.Gone {
+		if e.State == routing.Gone {
 			delete(d.states, e.ID)
 			delete(d.entries, e.ID)
 			continue
@@ -349,21 +349,21 @@
 }
 
 // Blind says for how long the list may be old, from now; 0 that it is not.
-func (d *Dispatcher) Blind(lasts time.Duration) { d.tell(calicohill.ListOld{For: lasts}) }
+func (d *Dispatcher) Blind(lasts time.Duration) { d.tell(routing.ListOld{For: lasts}) }
 
 // Close has every request that is open get its final answer now, unserved: the program is about to be ended.
-func (d *Dispatcher) Close() { d.tell(calicohill.Closing{}) }
+func (d *Dispatcher) Close() { d.tell(routing.Closing{}) }
 
 // Memory is what the Router has learned.
-func (d *Dispatcher) Memory() calicohill.Memory { return d.router.Memory() }
+func (d *Dispatcher) Memory() routing.Memory { return d.router.Memory() }
 
 // Recall has the Router take up what an earlier process learned. It must follow the first list.
-func (d *Dispatcher) Recall(m calicohill.Memory) { d.tell(calicohill.Recalled{Memory: m}) }
+func (d *Dispatcher) Recall(m routing.Memory) { d.tell(routing.Recalled{Memory: m}) }
 
 // ---- the Router ----
 
 // tell keeps an event for the Step that ends this pass of the loop.
-func (d *Dispatcher) tell(e calicohill.Event) {
+func (d *Dispatcher) tell(e routing.Event) {
 	d.events = append(d.events, e)
 	if !d.posted {
 		d.posted = true
@@ -381,9 +381,9 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case calicohill.AttemptEnd:
+		case routing.AttemptEnd:
 			d.forgetID(e.ID)
-		case calicohill.Abandoned:
+		case routing.Abandoned:
 			d.forgetID(e.ID)
 		}
 	}
@@ -395,34 +395,34 @@
 	}
 }
 
-func (d *Dispatcher) do(a calicohill.Action) {
+func (d *Dispatcher) do(a routing.Action) {
 	switch a := a.(type) {
-	case calicohill.Send:
+	case routing.Send:
 		d.send(a)
-	case calicohill.Cancel:
+	case routing.Cancel:
 		if q, ok := d.requests.Get(d.byID[a.ID]); ok && a.Attempt < len(q.attempts) {
 			if at, ok := d.attempts.Get(q.attempts[a.Attempt]); ok {
-				d.halt(at, calicohill.Cancelled, calicohill.Unsent)
+				d.halt(at, routing.Cancelled, routing.Unsent)
 			}
 		}
-	case calicohill.Refuse:
+	case routing.Refuse:
 		d.final(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
-	case calicohill.Fail:
+	case routing.Fail:
 		d.final(a.ID, Answer{Verdict: Failed})
-	case calicohill.SetTimer:
-		d.loop.At(&deadline.Entry{Fire: func() { d.tell(calicohill.TimerFired{Token: a.Token}) }},
+	case routing.SetTimer:
+		d.loop.At(&deadline.Entry{Fire: func() { d.tell(routing.TimerFired{Token: a.Token}) }},
 			d.loop.Now()+a.After)
-	case calicohill.Observe:
+	case routing.Observe:
 		d.reroute(pools.Saw{Worker: a.Worker, Trouble: a.Trouble})
 		if d.observe != nil {
 			d.observe(a)
 		}
-	case calicohill.Probe:
+	case routing.Probe:
 		d.workers.Probe(a.Worker)
-	case calicohill.Load:
+	case routing.Load:
 		// No peer takes orders to load: the Router hears that this one never left.
-		d.tell(calicohill.LoadEnd{Worker: a.Worker, Function: a.Function, Outcome: calicohill.Unsent})
-	case calicohill.Unload, calicohill.Subscribe, calicohill.FetchList:
+		d.tell(routing.LoadEnd{Worker: a.Worker, Function: a.Function, Outcome: routing.Unsent})
+	case routing.Unload, routing.Subscribe, routing.FetchList:
 		// Nothing to do: the list comes unasked, and no peer takes orders to unload.
 	}
 }
@@ -434,7 +434,7 @@
 	}
 }
 
-func (d *Dispatcher) send(s calicohill.Send) {
+func (d *Dispatcher) send(s routing.Send) {
 	q, ok := d.requests.Get(d.byID[s.ID])
 	if !ok {
 		return
@@ -453,10 +453,10 @@
 		a.begin = now + s.Within
 	}
 	if !d.May(a.ref) {
-		d.end(a, End{Outcome: calicohill.Unsent, Company: -1})
+		d.end(a, End{Outcome: routing.Unsent, Company: -1})
 		return
 	}
-	a.late.Fire = func() { d.halt(a, calicohill.TimedOut, calicohill.Unreached) }
+	a.late.Fire = func() { d.halt(a, routing.TimedOut, routing.Unreached) }
 	d.loop.At(&a.late, until)
 	at := Attempt{
 		Ref: a.ref, Worker: s.Worker, ID: q.ID, Class: q.Class, Function: q.Function, Key: q.Key,
--- a/internal/suspicion/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -1,4 +1,4 @@
-package suspicion
+package faultreport
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"calicohill"
+	"calicohill/routing"
 )
 
 // record has the golden files of this package written. They were made by the version before the renames of the
@@ -63,14 +63,14 @@
 
 // A statement's body is encoded to the golden bytes, and the golden bytes decode to its accusations.
 func TestGoldenStatements(t *testing.T) {
-	silent := Accusation{Worker: "w-1", Trouble: calicohill.Silent, First: 1200, Last: 0, Attempts: 7}
-	stalled := Accusation{Worker: "w-2", Trouble: calicohill.Stalled, First: 30_000, Last: 24, Attempts: 300}
-	failing := Accusation{Worker: "vävare/3", Trouble: calicohill.Failing, First: 4_294_967_295, Last: 256, Attempts: 65_535}
-	unreachable := Accusation{Worker: "w-4", Trouble: calicohill.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
+	silent := Accusation{Worker: "w-1", Trouble: routing.Silent, First: 1200, Last: 0, Attempts: 7}
+	stalled := Accusation{Worker: "w-2", Trouble: routing.Stalled, First: 30_000, Last: 24, Attempts: 300}
+	failing := Accusation{Worker: "vävare/3", Trouble: routing.Failing, First: 4_294_967_295, Last: 256, Attempts: 65_535}
+	unreachable := Accusation{Worker: "w-4", Trouble: routing.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
 	var long []Accusation // more than fit: those with the least Last are kept
 	for i := range uint32(14) {
 		long = append(long, Accusation{
-			Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: calicohill.Silent,
+			Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: routing.Silent,
 			First: 100_000, Last: 100 - i, Attempts: 10,
 		})
 	}
@@ -106,7 +106,7 @@
 	whole := readGolden(t, "all.cbor")
 	wrongTrouble := bytes.Clone(readGolden(t, "silent.cbor"))
 	place := bytes.Index(wrongTrouble, []byte("w-1")) + len("w-1")
-	wrongTrouble[place] = byte(calicohill.Unreachable) + 1
+	wrongTrouble[place] = byte(routing.Unreachable) + 1
 	for _, c := range []struct {
 		body []byte
 		want string
--- a/internal/suspicion/suspicion.go
+++ b/internal/fleet/faultreport/suspicion.go
@@ -1,4 +1,4 @@
-// Package suspicion decides what the word of other schedulers on workers is worth.
+// Package faultreport decides what the word of other schedulers on workers is worth.
 //
 // Each scheduler tells the others what it sees itself, and only that counts, once for each signer. What they say
 // together comes out as a Word on each worker; the Router decides what it does with that. Core does no I/O: Step is
@@ -7,7 +7,7 @@
 // What holds, whatever is heard, as long as no more than the told number of members lie: no worker is Believed ill
 // that no honest member finds ill; never more than Config.LeaveOut of the listed workers are Believed; and nothing
 // that was heard counts for longer than Config.ForgetAfter without being said again.
-package suspicion
+package faultreport
 
 import (
 	"cmp"
@@ -17,20 +17,20 @@
 	"slices"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
 // grave reports whether a worker may be left out for a trouble. One that only stalls or fails some requests still
 // serves.
-func grave(t calicohill.Trouble) bool { return t == calicohill.Silent || t == calicohill.Unreachable }
+func grave(t routing.Trouble) bool { return t == routing.Silent || t == routing.Unreachable }
 
 // Accusation is what one scheduler finds wrong with a worker.
 type Accusation struct {
 	_        struct{} `cbor:",toarray"`
 	Worker   string
-	Trouble  calicohill.Trouble
+	Trouble  routing.Trouble
 	First    uint32 // how long ago the trouble was first seen when this was said, in milliseconds
 	Last     uint32 // and last: the newest request that shows it
 	Attempts uint16 // that showed it
@@ -92,7 +92,7 @@
 	}
 	seen := map[string]bool{}
 	for _, a := range list {
-		if a.Worker == "" || len(a.Worker) > MaxWorker || a.Trouble == calicohill.Well || a.Trouble > calicohill.Unreachable || a.Last > a.First ||
+		if a.Worker == "" || len(a.Worker) > MaxWorker || a.Trouble == routing.Well || a.Trouble > routing.Unreachable || a.Last > a.First ||
 			seen[a.Worker] {
 			return nil, ErrMalformed
 		}
@@ -133,7 +133,7 @@
 // Saw is what this scheduler finds of a worker itself; Well is an answer. At is when what shows it was sent.
 type Saw struct {
 	Worker  string
-	Trouble calicohill.Trouble
+	Trouble routing.Trouble
 	At      time.Duration
 }
 
@@ -170,7 +170,7 @@
 
 // Hold tells the Router what peers hold of workers, in place of all before; who is not named has no word. It comes
 // when that changes, and time and again as long as there is any.
-type Hold struct{ calicohill.PeersHold }
+type Hold struct{ routing.PeersHold }
 
 // Discredited says that a member is not heard, and why.
 type Discredited struct{ From, Why string }
@@ -181,7 +181,7 @@
 
 // finding is what this scheduler finds of a worker.
 type finding struct {
-	trouble     calicohill.Trouble
+	trouble     routing.Trouble
 	first, last time.Duration
 	attempts    uint16
 	well        time.Duration // latest answer
@@ -199,7 +199,7 @@
 
 // held is an accusation, by the clock of this scheduler.
 type held struct {
-	trouble           calicohill.Trouble
+	trouble           routing.Trouble
 	first, last, till time.Duration
 	belied            bool
 }
@@ -212,7 +212,7 @@
 	own      map[string]*finding
 	accusers map[string]*accuser
 	vouched  []string // workers that an accuser has just had an answer from
-	words    map[string]calicohill.Word
+	words    map[string]routing.Word
 	holding  time.Duration // when the latest Hold was made
 	members  int           // with this one
 	said     time.Duration
@@ -225,7 +225,7 @@
 func New(c Config) *Core {
 	return &Core{
 		cfg: c, listed: map[string]bool{}, own: map[string]*finding{}, accusers: map[string]*accuser{},
-		words: map[string]calicohill.Word{}, members: 1,
+		words: map[string]routing.Word{}, members: 1,
 	}
 }
 
@@ -284,12 +284,12 @@
 		f = &finding{}
 		c.own[e.Worker] = f
 	}
-	if e.Trouble == calicohill.Well {
+	if e.Trouble == routing.Well {
 		f.well = max(f.well, e.At)
-		if f.trouble != calicohill.Well {
+		if f.trouble != routing.Well {
 			c.changed = true
 		}
-		f.trouble, f.attempts = calicohill.Well, 0
+		f.trouble, f.attempts = routing.Well, 0
 		c.belie(e.Worker, e.At)
 		return
 	}
@@ -332,7 +332,7 @@
 		c.listed[w] = true
 	}
 	maps.DeleteFunc(c.own, func(w string, f *finding) bool {
-		c.changed = c.changed || !c.listed[w] && f.trouble != calicohill.Well
+		c.changed = c.changed || !c.listed[w] && f.trouble != routing.Well
 		return !c.listed[w]
 	})
 }
@@ -430,8 +430,8 @@
 		return !a.here && len(a.held) == 0 && c.now >= a.unheard && a.creditNow(c.now) >= 1
 	})
 	for _, f := range c.own {
-		if f.trouble != calicohill.Well && c.now-f.last >= c.cfg.ForgetAfter {
-			f.trouble, f.attempts, c.changed = calicohill.Well, 0, true
+		if f.trouble != routing.Well && c.now-f.last >= c.cfg.ForgetAfter {
+			f.trouble, f.attempts, c.changed = routing.Well, 0, true
 		}
 	}
 }
@@ -446,7 +446,7 @@
 	}
 	var list []Accusation
 	for _, w := range slices.Sorted(maps.Keys(c.own)) {
-		if f := c.own[w]; f.trouble != calicohill.Well {
+		if f := c.own[w]; f.trouble != routing.Well {
 			list = append(list, Accusation{
 				Worker: w, Trouble: f.trouble, First: ago(c.now, f.first),
 				Last: ago(c.now, f.last), Attempts: f.attempts,
@@ -484,9 +484,9 @@
 			}
 		}
 	}
-	words := map[string]calicohill.Word{}
+	words := map[string]routing.Word{}
 	for w := range all {
-		words[w] = calicohill.Noted
+		words[w] = routing.Noted
 	}
 	// Those with the most accusers come first where not all may be left out; those left out before stay so.
 	need, most := c.Need(), int(c.cfg.LeaveOut*float64(len(c.listed)))
@@ -500,18 +500,18 @@
 		return cmp.Or(cmp.Compare(rank(c.words[b]), rank(c.words[a])), cmp.Compare(graves[b], graves[a]), cmp.Compare(a, b))
 	})
 	for _, w := range ill[:min(len(ill), most)] {
-		words[w] = calicohill.Believed
+		words[w] = routing.Believed
 	}
 	// The Router weighs them against its own answers, which age.
 	if !maps.Equal(words, c.words) || len(c.vouched) > 0 || len(words) > 0 && c.now-c.holding >= holdEvery {
 		c.words, c.holding = words, c.now
-		c.acts = append(c.acts, Hold{calicohill.PeersHold{Words: maps.Clone(words), Vouched: c.vouched}})
+		c.acts = append(c.acts, Hold{routing.PeersHold{Words: maps.Clone(words), Vouched: c.vouched}})
 		c.vouched = nil
 	}
 }
 
-func rank(w calicohill.Word) int {
-	if w == calicohill.Believed {
+func rank(w routing.Word) int {
+	if w == routing.Believed {
 		return 1
 	}
 	return 0
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/fleet/faultreport/suspicion_test.go
@@ -1,11 +1,11 @@
-package suspicion
+package faultreport
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 
 	"pgregory.net/rapid"
 )
@@ -21,12 +21,12 @@
 	now   time.Duration
 	names []string
 	cores map[string]*Core // of the honest
-	words map[string]map[string]calicohill.Word
+	words map[string]map[string]routing.Word
 	told  []string // who was discredited, by whom
 }
 
 func newFleet(t fataler, members, liars, workers int, change ...func(*Config)) *fleet {
-	f := &fleet{t: t, now: time.Hour, cores: map[string]*Core{}, words: map[string]map[string]calicohill.Word{}}
+	f := &fleet{t: t, now: time.Hour, cores: map[string]*Core{}, words: map[string]map[string]routing.Word{}}
 	cfg := Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: 10 * second}
 	for _, c := range change {
 		c(&cfg)
@@ -96,15 +96,15 @@
 	}
 }
 
-func (f *fleet) word(n, w string) calicohill.Word { return f.words[n][w] }
+func (f *fleet) word(n, w string) routing.Word { return f.words[n][w] }
 
 func silent(w string) []Accusation {
-	return []Accusation{{Worker: w, Trouble: calicohill.Silent, First: 2000, Last: 0, Attempts: 9}}
+	return []Accusation{{Worker: w, Trouble: routing.Silent, First: 2000, Last: 0, Attempts: 9}}
 }
 
 // Colluding liars up to the told number leave nobody out; one more than that does, which is what the number means.
 func TestLiarsAndOneMore(t *testing.T) {
-	for liars, want := range map[int]calicohill.Word{1: calicohill.Noted, 3: calicohill.Noted, 4: calicohill.Believed} {
+	for liars, want := range map[int]routing.Word{1: routing.Noted, 3: routing.Noted, 4: routing.Believed} {
 		f := newFleet(t, 12, liars, 20)
 		for range 20 {
 			for i := range liars {
@@ -140,7 +140,7 @@
 	}
 	f.run(unheardFor)
 	f.say("n0", silent("w1"))
-	if got := f.word("n5", "w1"); got != calicohill.Noted {
+	if got := f.word("n5", "w1"); got != routing.Noted {
 		t.Errorf("after a while it is heard again: %v", got)
 	}
 }
@@ -150,20 +150,20 @@
 	f := newFleet(t, 4, 1, 10)
 	for i := range 8 {
 		w := fmt.Sprintf("w%d", i%2)
-		f.step("n1", Saw{w, calicohill.Well, f.now - second})
+		f.step("n1", Saw{w, routing.Well, f.now - second})
 		f.say("n0", silent(w))
 		f.run(500 * time.Millisecond)
 	}
 	f.say("n0", silent("w7"))
-	if got := f.word("n1", "w7"); got != calicohill.NoWord {
+	if got := f.word("n1", "w7"); got != routing.NoWord {
 		t.Errorf("one that was belied is heard: %v", got)
 	}
-	if got := f.word("n2", "w7"); got != calicohill.Noted {
+	if got := f.word("n2", "w7"); got != routing.Noted {
 		t.Errorf("one that nobody belied is not heard: %v", got)
 	}
 	f.run(40 * second)
 	f.say("n0", silent("w7"))
-	if got := f.word("n1", "w7"); got != calicohill.Noted {
+	if got := f.word("n1", "w7"); got != routing.Noted {
 		t.Errorf("its credit does not come back: %v", got)
 	}
 }
@@ -171,17 +171,17 @@
 // A true silence, seen by one more than may lie, is believed by all, and gone from all once it is over.
 func TestTrueSilence(t *testing.T) {
 	f := newFleet(t, 12, 0, 20)
-	see := func(w string, tr calicohill.Trouble, by ...string) {
+	see := func(w string, tr routing.Trouble, by ...string) {
 		for _, n := range by {
 			f.step(n, Saw{w, tr, f.now})
 		}
 	}
 	for range 6 {
-		see("w4", calicohill.Silent, "n1", "n5", "n8", "n9")
+		see("w4", routing.Silent, "n1", "n5", "n8", "n9")
 		f.run(second)
 	}
 	for n, words := range f.words {
-		if n != "n1" && words["w4"] != calicohill.Believed && f.cores[n].own["w4"] == nil {
+		if n != "n1" && words["w4"] != routing.Believed && f.cores[n].own["w4"] == nil {
 			t.Errorf("%s holds %v", n, words["w4"])
 		}
 	}
@@ -194,10 +194,10 @@
 	if !vouched {
 		t.Error("an answer to one of them does not have others try")
 	}
-	see("w4", calicohill.Well, "n1", "n5", "n8", "n9")
+	see("w4", routing.Well, "n1", "n5", "n8", "n9")
 	f.run(second)
 	for n, words := range f.words {
-		if words["w4"] != calicohill.NoWord {
+		if words["w4"] != routing.NoWord {
 			t.Errorf("%s still holds %v", n, words["w4"])
 		}
 	}
@@ -217,12 +217,12 @@
 	for i := range 4 {
 		f.say(f.names[i], append(silent("w3"), silent("w4")...))
 	}
-	if f.word("n9", "w3") != calicohill.Believed {
+	if f.word("n9", "w3") != routing.Believed {
 		t.Fatal("not believed")
 	}
 	f.step("n9", Listed{list(4)})
 	f.run(100 * time.Millisecond)
-	if f.word("n9", "w4") != calicohill.NoWord || f.word("n9", "w3") != calicohill.Believed {
+	if f.word("n9", "w4") != routing.NoWord || f.word("n9", "w3") != routing.Believed {
 		t.Errorf("after w4 has gone: %v", f.words["n9"])
 	}
 	f.run(10 * second)
@@ -246,7 +246,7 @@
 	}
 	out := 0
 	for _, w := range f.words["n8"] {
-		if w == calicohill.Believed {
+		if w == routing.Believed {
 			out++
 		}
 	}
@@ -272,19 +272,19 @@
 					first := rapid.Uint32().Draw(t, "first")
 					lies = append(lies, Accusation{
 						Worker: fmt.Sprintf("w%d", 1+i), First: first, Last: rapid.Uint32Range(0, first).Draw(t, "last"),
-						Trouble: calicohill.Trouble(rapid.IntRange(1, 4).Draw(t, "trouble")),
+						Trouble: routing.Trouble(rapid.IntRange(1, 4).Draw(t, "trouble")),
 					})
 				}
 				honest := f.names[rapid.IntRange(liars, n-1).Draw(t, "to")]
 				f.say(f.names[rapid.IntRange(0, liars-1).Draw(t, "liar")], lies, honest)
 			case move == 2:
-				f.step(f.names[rapid.IntRange(liars, n-1).Draw(t, "by")], Saw{w, calicohill.Well, f.now})
+				f.step(f.names[rapid.IntRange(liars, n-1).Draw(t, "by")], Saw{w, routing.Well, f.now})
 			default:
 				f.run(time.Duration(rapid.IntRange(1, 3000).Draw(t, "wait")) * time.Millisecond)
 			}
 			for name, words := range f.words {
 				for w, word := range words {
-					if word == calicohill.Believed {
+					if word == routing.Believed {
 						t.Fatalf("%s believes that %s is ill on the word of %d liars of %d", name, w, liars, n)
 					}
 				}
@@ -302,11 +302,11 @@
 		}
 		for range 4 {
 			for _, name := range f.names[liars : liars+seers] {
-				f.step(name, Saw{"w0", calicohill.Silent, f.now})
+				f.step(name, Saw{"w0", routing.Silent, f.now})
 			}
 			f.run(second)
 		}
-		if got := f.words[f.names[n-1]]["w0"]; got != calicohill.Believed {
+		if got := f.words[f.names[n-1]]["w0"]; got != routing.Believed {
 			t.Fatalf("a silence that %d see is held as %v by another of %d", seers, got, n)
 		}
 	})
@@ -350,7 +350,7 @@
 	f.run(second)
 	for _, n := range []string{"n5", "n6"} {
 		for w, word := range f.words[n] {
-			if word == calicohill.Believed {
+			if word == routing.Believed {
 				t.Errorf("%s believes that %s is ill", n, w)
 			}
 		}
--- a/internal/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"calicohill/internal/bucket"
+	"calicohill/internal/stats/ratelimit"
 )
 
 // State is what a member is taken to be.
@@ -140,7 +140,7 @@
 
 type member struct {
 	Member
-	acks, claims bucket.Bucket
+	acks, claims ratelimit.Bucket
 	heard        time.Duration // when it last said something itself
 	asked        int           // how often it was told that it is suspect
 }
@@ -186,10 +186,10 @@
 	probes             []*probe
 	queue              map[string]*news
 	found              map[string]Record // who is said to be there, and has not answered yet
-	budget             bucket.Bucket
-	newsBudget         bucket.Bucket
-	asksBudget         bucket.Bucket
-	answers, strangers bucket.Bucket
+	budget             ratelimit.Bucket
+	newsBudget         ratelimit.Bucket
+	asksBudget         ratelimit.Bucket
+	answers, strangers ratelimit.Bucket
 	nonce              uint64
 	nextProbe          time.Duration
 	nextNews           time.Duration
--- a/internal/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/fleetkey"
+	"calicohill/internal/fleet/pki"
 )
 
 // record has the golden files of this package written. They were made by the version before the renames of the
@@ -109,11 +109,11 @@
 		t.Fatal(err)
 	}
 	const validity = 10 * 365 * 24 * time.Hour
-	authority, err := fleetkey.NewAuthority(goldenFleet, goldenNow.Add(-time.Hour), validity)
+	authority, err := pki.NewAuthority(goldenFleet, goldenNow.Add(-time.Hour), validity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := fleetkey.WriteFile(goldenPath(goldenAuthority), authority.Key, authority.Cert); err != nil {
+	if err := pki.WriteFile(goldenPath(goldenAuthority), authority.Key, authority.Cert); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range goldenNames {
@@ -121,31 +121,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := fleetkey.WriteFile(goldenPath(name+".key"), m.Key, m.Cert); err != nil {
+		if err := pki.WriteFile(goldenPath(name+".key"), m.Key, m.Cert); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 // readGoldenKey reads a golden key file from a copy of mode 0600: version control keeps no such mode.
-func readGoldenKey(t *testing.T, name string) *fleetkey.Member {
+func readGoldenKey(t *testing.T, name string) *pki.Member {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, readGolden(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	key, cert, err := fleetkey.ReadKey(path)
+	key, cert, err := pki.ReadKey(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &fleetkey.Member{Cert: cert, Key: key}
+	return &pki.Member{Cert: cert, Key: key}
 }
 
 // goldenGuard returns a Guard with a golden key and a fixed secret.
 func goldenGuard(t *testing.T, name string) *Guard {
 	t.Helper()
 	authority := readGoldenKey(t, goldenAuthority)
-	trust, err := fleetkey.NewTrust(goldenFleet, goldenSkew, []*x509.Certificate{authority.Cert}, nil)
+	trust, err := pki.NewTrust(goldenFleet, goldenSkew, []*x509.Certificate{authority.Cert}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,7 +281,7 @@
 			"gossip: the sender is not known and brings no certificate",
 		},
 		{
-			"early certificate", "b", whole, goldenNow.Add(-24 * time.Hour), fleetkey.ErrExpired,
+			"early certificate", "b", whole, goldenNow.Add(-24 * time.Hour), pki.ErrExpired,
 			"the certificate does not hold now: it is good from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC",
 		},
 	} {
--- a/internal/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -11,8 +11,8 @@
 	"net/netip"
 	"time"
 
-	"calicohill/internal/bucket"
-	"calicohill/internal/fleetkey"
+	"calicohill/internal/fleet/pki"
+	"calicohill/internal/stats/ratelimit"
 )
 
 // Why a datagram is dropped. Errors of Open are one of these, or one of package fleetkey, wrapped.
@@ -40,9 +40,9 @@
 // key, start and latest numbers. It reads no clock and is not safe for concurrent use.
 type Guard struct {
 	fleet  string
-	own    *fleetkey.Member
+	own    *pki.Member
 	epoch  int64
-	trust  *fleetkey.Trust
+	trust  *pki.Trust
 	secret []byte // of cookies; new with each start, so that what was recorded before shows none
 	checks float64
 	skew   time.Duration
@@ -50,7 +50,7 @@
 
 	peers                map[string]*peer
 	known                map[netip.AddrPort]bool // seeds and addresses of members
-	all, familiar, alien bucket.Bucket
+	all, familiar, alien ratelimit.Bucket
 	Spent                uint64 // signatures checked so far
 }
 
@@ -61,7 +61,7 @@
 	highest uint64 // sequence number
 	window  uint64 // bit i: the number highest-i was seen
 	cookie  Cookie // to be shown to it
-	budget  bucket.Bucket
+	budget  ratelimit.Bucket
 	heard   time.Duration
 	met     bool // it has shown this member's cookie in its present life
 
@@ -74,9 +74,9 @@
 // GuardConfig is what a Guard works with.
 type GuardConfig struct {
 	Fleet  string
-	Own    *fleetkey.Member
+	Own    *pki.Member
 	Epoch  int64 // start of this member, Unix milliseconds
-	Trust  *fleetkey.Trust
+	Trust  *pki.Trust
 	Secret []byte // random, new with each start
 	Checks int    // signatures a second
 	Skew   time.Duration
@@ -104,7 +104,7 @@
 }
 
 // Trust takes up new keys. Members whose certificates no longer count are forgotten, and their names returned.
-func (g *Guard) Trust(own *fleetkey.Member, t *fleetkey.Trust, wall time.Time) (gone []string) {
+func (g *Guard) Trust(own *pki.Member, t *pki.Trust, wall time.Time) (gone []string) {
 	g.own, g.trust = own, t
 	for name, p := range g.peers {
 		if p.cert != nil && t.Current(p.cert, wall) != nil {
@@ -268,7 +268,7 @@
 		return nil, err
 	}
 	if c.Subject.CommonName != name {
-		return nil, fmt.Errorf("%w: of %s, not of %s", fleetkey.ErrNotAMember, c.Subject.CommonName, name)
+		return nil, fmt.Errorf("%w: of %s, not of %s", pki.ErrNotAMember, c.Subject.CommonName, name)
 	}
 	return c, nil
 }
--- a/internal/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/fleetkey"
+	"calicohill/internal/fleet/pki"
 )
 
 var (
@@ -21,27 +21,27 @@
 // camp is an authority and what it takes to make guards of its fleet.
 type camp struct {
 	t    testing.TB
-	auth *fleetkey.Authority
+	auth *pki.Authority
 }
 
 func newCamp(t testing.TB) *camp {
 	t.Helper()
-	a, err := fleetkey.NewAuthority("f", noon.Add(-time.Hour), 24*time.Hour)
+	a, err := pki.NewAuthority("f", noon.Add(-time.Hour), 24*time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &camp{t, a}
 }
 
-func (c *camp) trust(lists ...*x509.RevocationList) *fleetkey.Trust {
-	t, err := fleetkey.NewTrust("f", 5*time.Second, []*x509.Certificate{c.auth.Cert}, lists)
+func (c *camp) trust(lists ...*x509.RevocationList) *pki.Trust {
+	t, err := pki.NewTrust("f", 5*time.Second, []*x509.Certificate{c.auth.Cert}, lists)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	return t
 }
 
-func (c *camp) member(name string) *fleetkey.Member {
+func (c *camp) member(name string) *pki.Member {
 	m, err := c.auth.Issue(name, noon.Add(-time.Hour), 12*time.Hour)
 	if err != nil {
 		c.t.Fatal(err)
@@ -51,7 +51,7 @@
 
 func (c *camp) guard(name string, epoch int64) *Guard { return c.guardOf(c.member(name), epoch) }
 
-func (c *camp) guardOf(m *fleetkey.Member, epoch int64) *Guard {
+func (c *camp) guardOf(m *pki.Member, epoch int64) *Guard {
 	return NewGuard(GuardConfig{
 		Fleet: "f", Own: m, Epoch: epoch, Trust: c.trust(), Secret: []byte(m.Name() + "secret"),
 		Checks: 400, Skew: 5 * time.Second,
@@ -95,7 +95,7 @@
 		t.Fatalf("a known sender: %+v, %v", o, err)
 	}
 	stranger := newCamp(t).guard("a", 300)
-	other, err := fleetkey.NewAuthority("g", noon.Add(-time.Hour), time.Hour*9)
+	other, err := pki.NewAuthority("g", noon.Add(-time.Hour), time.Hour*9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	forged := c.guard("m", 400) // a member that speaks under another's name
-	forged.own = &fleetkey.Member{Cert: a.own.Cert, Key: forged.own.Key}
+	forged.own = &pki.Member{Cert: a.own.Cert, Key: forged.own.Key}
 	flip := func(d []byte, i int) []byte {
 		d = bytes.Clone(d)
 		d[i] ^= 1
@@ -130,9 +130,9 @@
 		{"a bit of the number", flip(new1, 2+cookieLen+8+4+6), ErrSignature},
 		{"to another", c.seal(a, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
 		{"a name of another's key", c.seal(forged, "b", noon, Message{Kind: Gossip}), ErrSignature},
-		{"another authority", c.seal(stranger, "b", noon, Message{Kind: Gossip}), fleetkey.ErrUnknownAuthority},
-		{"another fleet", c.seal(c.guardOf(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), fleetkey.ErrWrongFleet},
-		{"expired", c.seal(c.guardOf(expired, 500), "b", noon, Message{Kind: Gossip}), fleetkey.ErrExpired},
+		{"another authority", c.seal(stranger, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
+		{"another fleet", c.seal(c.guardOf(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), pki.ErrWrongFleet},
+		{"expired", c.seal(c.guardOf(expired, 500), "b", noon, Message{Kind: Gossip}), pki.ErrExpired},
 		{"sent long ago", c.seal(a, "b", noon.Add(-8*time.Second), Message{Kind: Gossip}), ErrClock},
 		{"not yet sent", c.seal(a, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
 		{"an earlier life", c.seal(c.guardOf(a.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
@@ -250,7 +250,7 @@
 	if gone := b.Trust(b.own, c.trust(list), noon); len(gone) != 1 || gone[0] != "a" {
 		t.Errorf("gone %v, want a", gone)
 	}
-	if _, err := b.Open(time.Hour, noon, where, c.seal(c.guardOf(a.own, 500), "b", noon, Message{Kind: Ping})); !errors.Is(err, fleetkey.ErrRevoked) {
+	if _, err := b.Open(time.Hour, noon, where, c.seal(c.guardOf(a.own, 500), "b", noon, Message{Kind: Ping})); !errors.Is(err, pki.ErrRevoked) {
 		t.Errorf("revoked: error %v", err)
 	}
 
@@ -265,13 +265,13 @@
 		t.Errorf("within the overlap: %v", err)
 	}
 	late := noon.Add(2 * time.Minute)
-	if _, err := b.Open(time.Hour, late, where, c.seal(d, "b", late, Message{Kind: Ping})); !errors.Is(err, fleetkey.ErrUnknownAuthority) {
+	if _, err := b.Open(time.Hour, late, where, c.seal(d, "b", late, Message{Kind: Ping})); !errors.Is(err, pki.ErrUnknownAuthority) {
 		t.Errorf("after the overlap: error %v", err)
 	}
 	if _, err := b.Open(time.Hour, late, where, c.seal(next.guard("e", 1), "b", late, Message{Kind: Ping})); err != nil {
 		t.Errorf("of the new authority: %v", err)
 	}
-	if _, err := fleetkey.NewTrust("f", 0, []*x509.Certificate{next.auth.Cert}, []*x509.RevocationList{list}); !errors.Is(err, fleetkey.ErrUnknownAuthority) {
+	if _, err := pki.NewTrust("f", 0, []*x509.Certificate{next.auth.Cert}, []*x509.RevocationList{list}); !errors.Is(err, pki.ErrUnknownAuthority) {
 		t.Errorf("a list that no authority signed: error %v", err)
 	}
 }
--- a/internal/fleetkey/fleetkey.go
+++ b/internal/fleet/pki/fleetkey.go
@@ -1,9 +1,9 @@
-// Package fleetkey holds who may speak in a fleet of schedulers: an authority signs a certificate for each member
+// Package pki holds who may speak in a fleet of schedulers: an authority signs a certificate for each member
 // (X.509 with Ed25519 keys, RFC 5280 and 8410), and a list of those that it takes back. The organization of a
 // certificate is the fleet, its common name the member.
 //
 // Nothing here reads a clock; whoever calls says what time it is.
-package fleetkey
+package pki
 
 import (
 	"bytes"
--- a/internal/fleetkey/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -1,4 +1,4 @@
-package fleetkey
+package pki
 
 import (
 	"bytes"
--- a/internal/allowance/allowance.go
+++ b/internal/fleet/quota/allowance.go
@@ -1,4 +1,4 @@
-// Package allowance shares budgets among the schedulers of a fleet: how much each may use of something that all of them
+// Package quota shares budgets among the schedulers of a fleet: how much each may use of something that all of them
 // together must not use more of than a whole. Each owns a fixed part of it, by the size of the fleet in the settings. What
 // one has to spare it lends to one that lacks it, for a time, after the demarcation protocol (Barbara and Garcia-Molina,
 // 1992) and the leases of Gray and Cheriton (1989).
@@ -10,7 +10,7 @@
 // Drift and 1 + Drift of true time and all members that run are told sizes of the fleet no smaller than their number: the
 // sum of what all may use, and of what is still in use, is never above the whole. The argument is in docs/design/shared.md, and
 // the checker in this package's tests looks for a course that breaks it.
-package allowance
+package quota
 
 import (
 	"errors"
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"calicohill/internal/rendezvous"
+	"calicohill/internal/stats/rendezvous"
 )
 
 // Budget is something that all members together may have so many units of in use.
--- a/internal/allowance/allowance_test.go
+++ b/internal/fleet/quota/allowance_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 import (
 	"fmt"
--- a/internal/allowance/depth_test.go
+++ b/internal/fleet/quota/depth_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package allowance
+package quota
 
 const depth = 6 // events of a course that the checker looks at
--- a/internal/allowance/seeded.go
+++ b/internal/fleet/quota/seeded.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 // fault is a mistake that can be built in on purpose, with the tag faults, to show that the checker finds it.
 type fault int
--- a/internal/allowance/seeded_on.go
+++ b/internal/fleet/quota/seeded_on.go
@@ -1,5 +1,5 @@
 //go:build faults
 
-package allowance
+package quota
 
 var seeded = none
--- a/internal/allowance/seeded_test.go
+++ b/internal/fleet/quota/seeded_test.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package allowance
+package quota
 
 import (
 	"strings"
--- a/internal/gossipnet/node.go
+++ b/internal/fleet/transport/node.go
@@ -1,6 +1,6 @@
-// Package gossipnet gives the cores of packages gossip and suspicion a UDP socket, keys from files and the time. It
+// Package transport gives the cores of packages gossip and suspicion a UDP socket, keys from files and the time. It
 // runs beside the request loop, on goroutines of its own: nothing here waits for the loop, nor the loop for it.
-package gossipnet
+package transport
 
 import (
 	"crypto/rand"
@@ -12,12 +12,12 @@
 	"sync/atomic"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/fleetkey"
-	"calicohill/internal/gossip"
-	"calicohill/internal/logs"
-	"calicohill/internal/operator"
-	"calicohill/internal/suspicion"
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/fleet/faultreport"
+	"calicohill/internal/fleet/gossip"
+	"calicohill/internal/fleet/pki"
+	"calicohill/internal/runtime/logging"
+	"calicohill/routing"
 
 	"github.com/sirupsen/logrus"
 )
@@ -33,28 +33,28 @@
 
 // Node is this scheduler's place among its peers.
 type Node struct {
-	set   operator.Gossip
+	set   operatorfile.Gossip
 	log   *logrus.Entry
-	thin  logs.Thinned
-	hold  func(calicohill.PeersHold)
+	thin  logging.Thinned
+	hold  func(routing.PeersHold)
 	conn  *net.UDPConn
-	own   *fleetkey.Member
-	trust *fleetkey.Trust
+	own   *pki.Member
+	trust *pki.Trust
 	guard *gossip.Guard
 	core  *gossip.Core
-	words *suspicion.Core
+	words *faultreport.Core
 
 	base  time.Time
 	epoch int64
 	seq   uint64 // of statements
-	held  map[string]calicohill.Word
+	held  map[string]routing.Word
 
 	in    chan datagram
 	calls chan func()
 	quit  chan struct{}
 	done  chan struct{}
 
-	events []suspicion.Event
+	events []faultreport.Event
 	list   atomic.Pointer[[]string] // of workers, not taken in yet
 
 	sent, bytes, peak int // messages and bytes so far, and the most messages of a second
@@ -68,7 +68,7 @@
 
 // Open reads the keys, binds the socket and returns a Node that does nothing until Run. hold is called from its
 // goroutine with what peers hold of workers, and must not wait for it.
-func Open(set operator.Gossip, hold func(calicohill.PeersHold), log *logrus.Entry) (*Node, error) {
+func Open(set operatorfile.Gossip, hold func(routing.PeersHold), log *logrus.Entry) (*Node, error) {
 	own, trust, err := keys(set)
 	if err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 	_ = conn.SetReadBuffer(readBuffer)
 	base := time.Now()
 	n := &Node{
-		set: set, log: log, thin: logs.Thinned{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
-		epoch: base.UnixMilli(), held: map[string]calicohill.Word{}, in: make(chan datagram, waiting),
+		set: set, log: log, thin: logging.Thinned{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
+		epoch: base.UnixMilli(), held: map[string]routing.Word{}, in: make(chan datagram, waiting),
 		calls: make(chan func(), waiting), quit: make(chan struct{}), done: make(chan struct{}),
 	}
 	secret := make([]byte, 32)
@@ -99,17 +99,17 @@
 		ProbeEvery: set.ProbeEvery, ProbeTimeout: set.ProbeTimeout, SuspectFor: set.SuspectFor, Messages: set.Messages,
 		MaxMembers: maxMembers, Seed: uint64(n.epoch), Sign: n.guard.SignRecord,
 	})
-	n.words = suspicion.New(worth(set))
+	n.words = faultreport.New(worth(set))
 	return n, nil
 }
 
-func worth(set operator.Gossip) suspicion.Config {
-	return suspicion.Config{Liars: set.Liars, LeaveOut: set.LeaveOut, ForgetAfter: set.ForgetAfter}
+func worth(set operatorfile.Gossip) faultreport.Config {
+	return faultreport.Config{Liars: set.Liars, LeaveOut: set.LeaveOut, ForgetAfter: set.ForgetAfter}
 }
 
 // keys reads the files that settings name.
-func keys(set operator.Gossip) (*fleetkey.Member, *fleetkey.Trust, error) {
-	key, cert, err := fleetkey.ReadKey(set.Key)
+func keys(set operatorfile.Gossip) (*pki.Member, *pki.Trust, error) {
+	key, cert, err := pki.ReadKey(set.Key)
 	if err != nil {
 		return nil, nil, fmt.Errorf("gossip: %w", err)
 	}
@@ -118,7 +118,7 @@
 	}
 	var authorities []*x509.Certificate
 	for _, path := range set.Authorities {
-		a, err := fleetkey.ReadCert(path)
+		a, err := pki.ReadCert(path)
 		if err != nil {
 			return nil, nil, fmt.Errorf("gossip: %w", err)
 		}
@@ -126,17 +126,17 @@
 	}
 	var lists []*x509.RevocationList
 	if set.Revoked != "" {
-		l, err := fleetkey.ReadList(set.Revoked, false)
+		l, err := pki.ReadList(set.Revoked, false)
 		if err != nil {
 			return nil, nil, fmt.Errorf("gossip: %w", err)
 		}
 		lists = append(lists, l)
 	}
-	trust, err := fleetkey.NewTrust(set.Fleet, set.ClockSkew, authorities, lists)
+	trust, err := pki.NewTrust(set.Fleet, set.ClockSkew, authorities, lists)
 	if err != nil {
 		return nil, nil, fmt.Errorf("gossip: %w", err)
 	}
-	return &fleetkey.Member{Cert: cert, Key: key}, trust, nil
+	return &pki.Member{Cert: cert, Key: key}, trust, nil
 }
 
 // Now is the time that the cores are told: Unix time at the start, and the monotonic clock from then on.
@@ -167,9 +167,9 @@
 }
 
 // Saw takes in what this scheduler finds of a worker. It never waits.
-func (n *Node) Saw(o calicohill.Observe) {
+func (n *Node) Saw(o routing.Observe) {
 	n.call(func() {
-		n.events = append(n.events, suspicion.Saw{Worker: o.Worker, Trouble: o.Trouble, At: o.At})
+		n.events = append(n.events, faultreport.Saw{Worker: o.Worker, Trouble: o.Trouble, At: o.At})
 	})
 }
 
@@ -183,7 +183,7 @@
 var ErrBusy = errors.New("gossip: too much waits to be taken in")
 
 // Prepare reads what new settings name and returns what takes them up; until that is called nothing changes.
-func (n *Node) Prepare(set operator.Gossip) (apply func() error, err error) {
+func (n *Node) Prepare(set operatorfile.Gossip) (apply func() error, err error) {
 	own, trust, err := keys(set)
 	if err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 	}, nil
 }
 
-func (n *Node) reload(set operator.Gossip, own *fleetkey.Member, trust *fleetkey.Trust) {
+func (n *Node) reload(set operatorfile.Gossip, own *pki.Member, trust *pki.Trust) {
 	n.trust = trust.After(n.trust, time.Now(), set.Overlap)
 	gone := n.guard.Trust(own, n.trust, time.Now())
 	events := []gossip.Event{gossip.Retry{Seeds: set.Seeds}}
@@ -212,7 +212,7 @@
 		events = append(events, gossip.Drop{Name: name})
 	}
 	n.set.Seeds, n.set.Overlap = set.Seeds, set.Overlap
-	n.events = append(n.events, suspicion.Configure{Config: worth(set)})
+	n.events = append(n.events, faultreport.Configure{Config: worth(set)})
 	n.step(events)
 	n.log.Info("gossip settings taken up")
 }
@@ -289,7 +289,7 @@
 		return events
 	}
 	for _, name := range o.Twice {
-		n.events = append(n.events, suspicion.Lied{From: name})
+		n.events = append(n.events, faultreport.Lied{From: name})
 	}
 	return append(events, gossip.Received{From: o.From, Addr: d.from, Epoch: o.Epoch, Message: o.Message, Trusted: o.Trusted})
 }
@@ -298,7 +298,7 @@
 func (n *Node) step(events []gossip.Event) {
 	now := n.now()
 	if l := n.list.Swap(nil); l != nil {
-		n.events = append(n.events, suspicion.Listed{Workers: *l})
+		n.events = append(n.events, faultreport.Listed{Workers: *l})
 	}
 	for {
 		members := false
@@ -313,7 +313,7 @@
 			case gossip.Forgotten:
 				n.guard.Forget(a.Name)
 			case gossip.Heard:
-				n.events = append(n.events, suspicion.Heard{From: a.Statement.Name, Body: a.Statement.Body})
+				n.events = append(n.events, faultreport.Heard{From: a.Statement.Name, Body: a.Statement.Body})
 			case gossip.Usurped:
 				n.log.WithField("name", n.own.Name()).Error("another scheduler has this one's name: this one says no more")
 			}
@@ -326,16 +326,16 @@
 		n.events = nil
 		for _, a := range n.words.Step(now, own) {
 			switch a := a.(type) {
-			case suspicion.Say:
-				if body, err := suspicion.Encode(a.Accusations); err != nil {
+			case faultreport.Say:
+				if body, err := faultreport.Encode(a.Accusations); err != nil {
 					n.thin.Warn(now, "statement not made", err)
 				} else {
 					n.seq++
 					events = append(events, gossip.Say{Statement: n.guard.State(n.seq, time.Now(), body)})
 				}
-			case suspicion.Hold:
+			case faultreport.Hold:
 				n.tell(a.PeersHold)
-			case suspicion.Discredited:
+			case faultreport.Discredited:
 				n.log.WithFields(logrus.Fields{"peer": a.From, "why": a.Why}).Warn("peer not heard for a while")
 			}
 		}
@@ -374,18 +374,18 @@
 		}
 	}
 	n.guard.Know(addrs)
-	n.events = append(n.events, suspicion.Members{Names: names})
+	n.events = append(n.events, faultreport.Members{Names: names})
 }
 
 // tell passes on what peers hold, and logs who is left out for it and no more.
-func (n *Node) tell(h calicohill.PeersHold) {
+func (n *Node) tell(h routing.PeersHold) {
 	for w, word := range h.Words {
-		if word == calicohill.Believed && n.held[w] != calicohill.Believed {
+		if word == routing.Believed && n.held[w] != routing.Believed {
 			n.log.WithFields(logrus.Fields{"worker": w, "accusers": n.words.Need()}).Warn("worker ill on the word of peers")
 		}
 	}
 	for w, word := range n.held {
-		if word == calicohill.Believed && h.Words[w] != calicohill.Believed {
+		if word == routing.Believed && h.Words[w] != routing.Believed {
 			n.log.WithField("worker", w).Info("worker no longer ill on the word of peers")
 		}
 	}
--- a/internal/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"calicohill"
+	"calicohill/internal/config/deployment"
 	"calicohill/internal/dispatch"
-	"calicohill/internal/settings"
+	"calicohill/routing"
 )
 
 // maxBudget is the longest that a client may say it waits; more is taken for nonsense.
@@ -45,7 +45,7 @@
 }
 
 // call checks the fields of a request. What passes can be written to a worker as it is.
-func (f *fields) call(site *settings.Site, classes map[string]int) (c dispatch.Call, err error) {
+func (f *fields) call(site *deployment.Site, classes map[string]int) (c dispatch.Call, err error) {
 	name, under := strings.CutPrefix(f.path, "/rpc/")
 	class, ok := classes[name]
 	if !under || !ok {
@@ -62,7 +62,7 @@
 	if c.Budget = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || c.Budget > maxBudget {
 		return c, fmt.Errorf("Budget-Ms %.40q", f.budget)
 	}
-	if f.once == "" && site.Classes[c.Class].Effect == calicohill.Keyed {
+	if f.once == "" && site.Classes[c.Class].Effect == routing.Keyed {
 		return c, errors.New("no Once-Key")
 	}
 	if !isToken(f.once) {
--- a/internal/fastcgi/fields_test.go
+++ b/internal/frontend/fastcgi/fields_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/settings"
+	"calicohill/internal/config/deployment"
+	"calicohill/routing"
 )
 
 // asked is the parameters of an ordinary request, as they stand in its records.
@@ -29,7 +29,7 @@
 	return params
 }
 
-var someSite = settings.Site{Settings: calicohill.Settings{Classes: []calicohill.Class{{Aim: 1, Deadline: 1}}}, ClassNames: []string{"consulta"}}
+var someSite = deployment.Site{Settings: routing.Settings{Classes: []routing.Class{{Aim: 1, Deadline: 1}}}, ClassNames: []string{"consulta"}}
 
 func BenchmarkFields(b *testing.B) {
 	params, classes := asked(b), map[string]int{"consulta": 0}
--- a/internal/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"calicohill/internal/dispatch"
-	"calicohill/internal/match"
+	"calicohill/internal/rules/match"
 )
 
 // Rules is the rules that requests meet, or none.
--- a/internal/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -10,13 +10,13 @@
 	"strconv"
 	"time"
 
-	"calicohill/internal/buffer"
-	"calicohill/internal/deadline"
+	"calicohill/internal/config/deployment"
 	"calicohill/internal/dispatch"
-	"calicohill/internal/logs"
-	"calicohill/internal/loop"
-	"calicohill/internal/settings"
-	"calicohill/internal/slot"
+	"calicohill/internal/runtime/bufferpool"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/internal/runtime/logging"
+	"calicohill/internal/runtime/slotmap"
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/sirupsen/logrus"
@@ -41,8 +41,8 @@
 
 // Dispatcher is what a Server needs of the dispatcher.
 type Dispatcher interface {
-	Take(c dispatch.Call, from dispatch.Caller, tag slot.Ref) (slot.Ref, error)
-	Abandon(ref slot.Ref)
+	Take(c dispatch.Call, from dispatch.Caller, tag slotmap.Ref) (slotmap.Ref, error)
+	Abandon(ref slotmap.Ref)
 	Ready() bool
 }
 
@@ -57,13 +57,13 @@
 type Server struct {
 	loop       Loop
 	dispatcher Dispatcher
-	pool       *buffer.Pool
-	site       *settings.Site
+	pool       *bufferpool.Pool
+	site       *deployment.Site
 	classes    map[string]int
 	maxConns   int
 	maxUnsent  int // bytes that may wait unsent for all clients together
-	log        logs.Thinned
-	rulesLog   logs.Thinned
+	log        logging.Thinned
+	rulesLog   logging.Thinned
 	rules      *Rules // nil where there are none
 
 	conns int
@@ -77,7 +77,7 @@
 	unsent map[*conn]struct{}
 	heard  time.Duration // when something last came from a client, or a client came
 
-	streams slot.Table[*stream]
+	streams slotmap.Table[*stream]
 	scratch []byte
 }
 
@@ -100,26 +100,26 @@
 
 // stream is a request on a connection, from its BEGIN_REQUEST to its END_REQUEST.
 type stream struct {
-	ref          slot.Ref
+	ref          slotmap.Ref
 	conn         *conn
 	id           uint16
 	keep         bool
-	params, body *buffer.Buffer
+	params, body *bufferpool.Buffer
 	fields       fields
 	call         dispatch.Call
 	named        bool           // the parameters are complete
 	since        time.Duration  // when it began
 	place        *list.Element  // among those that are not whole; nil once it is
-	taken        slot.Ref       // the dispatcher's; 0 until it has the request
+	taken        slotmap.Ref    // the dispatcher's; 0 until it has the request
 	late         deadline.Entry // for the rest of the request
 }
 
 // New returns a Server that lets in at most maxConns connections, and has at most maxUnsent bytes wait for clients that
 // do not read.
-func New(l Loop, d Dispatcher, pool *buffer.Pool, site *settings.Site, maxConns, maxUnsent int, log, rules logrus.FieldLogger) *Server {
+func New(l Loop, d Dispatcher, pool *bufferpool.Pool, site *deployment.Site, maxConns, maxUnsent int, log, rules logrus.FieldLogger) *Server {
 	s := &Server{
 		loop: l, dispatcher: d, pool: pool, site: site, classes: map[string]int{}, maxConns: maxConns,
-		maxUnsent: maxUnsent, unsent: map[*conn]struct{}{}, log: logs.Thinned{Log: log}, rulesLog: logs.Thinned{Log: rules},
+		maxUnsent: maxUnsent, unsent: map[*conn]struct{}{}, log: logging.Thinned{Log: log}, rulesLog: logging.Thinned{Log: rules},
 	}
 	for i, name := range site.ClassNames {
 		s.classes[name] = i
@@ -128,7 +128,7 @@
 }
 
 // Accept takes a connection in, or nil if there are too many.
-func (s *Server) Accept(c gnet.Conn) loop.Peer {
+func (s *Server) Accept(c gnet.Conn) eventloop.Peer {
 	if s.conns >= s.maxConns && !s.makeRoom() {
 		s.complain("client turned away: too many connections", nil)
 		return nil
@@ -289,7 +289,7 @@
 }
 
 // Answer writes a final answer.
-func (s *Server) Answer(tag slot.Ref, a dispatch.Answer) {
+func (s *Server) Answer(tag slotmap.Ref, a dispatch.Answer) {
 	st, ok := s.streams.Get(tag)
 	if !ok {
 		return
@@ -318,7 +318,7 @@
 		_, _ = gc.Discard(-1)
 		return nil
 	}
-	c.unread = loop.Unread(gc)
+	c.unread = eventloop.Unread(gc)
 	for {
 		b, err := gc.Peek(-1)
 		if err != nil || len(b) == 0 {
@@ -427,7 +427,7 @@
 //
 // Guards against requests that are begun by the thousand and never whole: until their time is over they would hold all
 // buffers. The one that began first gives way, once it has had as long as a client takes that means it.
-func (s *Server) buffer(asks *stream) *buffer.Buffer {
+func (s *Server) buffer(asks *stream) *bufferpool.Buffer {
 	b := s.pool.Get()
 	for e := s.half.Front(); b == nil && e != nil; e = s.half.Front() {
 		st := e.Value.(*stream)
@@ -532,7 +532,7 @@
 			}
 		}
 		if !st.body.Append(b) {
-			st.reject(http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", buffer.Size))
+			st.reject(http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", bufferpool.Size))
 		}
 		return
 	}
--- a/internal/agent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -1,6 +1,6 @@
-// Package agent reaches the node agents: it keeps connections to them, writes requests and probes, and reads
+// Package nodeagent reaches the node agents: it keeps connections to them, writes requests and probes, and reads
 // their answers.
-package agent
+package nodeagent
 
 import (
 	"errors"
@@ -10,11 +10,11 @@
 	"strconv"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/deadline"
 	"calicohill/internal/dispatch"
-	"calicohill/internal/loop"
-	"calicohill/internal/slot"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/sirupsen/logrus"
@@ -58,15 +58,15 @@
 // Sink is told what becomes of attempts and probes.
 type Sink interface {
 	// May reports whether an attempt may still be written: its request is open and its worker takes work.
-	May(ref slot.Ref) bool
-	Ended(ref slot.Ref, e dispatch.End)
+	May(ref slotmap.Ref) bool
+	Ended(ref slotmap.Ref, e dispatch.End)
 	Probed(worker string, took time.Duration, e dispatch.End)
 }
 
 // Loop is what a Pool needs of the event loop.
 type Loop interface {
 	dispatch.Loop
-	Dial(addr string, timeout time.Duration, p loop.Peer, failed func(error))
+	Dial(addr string, timeout time.Duration, p eventloop.Peer, failed func(error))
 }
 
 // Options are the figures that a Pool works with.
@@ -88,8 +88,8 @@
 	opt     Options
 	log     logrus.FieldLogger
 	workers map[string]*worker
-	sent    map[slot.Ref]*job
-	conns   slot.Table[*conn]
+	sent    map[slotmap.Ref]*job
+	conns   slotmap.Table[*conn]
 	dialing int
 	queued  []*worker // that are dialed once there are descriptors for it
 	wear    wear
@@ -101,7 +101,7 @@
 // worker is a process at an address; a new uid or a new start makes a new one.
 type worker struct {
 	id, addr string
-	state    calicohill.WorkerState
+	state    routing.WorkerState
 	started  time.Duration
 	conns    []*conn
 	waiting  []*job // for a connection
@@ -122,7 +122,7 @@
 
 // conn is a connection to a worker. It is its loop.Peer.
 type conn struct {
-	ref     slot.Ref
+	ref     slotmap.Ref
 	pool    *Pool
 	w       *worker
 	c       gnet.Conn                // nil until it is up and once it is gone
@@ -142,7 +142,7 @@
 
 // New returns a Pool without workers.
 func New(l Loop, s Sink, o Options, log logrus.FieldLogger) *Pool {
-	return &Pool{loop: l, sink: s, opt: o, log: log, workers: map[string]*worker{}, sent: map[slot.Ref]*job{}}
+	return &Pool{loop: l, sink: s, opt: o, log: log, workers: map[string]*worker{}, sent: map[slotmap.Ref]*job{}}
 }
 
 // Follow takes in the list of workers.
@@ -151,19 +151,19 @@
 	for _, e := range r.Entries {
 		seen[e.ID] = true
 		w := p.workers[e.ID]
-		if w != nil && (e.State == calicohill.Gone || e.Addr != w.addr) {
+		if w != nil && (e.State == routing.Gone || e.Addr != w.addr) {
 			p.drop(w)
 			w = nil
 		}
-		if e.State == calicohill.Gone {
+		if e.State == routing.Gone {
 			continue
 		}
 		if w == nil {
 			w = &worker{id: e.ID, addr: e.Addr}
 			p.workers[e.ID] = w
 		}
-		if w.state = e.State; w.state != calicohill.Ready {
-			p.failWaiting(w, calicohill.Unsent)
+		if w.state = e.State; w.state != routing.Ready {
+			p.failWaiting(w, routing.Unsent)
 		}
 		if e.Started != w.started {
 			w.started = e.Started
@@ -182,9 +182,9 @@
 // drop forgets a worker that is gone. What is out there may still be answered, so its connections end with
 // that; another worker at its address, or of its name, never gets to use them.
 func (p *Pool) drop(w *worker) {
-	w.state = calicohill.Gone
+	w.state = routing.Gone
 	delete(p.workers, w.id)
-	p.failWaiting(w, calicohill.Unsent)
+	p.failWaiting(w, routing.Unsent)
 	for _, c := range slices.Clone(w.conns) {
 		c.retire("worker gone")
 		c.closeIfSpent()
@@ -201,7 +201,7 @@
 	}
 }
 
-func (p *Pool) failWaiting(w *worker, o calicohill.Outcome) {
+func (p *Pool) failWaiting(w *worker, o routing.Outcome) {
 	waiting := w.waiting
 	w.waiting = nil
 	for _, j := range waiting {
@@ -236,7 +236,7 @@
 	}
 	j.late.Fire = func() {
 		p.forget(j)
-		p.finish(j, dispatch.End{Outcome: calicohill.TimedOut, Company: -1})
+		p.finish(j, dispatch.End{Outcome: routing.TimedOut, Company: -1})
 	}
 	p.loop.At(&j.late, p.loop.Now()+p.opt.ConnectTimeout)
 	p.start(j)
@@ -244,8 +244,8 @@
 
 func (p *Pool) start(j *job) {
 	w := j.w
-	if w == nil || w.state != calicohill.Ready {
-		p.finish(j, dispatch.End{Outcome: calicohill.Unsent, Company: -1})
+	if w == nil || w.state != routing.Ready {
+		p.finish(j, dispatch.End{Outcome: routing.Unsent, Company: -1})
 		return
 	}
 	c, usable := p.pick(j)
@@ -258,7 +258,7 @@
 	}
 	if len(w.conns)+w.dialing >= perWorker || p.conns.Len()+p.dialing >= p.opt.MaxConns {
 		if w.dialing == 0 && !p.evict(w) {
-			p.finish(j, dispatch.End{Outcome: calicohill.Unreached, Company: -1})
+			p.finish(j, dispatch.End{Outcome: routing.Unreached, Company: -1})
 			return
 		}
 	}
@@ -354,7 +354,7 @@
 		p.log.WithError(err).WithField("worker", w.id).Warn("agent not reached")
 		if w.dialing == 0 {
 			p.writeWaiting(w) // others may have come free meanwhile
-			p.failWaiting(w, calicohill.Unreached)
+			p.failWaiting(w, routing.Unreached)
 		}
 		p.dialQueued()
 	})
@@ -367,7 +367,7 @@
 	for _, j := range waiting {
 		// While it waited its request may have been answered, or its worker begun to drain.
 		if !j.probe && !p.sink.May(j.Ref) {
-			p.finish(j, dispatch.End{Outcome: calicohill.Unsent, Company: -1})
+			p.finish(j, dispatch.End{Outcome: routing.Unsent, Company: -1})
 		} else if pick, _ := p.pick(j); pick != nil {
 			pick.write(j)
 		} else {
@@ -418,7 +418,7 @@
 }
 
 // Halt gives an attempt up; it is not reported any more.
-func (p *Pool) Halt(ref slot.Ref) (written bool) {
+func (p *Pool) Halt(ref slotmap.Ref) (written bool) {
 	j := p.sent[ref]
 	if j == nil {
 		return false
@@ -456,7 +456,7 @@
 	c.idle.Fire, c.due.Fire = c.idled, c.cutShort
 	p.loop.At(&c.idle, c.heard+p.idleAfter())
 	defer p.dialQueued()
-	if w.state == calicohill.Gone {
+	if w.state == routing.Gone {
 		c.close()
 		return
 	}
@@ -533,9 +533,9 @@
 			p.start(j)
 			return
 		}
-		p.finish(j, dispatch.End{Outcome: calicohill.Unreached, Company: -1})
+		p.finish(j, dispatch.End{Outcome: routing.Unreached, Company: -1})
 	default:
-		p.finish(j, dispatch.End{Outcome: calicohill.Reset, Company: -1})
+		p.finish(j, dispatch.End{Outcome: routing.Reset, Company: -1})
 	}
 }
 
@@ -605,9 +605,9 @@
 	}
 }
 
-var outcomes = map[string]calicohill.Outcome{
-	"OK": calicohill.Served, "MISS": calicohill.NotLoaded, "BUSY": calicohill.Shed,
-	"ERR": calicohill.Errored, "VOID": calicohill.Unsent, "UP": calicohill.Served, "DOWN": calicohill.Errored,
+var outcomes = map[string]routing.Outcome{
+	"OK": routing.Served, "MISS": routing.NotLoaded, "BUSY": routing.Shed,
+	"ERR": routing.Errored, "VOID": routing.Unsent, "UP": routing.Served, "DOWN": routing.Errored,
 }
 
 // take passes an answer on.
@@ -676,7 +676,7 @@
 	}
 	for id, j := range c.out {
 		delete(c.out, id)
-		p.finish(j, dispatch.End{Outcome: calicohill.Reset, Company: -1})
+		p.finish(j, dispatch.End{Outcome: routing.Reset, Company: -1})
 	}
 	if lost > 0 {
 		if err == nil {
--- a/internal/agent/agent_test.go
+++ b/internal/nodeagent/agent_test.go
@@ -1,4 +1,4 @@
-package agent
+package nodeagent
 
 import (
 	"errors"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/deadline"
 	"calicohill/internal/dispatch"
-	"calicohill/internal/loop"
-	"calicohill/internal/slot"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/sirupsen/logrus"
@@ -26,7 +26,7 @@
 
 type dial struct {
 	addr   string
-	peer   loop.Peer
+	peer   eventloop.Peer
 	failed func(error)
 }
 
@@ -34,7 +34,7 @@
 func (l *plainLoop) Post(fn func())                         { fn() }
 func (l *plainLoop) At(e *deadline.Entry, at time.Duration) { l.deadlines.Set(e, at) }
 func (l *plainLoop) Drop(e *deadline.Entry)                 { l.deadlines.Drop(e) }
-func (l *plainLoop) Dial(addr string, _ time.Duration, p loop.Peer, failed func(error)) {
+func (l *plainLoop) Dial(addr string, _ time.Duration, p eventloop.Peer, failed func(error)) {
 	l.dials = append(l.dials, dial{addr, p, failed})
 }
 
@@ -50,7 +50,7 @@
 // wire is a connection that takes all that is written, unless it is blocked.
 type wire struct {
 	gnet.Conn
-	peer    loop.Peer
+	peer    eventloop.Peer
 	addr    string
 	blocked bool
 	sent    strings.Builder
@@ -82,10 +82,10 @@
 }
 
 // ends is a Sink to which every attempt is allowed.
-type ends map[slot.Ref]calicohill.Outcome
+type ends map[slotmap.Ref]routing.Outcome
 
-func (ends) May(slot.Ref) bool                          { return true }
-func (s ends) Ended(ref slot.Ref, e dispatch.End)       { s[ref] = e.Outcome }
+func (ends) May(slotmap.Ref) bool                       { return true }
+func (s ends) Ended(ref slotmap.Ref, e dispatch.End)    { s[ref] = e.Outcome }
 func (ends) Probed(string, time.Duration, dispatch.End) {}
 
 func newPool(o Options, workers ...string) (*Pool, *plainLoop, ends) {
@@ -97,7 +97,7 @@
 	p := New(l, sink, o, log)
 	var r dispatch.Roster
 	for _, id := range workers {
-		r.Entries = append(r.Entries, dispatch.Entry{Worker: calicohill.Worker{ID: id, State: calicohill.Ready}, Addr: id})
+		r.Entries = append(r.Entries, dispatch.Entry{Worker: routing.Worker{ID: id, State: routing.Ready}, Addr: id})
 	}
 	p.Follow(r)
 	return p, l, sink
@@ -105,7 +105,7 @@
 
 func attempt(n int, worker string) dispatch.Attempt {
 	return dispatch.Attempt{
-		Ref: slot.Ref(n), Worker: worker, ID: strings.Repeat("0", 15) + string(rune('0'+n)), Function: "f",
+		Ref: slotmap.Ref(n), Worker: worker, ID: strings.Repeat("0", 15) + string(rune('0'+n)), Function: "f",
 		Patience: time.Second,
 	}
 }
@@ -161,7 +161,7 @@
 	failed := l.dials[0].failed
 	l.dials = l.dials[1:]
 	failed(errors.New("no"))
-	if len(l.dials) != 2 || l.dials[1].addr != "c" || sink[1] != calicohill.Unreached {
+	if len(l.dials) != 2 || l.dials[1].addr != "c" || sink[1] != routing.Unreached {
 		t.Fatalf("dials %v after one failed, ends %v", l.dials, sink)
 	}
 	b := l.up() // a connection and a dial leave one descriptor: d waits on
--- a/internal/agent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -1,4 +1,4 @@
-package agent
+package nodeagent
 
 import (
 	"testing"
--- a/internal/agent/line.go
+++ b/internal/nodeagent/line.go
@@ -1,4 +1,4 @@
-package agent
+package nodeagent
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"calicohill"
+	"calicohill/routing"
 )
 
 // maxLine is the longest line that an agent may write.
@@ -18,7 +18,7 @@
 type answer struct {
 	id, word string
 	depth    int // 0 if absent
-	report   *calicohill.Report
+	report   *routing.Report
 	body     []byte
 }
 
@@ -108,8 +108,8 @@
 }
 
 // parseReport reads a load report, as in inflight:7;util:0.61.
-func parseReport(list string) (*calicohill.Report, error) {
-	r := &calicohill.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
+func parseReport(list string) (*routing.Report, error) {
+	r := &routing.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
 	known := map[string]*float64{
 		"inflight": &r.InFlight, "queue": &r.Queue, "util": &r.Util,
 		"x0": &r.MemoryHeld, "x1": &r.Loads,
--- a/internal/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 )
 
-var classes = []Class{{"consulta", calicohill.Safe}, {"registro-horas", calicohill.Keyed}, {"certificado", calicohill.Unsafe}}
+var classes = []Class{{"consulta", routing.Safe}, {"registro-horas", routing.Keyed}, {"certificado", routing.Unsafe}}
 
 func src(s string) Text { return Text{Place{"f", 1, 1}, s} }
 
@@ -202,7 +202,7 @@
 
 // No rule makes a request less strict about repeats, whatever it yields, nor keyed without a key.
 func TestSafety(t *testing.T) {
-	strict := map[string]calicohill.Effect{}
+	strict := map[string]routing.Effect{}
 	for _, c := range classes {
 		strict[c.Name] = c.Effect
 	}
@@ -233,7 +233,7 @@
 		if _, known := strict[got.Class]; !known || q.Class != "" && strict[got.Class] < strict[q.Class] {
 			t.Fatalf("asked for %q, got %q", q.Class, got.Class)
 		}
-		if strict[got.Class] == calicohill.Keyed && q.OnceKey == "" {
+		if strict[got.Class] == routing.Keyed && q.OnceKey == "" {
 			t.Fatalf("%q without a key", got.Class)
 		}
 	})
@@ -362,7 +362,7 @@
 
 // The operators' page has the schema as it is declared.
 func TestPage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/operators/matching.md")
+	page, err := os.ReadFile("../../../docs/operators/matching.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/match/table.go
+++ b/internal/rules/match/table.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"calicohill"
+	"calicohill/routing"
 
 	"github.com/expr-lang/expr/vm"
 )
@@ -51,7 +51,7 @@
 // Class is a class of the site.
 type Class struct {
 	Name   string
-	Effect calicohill.Effect
+	Effect routing.Effect
 }
 
 // Fault is what is wrong with a rule, or, as a warning, what seems to be.
@@ -436,7 +436,7 @@
 	if from, ok := t.classes[q.Class]; ok && to.Effect < from.Effect {
 		return fmt.Errorf("class %s is less strict about repeats than %s", to.Name, from.Name)
 	}
-	if to.Effect == calicohill.Keyed && q.OnceKey == "" {
+	if to.Effect == routing.Keyed && q.OnceKey == "" {
 		return fmt.Errorf("class %s needs an idempotency key", to.Name)
 	}
 	return nil
--- a/internal/pools/pools.go
+++ b/internal/rules/pools/pools.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/match"
+	"calicohill/internal/rules/match"
+	"calicohill/routing"
 )
 
 // Attributes is what a condition sees of a worker.
@@ -64,7 +64,7 @@
 // Saw is what the Router finds of a worker.
 type Saw struct {
 	Worker  string
-	Trouble calicohill.Trouble
+	Trouble routing.Trouble
 }
 
 func (Listed) event() {}
@@ -78,7 +78,7 @@
 type route struct {
 	pools []*pool
 	// levels are sets of workers, each with somebody usable but perhaps the first; each stands in for the one before.
-	levels []calicohill.Pool
+	levels []routing.Pool
 }
 
 type illness struct {
@@ -118,7 +118,7 @@
 		c.pools = append(c.pools, p)
 	}
 	for _, d := range routes {
-		r := &route{levels: make([]calicohill.Pool, max(1, len(d.Pools)))}
+		r := &route{levels: make([]routing.Pool, max(1, len(d.Pools)))}
 		for _, name := range d.Pools {
 			p := byName[name.Source]
 			if p == nil {
@@ -137,7 +137,7 @@
 }
 
 // Route is the live set of a route, one and the same as long as the Core is; nil where no pools are named for it.
-func (c *Core) Route(name string) *calicohill.Pool {
+func (c *Core) Route(name string) *routing.Pool {
 	if r := c.routes[name]; r != nil {
 		return &r.levels[0]
 	}
@@ -161,7 +161,7 @@
 	maps.DeleteFunc(c.ill, func(id string, i illness) bool { return now-i.at >= illFor || !c.ready[id] })
 	for _, r := range c.routes {
 		for i, live := range c.live(r) {
-			level, next := &r.levels[i], (*calicohill.Pool)(nil)
+			level, next := &r.levels[i], (*routing.Pool)(nil)
 			if i+1 < len(r.levels) && live.next {
 				next = &r.levels[i+1]
 			}
@@ -190,9 +190,9 @@
 
 func (c *Core) saw(now time.Duration, e Saw) {
 	switch e.Trouble {
-	case calicohill.Silent, calicohill.Unreachable:
+	case routing.Silent, routing.Unreachable:
 		i := c.ill[e.Worker]
-		if i.seen++; e.Trouble == calicohill.Unreachable {
+		if i.seen++; e.Trouble == routing.Unreachable {
 			i.seen = proofs
 		}
 		if i.at = now; len(c.ill) < maxIll {
@@ -236,8 +236,8 @@
 const stateServing, stateDraining = "serving", "draining"
 
 // State is a worker's state as conditions read it.
-func State(s calicohill.WorkerState) string {
-	if s == calicohill.Ready {
+func State(s routing.WorkerState) string {
+	if s == routing.Ready {
 		return stateServing
 	}
 	return stateDraining
--- a/internal/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/match"
+	"calicohill/internal/rules/match"
+	"calicohill/routing"
 
 	"pgregory.net/rapid"
 )
@@ -59,12 +59,12 @@
 	drain := slices.Clone(both)
 	drain[0].State = "draining"
 	step("f1 f2", Listed{both})
-	step("f1 f2", Saw{"f1", calicohill.Silent})                               // one proof is none
-	step("f1 f2", Saw{"f1", calicohill.Silent}, Saw{"f2", calicohill.Silent}) // the other is left
-	step("f1 f2 s1 s2", Saw{"f2", calicohill.Unreachable})                    // all ill: the next pool helps out, trials go on
-	step("f1 f2", Saw{"f2", calicohill.Well})
+	step("f1 f2", Saw{"f1", routing.Silent})                            // one proof is none
+	step("f1 f2", Saw{"f1", routing.Silent}, Saw{"f2", routing.Silent}) // the other is left
+	step("f1 f2 s1 s2", Saw{"f2", routing.Unreachable})                 // all ill: the next pool helps out, trials go on
+	step("f1 f2", Saw{"f2", routing.Well})
 	step("f1 f2", Listed{drain})
-	step("f1 f2 s1 s2", Saw{"f2", calicohill.Unreachable})
+	step("f1 f2 s1 s2", Saw{"f2", routing.Unreachable})
 	step("s1 s2", Listed{both[2:]}) // the pool has emptied
 	step("f1 f2", Listed{both})
 	if got := live(c, "any"); got != "f1 s1 s2 x" {
@@ -73,7 +73,7 @@
 	if next := c.Route("lane").Next; next == nil || strings.Join(slices.Sorted(maps.Keys(next.Workers)), " ") != "s1 s2" || next.Next != nil {
 		t.Errorf("what stands in: %+v", next)
 	}
-	if step("f1 f2", Saw{"s1", calicohill.Unreachable}, Saw{"s2", calicohill.Unreachable}); c.Route("lane").Next != nil {
+	if step("f1 f2", Saw{"s1", routing.Unreachable}, Saw{"s2", routing.Unreachable}); c.Route("lane").Next != nil {
 		t.Error("a pool of ill workers stands in")
 	}
 	if c.Route("none") != nil {
@@ -111,7 +111,7 @@
 				c.Step(now, []Event{Listed{list}})
 			default:
 				id := both[rapid.IntRange(0, len(both)-1).Draw(t, "worker")].ID
-				c.Step(now, []Event{Saw{id, calicohill.Trouble(rapid.IntRange(0, 4).Draw(t, "trouble"))}})
+				c.Step(now, []Event{Saw{id, routing.Trouble(rapid.IntRange(0, 4).Draw(t, "trouble"))}})
 			}
 			set, some, any := c.Route("lane").Workers, false, false
 			for id := range set {
--- a/internal/buffer/buffer.go
+++ b/internal/runtime/bufferpool/buffer.go
@@ -1,5 +1,5 @@
-// Package buffer lends byte buffers of one size and takes them back for reuse.
-package buffer
+// Package bufferpool lends byte buffers of one size and takes them back for reuse.
+package bufferpool
 
 // Size is the capacity of every buffer: the largest body that a request may have.
 const Size = 16 << 10
--- a/internal/loop/loop.go
+++ b/internal/runtime/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package loop runs the program's one event loop on gnet. Everything that holds state is called on it, so that
+// Package eventloop runs the program's one event loop on gnet. Everything that holds state is called on it, so that
 // nothing needs a lock: connections, deadlines, and what other goroutines post.
-package loop
+package eventloop
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"net"
 	"time"
 
-	"calicohill/internal/deadline"
+	"calicohill/internal/runtime/deadline"
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/panjf2000/gnet/v2/pkg/logging"
--- a/internal/logs/logs.go
+++ b/internal/runtime/logging/logs.go
@@ -1,13 +1,13 @@
-// Package logs writes the program's log: lines of logrus, each with the part of the program that wrote it, at
+// Package logging writes the program's log: lines of logrus, each with the part of the program that wrote it, at
 // levels that can be changed while it runs.
-package logs
+package logging
 
 import (
 	"fmt"
 	"io"
 	"time"
 
-	"calicohill/internal/operator"
+	"calicohill/internal/config/operatorfile"
 
 	"github.com/sirupsen/logrus"
 )
@@ -20,9 +20,9 @@
 }
 
 // New returns loggers for operator.Parts that write to one place.
-func New(out io.Writer, settings operator.Log) (*Set, error) {
+func New(out io.Writer, settings operatorfile.Log) (*Set, error) {
 	s := &Set{parts: map[string]*logrus.Logger{}}
-	for _, name := range operator.Parts {
+	for _, name := range operatorfile.Parts {
 		l := logrus.New()
 		l.SetOutput(out)
 		s.parts[name] = l
@@ -31,7 +31,7 @@
 }
 
 // Apply changes the form and the levels of all parts.
-func (s *Set) Apply(settings operator.Log) error {
+func (s *Set) Apply(settings operatorfile.Log) error {
 	var format logrus.Formatter = &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timeFormat}
 	if settings.JSON {
 		format = &logrus.JSONFormatter{TimestampFormat: timeFormat}
--- a/internal/slot/slot.go
+++ b/internal/runtime/slotmap/slot.go
@@ -1,6 +1,6 @@
-// Package slot keeps things in numbered slots that are used again. A number carries its slot's generation, so
+// Package slotmap keeps things in numbered slots that are used again. A number carries its slot's generation, so
 // that one kept past the end of what it stood for finds nothing rather than the slot's next owner.
-package slot
+package slotmap
 
 // Ref names what a Table holds. The zero Ref names nothing.
 type Ref uint64
--- a/internal/slot/slot_test.go
+++ b/internal/runtime/slotmap/slot_test.go
@@ -1,11 +1,11 @@
-package slot_test
+package slotmap_test
 
 import (
 	"maps"
 	"slices"
 	"testing"
 
-	"calicohill/internal/slot"
+	"calicohill/internal/runtime/slotmap"
 
 	"pgregory.net/rapid"
 )
@@ -13,8 +13,8 @@
 // A number kept past the end of what it stood for finds nothing, however often its slot was used again.
 func TestStaleRefs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var table slot.Table[int]
-		held, stale := map[slot.Ref]int{}, []slot.Ref{0}
+		var table slotmap.Table[int]
+		held, stale := map[slotmap.Ref]int{}, []slotmap.Ref{0}
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(held) == 0 || rapid.Bool().Draw(t, "put") {
 				r := table.Put(i)
--- a/internal/wire/fuzz_test.go
+++ b/internal/simwire/fuzz_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 // FuzzDecoder feeds the decoder any bytes: it gives batches, the end, or an error that names the line.
 func FuzzDecoder(f *testing.F) {
-	recorded, err := os.ReadFile("../../cmd/drill/testdata/batches.txt")
+	recorded, err := os.ReadFile("../../cmd/simadapter/testdata/batches.txt")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the lines of the bench's wire. It translates them to the events and actions
+// Package simwire reads and writes the lines of the bench's wire. It translates them to the events and actions
 // of package calicohill and back, and decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -13,14 +13,14 @@
 	"strings"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/settings"
+	"calicohill/internal/config/deployment"
+	"calicohill/routing"
 )
 
 // Start is the settings of an instance that begins its life.
 type Start struct {
 	Seed     uint64
-	Settings calicohill.Settings
+	Settings routing.Settings
 }
 
 // Item is one event of a batch. Exactly one of Start, Stop and Event is set.
@@ -28,7 +28,7 @@
 	Instance int
 	Start    *Start
 	Stop     bool
-	Event    calicohill.Event
+	Event    routing.Event
 }
 
 // Batch is everything that happens at one moment.
@@ -143,7 +143,7 @@
 		if f.err != nil {
 			return it, f.err
 		}
-		s, err := settings.Parse([]byte(text))
+		s, err := deployment.Parse([]byte(text))
 		it.Start = &Start{Seed: seed, Settings: s.Settings}
 		return it, err
 	case "shutdown":
@@ -151,42 +151,42 @@
 	case "view":
 		return d.view(f)
 	case "call":
-		r := calicohill.Request{ID: f.text(), Class: f.integer(), Tenant: f.optInteger(0), Function: f.text()}
+		r := routing.Request{ID: f.text(), Class: f.integer(), Tenant: f.optInteger(0), Function: f.text()}
 		r.TimeLeft, r.Work = f.millis(), f.optMillis()
 		r.Memory, r.Lanes, r.LoadTime = f.optNumber(0), f.optInteger(0), f.optMillis()
 		r.Repeat = f.optInteger(0)&2 != 0
 		it.Event = r
 	case "first":
-		it.Event = calicohill.StreamStart{ID: f.text(), Attempt: f.integer(), Worker: f.text(), Latency: f.millis()}
+		it.Event = routing.StreamStart{ID: f.text(), Attempt: f.integer(), Worker: f.text(), Latency: f.millis()}
 	case "outcome":
-		e := calicohill.AttemptEnd{ID: f.text(), Closed: f.boolean(), Company: -1}
+		e := routing.AttemptEnd{ID: f.text(), Closed: f.boolean(), Company: -1}
 		info := f.optInteger(0)
 		e.Latency, e.Worker, e.Attempt = f.optMillis(), f.text(), f.integer()
 		e.Outcome, e.Report = f.outcome(), f.report()
 		if info < 0 {
 			f.fail("info: negative")
 		}
-		if w := calicohill.Warmth(info % 8); w <= calicohill.LoadFailed {
+		if w := routing.Warmth(info % 8); w <= routing.LoadFailed {
 			e.Warmth = w
 		}
-		if e.Outcome == calicohill.Served || e.Outcome == calicohill.Shed {
+		if e.Outcome == routing.Served || e.Outcome == routing.Shed {
 			e.Company = info / 8
 		}
 		it.Event = e
 	case "expired":
-		it.Event = calicohill.Abandoned{ID: f.text()}
+		it.Event = routing.Abandoned{ID: f.text()}
 	case "reminder":
-		it.Event = calicohill.TimerFired{Token: f.unsigned()}
+		it.Event = routing.TimerFired{Token: f.unsigned()}
 	case "sampled":
-		e := calicohill.ProbeEnd{Outcome: f.outcome(), Worker: f.text()}
+		e := routing.ProbeEnd{Outcome: f.outcome(), Worker: f.text()}
 		e.Latency, e.Report = f.optMillis(), f.report()
 		it.Event = e
 	case "brought_up":
-		e := calicohill.LoadEnd{Worker: f.text(), Latency: f.optMillis(), Copies: f.optInteger(0)}
+		e := routing.LoadEnd{Worker: f.text(), Latency: f.optMillis(), Copies: f.optInteger(0)}
 		e.Function, e.Outcome = f.text(), f.outcome()
 		it.Event = e
 	case "datagram":
-		e := calicohill.PeerMessage{From: f.integer()}
+		e := routing.PeerMessage{From: f.integer()}
 		if t := f.text(); t != "-" {
 			data, err := hex.DecodeString(t)
 			if err != nil {
@@ -206,7 +206,7 @@
 	kind := f.integer()
 	f.integer() // the list's version
 	n := f.integer()
-	if kind < 0 || kind > int(calicohill.ListFailed) {
+	if kind < 0 || kind > int(routing.ListFailed) {
 		f.fail(fmt.Sprintf("form %d: expected 0 to 3", kind))
 	}
 	if n < 0 {
@@ -215,7 +215,7 @@
 	if err := f.end(); err != nil {
 		return Item{}, err
 	}
-	list := calicohill.WorkerList{Kind: calicohill.ListKind(kind)}
+	list := routing.WorkerList{Kind: routing.ListKind(kind)}
 	for range n {
 		text, err := d.read()
 		if err != nil {
@@ -225,11 +225,11 @@
 		if m.name != "m" {
 			m.fail("expected a list entry m")
 		}
-		w := calicohill.Worker{Weight: m.optNumber(1)}
+		w := routing.Worker{Weight: m.optNumber(1)}
 		state := m.integer()
 		w.ID, w.Kind, w.Zone, w.Cell = m.text(), m.optInteger(0), m.optInteger(0), m.optInteger(0)
-		w.State, w.Started = calicohill.WorkerState(state), m.optMillis()
-		if state < 0 || state > int(calicohill.Draining) {
+		w.State, w.Started = routing.WorkerState(state), m.optMillis()
+		if state < 0 || state > int(routing.Draining) {
 			m.fail(fmt.Sprintf("readiness %d: expected 0 to 2", state))
 		}
 		if err := m.end(); err != nil {
@@ -348,13 +348,13 @@
 	return v == "1"
 }
 
-var outcomes = map[string]calicohill.Outcome{
-	"delivered": calicohill.Served, "app_error": calicohill.Errored, "shed": calicohill.Shed,
-	"expired": calicohill.TimedOut, "dial_failed": calicohill.Unreached, "dropped": calicohill.Reset,
-	"revoked": calicohill.Cancelled, "unused": calicohill.Unsent, "empty": calicohill.NotLoaded,
+var outcomes = map[string]routing.Outcome{
+	"delivered": routing.Served, "app_error": routing.Errored, "shed": routing.Shed,
+	"expired": routing.TimedOut, "dial_failed": routing.Unreached, "dropped": routing.Reset,
+	"revoked": routing.Cancelled, "unused": routing.Unsent, "empty": routing.NotLoaded,
 }
 
-func (f *fields) outcome() calicohill.Outcome {
+func (f *fields) outcome() routing.Outcome {
 	v := f.next()
 	o, ok := outcomes[v]
 	if !ok {
@@ -363,12 +363,12 @@
 	return o
 }
 
-func (f *fields) report() *calicohill.Report {
+func (f *fields) report() *routing.Report {
 	v := f.next()
 	if v == "-" || v == "" {
 		return nil
 	}
-	r := &calicohill.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
+	r := &routing.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
 	for pair := range strings.SplitSeq(v, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
@@ -414,31 +414,31 @@
 }
 
 // Action writes one action.
-func (e *Encoder) Action(a calicohill.Action) error {
+func (e *Encoder) Action(a routing.Action) error {
 	switch a := a.(type) {
-	case calicohill.Send:
+	case routing.Send:
 		e.line("try", a.ID, millis(a.Timeout), a.Worker)
-	case calicohill.Cancel:
+	case routing.Cancel:
 		e.line("recall", a.ID, strconv.Itoa(a.Attempt))
-	case calicohill.Refuse:
+	case routing.Refuse:
 		e.line("say_no", a.ID, millis(a.RetryAfter))
-	case calicohill.Fail:
+	case routing.Fail:
 		e.line("surrender", a.ID)
-	case calicohill.SetTimer:
+	case routing.SetTimer:
 		e.line("arm", millis(a.After), strconv.FormatUint(a.Token, 10))
-	case calicohill.Probe:
+	case routing.Probe:
 		e.line("ping", a.Worker)
-	case calicohill.Load:
+	case routing.Load:
 		e.line("pin_up", a.Worker, a.Function, strconv.Itoa(a.Copies))
-	case calicohill.Unload:
+	case routing.Unload:
 		e.line("unmount", a.Worker, a.Function)
-	case calicohill.Subscribe:
+	case routing.Subscribe:
 		on := "0"
 		if a.On {
 			on = "1"
 		}
 		e.line("observe", on)
-	case calicohill.FetchList:
+	case routing.FetchList:
 		e.line("resolve")
 	default:
 		return fmt.Errorf("wire: no message for action %T", a)
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 )
 
 const ms = time.Millisecond
@@ -17,42 +17,42 @@
 func TestDecode(t *testing.T) {
 	for _, c := range []struct {
 		line string
-		want calicohill.Event
+		want routing.Event
 	}{
-		{"call\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3", calicohill.Request{
+		{"call\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3", routing.Request{
 			ID: "t/a", Function: "m-f",
 			TimeLeft: 240*ms + 500*time.Microsecond, Memory: 384, Lanes: 2, LoadTime: 900 * ms, Repeat: true,
 		}},
-		{"first\tt/a\t1\tworker-x\t9.25", calicohill.StreamStart{
+		{"first\tt/a\t1\tworker-x\t9.25", routing.StreamStart{
 			ID: "t/a", Attempt: 1, Worker: "worker-x",
 			Latency: 9250 * time.Microsecond,
 		}},
 		{
 			"outcome\tt/a\t1\t17\t18.5\tworker-x\t0\tdelivered\tinflight:3,x1:1.5,new:9",
-			calicohill.AttemptEnd{
-				ID: "t/a", Closed: true, Warmth: calicohill.FoundWarm, Company: 2,
-				Latency: 18500 * time.Microsecond, Worker: "worker-x", Outcome: calicohill.Served,
-				Report: &calicohill.Report{InFlight: 3, Queue: -1, Util: -1, MemoryHeld: -1, Loads: 1.5},
+			routing.AttemptEnd{
+				ID: "t/a", Closed: true, Warmth: routing.FoundWarm, Company: 2,
+				Latency: 18500 * time.Microsecond, Worker: "worker-x", Outcome: routing.Served,
+				Report: &routing.Report{InFlight: 3, Queue: -1, Util: -1, MemoryHeld: -1, Loads: 1.5},
 			},
 		},
-		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", calicohill.AttemptEnd{
+		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", routing.AttemptEnd{
 			ID: "t/a", Attempt: 2,
-			Warmth: calicohill.LoadFailed, Company: -1, Latency: 18 * ms, Worker: "worker-x",
-			Outcome: calicohill.NotLoaded,
+			Warmth: routing.LoadFailed, Company: -1, Latency: 18 * ms, Worker: "worker-x",
+			Outcome: routing.NotLoaded,
 		}},
-		{"expired\tt/a", calicohill.Abandoned{ID: "t/a"}},
-		{"reminder\t9223372036854775808", calicohill.TimerFired{Token: 1 << 63}},
-		{"sampled\tdelivered\tworker-x\t1.5\t-", calicohill.ProbeEnd{Worker: "worker-x", Latency: 1500 * time.Microsecond}},
-		{"brought_up\tworker-x\t640\t1\tm-f\tshed", calicohill.LoadEnd{
+		{"expired\tt/a", routing.Abandoned{ID: "t/a"}},
+		{"reminder\t9223372036854775808", routing.TimerFired{Token: 1 << 63}},
+		{"sampled\tdelivered\tworker-x\t1.5\t-", routing.ProbeEnd{Worker: "worker-x", Latency: 1500 * time.Microsecond}},
+		{"brought_up\tworker-x\t640\t1\tm-f\tshed", routing.LoadEnd{
 			Worker: "worker-x", Latency: 640 * ms,
-			Copies: 1, Function: "m-f", Outcome: calicohill.Shed,
+			Copies: 1, Function: "m-f", Outcome: routing.Shed,
 		}},
-		{"datagram\t2\t6869", calicohill.PeerMessage{From: 2, Data: []byte("hi")}},
+		{"datagram\t2\t6869", routing.PeerMessage{From: 2, Data: []byte("hi")}},
 		{
 			"view\t0\t3\t2\nm\t1.5\t1\tworker-x\t1\t2\t3\t6100\nm\t1\t0\tworker-y\t0\t0\t0\t-",
-			calicohill.WorkerList{Workers: []calicohill.Worker{
-				{ID: "worker-x", State: calicohill.Ready, Weight: 1.5, Kind: 1, Zone: 2, Cell: 3, Started: 6100 * ms},
-				{ID: "worker-y", State: calicohill.Gone, Weight: 1},
+			routing.WorkerList{Workers: []routing.Worker{
+				{ID: "worker-x", State: routing.Ready, Weight: 1.5, Kind: 1, Zone: 2, Cell: 3, Started: 6100 * ms},
+				{ID: "worker-y", State: routing.Gone, Weight: 1},
 			}},
 		},
 	} {
@@ -72,17 +72,17 @@
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.Instance(3)
-	for _, a := range []calicohill.Action{
-		calicohill.Send{ID: "t/a", Worker: "w", Timeout: 80*ms + 500*time.Microsecond},
-		calicohill.Cancel{ID: "t/a", Attempt: 1},
-		calicohill.Refuse{ID: "t/a", RetryAfter: 250 * ms},
-		calicohill.Fail{ID: "t/a"},
-		calicohill.SetTimer{After: 500 * ms, Token: 77},
-		calicohill.Probe{Worker: "w"},
-		calicohill.Load{Worker: "w", Function: "f", Copies: 2},
-		calicohill.Unload{Worker: "w", Function: "f"},
-		calicohill.Subscribe{On: true},
-		calicohill.FetchList{},
+	for _, a := range []routing.Action{
+		routing.Send{ID: "t/a", Worker: "w", Timeout: 80*ms + 500*time.Microsecond},
+		routing.Cancel{ID: "t/a", Attempt: 1},
+		routing.Refuse{ID: "t/a", RetryAfter: 250 * ms},
+		routing.Fail{ID: "t/a"},
+		routing.SetTimer{After: 500 * ms, Token: 77},
+		routing.Probe{Worker: "w"},
+		routing.Load{Worker: "w", Function: "f", Copies: 2},
+		routing.Unload{Worker: "w", Function: "f"},
+		routing.Subscribe{On: true},
+		routing.FetchList{},
 	} {
 		if err := e.Action(a); err != nil {
 			t.Fatal(err)
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -79,22 +79,22 @@
 
 // goldenRecord returns the endpoint list and the learned state that the golden files hold.
 func goldenRecord() Record {
-	return Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: calicohill.Memory{
+	return Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: routing.Memory{
 		At:        goldenTime - 250*time.Millisecond,
 		Calls:     1234.5678,
 		PerWeight: 17.25,
 		Press:     0.1,
-		Functions: []calicohill.FunctionMemory{
+		Functions: []routing.FunctionMemory{
 			{
 				Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
-				Copies: []calicohill.CopyMemory{
+				Copies: []routing.CopyMemory{
 					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
 					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
 				},
 			},
 			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
 		},
-		Workers: []calicohill.WorkerMemory{
+		Workers: []routing.WorkerMemory{
 			{ID: "w-1", Started: 1_789_990_000 * time.Second, Press: -0.5, Pace: 0.3333333333333333},
 			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, Press: 2, Pace: 0},
 		},
@@ -138,7 +138,7 @@
 		recordGolden(t, name, append(content, body...))
 	}
 	want := goldenRecord()
-	want.Memory = calicohill.Memory{}
+	want.Memory = routing.Memory{}
 	got, err := Open(readGolden(t, name), goldenFleet, goldenTime, goldenAge)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -10,7 +10,7 @@
 	"hash/crc32"
 	"time"
 
-	"calicohill"
+	"calicohill/routing"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -26,7 +26,7 @@
 	At    time.Duration `cbor:"3,keyasint"` // Unix time of its making
 	Feed  []byte        `cbor:"4,keyasint"` // the whole list, in the form of an answer of the list service
 
-	Memory calicohill.Memory `cbor:"5,keyasint"` // empty in records of earlier builds
+	Memory routing.Memory `cbor:"5,keyasint"` // empty in records of earlier builds
 }
 
 // The ways in which a record does not count.
--- a/internal/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -10,9 +10,9 @@
 	"path/filepath"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/deadline"
+	"calicohill/internal/runtime/deadline"
 	"calicohill/internal/snapshot"
+	"calicohill/routing"
 
 	"github.com/sirupsen/logrus"
 )
@@ -30,13 +30,13 @@
 	loop        Loop
 	log         logrus.FieldLogger
 	list        func() (no int, feed func() ([]byte, error)) // feed is called off the loop
-	memory      func() calicohill.Memory
+	memory      func() routing.Memory
 	keeper      snapshot.Keeper
 	wake        deadline.Entry
 }
 
 // New returns a File that keeps what list and memory give, which are called on the loop.
-func New(l Loop, path, fleet string, list func() (int, func() ([]byte, error)), memory func() calicohill.Memory,
+func New(l Loop, path, fleet string, list func() (int, func() ([]byte, error)), memory func() routing.Memory,
 	log logrus.FieldLogger,
 ) *File {
 	f := &File{path: path, fleet: fleet, loop: l, list: list, memory: memory, log: log}
--- a/internal/snapshotfile/golden_test.go
+++ b/internal/snapshot/snapshotfile/golden_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/bulletin"
+	"calicohill/internal/discovery"
 	"calicohill/internal/snapshot"
+	"calicohill/routing"
 )
 
 // record has the golden files of this package written. They were made by the version before the renames of the
@@ -65,22 +65,22 @@
 
 // goldenRecord returns the endpoint list and the learned state that the golden files hold.
 func goldenRecord() snapshot.Record {
-	return snapshot.Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: calicohill.Memory{
+	return snapshot.Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: routing.Memory{
 		At:        goldenTime - 250*time.Millisecond,
 		Calls:     1234.5678,
 		PerWeight: 17.25,
 		Press:     0.1,
-		Functions: []calicohill.FunctionMemory{
+		Functions: []routing.FunctionMemory{
 			{
 				Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
-				Copies: []calicohill.CopyMemory{
+				Copies: []routing.CopyMemory{
 					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
 					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
 				},
 			},
 			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
 		},
-		Workers: []calicohill.WorkerMemory{
+		Workers: []routing.WorkerMemory{
 			{ID: "w-1", Started: 1_789_990_000 * time.Second, Press: -0.5, Pace: 0.3333333333333333},
 			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, Press: 2, Pace: 0},
 		},
@@ -140,7 +140,7 @@
 	if want := goldenRecord(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
 	}
-	if err := bulletin.Check(got.Feed, []string{"az-a", "az-b"}, []string{"m5", "m6"}); err != nil {
+	if err := discovery.Check(got.Feed, []string{"az-a", "az-b"}, []string{"m5", "m6"}); err != nil {
 		t.Errorf("the list in it: %v", err)
 	}
 }
--- a/internal/bucket/bucket.go
+++ b/internal/stats/ratelimit/bucket.go
@@ -1,5 +1,5 @@
-// Package bucket is a token bucket without a clock.
-package bucket
+// Package ratelimit is a token bucket without a clock.
+package ratelimit
 
 import "time"
 
--- a/internal/bucket/bucket_test.go
+++ b/internal/stats/ratelimit/bucket_test.go
@@ -1,4 +1,4 @@
-package bucket
+package ratelimit
 
 import (
 	"testing"
--- a/internal/bucket/ration.go
+++ b/internal/stats/ratelimit/ration.go
@@ -1,9 +1,9 @@
-package bucket
+package ratelimit
 
 import (
 	"time"
 
-	"calicohill/internal/decay"
+	"calicohill/internal/stats/decay"
 )
 
 // Ration lets so many things be done in a window of time: some whatever happens, and more for each thing that came in.
--- a/internal/lab/asks.go
+++ b/internal/testbed/asks.go
@@ -1,11 +1,11 @@
-package lab
+package testbed
 
 import (
 	"slices"
 	"time"
 
-	"calicohill/internal/deadline"
-	"calicohill/internal/polling"
+	"calicohill/internal/discovery/pollplan"
+	"calicohill/internal/runtime/deadline"
 )
 
 // Asks is a fleet of schedulers before a list service, in virtual time: the cores that decide when to ask, and
@@ -25,7 +25,7 @@
 	Knows int             // number of its last event
 	Told  time.Duration   // when it had that
 	Polls []time.Duration // asks that it sent
-	core  *polling.Core
+	core  *pollplan.Core
 	fleet *Asks
 	wake  deadline.Entry
 	conns map[int]*Inquiry // nil where nothing is asked
@@ -39,13 +39,13 @@
 	f := &Asks{Now: time.Hour, Desk: Desk{Mood: Well, Number: 1}}
 	f.look.Fire = f.answer
 	for i := range schedulers {
-		n := &Asker{fleet: f, core: polling.New(schedulers, grace, seed<<20+uint64(i)), conns: map[int]*Inquiry{}}
+		n := &Asker{fleet: f, core: pollplan.New(schedulers, grace, seed<<20+uint64(i)), conns: map[int]*Inquiry{}}
 		n.wake.Fire = func() { n.step() }
 		f.Nodes = append(f.Nodes, n)
 		if listed {
 			n.Knows = 1
 		}
-		f.After(0, func() { n.step(polling.Begun{Listed: listed}) })
+		f.After(0, func() { n.step(pollplan.Begun{Listed: listed}) })
 	}
 	return f
 }
@@ -81,7 +81,7 @@
 	for _, n := range f.Nodes {
 		for c := range n.conns {
 			delete(n.conns, c)
-			f.After(trip, func() { n.step(polling.Failed{Conn: c}) })
+			f.After(trip, func() { n.step(pollplan.Failed{Conn: c}) })
 		}
 	}
 }
@@ -114,34 +114,34 @@
 		switch {
 		case mood == Busy:
 			delete(n.conns, conn)
-			n.step(polling.Failed{Conn: conn, After: 2 * time.Second})
+			n.step(pollplan.Failed{Conn: conn, After: 2 * time.Second})
 		case mood == Torn && news:
 			delete(n.conns, conn)
-			n.step(polling.Failed{Conn: conn})
+			n.step(pollplan.Failed{Conn: conn})
 		default:
 			if news {
 				n.Knows, n.Told = number, f.Now
 			}
-			n.step(polling.Answered{Conn: conn, News: news})
+			n.step(pollplan.Answered{Conn: conn, News: news})
 		}
 	})
 }
 
-func (n *Asker) step(events ...polling.Event) {
+func (n *Asker) step(events ...pollplan.Event) {
 	f := n.fleet
 	for _, a := range slices.Clone(n.core.Step(f.Now, events...)) {
 		switch a := a.(type) {
-		case polling.Dial:
+		case pollplan.Dial:
 			f.After(trip, func() {
 				if f.Desk.Mood == Refuse {
-					n.step(polling.Failed{Conn: a.Conn})
+					n.step(pollplan.Failed{Conn: a.Conn})
 					return
 				}
 				f.Dials = append(f.Dials, f.Now)
 				n.conns[a.Conn] = nil
-				n.step(polling.Up(a))
+				n.step(pollplan.Up(a))
 			})
-		case polling.Ask:
+		case pollplan.Ask:
 			n.Polls = append(n.Polls, f.Now)
 			q := &Inquiry{After: n.Knows, Till: f.Now + trip + a.Patience, Answer: func() {
 				n.conns[a.Conn] = nil
@@ -155,7 +155,7 @@
 					f.answer()
 				}
 			})
-		case polling.Close:
+		case pollplan.Close:
 			if q := n.conns[a.Conn]; q != nil {
 				f.Desk.Drop(q)
 			}
--- a/internal/lab/fleet.go
+++ b/internal/testbed/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"calicohill/internal/fleetkey"
+	"calicohill/internal/fleet/pki"
 )
 
 // platform is a platform's settings as a fleet of the laboratory has them.
@@ -44,7 +44,7 @@
 	Dir       string   // for files; the caller's to remove
 	Instances []*Instance
 	Workers   []*Worker
-	Authority *fleetkey.Authority
+	Authority *pki.Authority
 	Sharing   bool
 	Hubbed    bool // schedulers reach one another over ways that scenarios change
 	Keep      bool // schedulers keep their list and what they learned over a restart
@@ -153,10 +153,10 @@
 func (f *Fleet) Prepare(instances, workers int) error {
 	f.List, f.Store = NewListService(), newStore()
 	var err error
-	if f.Authority, err = fleetkey.NewAuthority("lab", time.Now().Add(-time.Hour), 24*time.Hour); err != nil {
+	if f.Authority, err = pki.NewAuthority("lab", time.Now().Add(-time.Hour), 24*time.Hour); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(f.Dir, "fleet.crt"), fleetkey.EncodeCert(f.Authority.Cert), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(f.Dir, "fleet.crt"), pki.EncodeCert(f.Authority.Cert), 0o600); err != nil {
 		return err
 	}
 	f.leaving, f.links = map[*Worker]left{}, map[linked]*Link{}
@@ -333,7 +333,7 @@
 }
 
 // NewKey gives an instance a key of an authority.
-func (in *Instance) NewKey(a *fleetkey.Authority) error {
+func (in *Instance) NewKey(a *pki.Authority) error {
 	m, err := a.Issue(in.Name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
 		return err
@@ -342,7 +342,7 @@
 	if err := os.Remove(in.Key); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	return fleetkey.WriteFile(in.Key, m.Key, m.Cert)
+	return pki.WriteFile(in.Key, m.Key, m.Cert)
 }
 
 // Operator is the operator's file of an instance, with more lines of the section gossip.
--- a/internal/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/gossip"
+	"calicohill/internal/fleet/gossip"
 
 	"pgregory.net/rapid"
 )
--- a/internal/gossipsim/sim.go
+++ b/internal/testbed/gossipsim/sim.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"calicohill/internal/gossip"
+	"calicohill/internal/fleet/gossip"
 )
 
 // Node is one member.
--- a/internal/lab/hostile.go
+++ b/internal/testbed/hostile.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"crypto/rand"
@@ -9,10 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/fleetkey"
-	"calicohill/internal/gossip"
-	"calicohill/internal/suspicion"
+	"calicohill/internal/fleet/faultreport"
+	"calicohill/internal/fleet/gossip"
+	"calicohill/internal/fleet/pki"
+	"calicohill/routing"
 )
 
 // Hostile is a member of the fleet that lies: it has a good key, answers pings as anybody, and says of workers
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	trust, err := fleetkey.NewTrust("lab", 5*time.Second, []*x509.Certificate{f.Authority.Cert}, nil)
+	trust, err := pki.NewTrust("lab", 5*time.Second, []*x509.Certificate{f.Authority.Cert}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -115,11 +115,11 @@
 		case <-tick.C:
 			if list := h.accuse.Load(); list != nil && time.Since(said) > 300*time.Millisecond {
 				said = time.Now()
-				var lies []suspicion.Accusation
-				for _, w := range (*list)[:min(len(*list), suspicion.MaxAccusations)] {
-					lies = append(lies, suspicion.Accusation{Worker: w, Trouble: calicohill.Silent, First: 3000, Attempts: 5})
+				var lies []faultreport.Accusation
+				for _, w := range (*list)[:min(len(*list), faultreport.MaxAccusations)] {
+					lies = append(lies, faultreport.Accusation{Worker: w, Trouble: routing.Silent, First: 3000, Attempts: 5})
 				}
-				if body, err := suspicion.Encode(lies); err == nil {
+				if body, err := faultreport.Encode(lies); err == nil {
 					seq++
 					s := h.guard.State(seq, time.Now(), body)
 					events = append(events, gossip.Say{Statement: s})
--- a/internal/lab/load.go
+++ b/internal/testbed/load.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"calicohill/internal/fastcgi"
+	"calicohill/internal/frontend/fastcgi"
 )
 
 // Load is what a front offers.
--- a/internal/lab/match.go
+++ b/internal/testbed/match.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/fastcgi"
-	"calicohill/internal/match"
+	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/rules/match"
+	"calicohill/routing"
 )
 
 // MatchDay measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
@@ -105,7 +105,7 @@
 // Run measures.
 func (d MatchDay) Run(ctx context.Context) (MatchResult, error) {
 	r := MatchResult{Rules: d.Rules, Rate: d.Rate, Hostile: d.Hostile}
-	classes := []match.Class{{Name: "consulta", Effect: calicohill.Safe}}
+	classes := []match.Class{{Name: "consulta", Effect: routing.Safe}}
 	medians := map[int]float64{}
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
 		began := time.Now()
--- a/internal/lab/scenario.go
+++ b/internal/testbed/scenario.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"errors"
--- a/internal/lab/shoal.go
+++ b/internal/testbed/shoal.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"calicohill"
-	"calicohill/internal/deadline"
-	"calicohill/internal/settings"
+	"calicohill/internal/config/deployment"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/routing"
 )
 
 // VirtualDay is schedulers before workers in virtual time: the Routers, and nothing else of a scheduler.
@@ -66,7 +66,7 @@
 type swimmer struct {
 	*shoal
 	n      int
-	router *calicohill.Router
+	router *routing.Router
 	life   int
 	open   map[string]*errand
 }
@@ -88,7 +88,7 @@
 		now: time.Hour, began: time.Hour, workers: map[string]*vessel{}, body: Bodies[d.Body], course: &c,
 		asked: make([]int, d.Seconds+1), served: make([]int, d.Seconds+1),
 	}
-	list := calicohill.WorkerList{Kind: calicohill.ListFull}
+	list := routing.WorkerList{Kind: routing.ListFull}
 	for i := range d.Workers {
 		w := &vessel{loaded: map[string]time.Duration{}, held: map[string][]time.Duration{}, lanes: make([]time.Duration, f.body.Lanes), used: map[int]time.Duration{}}
 		if d.Cold {
@@ -96,9 +96,9 @@
 		}
 		id := fmt.Sprintf("w%03d", i)
 		f.workers[id] = w
-		list.Workers = append(list.Workers, calicohill.Worker{ID: id, State: calicohill.Ready, Weight: 1, Started: w.born})
+		list.Workers = append(list.Workers, routing.Worker{ID: id, State: routing.Ready, Weight: 1, Started: w.born})
 	}
-	site, err := settings.Parse(fmt.Appendf(nil, platform, d.Schedulers, 0))
+	site, err := deployment.Parse(fmt.Appendf(nil, platform, d.Schedulers, 0))
 	if err != nil {
 		return c, err
 	}
@@ -112,7 +112,7 @@
 		s := &swimmer{shoal: f, n: i}
 		all = append(all, s)
 		start := func() {
-			router, failed := calicohill.New(site.Settings, d.Seed<<20+uint64(i)<<1+uint64(s.life))
+			router, failed := routing.New(site.Settings, d.Seed<<20+uint64(i)<<1+uint64(s.life))
 			s.life++
 			s.router, s.open, err = router, map[string]*errand{}, failed
 			s.step(list)
@@ -181,13 +181,13 @@
 		id := fmt.Sprintf("%d-%d", s.n, n)
 		s.open[id] = &errand{function: function, at: s.now}
 		s.asked[s.second(s.now)]++
-		s.step(calicohill.Request{ID: id, Class: class, Function: function, TimeLeft: 2 * time.Second, Lanes: 4})
+		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: 2 * time.Second, Lanes: 4})
 		s.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	s.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
 }
 
-func (s *swimmer) step(events ...calicohill.Event) {
+func (s *swimmer) step(events ...routing.Event) {
 	life := s.life
 	later := func(d time.Duration, do func()) {
 		s.after(d, func() {
@@ -198,34 +198,34 @@
 	}
 	for _, a := range s.router.Step(s.now, events) {
 		switch a := a.(type) {
-		case calicohill.SetTimer:
+		case routing.SetTimer:
 			wait := a.After
 			if len(s.open) == 0 { // there is nothing that it could find
 				wait *= 10
 			}
-			later(wait, func() { s.step(calicohill.TimerFired{Token: a.Token}) })
-		case calicohill.Refuse:
+			later(wait, func() { s.step(routing.TimerFired{Token: a.Token}) })
+		case routing.Refuse:
 			s.course.Refused++
 			delete(s.open, a.ID)
-		case calicohill.Fail:
+		case routing.Fail:
 			delete(s.open, a.ID)
-		case calicohill.Cancel:
-			later(0, func() { s.ended(a.ID, a.Attempt, calicohill.AttemptEnd{Outcome: calicohill.Cancelled}) })
-		case calicohill.Send:
+		case routing.Cancel:
+			later(0, func() { s.ended(a.ID, a.Attempt, routing.AttemptEnd{Outcome: routing.Cancelled}) })
+		case routing.Send:
 			q := s.open[a.ID]
 			n := len(q.attempts)
 			q.attempts = append(q.attempts, true)
 			w := s.workers[a.Worker]
 			took, company, ok := w.take(s, q.function)
-			e := calicohill.AttemptEnd{Worker: a.Worker, Outcome: calicohill.Served, Closed: true, Latency: took, Company: company}
+			e := routing.AttemptEnd{Worker: a.Worker, Outcome: routing.Served, Closed: true, Latency: took, Company: company}
 			switch {
 			case !ok:
-				e.Outcome, e.Closed, took = calicohill.Unreached, false, 2*trip
+				e.Outcome, e.Closed, took = routing.Unreached, false, 2*trip
 			case took > a.Timeout:
-				took, e.Outcome, e.Closed = a.Timeout, calicohill.TimedOut, false
+				took, e.Outcome, e.Closed = a.Timeout, routing.TimedOut, false
 			}
 			later(took, func() {
-				if e.Outcome == calicohill.Served {
+				if e.Outcome == routing.Served {
 					e.Report = w.report(s.now)
 				}
 				s.ended(a.ID, n, e)
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *swimmer) ended(id string, n int, e calicohill.AttemptEnd) {
+func (s *swimmer) ended(id string, n int, e routing.AttemptEnd) {
 	q := s.open[id]
 	if q == nil || !q.attempts[n] {
 		return
@@ -249,14 +249,14 @@
 }
 
 // report is a worker's load report: the share of its lanes that run something.
-func (w *vessel) report(now time.Duration) *calicohill.Report {
+func (w *vessel) report(now time.Duration) *routing.Report {
 	busy := 0.0
 	for _, free := range w.lanes {
 		if free > now {
 			busy++
 		}
 	}
-	return &calicohill.Report{Util: busy / float64(len(w.lanes)), InFlight: -1, Queue: -1, MemoryHeld: -1, Loads: -1}
+	return &routing.Report{Util: busy / float64(len(w.lanes)), InFlight: -1, Queue: -1, MemoryHeld: -1, Loads: -1}
 }
 
 // take has a worker run a function for a scheduler, and tells how long the answer takes and how many requests for it
--- a/internal/lab/virtual.go
+++ b/internal/testbed/virtual.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"math"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"calicohill/internal/gossip"
-	"calicohill/internal/gossipsim"
+	"calicohill/internal/fleet/gossip"
+	"calicohill/internal/testbed/gossipsim"
 )
 
 // VirtualResult is what fleets of growing size cost in virtual time.
--- a/internal/lab/worker.go
+++ b/internal/testbed/worker.go
@@ -1,6 +1,6 @@
-// Package lab is the laboratory: stand-ins of what a scheduler speaks to, faults by schedule, and whole fleets of
+// Package testbed is the laboratory: stand-ins of what a scheduler speaks to, faults by schedule, and whole fleets of
 // real scheduler processes on loopback. It measures; nothing of it runs in service.
-package lab
+package testbed
 
 import (
 	"bufio"
--- a/api.go
+++ b/routing/api.go
@@ -1,11 +1,11 @@
-package calicohill
+package routing
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"calicohill/internal/bucket"
+	"calicohill/internal/stats/ratelimit"
 )
 
 // Settings tells a Router what the deployment allows, promises and charges. A Router keeps no other
@@ -84,12 +84,12 @@
 }
 
 // shares are those of the tenants in what one scheduler takes in. A share under one call is saved up.
-func (s *Settings) shares() *bucket.Shares {
+func (s *Settings) shares() *ratelimit.Shares {
 	var rates []float64
 	for _, t := range s.Tenants {
 		rates = append(rates, t.PerSecond/float64(s.Schedulers))
 	}
-	return bucket.NewShares(rates)
+	return ratelimit.NewShares(rates)
 }
 
 // Fees are points of the service figure, each times its rate.
--- a/choice.go
+++ b/routing/choice.go
@@ -1,4 +1,4 @@
-package calicohill
+package routing
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"calicohill/internal/rendezvous"
+	"calicohill/internal/stats/rendezvous"
 )
 
 // pick chooses the worker for a request: one where its function was last found warm, while fewer of ours
--- a/health.go
+++ b/routing/health.go
@@ -1,12 +1,12 @@
-package calicohill
+package routing
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"calicohill/internal/decay"
-	"calicohill/internal/sorted"
+	"calicohill/internal/stats/decay"
+	"calicohill/internal/stats/sorted"
 )
 
 // usable reports whether a worker may get work: a suspect one only a single trial at a time.
--- a/memory.go
+++ b/routing/memory.go
@@ -1,4 +1,4 @@
-package calicohill
+package routing
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"calicohill/internal/decay"
+	"calicohill/internal/stats/decay"
 )
 
 // Memory is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them, so
--- a/queue.go
+++ b/routing/queue.go
@@ -1,11 +1,11 @@
-package calicohill
+package routing
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"calicohill/internal/sorted"
+	"calicohill/internal/stats/sorted"
 )
 
 // admit refuses a request whose estimated finish passes its deadline, never with nothing ahead.
--- a/router.go
+++ b/routing/router.go
@@ -1,10 +1,10 @@
-// Package calicohill decides, for a scheduler in front of workers that keep only some of many functions
+// Package routing decides, for a scheduler in front of workers that keep only some of many functions
 // loaded, where each request goes, which requests are refused, and when an attempt is given up for another.
 // Every decision is in the files that deploy/balancer.toml names as policy: the step in router.go, order and
 // refusal in queue.go, choice of a worker in choice.go, guards of the rules in rules.go, what answers teach
 // in learn.go, whom to trust in health.go. What they hold is in state.go, what they are told and ask for in
 // api.go. Departures from the design are marked "A departure".
-package calicohill
+package routing
 
 import (
 	"maps"
--- a/router_test.go
+++ b/routing/router_test.go
@@ -1,4 +1,4 @@
-package calicohill
+package routing
 
 import (
 	"bytes"
@@ -116,7 +116,7 @@
 
 // The files that deploy/balancer.toml names as policy hold 950 lines together that are not blank.
 func TestModuleSize(t *testing.T) {
-	deploy, err := os.ReadFile("deploy/balancer.toml")
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 	n := 0
 	for _, name := range strings.Split(string(list[1]), ", ") {
 		name = strings.Trim(name, `"`)
-		text, err := os.ReadFile(name)
+		text, err := os.ReadFile("../" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/rules.go
+++ b/routing/rules.go
@@ -1,4 +1,4 @@
-package calicohill
+package routing
 
 import (
 	"slices"
--- a/state.go
+++ b/routing/state.go
@@ -1,11 +1,11 @@
-package calicohill
+package routing
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"calicohill/internal/bucket"
-	"calicohill/internal/decay"
+	"calicohill/internal/stats/decay"
+	"calicohill/internal/stats/ratelimit"
 )
 
 // What a Router holds of workers, functions and requests. Nothing is decided here.
@@ -23,16 +23,16 @@
 	list          []*worker // by id
 	version       int       // of the list, for the functions' hash orders
 	funcs         map[string]*function
-	leastAim, lat float64        // least aim of all classes and mean latency of warm calls, in seconds
-	press         float64        // running mean of what presses the workers
-	well          int            // usable workers that do not answer errors
-	alone         int            // calls overdue alone that may be sent elsewhere too
-	lanes, busy   float64        // lanes that are usable; share of them that is taken
-	allCalls      float64        // of all functions, decaying
-	outWork       float64        // summed service times of attempts that are out, in seconds
-	theirs        float64        // part of what happens at the workers that other schedulers cause
-	loads         bucket.Ration  // of orders to load
-	shares        *bucket.Shares // of tenants
+	leastAim, lat float64           // least aim of all classes and mean latency of warm calls, in seconds
+	press         float64           // running mean of what presses the workers
+	well          int               // usable workers that do not answer errors
+	alone         int               // calls overdue alone that may be sent elsewhere too
+	lanes, busy   float64           // lanes that are usable; share of them that is taken
+	allCalls      float64           // of all functions, decaying
+	outWork       float64           // summed service times of attempts that are out, in seconds
+	theirs        float64           // part of what happens at the workers that other schedulers cause
+	loads         ratelimit.Ration  // of orders to load
+	shares        *ratelimit.Shares // of tenants
 
 	// weight of all workers that are ready and not suspect; answers of warm ones since servedAt, of all if all are cold;
 	// and in a second, for a worker of size 1
