--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -46,7 +46,7 @@
 					fmt.Fprintln(out, err)
 					bad++
 				} else {
-					classes = siteClasses(&cfg.Site)
+					classes = siteClasses(&cfg.Deployment)
 				}
 			}
 			for _, file := range args {
--- a/cmd/calicohill/run.go
+++ b/cmd/calicohill/run.go
@@ -83,10 +83,10 @@
 		return nil, nil, err
 	}
 	// What would end a start is of no use to a reload either, though it takes up little of it.
-	if _, err := routing.New(cfg.Site.Settings, cfg.Seed); err != nil {
+	if _, err := routing.New(cfg.Deployment.Settings, cfg.Seed); err != nil {
 		return nil, nil, fmt.Errorf("configuration %s: settings: %w", p.config, err)
 	}
-	if err := discovery.Check(cfg.Known, cfg.Site.Zones, cfg.Site.Kinds); err != nil {
+	if err := discovery.ValidateKnown(cfg.KnownEndpoints, cfg.Deployment.Zones, cfg.Deployment.WorkerKinds); err != nil {
 		return nil, nil, fmt.Errorf("configuration %s: %w", p.config, err)
 	}
 	if p.operator == "" {
@@ -119,15 +119,15 @@
 		return err
 	}
 	log := parts.Part("scheduler")
-	rules, routes, warnings, err := own.Compile(siteClasses(&cfg.Site))
+	rules, routes, warnings, err := own.Compile(siteClasses(&cfg.Deployment))
 	if err != nil {
 		return err
 	}
 	for _, w := range warnings {
 		parts.Part("rules").WithError(w).Warn("rule of no use")
 	}
-	cfg.Site.Observed = from.operator != "" // for peers, and for routes, which may come by a reload
-	router, err := routing.New(cfg.Site.Settings, cfg.Seed)
+	cfg.Deployment.FaultReporting = from.operator != "" // for peers, and for routes, which may come by a reload
+	router, err := routing.New(cfg.Deployment.Settings, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -136,38 +136,38 @@
 
 	l := eventloop.New()
 	l.Logger = log
-	clients := cfg.Sockets / 3
+	clients := cfg.MaxSockets / 3
 	// A third of the memory may go into what is read and not answered yet.
 	pool := bufferpool.NewPool(cfg.MemoryMB << 20 / 3 / bufferpool.Size)
-	d := dispatch.New(l, router, pool, cfg.Site.MaxOpen)
+	d := dispatch.New(l, router, pool, cfg.Deployment.MaxOpenRequests)
 	agents := nodeagent.New(l, d, nodeagent.Options{
-		Classes: cfg.Site.ClassNames, Streams: cfg.Site.Streams,
-		Schedulers: cfg.Site.Schedulers, IdleClose: cfg.Site.IdleClose, ConnectTimeout: cfg.Site.ConnectTimeout,
-		MaxConns: cfg.Sockets / 3, MaxFiles: max(cfg.Sockets-clients-otherFiles, cfg.Sockets/3+2),
+		Classes: cfg.Deployment.ClassNames, PipelineDepth: cfg.Deployment.PipelineDepth,
+		Schedulers: cfg.Deployment.Schedulers, IdleCloseAfter: cfg.Deployment.IdleCloseAfter, ConnectTimeout: cfg.Deployment.ConnectTimeout,
+		MaxConns: cfg.MaxSockets / 3, MaxDescriptors: max(cfg.MaxSockets-clients-otherFiles, cfg.MaxSockets/3+2),
 		// Even if every connection had an answer coming that never ends, a quarter of the memory is enough.
-		MaxAnswer: min(max(cfg.MemoryMB<<20/4/(cfg.Sockets/3), leastAnswer), mostAnswer),
+		MaxAnswerBytes: min(max(cfg.MemoryMB<<20/4/(cfg.MaxSockets/3), leastAnswer), mostAnswer),
 	}, parts.Part("agent"))
-	d.Use(agents)
+	d.SetWorkers(agents)
 	// An eighth may wait for clients that do not read.
-	server := fastcgi.New(l, d, pool, &cfg.Site, clients, cfg.MemoryMB<<20/8, parts.Part("clients"), parts.Part("rules"))
+	server := fastcgi.New(l, d, pool, &cfg.Deployment, clients, cfg.MemoryMB<<20/8, parts.Part("clients"), parts.Part("rules"))
 	server.Use(fastcgi.NewRules(rules))
-	d.Route(orNone(routes))
-	list := d.List
+	d.SetRoutes(orNone(routes))
+	list := d.UpdateEndpoints
 	var peers *transport.Node
 	if own.Gossip != nil {
-		peers, err = transport.Open(*own.Gossip, func(h routing.PeersHold) { l.Post(func() { d.PeersHold(h) }) },
+		peers, err = transport.Open(*own.Gossip, func(h routing.PeerReports) { l.Post(func() { d.ApplyPeerReports(h) }) },
 			parts.Part("gossip"))
 		if err != nil {
 			return err
 		}
-		d.Tell(peers.Saw)
-		list = func(r dispatch.Roster) {
-			d.List(r)
-			peers.Listed(d.Listed())
+		d.SetFaultObserver(peers.FaultObserved)
+		list = func(r dispatch.EndpointList) {
+			d.UpdateEndpoints(r)
+			peers.EndpointsChanged(d.WorkerIDs())
 		}
 	}
-	watch, err := discovery.New(l, cfg.Bulletin, cfg.Known, cfg.Site.Zones, cfg.Site.Kinds,
-		pollplan.New(cfg.Site.Schedulers, cfg.Site.DrainGrace, cfg.Seed), list, parts.Part("bulletin"))
+	watch, err := discovery.New(l, cfg.DiscoveryAddress, cfg.KnownEndpoints, cfg.Deployment.Zones, cfg.Deployment.WorkerKinds,
+		pollplan.New(cfg.Deployment.Schedulers, cfg.Deployment.DrainGrace, cfg.Seed), list, parts.Part("bulletin"))
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", from.config, err)
 	}
@@ -183,7 +183,7 @@
 		var nextRoutes *pools.Core
 		if err == nil {
 			// The classes are those that the scheduler runs with: the platform's new ones are not taken up.
-			table, nextRoutes, _, err = nextOwn.Compile(siteClasses(&cfg.Site))
+			table, nextRoutes, _, err = nextOwn.Compile(siteClasses(&cfg.Deployment))
 		}
 		var faults operatorfile.Faults
 		if errors.As(err, &faults) {
@@ -213,24 +213,24 @@
 		}
 		status.Store(nextOwn.Log.Status)
 		l.Post(func() {
-			watch.Move(next.Bulletin)
+			watch.SetAddress(next.DiscoveryAddress)
 			server.Use(fastcgi.NewRules(table))
-			d.Route(orNone(nextRoutes))
+			d.SetRoutes(orNone(nextRoutes))
 		})
-		log.WithField("bulletin", next.Bulletin).Info("configuration read again")
+		log.WithField("bulletin", next.DiscoveryAddress).Info("configuration read again")
 	}
 	draining := false
-	var memory *routing.Memory
+	var memory *routing.LearnedState
 	if own.State != nil {
 		memory = restore(watch, own.State, l, d, parts.Part("bulletin"))
 	}
-	l.Accept, l.Stalled, watch.Blind = server.Accept, watch.Stalled, d.Blind
+	l.Accept, l.Stalled, watch.OnStale = server.Accept, watch.Stalled, d.MarkStale
 	// What the next ask may wait and a stall that nobody notices pass together before a drain has to be heeded.
-	l.Stall = min(eventloop.LongestStall, max(leastStall, time.Duration(stallPart*float64(cfg.Site.DrainGrace))))
-	l.Boot = func() {
+	l.StallThreshold = min(eventloop.MaxStallThreshold, max(leastStall, time.Duration(stallPart*float64(cfg.Deployment.DrainGrace))))
+	l.Started = func() {
 		watch.Start()
 		if memory != nil {
-			d.Recall(*memory)
+			d.RestoreState(*memory)
 		}
 		if peers != nil {
 			peers.Run()
@@ -248,7 +248,7 @@
 				if !draining {
 					draining = true
 					log.WithField("signal", s.String()).Info("draining")
-					drain(l, d, server, closeAfter(cfg.Site.Classes))
+					drain(l, d, server, closeAfter(cfg.Deployment.Classes))
 				}
 			})
 		})
@@ -266,26 +266,26 @@
 
 // restore takes up the list of an earlier life, if it counts, has the list and what is learned kept from now on, and
 // returns what was learned; nil if none of it counts.
-func restore(watch *discovery.Watch, state *operatorfile.State, l *eventloop.Loop, d *dispatch.Dispatcher, log *logrus.Entry) (
-	memory *routing.Memory,
+func restore(watch *discovery.Watcher, state *operatorfile.State, l *eventloop.Loop, d *dispatch.Dispatcher, log *logrus.Entry) (
+	memory *routing.LearnedState,
 ) {
 	r, err := snapshotfile.Read(state.Snapshot, state.Fleet, l.Now(), state.MaxAge)
 	newer := false
-	if err == nil && r.No > 0 {
-		newer, err = watch.Restore(r.Feed)
-		memory = &r.Memory
+	if err == nil && r.EventNumber > 0 {
+		newer, err = watch.Restore(r.Endpoints)
+		memory = &r.State
 	}
 	switch {
 	case err != nil:
 		log.WithError(err).Warn("snapshot set aside")
 		memory = nil
-	case r.No > 0:
+	case r.EventNumber > 0:
 		log.WithFields(logrus.Fields{
-			"event": r.No, "newer": newer, "functions": len(r.Memory.Functions),
-			"age": (l.Now() - r.At).Round(time.Second),
+			"event": r.EventNumber, "newer": newer, "functions": len(r.State.Functions),
+			"age": (l.Now() - r.CreatedAt).Round(time.Second),
 		}).Info("snapshot taken up")
 	}
-	watch.Changed = snapshotfile.New(l, state.Snapshot, state.Fleet, watch.List, d.Memory, log).Changed
+	watch.OnChange = snapshotfile.New(l, state.Snapshot, state.Fleet, watch.Snapshot, d.LearnedState, log).Changed
 	return memory
 }
 
@@ -298,10 +298,10 @@
 }
 
 // siteClasses is the site's classes as rules know them.
-func siteClasses(site *deployment.Site) []match.Class {
+func siteClasses(site *deployment.Settings) []match.Class {
 	list := make([]match.Class, len(site.Classes))
 	for i, c := range site.Classes {
-		list[i] = match.Class{Name: site.ClassNames[i], Effect: c.Effect}
+		list[i] = match.Class{Name: site.ClassNames[i], Effect: c.Idempotency}
 	}
 	return list
 }
@@ -353,24 +353,24 @@
 // drain stops the loop once requests have ceased to come, all are answered, and the answers are sent. What is open after
 // a while is answered unserved.
 func drain(l *eventloop.Loop, d *dispatch.Dispatcher, server *fastcgi.Server, closeAfter time.Duration) {
-	wait, from := &deadline.Entry{}, l.Now()
+	wait, from := &deadline.Timer{}, l.Now()
 	owed := from // when something was last owed an answer
 	looks := 0   // not the time: after a stall all that came meanwhile is still to be read
 	wait.Fire = func() {
 		now := l.Now()
 		looks++
 		coming := server.Streams() > 0 || now-server.Heard() < lookEvery
-		if d.Open() > 0 || coming && looks < int(unfinished/lookEvery) {
+		if d.OpenRequests() > 0 || coming && looks < int(unfinished/lookEvery) {
 			owed = now
 		}
-		if d.Open() > 0 && now-from >= drainFor+closeAfter {
-			d.Close()
+		if d.OpenRequests() > 0 && now-from >= drainFor+closeAfter {
+			d.Shutdown()
 		}
 		if owed == now || server.Unsent() > 0 && now-owed < sentIn {
-			l.At(wait, now+lookEvery)
+			l.SetDeadline(wait, now+lookEvery)
 			return
 		}
 		go l.Stop()
 	}
-	l.At(wait, from+drainFor)
+	l.SetDeadline(wait, from+drainFor)
 }
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatalf("what was kept does not count: %v", err)
 	}
-	return r.No
+	return r.EventNumber
 }
 
 // killed kills the program without a word.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -22,7 +22,7 @@
 // turn is what one instance is told in a batch.
 type turn struct {
 	instance int
-	start    *simwire.Start
+	start    *simwire.PowerOn
 	stopped  bool
 	events   []routing.Event
 }
@@ -42,8 +42,8 @@
 		switch {
 		case it.Stop:
 			*t = turn{instance: it.Instance, stopped: true}
-		case it.Start != nil:
-			*t = turn{instance: it.Instance, start: it.Start}
+		case it.PowerOn != nil:
+			*t = turn{instance: it.Instance, start: it.PowerOn}
 		default:
 			t.events = append(t.events, it.Event)
 		}
@@ -68,7 +68,7 @@
 			}
 			enc.Instance(t.instance)
 			if err != nil {
-				enc.GiveIn(err.Error())
+				enc.InstanceFailed(err.Error())
 				continue
 			}
 			for _, a := range actions {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,14 +16,14 @@
 
 // Config is what a scheduler is told at its start.
 type Config struct {
-	Name     string
-	Listen   string // where clients connect
-	Bulletin string // where the list of workers is asked for
-	Known    []byte // the events of the list so far, as the bulletin would answer; nil if none
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
-	Site     deployment.Site
+	Name             string
+	Listen           string // where clients connect
+	DiscoveryAddress string // where the list of workers is asked for
+	KnownEndpoints   []byte // the events of the list so far, as the bulletin would answer; nil if none
+	Seed             uint64
+	MemoryMB         int
+	MaxSockets       int
+	Deployment       deployment.Settings
 }
 
 type file struct {
@@ -57,8 +57,8 @@
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Bulletin: f.Bulletin, Known: f.Known,
-		MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
+		Name: f.Name, Listen: f.Listen, DiscoveryAddress: f.Bulletin, KnownEndpoints: f.Known,
+		MemoryMB: int(f.Limits.MemoryMB), MaxSockets: f.Limits.Sockets,
 	}
 	if name != "" {
 		c.Name = name
@@ -69,8 +69,8 @@
 	if c.MemoryMB == 0 {
 		c.MemoryMB = defaultMemoryMB
 	}
-	if c.Sockets == 0 {
-		c.Sockets = defaultSockets
+	if c.MaxSockets == 0 {
+		c.MaxSockets = defaultSockets
 	}
 	if err := c.fill(&f); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
@@ -79,7 +79,7 @@
 }
 
 func (c *Config) fill(f *file) (err error) {
-	for what, addr := range map[string]string{"listen": c.Listen, "bulletin": c.Bulletin} {
+	for what, addr := range map[string]string{"listen": c.Listen, "bulletin": c.DiscoveryAddress} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
@@ -87,22 +87,22 @@
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	if c.Sockets < leastSockets || c.MemoryMB < 0 {
+	if c.MaxSockets < leastSockets || c.MemoryMB < 0 {
 		return fmt.Errorf("limits: %d sockets, %d MB of memory: at least %d sockets are needed",
-			c.Sockets, c.MemoryMB, leastSockets)
+			c.MaxSockets, c.MemoryMB, leastSockets)
 	}
 	if len(f.Settings) == 0 {
 		return errors.New("no settings")
 	}
-	if c.Site, err = deployment.Parse(f.Settings); err != nil {
+	if c.Deployment, err = deployment.Parse(f.Settings); err != nil {
 		return err
 	}
-	for i, name := range c.Site.ClassNames {
-		if !isName(name) || slices.Contains(c.Site.ClassNames[:i], name) {
+	for i, name := range c.Deployment.ClassNames {
+		if !isName(name) || slices.Contains(c.Deployment.ClassNames[:i], name) {
 			return fmt.Errorf("settings: class %d: name %q is not one, or another's too", i, name)
 		}
 	}
-	if c.Site.Streams < 1 || c.Site.ConnectTimeout <= 0 || c.Site.IdleClose <= 0 {
+	if c.Deployment.PipelineDepth < 1 || c.Deployment.ConnectTimeout <= 0 || c.Deployment.IdleCloseAfter <= 0 {
 		return errors.New("settings: ceilings: multiplex, connectTimeoutMs and idleCloseMs must be above 0")
 	}
 	return nil
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -11,15 +11,15 @@
 	"calicohill/routing"
 )
 
-// Site is what the settings say: to the decisions, and to what is around them.
-type Site struct {
+// Settings is what the settings say: to the decisions, and to what is around them.
+type Settings struct {
 	routing.Settings
 
-	ClassNames     []string // by class number
-	Zones, Kinds   []string // by number
-	Streams        int      // attempts that a connection to a worker carries at a time
-	IdleClose      time.Duration
-	ConnectTimeout time.Duration
+	ClassNames         []string // by class number
+	Zones, WorkerKinds []string // by number
+	PipelineDepth      int      // attempts that a connection to a worker carries at a time
+	IdleCloseAfter     time.Duration
+	ConnectTimeout     time.Duration
 }
 
 // object holds the keys of the settings object that the decisions use. Keys that are not named here are
@@ -100,10 +100,10 @@
 }
 
 var (
-	effects = map[string]routing.Effect{
-		"read_like": routing.Safe, "idempotency_key": routing.Keyed, "non_idempotent": routing.Unsafe,
+	effects = map[string]routing.Idempotency{
+		"read_like": routing.Idempotent, "idempotency_key": routing.IdempotentByKey, "non_idempotent": routing.NonIdempotent,
 	}
-	scopes = map[string]routing.Scope{
+	scopes = map[string]routing.DeduplicationScope{
 		"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell,
 	}
 )
@@ -112,10 +112,10 @@
 const longest = 365 * 24 * time.Hour
 
 // Parse reads a settings object.
-func Parse(text []byte) (Site, error) {
+func Parse(text []byte) (Settings, error) {
 	var b object
 	if err := json.Unmarshal(text, &b); err != nil {
-		return Site{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	var strange error // the first time that can't be
 	duration := func(ms float64) time.Duration {
@@ -126,52 +126,52 @@
 	}
 	s := routing.Settings{
 		Schedulers: b.Balancers, Rank: b.Rank, Zone: b.AZ, Tick: duration(b.TickMs),
-		OverShareWorth: b.OverShareWorth,
-		MaxAttempts:    b.Ceilings.AttemptsCap, MaxOpen: b.Ceilings.OpenCap,
-		SecondCopies: b.Ceilings.SecondCopies, CanCancel: b.Ceilings.Cancel, CanProbe: b.Ceilings.Probes,
-		HonoursRetry: b.Ceilings.RetryAfter, MaxRetryAfter: duration(b.Ceilings.MaxRetryAfterMs),
-		MustSubscribe: b.Discovery == "on_request", AskWithin: duration(b.Safety.AskWithinMs),
-		ReportsAnswered: b.Report.How == "piggyback",
-		ReportsProbed:   b.Report.How == "piggyback" || b.Report.How == "pull",
-		AnswerSlack:     duration(b.Safety.AnswerSlackMs),
-		DrainGrace:      duration(b.Safety.StopSendingWithinMs),
-		ColdShare:       b.Safety.ColdShare, ColdFor: duration(b.Safety.ColdMs),
-		TipMultiple: b.Safety.TipMultiple, TipFor: duration(b.Safety.OverloadForMs),
-		KeepAlive: duration(b.FamilyInfo.IdleLifeMs), LoadOnDemand: b.FamilyInfo.WhenAbsent != "miss",
-		TellsWarm: b.FamilyInfo.SaysWarm, TellsCompany: b.FamilyInfo.SaysCompany,
-		CanLoad: b.FamilyInfo.MayLoad, LoadsFree: b.FamilyInfo.LoadsAnyway,
-		LoadsPerCall: b.FamilyInfo.LoadRatio, LoadWindow: duration(b.FamilyInfo.LoadWindowMs),
-		LoadTimeout: duration(b.FamilyInfo.AnswerWithinMs), WorkerMemory: b.FamilyInfo.RAMMbByKind,
+		OverQuotaValue: b.OverShareWorth,
+		MaxAttempts:    b.Ceilings.AttemptsCap, MaxOpenRequests: b.Ceilings.OpenCap,
+		HedgingAllowed: b.Ceilings.SecondCopies, CancelAllowed: b.Ceilings.Cancel, ProbeAllowed: b.Ceilings.Probes,
+		HonorsRetryAfter: b.Ceilings.RetryAfter, MaxRetryAfter: duration(b.Ceilings.MaxRetryAfterMs),
+		SubscriptionRequired: b.Discovery == "on_request", EndpointsKnownWithin: duration(b.Safety.AskWithinMs),
+		ReportsInAnswers:  b.Report.How == "piggyback",
+		ReportsInProbes:   b.Report.How == "piggyback" || b.Report.How == "pull",
+		AnswerSlack:       duration(b.Safety.AnswerSlackMs),
+		DrainGrace:        duration(b.Safety.StopSendingWithinMs),
+		SlowStartFraction: b.Safety.ColdShare, SlowStartDuration: duration(b.Safety.ColdMs),
+		OverloadMultiple: b.Safety.TipMultiple, OverloadDuration: duration(b.Safety.OverloadForMs),
+		InstanceKeepAlive: duration(b.FamilyInfo.IdleLifeMs), LoadOnDemand: b.FamilyInfo.WhenAbsent != "miss",
+		AnswersTellStartType: b.FamilyInfo.SaysWarm, AnswersTellInFlight: b.FamilyInfo.SaysCompany,
+		LoadAllowed: b.FamilyInfo.MayLoad, LoadBudgetBase: b.FamilyInfo.LoadsAnyway,
+		LoadBudgetPerRequest: b.FamilyInfo.LoadRatio, LoadBudgetWindow: duration(b.FamilyInfo.LoadWindowMs),
+		LoadTimeout: duration(b.FamilyInfo.AnswerWithinMs), WorkerMemoryMB: b.FamilyInfo.RAMMbByKind,
 		Fees: routing.Fees{
-			Waste: b.Fees.Waste, LateFail: b.Fees.LateFail, Fetch: b.Fees.Origin,
-			Cross: b.Fees.CrossZone, Probe: b.Fees.Probe, Idle: b.FamilyInfo.IdlePrice,
+			WastedWork: b.Fees.Waste, LateFailure: b.Fees.LateFail, StoreFetch: b.Fees.Origin,
+			CrossZone: b.Fees.CrossZone, Probe: b.Fees.Probe, IdleMemory: b.FamilyInfo.IdlePrice,
 		},
-		WeightsTold:   b.Weights != "" && b.Weights != "silent",
-		ClientsRepeat: b.Callers.MarksRetry,
+		WeightsReported:    b.Weights != "" && b.Weights != "silent",
+		ClientsMarkRetries: b.Callers.MarksRetry,
 	}
 	for i, c := range b.Classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
-			return Site{}, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
+			return Settings{}, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
 		}
 		scope, ok := scopes[c.DedupScope]
 		if !ok {
-			return Site{}, fmt.Errorf("settings: class %d: unknown dedupScope %q", i, c.DedupScope)
+			return Settings{}, fmt.Errorf("settings: class %d: unknown dedupScope %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, routing.Class{
-			Aim: duration(c.AimMs), Deadline: duration(c.HardLimitMs), Worth: c.Worth, LateWorth: c.LateWorth,
-			Effect: effect, Scope: scope, MemorySpan: duration(c.MemorySpanMs), Stream: c.Stream,
+			LatencyObjective: duration(c.AimMs), Deadline: duration(c.HardLimitMs), PriorityWeight: c.Worth, LateValue: c.LateWorth,
+			Idempotency: effect, DeduplicationScope: scope, DeduplicationWindow: duration(c.MemorySpanMs), Streaming: c.Stream,
 		})
 	}
 	for i, t := range b.Tenants {
 		if t.QuotaPerS < 0 || t.Share < 0 {
-			return Site{}, fmt.Errorf("settings: tenant %d: share %g, %g a second", i, t.Share, t.QuotaPerS)
+			return Settings{}, fmt.Errorf("settings: tenant %d: share %g, %g a second", i, t.Share, t.QuotaPerS)
 		}
-		s.Tenants = append(s.Tenants, routing.Tenant{Share: t.Share, PerSecond: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, routing.Tenant{QuotaFraction: t.Share, RequestsPerSecond: t.QuotaPerS})
 	}
-	site := Site{
-		Settings: s, Zones: b.Zones, Kinds: b.Kinds, Streams: b.Ceilings.Multiplex,
-		IdleClose: duration(b.Ceilings.IdleCloseMs), ConnectTimeout: duration(b.Ceilings.ConnectTimeoutMs),
+	site := Settings{
+		Settings: s, Zones: b.Zones, WorkerKinds: b.Kinds, PipelineDepth: b.Ceilings.Multiplex,
+		IdleCloseAfter: duration(b.Ceilings.IdleCloseMs), ConnectTimeout: duration(b.Ceilings.ConnectTimeoutMs),
 	}
 	for _, c := range b.Classes {
 		site.ClassNames = append(site.ClassNames, c.Name)
--- a/internal/discovery/bulletin.go
+++ b/internal/discovery/bulletin.go
@@ -57,8 +57,8 @@
 
 // read reads an event's list. A target that makes no sense is an error; with lenient it is read as far as it
 // goes, and gets no new work.
-func (e *event) read(zones, kinds []string, lenient bool) (dispatch.Roster, error) {
-	r := dispatch.Roster{Full: e.Roster.All}
+func (e *event) read(zones, kinds []string, lenient bool) (dispatch.EndpointList, error) {
+	r := dispatch.EndpointList{Full: e.Roster.All}
 	for _, t := range e.Roster.Targets {
 		state, ok := states[t.State]
 		_, _, err := net.SplitHostPort(t.Endpoint)
@@ -76,62 +76,62 @@
 		if t.Capacity != nil {
 			w.Weight = *t.Capacity
 		}
-		r.Entries = append(r.Entries, dispatch.Entry{Worker: w, Addr: t.Endpoint, Model: t.Model, ZoneName: t.AZ})
+		r.Endpoints = append(r.Endpoints, dispatch.Endpoint{Worker: w, Addr: t.Endpoint, Model: t.Model, ZoneName: t.AZ})
 	}
 	return r, nil
 }
 
-// Loop is what a Watch needs of the event loop.
+// Loop is what a Watcher needs of the event loop.
 type Loop interface {
 	dispatch.Loop
-	Dial(addr string, timeout time.Duration, p eventloop.Peer, failed func(error))
+	Dial(addr string, timeout time.Duration, p eventloop.ConnHandler, failed func(error))
 }
 
-// Watch asks the bulletin when its Core says so, and hands what it brings to a sink.
-type Watch struct {
+// Watcher asks the bulletin when its Core says so, and hands what it brings to a sink.
+type Watcher struct {
 	loop         Loop
 	addr         string
 	zones, kinds []string
-	sink         func(dispatch.Roster)
+	sink         func(dispatch.EndpointList)
 	log          logrus.FieldLogger
 	// Changed, if set, is called after events that changed the list.
-	Changed func()
+	OnChange func()
 	// Blind, if set, is told for how long the list may be old, after a stall; 0 says that it is not any more.
-	Blind func(time.Duration)
+	OnStale func(time.Duration)
 
 	known Feed
 	old   bool              // the list is from an earlier life, and the bulletin has not spoken yet
-	list  map[string]target // kept for Changed
+	list  map[string]target // kept for OnChange
 	last  int               // number of the last event
 	bad   int               // number of an event that made no sense
 	gap   int               // up to this number what is left out is not to be had
 	core  *pollplan.Core
 	conns map[int]*conn // by the core's number
 	down  bool          // the last poll failed, and that was logged
-	next  deadline.Entry
+	next  deadline.Timer
 }
 
 // conn is a connection to the bulletin. It is its loop.Peer.
 type conn struct {
-	w *Watch
+	w *Watcher
 	n int
 	c gnet.Conn // nil until it is up and once it is gone
 }
 
-// New returns a Watch that does nothing until Start. The events known already come in the form of a poll's
+// New returns a Watcher that does nothing until Start. The events known already come in the form of a poll's
 // answer.
-func New(l Loop, addr string, known []byte, zones, kinds []string, core *pollplan.Core, sink func(dispatch.Roster),
+func New(l Loop, addr string, known []byte, zones, kinds []string, core *pollplan.Core, sink func(dispatch.EndpointList),
 	log logrus.FieldLogger,
-) (*Watch, error) {
-	w := &Watch{loop: l, addr: addr, zones: zones, kinds: kinds, sink: sink, log: log, core: core, conns: map[int]*conn{}}
+) (*Watcher, error) {
+	w := &Watcher{loop: l, addr: addr, zones: zones, kinds: kinds, sink: sink, log: log, core: core, conns: map[int]*conn{}}
 	w.next.Fire = func() { w.step() }
 	var err error
 	w.known, err = readKnown(known, zones, kinds)
 	return w, err
 }
 
-// Check reports what makes no sense in the events known already.
-func Check(known []byte, zones, kinds []string) error {
+// ValidateKnown reports what makes no sense in the events known already.
+func ValidateKnown(known []byte, zones, kinds []string) error {
 	_, err := readKnown(known, zones, kinds)
 	return err
 }
@@ -155,7 +155,7 @@
 }
 
 // Start hands on the events known already and begins to poll.
-func (w *Watch) Start() {
+func (w *Watcher) Start() {
 	if n := len(w.known.Items); n > 0 { // if some are left out of these, nobody has them
 		w.gap = w.known.Items[n-1].No
 	}
@@ -163,11 +163,11 @@
 		w.log.WithError(err).Error("known events") // New has read them once
 	}
 	w.known = Feed{}
-	w.step(pollplan.Begun{Listed: w.last > 0, Old: w.old})
+	w.step(pollplan.Started{HasEndpoints: w.last > 0, Restored: w.old})
 }
 
 // Restore has the list of an earlier life taken for what is known, where it is newer. It must be called before Start.
-func (w *Watch) Restore(feed []byte) (newer bool, err error) {
+func (w *Watcher) Restore(feed []byte) (newer bool, err error) {
 	var f Feed
 	if err := json.Unmarshal(feed, &f); err != nil {
 		return false, fmt.Errorf("list: %w", err)
@@ -187,17 +187,17 @@
 	return true, nil
 }
 
-// List is the number of the last event and the whole list, in the form of a poll's answer. feed may be called
+// Snapshot is the number of the last event and the whole list, in the form of a poll's answer. feed may be called
 // elsewhere, later.
-func (w *Watch) List() (no int, feed func() ([]byte, error)) {
+func (w *Watcher) Snapshot() (no int, feed func() ([]byte, error)) {
 	no, all := w.last, slices.SortedFunc(maps.Values(w.list), func(a, b target) int { return strings.Compare(a.UID, b.UID) })
 	return no, func() ([]byte, error) {
 		return json.Marshal(Feed{No: no, Items: []event{{No: no, Roster: &roster{All: true, Targets: all}}}})
 	}
 }
 
-// keep keeps an event's list for Changed.
-func (w *Watch) keep(r *roster) {
+// keep keeps an event's list for OnChange.
+func (w *Watcher) keep(r *roster) {
 	if w.list == nil || r.All {
 		w.list = map[string]target{}
 	}
@@ -208,54 +208,54 @@
 	}
 }
 
-// Move has the bulletin asked at another address from now on. The numbers of its events go on. Polls at the old
+// SetAddress has the bulletin asked at another address from now on. The numbers of its events go on. Polls at the old
 // address end at once: it tells nothing more, and one that was waited for would keep the new one from being asked.
-func (w *Watch) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	if addr == w.addr {
 		return
 	}
 	w.addr = addr
-	w.step(pollplan.Moved{})
+	w.step(pollplan.AddressChanged{})
 }
 
 // Stalled says that the process did nothing for a while.
-func (w *Watch) Stalled() { w.step(pollplan.Stalled{}) }
+func (w *Watcher) Stalled() { w.step(pollplan.Stalled{}) }
 
 // step tells the core what happened and does what it says.
-func (w *Watch) step(events ...pollplan.Event) {
+func (w *Watcher) step(events ...pollplan.Event) {
 	for _, a := range slices.Clone(w.core.Step(w.loop.Now(), events...)) {
 		switch a := a.(type) {
 		case pollplan.Dial:
 			c := &conn{w: w, n: a.Conn}
 			w.conns[a.Conn] = c
 			w.loop.Dial(w.addr, connectIn, c, func(err error) { c.fail(err, 0) })
-		case pollplan.Ask:
+		case pollplan.Poll:
 			// A failed write closes the connection and is seen by Closed.
 			_, _ = w.conns[a.Conn].c.Write(fmt.Appendf(nil, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-				w.last, a.Patience.Milliseconds(), w.addr))
+				w.last, a.Timeout.Milliseconds(), w.addr))
 		case pollplan.Close:
 			c := w.conns[a.Conn]
 			delete(w.conns, a.Conn)
 			if c.c != nil {
 				_ = c.c.EventLoop().Close(c.c)
 			}
-		case pollplan.Blind:
-			if w.Blind != nil {
-				w.Blind(a.For)
+		case pollplan.MarkStale:
+			if w.OnStale != nil {
+				w.OnStale(a.Duration)
 			}
-		case pollplan.Slow:
+		case pollplan.PollOverdue:
 			w.log.Warn("bulletin slow: polled once more")
 		}
 	}
 	if at, ok := w.core.Next(); ok {
-		w.loop.At(&w.next, at)
+		w.loop.SetDeadline(&w.next, at)
 	} else {
-		w.loop.Drop(&w.next)
+		w.loop.ClearDeadline(&w.next)
 	}
 }
 
 // take reads an answer and hands on its events.
-func (w *Watch) take(text []byte) error {
+func (w *Watcher) take(text []byte) error {
 	var f Feed
 	if err := json.Unmarshal(text, &f); err != nil {
 		return err
@@ -274,11 +274,11 @@
 // apply hands on events, in order and each once. One that makes no sense is asked for again, and read as far as
 // it goes if it comes the same: later ones may say who drains. Where some are left out, who drains may be in those: the
 // list is read from its beginning, once.
-func (w *Watch) apply(f *Feed) error {
+func (w *Watcher) apply(f *Feed) error {
 	before := w.last
 	defer func() {
-		if w.Changed != nil && w.last > before { // not between two events: what is kept never gets older
-			w.Changed()
+		if w.OnChange != nil && w.last > before { // not between two events: what is kept never gets older
+			w.OnChange()
 		}
 	}()
 	for _, e := range f.Items {
@@ -297,10 +297,10 @@
 				return fmt.Errorf("event %d: %w", e.No, err)
 			}
 			w.sink(r)
-			if w.Changed != nil {
+			if w.OnChange != nil {
 				w.keep(e.Roster)
 			}
-			w.log.WithFields(logrus.Fields{"event": e.No, "targets": len(r.Entries), "all": r.Full}).
+			w.log.WithFields(logrus.Fields{"event": e.No, "targets": len(r.Endpoints), "all": r.Full}).
 				Info("worker list changed")
 		}
 		w.last = e.No
@@ -324,21 +324,21 @@
 		w.down = true
 		w.log.WithError(err).Warn("bulletin not heard")
 	}
-	w.step(pollplan.Failed{Conn: c.n, After: after})
+	w.step(pollplan.Failed{Conn: c.n, RetryAfter: after})
 }
 
-// Open reports a connection that is up.
-func (c *conn) Open(gc gnet.Conn) {
+// Opened reports a connection that is up.
+func (c *conn) Opened(gc gnet.Conn) {
 	c.c = gc
 	if !c.open() { // given up before it was up
 		_ = gc.EventLoop().Close(gc)
 		return
 	}
-	c.w.step(pollplan.Up{Conn: c.n})
+	c.w.step(pollplan.Connected{Conn: c.n})
 }
 
-// Traffic reads the answer to a poll.
-func (c *conn) Traffic(gc gnet.Conn) error {
+// Readable reads the answer to a poll.
+func (c *conn) Readable(gc gnet.Conn) error {
 	w := c.w
 	b, err := gc.Peek(-1)
 	if err != nil || len(b) == 0 {
@@ -365,7 +365,7 @@
 		w.down = false
 		w.log.Info("bulletin heard again")
 	}
-	w.step(pollplan.Answered{Conn: c.n, News: w.last > before, Last: last})
+	w.step(pollplan.Answered{Conn: c.n, HasUpdates: w.last > before, ConnectionClosing: last})
 	if w.last < before { // it is read from its beginning
 		w.step(pollplan.Stalled{})
 	}
--- a/internal/discovery/pollplan/polling.go
+++ b/internal/discovery/pollplan/polling.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// Patience is how long an ask has the service wait for news, in the mean. Short, so that one which has fallen
+	// PollTimeout is how long an ask has the service wait for news, in the mean. Short, so that one which has fallen
 	// silent is noticed well before what it has to tell counts as told.
-	Patience = 2 * time.Second
+	PollTimeout = 2 * time.Second
 	// patienceOff is how far the first ask after an event may be off that: an event answers the polls of the whole
 	// fleet at once, and asks that all last as long would stay in step for good.
 	patienceOff = time.Second
@@ -52,56 +52,56 @@
 	rate, burst = 20, 40
 )
 
-// Event is what happened: a Begun, Up, Answered, Failed, Moved or Stalled.
+// Event is what happened: a Started, Connected, Answered, Failed, AddressChanged or Stalled.
 type Event any
 
-// Begun is the start. Listed reports that a list of workers is known already, Old that it is from an earlier life.
-type Begun struct{ Listed, Old bool }
+// Started is the start. Listed reports that a list of workers is known already, Restored that it is from an earlier life.
+type Started struct{ HasEndpoints, Restored bool }
 
-// Up is a connection that came up.
-type Up struct{ Conn int }
+// Connected is a connection that came up.
+type Connected struct{ Conn int }
 
-// Answered is a whole answer. News reports that it brought events not known before, Last that the connection ends
+// Answered is a whole answer. News reports that it brought events not known before, ConnectionClosing that the connection ends
 // with it.
 type Answered struct {
-	Conn       int
-	News, Last bool
+	Conn                          int
+	HasUpdates, ConnectionClosing bool
 }
 
 // Failed is a connection that did not come up or is lost, or an answer that is none. After is how long the service
 // asked to be left alone; 0 if it did not.
 type Failed struct {
-	Conn  int
-	After time.Duration
+	Conn       int
+	RetryAfter time.Duration
 }
 
-// Moved says that the service is at another address.
-type Moved struct{}
+// AddressChanged says that the service is at another address.
+type AddressChanged struct{}
 
 // Stalled says that the process did nothing for a while: it was stopped, or had no processor.
 type Stalled struct{}
 
-// Action is what is to be done: a Dial, Ask, Close, Slow or Blind.
+// Action is what is to be done: a Dial, Poll, Close, PollOverdue or MarkStale.
 type Action any
 
 // Dial opens a connection, which gets that number. Up or Failed follows.
 type Dial struct{ Conn int }
 
-// Ask has the service asked over a connection, to wait that long for news. Answered or Failed follows, or neither.
-type Ask struct {
-	Conn     int
-	Patience time.Duration
+// Poll has the service asked over a connection, to wait that long for news. Answered or Failed follows, or neither.
+type Poll struct {
+	Conn    int
+	Timeout time.Duration
 }
 
 // Close ends a connection. Nothing of it is reported any more.
 type Close struct{ Conn int }
 
-// Slow says that an ask is late and another is made beside it.
-type Slow struct{}
+// PollOverdue says that an ask is late and another is made beside it.
+type PollOverdue struct{}
 
-// Blind says that the list may be old for so long from now, unless another Blind says 0 before: nobody listened to the
+// MarkStale says that the list may be old for so long from now, unless another MarkStale says 0 before: nobody listened to the
 // service, and what it told meanwhile counts as told.
-type Blind struct{ For time.Duration }
+type MarkStale struct{ Duration time.Duration }
 
 type phase int
 
@@ -134,7 +134,7 @@
 	inStep             bool          // the whole fleet may just have been answered
 	slow               bool          // the last answer came late, or there was none yet
 	blind              bool          // the service's word on what came during a stall is waited for
-	asks               ratelimit.Bucket
+	asks               ratelimit.TokenBucket
 	conns              int
 	out                []Action
 }
@@ -150,7 +150,7 @@
 		slow:  true, rng: rand.New(rand.NewPCG(seed, 0x706f6c6c)),
 	}
 	c.place = c.within(c.window)
-	c.patience = Patience + (longest-Patience)*c.window/window
+	c.patience = PollTimeout + (longest-PollTimeout)*c.window/window
 	c.grace = overdue + (longOverdue-overdue)*c.window/window
 	return c
 }
@@ -161,16 +161,16 @@
 	c.out = c.out[:0]
 	for _, e := range events {
 		switch e := e.(type) {
-		case Begun:
+		case Started:
 			c.again, c.inStep = now, true
-			if e.Listed { // one that has none is of no use to anybody, and asks first
+			if e.HasEndpoints { // one that has none is of no use to anybody, and asks first
 				c.again += c.within(c.newsWindow)
 			}
-			if e.Old {
+			if e.Restored {
 				c.blind = true
-				c.out = append(c.out, Blind{c.newsWindow + blindFor})
+				c.out = append(c.out, MarkStale{c.newsWindow + blindFor})
 			}
-		case Up:
+		case Connected:
 			if c.current != nil && c.current.conn == e.Conn {
 				c.ask(now)
 			}
@@ -178,7 +178,7 @@
 			c.answered(now, e)
 		case Failed:
 			c.failed(now, e)
-		case Moved:
+		case AddressChanged:
 			c.shut(&c.late)
 			c.shut(&c.current)
 			c.pause, c.again = 0, c.turn(now)
@@ -222,7 +222,7 @@
 		}
 		c.shut(&c.current)
 		c.again, c.slow = now, true
-		c.out = append(c.out, Slow{})
+		c.out = append(c.out, PollOverdue{})
 	}
 }
 
@@ -233,7 +233,7 @@
 		a.phase, a.at = resting, now+time.Second/rate
 		return
 	}
-	patience, grace := Patience, overdue
+	patience, grace := PollTimeout, overdue
 	if c.slow {
 		patience, grace = c.patience, c.grace
 	}
@@ -246,7 +246,7 @@
 	}
 	a.phase, a.at, a.till, a.overdue = asked, now, now+patience, now+patience+grace
 	c.inStep = false
-	c.out = append(c.out, Ask{a.conn, patience})
+	c.out = append(c.out, Poll{a.conn, patience})
 }
 
 func (c *Core) answered(now time.Duration, e Answered) {
@@ -266,20 +266,20 @@
 	if c.blind {
 		c.blind = a.at < a.till // a wait that began before the stall
 		if !c.blind {
-			c.out = append(c.out, Blind{0})
+			c.out = append(c.out, MarkStale{0})
 		}
 	}
 	c.slow = c.late != nil || now > a.overdue
 	c.shut(&c.late)
 	c.pause = 0
 	next := now
-	if !e.News && a.at < a.till {
+	if !e.HasUpdates && a.at < a.till {
 		next = max(now, a.at+c.hasty)
 	}
-	if c.inStep = c.inStep || e.News || c.slow; c.inStep && !c.blind {
+	if c.inStep = c.inStep || e.HasUpdates || c.slow; c.inStep && !c.blind {
 		next += c.within(c.newsWindow)
 	}
-	if e.Last {
+	if e.ConnectionClosing {
 		c.shut(&c.current)
 		c.again = next
 		return
@@ -294,7 +294,7 @@
 		return
 	}
 	c.blind = true
-	c.out = append(c.out, Blind{blindFor})
+	c.out = append(c.out, MarkStale{blindFor})
 	switch {
 	case a == nil && c.pause == 0:
 		c.again = now
@@ -315,7 +315,7 @@
 	}
 	c.shut(&c.current)
 	c.pause, c.slow = min(max(2*c.pause, againMin), againMax), true
-	c.again = c.turn(now + max(c.pause, min(e.After, heeded)))
+	c.again = c.turn(now + max(c.pause, min(e.RetryAfter, heeded)))
 }
 
 // turn is the scheduler's next own time, from a time on.
--- a/internal/discovery/pollplan/polling_test.go
+++ b/internal/discovery/pollplan/polling_test.go
@@ -145,29 +145,29 @@
 		{"while an ask waits", func(_ *pollplan.Core, now time.Duration) time.Duration { return now + time.Second }, false},
 		{"past the end of its wait", func(_ *pollplan.Core, now time.Duration) time.Duration { return now + 9*time.Second }, true},
 		{"between two asks", func(c *pollplan.Core, now time.Duration) time.Duration {
-			c.Step(now, pollplan.Answered{Conn: 1, News: true})
+			c.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
 			return now + 600*time.Millisecond
 		}, true},
 	} {
 		now := time.Hour
 		core := pollplan.New(300, time.Second, 1)
-		core.Step(now, pollplan.Begun{})
-		core.Step(now, pollplan.Up{Conn: 1})
+		core.Step(now, pollplan.Started{})
+		core.Step(now, pollplan.Connected{Conn: 1})
 		now = c.stop(core, now)
 		got := core.Step(now, pollplan.Stalled{})
-		if blind := len(got) > 0 && got[0] == (pollplan.Blind{For: 250 * time.Millisecond}); blind != c.want {
+		if blind := len(got) > 0 && got[0] == (pollplan.MarkStale{Duration: 250 * time.Millisecond}); blind != c.want {
 			t.Errorf("%s: %v, want blind %v", c.name, got, c.want)
 		}
 		if !c.want {
 			continue
 		}
-		if asked := len(got) == 2 && got[1] == (pollplan.Ask{Conn: 1}); !asked {
+		if asked := len(got) == 2 && got[1] == (pollplan.Poll{Conn: 1}); !asked {
 			// The old ask is answered first, and the next is made at once, for an answer at once.
-			if got = core.Step(now+1, pollplan.Answered{Conn: 1}); len(got) != 1 || got[0] != (pollplan.Ask{Conn: 1}) {
+			if got = core.Step(now+1, pollplan.Answered{Conn: 1}); len(got) != 1 || got[0] != (pollplan.Poll{Conn: 1}) {
 				t.Errorf("%s: on the answer to the old ask %v", c.name, got)
 			}
 		}
-		if got = core.Step(now+2, pollplan.Answered{Conn: 1}); len(got) != 2 || got[0] != (pollplan.Blind{}) {
+		if got = core.Step(now+2, pollplan.Answered{Conn: 1}); len(got) != 2 || got[0] != (pollplan.MarkStale{}) {
 			t.Errorf("%s: on the answer %v", c.name, got)
 		}
 	}
@@ -177,7 +177,7 @@
 func TestUnlistedFirst(t *testing.T) {
 	for _, n := range []int{1, 300} {
 		c := pollplan.New(n, time.Second, 1)
-		if got := c.Step(time.Hour, pollplan.Begun{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
+		if got := c.Step(time.Hour, pollplan.Started{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
 			t.Errorf("of %d: at its start it does %v", n, got)
 		}
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
 // Package dispatch stands between the decisions and the peers. It owns the Router, the table of requests and
 // their deadlines, gathers what peers report into one Step for each pass of the event loop, and turns the
 // Router's actions into calls of the peers. It knows no protocol: whatever speaks one to clients hands in Calls
-// and is a Caller, whatever reaches workers is Workers, and whatever holds a list of workers hands in Rosters.
+// and is a Responder, whatever reaches workers is Workers, and whatever holds a list of workers hands in Rosters.
 package dispatch
 
 import (
@@ -20,78 +20,78 @@
 
 // Call is a client's request.
 type Call struct {
-	ID       string // new with every request
-	Class    int
-	Function string
-	Affinity string // what the Router takes for the function where rules say otherwise; "" if they don't
-	Route    string // that rules gave; "" if none
-	Key      string // idempotency key; "" if none
-	Budget   time.Duration
-	Memory   float64 // of a loaded copy, in MB; 0 if not told
-	Lanes    int     // 0 if not told
-	LoadTime time.Duration
-	Body     *bufferpool.Buffer // nil if empty; the dispatcher gives it back to the pool
-}
-
-// Verdict is what a final answer says.
-type Verdict int
+	ID             string // new with every request
+	Class          int
+	Function       string
+	Affinity       string // what the Router takes for the function where rules say otherwise; "" if they don't
+	Route          string // that rules gave; "" if none
+	IdempotencyKey string // idempotency key; "" if none
+	TimeLeft       time.Duration
+	MemoryMB       float64 // of a loaded copy, in MB; 0 if not told
+	Concurrency    int     // 0 if not told
+	LoadTime       time.Duration
+	Body           *bufferpool.Buffer // nil if empty; the dispatcher gives it back to the pool
+}
+
+// Status is what a final answer says.
+type Status int
 
 // The verdicts.
 const (
-	Served Verdict = iota
-	Refused
+	Served Status = iota
+	Rejected
 	Failed
 )
 
 // Answer is the final answer to a Call.
 type Answer struct {
-	Verdict    Verdict
+	Status     Status
 	Body       []byte        // of a served one; good only during the call
 	RetryAfter time.Duration // advice with a refusal; 0 means none
 }
 
-// Caller is whoever handed in a Call. It is given the one final answer, under the tag that it named.
-type Caller interface {
-	Answer(tag slotmap.Ref, a Answer)
+// Responder is whoever handed in a Call. It is given the one final answer, under the tag that it named.
+type Responder interface {
+	Respond(tag slotmap.Ref, a Answer)
 }
 
 // Attempt is a request on its way to a worker.
 type Attempt struct {
-	Ref      slotmap.Ref // names it in Halt and Ended
-	Worker   string
-	ID       string
-	Class    int
-	Function string
-	Key      string
-	Patience time.Duration
-	Body     []byte // good until Ended or Halt
-}
-
-// Workers reaches the workers. Each attempt that is sent and not halted is reported with Ended, once, and
-// each probe with Probed.
+	Ref            slotmap.Ref // names it in Cancel and AttemptEnded
+	Worker         string
+	ID             string
+	Class          int
+	Function       string
+	IdempotencyKey string
+	Timeout        time.Duration
+	Body           []byte // good until AttemptEnded or Cancel
+}
+
+// Workers reaches the workers. Each attempt that is sent and not halted is reported with AttemptEnded, once, and
+// each probe with ProbeEnded.
 type Workers interface {
-	Follow(Roster)
+	UpdateEndpoints(EndpointList)
 	Send(Attempt)
-	Halt(ref slotmap.Ref) (written bool)
+	Cancel(ref slotmap.Ref) (written bool)
 	Probe(worker string)
 }
 
-// End is how an attempt or a probe ended.
-type End struct {
-	Outcome routing.Outcome
-	Body    []byte // of a served one; good only during the call
-	Company int    // requests for the function that the worker held; -1 if not told
-	Report  *routing.Report
+// AttemptResult is how an attempt or a probe ended.
+type AttemptResult struct {
+	Outcome             routing.Outcome
+	Body                []byte // of a served one; good only during the call
+	InFlightForFunction int    // requests for the function that the worker held; -1 if not told
+	Report              *routing.LoadReport
 }
 
-// Roster is a list of workers, or what changed in it.
-type Roster struct {
-	Full    bool // who is missing has gone
-	Entries []Entry
+// EndpointList is a list of workers, or what changed in it.
+type EndpointList struct {
+	Full      bool // who is missing has gone
+	Endpoints []Endpoint
 }
 
-// Entry is a worker and where to reach it.
-type Entry struct {
+// Endpoint is a worker and where to reach it.
+type Endpoint struct {
 	routing.Worker
 	Addr            string
 	Model, ZoneName string
@@ -101,17 +101,17 @@
 type Loop interface {
 	Now() time.Duration
 	Post(func())
-	At(*deadline.Entry, time.Duration)
-	Drop(*deadline.Entry)
+	SetDeadline(*deadline.Timer, time.Duration)
+	ClearDeadline(*deadline.Timer)
 }
 
 // reserve is kept of each client's time: the request has been on its way, and the answer will be.
 const reserve = 3 * time.Millisecond
 
-// Errors of Take.
+// Errors of Submit.
 var (
-	ErrKnownID = errors.New("a request of this id is open")
-	ErrFull    = errors.New("too many requests are open")
+	ErrDuplicateID     = errors.New("a request of this id is open")
+	ErrTooManyRequests = errors.New("too many requests are open")
 )
 
 // Dispatcher is the engine of a scheduler. All its methods must be called on the loop.
@@ -133,14 +133,14 @@
 	events []routing.Event
 	posted bool
 
-	observe func(routing.Observe) // nil where nobody is told
-	routes  *pools.Core           // nil where there are none
+	observe func(routing.ReportFault) // nil where nobody is told
+	routes  *pools.Core               // nil where there are none
 }
 
 type request struct {
 	Call
 	ref      slotmap.Ref
-	caller   Caller
+	caller   Responder
 	tag      slotmap.Ref
 	end      time.Duration // when the client gives up, less the reserve
 	done     bool
@@ -156,7 +156,7 @@
 	sent   time.Duration
 	until  time.Duration // its time is over then
 	begin  time.Duration // it is not begun later
-	late   deadline.Entry
+	late   deadline.Timer
 }
 
 // New returns a Dispatcher. Use must be called before anything else.
@@ -167,18 +167,18 @@
 	}
 }
 
-// Use names what reaches the workers.
-func (d *Dispatcher) Use(w Workers) { d.workers = w }
+// SetWorkers names what reaches the workers.
+func (d *Dispatcher) SetWorkers(w Workers) { d.workers = w }
 
-// Tell names who is told what the Router finds of workers. It must not wait.
-func (d *Dispatcher) Tell(observe func(routing.Observe)) { d.observe = observe }
+// SetFaultObserver names who is told what the Router finds of workers. It must not wait.
+func (d *Dispatcher) SetFaultObserver(observe func(routing.ReportFault)) { d.observe = observe }
 
-// PeersHold takes in what other schedulers hold of workers.
-func (d *Dispatcher) PeersHold(h routing.PeersHold) { d.tell(h) }
+// ApplyPeerReports takes in what other schedulers hold of workers.
+func (d *Dispatcher) ApplyPeerReports(h routing.PeerReports) { d.tell(h) }
 
-// Route has requests that come from now on go by these routes; nil is none. Those that are taken keep the workers
+// SetRoutes has requests that come from now on go by these routes; nil is none. Those that are taken keep the workers
 // that theirs had last.
-func (d *Dispatcher) Route(routes *pools.Core) {
+func (d *Dispatcher) SetRoutes(routes *pools.Core) {
 	d.routes = routes
 	d.reroute(d.attributes())
 }
@@ -191,38 +191,38 @@
 }
 
 // attributes is the list as conditions on workers see it.
-func (d *Dispatcher) attributes() pools.Listed {
-	var l pools.Listed
-	for _, id := range d.Listed() {
+func (d *Dispatcher) attributes() pools.EndpointsChanged {
+	var l pools.EndpointsChanged
+	for _, id := range d.WorkerIDs() {
 		l.Workers = append(l.Workers, d.entries[id])
 	}
 	return l
 }
 
-// Listed is the workers that the list names, gone ones left out.
-func (d *Dispatcher) Listed() []string { return slices.Sorted(maps.Keys(d.states)) }
+// WorkerIDs is the workers that the list names, gone ones left out.
+func (d *Dispatcher) WorkerIDs() []string { return slices.Sorted(maps.Keys(d.states)) }
 
-// Ready reports whether a list of workers is held.
-func (d *Dispatcher) Ready() bool { return d.listed }
+// HasEndpoints reports whether a list of workers is held.
+func (d *Dispatcher) HasEndpoints() bool { return d.listed }
 
-// Open is the number of requests that are owed a final answer.
-func (d *Dispatcher) Open() int { return d.open }
+// OpenRequests is the number of requests that are owed a final answer.
+func (d *Dispatcher) OpenRequests() int { return d.open }
 
 // ---- clients ----
 
-// Take takes a request in and owes its caller one final answer. With an error nothing is owed, and the body
+// Submit takes a request in and owes its caller one final answer. With an error nothing is owed, and the body
 // stays the caller's.
-func (d *Dispatcher) Take(c Call, from Caller, tag slotmap.Ref) (slotmap.Ref, error) {
+func (d *Dispatcher) Submit(c Call, from Responder, tag slotmap.Ref) (slotmap.Ref, error) {
 	// The Router passes over an id that it still holds, and would never answer it.
 	if _, ok := d.byID[c.ID]; ok {
-		return 0, ErrKnownID
+		return 0, ErrDuplicateID
 	}
 	if d.maxOpen > 0 && d.open >= d.maxOpen {
-		return 0, ErrFull
+		return 0, ErrTooManyRequests
 	}
 	now := d.loop.Now()
-	q := &request{Call: c, caller: from, tag: tag, end: now + c.Budget - reserve}
-	q.ref = d.requests.Put(q)
+	q := &request{Call: c, caller: from, tag: tag, end: now + c.TimeLeft - reserve}
+	q.ref = d.requests.Insert(q)
 	d.byID[c.ID] = q.ref
 	d.open++
 	function, pool := cmp.Or(c.Affinity, c.Function), (*routing.Pool)(nil)
@@ -233,16 +233,16 @@
 	}
 	d.tell(routing.Request{
 		ID: c.ID, Class: c.Class, Function: function, Pool: pool, TimeLeft: max(q.end-now, 0),
-		Memory: c.Memory, Lanes: c.Lanes, LoadTime: c.LoadTime,
+		MemoryMB: c.MemoryMB, Concurrency: c.Concurrency, LoadTime: c.LoadTime,
 	})
 	return q.ref, nil
 }
 
-// Abandon says that the client has left. Nothing more is owed.
-func (d *Dispatcher) Abandon(ref slotmap.Ref) {
+// Cancel says that the client has left. Nothing more is owed.
+func (d *Dispatcher) Cancel(ref slotmap.Ref) {
 	if q, ok := d.requests.Get(ref); ok && !q.done {
 		d.finish(q)
-		d.tell(routing.Abandoned{ID: q.ID})
+		d.tell(routing.ClientCanceled{ID: q.ID})
 	}
 }
 
@@ -252,7 +252,7 @@
 		return
 	}
 	d.finish(q)
-	q.caller.Answer(q.tag, a)
+	q.caller.Respond(q.tag, a)
 }
 
 func (d *Dispatcher) finish(q *request) {
@@ -268,7 +268,7 @@
 	if _, ok := d.requests.Get(q.ref); !ok {
 		return
 	}
-	d.requests.Free(q.ref)
+	d.requests.Remove(q.ref)
 	delete(d.byID, q.ID)
 	d.pool.Put(q.Body)
 	q.Body = nil
@@ -276,55 +276,55 @@
 
 // ---- workers ----
 
-// Ended reports how an attempt ended.
-func (d *Dispatcher) Ended(ref slotmap.Ref, e End) {
+// AttemptEnded reports how an attempt ended.
+func (d *Dispatcher) AttemptEnded(ref slotmap.Ref, e AttemptResult) {
 	a, ok := d.attempts.Get(ref)
 	if !ok {
 		return
 	}
 	if e.Outcome == routing.Served {
-		d.answer(a.q, Answer{Verdict: Served, Body: e.Body})
+		d.answer(a.q, Answer{Status: Served, Body: e.Body})
 	}
 	d.end(a, e)
 }
 
 // end closes an attempt and tells the Router.
-func (d *Dispatcher) end(a *attempt, e End) {
-	d.loop.Drop(&a.late)
-	d.attempts.Free(a.ref)
+func (d *Dispatcher) end(a *attempt, e AttemptResult) {
+	d.loop.ClearDeadline(&a.late)
+	d.attempts.Remove(a.ref)
 	a.q.out--
-	d.tell(routing.AttemptEnd{
+	d.tell(routing.AttemptEnded{
 		ID: a.q.ID, Attempt: a.n, Worker: a.worker, Outcome: e.Outcome,
-		Closed: a.q.done, Latency: d.loop.Now() - a.sent, Company: e.Company, Report: e.Report,
+		RequestAnswered: a.q.done, Latency: d.loop.Now() - a.sent, InFlightForFunction: e.InFlightForFunction, Report: e.Report,
 	})
 }
 
 // halt gives an attempt up. One of which nothing was written has not run, whatever the reason.
 func (d *Dispatcher) halt(a *attempt, written routing.Outcome, unwritten routing.Outcome) {
-	e := End{Outcome: written, Company: -1}
-	if !d.workers.Halt(a.ref) {
+	e := AttemptResult{Outcome: written, InFlightForFunction: -1}
+	if !d.workers.Cancel(a.ref) {
 		e.Outcome = unwritten
 	}
 	d.end(a, e)
 }
 
-// Probed reports how a probe ended.
-func (d *Dispatcher) Probed(worker string, took time.Duration, e End) {
-	d.tell(routing.ProbeEnd{Worker: worker, Outcome: e.Outcome, Latency: took, Report: e.Report})
+// ProbeEnded reports how a probe ended.
+func (d *Dispatcher) ProbeEnded(worker string, took time.Duration, e AttemptResult) {
+	d.tell(routing.ProbeEnded{Worker: worker, Outcome: e.Outcome, Latency: took, Report: e.Report})
 }
 
-// May reports whether an attempt may still be written. The client may have left, its time be over after a stall, or
+// MaySend reports whether an attempt may still be written. The client may have left, its time be over after a stall, or
 // the worker have begun to drain, since the Router was told last; and workers may have forgotten an earlier attempt
 // while this one waited for a connection.
-func (d *Dispatcher) May(ref slotmap.Ref) bool {
+func (d *Dispatcher) MaySend(ref slotmap.Ref) bool {
 	a, ok := d.attempts.Get(ref)
 	return ok && !a.q.done && d.loop.Now() < min(a.until, a.begin) && d.states[a.worker] == routing.Ready
 }
 
 // ---- the list ----
 
-// List takes in a list of workers.
-func (d *Dispatcher) List(r Roster) {
+// UpdateEndpoints takes in a list of workers.
+func (d *Dispatcher) UpdateEndpoints(r EndpointList) {
 	d.listed = true
 	l := routing.WorkerList{Kind: routing.ListChanges}
 	if r.Full {
@@ -332,7 +332,7 @@
 		clear(d.states)
 		clear(d.entries)
 	}
-	for _, e := range r.Entries {
+	for _, e := range r.Endpoints {
 		l.Workers = append(l.Workers, e.Worker)
 		d.states[e.ID] = e.State
 		if e.State == routing.Gone {
@@ -340,25 +340,25 @@
 			delete(d.entries, e.ID)
 			continue
 		}
-		d.entries[e.ID] = pools.Attributes{ID: e.ID, Model: e.Model, Zone: e.ZoneName, Group: e.Cell, State: pools.State(e.State)}
+		d.entries[e.ID] = pools.Attributes{ID: e.ID, Model: e.Model, Zone: e.ZoneName, Group: e.Cell, State: pools.StateName(e.State)}
 	}
 	d.reroute(d.attributes())
 	// The Router hears of it before the attempts that end with it.
 	d.tell(l)
-	d.workers.Follow(r)
+	d.workers.UpdateEndpoints(r)
 }
 
-// Blind says for how long the list may be old, from now; 0 that it is not.
-func (d *Dispatcher) Blind(lasts time.Duration) { d.tell(routing.ListOld{For: lasts}) }
+// MarkStale says for how long the list may be old, from now; 0 that it is not.
+func (d *Dispatcher) MarkStale(lasts time.Duration) { d.tell(routing.EndpointsStale{Duration: lasts}) }
 
-// Close has every request that is open get its final answer now, unserved: the program is about to be ended.
-func (d *Dispatcher) Close() { d.tell(routing.Closing{}) }
+// Shutdown has every request that is open get its final answer now, unserved: the program is about to be ended.
+func (d *Dispatcher) Shutdown() { d.tell(routing.Shutdown{}) }
 
-// Memory is what the Router has learned.
-func (d *Dispatcher) Memory() routing.Memory { return d.router.Memory() }
+// LearnedState is what the Router has learned.
+func (d *Dispatcher) LearnedState() routing.LearnedState { return d.router.LearnedState() }
 
-// Recall has the Router take up what an earlier process learned. It must follow the first list.
-func (d *Dispatcher) Recall(m routing.Memory) { d.tell(routing.Recalled{Memory: m}) }
+// RestoreState has the Router take up what an earlier process learned. It must follow the first list.
+func (d *Dispatcher) RestoreState(m routing.LearnedState) { d.tell(routing.StateRestored{State: m}) }
 
 // ---- the Router ----
 
@@ -381,9 +381,9 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case routing.AttemptEnd:
+		case routing.AttemptEnded:
 			d.forgetID(e.ID)
-		case routing.Abandoned:
+		case routing.ClientCanceled:
 			d.forgetID(e.ID)
 		}
 	}
@@ -402,18 +402,18 @@
 	case routing.Cancel:
 		if q, ok := d.requests.Get(d.byID[a.ID]); ok && a.Attempt < len(q.attempts) {
 			if at, ok := d.attempts.Get(q.attempts[a.Attempt]); ok {
-				d.halt(at, routing.Cancelled, routing.Unsent)
+				d.halt(at, routing.Canceled, routing.NotSent)
 			}
 		}
-	case routing.Refuse:
-		d.final(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+	case routing.Reject:
+		d.final(a.ID, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 	case routing.Fail:
-		d.final(a.ID, Answer{Verdict: Failed})
+		d.final(a.ID, Answer{Status: Failed})
 	case routing.SetTimer:
-		d.loop.At(&deadline.Entry{Fire: func() { d.tell(routing.TimerFired{Token: a.Token}) }},
+		d.loop.SetDeadline(&deadline.Timer{Fire: func() { d.tell(routing.TimerFired{Token: a.Token}) }},
 			d.loop.Now()+a.After)
-	case routing.Observe:
-		d.reroute(pools.Saw{Worker: a.Worker, Trouble: a.Trouble})
+	case routing.ReportFault:
+		d.reroute(pools.FaultObserved{Worker: a.Worker, Fault: a.Fault})
 		if d.observe != nil {
 			d.observe(a)
 		}
@@ -421,7 +421,7 @@
 		d.workers.Probe(a.Worker)
 	case routing.Load:
 		// No peer takes orders to load: the Router hears that this one never left.
-		d.tell(routing.LoadEnd{Worker: a.Worker, Function: a.Function, Outcome: routing.Unsent})
+		d.tell(routing.LoadEnded{Worker: a.Worker, Function: a.Function, Outcome: routing.NotSent})
 	case routing.Unload, routing.Subscribe, routing.FetchList:
 		// Nothing to do: the list comes unasked, and no peer takes orders to unload.
 	}
@@ -441,7 +441,7 @@
 	}
 	now := d.loop.Now()
 	a := &attempt{q: q, n: len(q.attempts), worker: s.Worker, sent: now}
-	a.ref = d.attempts.Put(a)
+	a.ref = d.attempts.Insert(a)
 	q.attempts = append(q.attempts, a.ref)
 	q.out++
 	until := q.end
@@ -449,18 +449,18 @@
 		until = min(until, now+s.Timeout)
 	}
 	a.until, a.begin = until, until
-	if s.Within > 0 {
-		a.begin = now + s.Within
+	if s.StartWithin > 0 {
+		a.begin = now + s.StartWithin
 	}
-	if !d.May(a.ref) {
-		d.end(a, End{Outcome: routing.Unsent, Company: -1})
+	if !d.MaySend(a.ref) {
+		d.end(a, AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
 		return
 	}
-	a.late.Fire = func() { d.halt(a, routing.TimedOut, routing.Unreached) }
-	d.loop.At(&a.late, until)
+	a.late.Fire = func() { d.halt(a, routing.TimedOut, routing.ConnectFailed) }
+	d.loop.SetDeadline(&a.late, until)
 	at := Attempt{
-		Ref: a.ref, Worker: s.Worker, ID: q.ID, Class: q.Class, Function: q.Function, Key: q.Key,
-		Patience: until - now,
+		Ref: a.ref, Worker: s.Worker, ID: q.ID, Class: q.Class, Function: q.Function, IdempotencyKey: q.IdempotencyKey,
+		Timeout: until - now,
 	}
 	if q.Body != nil {
 		at.Body = q.Body.B
--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -63,14 +63,14 @@
 
 // A statement's body is encoded to the golden bytes, and the golden bytes decode to its accusations.
 func TestGoldenStatements(t *testing.T) {
-	silent := Accusation{Worker: "w-1", Trouble: routing.Silent, First: 1200, Last: 0, Attempts: 7}
-	stalled := Accusation{Worker: "w-2", Trouble: routing.Stalled, First: 30_000, Last: 24, Attempts: 300}
+	silent := Accusation{Worker: "w-1", Trouble: routing.Unresponsive, First: 1200, Last: 0, Attempts: 7}
+	stalled := Accusation{Worker: "w-2", Trouble: routing.Slow, First: 30_000, Last: 24, Attempts: 300}
 	failing := Accusation{Worker: "vävare/3", Trouble: routing.Failing, First: 4_294_967_295, Last: 256, Attempts: 65_535}
 	unreachable := Accusation{Worker: "w-4", Trouble: routing.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
 	var long []Accusation // more than fit: those with the least Last are kept
 	for i := range uint32(14) {
 		long = append(long, Accusation{
-			Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: routing.Silent,
+			Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: routing.Unresponsive,
 			First: 100_000, Last: 100 - i, Attempts: 10,
 		})
 	}
--- a/internal/fleet/faultreport/suspicion.go
+++ b/internal/fleet/faultreport/suspicion.go
@@ -24,13 +24,13 @@
 
 // grave reports whether a worker may be left out for a trouble. One that only stalls or fails some requests still
 // serves.
-func grave(t routing.Trouble) bool { return t == routing.Silent || t == routing.Unreachable }
+func grave(t routing.Fault) bool { return t == routing.Unresponsive || t == routing.Unreachable }
 
 // Accusation is what one scheduler finds wrong with a worker.
 type Accusation struct {
 	_        struct{} `cbor:",toarray"`
 	Worker   string
-	Trouble  routing.Trouble
+	Trouble  routing.Fault
 	First    uint32 // how long ago the trouble was first seen when this was said, in milliseconds
 	Last     uint32 // and last: the newest request that shows it
 	Attempts uint16 // that showed it
@@ -92,7 +92,7 @@
 	}
 	seen := map[string]bool{}
 	for _, a := range list {
-		if a.Worker == "" || len(a.Worker) > MaxWorker || a.Trouble == routing.Well || a.Trouble > routing.Unreachable || a.Last > a.First ||
+		if a.Worker == "" || len(a.Worker) > MaxWorker || a.Trouble == routing.Healthy || a.Trouble > routing.Unreachable || a.Last > a.First ||
 			seen[a.Worker] {
 			return nil, ErrMalformed
 		}
@@ -130,15 +130,15 @@
 // Event is something that a Core is told.
 type Event interface{ event() }
 
-// Saw is what this scheduler finds of a worker itself; Well is an answer. At is when what shows it was sent.
-type Saw struct {
-	Worker  string
-	Trouble routing.Trouble
-	At      time.Duration
+// FaultObserved is what this scheduler finds of a worker itself; Well is an answer. At is when what shows it was sent.
+type FaultObserved struct {
+	Worker string
+	Fault  routing.Fault
+	At     time.Duration
 }
 
-// Listed is the workers that the list names now.
-type Listed struct{ Workers []string }
+// EndpointsChanged is the workers that the list names now.
+type EndpointsChanged struct{ Workers []string }
 
 // Members is who is taken to be there, this one left out.
 type Members struct{ Names []string }
@@ -155,12 +155,12 @@
 // Configure changes the settings.
 type Configure struct{ Config }
 
-func (Saw) event()       {}
-func (Listed) event()    {}
-func (Members) event()   {}
-func (Heard) event()     {}
-func (Lied) event()      {}
-func (Configure) event() {}
+func (FaultObserved) event()    {}
+func (EndpointsChanged) event() {}
+func (Members) event()          {}
+func (Heard) event()            {}
+func (Lied) event()             {}
+func (Configure) event()        {}
 
 // Action is something that a Core asks for.
 type Action interface{ action() }
@@ -170,7 +170,7 @@
 
 // Hold tells the Router what peers hold of workers, in place of all before; who is not named has no word. It comes
 // when that changes, and time and again as long as there is any.
-type Hold struct{ routing.PeersHold }
+type Hold struct{ routing.PeerReports }
 
 // Discredited says that a member is not heard, and why.
 type Discredited struct{ From, Why string }
@@ -181,7 +181,7 @@
 
 // finding is what this scheduler finds of a worker.
 type finding struct {
-	trouble     routing.Trouble
+	trouble     routing.Fault
 	first, last time.Duration
 	attempts    uint16
 	well        time.Duration // latest answer
@@ -199,7 +199,7 @@
 
 // held is an accusation, by the clock of this scheduler.
 type held struct {
-	trouble           routing.Trouble
+	trouble           routing.Fault
 	first, last, till time.Duration
 	belied            bool
 }
@@ -212,7 +212,7 @@
 	own      map[string]*finding
 	accusers map[string]*accuser
 	vouched  []string // workers that an accuser has just had an answer from
-	words    map[string]routing.Word
+	words    map[string]routing.PeerVerdict
 	holding  time.Duration // when the latest Hold was made
 	members  int           // with this one
 	said     time.Duration
@@ -225,7 +225,7 @@
 func New(c Config) *Core {
 	return &Core{
 		cfg: c, listed: map[string]bool{}, own: map[string]*finding{}, accusers: map[string]*accuser{},
-		words: map[string]routing.Word{}, members: 1,
+		words: map[string]routing.PeerVerdict{}, members: 1,
 	}
 }
 
@@ -234,9 +234,9 @@
 	c.now, c.acts = max(now, c.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case Saw:
+		case FaultObserved:
 			c.saw(e)
-		case Listed:
+		case EndpointsChanged:
 			c.list(e.Workers)
 		case Members:
 			c.meet(e.Names)
@@ -275,7 +275,7 @@
 
 // ---- what this scheduler sees ----
 
-func (c *Core) saw(e Saw) {
+func (c *Core) saw(e FaultObserved) {
 	f := c.own[e.Worker]
 	if f == nil {
 		if len(c.own) >= maxSeen || !c.listed[e.Worker] {
@@ -284,17 +284,17 @@
 		f = &finding{}
 		c.own[e.Worker] = f
 	}
-	if e.Trouble == routing.Well {
+	if e.Fault == routing.Healthy {
 		f.well = max(f.well, e.At)
-		if f.trouble != routing.Well {
+		if f.trouble != routing.Healthy {
 			c.changed = true
 		}
-		f.trouble, f.attempts = routing.Well, 0
+		f.trouble, f.attempts = routing.Healthy, 0
 		c.belie(e.Worker, e.At)
 		return
 	}
-	if f.trouble != e.Trouble {
-		f.trouble, f.first, f.attempts = e.Trouble, e.At, 0
+	if f.trouble != e.Fault {
+		f.trouble, f.first, f.attempts = e.Fault, e.At, 0
 		c.changed = true
 	} else if e.At > f.last {
 		c.changed = true // newer proof
@@ -332,7 +332,7 @@
 		c.listed[w] = true
 	}
 	maps.DeleteFunc(c.own, func(w string, f *finding) bool {
-		c.changed = c.changed || !c.listed[w] && f.trouble != routing.Well
+		c.changed = c.changed || !c.listed[w] && f.trouble != routing.Healthy
 		return !c.listed[w]
 	})
 }
@@ -430,8 +430,8 @@
 		return !a.here && len(a.held) == 0 && c.now >= a.unheard && a.creditNow(c.now) >= 1
 	})
 	for _, f := range c.own {
-		if f.trouble != routing.Well && c.now-f.last >= c.cfg.ForgetAfter {
-			f.trouble, f.attempts, c.changed = routing.Well, 0, true
+		if f.trouble != routing.Healthy && c.now-f.last >= c.cfg.ForgetAfter {
+			f.trouble, f.attempts, c.changed = routing.Healthy, 0, true
 		}
 	}
 }
@@ -446,7 +446,7 @@
 	}
 	var list []Accusation
 	for _, w := range slices.Sorted(maps.Keys(c.own)) {
-		if f := c.own[w]; f.trouble != routing.Well {
+		if f := c.own[w]; f.trouble != routing.Healthy {
 			list = append(list, Accusation{
 				Worker: w, Trouble: f.trouble, First: ago(c.now, f.first),
 				Last: ago(c.now, f.last), Attempts: f.attempts,
@@ -484,9 +484,9 @@
 			}
 		}
 	}
-	words := map[string]routing.Word{}
+	words := map[string]routing.PeerVerdict{}
 	for w := range all {
-		words[w] = routing.Noted
+		words[w] = routing.Reported
 	}
 	// Those with the most accusers come first where not all may be left out; those left out before stay so.
 	need, most := c.Need(), int(c.cfg.LeaveOut*float64(len(c.listed)))
@@ -500,18 +500,18 @@
 		return cmp.Or(cmp.Compare(rank(c.words[b]), rank(c.words[a])), cmp.Compare(graves[b], graves[a]), cmp.Compare(a, b))
 	})
 	for _, w := range ill[:min(len(ill), most)] {
-		words[w] = routing.Believed
+		words[w] = routing.Confirmed
 	}
 	// The Router weighs them against its own answers, which age.
 	if !maps.Equal(words, c.words) || len(c.vouched) > 0 || len(words) > 0 && c.now-c.holding >= holdEvery {
 		c.words, c.holding = words, c.now
-		c.acts = append(c.acts, Hold{routing.PeersHold{Words: maps.Clone(words), Vouched: c.vouched}})
+		c.acts = append(c.acts, Hold{routing.PeerReports{Verdicts: maps.Clone(words), Cleared: c.vouched}})
 		c.vouched = nil
 	}
 }
 
-func rank(w routing.Word) int {
-	if w == routing.Believed {
+func rank(w routing.PeerVerdict) int {
+	if w == routing.Confirmed {
 		return 1
 	}
 	return 0
--- a/internal/fleet/faultreport/suspicion_test.go
+++ b/internal/fleet/faultreport/suspicion_test.go
@@ -21,12 +21,12 @@
 	now   time.Duration
 	names []string
 	cores map[string]*Core // of the honest
-	words map[string]map[string]routing.Word
+	words map[string]map[string]routing.PeerVerdict
 	told  []string // who was discredited, by whom
 }
 
 func newFleet(t fataler, members, liars, workers int, change ...func(*Config)) *fleet {
-	f := &fleet{t: t, now: time.Hour, cores: map[string]*Core{}, words: map[string]map[string]routing.Word{}}
+	f := &fleet{t: t, now: time.Hour, cores: map[string]*Core{}, words: map[string]map[string]routing.PeerVerdict{}}
 	cfg := Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: 10 * second}
 	for _, c := range change {
 		c(&cfg)
@@ -46,7 +46,7 @@
 				others = append(others, o)
 			}
 		}
-		f.step(n, Listed{list(workers)}, Members{others})
+		f.step(n, EndpointsChanged{list(workers)}, Members{others})
 	}
 	return f
 }
@@ -65,7 +65,7 @@
 		case Say:
 			f.say(n, a.Accusations)
 		case Hold:
-			f.words[n] = a.Words
+			f.words[n] = a.Verdicts
 		case Discredited:
 			f.told = append(f.told, n+" "+a.From)
 		}
@@ -96,15 +96,15 @@
 	}
 }
 
-func (f *fleet) word(n, w string) routing.Word { return f.words[n][w] }
+func (f *fleet) word(n, w string) routing.PeerVerdict { return f.words[n][w] }
 
 func silent(w string) []Accusation {
-	return []Accusation{{Worker: w, Trouble: routing.Silent, First: 2000, Last: 0, Attempts: 9}}
+	return []Accusation{{Worker: w, Trouble: routing.Unresponsive, First: 2000, Last: 0, Attempts: 9}}
 }
 
 // Colluding liars up to the told number leave nobody out; one more than that does, which is what the number means.
 func TestLiarsAndOneMore(t *testing.T) {
-	for liars, want := range map[int]routing.Word{1: routing.Noted, 3: routing.Noted, 4: routing.Believed} {
+	for liars, want := range map[int]routing.PeerVerdict{1: routing.Reported, 3: routing.Reported, 4: routing.Confirmed} {
 		f := newFleet(t, 12, liars, 20)
 		for range 20 {
 			for i := range liars {
@@ -140,7 +140,7 @@
 	}
 	f.run(unheardFor)
 	f.say("n0", silent("w1"))
-	if got := f.word("n5", "w1"); got != routing.Noted {
+	if got := f.word("n5", "w1"); got != routing.Reported {
 		t.Errorf("after a while it is heard again: %v", got)
 	}
 }
@@ -150,20 +150,20 @@
 	f := newFleet(t, 4, 1, 10)
 	for i := range 8 {
 		w := fmt.Sprintf("w%d", i%2)
-		f.step("n1", Saw{w, routing.Well, f.now - second})
+		f.step("n1", FaultObserved{w, routing.Healthy, f.now - second})
 		f.say("n0", silent(w))
 		f.run(500 * time.Millisecond)
 	}
 	f.say("n0", silent("w7"))
-	if got := f.word("n1", "w7"); got != routing.NoWord {
+	if got := f.word("n1", "w7"); got != routing.NotReported {
 		t.Errorf("one that was belied is heard: %v", got)
 	}
-	if got := f.word("n2", "w7"); got != routing.Noted {
+	if got := f.word("n2", "w7"); got != routing.Reported {
 		t.Errorf("one that nobody belied is not heard: %v", got)
 	}
 	f.run(40 * second)
 	f.say("n0", silent("w7"))
-	if got := f.word("n1", "w7"); got != routing.Noted {
+	if got := f.word("n1", "w7"); got != routing.Reported {
 		t.Errorf("its credit does not come back: %v", got)
 	}
 }
@@ -171,33 +171,33 @@
 // A true silence, seen by one more than may lie, is believed by all, and gone from all once it is over.
 func TestTrueSilence(t *testing.T) {
 	f := newFleet(t, 12, 0, 20)
-	see := func(w string, tr routing.Trouble, by ...string) {
+	see := func(w string, tr routing.Fault, by ...string) {
 		for _, n := range by {
-			f.step(n, Saw{w, tr, f.now})
+			f.step(n, FaultObserved{w, tr, f.now})
 		}
 	}
 	for range 6 {
-		see("w4", routing.Silent, "n1", "n5", "n8", "n9")
+		see("w4", routing.Unresponsive, "n1", "n5", "n8", "n9")
 		f.run(second)
 	}
 	for n, words := range f.words {
-		if n != "n1" && words["w4"] != routing.Believed && f.cores[n].own["w4"] == nil {
+		if n != "n1" && words["w4"] != routing.Confirmed && f.cores[n].own["w4"] == nil {
 			t.Errorf("%s holds %v", n, words["w4"])
 		}
 	}
 	vouched := false
 	for _, a := range f.cores["n2"].Step(f.now, []Event{Heard{"n9", mustEncode(nil)}}) {
 		if h, ok := a.(Hold); ok {
-			vouched = len(h.Vouched) == 1 && h.Vouched[0] == "w4"
+			vouched = len(h.Cleared) == 1 && h.Cleared[0] == "w4"
 		}
 	}
 	if !vouched {
 		t.Error("an answer to one of them does not have others try")
 	}
-	see("w4", routing.Well, "n1", "n5", "n8", "n9")
+	see("w4", routing.Healthy, "n1", "n5", "n8", "n9")
 	f.run(second)
 	for n, words := range f.words {
-		if words["w4"] != routing.NoWord {
+		if words["w4"] != routing.NotReported {
 			t.Errorf("%s still holds %v", n, words["w4"])
 		}
 	}
@@ -217,12 +217,12 @@
 	for i := range 4 {
 		f.say(f.names[i], append(silent("w3"), silent("w4")...))
 	}
-	if f.word("n9", "w3") != routing.Believed {
+	if f.word("n9", "w3") != routing.Confirmed {
 		t.Fatal("not believed")
 	}
-	f.step("n9", Listed{list(4)})
+	f.step("n9", EndpointsChanged{list(4)})
 	f.run(100 * time.Millisecond)
-	if f.word("n9", "w4") != routing.NoWord || f.word("n9", "w3") != routing.Believed {
+	if f.word("n9", "w4") != routing.NotReported || f.word("n9", "w3") != routing.Confirmed {
 		t.Errorf("after w4 has gone: %v", f.words["n9"])
 	}
 	f.run(10 * second)
@@ -246,7 +246,7 @@
 	}
 	out := 0
 	for _, w := range f.words["n8"] {
-		if w == routing.Believed {
+		if w == routing.Confirmed {
 			out++
 		}
 	}
@@ -272,19 +272,19 @@
 					first := rapid.Uint32().Draw(t, "first")
 					lies = append(lies, Accusation{
 						Worker: fmt.Sprintf("w%d", 1+i), First: first, Last: rapid.Uint32Range(0, first).Draw(t, "last"),
-						Trouble: routing.Trouble(rapid.IntRange(1, 4).Draw(t, "trouble")),
+						Trouble: routing.Fault(rapid.IntRange(1, 4).Draw(t, "trouble")),
 					})
 				}
 				honest := f.names[rapid.IntRange(liars, n-1).Draw(t, "to")]
 				f.say(f.names[rapid.IntRange(0, liars-1).Draw(t, "liar")], lies, honest)
 			case move == 2:
-				f.step(f.names[rapid.IntRange(liars, n-1).Draw(t, "by")], Saw{w, routing.Well, f.now})
+				f.step(f.names[rapid.IntRange(liars, n-1).Draw(t, "by")], FaultObserved{w, routing.Healthy, f.now})
 			default:
 				f.run(time.Duration(rapid.IntRange(1, 3000).Draw(t, "wait")) * time.Millisecond)
 			}
 			for name, words := range f.words {
 				for w, word := range words {
-					if word == routing.Believed {
+					if word == routing.Confirmed {
 						t.Fatalf("%s believes that %s is ill on the word of %d liars of %d", name, w, liars, n)
 					}
 				}
@@ -302,11 +302,11 @@
 		}
 		for range 4 {
 			for _, name := range f.names[liars : liars+seers] {
-				f.step(name, Saw{"w0", routing.Silent, f.now})
+				f.step(name, FaultObserved{"w0", routing.Unresponsive, f.now})
 			}
 			f.run(second)
 		}
-		if got := f.words[f.names[n-1]]["w0"]; got != routing.Believed {
+		if got := f.words[f.names[n-1]]["w0"]; got != routing.Confirmed {
 			t.Fatalf("a silence that %d see is held as %v by another of %d", seers, got, n)
 		}
 	})
@@ -329,7 +329,7 @@
 			t.Fatalf("what was written can't be read: %v", err)
 		}
 		c := New(Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: second})
-		c.Step(time.Hour, []Event{Listed{workersOf(list)}, Members{[]string{"a"}}, Heard{"a", b}})
+		c.Step(time.Hour, []Event{EndpointsChanged{workersOf(list)}, Members{[]string{"a"}}, Heard{"a", b}})
 	})
 }
 
@@ -350,7 +350,7 @@
 	f.run(second)
 	for _, n := range []string{"n5", "n6"} {
 		for w, word := range f.words[n] {
-			if word == routing.Believed {
+			if word == routing.Confirmed {
 				t.Errorf("%s believes that %s is ill", n, w)
 			}
 		}
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -140,7 +140,7 @@
 
 type member struct {
 	Member
-	acks, claims ratelimit.Bucket
+	acks, claims ratelimit.TokenBucket
 	heard        time.Duration // when it last said something itself
 	asked        int           // how often it was told that it is suspect
 }
@@ -186,10 +186,10 @@
 	probes             []*probe
 	queue              map[string]*news
 	found              map[string]Record // who is said to be there, and has not answered yet
-	budget             ratelimit.Bucket
-	newsBudget         ratelimit.Bucket
-	asksBudget         ratelimit.Bucket
-	answers, strangers ratelimit.Bucket
+	budget             ratelimit.TokenBucket
+	newsBudget         ratelimit.TokenBucket
+	asksBudget         ratelimit.TokenBucket
+	answers, strangers ratelimit.TokenBucket
 	nonce              uint64
 	nextProbe          time.Duration
 	nextNews           time.Duration
--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -50,7 +50,7 @@
 
 	peers                map[string]*peer
 	known                map[netip.AddrPort]bool // seeds and addresses of members
-	all, familiar, alien ratelimit.Bucket
+	all, familiar, alien ratelimit.TokenBucket
 	Spent                uint64 // signatures checked so far
 }
 
@@ -61,7 +61,7 @@
 	highest uint64 // sequence number
 	window  uint64 // bit i: the number highest-i was seen
 	cookie  Cookie // to be shown to it
-	budget  ratelimit.Bucket
+	budget  ratelimit.TokenBucket
 	heard   time.Duration
 	met     bool // it has shown this member's cookie in its present life
 
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -35,8 +35,8 @@
 type Node struct {
 	set   operatorfile.Gossip
 	log   *logrus.Entry
-	thin  logging.Thinned
-	hold  func(routing.PeersHold)
+	thin  logging.RateLimited
+	hold  func(routing.PeerReports)
 	conn  *net.UDPConn
 	own   *pki.Member
 	trust *pki.Trust
@@ -47,7 +47,7 @@
 	base  time.Time
 	epoch int64
 	seq   uint64 // of statements
-	held  map[string]routing.Word
+	held  map[string]routing.PeerVerdict
 
 	in    chan datagram
 	calls chan func()
@@ -68,7 +68,7 @@
 
 // Open reads the keys, binds the socket and returns a Node that does nothing until Run. hold is called from its
 // goroutine with what peers hold of workers, and must not wait for it.
-func Open(set operatorfile.Gossip, hold func(routing.PeersHold), log *logrus.Entry) (*Node, error) {
+func Open(set operatorfile.Gossip, hold func(routing.PeerReports), log *logrus.Entry) (*Node, error) {
 	own, trust, err := keys(set)
 	if err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 	_ = conn.SetReadBuffer(readBuffer)
 	base := time.Now()
 	n := &Node{
-		set: set, log: log, thin: logging.Thinned{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
-		epoch: base.UnixMilli(), held: map[string]routing.Word{}, in: make(chan datagram, waiting),
+		set: set, log: log, thin: logging.RateLimited{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
+		epoch: base.UnixMilli(), held: map[string]routing.PeerVerdict{}, in: make(chan datagram, waiting),
 		calls: make(chan func(), waiting), quit: make(chan struct{}), done: make(chan struct{}),
 	}
 	secret := make([]byte, 32)
@@ -166,15 +166,15 @@
 	}
 }
 
-// Saw takes in what this scheduler finds of a worker. It never waits.
-func (n *Node) Saw(o routing.Observe) {
+// FaultObserved takes in what this scheduler finds of a worker. It never waits.
+func (n *Node) FaultObserved(o routing.ReportFault) {
 	n.call(func() {
-		n.events = append(n.events, faultreport.Saw{Worker: o.Worker, Trouble: o.Trouble, At: o.At})
+		n.events = append(n.events, faultreport.FaultObserved{Worker: o.Worker, Fault: o.Fault, At: o.ObservedAt})
 	})
 }
 
-// Listed takes in which workers the list names. It never waits.
-func (n *Node) Listed(workers []string) {
+// EndpointsChanged takes in which workers the list names. It never waits.
+func (n *Node) EndpointsChanged(workers []string) {
 	n.list.Store(&workers)
 	n.call(func() {}) // with so much waiting that this is not taken in, the next step is near anyway
 }
@@ -298,7 +298,7 @@
 func (n *Node) step(events []gossip.Event) {
 	now := n.now()
 	if l := n.list.Swap(nil); l != nil {
-		n.events = append(n.events, faultreport.Listed{Workers: *l})
+		n.events = append(n.events, faultreport.EndpointsChanged{Workers: *l})
 	}
 	for {
 		members := false
@@ -334,7 +334,7 @@
 					events = append(events, gossip.Say{Statement: n.guard.State(n.seq, time.Now(), body)})
 				}
 			case faultreport.Hold:
-				n.tell(a.PeersHold)
+				n.tell(a.PeerReports)
 			case faultreport.Discredited:
 				n.log.WithFields(logrus.Fields{"peer": a.From, "why": a.Why}).Warn("peer not heard for a while")
 			}
@@ -378,17 +378,17 @@
 }
 
 // tell passes on what peers hold, and logs who is left out for it and no more.
-func (n *Node) tell(h routing.PeersHold) {
-	for w, word := range h.Words {
-		if word == routing.Believed && n.held[w] != routing.Believed {
+func (n *Node) tell(h routing.PeerReports) {
+	for w, word := range h.Verdicts {
+		if word == routing.Confirmed && n.held[w] != routing.Confirmed {
 			n.log.WithFields(logrus.Fields{"worker": w, "accusers": n.words.Need()}).Warn("worker ill on the word of peers")
 		}
 	}
 	for w, word := range n.held {
-		if word == routing.Believed && h.Words[w] != routing.Believed {
+		if word == routing.Confirmed && h.Verdicts[w] != routing.Confirmed {
 			n.log.WithField("worker", w).Info("worker no longer ill on the word of peers")
 		}
 	}
-	n.held = h.Words
+	n.held = h.Verdicts
 	n.hold(h)
 }
--- a/internal/frontend/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -45,7 +45,7 @@
 }
 
 // call checks the fields of a request. What passes can be written to a worker as it is.
-func (f *fields) call(site *deployment.Site, classes map[string]int) (c dispatch.Call, err error) {
+func (f *fields) call(site *deployment.Settings, classes map[string]int) (c dispatch.Call, err error) {
 	name, under := strings.CutPrefix(f.path, "/rpc/")
 	class, ok := classes[name]
 	if !under || !ok {
@@ -59,16 +59,16 @@
 		return c, fmt.Errorf("Resource-Key %.40q", f.key)
 	}
 	ms, err := strconv.ParseUint(f.budget, 10, 31)
-	if c.Budget = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || c.Budget > maxBudget {
+	if c.TimeLeft = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || c.TimeLeft > maxBudget {
 		return c, fmt.Errorf("Budget-Ms %.40q", f.budget)
 	}
-	if f.once == "" && site.Classes[c.Class].Effect == routing.Keyed {
+	if f.once == "" && site.Classes[c.Class].Idempotency == routing.IdempotentByKey {
 		return c, errors.New("no Once-Key")
 	}
 	if !isToken(f.once) {
 		return c, fmt.Errorf("Once-Key %.40q", f.once)
 	}
-	c.ID, c.Function, c.Key = f.id, f.key, f.once
+	c.ID, c.Function, c.IdempotencyKey = f.id, f.key, f.once
 	return c, parseSpec(f.spec, &c)
 }
 
@@ -85,9 +85,9 @@
 		}
 		switch name {
 		case "memory_mb":
-			c.Memory = x
+			c.MemoryMB = x
 		case "lanes":
-			c.Lanes = int(x)
+			c.Concurrency = int(x)
 		case "load_ms":
 			c.LoadTime = time.Duration(x * float64(time.Millisecond))
 		}
--- a/internal/frontend/fastcgi/fields_test.go
+++ b/internal/frontend/fastcgi/fields_test.go
@@ -29,7 +29,7 @@
 	return params
 }
 
-var someSite = deployment.Site{Settings: routing.Settings{Classes: []routing.Class{{Aim: 1, Deadline: 1}}}, ClassNames: []string{"consulta"}}
+var someSite = deployment.Settings{Settings: routing.Settings{Classes: []routing.Class{{LatencyObjective: 1, Deadline: 1}}}, ClassNames: []string{"consulta"}}
 
 func BenchmarkFields(b *testing.B) {
 	params, classes := asked(b), map[string]int{"consulta": 0}
--- a/internal/frontend/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -58,7 +58,7 @@
 	size, _ := strconv.Atoi(f.length)
 	q := match.Request{
 		Class: class, Handler: f.key, Path: f.path, Method: f.method, OnceKey: f.once, ID: f.id, Client: c.address(),
-		Budget: time.Duration(ms) * time.Millisecond, Body: max(size, 0), Memory: d.Memory, Lanes: d.Lanes, Local: time.Now(),
+		Budget: time.Duration(ms) * time.Millisecond, Body: max(size, 0), Memory: d.MemoryMB, Lanes: d.Concurrency, Local: time.Now(),
 		Params: f.others,
 	}
 	got := s.rules.table.Match(&q)
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -41,29 +41,29 @@
 
 // Dispatcher is what a Server needs of the dispatcher.
 type Dispatcher interface {
-	Take(c dispatch.Call, from dispatch.Caller, tag slotmap.Ref) (slotmap.Ref, error)
-	Abandon(ref slotmap.Ref)
-	Ready() bool
+	Submit(c dispatch.Call, from dispatch.Responder, tag slotmap.Ref) (slotmap.Ref, error)
+	Cancel(ref slotmap.Ref)
+	HasEndpoints() bool
 }
 
 // Loop is what a Server needs of the event loop.
 type Loop interface {
 	Now() time.Duration
-	At(*deadline.Entry, time.Duration)
-	Drop(*deadline.Entry)
+	SetDeadline(*deadline.Timer, time.Duration)
+	ClearDeadline(*deadline.Timer)
 }
 
-// Server holds the clients' connections. It is a dispatch.Caller.
+// Server holds the clients' connections. It is a dispatch.Responder.
 type Server struct {
 	loop       Loop
 	dispatcher Dispatcher
 	pool       *bufferpool.Pool
-	site       *deployment.Site
+	site       *deployment.Settings
 	classes    map[string]int
 	maxConns   int
 	maxUnsent  int // bytes that may wait unsent for all clients together
-	log        logging.Thinned
-	rulesLog   logging.Thinned
+	log        logging.RateLimited
+	rulesLog   logging.RateLimited
 	rules      *Rules // nil where there are none
 
 	conns int
@@ -92,7 +92,7 @@
 	since   time.Duration // when it became idle
 	in      *list.List    // silent, idle or neither
 	place   *list.Element // there
-	late    deadline.Entry
+	late    deadline.Timer
 	awaits  bool          // late is set: for a first request, or for the rest of a record
 	last    bool          // it is closed once no request is open
 	until   time.Duration // while it lingers, till when; nothing is read any more. 0 if it does not
@@ -111,15 +111,15 @@
 	since        time.Duration  // when it began
 	place        *list.Element  // among those that are not whole; nil once it is
 	taken        slotmap.Ref    // the dispatcher's; 0 until it has the request
-	late         deadline.Entry // for the rest of the request
+	late         deadline.Timer // for the rest of the request
 }
 
 // New returns a Server that lets in at most maxConns connections, and has at most maxUnsent bytes wait for clients that
 // do not read.
-func New(l Loop, d Dispatcher, pool *bufferpool.Pool, site *deployment.Site, maxConns, maxUnsent int, log, rules logrus.FieldLogger) *Server {
+func New(l Loop, d Dispatcher, pool *bufferpool.Pool, site *deployment.Settings, maxConns, maxUnsent int, log, rules logrus.FieldLogger) *Server {
 	s := &Server{
 		loop: l, dispatcher: d, pool: pool, site: site, classes: map[string]int{}, maxConns: maxConns,
-		maxUnsent: maxUnsent, unsent: map[*conn]struct{}{}, log: logging.Thinned{Log: log}, rulesLog: logging.Thinned{Log: rules},
+		maxUnsent: maxUnsent, unsent: map[*conn]struct{}{}, log: logging.RateLimited{Log: log}, rulesLog: logging.RateLimited{Log: rules},
 	}
 	for i, name := range site.ClassNames {
 		s.classes[name] = i
@@ -128,7 +128,7 @@
 }
 
 // Accept takes a connection in, or nil if there are too many.
-func (s *Server) Accept(c gnet.Conn) eventloop.Peer {
+func (s *Server) Accept(c gnet.Conn) eventloop.ConnHandler {
 	if s.conns >= s.maxConns && !s.makeRoom() {
 		s.complain("client turned away: too many connections", nil)
 		return nil
@@ -203,14 +203,14 @@
 func (c *conn) await() {
 	if !c.awaits {
 		c.awaits = true
-		c.s.loop.At(&c.late, c.s.loop.Now()+wholeWithin)
+		c.s.loop.SetDeadline(&c.late, c.s.loop.Now()+wholeWithin)
 	}
 }
 
 func (c *conn) relax() {
 	if c.awaits {
 		c.awaits = false
-		c.s.loop.Drop(&c.late)
+		c.s.loop.ClearDeadline(&c.late)
 	}
 }
 
@@ -248,7 +248,7 @@
 		if c.until == 0 {
 			c.until = now + lingerFor
 		}
-		c.s.loop.At(&c.late, now+lingerLook)
+		c.s.loop.SetDeadline(&c.late, now+lingerLook)
 	}
 }
 
@@ -288,18 +288,18 @@
 	}
 }
 
-// Answer writes a final answer.
-func (s *Server) Answer(tag slotmap.Ref, a dispatch.Answer) {
+// Respond writes a final answer.
+func (s *Server) Respond(tag slotmap.Ref, a dispatch.Answer) {
 	st, ok := s.streams.Get(tag)
 	if !ok {
 		return
 	}
-	switch a.Verdict {
+	switch a.Status {
 	case dispatch.Served:
 		st.respond(http.StatusOK, "", a.Body)
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		advice := ""
-		if ms := a.RetryAfter.Milliseconds(); ms > 0 && s.site.HonoursRetry {
+		if ms := a.RetryAfter.Milliseconds(); ms > 0 && s.site.HonorsRetryAfter {
 			advice = "Back-Off-Ms: " + strconv.FormatInt(ms, 10) + "\r\n"
 		}
 		st.respond(http.StatusServiceUnavailable, advice, nil)
@@ -308,17 +308,17 @@
 	}
 }
 
-// Open does nothing: a client speaks first.
-func (c *conn) Open(gnet.Conn) {}
+// Opened does nothing: a client speaks first.
+func (c *conn) Opened(gnet.Conn) {}
 
-// Traffic reads records.
-func (c *conn) Traffic(gc gnet.Conn) error {
+// Readable reads records.
+func (c *conn) Readable(gc gnet.Conn) error {
 	c.s.heard = c.s.loop.Now()
 	if c.until > 0 {
 		_, _ = gc.Discard(-1)
 		return nil
 	}
-	c.unread = eventloop.Unread(gc)
+	c.unread = eventloop.UnreadFor(gc)
 	for {
 		b, err := gc.Peek(-1)
 		if err != nil || len(b) == 0 {
@@ -406,7 +406,7 @@
 	}
 	s := c.s
 	st := &stream{conn: c, id: r.id, keep: r.content[2]&flagKeepConn != 0}
-	st.ref = s.streams.Put(st)
+	st.ref = s.streams.Insert(st)
 	c.streams[r.id] = st
 	st.since, st.place = s.loop.Now(), s.half.PushBack(st)
 	c.sort()
@@ -415,7 +415,7 @@
 		return nil
 	}
 	st.late.Fire = func() { st.reject(http.StatusRequestTimeout, errors.New("not whole in time")) }
-	s.loop.At(&st.late, s.loop.Now()+wholeWithin)
+	s.loop.SetDeadline(&st.late, s.loop.Now()+wholeWithin)
 	if st.params = s.buffer(st); st.params == nil || len(c.streams) > maxStreams {
 		s.complain("request refused: too many are open", nil)
 		st.end(appendEnd(s.scratch[:0], r.id, statusOverloaded))
@@ -472,11 +472,11 @@
 	c.s.conns--
 	c.sort()
 	c.awaits = false
-	c.s.loop.Drop(&c.late)
+	c.s.loop.ClearDeadline(&c.late)
 	for _, st := range c.streams {
 		st.forget()
 		if st.taken != 0 {
-			c.s.dispatcher.Abandon(st.taken)
+			c.s.dispatcher.Cancel(st.taken)
 		}
 	}
 }
@@ -554,10 +554,10 @@
 	}
 	st.call.Body = st.body
 	// The client's time runs from its last byte, which may have waited here to be read.
-	st.call.Budget = max(st.call.Budget-st.conn.unread, 0)
-	ref, err := s.dispatcher.Take(st.call, s, st.ref)
+	st.call.TimeLeft = max(st.call.TimeLeft-st.conn.unread, 0)
+	ref, err := s.dispatcher.Submit(st.call, s, st.ref)
 	switch {
-	case errors.Is(err, dispatch.ErrFull):
+	case errors.Is(err, dispatch.ErrTooManyRequests):
 		s.complain("request refused: too many are open", nil)
 		st.end(appendEnd(s.scratch[:0], st.id, statusOverloaded))
 	case err != nil:
@@ -565,13 +565,13 @@
 	default:
 		st.taken, st.body = ref, nil
 		st.whole()
-		s.loop.Drop(&st.late)
+		s.loop.ClearDeadline(&st.late)
 		st.conn.meet()
 	}
 }
 
 func (st *stream) health() {
-	if st.conn.s.dispatcher.Ready() {
+	if st.conn.s.dispatcher.HasEndpoints() {
 		st.respond(http.StatusOK, "", []byte("ok\n"))
 	} else {
 		st.respond(http.StatusServiceUnavailable, "", nil)
@@ -583,7 +583,7 @@
 	s, taken := st.conn.s, st.taken
 	st.end(appendEnd(s.scratch[:0], st.id, statusComplete))
 	if taken != 0 {
-		s.dispatcher.Abandon(taken)
+		s.dispatcher.Cancel(taken)
 	}
 }
 
@@ -623,8 +623,8 @@
 func (st *stream) forget() {
 	s := st.conn.s
 	st.whole()
-	s.loop.Drop(&st.late)
-	s.streams.Free(st.ref)
+	s.loop.ClearDeadline(&st.late)
+	s.streams.Remove(st.ref)
 	s.pool.Put(st.params)
 	s.pool.Put(st.body)
 	st.params, st.body = nil, nil
--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -57,27 +57,27 @@
 
 // Sink is told what becomes of attempts and probes.
 type Sink interface {
-	// May reports whether an attempt may still be written: its request is open and its worker takes work.
-	May(ref slotmap.Ref) bool
-	Ended(ref slotmap.Ref, e dispatch.End)
-	Probed(worker string, took time.Duration, e dispatch.End)
+	// MaySend reports whether an attempt may still be written: its request is open and its worker takes work.
+	MaySend(ref slotmap.Ref) bool
+	AttemptEnded(ref slotmap.Ref, e dispatch.AttemptResult)
+	ProbeEnded(worker string, took time.Duration, e dispatch.AttemptResult)
 }
 
 // Loop is what a Pool needs of the event loop.
 type Loop interface {
 	dispatch.Loop
-	Dial(addr string, timeout time.Duration, p eventloop.Peer, failed func(error))
+	Dial(addr string, timeout time.Duration, p eventloop.ConnHandler, failed func(error))
 }
 
 // Options are the figures that a Pool works with.
 type Options struct {
 	Classes        []string // names, by class number
-	Streams        int      // requests that a connection carries at a time
-	IdleClose      time.Duration
+	PipelineDepth  int      // requests that a connection carries at a time
+	IdleCloseAfter time.Duration
 	ConnectTimeout time.Duration
 	MaxConns       int // connections to all workers
-	MaxFiles       int // descriptors for those, and for the dials: each has two for a moment
-	MaxAnswer      int // the longest body of an answer, in bytes
+	MaxDescriptors int // descriptors for those, and for the dials: each has two for a moment
+	MaxAnswerBytes int // the longest body of an answer, in bytes
 	Schedulers     int // that share the workers
 }
 
@@ -117,7 +117,7 @@
 	probe   bool
 	tries   int // connections that were dead when it was to be written
 	written time.Duration
-	late    deadline.Entry // of a probe; those of attempts are the dispatcher's
+	late    deadline.Timer // of a probe; those of attempts are the dispatcher's
 }
 
 // conn is a connection to a worker. It is its loop.Peer.
@@ -136,8 +136,8 @@
 	used    bool          // since then nothing was heard
 	retired bool          // gets nothing new
 	partial bool          // an answer has begun to come
-	idle    deadline.Entry
-	due     deadline.Entry // for the rest of that answer
+	idle    deadline.Timer
+	due     deadline.Timer // for the rest of that answer
 }
 
 // New returns a Pool without workers.
@@ -145,10 +145,10 @@
 	return &Pool{loop: l, sink: s, opt: o, log: log, workers: map[string]*worker{}, sent: map[slotmap.Ref]*job{}}
 }
 
-// Follow takes in the list of workers.
-func (p *Pool) Follow(r dispatch.Roster) {
+// UpdateEndpoints takes in the list of workers.
+func (p *Pool) UpdateEndpoints(r dispatch.EndpointList) {
 	seen := map[string]bool{}
-	for _, e := range r.Entries {
+	for _, e := range r.Endpoints {
 		seen[e.ID] = true
 		w := p.workers[e.ID]
 		if w != nil && (e.State == routing.Gone || e.Addr != w.addr) {
@@ -163,7 +163,7 @@
 			p.workers[e.ID] = w
 		}
 		if w.state = e.State; w.state != routing.Ready {
-			p.failWaiting(w, routing.Unsent)
+			p.failWaiting(w, routing.NotSent)
 		}
 		if e.Started != w.started {
 			w.started = e.Started
@@ -184,7 +184,7 @@
 func (p *Pool) drop(w *worker) {
 	w.state = routing.Gone
 	delete(p.workers, w.id)
-	p.failWaiting(w, routing.Unsent)
+	p.failWaiting(w, routing.NotSent)
 	for _, c := range slices.Clone(w.conns) {
 		c.retire("worker gone")
 		c.closeIfSpent()
@@ -205,19 +205,19 @@
 	waiting := w.waiting
 	w.waiting = nil
 	for _, j := range waiting {
-		p.finish(j, dispatch.End{Outcome: o, Company: -1})
+		p.finish(j, dispatch.AttemptResult{Outcome: o, InFlightForFunction: -1})
 	}
 }
 
 // finish reports how a job ended.
-func (p *Pool) finish(j *job, e dispatch.End) {
+func (p *Pool) finish(j *job, e dispatch.AttemptResult) {
 	if j.probe {
-		p.loop.Drop(&j.late)
-		p.sink.Probed(j.Worker, p.loop.Now()-j.written, e)
+		p.loop.ClearDeadline(&j.late)
+		p.sink.ProbeEnded(j.Worker, p.loop.Now()-j.written, e)
 		return
 	}
 	delete(p.sent, j.Ref)
-	p.sink.Ended(j.Ref, e)
+	p.sink.AttemptEnded(j.Ref, e)
 }
 
 // Send writes an attempt, or has it wait for a connection.
@@ -236,16 +236,16 @@
 	}
 	j.late.Fire = func() {
 		p.forget(j)
-		p.finish(j, dispatch.End{Outcome: routing.TimedOut, Company: -1})
+		p.finish(j, dispatch.AttemptResult{Outcome: routing.TimedOut, InFlightForFunction: -1})
 	}
-	p.loop.At(&j.late, p.loop.Now()+p.opt.ConnectTimeout)
+	p.loop.SetDeadline(&j.late, p.loop.Now()+p.opt.ConnectTimeout)
 	p.start(j)
 }
 
 func (p *Pool) start(j *job) {
 	w := j.w
 	if w == nil || w.state != routing.Ready {
-		p.finish(j, dispatch.End{Outcome: routing.Unsent, Company: -1})
+		p.finish(j, dispatch.AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
 		return
 	}
 	c, usable := p.pick(j)
@@ -258,12 +258,12 @@
 	}
 	if len(w.conns)+w.dialing >= perWorker || p.conns.Len()+p.dialing >= p.opt.MaxConns {
 		if w.dialing == 0 && !p.evict(w) {
-			p.finish(j, dispatch.End{Outcome: routing.Unreached, Company: -1})
+			p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectFailed, InFlightForFunction: -1})
 			return
 		}
 	}
 	w.waiting = append(w.waiting, j)
-	if (len(w.waiting)-1)/p.opt.Streams >= w.dialing {
+	if (len(w.waiting)-1)/p.opt.PipelineDepth >= w.dialing {
 		p.dial(w)
 	}
 }
@@ -274,7 +274,7 @@
 	for _, c := range j.w.conns {
 		// What waits here to be sent on a connection can't be taken back: by the time that it goes its client may
 		// have left, or its worker drain.
-		if c.retired || c.partial || len(c.out) >= p.opt.Streams || c.silent(now) || c.c.OutboundBuffered() > 0 ||
+		if c.retired || c.partial || len(c.out) >= p.opt.PipelineDepth || c.silent(now) || c.c.OutboundBuffered() > 0 ||
 			p.fresh > 0 && len(c.out) == 0 && c.rested(now) >= p.fresh {
 			continue
 		}
@@ -338,7 +338,7 @@
 //
 // Guards against a program that has no descriptor left: gnet ends its loop when it can't accept a client.
 func (p *Pool) dial(w *worker) {
-	if p.conns.Len()+2*(p.dialing+1) > p.opt.MaxFiles {
+	if p.conns.Len()+2*(p.dialing+1) > p.opt.MaxDescriptors {
 		if !slices.Contains(p.queued, w) {
 			p.queued = append(p.queued, w)
 		}
@@ -354,7 +354,7 @@
 		p.log.WithError(err).WithField("worker", w.id).Warn("agent not reached")
 		if w.dialing == 0 {
 			p.writeWaiting(w) // others may have come free meanwhile
-			p.failWaiting(w, routing.Unreached)
+			p.failWaiting(w, routing.ConnectFailed)
 		}
 		p.dialQueued()
 	})
@@ -366,8 +366,8 @@
 	w.waiting = nil
 	for _, j := range waiting {
 		// While it waited its request may have been answered, or its worker begun to drain.
-		if !j.probe && !p.sink.May(j.Ref) {
-			p.finish(j, dispatch.End{Outcome: routing.Unsent, Company: -1})
+		if !j.probe && !p.sink.MaySend(j.Ref) {
+			p.finish(j, dispatch.AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
 		} else if pick, _ := p.pick(j); pick != nil {
 			pick.write(j)
 		} else {
@@ -378,7 +378,7 @@
 
 // dialQueued makes the connections that waited for descriptors, as far as they are still needed.
 func (p *Pool) dialQueued() {
-	for len(p.queued) > 0 && p.conns.Len()+2*(p.dialing+1) <= p.opt.MaxFiles {
+	for len(p.queued) > 0 && p.conns.Len()+2*(p.dialing+1) <= p.opt.MaxDescriptors {
 		w := p.queued[0]
 		p.queued = p.queued[1:]
 		if len(w.waiting) > 0 && w.dialing == 0 {
@@ -411,14 +411,14 @@
 // spend remembers an id for as long as an answer to it may come that is not for the next attempt.
 func (c *conn) spend(id string) {
 	now := c.pool.loop.Now()
-	if len(c.spent) >= c.pool.opt.Streams {
+	if len(c.spent) >= c.pool.opt.PipelineDepth {
 		maps.DeleteFunc(c.spent, func(_ string, at time.Duration) bool { return now-at >= crossing })
 	}
 	c.spent[id] = now
 }
 
-// Halt gives an attempt up; it is not reported any more.
-func (p *Pool) Halt(ref slotmap.Ref) (written bool) {
+// Cancel gives an attempt up; it is not reported any more.
+func (p *Pool) Cancel(ref slotmap.Ref) (written bool) {
 	j := p.sent[ref]
 	if j == nil {
 		return false
@@ -443,18 +443,18 @@
 
 // ---- a connection ----
 
-// Open takes over a connection that is up.
-func (c *conn) Open(gc gnet.Conn) {
+// Opened takes over a connection that is up.
+func (c *conn) Opened(gc gnet.Conn) {
 	p, w := c.pool, c.w
 	w.dialing--
 	p.dialing--
 	c.c = gc
 	c.opened = p.loop.Now()
 	c.heard = c.opened
-	c.ref = p.conns.Put(c)
+	c.ref = p.conns.Insert(c)
 	w.conns = append(w.conns, c)
 	c.idle.Fire, c.due.Fire = c.idled, c.cutShort
-	p.loop.At(&c.idle, c.heard+p.idleAfter())
+	p.loop.SetDeadline(&c.idle, c.heard+p.idleAfter())
 	defer p.dialQueued()
 	if w.state == routing.Gone {
 		c.close()
@@ -467,7 +467,7 @@
 }
 
 func (p *Pool) idleAfter() time.Duration {
-	after := time.Duration(idleShare * float64(p.opt.IdleClose))
+	after := time.Duration(idleShare * float64(p.opt.IdleCloseAfter))
 	if p.fresh > 0 {
 		after = min(after, p.fresh)
 	}
@@ -481,7 +481,7 @@
 func (c *conn) idled() {
 	now, limit := c.pool.loop.Now(), c.pool.idleAfter()
 	if rested := c.rested(now); rested < limit || len(c.out) > 0 {
-		c.pool.loop.At(&c.idle, now+max(limit-rested, limit/8))
+		c.pool.loop.SetDeadline(&c.idle, now+max(limit-rested, limit/8))
 		return
 	}
 	c.close()
@@ -500,7 +500,7 @@
 	p.log.WithField("rest", fresh).Info("agent connections: longest rest changed")
 	for _, w := range p.workers {
 		for _, c := range w.conns {
-			p.loop.At(&c.idle, now)
+			p.loop.SetDeadline(&c.idle, now)
 		}
 	}
 }
@@ -533,9 +533,9 @@
 			p.start(j)
 			return
 		}
-		p.finish(j, dispatch.End{Outcome: routing.Unreached, Company: -1})
+		p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectFailed, InFlightForFunction: -1})
 	default:
-		p.finish(j, dispatch.End{Outcome: routing.Reset, Company: -1})
+		p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectionReset, InFlightForFunction: -1})
 	}
 }
 
@@ -545,9 +545,9 @@
 	b = append(append(b, " sort="...), class...)
 	b = append(append(b, ",asset="...), a.Function...)
 	b = append(b, ",patience="...)
-	b = strconv.AppendInt(b, max(a.Patience.Milliseconds(), 1), 10)
-	if a.Key != "" {
-		b = append(append(b, ",op="...), a.Key...)
+	b = strconv.AppendInt(b, max(a.Timeout.Milliseconds(), 1), 10)
+	if a.IdempotencyKey != "" {
+		b = append(append(b, ",op="...), a.IdempotencyKey...)
 	}
 	b = strconv.AppendInt(append(b, ' '), int64(len(a.Body)), 10)
 	b = append(b, crlf...)
@@ -563,8 +563,8 @@
 	}
 }
 
-// Traffic reads answers.
-func (c *conn) Traffic(gc gnet.Conn) error {
+// Readable reads answers.
+func (c *conn) Readable(gc gnet.Conn) error {
 	c.heard, c.lost = c.pool.loop.Now(), 0
 	if c.used {
 		c.pool.outlasted(c, false)
@@ -574,7 +574,7 @@
 		if err != nil || len(b) == 0 {
 			return nil
 		}
-		a, n, err := parse(b, c.pool.opt.MaxAnswer)
+		a, n, err := parse(b, c.pool.opt.MaxAnswerBytes)
 		if err != nil {
 			c.pool.log.WithError(err).WithField("worker", c.w.id).Warn("agent closed: it cannot be understood")
 			return err
@@ -583,13 +583,13 @@
 			// Guards against an answer that stops short: until the rest comes, nothing else comes here.
 			if !c.partial {
 				c.partial = true
-				c.pool.loop.At(&c.due, c.heard+wholeIn)
+				c.pool.loop.SetDeadline(&c.due, c.heard+wholeIn)
 			}
 			return nil
 		}
 		if c.partial {
 			c.partial = false
-			c.pool.loop.Drop(&c.due)
+			c.pool.loop.ClearDeadline(&c.due)
 		}
 		c.take(a)
 		if c.c == nil {
@@ -607,7 +607,7 @@
 
 var outcomes = map[string]routing.Outcome{
 	"OK": routing.Served, "MISS": routing.NotLoaded, "BUSY": routing.Shed,
-	"ERR": routing.Errored, "VOID": routing.Unsent, "UP": routing.Served, "DOWN": routing.Errored,
+	"ERR": routing.Errored, "VOID": routing.NotSent, "UP": routing.Served, "DOWN": routing.Errored,
 }
 
 // take passes an answer on.
@@ -620,9 +620,9 @@
 	if a.word != "OK" { // which ends the request: it has no next attempt
 		c.spend(a.id)
 	}
-	e := dispatch.End{Outcome: outcomes[a.word], Body: a.body, Company: -1, Report: a.report}
+	e := dispatch.AttemptResult{Outcome: outcomes[a.word], Body: a.body, InFlightForFunction: -1, Report: a.report}
 	if a.word == "OK" || a.word == "BUSY" {
-		e.Company = a.depth
+		e.InFlightForFunction = a.depth
 	}
 	c.pool.finish(j, e)
 }
@@ -661,9 +661,9 @@
 func (c *conn) Closed(_ gnet.Conn, err error) {
 	p, w := c.pool, c.w
 	c.c = nil
-	p.conns.Free(c.ref)
-	p.loop.Drop(&c.idle)
-	p.loop.Drop(&c.due)
+	p.conns.Remove(c.ref)
+	p.loop.ClearDeadline(&c.idle)
+	p.loop.ClearDeadline(&c.due)
 	for i, other := range w.conns {
 		if other == c {
 			w.conns = append(w.conns[:i:i], w.conns[i+1:]...)
@@ -676,7 +676,7 @@
 	}
 	for id, j := range c.out {
 		delete(c.out, id)
-		p.finish(j, dispatch.End{Outcome: routing.Reset, Company: -1})
+		p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectionReset, InFlightForFunction: -1})
 	}
 	if lost > 0 {
 		if err == nil {
--- a/internal/nodeagent/agent_test.go
+++ b/internal/nodeagent/agent_test.go
@@ -26,15 +26,15 @@
 
 type dial struct {
 	addr   string
-	peer   eventloop.Peer
+	peer   eventloop.ConnHandler
 	failed func(error)
 }
 
-func (l *plainLoop) Now() time.Duration                     { return l.now }
-func (l *plainLoop) Post(fn func())                         { fn() }
-func (l *plainLoop) At(e *deadline.Entry, at time.Duration) { l.deadlines.Set(e, at) }
-func (l *plainLoop) Drop(e *deadline.Entry)                 { l.deadlines.Drop(e) }
-func (l *plainLoop) Dial(addr string, _ time.Duration, p eventloop.Peer, failed func(error)) {
+func (l *plainLoop) Now() time.Duration                              { return l.now }
+func (l *plainLoop) Post(fn func())                                  { fn() }
+func (l *plainLoop) SetDeadline(e *deadline.Timer, at time.Duration) { l.deadlines.Set(e, at) }
+func (l *plainLoop) ClearDeadline(e *deadline.Timer)                 { l.deadlines.Remove(e) }
+func (l *plainLoop) Dial(addr string, _ time.Duration, p eventloop.ConnHandler, failed func(error)) {
 	l.dials = append(l.dials, dial{addr, p, failed})
 }
 
@@ -43,14 +43,14 @@
 	d := l.dials[0]
 	l.dials = l.dials[1:]
 	w := &wire{peer: d.peer, addr: d.addr}
-	d.peer.Open(w)
+	d.peer.Opened(w)
 	return w
 }
 
 // wire is a connection that takes all that is written, unless it is blocked.
 type wire struct {
 	gnet.Conn
-	peer    eventloop.Peer
+	peer    eventloop.ConnHandler
 	addr    string
 	blocked bool
 	sent    strings.Builder
@@ -84,36 +84,36 @@
 // ends is a Sink to which every attempt is allowed.
 type ends map[slotmap.Ref]routing.Outcome
 
-func (ends) May(slotmap.Ref) bool                       { return true }
-func (s ends) Ended(ref slotmap.Ref, e dispatch.End)    { s[ref] = e.Outcome }
-func (ends) Probed(string, time.Duration, dispatch.End) {}
+func (ends) MaySend(slotmap.Ref) bool                                 { return true }
+func (s ends) AttemptEnded(ref slotmap.Ref, e dispatch.AttemptResult) { s[ref] = e.Outcome }
+func (ends) ProbeEnded(string, time.Duration, dispatch.AttemptResult) {}
 
 func newPool(o Options, workers ...string) (*Pool, *plainLoop, ends) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	o.Classes, o.Streams, o.Schedulers = []string{"consulta"}, 100, 1
-	o.IdleClose, o.ConnectTimeout, o.MaxAnswer = 15*time.Second, 250*time.Millisecond, 1<<20
+	o.Classes, o.PipelineDepth, o.Schedulers = []string{"consulta"}, 100, 1
+	o.IdleCloseAfter, o.ConnectTimeout, o.MaxAnswerBytes = 15*time.Second, 250*time.Millisecond, 1<<20
 	l, sink := &plainLoop{now: time.Hour}, ends{}
 	p := New(l, sink, o, log)
-	var r dispatch.Roster
+	var r dispatch.EndpointList
 	for _, id := range workers {
-		r.Entries = append(r.Entries, dispatch.Entry{Worker: routing.Worker{ID: id, State: routing.Ready}, Addr: id})
+		r.Endpoints = append(r.Endpoints, dispatch.Endpoint{Worker: routing.Worker{ID: id, State: routing.Ready}, Addr: id})
 	}
-	p.Follow(r)
+	p.UpdateEndpoints(r)
 	return p, l, sink
 }
 
 func attempt(n int, worker string) dispatch.Attempt {
 	return dispatch.Attempt{
 		Ref: slotmap.Ref(n), Worker: worker, ID: strings.Repeat("0", 15) + string(rune('0'+n)), Function: "f",
-		Patience: time.Second,
+		Timeout: time.Second,
 	}
 }
 
 // What is written to a connection on which something waits to be sent would be sent when nobody can take it back any
 // more: its client may have left by then, or its worker drain. It goes on another.
 func TestNothingWaitsBehindABlockedConnection(t *testing.T) {
-	p, l, _ := newPool(Options{MaxConns: 10, MaxFiles: 30}, "a")
+	p, l, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	p.Send(attempt(1, "a"))
 	first := l.up()
 	first.blocked = true
@@ -122,8 +122,8 @@
 	for len(l.dials) > 0 {
 		l.up()
 	}
-	p.Halt(1)
-	p.Halt(2)
+	p.Cancel(1)
+	p.Cancel(2)
 	p.Send(attempt(3, "a"))
 	if first.kept.Len() == 0 || strings.Contains(first.kept.String(), "go "+attempt(3, "a").ID) {
 		t.Errorf("%q waits to be sent, after %q, want no further request", first.kept.String(), waits)
@@ -132,14 +132,14 @@
 
 // A worker without a connection gets one where there are as many as may be, as long as some rest.
 func TestRestingConnectionsMakeRoom(t *testing.T) {
-	p, l, sink := newPool(Options{MaxConns: 2, MaxFiles: 30}, "a", "b", "c")
+	p, l, sink := newPool(Options{MaxConns: 2, MaxDescriptors: 30}, "a", "b", "c")
 	var conns []*wire
 	for i, id := range []string{"a", "b"} {
 		p.Send(attempt(i+1, id))
 		conns = append(conns, l.up())
 		l.now += time.Second
 	}
-	p.Halt(1)
+	p.Cancel(1)
 	p.Send(attempt(3, "c"))
 	if len(l.dials) != 1 || !conns[0].closed || conns[1].closed {
 		t.Fatalf("%d dials, closed: %v and %v, want one dial in place of the connection that rests", len(l.dials), conns[0].closed, conns[1].closed)
@@ -151,7 +151,7 @@
 
 // Dials wait for descriptors, and go on in turn as others end, whichever way.
 func TestDialsWaitForDescriptors(t *testing.T) {
-	p, l, sink := newPool(Options{MaxConns: 8, MaxFiles: 4}, "a", "b", "c", "d")
+	p, l, sink := newPool(Options{MaxConns: 8, MaxDescriptors: 4}, "a", "b", "c", "d")
 	for i, id := range []string{"a", "b", "c", "d"} {
 		p.Send(attempt(i+1, id))
 	}
@@ -161,7 +161,7 @@
 	failed := l.dials[0].failed
 	l.dials = l.dials[1:]
 	failed(errors.New("no"))
-	if len(l.dials) != 2 || l.dials[1].addr != "c" || sink[1] != routing.Unreached {
+	if len(l.dials) != 2 || l.dials[1].addr != "c" || sink[1] != routing.ConnectFailed {
 		t.Fatalf("dials %v after one failed, ends %v", l.dials, sink)
 	}
 	b := l.up() // a connection and a dial leave one descriptor: d waits on
@@ -181,7 +181,7 @@
 
 // A dial that fails takes along what could not go elsewhere meanwhile, and nothing else.
 func TestDialFailsBesideAConnection(t *testing.T) {
-	p, l, sink := newPool(Options{MaxConns: 10, MaxFiles: 30}, "a")
+	p, l, sink := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	p.Send(attempt(1, "a"))
 	first := l.up()
 	first.blocked = true
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -9,9 +9,9 @@
 // before the code's names were changed, and are not changed to get a pass.
 func TestGoldenCommands(t *testing.T) {
 	keyed := attempt(2, "a")
-	keyed.Key, keyed.Patience, keyed.Body = "k-1", 2500*time.Millisecond+999*time.Microsecond, []byte("two\r\nlines")
+	keyed.IdempotencyKey, keyed.Timeout, keyed.Body = "k-1", 2500*time.Millisecond+999*time.Microsecond, []byte("two\r\nlines")
 	short := attempt(3, "a")
-	short.Patience = 999 * time.Microsecond
+	short.Timeout = 999 * time.Microsecond
 	for _, c := range []struct {
 		name   string
 		before func(*Pool) // the connection is up
@@ -31,13 +31,13 @@
 			"go 0000000000000003 sort=consulta,asset=f,patience=1 0\r\n\r\n",
 		},
 		{
-			"attempt that is given up", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Halt(1) },
+			"attempt that is given up", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Cancel(1) },
 			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\nhalt 0000000000000001\r\n",
 		},
 		{"probe", func(p *Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, l, _ := newPool(Options{MaxConns: 10, MaxFiles: 30}, "a")
+			p, l, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 			c.before(p)
 			w := l.up()
 			if c.after != nil {
--- a/internal/nodeagent/line.go
+++ b/internal/nodeagent/line.go
@@ -18,7 +18,7 @@
 type answer struct {
 	id, word string
 	depth    int // 0 if absent
-	report   *routing.Report
+	report   *routing.LoadReport
 	body     []byte
 }
 
@@ -108,11 +108,11 @@
 }
 
 // parseReport reads a load report, as in inflight:7;util:0.61.
-func parseReport(list string) (*routing.Report, error) {
-	r := &routing.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
+func parseReport(list string) (*routing.LoadReport, error) {
+	r := &routing.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, MemoryHeldFraction: -1, LoadsInProgress: -1}
 	known := map[string]*float64{
-		"inflight": &r.InFlight, "queue": &r.Queue, "util": &r.Util,
-		"x0": &r.MemoryHeld, "x1": &r.Loads,
+		"inflight": &r.InFlight, "queue": &r.QueueLength, "util": &r.Utilization,
+		"x0": &r.MemoryHeldFraction, "x1": &r.LoadsInProgress,
 	}
 	for f := range strings.SplitSeq(list, ";") {
 		name, value, ok := strings.Cut(f, ":")
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-var classes = []Class{{"consulta", routing.Safe}, {"registro-horas", routing.Keyed}, {"certificado", routing.Unsafe}}
+var classes = []Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
 
 func src(s string) Text { return Text{Place{"f", 1, 1}, s} }
 
@@ -202,7 +202,7 @@
 
 // No rule makes a request less strict about repeats, whatever it yields, nor keyed without a key.
 func TestSafety(t *testing.T) {
-	strict := map[string]routing.Effect{}
+	strict := map[string]routing.Idempotency{}
 	for _, c := range classes {
 		strict[c.Name] = c.Effect
 	}
@@ -233,7 +233,7 @@
 		if _, known := strict[got.Class]; !known || q.Class != "" && strict[got.Class] < strict[q.Class] {
 			t.Fatalf("asked for %q, got %q", q.Class, got.Class)
 		}
-		if strict[got.Class] == routing.Keyed && q.OnceKey == "" {
+		if strict[got.Class] == routing.IdempotentByKey && q.OnceKey == "" {
 			t.Fatalf("%q without a key", got.Class)
 		}
 	})
--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -51,7 +51,7 @@
 // Class is a class of the site.
 type Class struct {
 	Name   string
-	Effect routing.Effect
+	Effect routing.Idempotency
 }
 
 // Fault is what is wrong with a rule, or, as a warning, what seems to be.
@@ -436,7 +436,7 @@
 	if from, ok := t.classes[q.Class]; ok && to.Effect < from.Effect {
 		return fmt.Errorf("class %s is less strict about repeats than %s", to.Name, from.Name)
 	}
-	if to.Effect == routing.Keyed && q.OnceKey == "" {
+	if to.Effect == routing.IdempotentByKey && q.OnceKey == "" {
 		return fmt.Errorf("class %s needs an idempotency key", to.Name)
 	}
 	return nil
--- a/internal/rules/pools/pools.go
+++ b/internal/rules/pools/pools.go
@@ -58,17 +58,17 @@
 // Event is something that a Core is told.
 type Event interface{ event() }
 
-// Listed is the list of workers, whole.
-type Listed struct{ Workers []Attributes }
+// EndpointsChanged is the list of workers, whole.
+type EndpointsChanged struct{ Workers []Attributes }
 
-// Saw is what the Router finds of a worker.
-type Saw struct {
-	Worker  string
-	Trouble routing.Trouble
+// FaultObserved is what the Router finds of a worker.
+type FaultObserved struct {
+	Worker string
+	Fault  routing.Fault
 }
 
-func (Listed) event() {}
-func (Saw) event()    {}
+func (EndpointsChanged) event() {}
+func (FaultObserved) event()    {}
 
 type pool struct {
 	holds   *match.Predicate
@@ -152,9 +152,9 @@
 func (c *Core) Step(now time.Duration, events []Event) (changed bool) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
+		case EndpointsChanged:
 			c.list(e.Workers)
-		case Saw:
+		case FaultObserved:
 			c.saw(now, e)
 		}
 	}
@@ -165,8 +165,8 @@
 			if i+1 < len(r.levels) && live.next {
 				next = &r.levels[i+1]
 			}
-			if !maps.Equal(live.workers, level.Workers) || next != level.Next {
-				level.Workers, level.Next, changed = live.workers, next, true
+			if !maps.Equal(live.workers, level.Workers) || next != level.Fallback {
+				level.Workers, level.Fallback, changed = live.workers, next, true
 			}
 		}
 	}
@@ -188,11 +188,11 @@
 	}
 }
 
-func (c *Core) saw(now time.Duration, e Saw) {
-	switch e.Trouble {
-	case routing.Silent, routing.Unreachable:
+func (c *Core) saw(now time.Duration, e FaultObserved) {
+	switch e.Fault {
+	case routing.Unresponsive, routing.Unreachable:
 		i := c.ill[e.Worker]
-		if i.seen++; e.Trouble == routing.Unreachable {
+		if i.seen++; e.Fault == routing.Unreachable {
 			i.seen = proofs
 		}
 		if i.at = now; len(c.ill) < maxIll {
@@ -235,8 +235,8 @@
 
 const stateServing, stateDraining = "serving", "draining"
 
-// State is a worker's state as conditions read it.
-func State(s routing.WorkerState) string {
+// StateName is a worker's state as conditions read it.
+func StateName(s routing.WorkerState) string {
 	if s == routing.Ready {
 		return stateServing
 	}
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -58,22 +58,22 @@
 	}
 	drain := slices.Clone(both)
 	drain[0].State = "draining"
-	step("f1 f2", Listed{both})
-	step("f1 f2", Saw{"f1", routing.Silent})                            // one proof is none
-	step("f1 f2", Saw{"f1", routing.Silent}, Saw{"f2", routing.Silent}) // the other is left
-	step("f1 f2 s1 s2", Saw{"f2", routing.Unreachable})                 // all ill: the next pool helps out, trials go on
-	step("f1 f2", Saw{"f2", routing.Well})
-	step("f1 f2", Listed{drain})
-	step("f1 f2 s1 s2", Saw{"f2", routing.Unreachable})
-	step("s1 s2", Listed{both[2:]}) // the pool has emptied
-	step("f1 f2", Listed{both})
+	step("f1 f2", EndpointsChanged{both})
+	step("f1 f2", FaultObserved{"f1", routing.Unresponsive})                                            // one proof is none
+	step("f1 f2", FaultObserved{"f1", routing.Unresponsive}, FaultObserved{"f2", routing.Unresponsive}) // the other is left
+	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})                                       // all ill: the next pool helps out, trials go on
+	step("f1 f2", FaultObserved{"f2", routing.Healthy})
+	step("f1 f2", EndpointsChanged{drain})
+	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})
+	step("s1 s2", EndpointsChanged{both[2:]}) // the pool has emptied
+	step("f1 f2", EndpointsChanged{both})
 	if got := live(c, "any"); got != "f1 s1 s2 x" {
 		t.Errorf("any: %q", got)
 	}
-	if next := c.Route("lane").Next; next == nil || strings.Join(slices.Sorted(maps.Keys(next.Workers)), " ") != "s1 s2" || next.Next != nil {
+	if next := c.Route("lane").Fallback; next == nil || strings.Join(slices.Sorted(maps.Keys(next.Workers)), " ") != "s1 s2" || next.Fallback != nil {
 		t.Errorf("what stands in: %+v", next)
 	}
-	if step("f1 f2", Saw{"s1", routing.Unreachable}, Saw{"s2", routing.Unreachable}); c.Route("lane").Next != nil {
+	if step("f1 f2", FaultObserved{"s1", routing.Unreachable}, FaultObserved{"s2", routing.Unreachable}); c.Route("lane").Fallback != nil {
 		t.Error("a pool of ill workers stands in")
 	}
 	if c.Route("none") != nil {
@@ -108,10 +108,10 @@
 						list = append(list, w)
 					}
 				}
-				c.Step(now, []Event{Listed{list}})
+				c.Step(now, []Event{EndpointsChanged{list}})
 			default:
 				id := both[rapid.IntRange(0, len(both)-1).Draw(t, "worker")].ID
-				c.Step(now, []Event{Saw{id, routing.Trouble(rapid.IntRange(0, 4).Draw(t, "trouble"))}})
+				c.Step(now, []Event{FaultObserved{id, routing.Fault(rapid.IntRange(0, 4).Draw(t, "trouble"))}})
 			}
 			set, some, any := c.Route("lane").Workers, false, false
 			for id := range set {
--- a/internal/runtime/deadline/deadline.go
+++ b/internal/runtime/deadline/deadline.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Entry is one deadline. It belongs to whoever waits for it and may be set and dropped any number of times.
-type Entry struct {
+// Timer is one deadline. It belongs to whoever waits for it and may be set and dropped any number of times.
+type Timer struct {
 	Fire func() // called once the deadline has come; the entry is no longer queued then
 
 	at    time.Duration
@@ -22,7 +22,7 @@
 }
 
 // Set queues an entry for a time, or moves it there.
-func (q *Queue) Set(e *Entry, at time.Duration) {
+func (q *Queue) Set(e *Timer, at time.Duration) {
 	q.count++
 	e.at, e.order = at, q.count
 	if e.place > 0 {
@@ -32,8 +32,8 @@
 	heap.Push(&q.heap, e)
 }
 
-// Drop takes an entry out. One that is not queued stays so.
-func (q *Queue) Drop(e *Entry) {
+// Remove takes an entry out. One that is not queued stays so.
+func (q *Queue) Remove(e *Timer) {
 	if e.place > 0 {
 		heap.Remove(&q.heap, e.place-1)
 	}
@@ -47,15 +47,15 @@
 	return q.heap[0].at, true
 }
 
-// Due takes out the earliest entry if its time has come, and nil otherwise.
-func (q *Queue) Due(now time.Duration) *Entry {
+// PopDue takes out the earliest entry if its time has come, and nil otherwise.
+func (q *Queue) PopDue(now time.Duration) *Timer {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
 	}
-	return heap.Pop(&q.heap).(*Entry)
+	return heap.Pop(&q.heap).(*Timer)
 }
 
-type entries []*Entry
+type entries []*Timer
 
 func (h entries) Len() int { return len(h) }
 func (h entries) Less(i, j int) bool {
@@ -68,7 +68,7 @@
 }
 
 func (h *entries) Push(x any) {
-	e := x.(*Entry)
+	e := x.(*Timer)
 	*h = append(*h, e)
 	e.place = len(*h)
 }
--- a/internal/runtime/eventloop/loop.go
+++ b/internal/runtime/eventloop/loop.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peer is the state of one connection. All calls come on the loop.
-type Peer interface {
-	Open(c gnet.Conn)            // the connection is up
-	Traffic(c gnet.Conn) error   // bytes have come; an error closes the connection
+// ConnHandler is the state of one connection. All calls come on the loop.
+type ConnHandler interface {
+	Opened(c gnet.Conn)          // the connection is up
+	Readable(c gnet.Conn) error  // bytes have come; an error closes the connection
 	Closed(c gnet.Conn, e error) // it is gone, for whatever reason; c must not be used again
 }
 
@@ -26,14 +26,14 @@
 type Loop struct {
 	gnet.BuiltinEventEngine
 
-	Accept func(c gnet.Conn) Peer // state for a connection that came in; nil turns it away
-	Boot   func()                 // called first of all on the loop
-	Logger logging.Logger
+	Accept  func(c gnet.Conn) ConnHandler // state for a connection that came in; nil turns it away
+	Started func()                        // called first of all on the loop
+	Logger  logging.Logger
 	// Stalled, if set, is called first of all when the loop did nothing for long though it was due: the process was
 	// stopped, or had no processor.
 	Stalled func()
-	// Stall is how late a deadline has to be noticed for that; New sets the longest that makes sense.
-	Stall time.Duration
+	// StallThreshold is how late a deadline has to be noticed for that; New sets the longest that makes sense.
+	StallThreshold time.Duration
 
 	addr      string // that is listened at
 	start     time.Time
@@ -48,18 +48,18 @@
 	err       error
 }
 
-// LongestStall is what a Loop has for Stall where nothing asks for less.
-const LongestStall = 300 * time.Millisecond
+// MaxStallThreshold is what a Loop has for StallThreshold where nothing asks for less.
+const MaxStallThreshold = 300 * time.Millisecond
 
 // New returns a Loop.
 func New() *Loop {
 	now := time.Now()
-	return &Loop{start: now, unix: time.Duration(now.UnixNano()), Stall: LongestStall}
+	return &Loop{start: now, unix: time.Duration(now.UnixNano()), StallThreshold: MaxStallThreshold}
 }
 
-// Unread is how long ago a connection's latest bytes came in, while they wait to be read; 0 if not known. After a
+// UnreadFor is how long ago a connection's latest bytes came in, while they wait to be read; 0 if not known. After a
 // stall it is what the loop must make up for.
-func Unread(c gnet.Conn) time.Duration {
+func UnreadFor(c gnet.Conn) time.Duration {
 	info, err := unix.GetsockoptTCPInfo(c.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
@@ -100,15 +100,15 @@
 	}))
 }
 
-// At sets a deadline.
-func (l *Loop) At(e *deadline.Entry, at time.Duration) { l.deadlines.Set(e, at) }
+// SetDeadline sets a deadline.
+func (l *Loop) SetDeadline(e *deadline.Timer, at time.Duration) { l.deadlines.Set(e, at) }
 
-// Drop takes a deadline back.
-func (l *Loop) Drop(e *deadline.Entry) { l.deadlines.Drop(e) }
+// ClearDeadline takes a deadline back.
+func (l *Loop) ClearDeadline(e *deadline.Timer) { l.deadlines.Remove(e) }
 
-// Dial connects elsewhere, so that the loop never waits for it, and hands the connection to the peer's Open.
+// Dial connects elsewhere, so that the loop never waits for it, and hands the connection to the peer's Opened.
 // If none comes up in time, failed is called.
-func (l *Loop) Dial(addr string, timeout time.Duration, p Peer, failed func(error)) {
+func (l *Loop) Dial(addr string, timeout time.Duration, p ConnHandler, failed func(error)) {
 	go func() {
 		c, err := net.DialTimeout("tcp", addr, timeout)
 		if err == nil {
@@ -125,7 +125,7 @@
 
 // wake begins a turn of the loop.
 func (l *Loop) wake() {
-	if l.armed > 0 && l.Stalled != nil && l.Now() > l.armed+l.Stall {
+	if l.armed > 0 && l.Stalled != nil && l.Now() > l.armed+l.StallThreshold {
 		l.armed = 0
 		l.Stalled()
 	}
@@ -155,7 +155,7 @@
 func (l *Loop) fire() {
 	l.firing = false
 	now := l.Now()
-	for e := l.deadlines.Due(now); e != nil; e = l.deadlines.Due(now) {
+	for e := l.deadlines.PopDue(now); e != nil; e = l.deadlines.PopDue(now) {
 		e.Fire()
 	}
 }
@@ -197,26 +197,26 @@
 // self is the peer of the socket by which the loop learns of itself.
 type self struct{}
 
-func (self) Open(c gnet.Conn)        { _ = c.Close() }
-func (self) Traffic(gnet.Conn) error { return nil }
-func (self) Closed(gnet.Conn, error) {}
+func (self) Opened(c gnet.Conn)       { _ = c.Close() }
+func (self) Readable(gnet.Conn) error { return nil }
+func (self) Closed(gnet.Conn, error)  {}
 
 // OnOpen, OnTraffic and OnClose pass a connection's events on to its peer.
 func (l *Loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if l.events == nil {
 		l.events = c.EventLoop()
 		l.timer = time.AfterFunc(time.Hour, func() { l.Post(func() { l.armed = 0; l.fire() }) })
-		l.Boot()
+		l.Started()
 	}
 	l.wake()
-	p, ok := c.Context().(Peer)
+	p, ok := c.Context().(ConnHandler)
 	if !ok {
 		if p = l.Accept(c); p == nil {
 			return nil, gnet.Close
 		}
 		c.SetContext(p)
 	}
-	p.Open(c)
+	p.Opened(c)
 	l.settle()
 	return nil, gnet.None
 }
@@ -224,11 +224,11 @@
 // OnTraffic is called when bytes have come.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
 	l.wake()
-	p, ok := c.Context().(Peer)
+	p, ok := c.Context().(ConnHandler)
 	if !ok {
 		return gnet.Close
 	}
-	err := p.Traffic(c)
+	err := p.Readable(c)
 	l.settle()
 	if err != nil {
 		return gnet.Close
@@ -238,7 +238,7 @@
 
 // OnClose is called when a connection is gone.
 func (l *Loop) OnClose(c gnet.Conn, err error) gnet.Action {
-	if p, ok := c.Context().(Peer); ok {
+	if p, ok := c.Context().(ConnHandler); ok {
 		p.Closed(c, err)
 	}
 	return gnet.None
--- a/internal/runtime/logging/logs.go
+++ b/internal/runtime/logging/logs.go
@@ -14,14 +14,14 @@
 
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Set is the loggers of all parts. Its methods are safe for concurrent use once New has returned.
-type Set struct {
+// Loggers is the loggers of all parts. Its methods are safe for concurrent use once New has returned.
+type Loggers struct {
 	parts map[string]*logrus.Logger
 }
 
 // New returns loggers for operator.Parts that write to one place.
-func New(out io.Writer, settings operatorfile.Log) (*Set, error) {
-	s := &Set{parts: map[string]*logrus.Logger{}}
+func New(out io.Writer, settings operatorfile.Log) (*Loggers, error) {
+	s := &Loggers{parts: map[string]*logrus.Logger{}}
 	for _, name := range operatorfile.Parts {
 		l := logrus.New()
 		l.SetOutput(out)
@@ -31,7 +31,7 @@
 }
 
 // Apply changes the form and the levels of all parts.
-func (s *Set) Apply(settings operatorfile.Log) error {
+func (s *Loggers) Apply(settings operatorfile.Log) error {
 	var format logrus.Formatter = &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timeFormat}
 	if settings.JSON {
 		format = &logrus.JSONFormatter{TimestampFormat: timeFormat}
@@ -52,7 +52,7 @@
 }
 
 // Part is the logger of a part that operator.Parts names.
-func (s *Set) Part(name string) *logrus.Entry {
+func (s *Loggers) Part(name string) *logrus.Entry {
 	l := s.parts[name]
 	if l == nil {
 		panic("logs: no part " + name) // a fault of the program, met by every test that starts it
@@ -60,12 +60,12 @@
 	return l.WithField("part", name)
 }
 
-// every is how often Thinned lets a message through.
+// every is how often RateLimited lets a message through.
 const every = time.Second
 
-// Thinned lets each message through once a second at most and counts the others. Messages must not hold what a peer
+// RateLimited lets each message through once a second at most and counts the others. Messages must not hold what a peer
 // sends. It is not safe for concurrent use.
-type Thinned struct {
+type RateLimited struct {
 	Log  logrus.FieldLogger
 	last map[string]kept
 }
@@ -76,7 +76,7 @@
 }
 
 // Warn logs a message, with the number of those left out since the last as "more".
-func (t *Thinned) Warn(now time.Duration, message string, err error) {
+func (t *RateLimited) Warn(now time.Duration, message string, err error) {
 	k, seen := t.last[message]
 	if seen && now-k.at < every {
 		k.more++
--- a/internal/runtime/slotmap/slot.go
+++ b/internal/runtime/slotmap/slot.go
@@ -18,8 +18,8 @@
 	taken      bool
 }
 
-// Put stores a value and returns its Ref.
-func (t *Table[T]) Put(v T) Ref {
+// Insert stores a value and returns its Ref.
+func (t *Table[T]) Insert(v T) Ref {
 	var i uint32
 	if n := len(t.free); n > 0 {
 		i, t.free = t.free[n-1], t.free[:n-1]
@@ -46,8 +46,8 @@
 	return none, false
 }
 
-// Free empties the slot of a Ref. A stale Ref frees nothing.
-func (t *Table[T]) Free(r Ref) {
+// Remove empties the slot of a Ref. A stale Ref frees nothing.
+func (t *Table[T]) Remove(r Ref) {
 	if s := t.find(r); s != nil {
 		var none T
 		s.value, s.taken = none, false
--- a/internal/runtime/slotmap/slot_test.go
+++ b/internal/runtime/slotmap/slot_test.go
@@ -17,7 +17,7 @@
 		held, stale := map[slotmap.Ref]int{}, []slotmap.Ref{0}
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(held) == 0 || rapid.Bool().Draw(t, "put") {
-				r := table.Put(i)
+				r := table.Insert(i)
 				if _, taken := held[r]; taken {
 					t.Fatalf("%v is given out twice", r)
 				}
@@ -25,10 +25,10 @@
 				continue
 			}
 			r := rapid.SampledFrom(slices.Sorted(maps.Keys(held))).Draw(t, "free")
-			table.Free(r)
+			table.Remove(r)
 			delete(held, r)
 			stale = append(stale, r)
-			table.Free(rapid.SampledFrom(stale).Draw(t, "stale")) // frees nothing
+			table.Remove(rapid.SampledFrom(stale).Draw(t, "stale")) // frees nothing
 		}
 		for _, r := range stale {
 			if v, ok := table.Get(r); ok {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -17,16 +17,16 @@
 	"calicohill/routing"
 )
 
-// Start is the settings of an instance that begins its life.
-type Start struct {
+// PowerOn is the settings of an instance that begins its life.
+type PowerOn struct {
 	Seed     uint64
 	Settings routing.Settings
 }
 
-// Item is one event of a batch. Exactly one of Start, Stop and Event is set.
+// Item is one event of a batch. Exactly one of PowerOn, Stop and Event is set.
 type Item struct {
 	Instance int
-	Start    *Start
+	PowerOn  *PowerOn
 	Stop     bool
 	Event    routing.Event
 }
@@ -144,7 +144,7 @@
 			return it, f.err
 		}
 		s, err := deployment.Parse([]byte(text))
-		it.Start = &Start{Seed: seed, Settings: s.Settings}
+		it.PowerOn = &PowerOn{Seed: seed, Settings: s.Settings}
 		return it, err
 	case "shutdown":
 		it.Stop = true
@@ -152,37 +152,37 @@
 		return d.view(f)
 	case "call":
 		r := routing.Request{ID: f.text(), Class: f.integer(), Tenant: f.optInteger(0), Function: f.text()}
-		r.TimeLeft, r.Work = f.millis(), f.optMillis()
-		r.Memory, r.Lanes, r.LoadTime = f.optNumber(0), f.optInteger(0), f.optMillis()
-		r.Repeat = f.optInteger(0)&2 != 0
+		r.TimeLeft, r.ExpectedWork = f.millis(), f.optMillis()
+		r.MemoryMB, r.Concurrency, r.LoadTime = f.optNumber(0), f.optInteger(0), f.optMillis()
+		r.MarkedRetry = f.optInteger(0)&2 != 0
 		it.Event = r
 	case "first":
-		it.Event = routing.StreamStart{ID: f.text(), Attempt: f.integer(), Worker: f.text(), Latency: f.millis()}
+		it.Event = routing.StreamStarted{ID: f.text(), Attempt: f.integer(), Worker: f.text(), Latency: f.millis()}
 	case "outcome":
-		e := routing.AttemptEnd{ID: f.text(), Closed: f.boolean(), Company: -1}
+		e := routing.AttemptEnded{ID: f.text(), RequestAnswered: f.boolean(), InFlightForFunction: -1}
 		info := f.optInteger(0)
 		e.Latency, e.Worker, e.Attempt = f.optMillis(), f.text(), f.integer()
 		e.Outcome, e.Report = f.outcome(), f.report()
 		if info < 0 {
 			f.fail("info: negative")
 		}
-		if w := routing.Warmth(info % 8); w <= routing.LoadFailed {
-			e.Warmth = w
+		if w := routing.StartType(info % 8); w <= routing.LoadFailed {
+			e.StartType = w
 		}
 		if e.Outcome == routing.Served || e.Outcome == routing.Shed {
-			e.Company = info / 8
+			e.InFlightForFunction = info / 8
 		}
 		it.Event = e
 	case "expired":
-		it.Event = routing.Abandoned{ID: f.text()}
+		it.Event = routing.ClientCanceled{ID: f.text()}
 	case "reminder":
 		it.Event = routing.TimerFired{Token: f.unsigned()}
 	case "sampled":
-		e := routing.ProbeEnd{Outcome: f.outcome(), Worker: f.text()}
+		e := routing.ProbeEnded{Outcome: f.outcome(), Worker: f.text()}
 		e.Latency, e.Report = f.optMillis(), f.report()
 		it.Event = e
 	case "brought_up":
-		e := routing.LoadEnd{Worker: f.text(), Latency: f.optMillis(), Copies: f.optInteger(0)}
+		e := routing.LoadEnded{Worker: f.text(), Latency: f.optMillis(), Instances: f.optInteger(0)}
 		e.Function, e.Outcome = f.text(), f.outcome()
 		it.Event = e
 	case "datagram":
@@ -350,8 +350,8 @@
 
 var outcomes = map[string]routing.Outcome{
 	"delivered": routing.Served, "app_error": routing.Errored, "shed": routing.Shed,
-	"expired": routing.TimedOut, "dial_failed": routing.Unreached, "dropped": routing.Reset,
-	"revoked": routing.Cancelled, "unused": routing.Unsent, "empty": routing.NotLoaded,
+	"expired": routing.TimedOut, "dial_failed": routing.ConnectFailed, "dropped": routing.ConnectionReset,
+	"revoked": routing.Canceled, "unused": routing.NotSent, "empty": routing.NotLoaded,
 }
 
 func (f *fields) outcome() routing.Outcome {
@@ -363,12 +363,12 @@
 	return o
 }
 
-func (f *fields) report() *routing.Report {
+func (f *fields) report() *routing.LoadReport {
 	v := f.next()
 	if v == "-" || v == "" {
 		return nil
 	}
-	r := &routing.Report{InFlight: -1, Queue: -1, Util: -1, MemoryHeld: -1, Loads: -1}
+	r := &routing.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, MemoryHeldFraction: -1, LoadsInProgress: -1}
 	for pair := range strings.SplitSeq(v, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
@@ -383,13 +383,13 @@
 		case "inflight":
 			r.InFlight = n
 		case "queue":
-			r.Queue = n
+			r.QueueLength = n
 		case "util":
-			r.Util = n
+			r.Utilization = n
 		case "x0":
-			r.MemoryHeld = n
+			r.MemoryHeldFraction = n
 		case "x1":
-			r.Loads = n
+			r.LoadsInProgress = n
 		}
 	}
 	return r
@@ -408,8 +408,8 @@
 // Instance names the instance that the next actions belong to.
 func (e *Encoder) Instance(n int) { e.line("instance", strconv.Itoa(n)) }
 
-// GiveIn declares that the decisions of an instance have failed.
-func (e *Encoder) GiveIn(why string) {
+// InstanceFailed declares that the decisions of an instance have failed.
+func (e *Encoder) InstanceFailed(why string) {
 	e.line("give_in", strings.NewReplacer("\n", " ", "\t", " ", "\r", " ").Replace(why))
 }
 
@@ -420,7 +420,7 @@
 		e.line("try", a.ID, millis(a.Timeout), a.Worker)
 	case routing.Cancel:
 		e.line("recall", a.ID, strconv.Itoa(a.Attempt))
-	case routing.Refuse:
+	case routing.Reject:
 		e.line("say_no", a.ID, millis(a.RetryAfter))
 	case routing.Fail:
 		e.line("surrender", a.ID)
@@ -429,7 +429,7 @@
 	case routing.Probe:
 		e.line("ping", a.Worker)
 	case routing.Load:
-		e.line("pin_up", a.Worker, a.Function, strconv.Itoa(a.Copies))
+		e.line("pin_up", a.Worker, a.Function, strconv.Itoa(a.Instances))
 	case routing.Unload:
 		e.line("unmount", a.Worker, a.Function)
 	case routing.Subscribe:
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -21,31 +21,31 @@
 	}{
 		{"call\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3", routing.Request{
 			ID: "t/a", Function: "m-f",
-			TimeLeft: 240*ms + 500*time.Microsecond, Memory: 384, Lanes: 2, LoadTime: 900 * ms, Repeat: true,
+			TimeLeft: 240*ms + 500*time.Microsecond, MemoryMB: 384, Concurrency: 2, LoadTime: 900 * ms, MarkedRetry: true,
 		}},
-		{"first\tt/a\t1\tworker-x\t9.25", routing.StreamStart{
+		{"first\tt/a\t1\tworker-x\t9.25", routing.StreamStarted{
 			ID: "t/a", Attempt: 1, Worker: "worker-x",
 			Latency: 9250 * time.Microsecond,
 		}},
 		{
 			"outcome\tt/a\t1\t17\t18.5\tworker-x\t0\tdelivered\tinflight:3,x1:1.5,new:9",
-			routing.AttemptEnd{
-				ID: "t/a", Closed: true, Warmth: routing.FoundWarm, Company: 2,
+			routing.AttemptEnded{
+				ID: "t/a", RequestAnswered: true, StartType: routing.WarmStart, InFlightForFunction: 2,
 				Latency: 18500 * time.Microsecond, Worker: "worker-x", Outcome: routing.Served,
-				Report: &routing.Report{InFlight: 3, Queue: -1, Util: -1, MemoryHeld: -1, Loads: 1.5},
+				Report: &routing.LoadReport{InFlight: 3, QueueLength: -1, Utilization: -1, MemoryHeldFraction: -1, LoadsInProgress: 1.5},
 			},
 		},
-		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", routing.AttemptEnd{
+		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", routing.AttemptEnded{
 			ID: "t/a", Attempt: 2,
-			Warmth: routing.LoadFailed, Company: -1, Latency: 18 * ms, Worker: "worker-x",
+			StartType: routing.LoadFailed, InFlightForFunction: -1, Latency: 18 * ms, Worker: "worker-x",
 			Outcome: routing.NotLoaded,
 		}},
-		{"expired\tt/a", routing.Abandoned{ID: "t/a"}},
+		{"expired\tt/a", routing.ClientCanceled{ID: "t/a"}},
 		{"reminder\t9223372036854775808", routing.TimerFired{Token: 1 << 63}},
-		{"sampled\tdelivered\tworker-x\t1.5\t-", routing.ProbeEnd{Worker: "worker-x", Latency: 1500 * time.Microsecond}},
-		{"brought_up\tworker-x\t640\t1\tm-f\tshed", routing.LoadEnd{
+		{"sampled\tdelivered\tworker-x\t1.5\t-", routing.ProbeEnded{Worker: "worker-x", Latency: 1500 * time.Microsecond}},
+		{"brought_up\tworker-x\t640\t1\tm-f\tshed", routing.LoadEnded{
 			Worker: "worker-x", Latency: 640 * ms,
-			Copies: 1, Function: "m-f", Outcome: routing.Shed,
+			Instances: 1, Function: "m-f", Outcome: routing.Shed,
 		}},
 		{"datagram\t2\t6869", routing.PeerMessage{From: 2, Data: []byte("hi")}},
 		{
@@ -75,11 +75,11 @@
 	for _, a := range []routing.Action{
 		routing.Send{ID: "t/a", Worker: "w", Timeout: 80*ms + 500*time.Microsecond},
 		routing.Cancel{ID: "t/a", Attempt: 1},
-		routing.Refuse{ID: "t/a", RetryAfter: 250 * ms},
+		routing.Reject{ID: "t/a", RetryAfter: 250 * ms},
 		routing.Fail{ID: "t/a"},
 		routing.SetTimer{After: 500 * ms, Token: 77},
 		routing.Probe{Worker: "w"},
-		routing.Load{Worker: "w", Function: "f", Copies: 2},
+		routing.Load{Worker: "w", Function: "f", Instances: 2},
 		routing.Unload{Worker: "w", Function: "f"},
 		routing.Subscribe{On: true},
 		routing.FetchList{},
@@ -88,7 +88,7 @@
 			t.Fatal(err)
 		}
 	}
-	e.GiveIn("a\tb\nc")
+	e.InstanceFailed("a\tb\nc")
 	if err := e.Flush("12"); err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 				return
 			}
 			for _, it := range b.Items {
-				if (it.Start != nil) == (it.Event != nil) && !it.Stop {
+				if (it.PowerOn != nil) == (it.Event != nil) && !it.Stop {
 					t.Fatalf("item %+v is not exactly one thing", it)
 				}
 			}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -79,24 +79,24 @@
 
 // goldenRecord returns the endpoint list and the learned state that the golden files hold.
 func goldenRecord() Record {
-	return Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: routing.Memory{
-		At:        goldenTime - 250*time.Millisecond,
-		Calls:     1234.5678,
-		PerWeight: 17.25,
-		Press:     0.1,
-		Functions: []routing.FunctionMemory{
+	return Record{Fleet: goldenFleet, EventNumber: 41, CreatedAt: goldenTime, Endpoints: []byte(goldenFeed), State: routing.LearnedState{
+		CapturedAt:          goldenTime - 250*time.Millisecond,
+		RequestWeight:       1234.5678,
+		ThroughputPerWeight: 17.25,
+		MeanPressure:        0.1,
+		Functions: []routing.LearnedFunction{
 			{
-				Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
-				Copies: []routing.CopyMemory{
-					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
-					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
+				Name: "resize", Class: 1, Concurrency: 4, RequestWeight: 1000.125, ServiceTimeExcess: -0.037, LoadTime: 1500 * time.Millisecond,
+				Instances: []routing.LearnedInstance{
+					{WorkerIndex: 0, LastWarm: goldenTime - time.Second, Count: 2},
+					{WorkerIndex: 1, LastWarm: goldenTime - 7*time.Second, Count: 1},
 				},
 			},
-			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
+			{Name: "förhandsvisning", Class: 0, Concurrency: 0, RequestWeight: 1e-9, ServiceTimeExcess: 1e21, LoadTime: 0},
 		},
-		Workers: []routing.WorkerMemory{
-			{ID: "w-1", Started: 1_789_990_000 * time.Second, Press: -0.5, Pace: 0.3333333333333333},
-			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, Press: 2, Pace: 0},
+		Workers: []routing.LearnedWorker{
+			{ID: "w-1", Started: 1_789_990_000 * time.Second, PressureExcess: -0.5, LatencyExcess: 0.3333333333333333},
+			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, PressureExcess: 2, LatencyExcess: 0},
 		},
 	}}
 }
@@ -108,14 +108,14 @@
 		record Record
 	}{
 		{"full.snapshot", goldenRecord()},
-		{"empty.snapshot", Record{Fleet: goldenFleet, At: goldenTime}},
+		{"empty.snapshot", Record{Fleet: goldenFleet, CreatedAt: goldenTime}},
 	} {
-		encoded, err := Seal(c.record)
+		encoded, err := Encode(c.record)
 		if err != nil {
 			t.Fatal(err)
 		}
 		compareGolden(t, c.name, encoded)
-		decoded, err := Open(readGolden(t, c.name), goldenFleet, goldenTime+time.Minute, goldenAge)
+		decoded, err := Decode(readGolden(t, c.name), goldenFleet, goldenTime+time.Minute, goldenAge)
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
@@ -138,8 +138,8 @@
 		recordGolden(t, name, append(content, body...))
 	}
 	want := goldenRecord()
-	want.Memory = routing.Memory{}
-	got, err := Open(readGolden(t, name), goldenFleet, goldenTime, goldenAge)
+	want.State = routing.LearnedState{}
+	got, err := Decode(readGolden(t, name), goldenFleet, goldenTime, goldenAge)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 		{whole, goldenFleet, goldenTime - 2*time.Minute, "snapshot of 2m0s ahead: of a time to come"},
 		{make([]byte, MaxSize+1), goldenFleet, goldenTime, "snapshot of 6295553 bytes: too large"},
 	} {
-		if _, err := Open(c.content, c.fleet, c.now, goldenAge); err == nil || err.Error() != c.want {
+		if _, err := Decode(c.content, c.fleet, c.now, goldenAge); err == nil || err.Error() != c.want {
 			t.Errorf("error %v, want %s", err, c.want)
 		}
 	}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -21,22 +21,22 @@
 
 // Record is the list as it was, and what was learned.
 type Record struct {
-	Fleet string        `cbor:"1,keyasint"`
-	No    int           `cbor:"2,keyasint"` // of the last event in it
-	At    time.Duration `cbor:"3,keyasint"` // Unix time of its making
-	Feed  []byte        `cbor:"4,keyasint"` // the whole list, in the form of an answer of the list service
+	Fleet       string        `cbor:"1,keyasint"`
+	EventNumber int           `cbor:"2,keyasint"` // of the last event in it
+	CreatedAt   time.Duration `cbor:"3,keyasint"` // Unix time of its making
+	Endpoints   []byte        `cbor:"4,keyasint"` // the whole list, in the form of an answer of the list service
 
-	Memory routing.Memory `cbor:"5,keyasint"` // empty in records of earlier builds
+	State routing.LearnedState `cbor:"5,keyasint"` // empty in records of earlier builds
 }
 
 // The ways in which a record does not count.
 var (
-	ErrTorn    = errors.New("not whole")
-	ErrVersion = errors.New("of another version")
-	ErrFleet   = errors.New("of another fleet")
-	ErrOld     = errors.New("too old")
-	ErrAhead   = errors.New("of a time to come")
-	ErrLarge   = errors.New("too large")
+	ErrIncomplete = errors.New("not whole")
+	ErrVersion    = errors.New("of another version")
+	ErrWrongFleet = errors.New("of another fleet")
+	ErrExpired    = errors.New("too old")
+	ErrFromFuture = errors.New("of a time to come")
+	ErrTooLarge   = errors.New("too large")
 )
 
 // A record begins with this line, the version in it, and the checksum of what follows.
@@ -47,14 +47,14 @@
 	sum    = 4
 )
 
-// Seal makes the bytes of a record.
-func Seal(r Record) ([]byte, error) {
+// Encode makes the bytes of a record.
+func Encode(r Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if len(magic)+sum+len(body) > MaxSize {
-		return nil, fmt.Errorf("snapshot of %d bytes: %w", len(body), ErrLarge)
+		return nil, fmt.Errorf("snapshot of %d bytes: %w", len(body), ErrTooLarge)
 	}
 	b := binary.BigEndian.AppendUint32(bytes.Clone(magic), crc32.Checksum(body, table))
 	return append(b, body...), nil
@@ -63,31 +63,31 @@
 // ahead is how far the clock may have been set back since a record was made.
 const ahead = time.Minute
 
-// Open reads a record that counts: whole, of this version and fleet, and no older than that.
-func Open(b []byte, fleet string, now, oldest time.Duration) (Record, error) {
+// Decode reads a record that counts: whole, of this version and fleet, and no older than that.
+func Decode(b []byte, fleet string, now, oldest time.Duration) (Record, error) {
 	var r Record
 	switch {
 	case len(b) > MaxSize:
-		return r, fmt.Errorf("snapshot of %d bytes: %w", len(b), ErrLarge)
+		return r, fmt.Errorf("snapshot of %d bytes: %w", len(b), ErrTooLarge)
 	case len(b) < len(magic)+sum || !bytes.Equal(b[:family], magic[:family]):
-		return r, fmt.Errorf("snapshot of %d bytes: %w", len(b), ErrTorn)
+		return r, fmt.Errorf("snapshot of %d bytes: %w", len(b), ErrIncomplete)
 	case !bytes.Equal(b[:len(magic)], magic):
 		return r, fmt.Errorf("snapshot %q: %w", b[family:len(magic)-1], ErrVersion)
 	}
 	body := b[len(magic)+sum:]
 	if binary.BigEndian.Uint32(b[len(magic):]) != crc32.Checksum(body, table) {
-		return r, fmt.Errorf("snapshot: checksum: %w", ErrTorn)
+		return r, fmt.Errorf("snapshot: checksum: %w", ErrIncomplete)
 	}
 	if err := cbor.Unmarshal(body, &r); err != nil {
-		return r, fmt.Errorf("snapshot: %w: %w", ErrTorn, err)
+		return r, fmt.Errorf("snapshot: %w: %w", ErrIncomplete, err)
 	}
-	switch age := now - r.At; {
+	switch age := now - r.CreatedAt; {
 	case r.Fleet != fleet:
-		return r, fmt.Errorf("snapshot of %.64q: %w", r.Fleet, ErrFleet)
+		return r, fmt.Errorf("snapshot of %.64q: %w", r.Fleet, ErrWrongFleet)
 	case age > oldest:
-		return r, fmt.Errorf("snapshot of %v ago: %w", age.Round(time.Second), ErrOld)
+		return r, fmt.Errorf("snapshot of %v ago: %w", age.Round(time.Second), ErrExpired)
 	case age < -ahead:
-		return r, fmt.Errorf("snapshot of %v ahead: %w", (-age).Round(time.Second), ErrAhead)
+		return r, fmt.Errorf("snapshot of %v ahead: %w", (-age).Round(time.Second), ErrFromFuture)
 	}
 	return r, nil
 }
@@ -113,18 +113,18 @@
 // Written says that a write has ended.
 type Written struct{ Err error }
 
-// Action is what is to be done: Write, or Tell.
+// Action is what is to be done: Write, or ReportStatus.
 type Action any
 
 // Write has a record of the list as it is made and written. Written follows.
 type Write struct{}
 
-// Tell has it said that writes fail from now on, or, with nil, that they do not any more.
-type Tell struct{ Err error }
+// ReportStatus has it said that writes fail from now on, or, with nil, that they do not any more.
+type ReportStatus struct{ Err error }
 
-// Keeper decides when records are written: the last change always is, soon, and what was learned from time to time, one
+// Scheduler decides when records are written: the last change always is, soon, and what was learned from time to time, one
 // record at a time, and never often.
-type Keeper struct {
+type Scheduler struct {
 	due     time.Duration // when the next is written; 0 if none is
 	not     time.Duration // before this none is
 	writing bool
@@ -132,7 +132,7 @@
 }
 
 // Step takes in what happened and says what is to be done. now never goes back.
-func (k *Keeper) Step(now time.Duration, events ...Event) (out []Action) {
+func (k *Scheduler) Step(now time.Duration, events ...Event) (out []Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case Changed:
@@ -143,7 +143,7 @@
 			k.writing = false
 			if e.Err != nil {
 				if k.pause == 0 {
-					out = append(out, Tell(e))
+					out = append(out, ReportStatus(e))
 				}
 				k.pause = min(max(2*k.pause, againMin), againMax)
 				k.not = now + k.pause
@@ -152,7 +152,7 @@
 			}
 			if k.pause > 0 {
 				k.pause = 0
-				out = append(out, Tell{})
+				out = append(out, ReportStatus{})
 			}
 			if k.due == 0 {
 				k.due = now + refresh
@@ -167,4 +167,4 @@
 }
 
 // Next is when Step is to be called at the latest though nothing happens; false if that need not be.
-func (k *Keeper) Next() (time.Duration, bool) { return k.due, k.due > 0 && !k.writing }
+func (k *Scheduler) Next() (time.Duration, bool) { return k.due, k.due > 0 && !k.writing }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,7 +11,7 @@
 
 func sealed(t testing.TB, r Record) []byte {
 	t.Helper()
-	b, err := Seal(r)
+	b, err := Encode(r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,9 +21,9 @@
 // A record comes back as it was, and does not count where anything is wrong with it.
 func TestOpen(t *testing.T) {
 	const fleet, day = "gt-registros", 24 * time.Hour
-	r := Record{Fleet: fleet, No: 41, At: 100 * day, Feed: []byte(`{"no":41,"items":[]}`)}
+	r := Record{Fleet: fleet, EventNumber: 41, CreatedAt: 100 * day, Endpoints: []byte(`{"no":41,"items":[]}`)}
 	whole := sealed(t, r)
-	if got, err := Open(whole, fleet, 100*day+time.Hour, day); err != nil || got.No != 41 || !bytes.Equal(got.Feed, r.Feed) {
+	if got, err := Decode(whole, fleet, 100*day+time.Hour, day); err != nil || got.EventNumber != 41 || !bytes.Equal(got.Endpoints, r.Endpoints) {
 		t.Errorf("a whole record: %+v, %v", got, err)
 	}
 	next := bytes.Clone(whole)
@@ -35,38 +35,38 @@
 		now   time.Duration
 		want  error
 	}{
-		{"empty", nil, fleet, 100 * day, ErrTorn},
-		{"another file", bytes.Repeat([]byte("x"), 100), fleet, 100 * day, ErrTorn},
+		{"empty", nil, fleet, 100 * day, ErrIncomplete},
+		{"another file", bytes.Repeat([]byte("x"), 100), fleet, 100 * day, ErrIncomplete},
 		{"a later version", next, fleet, 100 * day, ErrVersion},
-		{"another fleet", whole, "other", 100 * day, ErrFleet},
-		{"too old", whole, fleet, 102 * day, ErrOld},
-		{"made after now", whole, fleet, 99 * day, ErrAhead},
-		{"too large", make([]byte, MaxSize+1), fleet, 100 * day, ErrLarge},
+		{"another fleet", whole, "other", 100 * day, ErrWrongFleet},
+		{"too old", whole, fleet, 102 * day, ErrExpired},
+		{"made after now", whole, fleet, 99 * day, ErrFromFuture},
+		{"too large", make([]byte, MaxSize+1), fleet, 100 * day, ErrTooLarge},
 	} {
-		if _, err := Open(c.b, c.fleet, c.now, day); !errors.Is(err, c.want) {
+		if _, err := Decode(c.b, c.fleet, c.now, day); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
 	for n := range whole {
-		if _, err := Open(whole[:n], fleet, 100*day, day); err == nil {
+		if _, err := Decode(whole[:n], fleet, 100*day, day); err == nil {
 			t.Errorf("cut off after %d of %d bytes it counts", n, len(whole))
 		}
 		bad := bytes.Clone(whole)
 		bad[n] ^= 0x10
-		if _, err := Open(bad, fleet, 100*day, day); err == nil {
+		if _, err := Decode(bad, fleet, 100*day, day); err == nil {
 			t.Errorf("with byte %d changed it counts", n)
 		}
 	}
-	if _, err := Seal(Record{Feed: make([]byte, MaxSize)}); !errors.Is(err, ErrLarge) {
+	if _, err := Encode(Record{Endpoints: make([]byte, MaxSize)}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a record that would not count is made: %v", err)
 	}
 }
 
-// FuzzOpen reads any bytes: what counts is what Seal makes of it.
+// FuzzOpen reads any bytes: what counts is what Encode makes of it.
 func FuzzOpen(f *testing.F) {
-	f.Add(sealed(f, Record{Fleet: "a", No: 1, At: time.Hour, Feed: []byte("{}")}))
+	f.Add(sealed(f, Record{Fleet: "a", EventNumber: 1, CreatedAt: time.Hour, Endpoints: []byte("{}")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := Open(b, "a", time.Hour, time.Hour); err == nil && r.Fleet != "a" {
+		if r, err := Decode(b, "a", time.Hour, time.Hour); err == nil && r.Fleet != "a" {
 			t.Errorf("%+v counts", r)
 		}
 	})
@@ -76,7 +76,7 @@
 // last change is written in the end. Failures are told once.
 func TestKeeper(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var k Keeper
+		var k Scheduler
 		now, last := time.Hour, time.Duration(0)
 		writing, told := false, false
 		made, version := 0, 0 // of the list, and in the write that ended well last
@@ -89,7 +89,7 @@
 						t.Fatalf("a write %v after the last, another under way: %v", now-last, writing)
 					}
 					writing, last, underWay = true, now, version
-				case Tell:
+				case ReportStatus:
 					if told == (a.Err != nil) {
 						t.Fatalf("told twice: %v", a.Err)
 					}
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -20,7 +20,7 @@
 // Loop is what a File needs of the event loop.
 type Loop interface {
 	Now() time.Duration
-	At(e *deadline.Entry, at time.Duration)
+	SetDeadline(e *deadline.Timer, at time.Duration)
 	Post(func())
 }
 
@@ -30,13 +30,13 @@
 	loop        Loop
 	log         logrus.FieldLogger
 	list        func() (no int, feed func() ([]byte, error)) // feed is called off the loop
-	memory      func() routing.Memory
-	keeper      snapshot.Keeper
-	wake        deadline.Entry
+	memory      func() routing.LearnedState
+	keeper      snapshot.Scheduler
+	wake        deadline.Timer
 }
 
 // New returns a File that keeps what list and memory give, which are called on the loop.
-func New(l Loop, path, fleet string, list func() (int, func() ([]byte, error)), memory func() routing.Memory,
+func New(l Loop, path, fleet string, list func() (int, func() ([]byte, error)), memory func() routing.LearnedState,
 	log logrus.FieldLogger,
 ) *File {
 	f := &File{path: path, fleet: fleet, loop: l, list: list, memory: memory, log: log}
@@ -53,12 +53,12 @@
 		switch a := a.(type) {
 		case snapshot.Write:
 			no, feed := f.list()
-			r := snapshot.Record{Fleet: f.fleet, No: no, At: now, Memory: f.memory()}
+			r := snapshot.Record{Fleet: f.fleet, EventNumber: no, CreatedAt: now, State: f.memory()}
 			go func() {
 				err := f.write(r, feed)
 				f.loop.Post(func() { f.step(snapshot.Written{Err: err}) })
 			}()
-		case snapshot.Tell:
+		case snapshot.ReportStatus:
 			if a.Err != nil {
 				f.log.WithError(a.Err).Error("snapshot not written: the last one stands")
 			} else {
@@ -67,16 +67,16 @@
 		}
 	}
 	if at, ok := f.keeper.Next(); ok {
-		f.loop.At(&f.wake, at)
+		f.loop.SetDeadline(&f.wake, at)
 	}
 }
 
 // write puts a record in the place of the last one, whole or not at all.
 func (f *File) write(r snapshot.Record, feed func() ([]byte, error)) (err error) {
-	if r.Feed, err = feed(); err != nil {
+	if r.Endpoints, err = feed(); err != nil {
 		return err
 	}
-	b, err := snapshot.Seal(r)
+	b, err := snapshot.Encode(r)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	}
 	r, wrong := snapshot.Record{}, err
 	if err == nil {
-		r, wrong = snapshot.Open(b, fleet, now, oldest)
+		r, wrong = snapshot.Decode(b, fleet, now, oldest)
 	}
 	if wrong != nil {
 		return snapshot.Record{}, errors.Join(wrong, os.Rename(path, path+".aside"))
--- a/internal/snapshot/snapshotfile/golden_test.go
+++ b/internal/snapshot/snapshotfile/golden_test.go
@@ -65,24 +65,24 @@
 
 // goldenRecord returns the endpoint list and the learned state that the golden files hold.
 func goldenRecord() snapshot.Record {
-	return snapshot.Record{Fleet: goldenFleet, No: 41, At: goldenTime, Feed: []byte(goldenFeed), Memory: routing.Memory{
-		At:        goldenTime - 250*time.Millisecond,
-		Calls:     1234.5678,
-		PerWeight: 17.25,
-		Press:     0.1,
-		Functions: []routing.FunctionMemory{
+	return snapshot.Record{Fleet: goldenFleet, EventNumber: 41, CreatedAt: goldenTime, Endpoints: []byte(goldenFeed), State: routing.LearnedState{
+		CapturedAt:          goldenTime - 250*time.Millisecond,
+		RequestWeight:       1234.5678,
+		ThroughputPerWeight: 17.25,
+		MeanPressure:        0.1,
+		Functions: []routing.LearnedFunction{
 			{
-				Name: "resize", Class: 1, Lanes: 4, Calls: 1000.125, Mean: -0.037, Told: 1500 * time.Millisecond,
-				Copies: []routing.CopyMemory{
-					{Worker: 0, At: goldenTime - time.Second, Copies: 2},
-					{Worker: 1, At: goldenTime - 7*time.Second, Copies: 1},
+				Name: "resize", Class: 1, Concurrency: 4, RequestWeight: 1000.125, ServiceTimeExcess: -0.037, LoadTime: 1500 * time.Millisecond,
+				Instances: []routing.LearnedInstance{
+					{WorkerIndex: 0, LastWarm: goldenTime - time.Second, Count: 2},
+					{WorkerIndex: 1, LastWarm: goldenTime - 7*time.Second, Count: 1},
 				},
 			},
-			{Name: "förhandsvisning", Class: 0, Lanes: 0, Calls: 1e-9, Mean: 1e21, Told: 0},
+			{Name: "förhandsvisning", Class: 0, Concurrency: 0, RequestWeight: 1e-9, ServiceTimeExcess: 1e21, LoadTime: 0},
 		},
-		Workers: []routing.WorkerMemory{
-			{ID: "w-1", Started: 1_789_990_000 * time.Second, Press: -0.5, Pace: 0.3333333333333333},
-			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, Press: 2, Pace: 0},
+		Workers: []routing.LearnedWorker{
+			{ID: "w-1", Started: 1_789_990_000 * time.Second, PressureExcess: -0.5, LatencyExcess: 0.3333333333333333},
+			{ID: "w-2", Started: 1_789_990_000*time.Second + 250500*time.Microsecond, PressureExcess: 2, LatencyExcess: 0},
 		},
 	}}
 }
@@ -94,7 +94,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), goldenName)
 	r := goldenRecord()
-	r.Feed = nil
+	r.Endpoints = nil
 	f := &File{path: path, fleet: goldenFleet}
 	if err := f.write(r, func() ([]byte, error) { return []byte(goldenFeed), nil }); err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	if want := goldenRecord(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
 	}
-	if err := discovery.Check(got.Feed, []string{"az-a", "az-b"}, []string{"m5", "m6"}); err != nil {
+	if err := discovery.ValidateKnown(got.Endpoints, []string{"az-a", "az-b"}, []string{"m5", "m6"}); err != nil {
 		t.Errorf("the list in it: %v", err)
 	}
 }
--- a/internal/stats/decay/decay.go
+++ b/internal/stats/decay/decay.go
@@ -24,8 +24,8 @@
 // Peak is the largest of the figures of a while. The zero Peak is 0.
 type Peak struct{ Value }
 
-// Note takes a figure in: one that is larger than the peak, or comes when that is older than span, is the new peak.
-func (p *Peak) Note(now, span time.Duration, v float64) {
+// Observe takes a figure in: one that is larger than the peak, or comes when that is older than span, is the new peak.
+func (p *Peak) Observe(now, span time.Duration, v float64) {
 	if v > p.v || now-p.at > span {
 		p.Set(now, v)
 	}
@@ -42,8 +42,8 @@
 // Mean is a running mean whose first figure counts whole. The zero Mean is 0.
 type Mean float64
 
-// Add moves the mean by a part of its way to a figure, 0 to 1.
-func (m *Mean) Add(v, part float64) {
+// Update moves the mean by a part of its way to a figure, 0 to 1.
+func (m *Mean) Update(v, part float64) {
 	if *m == 0 {
 		*m = Mean(v)
 	}
@@ -53,11 +53,11 @@
 // Window counts what came within a time of now. The zero Window is empty.
 type Window struct{ times []time.Duration }
 
-// Add counts one more.
+// Update counts one more.
 func (w *Window) Add(now time.Duration) { w.times = append(w.times, now) }
 
-// Forget drops those at the beginning that came longer ago than span.
-func (w *Window) Forget(now, span time.Duration) {
+// Expire drops those at the beginning that came longer ago than span.
+func (w *Window) Expire(now, span time.Duration) {
 	for len(w.times) > 0 && now-w.times[0] > span {
 		w.times = w.times[1:]
 	}
--- a/internal/stats/decay/decay_test.go
+++ b/internal/stats/decay/decay_test.go
@@ -18,7 +18,7 @@
 		v    float64
 		want float64
 	}{{1, 5, 5}, {2, 3, 5}, {3, 7, 7}, {14, 1, 1}} {
-		if p.Note(c.at, 10, c.v); p.Within(c.at, 10) != c.want {
+		if p.Observe(c.at, 10, c.v); p.Within(c.at, 10) != c.want {
 			t.Errorf("at %d the peak is %v, want %v", c.at, p.Within(c.at, 10), c.want)
 		}
 	}
@@ -26,8 +26,8 @@
 		t.Errorf("an old peak is %v", got)
 	}
 	var m Mean
-	m.Add(4, 0.5)
-	if m.Add(8, 0.5); m != 6 {
+	m.Update(4, 0.5)
+	if m.Update(8, 0.5); m != 6 {
 		t.Errorf("the mean is %v, want 6", m)
 	}
 	var w Window
--- a/internal/stats/ratelimit/bucket_test.go
+++ b/internal/stats/ratelimit/bucket_test.go
@@ -11,7 +11,7 @@
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.1, 100).Draw(t, "rate"), rapid.Float64Range(1, 50).Draw(t, "burst")
-		var b Bucket
+		var b TokenBucket
 		now, taken, start := time.Hour, 0.0, time.Hour
 		for range rapid.IntRange(1, 200).Draw(t, "tries") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
--- a/internal/testbed/asks.go
+++ b/internal/testbed/asks.go
@@ -17,7 +17,7 @@
 	Dials    []time.Duration // of connections that came up
 	Polls    []time.Duration // asks that reached the service
 	deadline deadline.Queue
-	look     deadline.Entry
+	look     deadline.Timer
 }
 
 // Asker is one scheduler.
@@ -27,7 +27,7 @@
 	Polls []time.Duration // asks that it sent
 	core  *pollplan.Core
 	fleet *Asks
-	wake  deadline.Entry
+	wake  deadline.Timer
 	conns map[int]*Inquiry // nil where nothing is asked
 }
 
@@ -45,13 +45,13 @@
 		if listed {
 			n.Knows = 1
 		}
-		f.After(0, func() { n.step(pollplan.Begun{Listed: listed}) })
+		f.After(0, func() { n.step(pollplan.Started{HasEndpoints: listed}) })
 	}
 	return f
 }
 
 // After has something done at a later time.
-func (f *Asks) After(d time.Duration, do func()) { f.deadline.Set(&deadline.Entry{Fire: do}, f.Now+d) }
+func (f *Asks) After(d time.Duration, do func()) { f.deadline.Set(&deadline.Timer{Fire: do}, f.Now+d) }
 
 // Run plays on.
 func (f *Asks) Run(d time.Duration) {
@@ -62,7 +62,7 @@
 			return
 		}
 		f.Now = max(f.Now, at)
-		f.deadline.Due(f.Now).Fire()
+		f.deadline.PopDue(f.Now).Fire()
 	}
 }
 
@@ -114,7 +114,7 @@
 		switch {
 		case mood == Busy:
 			delete(n.conns, conn)
-			n.step(pollplan.Failed{Conn: conn, After: 2 * time.Second})
+			n.step(pollplan.Failed{Conn: conn, RetryAfter: 2 * time.Second})
 		case mood == Torn && news:
 			delete(n.conns, conn)
 			n.step(pollplan.Failed{Conn: conn})
@@ -122,7 +122,7 @@
 			if news {
 				n.Knows, n.Told = number, f.Now
 			}
-			n.step(pollplan.Answered{Conn: conn, News: news})
+			n.step(pollplan.Answered{Conn: conn, HasUpdates: news})
 		}
 	})
 }
@@ -139,11 +139,11 @@
 				}
 				f.Dials = append(f.Dials, f.Now)
 				n.conns[a.Conn] = nil
-				n.step(pollplan.Up(a))
+				n.step(pollplan.Connected(a))
 			})
-		case pollplan.Ask:
+		case pollplan.Poll:
 			n.Polls = append(n.Polls, f.Now)
-			q := &Inquiry{After: n.Knows, Till: f.Now + trip + a.Patience, Answer: func() {
+			q := &Inquiry{After: n.Knows, Till: f.Now + trip + a.Timeout, Answer: func() {
 				n.conns[a.Conn] = nil
 				n.hear(a.Conn, f.Desk.Number)
 			}}
@@ -165,7 +165,7 @@
 	if at, ok := n.core.Next(); ok {
 		f.deadline.Set(&n.wake, at)
 	} else {
-		f.deadline.Drop(&n.wake)
+		f.deadline.Remove(&n.wake)
 	}
 }
 
--- a/internal/testbed/hostile.go
+++ b/internal/testbed/hostile.go
@@ -117,7 +117,7 @@
 				said = time.Now()
 				var lies []faultreport.Accusation
 				for _, w := range (*list)[:min(len(*list), faultreport.MaxAccusations)] {
-					lies = append(lies, faultreport.Accusation{Worker: w, Trouble: routing.Silent, First: 3000, Attempts: 5})
+					lies = append(lies, faultreport.Accusation{Worker: w, Trouble: routing.Unresponsive, First: 3000, Attempts: 5})
 				}
 				if body, err := faultreport.Encode(lies); err == nil {
 					seq++
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -105,7 +105,7 @@
 // Run measures.
 func (d MatchDay) Run(ctx context.Context) (MatchResult, error) {
 	r := MatchResult{Rules: d.Rules, Rate: d.Rate, Hostile: d.Hostile}
-	classes := []match.Class{{Name: "consulta", Effect: routing.Safe}}
+	classes := []match.Class{{Name: "consulta", Effect: routing.Idempotent}}
 	medians := map[int]float64{}
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
 		began := time.Now()
--- a/internal/testbed/shoal.go
+++ b/internal/testbed/shoal.go
@@ -145,7 +145,7 @@
 			break
 		}
 		f.now = at
-		f.deadline.Due(at).Fire()
+		f.deadline.PopDue(at).Fire()
 	}
 	asked, served := 0, 0
 	for i := range d.Seconds {
@@ -165,7 +165,7 @@
 	return c, nil
 }
 
-func (f *shoal) after(d time.Duration, do func()) { f.deadline.Set(&deadline.Entry{Fire: do}, f.now+d) }
+func (f *shoal) after(d time.Duration, do func()) { f.deadline.Set(&deadline.Timer{Fire: do}, f.now+d) }
 
 func (f *shoal) second(at time.Duration) int {
 	return min(int((at-f.began)/time.Second), len(f.asked)-1)
@@ -181,7 +181,7 @@
 		id := fmt.Sprintf("%d-%d", s.n, n)
 		s.open[id] = &errand{function: function, at: s.now}
 		s.asked[s.second(s.now)]++
-		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: 2 * time.Second, Lanes: 4})
+		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: 2 * time.Second, Concurrency: 4})
 		s.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	s.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
@@ -204,25 +204,25 @@
 				wait *= 10
 			}
 			later(wait, func() { s.step(routing.TimerFired{Token: a.Token}) })
-		case routing.Refuse:
+		case routing.Reject:
 			s.course.Refused++
 			delete(s.open, a.ID)
 		case routing.Fail:
 			delete(s.open, a.ID)
 		case routing.Cancel:
-			later(0, func() { s.ended(a.ID, a.Attempt, routing.AttemptEnd{Outcome: routing.Cancelled}) })
+			later(0, func() { s.ended(a.ID, a.Attempt, routing.AttemptEnded{Outcome: routing.Canceled}) })
 		case routing.Send:
 			q := s.open[a.ID]
 			n := len(q.attempts)
 			q.attempts = append(q.attempts, true)
 			w := s.workers[a.Worker]
 			took, company, ok := w.take(s, q.function)
-			e := routing.AttemptEnd{Worker: a.Worker, Outcome: routing.Served, Closed: true, Latency: took, Company: company}
+			e := routing.AttemptEnded{Worker: a.Worker, Outcome: routing.Served, RequestAnswered: true, Latency: took, InFlightForFunction: company}
 			switch {
 			case !ok:
-				e.Outcome, e.Closed, took = routing.Unreached, false, 2*trip
+				e.Outcome, e.RequestAnswered, took = routing.ConnectFailed, false, 2*trip
 			case took > a.Timeout:
-				took, e.Outcome, e.Closed = a.Timeout, routing.TimedOut, false
+				took, e.Outcome, e.RequestAnswered = a.Timeout, routing.TimedOut, false
 			}
 			later(took, func() {
 				if e.Outcome == routing.Served {
@@ -234,13 +234,13 @@
 	}
 }
 
-func (s *swimmer) ended(id string, n int, e routing.AttemptEnd) {
+func (s *swimmer) ended(id string, n int, e routing.AttemptEnded) {
 	q := s.open[id]
 	if q == nil || !q.attempts[n] {
 		return
 	}
 	q.attempts[n] = false
-	if e.Closed {
+	if e.RequestAnswered {
 		s.served[s.second(q.at)]++
 		delete(s.open, id)
 	}
@@ -249,14 +249,14 @@
 }
 
 // report is a worker's load report: the share of its lanes that run something.
-func (w *vessel) report(now time.Duration) *routing.Report {
+func (w *vessel) report(now time.Duration) *routing.LoadReport {
 	busy := 0.0
 	for _, free := range w.lanes {
 		if free > now {
 			busy++
 		}
 	}
-	return &routing.Report{Util: busy / float64(len(w.lanes)), InFlight: -1, Queue: -1, MemoryHeld: -1, Loads: -1}
+	return &routing.LoadReport{Utilization: busy / float64(len(w.lanes)), InFlight: -1, QueueLength: -1, MemoryHeldFraction: -1, LoadsInProgress: -1}
 }
 
 // take has a worker run a function for a scheduler, and tells how long the answer takes and how many requests for it
--- a/routing/api.go
+++ b/routing/api.go
@@ -18,42 +18,42 @@
 
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request past its tenant's share, as a fraction of the usual
-
-	MaxAttempts     int           // attempts allowed for a request
-	MaxOpen         int           // requests that may be open at once; 0 means no limit
-	SecondCopies    bool          // two attempts of a request may be out together
-	CanCancel       bool          // Cancel is allowed
-	CanProbe        bool          // Probe is allowed
-	HonoursRetry    bool          // clients are told Refuse.RetryAfter
-	MaxRetryAfter   time.Duration // longest advice that clients follow
-	MustSubscribe   bool          // the worker list comes only to those who Subscribe or Fetch
-	AskWithin       time.Duration // with MustSubscribe: told of what was listed that long ago, even unasked
-	ReportsAnswered bool          // load reports come with answers as well as with probes
-	ReportsProbed   bool          // load reports come with probes
+	OverQuotaValue float64 // worth of a request past its tenant's share, as a fraction of the usual
+
+	MaxAttempts          int           // attempts allowed for a request
+	MaxOpenRequests      int           // requests that may be open at once; 0 means no limit
+	HedgingAllowed       bool          // two attempts of a request may be out together
+	CancelAllowed        bool          // Cancel is allowed
+	ProbeAllowed         bool          // Probe is allowed
+	HonorsRetryAfter     bool          // clients are told Reject.RetryAfter
+	MaxRetryAfter        time.Duration // longest advice that clients follow
+	SubscriptionRequired bool          // the worker list comes only to those who Subscribe or StoreFetch
+	EndpointsKnownWithin time.Duration // with SubscriptionRequired: told of what was listed that long ago, even unasked
+	ReportsInAnswers     bool          // load reports come with answers as well as with probes
+	ReportsInProbes      bool          // load reports come with probes
 
 	AnswerSlack time.Duration // how far past the client's time a final answer may land
 	DrainGrace  time.Duration // how long sends may go on after a worker was told to drain or be gone
 
-	ColdShare    float64       // a worker starts with no less than this share of its capacity
-	ColdFor      time.Duration // and has all of it no later than this after its start
-	TipMultiple  float64       // sent more than this multiple of its capacity
-	TipFor       time.Duration // for this long, a cold worker falls over
-	KeepAlive    time.Duration // an idle copy stays loaded at least this long
-	LoadOnDemand bool          // a worker loads what a request lacks; otherwise only Load brings it in
-	TellsWarm    bool          // answers tell Warmth
-	TellsCompany bool          // answers tell Company
-
-	CanLoad       bool          // Load and Unload are allowed
-	LoadsFree     float64       // orders to load allowed in a LoadWindow whatever the traffic
-	LoadsPerCall  float64       // and as many more for each request taken in that time
-	LoadWindow    time.Duration // 0 means that orders to load are not rationed
-	LoadTimeout   time.Duration // how long an unanswered order to load stays open
-	WorkerMemory  []float64     // memory of each kind of worker, in MB
-	Fees          Fees
-	WeightsTold   bool // Worker.Weight means something
-	ClientsRepeat bool // clients mark their repeats
-	Observed      bool // Observe is heeded: by other schedulers, whose word comes as PeersHold, or by routes
+	SlowStartFraction    float64       // a worker starts with no less than this share of its capacity
+	SlowStartDuration    time.Duration // and has all of it no later than this after its start
+	OverloadMultiple     float64       // sent more than this multiple of its capacity
+	OverloadDuration     time.Duration // for this long, a cold worker falls over
+	InstanceKeepAlive    time.Duration // an idle copy stays loaded at least this long
+	LoadOnDemand         bool          // a worker loads what a request lacks; otherwise only Load brings it in
+	AnswersTellStartType bool          // answers tell StartType
+	AnswersTellInFlight  bool          // answers tell InFlightForFunction
+
+	LoadAllowed          bool          // Load and Unload are allowed
+	LoadBudgetBase       float64       // orders to load allowed in a LoadBudgetWindow whatever the traffic
+	LoadBudgetPerRequest float64       // and as many more for each request taken in that time
+	LoadBudgetWindow     time.Duration // 0 means that orders to load are not rationed
+	LoadTimeout          time.Duration // how long an unanswered order to load stays open
+	WorkerMemoryMB       []float64     // memory of each kind of worker, in MB
+	Fees                 Fees
+	WeightsReported      bool // Worker.Weight means something
+	ClientsMarkRetries   bool // clients mark their repeats
+	FaultReporting       bool // ReportFault is heeded: by other schedulers, whose word comes as PeerReports, or by routes
 }
 
 // keepAlive holds where none is told.
@@ -64,85 +64,85 @@
 	if len(s.Classes) == 0 || s.Schedulers < 1 || s.MaxAttempts < 1 {
 		return 0, errors.New("calicohill: at least 1 class, 1 scheduler and 1 attempt are needed")
 	}
-	least = s.Classes[0].Aim
+	least = s.Classes[0].LatencyObjective
 	for i, c := range s.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return 0, fmt.Errorf("calicohill: class %d: aim and deadline must be above 0", i)
 		}
-		least = min(least, c.Aim)
+		least = min(least, c.LatencyObjective)
 	}
-	if s.ColdShare < 0 || s.LoadsPerCall < 0 || s.LoadsFree < 0 || s.TipMultiple < 0 {
+	if s.SlowStartFraction < 0 || s.LoadBudgetPerRequest < 0 || s.LoadBudgetBase < 0 || s.OverloadMultiple < 0 {
 		return 0, errors.New("calicohill: settings below 0")
 	}
-	if s.KeepAlive <= 0 {
-		s.KeepAlive = keepAlive
+	if s.InstanceKeepAlive <= 0 {
+		s.InstanceKeepAlive = keepAlive
 	}
-	if !s.HonoursRetry {
+	if !s.HonorsRetryAfter {
 		s.MaxRetryAfter = 0
 	}
 	return least, nil
 }
 
 // shares are those of the tenants in what one scheduler takes in. A share under one call is saved up.
-func (s *Settings) shares() *ratelimit.Shares {
+func (s *Settings) shares() *ratelimit.Quotas {
 	var rates []float64
 	for _, t := range s.Tenants {
-		rates = append(rates, t.PerSecond/float64(s.Schedulers))
+		rates = append(rates, t.RequestsPerSecond/float64(s.Schedulers))
 	}
-	return ratelimit.NewShares(rates)
+	return ratelimit.NewQuotas(rates)
 }
 
 // Fees are points of the service figure, each times its rate.
 type Fees struct {
-	Waste    float64 // work that answered nothing, per work offered
-	LateFail float64 // worth that ended unserved after its aim, per worth offered
-	Fetch    float64 // fetches from the store, per request
-	Cross    float64 // attempts that cross zones, per request
-	Probe    float64 // probes and orders, per request
-	Idle     float64 // mean share of memory held by idle and loading copies
+	WastedWork  float64 // work that answered nothing, per work offered
+	LateFailure float64 // worth that ended unserved after its aim, per worth offered
+	StoreFetch  float64 // fetches from the store, per request
+	CrossZone   float64 // attempts that cross zones, per request
+	Probe       float64 // probes and orders, per request
+	IdleMemory  float64 // mean share of memory held by idle and loading copies
 }
 
-// Effect says what repeating a request of a class does.
-type Effect int
+// Idempotency says what repeating a request of a class does.
+type Idempotency int
 
 // The effects.
 const (
-	Safe   Effect = iota // repeats do no harm
-	Keyed                // repeats are dropped by the workers of a Scope, for a while
-	Unsafe               // a repeat acts twice
+	Idempotent      Idempotency = iota // repeats do no harm
+	IdempotentByKey                    // repeats are dropped by the workers of a DeduplicationScope, for a while
+	NonIdempotent                      // a repeat acts twice
 )
 
-// Scope is the group of workers that drops the repeats of a Keyed request.
-type Scope int
+// DeduplicationScope is the group of workers that drops the repeats of a IdempotentByKey request.
+type DeduplicationScope int
 
 // The scopes.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DeduplicationScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class describes a class of requests.
 type Class struct {
-	Aim        time.Duration // an answer within this time earns the full worth
-	Deadline   time.Duration // a client waits this long in all
-	Worth      float64
-	LateWorth  float64 // share of the worth paid for an answer between Aim and Deadline
-	Effect     Effect
-	Scope      Scope
-	MemorySpan time.Duration // how long the workers remember a key
-	Stream     bool          // answers stream: StreamStart comes before AttemptEnd
+	LatencyObjective    time.Duration // an answer within this time earns the full worth
+	Deadline            time.Duration // a client waits this long in all
+	PriorityWeight      float64
+	LateValue           float64 // share of the worth paid for an answer between LatencyObjective and Deadline
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow time.Duration // how long the workers remember a key
+	Streaming           bool          // answers stream: StreamStarted comes before AttemptEnded
 }
 
 // Tenant describes a customer's share of the service.
 type Tenant struct {
-	Share     float64
-	PerSecond float64 // requests per second within its share, over all schedulers
+	QuotaFraction     float64
+	RequestsPerSecond float64 // requests per second within its share, over all schedulers
 }
 
-// Event is something that a Router is told. The concrete types are WorkerList, Request, StreamStart,
-// AttemptEnd, Abandoned, TimerFired, ProbeEnd, LoadEnd, PeerMessage, PeersHold, PoolsChanged, ListOld, Recalled
-// and Closing.
+// Event is something that a Router is told. The concrete types are WorkerList, Request, StreamStarted,
+// AttemptEnded, ClientCanceled, TimerFired, ProbeEnded, LoadEnded, PeerMessage, PeerReports, PoolsChanged, EndpointsStale, StateRestored
+// and Shutdown.
 type Event interface{ event() }
 
 // ListKind tells how to read a WorkerList.
@@ -185,129 +185,129 @@
 
 // Request is a client's request, to which the Router owes exactly one final answer.
 type Request struct {
-	ID       string
-	Class    int
-	Tenant   int
-	Function string
-	TimeLeft time.Duration // until the client gives this try up
-	Work     time.Duration // expected work; 0 if unknown
-	Memory   float64       // of a loaded copy, in MB
-	Lanes    int           // requests that a copy runs at a time
-	LoadTime time.Duration // usual time of a load; 0 if unknown
-	Repeat   bool          // the client marked it as a repeat
-	Pool     *Pool         // workers that may have it; nil means all
+	ID           string
+	Class        int
+	Tenant       int
+	Function     string
+	TimeLeft     time.Duration // until the client gives this try up
+	ExpectedWork time.Duration // expected work; 0 if unknown
+	MemoryMB     float64       // of a loaded copy, in MB
+	Concurrency  int           // requests that a copy runs at a time
+	LoadTime     time.Duration // usual time of a load; 0 if unknown
+	MarkedRetry  bool          // the client marked it as a repeat
+	Pool         *Pool         // workers that may have it; nil means all
 }
 
 // Pool is the workers that requests of a route may go to. All requests of one Function name one Pool. Whoever keeps
 // it may change Workers between two Steps, and tells the next by PoolsChanged.
 type Pool struct {
-	Workers map[string]bool // by id
-	Next    *Pool           // stands in while this one has no room; nil means none does
+	Workers  map[string]bool // by id
+	Fallback *Pool           // stands in while this one has no room; nil means none does
 }
 
 // spill is the same request for the pool that stands in for its own, if one does. It is another function there: what
 // is warm in one pool is not in another.
 func (q Request) spill() (Request, bool) {
-	if q.Pool == nil || q.Pool.Next == nil {
+	if q.Pool == nil || q.Pool.Fallback == nil {
 		return q, false
 	}
-	q.Pool, q.Function = q.Pool.Next, q.Function+"\x00"
+	q.Pool, q.Function = q.Pool.Fallback, q.Function+"\x00"
 	return q, true
 }
 
 // Has reports whether a worker belongs to a pool; every worker belongs to no pool.
 func (p *Pool) Has(worker string) bool { return p == nil || p.Workers[worker] }
 
-// ListOld says for how long the list may be old, from now: nobody heard of its changes for a while. Nothing is sent
+// EndpointsStale says for how long the list may be old, from now: nobody heard of its changes for a while. Nothing is sent
 // until then, or until another says 0.
-type ListOld struct{ For time.Duration }
+type EndpointsStale struct{ Duration time.Duration }
 
-// Recalled brings what an earlier process of this scheduler learned. It follows the first WorkerList.
-type Recalled struct{ Memory Memory }
+// StateRestored brings what an earlier process of this scheduler learned. It follows the first WorkerList.
+type StateRestored struct{ State LearnedState }
 
 // PoolsChanged says that some Pool has other workers than before.
 type PoolsChanged struct{}
 
-// Closing says that this scheduler is about to end: what is open gets its final answer now.
-type Closing struct{}
+// Shutdown says that this scheduler is about to end: what is open gets its final answer now.
+type Shutdown struct{}
 
 // Outcome says how an attempt, a probe or an order to load ended.
 type Outcome int
 
 // The outcomes.
 const (
-	Served    Outcome = iota // answered
-	Errored                  // the worker answered with an error; the request may have run
-	Shed                     // turned away unseen
-	TimedOut                 // no answer in time; it may have run or be running
-	Unreached                // no connection was made
-	Reset                    // the connection broke; it may have run
-	Cancelled                // called off; it may have run
-	Unsent                   // never left this scheduler
-	NotLoaded                // the function isn't loaded there and no load is under way, or the load failed
+	Served          Outcome = iota // answered
+	Errored                        // the worker answered with an error; the request may have run
+	Shed                           // turned away unseen
+	TimedOut                       // no answer in time; it may have run or be running
+	ConnectFailed                  // no connection was made
+	ConnectionReset                // the connection broke; it may have run
+	Canceled                       // called off; it may have run
+	NotSent                        // never left this scheduler
+	NotLoaded                      // the function isn't loaded there and no load is under way, or the load failed
 )
 
-// Warmth says in what state an answered request found its function.
-type Warmth int
+// StartType says in what state an answered request found its function.
+type StartType int
 
 // The states of warmth.
 const (
-	WarmthUnknown Warmth = iota
-	FoundWarm            // a copy stood loaded
-	BeganLoad            // the request began a load
-	JoinedLoad           // it waited for a load begun before
-	LoadFailed           // the load that it waited for failed
+	StartUnknown    StartType = iota
+	WarmStart                 // a copy stood loaded
+	ColdStart                 // the request began a load
+	JoinedColdStart           // it waited for a load begun before
+	LoadFailed                // the load that it waited for failed
 )
 
-// Report is a worker's load report. A value is negative if it was not told.
-type Report struct {
-	InFlight, Queue, Util float64
-	MemoryHeld            float64 // share of memory that cannot be freed
-	Loads                 float64 // loads under way or waiting
+// LoadReport is a worker's load report. A value is negative if it was not told.
+type LoadReport struct {
+	InFlight, QueueLength, Utilization float64
+	MemoryHeldFraction                 float64 // share of memory that cannot be freed
+	LoadsInProgress                    float64 // loads under way or waiting
 }
 
-// StreamStart says that the answer of a streamed request has begun.
-type StreamStart struct {
+// StreamStarted says that the answer of a streamed request has begun.
+type StreamStarted struct {
 	ID      string
 	Attempt int
 	Worker  string
 	Latency time.Duration
 }
 
-// AttemptEnd says how an attempt ended. Every Send gets exactly one.
-type AttemptEnd struct {
-	ID      string
-	Attempt int
-	Worker  string
-	Outcome Outcome
-	Closed  bool // the request has its final answer
-	Latency time.Duration
-	Warmth  Warmth
-	Company int     // requests for the function that the worker held on arrival; -1 if unknown
-	Report  *Report // nil if none came along
+// AttemptEnded says how an attempt ended. Every Send gets exactly one.
+type AttemptEnded struct {
+	ID                  string
+	Attempt             int
+	Worker              string
+	Outcome             Outcome
+	RequestAnswered     bool // the request has its final answer
+	Latency             time.Duration
+	StartType           StartType
+	InFlightForFunction int         // requests for the function that the worker held on arrival; -1 if unknown
+	Report              *LoadReport // nil if none came along
 }
 
-// Abandoned says that the client left; nothing more is owed for the request.
-type Abandoned struct{ ID string }
+// ClientCanceled says that the client left; nothing more is owed for the request.
+type ClientCanceled struct{ ID string }
 
 // TimerFired says that the timer with this token has come due.
 type TimerFired struct{ Token uint64 }
 
-// ProbeEnd is the result of a Probe.
-type ProbeEnd struct {
+// ProbeEnded is the result of a Probe.
+type ProbeEnded struct {
 	Worker  string
 	Outcome Outcome
 	Latency time.Duration
-	Report  *Report
+	Report  *LoadReport
 }
 
-// LoadEnd is the answer to a Load.
-type LoadEnd struct {
-	Worker   string
-	Function string
-	Outcome  Outcome
-	Copies   int // copies that stand loaded
-	Latency  time.Duration
+// LoadEnded is the answer to a Load.
+type LoadEnded struct {
+	Worker    string
+	Function  string
+	Outcome   Outcome
+	Instances int // copies that stand loaded
+	Latency   time.Duration
 }
 
 // PeerMessage is a message of another scheduler.
@@ -316,57 +316,57 @@
 	Data []byte
 }
 
-// Trouble is what a scheduler may find wrong with a worker.
-type Trouble uint8
+// Fault is what a scheduler may find wrong with a worker.
+type Fault uint8
 
 // The troubles.
 const (
-	Well        Trouble = iota
-	Silent              // takes requests and answers none
-	Stalled             // answers much later than others
-	Failing             // answers errors
-	Unreachable         // takes no connections, or breaks them
+	Healthy      Fault = iota
+	Unresponsive       // takes requests and answers none
+	Slow               // answers much later than others
+	Failing            // answers errors
+	Unreachable        // takes no connections, or breaks them
 )
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	return [...]string{"well", "silent", "stalled", "failing", "unreachable"}[t]
 }
 
-// Word is what other schedulers together hold of a worker.
-type Word uint8
+// PeerVerdict is what other schedulers together hold of a worker.
+type PeerVerdict uint8
 
 // The words, each stronger than the one before.
 const (
-	NoWord   Word = iota
-	Noted         // some find it ill
-	Believed      // more of them than may lie find it silent or unreachable
+	NotReported PeerVerdict = iota
+	Reported                // some find it ill
+	Confirmed               // more of them than may lie find it silent or unreachable
 )
 
-func (w Word) String() string { return [...]string{"none", "noted", "believed"}[w] }
+func (w PeerVerdict) String() string { return [...]string{"none", "noted", "believed"}[w] }
 
-// PeersHold is what other schedulers hold of workers, in place of all before. Who is not named has no word.
-type PeersHold struct {
-	Words   map[string]Word
-	Vouched []string // workers that a scheduler which found them ill has just had an answer from
+// PeerReports is what other schedulers hold of workers, in place of all before. Who is not named has no word.
+type PeerReports struct {
+	Verdicts map[string]PeerVerdict
+	Cleared  []string // workers that a scheduler which found them ill has just had an answer from
 }
 
-func (WorkerList) event()   {}
-func (Request) event()      {}
-func (StreamStart) event()  {}
-func (AttemptEnd) event()   {}
-func (Abandoned) event()    {}
-func (TimerFired) event()   {}
-func (ProbeEnd) event()     {}
-func (LoadEnd) event()      {}
-func (PeerMessage) event()  {}
-func (PeersHold) event()    {}
-func (PoolsChanged) event() {}
-func (ListOld) event()      {}
-func (Closing) event()      {}
-func (Recalled) event()     {}
+func (WorkerList) event()     {}
+func (Request) event()        {}
+func (StreamStarted) event()  {}
+func (AttemptEnded) event()   {}
+func (ClientCanceled) event() {}
+func (TimerFired) event()     {}
+func (ProbeEnded) event()     {}
+func (LoadEnded) event()      {}
+func (PeerMessage) event()    {}
+func (PeerReports) event()    {}
+func (PoolsChanged) event()   {}
+func (EndpointsStale) event() {}
+func (Shutdown) event()       {}
+func (StateRestored) event()  {}
 
 // Action is something that a Router asks for, to be done in the order given. The concrete types are Send,
-// Cancel, Refuse, Fail, SetTimer, Probe, Load, Unload, Subscribe, FetchList and, where Settings.Observed, Observe.
+// Cancel, Reject, Fail, SetTimer, Probe, Load, Unload, Subscribe, FetchList and, where Settings.Observed, ReportFault.
 type Action interface{ action() }
 
 // Send starts an attempt. The attempts of a request are numbered from 0 in the order of their Sends.
@@ -374,9 +374,9 @@
 	ID      string
 	Worker  string
 	Timeout time.Duration // 0 means until the client gives up
-	// Within is how long from now it may begin: a repeat that has waited longer for its connection would come when
+	// StartWithin is how long from now it may begin: a repeat that has waited longer for its connection would come when
 	// workers have forgotten the first. 0 means any time.
-	Within time.Duration
+	StartWithin time.Duration
 }
 
 // Cancel stops the wait for an attempt.
@@ -385,8 +385,8 @@
 	Attempt int
 }
 
-// Refuse is a final answer: not served, and trying again is harmless.
-type Refuse struct {
+// Reject is a final answer: not served, and trying again is harmless.
+type Reject struct {
 	ID         string
 	RetryAfter time.Duration // advice on when to try again; 0 means none
 }
@@ -406,7 +406,7 @@
 // Load orders a worker to hold at least that many copies of a function; 0 only asks.
 type Load struct {
 	Worker, Function string
-	Copies           int
+	Instances        int
 }
 
 // Unload has the idle copies of a function at a worker unloaded.
@@ -418,21 +418,21 @@
 // FetchList asks discovery for the whole list, once.
 type FetchList struct{}
 
-// Observe says what this scheduler itself finds of a worker, first when that changes and again with newer proof.
-type Observe struct {
-	Worker  string
-	Trouble Trouble       // Well: an answer
-	At      time.Duration // when the request was sent that shows it, or the answer came
+// ReportFault says what this scheduler itself finds of a worker, first when that changes and again with newer proof.
+type ReportFault struct {
+	Worker     string
+	Fault      Fault         // Well: an answer
+	ObservedAt time.Duration // when the request was sent that shows it, or the answer came
 }
 
-func (Observe) action()   {}
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (Load) action()      {}
-func (Unload) action()    {}
-func (Subscribe) action() {}
-func (FetchList) action() {}
+func (ReportFault) action() {}
+func (Send) action()        {}
+func (Cancel) action()      {}
+func (Reject) action()      {}
+func (Fail) action()        {}
+func (SetTimer) action()    {}
+func (Probe) action()       {}
+func (Load) action()        {}
+func (Unload) action()      {}
+func (Subscribe) action()   {}
+func (FetchList) action()   {}
--- a/routing/choice.go
+++ b/routing/choice.go
@@ -94,14 +94,14 @@
 	press := max(math.Round(4*r.pressOf(w)), 1)
 	calls := 1 + float64(len(w.outs)) + w.others
 	// Where many share a worker, to be met by one more costs it, and shows in none of its reports.
-	if w.met == 0 || r.now-w.met > r.set.KeepAlive {
+	if w.met == 0 || r.now-w.met > r.set.InstanceKeepAlive {
 		calls += unmetCalls * math.Pow(r.theirs, 4)
 	}
 	return calls * press / (w.Weight * r.ripeness(w))
 }
 
 func (r *Router) paceOf(w *worker) float64 {
-	return 1 + w.pace.At(r.now, r.set.KeepAlive)
+	return 1 + w.pace.At(r.now, r.set.InstanceKeepAlive)
 }
 
 // room reports whether a worker may be sent this request and has room for it.
@@ -117,12 +117,12 @@
 // shuns reports whether a worker is not to have this request: it seems ill, and nothing could be tried after.
 // Others go there still, show when it is well again, and are tried elsewhere.
 func (r *Router) shuns(q *request, w *worker) bool {
-	return q.class.Effect == Unsafe && r.well > 0 && r.ill(w)
+	return q.class.Idempotency == NonIdempotent && r.well > 0 && r.ill(w)
 }
 
 // ill reports whether a worker answers errors, or seems ill to others and has not answered here lately.
 func (r *Router) ill(w *worker) bool {
-	return r.errsOf(w) > errsMost || w.word > NoWord && r.now-w.lastAnswer > wordOwn
+	return r.errsOf(w) > errsMost || w.word > NotReported && r.now-w.lastAnswer > wordOwn
 }
 
 // hashOrder is the order of the workers for a function, the same at every scheduler (rendezvous hashing). A
@@ -165,11 +165,11 @@
 // pressOf is how pressed a worker is believed to be: as last seen, fading to what others are, yet to no more
 // than what it keeps its functions with. One that sees few workers, all pressed, would refuse the rest.
 func (r *Router) pressOf(w *worker) float64 {
-	return min(r.press, leaveFrom) + w.press.At(r.now, r.set.KeepAlive)
+	return min(r.press, leaveFrom) + w.press.At(r.now, r.set.InstanceKeepAlive)
 }
 
 func (r *Router) fade(at time.Duration) float64 {
-	return math.Exp(-(r.now - at).Seconds() / (widthTau * r.set.KeepAlive.Seconds()))
+	return math.Exp(-(r.now - at).Seconds() / (widthTau * r.set.InstanceKeepAlive.Seconds()))
 }
 
 func (r *Router) function(e Request) *function {
@@ -178,7 +178,7 @@
 		f = &function{name: e.Function, lastCall: r.now}
 		r.funcs[e.Function] = f
 	}
-	f.class, f.lanes, f.pool = e.Class, max(e.Lanes, 1), e.Pool
+	f.class, f.lanes, f.pool = e.Class, max(e.Concurrency, 1), e.Pool
 	f.told = cmp.Or(max(0, e.LoadTime), f.told)
 	f.calls, f.lastCall = f.calls*r.fade(f.lastCall)+1, r.now
 	r.allCalls, r.lastCall = r.allCalls*r.fade(r.lastCall)+1, r.now
@@ -196,20 +196,20 @@
 // isWarm reports whether a copy is believed to stand: it was found within the least keep-alive, in this
 // life of the worker.
 func (r *Router) isWarm(p *pair) bool {
-	return p.warm && p.life == p.w.life && p.w.State == Ready && r.now-p.at < r.set.KeepAlive
+	return p.warm && p.life == p.w.life && p.w.State == Ready && r.now-p.at < r.set.InstanceKeepAlive
 }
 
 // service is the running mean of a function's served latencies, in seconds. It starts at the class aim and
 // decays back to it while none come.
 func (r *Router) service(f *function) float64 {
-	return r.set.Classes[f.class].Aim.Seconds() + f.mean.At(r.now, r.set.KeepAlive)
+	return r.set.Classes[f.class].LatencyObjective.Seconds() + f.mean.At(r.now, r.set.InstanceKeepAlive)
 }
 
 // loadTime stands in for the time of a load, in seconds: as told, else the function's slowest recent
 // latency, else the class aim.
 func (r *Router) loadTime(f *function) float64 {
-	if slow := f.slowest.Within(r.now, 2*r.set.KeepAlive); f.told == 0 && slow > 0 {
+	if slow := f.slowest.Within(r.now, 2*r.set.InstanceKeepAlive); f.told == 0 && slow > 0 {
 		return slow
 	}
-	return cmp.Or(f.told, r.set.Classes[f.class].Aim).Seconds()
+	return cmp.Or(f.told, r.set.Classes[f.class].LatencyObjective).Seconds()
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -17,7 +17,7 @@
 	r.version++
 	seen := map[string]bool{}
 	for _, in := range e.Workers {
-		if seen[in.ID] = true; !r.set.WeightsTold || in.Weight <= 0 {
+		if seen[in.ID] = true; !r.set.WeightsReported || in.Weight <= 0 {
 			in.Weight = 1
 		}
 		w := r.workers[in.ID]
@@ -50,7 +50,7 @@
 // tidy forgets functions that nobody calls any more and workers that are gone: new ones come all day.
 func (r *Router) tidy() {
 	gone := func(w *worker) bool {
-		return w.State == Gone && len(w.outs) == 0 && r.now-w.goneAt >= r.set.KeepAlive
+		return w.State == Gone && len(w.outs) == 0 && r.now-w.goneAt >= r.set.InstanceKeepAlive
 	}
 	r.list = slices.DeleteFunc(r.list, func(w *worker) bool {
 		if gone(w) {
@@ -60,7 +60,7 @@
 	})
 	maps.DeleteFunc(r.funcs, func(_ string, f *function) bool {
 		f.pairs = slices.DeleteFunc(f.pairs, func(p *pair) bool { return p.out == 0 && gone(p.w) })
-		return r.now-f.lastCall >= 5*r.set.KeepAlive &&
+		return r.now-f.lastCall >= 5*r.set.InstanceKeepAlive &&
 			!slices.ContainsFunc(f.pairs, func(p *pair) bool { return p.ordered || p.out > 0 }) &&
 			!slices.ContainsFunc(r.held, func(q *request) bool { return q.fn == f })
 	})
