--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -10,13 +10,13 @@
 // A scheduler hands the Router what happened and does what it is told.
 func Example() {
 	router, err := routing.New(routing.Settings{
-		Schedulers:   1,
-		MaxAttempts:  3,
-		CanCancel:    true,
-		LoadOnDemand: true,
-		TellsWarm:    true,
-		KeepAlive:    10 * time.Second,
-		Classes:      []routing.Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.3}},
+		Schedulers:           1,
+		MaxAttempts:          3,
+		CancelAllowed:        true,
+		LoadOnDemand:         true,
+		AnswersTellStartType: true,
+		InstanceKeepAlive:    10 * time.Second,
+		Classes:              []routing.Class{{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateValue: 0.3}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -24,7 +24,7 @@
 	}
 	actions := router.Step(0, []routing.Event{
 		routing.WorkerList{Kind: routing.ListFull, Workers: []routing.Worker{{ID: "w1", State: routing.Ready}}},
-		routing.Request{ID: "r1", Function: "forecast", TimeLeft: 4 * time.Second, Lanes: 2},
+		routing.Request{ID: "r1", Function: "forecast", TimeLeft: 4 * time.Second, Concurrency: 2},
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/routing/health.go
+++ b/routing/health.go
@@ -34,31 +34,32 @@
 
 // pause is how long a suspect worker is left alone. Where others find it ill too they take turns at it.
 func (r *Router) pause(w *worker) time.Duration {
-	if w.word == Believed {
+	if w.word == Confirmed {
 		return seconds((0.5 + r.rng.Float64()) * (trialAfter << trialMost).Seconds())
 	}
 	return trialAfter << min(w.tries, trialMost)
 }
 
 // observe says what this scheduler itself finds of a worker, where there are others to tell.
-func (r *Router) observe(w *worker, t Trouble, at time.Duration) {
-	if r.set.Observed && (t != w.seen || at-w.seenAt > wordOwn/4 && (t != Well || w.word > NoWord)) {
+func (r *Router) observe(w *worker, t Fault, at time.Duration) {
+	if r.set.FaultReporting && (t != w.seen ||
+		at-w.seenAt > wordOwn/4 && (t != Healthy || w.word > NotReported)) {
 		w.seen, w.seenAt = t, at
-		r.act(Observe{w.ID, t, at})
+		r.act(ReportFault{w.ID, t, at})
 	}
 }
 
 // heed takes in what other schedulers hold of the workers. One that enough find ill is left out as if found
 // silent here, unless it answered here lately or the rest could not carry what is out.
-func (r *Router) heed(e PeersHold) {
+func (r *Router) heed(e PeerReports) {
 	for _, w := range r.list {
-		w.word = e.Words[w.ID]
+		w.word = e.Verdicts[w.ID]
 		rest := r.lanes - w.limit
-		if w.word == Believed && r.now-w.lastAnswer > wordOwn && r.busy*r.lanes < spillMost*rest {
+		if w.word == Confirmed && r.now-w.lastAnswer > wordOwn && r.busy*r.lanes < spillMost*rest {
 			r.doubt(w)
 			r.survey()
 		}
-		if slices.Contains(e.Vouched, w.ID) {
+		if slices.Contains(e.Cleared, w.ID) {
 			w.tryAt = r.now
 		}
 	}
@@ -92,7 +93,7 @@
 			if r.allCold && rate > float64(r.perWeight) {
 				part = 1 // what cold workers answered they can do, whatever they did before
 			}
-			r.perWeight.Add(rate, part)
+			r.perWeight.Update(rate, part)
 		}
 		r.served, r.servedAt = 0, r.now
 		r.tidy()
@@ -111,7 +112,7 @@
 		}
 	}
 	if overdue > 0 { // where one alone proves little, others may have one too
-		r.observe(w, Silent, newest)
+		r.observe(w, Unresponsive, newest)
 	}
 	if overdue >= 2 {
 		r.doubt(w)
@@ -145,13 +146,13 @@
 // beside it where a copy stands.
 func (r *Router) rescue(a *attempt, beside bool) {
 	q := a.q
-	if q.done || q.streams || q.out > 1 || !r.hopeful(q) || q.class.Effect == Unsafe {
+	if q.done || q.streams || q.out > 1 || !r.hopeful(q) || q.class.Idempotency == NonIdempotent {
 		return
 	}
-	if !r.set.SecondCopies && r.set.CanCancel && !beside {
+	if !r.set.HedgingAllowed && r.set.CancelAllowed && !beside {
 		a.rescued = true
 		r.act(Cancel{q.ID, a.n})
-	} else if r.set.SecondCopies {
+	} else if r.set.HedgingAllowed {
 		w, warm := r.pick(q)
 		a.rescued = w != nil && w != a.w && (warm || !beside) && r.send(q, w, warm)
 	}
--- a/routing/memory.go
+++ b/routing/memory.go
@@ -9,69 +9,69 @@
 	"calicohill/internal/stats/decay"
 )
 
-// Memory is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them, so
+// LearnedState is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them, so
 // that they have to go on over the restart.
-type Memory struct {
-	At        time.Duration    `cbor:"1,keyasint"`
-	Calls     float64          `cbor:"2,keyasint"` // of all functions, as they count at that time
-	PerWeight float64          `cbor:"3,keyasint"` // answers a second of a warm worker of size 1
-	Press     float64          `cbor:"4,keyasint"` // mean of what presses the workers
-	Functions []FunctionMemory `cbor:"5,keyasint"` // the most called first
-	Workers   []WorkerMemory   `cbor:"6,keyasint"`
+type LearnedState struct {
+	CapturedAt          time.Duration     `cbor:"1,keyasint"`
+	RequestWeight       float64           `cbor:"2,keyasint"` // of all functions, as they count at that time
+	ThroughputPerWeight float64           `cbor:"3,keyasint"` // answers a second of a warm worker of size 1
+	MeanPressure        float64           `cbor:"4,keyasint"` // mean of what presses the workers
+	Functions           []LearnedFunction `cbor:"5,keyasint"` // the most called first
+	Workers             []LearnedWorker   `cbor:"6,keyasint"`
 }
 
-// FunctionMemory is what was learned of a function.
-type FunctionMemory struct {
-	Name   string        `cbor:"1,keyasint"`
-	Class  int           `cbor:"2,keyasint"`
-	Lanes  int           `cbor:"3,keyasint"`
-	Calls  float64       `cbor:"4,keyasint"`
-	Mean   float64       `cbor:"5,keyasint"` // excess of its service time over the aim, in seconds
-	Told   time.Duration `cbor:"6,keyasint"`
-	Copies []CopyMemory  `cbor:"7,keyasint"` // that stood
+// LearnedFunction is what was learned of a function.
+type LearnedFunction struct {
+	Name              string            `cbor:"1,keyasint"`
+	Class             int               `cbor:"2,keyasint"`
+	Concurrency       int               `cbor:"3,keyasint"`
+	RequestWeight     float64           `cbor:"4,keyasint"`
+	ServiceTimeExcess float64           `cbor:"5,keyasint"` // excess of its service time over the aim, in seconds
+	LoadTime          time.Duration     `cbor:"6,keyasint"`
+	Instances         []LearnedInstance `cbor:"7,keyasint"` // that stood
 }
 
-// CopyMemory is a copy of a function that stood.
-type CopyMemory struct {
-	Worker int           `cbor:"1,keyasint"` // place in Memory.Workers
-	At     time.Duration `cbor:"2,keyasint"` // when it was last found
-	Copies int           `cbor:"3,keyasint"`
+// LearnedInstance is a copy of a function that stood.
+type LearnedInstance struct {
+	WorkerIndex int           `cbor:"1,keyasint"` // place in LearnedState.Workers
+	LastWarm    time.Duration `cbor:"2,keyasint"` // when it was last found
+	Count       int           `cbor:"3,keyasint"`
 }
 
-// WorkerMemory is what was learned of a worker.
-type WorkerMemory struct {
-	ID      string        `cbor:"1,keyasint"`
-	Started time.Duration `cbor:"2,keyasint"` // a later start makes it void
-	Press   float64       `cbor:"3,keyasint"` // above what others are pressed
-	Pace    float64       `cbor:"4,keyasint"` // excess of its latencies, as a share
+// LearnedWorker is what was learned of a worker.
+type LearnedWorker struct {
+	ID             string        `cbor:"1,keyasint"`
+	Started        time.Duration `cbor:"2,keyasint"` // a later start makes it void
+	PressureExcess float64       `cbor:"3,keyasint"` // above what others are pressed
+	LatencyExcess  float64       `cbor:"4,keyasint"` // excess of its latencies, as a share
 }
 
 // memoryMost is how many functions are remembered, memoryWorkers how many workers.
 const memoryMost, memoryWorkers = 2000, 10000
 
-// Memory returns what was learned so far. Health is not: a worker that was ill may be well after the restart, and one
+// LearnedState returns what was learned so far. Health is not: a worker that was ill may be well after the restart, and one
 // that is ill shows.
-func (r *Router) Memory() Memory {
-	m := Memory{At: r.now, Calls: r.allCalls * r.fade(r.lastCall), PerWeight: float64(r.perWeight), Press: r.press}
+func (r *Router) LearnedState() LearnedState {
+	m := LearnedState{CapturedAt: r.now, RequestWeight: r.allCalls * r.fade(r.lastCall), ThroughputPerWeight: float64(r.perWeight), MeanPressure: r.press}
 	place := map[*worker]int{}
 	for _, w := range r.list[:min(len(r.list), memoryWorkers)] {
 		place[w] = len(m.Workers)
-		m.Workers = append(m.Workers, WorkerMemory{w.ID, w.Started, w.press.At(r.now, r.set.KeepAlive), r.paceOf(w) - 1})
+		m.Workers = append(m.Workers, LearnedWorker{w.ID, w.Started, w.press.At(r.now, r.set.InstanceKeepAlive), r.paceOf(w) - 1})
 	}
 	for name, f := range r.funcs {
-		k := FunctionMemory{
-			Name: name, Class: f.class, Lanes: f.lanes, Calls: f.calls * r.fade(f.lastCall),
-			Mean: f.mean.At(r.now, r.set.KeepAlive), Told: f.told,
+		k := LearnedFunction{
+			Name: name, Class: f.class, Concurrency: f.lanes, RequestWeight: f.calls * r.fade(f.lastCall),
+			ServiceTimeExcess: f.mean.At(r.now, r.set.InstanceKeepAlive), LoadTime: f.told,
 		}
 		for _, p := range f.pairs {
 			if i, ok := place[p.w]; ok && r.isWarm(p) {
-				k.Copies = append(k.Copies, CopyMemory{i, p.at, p.copies})
+				k.Instances = append(k.Instances, LearnedInstance{i, p.at, p.copies})
 			}
 		}
 		m.Functions = append(m.Functions, k)
 	}
-	slices.SortFunc(m.Functions, func(a, b FunctionMemory) int {
-		return cmp.Or(cmp.Compare(b.Calls, a.Calls), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(m.Functions, func(a, b LearnedFunction) int {
+		return cmp.Or(cmp.Compare(b.RequestWeight, a.RequestWeight), cmp.Compare(a.Name, b.Name))
 	})
 	m.Functions = m.Functions[:min(len(m.Functions), memoryMost)]
 	return m
@@ -84,32 +84,32 @@
 
 // recall takes up what an earlier process learned, faded by its age. What no longer fits is passed over, and so is all
 // of it once something was learned here.
-func (r *Router) recall(m Memory) {
-	if len(r.funcs) > 0 || m.At > r.now || !sound(m.Calls, m.PerWeight, m.Press) || m.PerWeight < 0 || m.Calls < 0 {
+func (r *Router) recall(m LearnedState) {
+	if len(r.funcs) > 0 || m.CapturedAt > r.now || !sound(m.RequestWeight, m.ThroughputPerWeight, m.MeanPressure) || m.ThroughputPerWeight < 0 || m.RequestWeight < 0 {
 		return
 	}
-	r.allCalls, r.lastCall = m.Calls, m.At
-	r.perWeight, r.press = decay.Mean(m.PerWeight), m.Press
+	r.allCalls, r.lastCall = m.RequestWeight, m.CapturedAt
+	r.perWeight, r.press = decay.Mean(m.ThroughputPerWeight), m.MeanPressure
 	workers := make([]*worker, len(m.Workers))
 	for i, k := range m.Workers {
 		w := r.workers[k.ID]
-		if w != nil && w.Started == k.Started && sound(k.Press, k.Pace) {
+		if w != nil && w.Started == k.Started && sound(k.PressureExcess, k.LatencyExcess) {
 			workers[i] = w
-			w.press.Set(m.At, k.Press)
-			w.pace.Set(m.At, k.Pace)
+			w.press.Set(m.CapturedAt, k.PressureExcess)
+			w.pace.Set(m.CapturedAt, k.LatencyExcess)
 		}
 	}
 	for _, k := range m.Functions[:min(len(m.Functions), memoryMost)] {
-		if k.Class < 0 || k.Class >= len(r.set.Classes) || k.Lanes < 1 || k.Calls < 0 || !sound(k.Calls, k.Mean) {
+		if k.Class < 0 || k.Class >= len(r.set.Classes) || k.Concurrency < 1 || k.RequestWeight < 0 || !sound(k.RequestWeight, k.ServiceTimeExcess) {
 			continue
 		}
-		f := &function{name: k.Name, class: k.Class, lanes: k.Lanes, told: max(k.Told, 0), calls: k.Calls, lastCall: m.At}
-		f.mean.Set(m.At, k.Mean)
+		f := &function{name: k.Name, class: k.Class, lanes: k.Concurrency, told: max(k.LoadTime, 0), calls: k.RequestWeight, lastCall: m.CapturedAt}
+		f.mean.Set(m.CapturedAt, k.ServiceTimeExcess)
 		r.funcs[k.Name] = f
-		for _, c := range k.Copies {
-			if c.Worker >= 0 && c.Worker < len(workers) && workers[c.Worker] != nil && c.At <= m.At {
-				p := f.pair(workers[c.Worker])
-				p.warm, p.life, p.at, p.copies = true, p.w.life, c.At, max(c.Copies, 1)
+		for _, c := range k.Instances {
+			if c.WorkerIndex >= 0 && c.WorkerIndex < len(workers) && workers[c.WorkerIndex] != nil && c.LastWarm <= m.CapturedAt {
+				p := f.pair(workers[c.WorkerIndex])
+				p.warm, p.life, p.at, p.copies = true, p.w.life, c.LastWarm, max(c.Count, 1)
 			}
 		}
 	}
--- a/routing/memory_test.go
+++ b/routing/memory_test.go
@@ -20,10 +20,10 @@
 // After a restart calls go where copies stood, and what warm workers answer is known from the first call on.
 func TestRecall(t *testing.T) {
 	b := learned(t, fleet(6)...)
-	m := b.r.Memory()
+	m := b.r.LearnedState()
 	next := newBed(t, settings(many), fleet(6)...)
 	next.now = b.now + time.Second
-	next.step(0, Recalled{m})
+	next.step(0, StateRestored{m})
 	if got, want := next.r.perWeight, b.r.perWeight; got != want || want == 0 {
 		t.Errorf("a warm worker answers %v a second, as recalled; it was %v", got, want)
 	}
@@ -40,7 +40,7 @@
 // all of it where something was learned already or the memory is of a time to come.
 func TestRecallOfNoUse(t *testing.T) {
 	b := learned(t, fleet(2)...)
-	m := b.r.Memory()
+	m := b.r.LearnedState()
 	for _, c := range []struct {
 		name    string
 		after   time.Duration
@@ -60,7 +60,7 @@
 		for i := range c.calls {
 			next.send(fmt.Sprint("s", i), "other")
 		}
-		next.step(0, Recalled{m})
+		next.step(0, StateRestored{m})
 		knows := false
 		for _, f := range next.r.funcs {
 			for _, p := range f.pairs {
@@ -78,25 +78,25 @@
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
 	number, at := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
-		m := Memory{
-			At: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), Calls: figure.Draw(rt, "calls"),
-			PerWeight: figure.Draw(rt, "rate"), Press: figure.Draw(rt, "press"),
+		m := LearnedState{
+			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), RequestWeight: figure.Draw(rt, "calls"),
+			ThroughputPerWeight: figure.Draw(rt, "rate"), MeanPressure: figure.Draw(rt, "press"),
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "workers") {
-			m.Workers = append(m.Workers, WorkerMemory{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
+			m.Workers = append(m.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
-			k := FunctionMemory{
-				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Lanes: number.Draw(rt, "lanes"),
-				Calls: figure.Draw(rt, "calls"), Mean: figure.Draw(rt, "mean"), Told: at.Draw(rt, "told"),
+			k := LearnedFunction{
+				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Concurrency: number.Draw(rt, "lanes"),
+				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: at.Draw(rt, "told"),
 			}
 			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
-				k.Copies = append(k.Copies, CopyMemory{number.Draw(rt, "place"), at.Draw(rt, "found"), number.Draw(rt, "copies")})
+				k.Instances = append(k.Instances, LearnedInstance{number.Draw(rt, "place"), at.Draw(rt, "found"), number.Draw(rt, "copies")})
 			}
 			m.Functions = append(m.Functions, k)
 		}
 		b := newBed(t, settings(many), fleet(4)...)
-		b.step(ms, Recalled{m})
+		b.step(ms, StateRestored{m})
 		answered := 0
 		for i := range 20 {
 			for _, s := range only[Send](b.step(100*ms, call(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{beatToken})) {
@@ -107,8 +107,8 @@
 		if answered == 0 {
 			rt.Fatal("nothing is sent any more")
 		}
-		again := b.r.Memory()
-		if !sound(again.Calls, again.PerWeight, again.Press) || !reflect.DeepEqual(again, b.r.Memory()) {
+		again := b.r.LearnedState()
+		if !sound(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, b.r.LearnedState()) {
 			rt.Fatalf("it remembers %+v", again)
 		}
 	})
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -19,7 +19,7 @@
 		due: r.now + min(e.TimeLeft, c.Deadline), half: r.now + e.TimeLeft/2 - 2*beat,
 	}
 	r.requests[e.ID] = q
-	r.loads.Came(r.now, r.set.LoadWindow)
+	r.loads.RecordArrival(r.now, r.set.LoadBudgetWindow)
 	// Where a worker has room for this one, only what is out is ahead of it, not what waits for room.
 	w, warm := r.pick(q)
 	ahead := r.outWork
@@ -36,7 +36,7 @@
 	hopeless := ahead > 0 && r.now+seconds(finish) > q.due && (begun || w == nil)
 	// A departure: the work ahead makes it late by the shortest aim. Against the deadline alone queues grow
 	// till every answer is late. One bound, or short aims would starve. Harm: where late worth is high.
-	late := c.LateWorth < 1 && wait+min(r.service(q.fn), r.leastAim/2) > r.leastAim
+	late := c.LateValue < 1 && wait+min(r.service(q.fn), r.leastAim/2) > r.leastAim
 	// What others have ahead of it shows in how pressed its worker is.
 	share := 0.0
 	if w != nil {
@@ -44,7 +44,8 @@
 		late = late || r.rng.Float64() < min(share, refuseMost)*math.Pow(r.theirs, 4)
 	}
 	// Traffic past its tenant's share is worth little: it makes way as soon as anything has to wait.
-	if over := r.shares.Spent(r.now, e.Tenant); hopeless || late || over && (len(r.held) > 0 || share > 0) {
+	overQuota := r.shares.Exceeded(r.now, e.Tenant)
+	if hopeless || late || overQuota && (len(r.held) > 0 || share > 0) {
 		if next, ok := e.spill(); ok {
 			delete(r.requests, e.ID)
 			r.admit(next)
@@ -78,7 +79,7 @@
 			return true
 		}
 		w, warm := r.pick(q)
-		if w != nil && !warm && !r.set.LoadOnDemand && r.set.CanLoad {
+		if w != nil && !warm && !r.set.LoadOnDemand && r.set.LoadAllowed {
 			// Only an order brings the function in: calls wait here for its answer.
 			r.order(w, q.fn)
 			w = nil
@@ -106,8 +107,9 @@
 		return
 	}
 	a := q.mayHaveRun()
-	if a == nil || q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Scope == ScopeAll {
-		r.act(Refuse{q.ID, r.comeBack()})
+	if a == nil || q.class.Idempotency == Idempotent ||
+		q.class.Idempotency == IdempotentByKey && q.class.DeduplicationScope == ScopeAll {
+		r.act(Reject{q.ID, r.comeBack()})
 	} else {
 		r.act(Fail{q.ID})
 	}
@@ -127,7 +129,7 @@
 // called off: nobody waits for it, and where workers heed that, it makes room for others.
 func (r *Router) close(q *request) {
 	for _, a := range q.attempts {
-		if !q.done && !a.ended && r.set.CanCancel {
+		if !q.done && !a.ended && r.set.CancelAllowed {
 			r.act(Cancel{q.ID, a.n})
 		}
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -73,7 +73,7 @@
 	if !r.started {
 		r.started, r.servedAt = true, now
 		r.act(SetTimer{beat, beatToken})
-		if r.set.MustSubscribe {
+		if r.set.SubscriptionRequired {
 			r.act(Subscribe{true})
 		}
 	}
@@ -85,27 +85,27 @@
 			r.follow(e)
 		case Request:
 			r.admit(e)
-		case StreamStart:
+		case StreamStarted:
 			if q := r.requests[e.ID]; q != nil {
 				q.streams = true
 			}
-		case AttemptEnd:
+		case AttemptEnded:
 			r.ended(e)
-		case Abandoned:
+		case ClientCanceled:
 			if q := r.requests[e.ID]; q != nil {
 				r.close(q)
 			}
-		case LoadEnd:
+		case LoadEnded:
 			r.loaded(e)
-		case PeersHold:
+		case PeerReports:
 			r.heed(e)
-		case ListOld:
-			r.blindTill = now + e.For
-		case Recalled:
-			r.recall(e.Memory)
+		case EndpointsStale:
+			r.blindTill = now + e.Duration
+		case StateRestored:
+			r.recall(e.State)
 		case PoolsChanged:
 			r.version++
-		case Closing:
+		case Shutdown:
 			for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 				r.finish(r.requests[id])
 			}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -18,13 +18,13 @@
 // settings returns settings with one safe class and plenty of everything.
 func settings(change ...func(*Settings)) Settings {
 	s := Settings{
-		Schedulers: 1, Tick: 2 * ms, MaxAttempts: 4, CanCancel: true, CanProbe: true,
-		AnswerSlack: 8 * ms, DrainGrace: 500 * ms, ColdShare: 0.25, ColdFor: 10 * time.Second,
-		TipMultiple: 2, TipFor: time.Second, KeepAlive: 8 * time.Second, LoadOnDemand: true,
-		TellsWarm: true, TellsCompany: true,
+		Schedulers: 1, Tick: 2 * ms, MaxAttempts: 4, CancelAllowed: true, ProbeAllowed: true,
+		AnswerSlack: 8 * ms, DrainGrace: 500 * ms, SlowStartFraction: 0.25, SlowStartDuration: 10 * time.Second,
+		OverloadMultiple: 2, OverloadDuration: time.Second, InstanceKeepAlive: 8 * time.Second, LoadOnDemand: true,
+		AnswersTellStartType: true, AnswersTellInFlight: true,
 		Classes: []Class{{
-			Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.3,
-			MemorySpan: 2 * time.Second,
+			LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateValue: 0.3,
+			DeduplicationWindow: 2 * time.Second,
 		}},
 	}
 	for _, f := range change {
@@ -33,12 +33,19 @@
 	return s
 }
 
-func keyed(s *Settings)      { s.Classes[0].Effect, s.Classes[0].Scope = Keyed, ScopeZone }
-func keyedAll(s *Settings)   { s.Classes[0].Effect, s.Classes[0].Scope = Keyed, ScopeAll }
-func unsafe(s *Settings)     { s.Classes[0].Effect = Unsafe }
-func hedging(s *Settings)    { s.SecondCopies = true }
-func mayOrder(s *Settings)   { s.CanLoad, s.LoadsFree, s.LoadWindow = true, 2, 5*time.Second }
-func noCancel(s *Settings)   { s.CanCancel = false }
+func keyed(s *Settings) {
+	s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope = IdempotentByKey, ScopeZone
+}
+
+func keyedAll(s *Settings) {
+	s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope = IdempotentByKey, ScopeAll
+}
+func unsafe(s *Settings)  { s.Classes[0].Idempotency = NonIdempotent }
+func hedging(s *Settings) { s.HedgingAllowed = true }
+func mayOrder(s *Settings) {
+	s.LoadAllowed, s.LoadBudgetBase, s.LoadBudgetWindow = true, 2, 5*time.Second
+}
+func noCancel(s *Settings)   { s.CancelAllowed = false }
 func threeOf(s *Settings)    { s.Schedulers = 3 }
 func oneAttempt(s *Settings) { s.MaxAttempts = 1 }
 
@@ -94,13 +101,13 @@
 }
 
 func call(id, function string) Request {
-	return Request{ID: id, Function: function, TimeLeft: 3 * time.Second, Lanes: 2, LoadTime: 500 * ms}
+	return Request{ID: id, Function: function, TimeLeft: 3 * time.Second, Concurrency: 2, LoadTime: 500 * ms}
 }
 
-func end(s Send, attempt int, o Outcome) AttemptEnd {
-	return AttemptEnd{
-		ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: o, Closed: o == Served,
-		Latency: 50 * ms, Warmth: FoundWarm, Company: -1,
+func end(s Send, attempt int, o Outcome) AttemptEnded {
+	return AttemptEnded{
+		ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: o, RequestAnswered: o == Served,
+		Latency: 50 * ms, StartType: WarmStart, InFlightForFunction: -1,
 	}
 }
 
@@ -148,11 +155,11 @@
 func TestNewRejects(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no class":       func(s *Settings) { s.Classes = nil },
-		"no aim":         func(s *Settings) { s.Classes[0].Aim = 0 },
+		"no aim":         func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"no deadline":    func(s *Settings) { s.Classes[0].Deadline = -1 },
 		"no schedulers":  func(s *Settings) { s.Schedulers = 0 },
 		"no attempts":    func(s *Settings) { s.MaxAttempts = 0 },
-		"negative share": func(s *Settings) { s.LoadsPerCall = -0.1 },
+		"negative share": func(s *Settings) { s.LoadBudgetPerRequest = -0.1 },
 	} {
 		if _, err := New(settings(change), 1); err == nil {
 			t.Errorf("%s: no error", name)
@@ -178,14 +185,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t, settings(func(s *Settings) {
-				s.HonoursRetry, s.MaxRetryAfter = c.honoured, 500*ms
+				s.HonorsRetryAfter, s.MaxRetryAfter = c.honoured, 500*ms
 			}), fleet(c.workers)...)
 			b.step(ms)
 			b.r.outWork = c.outWork
 			q := &request{Request: call("a", "f"), class: &b.r.set.Classes[0]}
 			b.r.acts = nil
 			b.r.finish(q)
-			if got := only[Refuse](b.r.acts); len(got) != 1 || got[0].RetryAfter.Round(ms) != c.want {
+			if got := only[Reject](b.r.acts); len(got) != 1 || got[0].RetryAfter.Round(ms) != c.want {
 				t.Errorf("got %v, want one refusal with %v", got, c.want)
 			}
 		})
@@ -198,10 +205,10 @@
 		b := newBed(t, settings())
 		b.step(0, call("a", "f"))
 		early, late := b.wait(1400*ms), b.wait(100*ms)
-		if n := len(only[Refuse](early)); n != 0 {
+		if n := len(only[Reject](early)); n != 0 {
 			t.Errorf("%d refusals long before half of the client's time", n)
 		}
-		if n := len(only[Refuse](late)) + len(only[Fail](late)); n != 1 {
+		if n := len(only[Reject](late)) + len(only[Fail](late)); n != 1 {
 			t.Errorf("%d final answers, want 1", n)
 		}
 	})
@@ -212,7 +219,7 @@
 		gone := ready("w0", 0)
 		gone.State = Gone
 		b.step(ms, WorkerList{Workers: []Worker{gone}}, end(s, 0, Shed))
-		if acts := b.wait(1900 * ms); len(only[Refuse](acts))+len(only[Fail](acts)) != 0 {
+		if acts := b.wait(1900 * ms); len(only[Reject](acts))+len(only[Fail](acts)) != 0 {
 			t.Errorf("got %v at half of the client's time, want it held", acts)
 		}
 	})
@@ -223,21 +230,21 @@
 			t.Errorf("time-out %v reaches past the client's time", s.Timeout)
 		}
 		acts := b.step(s.Timeout, end(s, 0, TimedOut))
-		if len(only[Fail](acts)) != 1 || len(only[Refuse](acts)) != 0 {
+		if len(only[Fail](acts)) != 1 || len(only[Reject](acts)) != 0 {
 			t.Errorf("got %v, want one failure", acts)
 		}
-		if acts := b.wait(time.Second); len(only[Send](acts))+len(only[Fail](acts))+len(only[Refuse](acts)) > 0 {
+		if acts := b.wait(time.Second); len(only[Send](acts))+len(only[Fail](acts))+len(only[Reject](acts)) > 0 {
 			t.Errorf("something follows the final answer: %v", acts)
 		}
 	})
 	t.Run("client left", func(t *testing.T) {
 		b := newBed(t, settings(), fleet(3)...)
 		s := b.send("a", "f")
-		if n := len(only[Cancel](b.step(ms, Abandoned{"a"}))); n != 1 {
+		if n := len(only[Cancel](b.step(ms, ClientCanceled{"a"}))); n != 1 {
 			t.Errorf("%d attempts called off when the client left, want 1", n)
 		}
 		acts := append(b.step(ms, end(s, 0, Shed)), b.wait(4*time.Second)...)
-		if len(only[Send](acts))+len(only[Fail](acts))+len(only[Refuse](acts)) > 0 {
+		if len(only[Send](acts))+len(only[Fail](acts))+len(only[Reject](acts)) > 0 {
 			t.Errorf("something follows the client's leaving: %v", acts)
 		}
 	})
@@ -256,9 +263,9 @@
 		{"safe, timed out", settingsAsTold, TimedOut, 600 * ms, again},
 		{"safe, attempts used up", oneAttempt, TimedOut, 600 * ms, refuse},
 		{"unsafe, shed", unsafe, Shed, 10 * ms, again},
-		{"unsafe, unreached", unsafe, Unreached, 10 * ms, again},
+		{"unsafe, unreached", unsafe, ConnectFailed, 10 * ms, again},
 		{"unsafe, not loaded", unsafe, NotLoaded, 10 * ms, again},
-		{"unsafe, reset", unsafe, Reset, 10 * ms, fail},
+		{"unsafe, reset", unsafe, ConnectionReset, 10 * ms, fail},
 		{"unsafe, error", unsafe, Errored, 10 * ms, fail},
 		{"unsafe, timed out", unsafe, TimedOut, 600 * ms, fail},
 		{"keyed, in its span", keyed, TimedOut, 1990 * ms, again},
@@ -271,7 +278,7 @@
 			s := b.send("a", "f")
 			acts := b.step(c.after, end(s, 0, c.outcome))
 			got := map[string]int{
-				again: len(only[Send](acts)), refuse: len(only[Refuse](acts)),
+				again: len(only[Send](acts)), refuse: len(only[Reject](acts)),
 				fail: len(only[Fail](acts)),
 			}
 			want := map[string]int{again: 0, refuse: 0, fail: 0}
@@ -293,7 +300,7 @@
 	for i := range 20 {
 		b := newBed(t, settings(keyed), fleet(6)...)
 		s := b.send("a", fmt.Sprint("f", i))
-		acts := only[Send](b.step(10*ms, end(s, 0, Reset)))
+		acts := only[Send](b.step(10*ms, end(s, 0, ConnectionReset)))
 		if len(acts) != 1 || zones[acts[0].Worker] != zones[s.Worker] || acts[0].Worker == s.Worker {
 			t.Fatalf("after %v: %v, want another worker of the same zone", s, acts)
 		}
@@ -359,21 +366,21 @@
 // long is refused in time.
 func TestNothingIsSentByAnOldList(t *testing.T) {
 	b := newBed(t, settings(), fleet(2)...)
-	b.step(ms, ListOld{For: 250 * ms})
+	b.step(ms, EndpointsStale{Duration: 250 * ms})
 	if got := only[Send](append(b.step(ms, call("a", "f")), b.wait(200*ms)...)); len(got) > 0 {
 		t.Fatalf("sent by a list that may be old: %v", got)
 	}
-	if got := only[Send](b.step(ms, ListOld{})); len(got) != 1 {
+	if got := only[Send](b.step(ms, EndpointsStale{})); len(got) != 1 {
 		t.Errorf("%d sends once the list is good, want 1", len(got))
 	}
-	b.step(ms, ListOld{For: 250 * ms})
+	b.step(ms, EndpointsStale{Duration: 250 * ms})
 	short := call("b", "f")
 	short.TimeLeft = 100 * ms
 	got := append(b.step(ms, short, call("c", "g")), b.wait(300*ms)...)
 	if s := only[Send](got); len(s) != 1 || s[0].ID != "c" {
 		t.Errorf("sent after the bound on waiting: %v, want c alone", s)
 	}
-	if r := only[Refuse](got); len(r) != 1 || r[0].ID != "b" {
+	if r := only[Reject](got); len(r) != 1 || r[0].ID != "b" {
 		t.Errorf("refused: %v, want b, whose time ran out", r)
 	}
 }
@@ -466,8 +473,8 @@
 // Where nothing is told of a fall, a cold worker is called like any other.
 func TestNoColdBudget(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no multiple": func(s *Settings) { s.TipMultiple = 0 },
-		"no time":     func(s *Settings) { s.TipFor = 0 },
+		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
+		"no time":     func(s *Settings) { s.OverloadDuration = 0 },
 	} {
 		set := settings()
 		change(&set)
@@ -498,7 +505,7 @@
 
 // Rule 5: orders to load are rationed within every window, however many functions ask for one.
 func TestLoadRation(t *testing.T) {
-	b := newBed(t, settings(mayOrder, func(s *Settings) { s.LoadsPerCall, s.LoadOnDemand = 0.01, false }), fleet(4)...)
+	b := newBed(t, settings(mayOrder, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), fleet(4)...)
 	var calls, orders []time.Duration
 	for i := range 1200 {
 		if i == 600 {
@@ -509,7 +516,7 @@
 		calls = append(calls, b.now)
 		for _, l := range only[Load](acts) {
 			orders = append(orders, b.now)
-			b.step(0, LoadEnd{Worker: l.Worker, Function: l.Function, Outcome: Shed})
+			b.step(0, LoadEnded{Worker: l.Worker, Function: l.Function, Outcome: Shed})
 		}
 		for _, s := range only[Send](acts) {
 			b.step(0, end(s, 0, Served))
@@ -553,7 +560,7 @@
 	b.step(900*ms, answer)
 	refused := 0
 	for i := range 60 {
-		refused += len(only[Refuse](b.step(0, call(fmt.Sprint("r", i), "f"))))
+		refused += len(only[Reject](b.step(0, call(fmt.Sprint("r", i), "f"))))
 	}
 	if refused == 0 {
 		t.Error("nothing refused with a queue far longer than the deadline")
@@ -572,7 +579,7 @@
 		t.Errorf("first call: %v, want it sent", acts)
 	}
 	slow.ID = "second"
-	if acts := b.step(ms, slow); len(only[Refuse](acts)) != 1 {
+	if acts := b.step(ms, slow); len(only[Reject](acts)) != 1 {
 		t.Errorf("second call, its load under way but too late: %v, want it refused", acts)
 	}
 }
@@ -586,16 +593,16 @@
 		for class := range 2 {
 			b := newBed(t, settings(func(s *Settings) {
 				s.Classes = append(s.Classes, s.Classes[0])
-				s.Classes[1].Aim = 700 * ms
+				s.Classes[1].LatencyObjective = 700 * ms
 			}), fleet(2)...)
 			q := call("a", "f")
 			q.Class = class
 			s := only[Send](b.step(ms, q))[0]
 			b.step(ms, end(s, 0, Served))
-			b.r.funcs["f"].mean.Set(b.r.now, 0.3-b.r.set.Classes[class].Aim.Seconds())
+			b.r.funcs["f"].mean.Set(b.r.now, 0.3-b.r.set.Classes[class].LatencyObjective.Seconds())
 			b.r.outWork = c.ahead * b.r.lanes
 			q.ID = "b"
-			if got := len(only[Refuse](b.step(ms, q))) > 0; got != c.refused {
+			if got := len(only[Reject](b.step(ms, q))) > 0; got != c.refused {
 				t.Errorf("class %d with %v s ahead: refused %v, want %v", class, c.ahead, got, c.refused)
 			}
 		}
@@ -685,7 +692,7 @@
 		if answered {
 			b.step(100*ms, end(first, 0, Served))
 		}
-		b.step(100*ms, end(second, 0, Unreached))
+		b.step(100*ms, end(second, 0, ConnectFailed))
 		w := b.r.workers["w0"]
 		if w.suspect == answered || (w.life == 0) != answered {
 			t.Errorf("answered meanwhile %v: suspect %v, life %d", answered, w.suspect, w.life)
@@ -707,9 +714,9 @@
 
 func TestStaleIDsArePassedOver(t *testing.T) {
 	b := newBed(t, settings(mayOrder), fleet(2)...)
-	acts := b.step(ms, end(Send{ID: "none", Worker: "w0"}, 0, Served), Abandoned{"none"},
-		StreamStart{ID: "none", Worker: "nobody"}, ProbeEnd{Worker: "nobody"}, TimerFired{Token: 99},
-		LoadEnd{Worker: "nobody", Function: "f"}, PeerMessage{From: 3})
+	acts := b.step(ms, end(Send{ID: "none", Worker: "w0"}, 0, Served), ClientCanceled{"none"},
+		StreamStarted{ID: "none", Worker: "nobody"}, ProbeEnded{Worker: "nobody"}, TimerFired{Token: 99},
+		LoadEnded{Worker: "nobody", Function: "f"}, PeerMessage{From: 3})
 	if len(acts) != 0 {
 		t.Errorf("acted on stale ids: %v", acts)
 	}
@@ -753,7 +760,7 @@
 			case Send:
 				q := held[a.ID]
 				if q == nil || q.done || now >= q.end || !ok[a.Worker] ||
-					len(q.out) > 0 && !s.SecondCopies || q.dirty && s.Classes[0].Effect == Unsafe {
+					len(q.out) > 0 && !s.HedgingAllowed || q.dirty && s.Classes[0].Idempotency == NonIdempotent {
 					t.Fatalf("step %d: %+v breaks a rule: %+v", i, a, q)
 				}
 				q.out[q.n] = a.Worker
@@ -764,9 +771,9 @@
 				}
 			case Fail:
 				final = a.ID
-			case Refuse:
+			case Reject:
 				final = a.ID
-				if q := held[a.ID]; q != nil && (q.dirty || len(q.out) > 0) && s.Classes[0].Effect == Unsafe {
+				if q := held[a.ID]; q != nil && (q.dirty || len(q.out) > 0) && s.Classes[0].Idempotency == NonIdempotent {
 					t.Fatalf("step %d: %s refused though it may have run", i, a.ID)
 				}
 			}
@@ -796,12 +803,12 @@
 				}
 				if o == Served {
 					q.done = true
-				} else if o != Shed && o != Unreached && o != Unsent && o != NotLoaded {
+				} else if o != Shed && o != ConnectFailed && o != NotSent && o != NotLoaded {
 					q.dirty = true
 				}
-				events = append(events, AttemptEnd{
-					ID: id, Attempt: n, Worker: w, Outcome: o, Closed: q.done,
-					Latency: 30 * ms, Warmth: Warmth(rng.IntN(4)), Company: rng.IntN(3),
+				events = append(events, AttemptEnded{
+					ID: id, Attempt: n, Worker: w, Outcome: o, RequestAnswered: q.done,
+					Latency: 30 * ms, StartType: StartType(rng.IntN(4)), InFlightForFunction: rng.IntN(3),
 				})
 			}
 		}
@@ -872,7 +879,7 @@
 	if len(loads) != 1 || len(only[Send](acts)) != 0 {
 		t.Fatalf("got %v, want one order and no call sent before its answer", acts)
 	}
-	acts = b.step(ms, LoadEnd{Worker: loads[0].Worker, Function: "f", Outcome: Served, Copies: 1})
+	acts = b.step(ms, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
 	for _, s := range only[Send](acts) {
 		if s.Worker != loads[0].Worker {
 			t.Errorf("sent to %s, loaded at %s", s.Worker, loads[0].Worker)
@@ -885,13 +892,13 @@
 
 // A stream that has started belongs to the client: nothing more is sent for it when it breaks.
 func TestStartedStreamIsNotRepeated(t *testing.T) {
-	b := newBed(t, settings(func(s *Settings) { s.Classes[0].Stream = true }), fleet(3)...)
+	b := newBed(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), fleet(3)...)
 	s := b.send("a", "f")
-	b.step(50*ms, StreamStart{ID: "a", Worker: s.Worker, Latency: 50 * ms})
-	broken := end(s, 0, Reset)
-	broken.Closed = true
+	b.step(50*ms, StreamStarted{ID: "a", Worker: s.Worker, Latency: 50 * ms})
+	broken := end(s, 0, ConnectionReset)
+	broken.RequestAnswered = true
 	acts := append(b.step(500*ms, broken), b.wait(3*time.Second)...)
-	if len(only[Send](acts))+len(only[Refuse](acts))+len(only[Fail](acts)) > 0 {
+	if len(only[Send](acts))+len(only[Reject](acts))+len(only[Fail](acts)) > 0 {
 		t.Errorf("something follows a broken stream: %v", acts)
 	}
 }
@@ -921,7 +928,7 @@
 			b.step(0, WorkerList{Kind: ListCached, Workers: fleet(4)})
 			b.warmUp(50, time.Second)
 			b.step(ms, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: b.now}}})
-			budget += b.r.set.TipMultiple * b.r.set.ColdShare * float64(b.r.perWeight) * b.r.set.TipFor.Seconds()
+			budget += b.r.set.OverloadMultiple * b.r.set.SlowStartFraction * float64(b.r.perWeight) * b.r.set.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more calls than the worker may get
 				for k := range 10 { // new functions: a fifth of them have the new worker as their first
 					id := fmt.Sprint("c", i, "-", k)
@@ -985,9 +992,9 @@
 		w := b.r.workers["w0"]
 		for range 8 {
 			for _, a := range []*worker{w, b.r.workers["w1"], b.r.workers["w2"], b.r.workers["w3"]} {
-				e := AttemptEnd{Outcome: Served, Latency: 50 * ms, Report: &Report{InFlight: -1, Util: 0.5}}
+				e := AttemptEnded{Outcome: Served, Latency: 50 * ms, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
 				if a == w {
-					e.Latency, e.Report.Util = took, util
+					e.Latency, e.Report.Utilization = took, util
 				}
 				b.r.feel(&attempt{w: a}, e)
 			}
@@ -1032,7 +1039,7 @@
 		refused := 0
 		for i := range 200 {
 			acts := b.step(ms, call(fmt.Sprint("r", i), "f"))
-			refused += len(only[Refuse](acts))
+			refused += len(only[Reject](acts))
 			for _, s := range only[Send](acts) {
 				e := end(s, 0, Served)
 				e.Latency = c.slow
@@ -1061,24 +1068,24 @@
 // A tenant whose share at this scheduler is under one call a second still gets it.
 func TestSmallShareAdmits(t *testing.T) {
 	b := newBed(t, settings(func(s *Settings) {
-		s.Schedulers, s.Tenants = 100, []Tenant{{Share: 1, PerSecond: 20}}
+		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
 	}), fleet(1)...)
 	b.now += time.Minute
 	b.step(0)
-	if b.r.shares.Spent(b.r.now, 0) {
+	if b.r.shares.Exceeded(b.r.now, 0) {
 		t.Error("the first call in a minute is past its share")
 	}
-	if !b.r.shares.Spent(b.r.now, 0) {
+	if !b.r.shares.Exceeded(b.r.now, 0) {
 		t.Error("a second call at once is within a share of 0.2 a second")
 	}
 	b.now += 6 * time.Second
 	b.step(0)
-	if b.r.shares.Spent(b.r.now, 0) {
+	if b.r.shares.Exceeded(b.r.now, 0) {
 		t.Error("past its share after 6 s at 0.2 a second")
 	}
 }
 
-func withPeers(s *Settings) { s.Observed = true }
+func withPeers(s *Settings) { s.FaultReporting = true }
 
 // lit is a fleet of which each worker holds the function and has just answered.
 func lit(t *testing.T, n int, change ...func(*Settings)) *bed {
@@ -1091,10 +1098,10 @@
 	return b
 }
 
-func believed(ids ...string) PeersHold {
-	h := PeersHold{Words: map[string]Word{}}
+func believed(ids ...string) PeerReports {
+	h := PeerReports{Verdicts: map[string]PeerVerdict{}}
 	for _, id := range ids {
-		h.Words[id] = Believed
+		h.Verdicts[id] = Confirmed
 	}
 	return h
 }
@@ -1108,7 +1115,7 @@
 		t.Error("left out though it has just answered")
 	}
 	b.wait(2 * time.Second)
-	if acts := only[Observe](b.step(0, believed("w3"))); len(acts) > 0 {
+	if acts := only[ReportFault](b.step(0, believed("w3"))); len(acts) > 0 {
 		t.Errorf("what others say was passed on as seen here: %v", acts)
 	}
 	for i := range 40 {
@@ -1121,7 +1128,7 @@
 	if !b.r.workers["w3"].suspect {
 		t.Error("not left out")
 	}
-	b.step(0, PeersHold{Vouched: []string{"w3"}})
+	b.step(0, PeerReports{Cleared: []string{"w3"}})
 	if w := b.r.workers["w3"]; b.r.now < w.tryAt {
 		t.Error("not tried at once though another has had an answer")
 	}
@@ -1143,7 +1150,7 @@
 func TestOneAccuserAlone(t *testing.T) {
 	b := lit(t, 4, unsafe)
 	b.wait(2 * time.Second)
-	b.step(0, PeersHold{Words: map[string]Word{"w0": Noted}})
+	b.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported}})
 	for i := range 20 {
 		s := b.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
 		if s.Worker == "w0" {
@@ -1155,25 +1162,25 @@
 		t.Error("left out on the word of one")
 	}
 	b.wait(2 * time.Second)
-	b.step(0, PeersHold{Words: map[string]Word{"w0": Noted, "w1": Noted, "w2": Noted, "w3": Noted}})
+	b.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}})
 	b.send("last", "f0")
 }
 
 // What is seen is said: silence with its newest proof, its end, errors; without peers nothing is.
 func TestObserves(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		b := newBed(t, settings(func(s *Settings) { s.Observed = on }), fleet(1)...)
+		b := newBed(t, settings(func(s *Settings) { s.FaultReporting = on }), fleet(1)...)
 		s := b.send("a", "f")
-		seen := only[Observe](b.step(30*ms, end(s, 0, Served)))
+		seen := only[ReportFault](b.step(30*ms, end(s, 0, Served)))
 		var sent time.Duration
 		for i := range 2 {
 			b.send(fmt.Sprintf("b%d", i), "f")
 			sent = b.now
 		}
-		seen = append(seen, only[Observe](b.wait(time.Second))...)
+		seen = append(seen, only[ReportFault](b.wait(time.Second))...)
 		back := b.now
-		seen = append(seen, only[Observe](b.step(0, end(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
-		want := []Observe{{"w0", Silent, sent}, {"w0", Well, back}} // both are overdue at the same look
+		seen = append(seen, only[ReportFault](b.step(0, end(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
+		want := []ReportFault{{"w0", Unresponsive, sent}, {"w0", Healthy, back}} // both are overdue at the same look
 		if !on {
 			want = nil
 		}
@@ -1188,7 +1195,7 @@
 func TestPoolSpills(t *testing.T) {
 	b := newBed(t, settings(), fleet(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
-	first := &Pool{Workers: map[string]bool{"w0": true, "w1": true}, Next: second}
+	first := &Pool{Workers: map[string]bool{"w0": true, "w1": true}, Fallback: second}
 	at := map[string]int{}
 	for i := range 200 {
 		q := call(fmt.Sprintf("a%d", i), "f\x00lane")
@@ -1244,7 +1251,7 @@
 	if !b.r.busier(other, met) || b.r.busier(met, other) {
 		t.Error("a worker that was never met is taken before one that was")
 	}
-	b.wait(b.r.set.KeepAlive + time.Second)
+	b.wait(b.r.set.InstanceKeepAlive + time.Second)
 	if b.r.load(met) != b.r.load(other) {
 		t.Error("a worker counts as met for ever")
 	}
--- a/routing/rules.go
+++ b/routing/rules.go
@@ -8,18 +8,19 @@
 // maySend is the choke point of rules 2 to 4 for attempts: whether this request may go to this worker now.
 func (r *Router) maySend(q *request, w *worker) bool {
 	if q.done || r.now >= q.end || len(q.attempts) >= r.set.MaxAttempts || w.State != Ready ||
-		q.out > 0 && !r.set.SecondCopies {
+		q.out > 0 && !r.set.HedgingAllowed {
 		return false
 	}
 	a := q.mayHaveRun()
-	if a != nil && (q.class.Effect == Unsafe || q.class.Effect == Keyed &&
-		(r.now-a.sent >= q.class.MemorySpan-r.set.Tick || !sameGroup(q.class.Scope, a.w, w))) {
+	if a != nil && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentByKey &&
+		(r.now-a.sent >= q.class.DeduplicationWindow-r.set.Tick ||
+			!sameGroup(q.class.DeduplicationScope, a.w, w))) {
 		return false
 	}
 	return r.coldRoom(w)
 }
 
-func sameGroup(s Scope, a, b *worker) bool {
+func sameGroup(s DeduplicationScope, a, b *worker) bool {
 	return s == ScopeAll || s == ScopeZone && a.Zone == b.Zone || s == ScopeCell && a.Cell == b.Cell
 }
 
@@ -34,12 +35,12 @@
 // hopeful reports whether some further attempt could be allowed at all.
 func (r *Router) hopeful(q *request) bool {
 	a := q.mayHaveRun()
-	if len(q.attempts) >= r.set.MaxAttempts || a == nil || q.class.Effect == Safe {
+	if len(q.attempts) >= r.set.MaxAttempts || a == nil || q.class.Idempotency == Idempotent {
 		return len(q.attempts) < r.set.MaxAttempts
 	}
-	return q.class.Effect == Keyed && r.now-a.sent < q.class.MemorySpan-r.set.Tick &&
+	return q.class.Idempotency == IdempotentByKey && r.now-a.sent < q.class.DeduplicationWindow-r.set.Tick &&
 		slices.ContainsFunc(r.list, func(w *worker) bool {
-			return w.State == Ready && sameGroup(q.class.Scope, a.w, w)
+			return w.State == Ready && sameGroup(q.class.DeduplicationScope, a.w, w)
 		})
 }
 
@@ -55,20 +56,21 @@
 // schedulers never send more than a multiple, below the one that tips, of what was answered. It begins at one
 // call at a time, answered within the least aim.
 func (r *Router) coldRoom(w *worker) bool {
-	if !r.isCold(w) || r.set.TipMultiple == 0 || r.set.TipFor == 0 {
+	if !r.isCold(w) || r.set.OverloadMultiple == 0 || r.set.OverloadDuration == 0 {
 		return true
 	}
-	rate, span := float64(r.perWeight), r.set.TipFor
+	rate, span := float64(r.perWeight), r.set.OverloadDuration
 	if r.allCold {
 		rate, span = max(rate, 1/r.leastAim/float64(r.set.Schedulers)), min(span, time.Second)
 	}
 	if r.now >= w.quotaTill {
 		// Shares under one call would add up if rounded: each scheduler draws whether it has one.
-		budget := coldMargin * r.set.TipMultiple * span.Seconds() * r.ripeness(w) * w.Weight * rate
+		budget := coldMargin * r.set.OverloadMultiple * span.Seconds() * r.ripeness(w) * w.Weight * rate
 		// Most such draws are lost on workers that nothing is for just then. While calls come as usual one is
 		// let through by chance, so that a worker that is called coldEven times as much as others bears it,
 		// and where there are hundreds the home of a function that is called much.
-		usual := r.allCalls * r.fade(r.lastCall) / (widthTau * r.set.KeepAlive.Seconds() * max(r.size, 1))
+		usual := r.allCalls * r.fade(r.lastCall) /
+			(widthTau * r.set.InstanceKeepAlive.Seconds() * max(r.size, 1))
 		even := max(coldEven, coldTop*r.size)
 		chance := budget / (span.Seconds() * even * max(rate, usual) * w.Weight)
 		w.quota = int(max(budget, min(chance, 1)) + r.rng.Float64())
@@ -84,11 +86,14 @@
 	if !r.isCold(w) {
 		return 1
 	}
-	return r.set.ColdShare + (1-r.set.ColdShare)*max(0, (r.now-w.Started).Seconds()/r.set.ColdFor.Seconds())
+	elapsed := max(0, (r.now-w.Started).Seconds()/r.set.SlowStartDuration.Seconds())
+	return r.set.SlowStartFraction + (1-r.set.SlowStartFraction)*elapsed
 }
 
 // isCold reports whether a worker has started so lately that it can do only part of its work.
-func (r *Router) isCold(w *worker) bool { return w.Started > 0 && r.now-w.Started < r.set.ColdFor }
+func (r *Router) isCold(w *worker) bool {
+	return w.Started > 0 && r.now-w.Started < r.set.SlowStartDuration
+}
 
 // send is the only place that starts an attempt.
 func (r *Router) send(q *request, w *worker, warm bool) bool {
@@ -96,11 +101,11 @@
 		return false
 	}
 	p, within := q.fn.pair(w), time.Duration(0)
-	if first := q.mayHaveRun(); first != nil && q.class.Effect == Keyed {
-		within = first.sent + q.class.MemorySpan - r.set.Tick - r.now
+	if first := q.mayHaveRun(); first != nil && q.class.Idempotency == IdempotentByKey {
+		within = first.sent + q.class.DeduplicationWindow - r.set.Tick - r.now
 	}
 	a := &attempt{q: q, n: len(q.attempts), w: w, p: p, sent: r.now, cost: r.service(q.fn), cold: !warm}
-	aim := q.class.Aim.Seconds()
+	aim := q.class.LatencyObjective.Seconds()
 	patience := min(max(overdueAims*aim, overdueMeans*a.cost), aim)
 	if a.cold {
 		patience += overdueLoads * r.loadTime(q.fn)
@@ -131,12 +136,13 @@
 
 // order is the only place that orders a load. All orders with a count above 0 are rationed.
 func (r *Router) order(w *worker, f *function) {
-	if !r.set.CanLoad || w.State != Ready || f.pair(w).ordered {
+	if !r.set.LoadAllowed || w.State != Ready || f.pair(w).ordered {
 		return
 	}
 	// A call may have come up to a tick before its batch: those near the window's edge are left out.
-	if r.set.LoadWindow > 0 &&
-		!r.loads.Take(r.now, r.set.LoadWindow, r.set.Tick+beat, r.set.LoadsFree, r.set.LoadsPerCall) {
+	if r.set.LoadBudgetWindow > 0 &&
+		!r.loads.Allow(r.now, r.set.LoadBudgetWindow, r.set.Tick+beat,
+			r.set.LoadBudgetBase, r.set.LoadBudgetPerRequest) {
 		return
 	}
 	f.pair(w).ordered = true
--- a/routing/state.go
+++ b/routing/state.go
@@ -23,16 +23,16 @@
 	list          []*worker // by id
 	version       int       // of the list, for the functions' hash orders
 	funcs         map[string]*function
-	leastAim, lat float64           // least aim of all classes and mean latency of warm calls, in seconds
-	press         float64           // running mean of what presses the workers
-	well          int               // usable workers that do not answer errors
-	alone         int               // calls overdue alone that may be sent elsewhere too
-	lanes, busy   float64           // lanes that are usable; share of them that is taken
-	allCalls      float64           // of all functions, decaying
-	outWork       float64           // summed service times of attempts that are out, in seconds
-	theirs        float64           // part of what happens at the workers that other schedulers cause
-	loads         ratelimit.Ration  // of orders to load
-	shares        *ratelimit.Shares // of tenants
+	leastAim, lat float64                 // least aim of all classes and mean latency of warm calls, in seconds
+	press         float64                 // running mean of what presses the workers
+	well          int                     // usable workers that do not answer errors
+	alone         int                     // calls overdue alone that may be sent elsewhere too
+	lanes, busy   float64                 // lanes that are usable; share of them that is taken
+	allCalls      float64                 // of all functions, decaying
+	outWork       float64                 // summed service times of attempts that are out, in seconds
+	theirs        float64                 // part of what happens at the workers that other schedulers cause
+	loads         ratelimit.WindowLimiter // of orders to load
+	shares        *ratelimit.Quotas       // of tenants
 
 	// weight of all workers that are ready and not suspect; answers of warm ones since servedAt, of all if all are cold;
 	// and in a second, for a worker of size 1
@@ -65,8 +65,8 @@
 	press             decay.Value // above what others are pressed
 	others            float64     // requests of other schedulers
 	suspect           bool
-	word              Word        // what other schedulers hold of it
-	seen              Trouble     // what they were told of it last, as seen at seenAt
+	word              PeerVerdict // what other schedulers hold of it
+	seen              Fault       // what they were told of it last, as seen at seenAt
 	tries, sheds      int         // trials since it became suspect; refusals in a row
 	errs, pace        decay.Value // running share of errors in its answers; excess of its latencies
 	breaks            int         // times that connections broke with no answer since
