--- a/routing/api.go
+++ b/routing/api.go
@@ -57,10 +57,10 @@
 }
 
 // keepAlive holds where none is told.
-const keepAlive = 10 * time.Second
+const defaultKeepAlive = 10 * time.Second
 
 // check fills in what was not told and returns the least aim of all classes, or what makes no sense.
-func (s *Settings) check() (least time.Duration, err error) {
+func (s *Settings) validate() (least time.Duration, err error) {
 	if len(s.Classes) == 0 || s.Schedulers < 1 || s.MaxAttempts < 1 {
 		return 0, errors.New("calicohill: at least 1 class, 1 scheduler and 1 attempt are needed")
 	}
@@ -75,7 +75,7 @@
 		return 0, errors.New("calicohill: settings below 0")
 	}
 	if s.InstanceKeepAlive <= 0 {
-		s.InstanceKeepAlive = keepAlive
+		s.InstanceKeepAlive = defaultKeepAlive
 	}
 	if !s.HonorsRetryAfter {
 		s.MaxRetryAfter = 0
@@ -84,7 +84,7 @@
 }
 
 // shares are those of the tenants in what one scheduler takes in. A share under one call is saved up.
-func (s *Settings) shares() *ratelimit.Quotas {
+func (s *Settings) tenantQuotas() *ratelimit.Quotas {
 	var rates []float64
 	for _, t := range s.Tenants {
 		rates = append(rates, t.RequestsPerSecond/float64(s.Schedulers))
@@ -207,7 +207,7 @@
 
 // spill is the same request for the pool that stands in for its own, if one does. It is another function there: what
 // is warm in one pool is not in another.
-func (q Request) spill() (Request, bool) {
+func (q Request) forFallbackPool() (Request, bool) {
 	if q.Pool == nil || q.Pool.Fallback == nil {
 		return q, false
 	}
--- a/routing/memory.go
+++ b/routing/memory.go
@@ -47,25 +47,25 @@
 }
 
 // memoryMost is how many functions are remembered, memoryWorkers how many workers.
-const memoryMost, memoryWorkers = 2000, 10000
+const maxLearnedFunctions, maxLearnedWorkers = 2000, 10000
 
 // LearnedState returns what was learned so far. Health is not: a worker that was ill may be well after the restart, and one
 // that is ill shows.
 func (r *Router) LearnedState() LearnedState {
-	m := LearnedState{CapturedAt: r.now, RequestWeight: r.allCalls * r.fade(r.lastCall), ThroughputPerWeight: float64(r.perWeight), MeanPressure: r.press}
+	m := LearnedState{CapturedAt: r.now, RequestWeight: r.requestWeight * r.decayFactor(r.lastRequestAt), ThroughputPerWeight: float64(r.throughputPerWeight), MeanPressure: r.meanPressure}
 	place := map[*worker]int{}
-	for _, w := range r.list[:min(len(r.list), memoryWorkers)] {
+	for _, w := range r.workerList[:min(len(r.workerList), maxLearnedWorkers)] {
 		place[w] = len(m.Workers)
-		m.Workers = append(m.Workers, LearnedWorker{w.ID, w.Started, w.press.At(r.now, r.set.InstanceKeepAlive), r.paceOf(w) - 1})
+		m.Workers = append(m.Workers, LearnedWorker{w.ID, w.Started, w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive), r.latencyRatio(w) - 1})
 	}
-	for name, f := range r.funcs {
+	for name, f := range r.functions {
 		k := LearnedFunction{
-			Name: name, Class: f.class, Concurrency: f.lanes, RequestWeight: f.calls * r.fade(f.lastCall),
-			ServiceTimeExcess: f.mean.At(r.now, r.set.InstanceKeepAlive), LoadTime: f.told,
+			Name: name, Class: f.class, Concurrency: f.concurrency, RequestWeight: f.requestWeight * r.decayFactor(f.lastRequestAt),
+			ServiceTimeExcess: f.serviceTimeExcess.At(r.now, r.settings.InstanceKeepAlive), LoadTime: f.declaredLoadTime,
 		}
-		for _, p := range f.pairs {
-			if i, ok := place[p.w]; ok && r.isWarm(p) {
-				k.Instances = append(k.Instances, LearnedInstance{i, p.at, p.copies})
+		for _, p := range f.placements {
+			if i, ok := place[p.worker]; ok && r.isWarm(p) {
+				k.Instances = append(k.Instances, LearnedInstance{i, p.warmAt, p.instances})
 			}
 		}
 		m.Functions = append(m.Functions, k)
@@ -73,43 +73,43 @@
 	slices.SortFunc(m.Functions, func(a, b LearnedFunction) int {
 		return cmp.Or(cmp.Compare(b.RequestWeight, a.RequestWeight), cmp.Compare(a.Name, b.Name))
 	})
-	m.Functions = m.Functions[:min(len(m.Functions), memoryMost)]
+	m.Functions = m.Functions[:min(len(m.Functions), maxLearnedFunctions)]
 	return m
 }
 
 // sound reports whether a figure can have been learned.
-func sound(figures ...float64) bool {
+func plausible(figures ...float64) bool {
 	return !slices.ContainsFunc(figures, func(x float64) bool { return math.IsNaN(x) || math.Abs(x) > 1e9 })
 }
 
 // recall takes up what an earlier process learned, faded by its age. What no longer fits is passed over, and so is all
 // of it once something was learned here.
-func (r *Router) recall(m LearnedState) {
-	if len(r.funcs) > 0 || m.CapturedAt > r.now || !sound(m.RequestWeight, m.ThroughputPerWeight, m.MeanPressure) || m.ThroughputPerWeight < 0 || m.RequestWeight < 0 {
+func (r *Router) restoreState(m LearnedState) {
+	if len(r.functions) > 0 || m.CapturedAt > r.now || !plausible(m.RequestWeight, m.ThroughputPerWeight, m.MeanPressure) || m.ThroughputPerWeight < 0 || m.RequestWeight < 0 {
 		return
 	}
-	r.allCalls, r.lastCall = m.RequestWeight, m.CapturedAt
-	r.perWeight, r.press = decay.Mean(m.ThroughputPerWeight), m.MeanPressure
+	r.requestWeight, r.lastRequestAt = m.RequestWeight, m.CapturedAt
+	r.throughputPerWeight, r.meanPressure = decay.Mean(m.ThroughputPerWeight), m.MeanPressure
 	workers := make([]*worker, len(m.Workers))
 	for i, k := range m.Workers {
 		w := r.workers[k.ID]
-		if w != nil && w.Started == k.Started && sound(k.PressureExcess, k.LatencyExcess) {
+		if w != nil && w.Started == k.Started && plausible(k.PressureExcess, k.LatencyExcess) {
 			workers[i] = w
-			w.press.Set(m.CapturedAt, k.PressureExcess)
-			w.pace.Set(m.CapturedAt, k.LatencyExcess)
+			w.pressureExcess.Set(m.CapturedAt, k.PressureExcess)
+			w.latencyExcess.Set(m.CapturedAt, k.LatencyExcess)
 		}
 	}
-	for _, k := range m.Functions[:min(len(m.Functions), memoryMost)] {
-		if k.Class < 0 || k.Class >= len(r.set.Classes) || k.Concurrency < 1 || k.RequestWeight < 0 || !sound(k.RequestWeight, k.ServiceTimeExcess) {
+	for _, k := range m.Functions[:min(len(m.Functions), maxLearnedFunctions)] {
+		if k.Class < 0 || k.Class >= len(r.settings.Classes) || k.Concurrency < 1 || k.RequestWeight < 0 || !plausible(k.RequestWeight, k.ServiceTimeExcess) {
 			continue
 		}
-		f := &function{name: k.Name, class: k.Class, lanes: k.Concurrency, told: max(k.LoadTime, 0), calls: k.RequestWeight, lastCall: m.CapturedAt}
-		f.mean.Set(m.CapturedAt, k.ServiceTimeExcess)
-		r.funcs[k.Name] = f
+		f := &function{name: k.Name, class: k.Class, concurrency: k.Concurrency, declaredLoadTime: max(k.LoadTime, 0), requestWeight: k.RequestWeight, lastRequestAt: m.CapturedAt}
+		f.serviceTimeExcess.Set(m.CapturedAt, k.ServiceTimeExcess)
+		r.functions[k.Name] = f
 		for _, c := range k.Instances {
 			if c.WorkerIndex >= 0 && c.WorkerIndex < len(workers) && workers[c.WorkerIndex] != nil && c.LastWarm <= m.CapturedAt {
-				p := f.pair(workers[c.WorkerIndex])
-				p.warm, p.life, p.at, p.copies = true, p.w.life, c.LastWarm, max(c.Count, 1)
+				p := f.placementAt(workers[c.WorkerIndex])
+				p.warm, p.incarnation, p.warmAt, p.instances = true, p.worker.incarnation, c.LastWarm, max(c.Count, 1)
 			}
 		}
 	}
--- a/routing/memory_test.go
+++ b/routing/memory_test.go
@@ -24,13 +24,13 @@
 	next := newBed(t, settings(many), fleet(6)...)
 	next.now = b.now + time.Second
 	next.step(0, StateRestored{m})
-	if got, want := next.r.perWeight, b.r.perWeight; got != want || want == 0 {
+	if got, want := next.r.throughputPerWeight, b.r.throughputPerWeight; got != want || want == 0 {
 		t.Errorf("a warm worker answers %v a second, as recalled; it was %v", got, want)
 	}
 	for i := range 7 {
-		f := next.r.funcs[fmt.Sprint("f", i)]
+		f := next.r.functions[fmt.Sprint("f", i)]
 		s := next.send(fmt.Sprint("r", i), f.name)
-		if p := f.pair(next.r.workers[s.Worker]); !next.r.isWarm(p) {
+		if p := f.placementAt(next.r.workers[s.Worker]); !next.r.isWarm(p) {
 			t.Errorf("%s went to %s, where no copy stood", f.name, s.Worker)
 		}
 	}
@@ -62,8 +62,8 @@
 		}
 		next.step(0, StateRestored{m})
 		knows := false
-		for _, f := range next.r.funcs {
-			for _, p := range f.pairs {
+		for _, f := range next.r.functions {
+			for _, p := range f.placements {
 				knows = knows || next.r.isWarm(p)
 			}
 		}
@@ -99,7 +99,7 @@
 		b.step(ms, StateRestored{m})
 		answered := 0
 		for i := range 20 {
-			for _, s := range only[Send](b.step(100*ms, call(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{beatToken})) {
+			for _, s := range only[Send](b.step(100*ms, call(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
 				b.step(ms, end(s, 0, Served))
 				answered++
 			}
@@ -108,7 +108,7 @@
 			rt.Fatal("nothing is sent any more")
 		}
 		again := b.r.LearnedState()
-		if !sound(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, b.r.LearnedState()) {
+		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, b.r.LearnedState()) {
 			rt.Fatalf("it remembers %+v", again)
 		}
 	})
--- a/routing/router.go
+++ b/routing/router.go
@@ -13,115 +13,123 @@
 )
 
 const (
-	beat, beatToken = 10 * time.Millisecond, 1 // how often held and overdue requests are looked at
+	tickInterval, tickToken = 10 * time.Millisecond, 1 // how often held and overdue requests are looked at
 
-	walkDepth = 4 // workers of the hash order that a request may try before it waits
+	maxCandidates = 4 // workers of the hash order that a request may try before it waits
 	// Weights of a new latency in the means of a function, of a worker, which is seen seldom, and of all.
-	meanWeight, workerWeight, fleetWeight = 0.2, 0.5, 0.05
+	functionMeanWeight, workerMeanWeight, fleetMeanWeight = 0.2, 0.5, 0.05
 
-	callsThere         = 12.0      // calls of all schedulers at a worker that a limit starts from
-	limitMin, limitMax = 1.0, 48.0 // its range
+	initialFleetLimit  = 12.0      // calls of all schedulers at a worker that a limit starts from
+	minLimit, maxLimit = 1.0, 48.0 // its range
 	// An answer from a warm copy that takes longer than limitAims of its aim leaves limitCut of the limit.
-	limitCut, limitAims = 0.8, 0.7
+	limitDecreaseFactor, limitObjectiveFraction = 0.8, 0.7
 
 	// An attempt is overdue after this share of the aim or this multiple of the function's mean, whichever is
 	// more (the aim at most), and this multiple of a load where one is due.
-	overdueAims, overdueMeans, overdueLoads = 0.5, 3.0, 2.0
+	overdueObjectiveFraction, overdueMeanMultiple, overdueLoadMultiple = 0.5, 3.0, 2.0
 
-	presumedFrom = 4   // calls by others within a keep-alive that leave a copy standing
-	spillMost    = 0.4 // share of lanes taken up to which a function that stands may be loaded elsewhere too
-	loadLanes    = 4   // calls of ours that may wait for loads at a worker when another load is sent there
+	presumedWarmRequests = 4 // calls by others within a keep-alive that leave a copy standing
+	// share of lanes taken up to which a function that stands may be loaded elsewhere too
+	maxSpillUtilization = 0.4
+	// calls of ours that may wait for loads at a worker when another load is sent there
+	maxWaitingForLoads = 4
 
-	trialAfter, trialMost = time.Second, 3 // pause before a suspect worker is tried again; doubles so often
+	// pause before a suspect worker is tried again; doubles so often
+	baseProbationDelay, maxProbationDoublings = time.Second, 3
 
-	wordOwn, stalledPace = time.Second, 4.0 // own answers this young outweigh others' word; stalled: so slow
+	// own answers this young outweigh others' word; stalled: so slow
+	ownObservationLifetime, slowLatencyRatio = time.Second, 4.0
 
-	breaksMost = 3 // connections that break in a row, with no answer between, make a worker suspect
+	maxConnectionBreaks = 3 // connections that break in a row, with no answer between, make a worker suspect
 
 	// A worker of whose late answers more than errsMost are errors gets no calls that must not be repeated.
-	errsWeight, errsMost = 0.1, 0.15
+	errorRateWeight, maxErrorRate = 0.1, 0.15
 
 	// Calls overdue alone, at a worker that answers others, that may be sent elsewhere too: for each whose
 	// answer never came, and how many in all.
-	aloneMore, aloneMost = 4, 8
+	hedgeCreditPerTimeout, maxHedgeCredit = 4, 8
 
-	shedPauses = 16 // a worker that turns a call away is left alone for two such parts of a service time
+	// a worker that turns a call away is left alone for two such parts of a service time
+	shedBackoffDivisor = 16
 
-	widthMore = 2.0 // workers for a function, as a multiple of its part of the calls times all workers
-	widthTau  = 2.0 // keep-alives over which that part is counted
+	spreadFactor     = 2.0 // workers for a function, as a multiple of its part of the calls times all workers
+	spreadKeepAlives = 2.0 // keep-alives over which that part is counted
 	// A worker is pressed by the share of its cores that is busy, and by what an answer takes, in least aims.
 	// From the first on functions leave it for the next in their order; from the second on all have.
-	leaveFrom, leaveAll = 0.9, 1.7
-	shedPress, idleTook = 2.0, 0.2 // of one that turns calls away; of an answer that tells of no queue
+	leavePressureStart, leavePressureFull = 0.9, 1.7
+	// of one that turns calls away; of an answer that tells of no queue
+	shedPressure, idleLatencyPressure = 2.0, 0.2
 
-	refuseFrom = 0.5 // calls for workers pressed by this over 1 begin to be refused; by twice that
-	refuseMost = 0.8 // no more than this share is, or nothing would show that the worker is well again
+	rejectPressureExcess = 0.5 // calls for workers pressed by this over 1 begin to be refused; by twice that
+	// no more than this share is, or nothing would show that the worker is well again
+	maxRejectProbability = 0.8
 
-	unmetCalls = 0.25 // calls that a worker which answered nothing here lately counts as busier by
+	unansweredPenalty = 0.25 // calls that a worker which answered nothing here lately counts as busier by
 
-	coldMargin = 0.9 // share of a cold worker's budget that is used
-	coldEven   = 3.0 // times that a cold worker may be called as much as the mean of all, at the least
+	slowStartBudgetMargin = 0.9 // share of a cold worker's budget that is used
+	// times that a cold worker may be called as much as the mean of all, at the least
+	minSlowStartSkew = 3.0
 	// The same for each of the workers: the home of a function with a tenth of all calls is called a tenth of
 	// their number times the mean, of which it bears six times coldEven.
-	coldTop = 0.025
+	slowStartSkewPerWeight = 0.025
 )
 
 // Step tells the Router everything that happened at one moment, in order, and returns what is to be done.
 // Ids that the Router does not hold are passed over.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
-	r.now, r.acts = max(now, r.now), nil
+	r.now, r.actions = max(now, r.now), nil
 	if !r.started {
-		r.started, r.servedAt = true, now
-		r.act(SetTimer{beat, beatToken})
-		if r.set.SubscriptionRequired {
-			r.act(Subscribe{true})
+		r.started, r.servedSince = true, now
+		r.emit(SetTimer{tickInterval, tickToken})
+		if r.settings.SubscriptionRequired {
+			r.emit(Subscribe{true})
 		}
 	}
-	r.survey()
+	r.refreshCapacity()
 	due := false
 	for _, e := range events {
 		switch e := e.(type) {
 		case WorkerList:
-			r.follow(e)
+			r.applyEndpoints(e)
 		case Request:
 			r.admit(e)
 		case StreamStarted:
 			if q := r.requests[e.ID]; q != nil {
-				q.streams = true
+				q.streaming = true
 			}
 		case AttemptEnded:
-			r.ended(e)
+			r.attemptEnded(e)
 		case ClientCanceled:
 			if q := r.requests[e.ID]; q != nil {
-				r.close(q)
+				r.complete(q)
 			}
 		case LoadEnded:
-			r.loaded(e)
+			r.loadEnded(e)
 		case PeerReports:
-			r.heed(e)
+			r.applyPeerReports(e)
 		case EndpointsStale:
-			r.blindTill = now + e.Duration
+			r.endpointsStaleUntil = now + e.Duration
 		case StateRestored:
-			r.recall(e.State)
+			r.restoreState(e.State)
 		case PoolsChanged:
-			r.version++
+			r.membershipVersion++
 		case Shutdown:
 			for _, id := range slices.Sorted(maps.Keys(r.requests)) {
-				r.finish(r.requests[id])
+				r.rejectOrFail(r.requests[id])
 			}
 		case TimerFired:
-			due = due || e.Token == beatToken
+			due = due || e.Token == tickToken
 		}
 	}
 	// After a stall all that came meanwhile is in one batch: answers are read before a worker is judged.
 	if due {
-		r.act(SetTimer{beat, beatToken})
-		r.look()
+		r.emit(SetTimer{tickInterval, tickToken})
+		r.sweep()
 	}
-	r.release()
-	return r.acts
+	r.drainQueue()
+	return r.actions
 }
 
-func (r *Router) act(a Action) { r.acts = append(r.acts, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -76,7 +76,7 @@
 func (b *bed) wait(d time.Duration) []Action {
 	var all []Action
 	for end := b.now + d; b.now < end; {
-		all = append(all, b.step(beat, TimerFired{beatToken})...)
+		all = append(all, b.step(tickInterval, TimerFired{tickToken})...)
 	}
 	return all
 }
@@ -180,7 +180,7 @@
 		{"no worker", true, 0, 0, 500 * ms},
 		{"clients are not told", false, 0, 0, 0},
 		{"little ahead", true, 1, 2.4, 200 * ms},
-		{"next to nothing ahead", true, 1, 0.001, beat},
+		{"next to nothing ahead", true, 1, 0.001, tickInterval},
 		{"much ahead", true, 1, 60, 500 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -188,11 +188,11 @@
 				s.HonorsRetryAfter, s.MaxRetryAfter = c.honoured, 500*ms
 			}), fleet(c.workers)...)
 			b.step(ms)
-			b.r.outWork = c.outWork
-			q := &request{Request: call("a", "f"), class: &b.r.set.Classes[0]}
-			b.r.acts = nil
-			b.r.finish(q)
-			if got := only[Reject](b.r.acts); len(got) != 1 || got[0].RetryAfter.Round(ms) != c.want {
+			b.r.inFlightWork = c.outWork
+			q := &request{Request: call("a", "f"), class: &b.r.settings.Classes[0]}
+			b.r.actions = nil
+			b.r.rejectOrFail(q)
+			if got := only[Reject](b.r.actions); len(got) != 1 || got[0].RetryAfter.Round(ms) != c.want {
 				t.Errorf("got %v, want one refusal with %v", got, c.want)
 			}
 		})
@@ -342,7 +342,7 @@
 		b.step(50*ms, end(s, 0, Served))
 		b.step(ms, WorkerList{Workers: []Worker{{ID: s.Worker, State: state}}})
 		for i := range 20 {
-			for _, a := range b.step(10*ms, call(fmt.Sprint("b", i), "f"), TimerFired{beatToken}) {
+			for _, a := range b.step(10*ms, call(fmt.Sprint("b", i), "f"), TimerFired{tickToken}) {
 				if to, ok := a.(Send); ok && to.Worker == s.Worker {
 					t.Errorf("state %d: sent to %s", state, s.Worker)
 				}
@@ -391,8 +391,8 @@
 	n := 0
 	serve := func(d time.Duration) (cold []time.Duration) {
 		for end0 := b.now + d; b.now < end0; n++ {
-			for _, s := range only[Send](b.step(beat, call(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
-				TimerFired{beatToken})) {
+			for _, s := range only[Send](b.step(tickInterval, call(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
+				TimerFired{tickToken})) {
 				if s.Worker == "w1" {
 					cold = append(cold, b.now)
 				}
@@ -402,7 +402,7 @@
 		return cold
 	}
 	serve(5 * time.Second) // about 100 calls a second on one warm worker
-	rate := float64(b.r.perWeight)
+	rate := float64(b.r.throughputPerWeight)
 	b.step(0, WorkerList{Workers: []Worker{
 		{ID: "w1", State: Ready, Weight: 1, Started: b.now},
 		{ID: "w0", State: Draining},
@@ -440,12 +440,12 @@
 	n := 0
 	var cold []time.Duration
 	step := func(calls int) {
-		events := []Event{TimerFired{beatToken}}
+		events := []Event{TimerFired{tickToken}}
 		for range calls {
 			events = append(events, call(fmt.Sprint("r", n), fmt.Sprint("f", n%50)))
 			n++
 		}
-		for _, s := range only[Send](b.step(beat, events...)) {
+		for _, s := range only[Send](b.step(tickInterval, events...)) {
 			if s.Worker == "w1" {
 				cold = append(cold, b.now)
 			}
@@ -455,12 +455,12 @@
 	for range 500 { // about 100 calls a second on one warm worker
 		step(1)
 	}
-	rate := float64(b.r.perWeight)
+	rate := float64(b.r.throughputPerWeight)
 	b.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: b.now}, {ID: "w0", State: Draining}}})
 	started := b.now
 	for range 6 { // a few calls begin a window, most come around its end
 		step(1)
-		for b.now < b.r.workers["w1"].quotaTill-12*beat {
+		for b.now < b.r.workers["w1"].slowStartQuotaUntil-12*tickInterval {
 			step(0)
 		}
 		for range 24 {
@@ -480,7 +480,7 @@
 		change(&set)
 		b := newBed(t, set, Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
 		for i := range 5 {
-			acts := b.step(beat, call(fmt.Sprint("r", i), "f"))
+			acts := b.step(tickInterval, call(fmt.Sprint("r", i), "f"))
 			if len(only[Send](acts)) != 1 {
 				t.Fatalf("%s: call %d is not sent", name, i)
 			}
@@ -493,7 +493,7 @@
 	b := newBed(t, settings(), fleet(2)...)
 	s := b.send("a", "f")
 	b.step(50*ms, end(s, 0, Served))
-	p := b.r.funcs["f"].pair(b.r.workers[s.Worker])
+	p := b.r.functions["f"].placementAt(b.r.workers[s.Worker])
 	if !b.r.isWarm(p) {
 		t.Fatal("not believed warm after a served answer")
 	}
@@ -512,7 +512,7 @@
 			b.now += 4 * time.Second // a lull: the window's edge then passes over a dense stretch of calls
 		}
 		f := fmt.Sprint("f", i%40)
-		acts := b.step(5*ms, call(fmt.Sprint("r", i), f), TimerFired{beatToken})
+		acts := b.step(5*ms, call(fmt.Sprint("r", i), f), TimerFired{tickToken})
 		calls = append(calls, b.now)
 		for _, l := range only[Load](acts) {
 			orders = append(orders, b.now)
@@ -599,8 +599,8 @@
 			q.Class = class
 			s := only[Send](b.step(ms, q))[0]
 			b.step(ms, end(s, 0, Served))
-			b.r.funcs["f"].mean.Set(b.r.now, 0.3-b.r.set.Classes[class].LatencyObjective.Seconds())
-			b.r.outWork = c.ahead * b.r.lanes
+			b.r.functions["f"].serviceTimeExcess.Set(b.r.now, 0.3-b.r.settings.Classes[class].LatencyObjective.Seconds())
+			b.r.inFlightWork = c.ahead * b.r.capacity
 			q.ID = "b"
 			if got := len(only[Reject](b.step(ms, q))) > 0; got != c.refused {
 				t.Errorf("class %d with %v s ahead: refused %v, want %v", class, c.ahead, got, c.refused)
@@ -641,14 +641,14 @@
 	b.send("b", "f")
 	b.send("c", "f")
 	b.wait(1500 * ms)
-	if w := b.r.workers[s.Worker]; !w.suspect {
+	if w := b.r.workers[s.Worker]; !w.ejected {
 		t.Fatal("two overdue calls and no answer: not suspect")
 	}
 	if d := b.send("d", "f"); d.Worker == s.Worker {
 		t.Error("a suspect worker got another call at once")
 	}
 	b.step(ms, end(Send{ID: "b", Worker: s.Worker}, 0, Served))
-	if b.r.workers[s.Worker].suspect {
+	if b.r.workers[s.Worker].ejected {
 		t.Error("still suspect after an answer")
 	}
 }
@@ -659,7 +659,7 @@
 	b.step(50*ms, end(s, 0, Served))
 	b.send("heavy", "f")
 	b.wait(1500 * ms)
-	if b.r.workers[s.Worker].suspect {
+	if b.r.workers[s.Worker].ejected {
 		t.Error("one overdue call made its worker suspect")
 	}
 }
@@ -675,7 +675,7 @@
 	}
 	b.step(ms, WorkerList{Kind: ListChanges, Workers: []Worker{{ID: "w49", State: Gone}, ready("stays", 0)}})
 	b.wait(10 * time.Second)
-	if n, m, p := len(b.r.list), len(b.r.workers), len(b.r.funcs["f"].pairs); n != 1 || m != 1 || p > 1 {
+	if n, m, p := len(b.r.workerList), len(b.r.workers), len(b.r.functions["f"].placements); n != 1 || m != 1 || p > 1 {
 		t.Errorf("%d and %d workers and %d pairs are kept, want those of one worker", n, m, p)
 	}
 	if s := b.send("last", "f"); s.Worker != "stays" {
@@ -694,8 +694,8 @@
 		}
 		b.step(100*ms, end(second, 0, ConnectFailed))
 		w := b.r.workers["w0"]
-		if w.suspect == answered || (w.life == 0) != answered {
-			t.Errorf("answered meanwhile %v: suspect %v, life %d", answered, w.suspect, w.life)
+		if w.ejected == answered || (w.incarnation == 0) != answered {
+			t.Errorf("answered meanwhile %v: suspect %v, life %d", answered, w.ejected, w.incarnation)
 		}
 	}
 }
@@ -723,7 +723,7 @@
 	s := b.send("a", "f")
 	b.step(ms, end(s, 5, Shed), end(s, -1, Shed))
 	b.step(ms, end(s, 0, Served), end(s, 0, Served))
-	if n := len(b.r.workers[s.Worker].outs); n != 0 {
+	if n := len(b.r.workers[s.Worker].inFlight); n != 0 {
 		t.Errorf("%d attempts counted as out after the only one ended twice", n)
 	}
 }
@@ -785,7 +785,7 @@
 			}
 		}
 		now += time.Duration(rng.IntN(8)+2) * ms
-		events = []Event{TimerFired{beatToken}}
+		events = []Event{TimerFired{tickToken}}
 		for _, id := range order {
 			q := held[id]
 			if !q.done && now > q.end+s.AnswerSlack {
@@ -908,7 +908,7 @@
 // warmUp has a bed answer calls of many functions, so that it knows what warm workers do.
 func (b *bed) warmUp(calls int, gap time.Duration) {
 	for i := range calls {
-		acts := b.step(gap, call(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{beatToken})
+		acts := b.step(gap, call(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
 		for _, s := range only[Send](acts) {
 			b.step(0, end(s, 0, Served))
 		}
@@ -928,7 +928,7 @@
 			b.step(0, WorkerList{Kind: ListCached, Workers: fleet(4)})
 			b.warmUp(50, time.Second)
 			b.step(ms, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: b.now}}})
-			budget += b.r.set.OverloadMultiple * b.r.set.SlowStartFraction * float64(b.r.perWeight) * b.r.set.OverloadDuration.Seconds()
+			budget += b.r.settings.OverloadMultiple * b.r.settings.SlowStartFraction * float64(b.r.throughputPerWeight) * b.r.settings.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more calls than the worker may get
 				for k := range 10 { // new functions: a fifth of them have the new worker as their first
 					id := fmt.Sprint("c", i, "-", k)
@@ -969,7 +969,7 @@
 				b.step(0, end(s, 0, Served))
 			}
 		}
-		hot, rare := b.r.homes(b.r.funcs["hot"]), b.r.homes(b.r.funcs["f198"])
+		hot, rare := b.r.preferredWorkers(b.r.functions["hot"]), b.r.preferredWorkers(b.r.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
 			t.Fatalf("%d homes for half of all calls and %d for a rare function, want many and 1", len(hot), len(rare))
 		}
@@ -996,12 +996,12 @@
 				if a == w {
 					e.Latency, e.Report.Utilization = took, util
 				}
-				b.r.feel(&attempt{w: a}, e)
+				b.r.observeLoad(&attempt{worker: a}, e)
 			}
 		}
 		gone := map[string]bool{}
 		for i := range 100 {
-			if f := (&function{name: fmt.Sprint("f", i)}); b.r.left(f.pair(w)) {
+			if f := (&function{name: fmt.Sprint("f", i)}); b.r.isDisplaced(f.placementAt(w)) {
 				gone[f.name] = true
 			}
 		}
@@ -1056,8 +1056,8 @@
 func TestStallRaisesNoSuspicion(t *testing.T) {
 	b := newBed(t, settings(), fleet(1)...)
 	one, two := b.send("one", "f"), b.send("two", "f")
-	acts := b.step(2*time.Second, TimerFired{beatToken}, end(one, 0, Served), end(two, 0, Served))
-	if w := b.r.workers[one.Worker]; w.suspect {
+	acts := b.step(2*time.Second, TimerFired{tickToken}, end(one, 0, Served), end(two, 0, Served))
+	if w := b.r.workers[one.Worker]; w.ejected {
 		t.Error("suspect, though its answers came in the same batch")
 	}
 	if got := only[Cancel](acts); len(got) > 0 {
@@ -1072,15 +1072,15 @@
 	}), fleet(1)...)
 	b.now += time.Minute
 	b.step(0)
-	if b.r.shares.Exceeded(b.r.now, 0) {
+	if b.r.tenantQuotas.Exceeded(b.r.now, 0) {
 		t.Error("the first call in a minute is past its share")
 	}
-	if !b.r.shares.Exceeded(b.r.now, 0) {
+	if !b.r.tenantQuotas.Exceeded(b.r.now, 0) {
 		t.Error("a second call at once is within a share of 0.2 a second")
 	}
 	b.now += 6 * time.Second
 	b.step(0)
-	if b.r.shares.Exceeded(b.r.now, 0) {
+	if b.r.tenantQuotas.Exceeded(b.r.now, 0) {
 		t.Error("past its share after 6 s at 0.2 a second")
 	}
 }
@@ -1111,7 +1111,7 @@
 func TestLeavesOutOnTheWordOfOthers(t *testing.T) {
 	b := lit(t, 8)
 	b.step(0, believed("w3"))
-	if b.r.workers["w3"].suspect {
+	if b.r.workers["w3"].ejected {
 		t.Error("left out though it has just answered")
 	}
 	b.wait(2 * time.Second)
@@ -1120,28 +1120,28 @@
 	}
 	for i := range 40 {
 		s := b.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
-		if s.Worker == "w3" && b.r.workers["w3"].tries == 0 {
+		if s.Worker == "w3" && b.r.workers["w3"].probes == 0 {
 			t.Fatal("sent to a worker that is left out")
 		}
 		b.step(ms, end(s, 0, Served))
 	}
-	if !b.r.workers["w3"].suspect {
+	if !b.r.workers["w3"].ejected {
 		t.Error("not left out")
 	}
 	b.step(0, PeerReports{Cleared: []string{"w3"}})
-	if w := b.r.workers["w3"]; b.r.now < w.tryAt {
+	if w := b.r.workers["w3"]; b.r.now < w.probationAt {
 		t.Error("not tried at once though another has had an answer")
 	}
 	b = lit(t, 8)
 	b.wait(2 * time.Second)
 	b.step(0, believed("w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7"))
 	out := 0
-	for _, w := range b.r.list {
-		if w.suspect {
+	for _, w := range b.r.workerList {
+		if w.ejected {
 			out++
 		}
 	}
-	if out == len(b.r.list) {
+	if out == len(b.r.workerList) {
 		t.Error("all workers are left out on the word of others")
 	}
 }
@@ -1158,7 +1158,7 @@
 		}
 		b.step(ms, end(s, 0, Served))
 	}
-	if b.r.workers["w0"].suspect {
+	if b.r.workers["w0"].ejected {
 		t.Error("left out on the word of one")
 	}
 	b.wait(2 * time.Second)
@@ -1223,16 +1223,16 @@
 func TestKeepsWhoIsNeeded(t *testing.T) {
 	b := lit(t, 4)
 	b.wait(2 * time.Second)
-	for _, w := range b.r.list {
-		w.limit = 2
-		w.outs = make([]*attempt, 1) // half of the lanes of each are taken
-		defer func() { w.outs = nil }()
+	for _, w := range b.r.workerList {
+		w.concurrencyLimit = 2
+		w.inFlight = make([]*attempt, 1) // half of the lanes of each are taken
+		defer func() { w.inFlight = nil }()
 	}
 	b.r.now += time.Millisecond
-	b.r.survey()
-	b.r.heed(believed("w0", "w1", "w2", "w3"))
-	for _, w := range b.r.list {
-		if w.suspect {
+	b.r.refreshCapacity()
+	b.r.applyPeerReports(believed("w0", "w1", "w2", "w3"))
+	for _, w := range b.r.workerList {
+		if w.ejected {
 			t.Errorf("%s is left out though half of all lanes are taken", w.ID)
 		}
 	}
@@ -1244,15 +1244,15 @@
 	s := b.send("a", "f")
 	b.step(50*ms, end(s, 0, Served))
 	met := b.r.workers[s.Worker]
-	other := b.r.list[0]
+	other := b.r.workerList[0]
 	if other == met {
-		other = b.r.list[1]
+		other = b.r.workerList[1]
 	}
 	if !b.r.busier(other, met) || b.r.busier(met, other) {
 		t.Error("a worker that was never met is taken before one that was")
 	}
-	b.wait(b.r.set.InstanceKeepAlive + time.Second)
-	if b.r.load(met) != b.r.load(other) {
+	b.wait(b.r.settings.InstanceKeepAlive + time.Second)
+	if b.r.relativeLoad(met) != b.r.relativeLoad(other) {
 		t.Error("a worker counts as met for ever")
 	}
 }
--- a/routing/rules.go
+++ b/routing/rules.go
@@ -6,48 +6,49 @@
 )
 
 // maySend is the choke point of rules 2 to 4 for attempts: whether this request may go to this worker now.
-func (r *Router) maySend(q *request, w *worker) bool {
-	if q.done || r.now >= q.end || len(q.attempts) >= r.set.MaxAttempts || w.State != Ready ||
-		q.out > 0 && !r.set.HedgingAllowed {
+func (r *Router) mayAttempt(q *request, w *worker) bool {
+	if q.answered || r.now >= q.expiresAt || len(q.attempts) >= r.settings.MaxAttempts || w.State != Ready ||
+		q.inFlight > 0 && !r.settings.HedgingAllowed {
 		return false
 	}
-	a := q.mayHaveRun()
+	a := q.firstPossiblyExecuted()
 	if a != nil && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentByKey &&
-		(r.now-a.sent >= q.class.DeduplicationWindow-r.set.Tick ||
-			!sameGroup(q.class.DeduplicationScope, a.w, w))) {
+		(r.now-a.sentAt >= q.class.DeduplicationWindow-r.settings.Tick ||
+			!sharesDeduplication(q.class.DeduplicationScope, a.worker, w))) {
 		return false
 	}
-	return r.coldRoom(w)
+	return r.withinSlowStartBudget(w)
 }
 
-func sameGroup(s DeduplicationScope, a, b *worker) bool {
+func sharesDeduplication(s DeduplicationScope, a, b *worker) bool {
 	return s == ScopeAll || s == ScopeZone && a.Zone == b.Zone || s == ScopeCell && a.Cell == b.Cell
 }
 
 // mayHaveRun is the first attempt that is not known never to have run.
-func (q *request) mayHaveRun() *attempt {
-	if i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.proved }); i >= 0 {
+func (q *request) firstPossiblyExecuted() *attempt {
+	if i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.neverRan }); i >= 0 {
 		return q.attempts[i]
 	}
 	return nil
 }
 
 // hopeful reports whether some further attempt could be allowed at all.
-func (r *Router) hopeful(q *request) bool {
-	a := q.mayHaveRun()
-	if len(q.attempts) >= r.set.MaxAttempts || a == nil || q.class.Idempotency == Idempotent {
-		return len(q.attempts) < r.set.MaxAttempts
-	}
-	return q.class.Idempotency == IdempotentByKey && r.now-a.sent < q.class.DeduplicationWindow-r.set.Tick &&
-		slices.ContainsFunc(r.list, func(w *worker) bool {
-			return w.State == Ready && sameGroup(q.class.DeduplicationScope, a.w, w)
+func (r *Router) retryAllowed(q *request) bool {
+	a := q.firstPossiblyExecuted()
+	if len(q.attempts) >= r.settings.MaxAttempts || a == nil || q.class.Idempotency == Idempotent {
+		return len(q.attempts) < r.settings.MaxAttempts
+	}
+	return q.class.Idempotency == IdempotentByKey &&
+		r.now-a.sentAt < q.class.DeduplicationWindow-r.settings.Tick &&
+		slices.ContainsFunc(r.workerList, func(w *worker) bool {
+			return w.State == Ready && sharesDeduplication(q.class.DeduplicationScope, a.worker, w)
 		})
 }
 
 // failedAt reports whether the last attempt went to this worker and may have run: the next goes elsewhere.
-func (q *request) failedAt(w *worker) bool {
+func (q *request) lastFailedAt(w *worker) bool {
 	n := len(q.attempts)
-	return n > 0 && q.attempts[n-1].w == w && !q.attempts[n-1].proved
+	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
 }
 
 // coldRoom keeps a cold worker's budget, where one is told: in each window that could tip it, this scheduler
@@ -55,96 +56,101 @@
 // Where all are cold it is guessed from what they answer themselves, as ripe as they are: together all
 // schedulers never send more than a multiple, below the one that tips, of what was answered. It begins at one
 // call at a time, answered within the least aim.
-func (r *Router) coldRoom(w *worker) bool {
-	if !r.isCold(w) || r.set.OverloadMultiple == 0 || r.set.OverloadDuration == 0 {
+func (r *Router) withinSlowStartBudget(w *worker) bool {
+	if !r.isWarmingUp(w) || r.settings.OverloadMultiple == 0 || r.settings.OverloadDuration == 0 {
 		return true
 	}
-	rate, span := float64(r.perWeight), r.set.OverloadDuration
-	if r.allCold {
-		rate, span = max(rate, 1/r.leastAim/float64(r.set.Schedulers)), min(span, time.Second)
+	rate, span := float64(r.throughputPerWeight), r.settings.OverloadDuration
+	if r.allWarmingUp {
+		rate, span = max(rate, 1/r.minObjective/float64(r.settings.Schedulers)), min(span, time.Second)
 	}
-	if r.now >= w.quotaTill {
+	if r.now >= w.slowStartQuotaUntil {
 		// Shares under one call would add up if rounded: each scheduler draws whether it has one.
-		budget := coldMargin * r.set.OverloadMultiple * span.Seconds() * r.ripeness(w) * w.Weight * rate
+		budget := slowStartBudgetMargin * r.settings.OverloadMultiple * span.Seconds() *
+			r.slowStartFactor(w) * w.Weight * rate
 		// Most such draws are lost on workers that nothing is for just then. While calls come as usual one is
 		// let through by chance, so that a worker that is called coldEven times as much as others bears it,
 		// and where there are hundreds the home of a function that is called much.
-		usual := r.allCalls * r.fade(r.lastCall) /
-			(widthTau * r.set.InstanceKeepAlive.Seconds() * max(r.size, 1))
-		even := max(coldEven, coldTop*r.size)
+		usual := r.requestWeight * r.decayFactor(r.lastRequestAt) /
+			(spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds() * max(r.activeWeight, 1))
+		even := max(minSlowStartSkew, slowStartSkewPerWeight*r.activeWeight)
 		chance := budget / (span.Seconds() * even * max(rate, usual) * w.Weight)
-		w.quota = int(max(budget, min(chance, 1)) + r.rng.Float64())
-		w.quotaTill = r.now + span
+		w.slowStartQuota = int(max(budget, min(chance, 1)) + r.rng.Float64())
+		w.slowStartQuotaUntil = r.now + span
 	}
 	// Any window counts, wherever it begins, and what waited for a connection comes close to what follows.
-	w.sentCold = slices.DeleteFunc(w.sentCold, func(at time.Duration) bool { return r.now-at >= span+span/8 })
-	return len(w.sentCold) < w.quota
+	w.slowStartSends = slices.DeleteFunc(w.slowStartSends,
+		func(at time.Duration) bool { return r.now-at >= span+span/8 })
+	return len(w.slowStartSends) < w.slowStartQuota
 }
 
 // ripeness is the share of its capacity that a worker can be counted on for.
-func (r *Router) ripeness(w *worker) float64 {
-	if !r.isCold(w) {
+func (r *Router) slowStartFactor(w *worker) float64 {
+	if !r.isWarmingUp(w) {
 		return 1
 	}
-	elapsed := max(0, (r.now-w.Started).Seconds()/r.set.SlowStartDuration.Seconds())
-	return r.set.SlowStartFraction + (1-r.set.SlowStartFraction)*elapsed
+	elapsed := max(0, (r.now-w.Started).Seconds()/r.settings.SlowStartDuration.Seconds())
+	return r.settings.SlowStartFraction + (1-r.settings.SlowStartFraction)*elapsed
 }
 
 // isCold reports whether a worker has started so lately that it can do only part of its work.
-func (r *Router) isCold(w *worker) bool {
-	return w.Started > 0 && r.now-w.Started < r.set.SlowStartDuration
+func (r *Router) isWarmingUp(w *worker) bool {
+	return w.Started > 0 && r.now-w.Started < r.settings.SlowStartDuration
 }
 
 // send is the only place that starts an attempt.
-func (r *Router) send(q *request, w *worker, warm bool) bool {
-	if r.now < r.blindTill || !r.maySend(q, w) {
+func (r *Router) startAttempt(q *request, w *worker, warm bool) bool {
+	if r.now < r.endpointsStaleUntil || !r.mayAttempt(q, w) {
 		return false
 	}
-	p, within := q.fn.pair(w), time.Duration(0)
-	if first := q.mayHaveRun(); first != nil && q.class.Idempotency == IdempotentByKey {
-		within = first.sent + q.class.DeduplicationWindow - r.set.Tick - r.now
+	p, within := q.function.placementAt(w), time.Duration(0)
+	if first := q.firstPossiblyExecuted(); first != nil && q.class.Idempotency == IdempotentByKey {
+		within = first.sentAt + q.class.DeduplicationWindow - r.settings.Tick - r.now
+	}
+	a := &attempt{
+		request: q, number: len(q.attempts), worker: w, placement: p, sentAt: r.now,
+		work: r.serviceTime(q.function), cold: !warm,
 	}
-	a := &attempt{q: q, n: len(q.attempts), w: w, p: p, sent: r.now, cost: r.service(q.fn), cold: !warm}
 	aim := q.class.LatencyObjective.Seconds()
-	patience := min(max(overdueAims*aim, overdueMeans*a.cost), aim)
+	patience := min(max(overdueObjectiveFraction*aim, overdueMeanMultiple*a.work), aim)
 	if a.cold {
-		patience += overdueLoads * r.loadTime(q.fn)
-		if p.life != w.life || !p.loading {
-			p.life, p.warm, p.copies, p.loading = w.life, false, 1, true
+		patience += overdueLoadMultiple * r.loadTime(q.function)
+		if p.incarnation != w.incarnation || !p.loading {
+			p.incarnation, p.warm, p.instances, p.loading = w.incarnation, false, 1, true
 		}
 	}
-	a.late = r.now + seconds(patience)
+	a.overdueAt = r.now + durationOf(patience)
 	q.attempts = append(q.attempts, a)
-	q.out++
-	p.out++
-	w.outs = append(w.outs, a)
+	q.inFlight++
+	p.inFlight++
+	w.inFlight = append(w.inFlight, a)
 	if a.cold {
-		w.loads++
+		w.loadsWaiting++
 	} else {
-		r.outWork += a.cost
+		r.inFlightWork += a.work
 	}
-	if r.isCold(w) {
-		w.sentCold = append(w.sentCold, r.now)
+	if r.isWarmingUp(w) {
+		w.slowStartSends = append(w.slowStartSends, r.now)
 	}
-	if w.suspect {
-		w.tries++
-		w.tryAt = r.now + r.pause(w)
+	if w.ejected {
+		w.probes++
+		w.probationAt = r.now + r.probationDelay(w)
 	}
-	r.act(Send{q.ID, w.ID, max(q.end-r.now-r.set.Tick, time.Millisecond), within})
+	r.emit(Send{q.ID, w.ID, max(q.expiresAt-r.now-r.settings.Tick, time.Millisecond), within})
 	return true
 }
 
 // order is the only place that orders a load. All orders with a count above 0 are rationed.
-func (r *Router) order(w *worker, f *function) {
-	if !r.set.LoadAllowed || w.State != Ready || f.pair(w).ordered {
+func (r *Router) orderLoad(w *worker, f *function) {
+	if !r.settings.LoadAllowed || w.State != Ready || f.placementAt(w).loadOrdered {
 		return
 	}
 	// A call may have come up to a tick before its batch: those near the window's edge are left out.
-	if r.set.LoadBudgetWindow > 0 &&
-		!r.loads.Allow(r.now, r.set.LoadBudgetWindow, r.set.Tick+beat,
-			r.set.LoadBudgetBase, r.set.LoadBudgetPerRequest) {
+	if r.settings.LoadBudgetWindow > 0 &&
+		!r.loadBudget.Allow(r.now, r.settings.LoadBudgetWindow, r.settings.Tick+tickInterval,
+			r.settings.LoadBudgetBase, r.settings.LoadBudgetPerRequest) {
 		return
 	}
-	f.pair(w).ordered = true
-	r.act(Load{w.ID, f.name, 1})
+	f.placementAt(w).loadOrdered = true
+	r.emit(Load{w.ID, f.name, 1})
 }
