--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"calicohill/internal/stats/decay"
-	"calicohill/internal/stats/sorted"
 )
 
 func (r *Router) applyEndpoints(e WorkerList) {
@@ -24,7 +23,7 @@
 		if w == nil {
 			w = &worker{Worker: in, concurrencyLimit: r.initialLimit(), lastAnswerAt: r.now}
 			r.workers[in.ID] = w
-			r.workerList = sorted.Insert(r.workerList, w, func(w *worker) string { return w.ID })
+			r.workerList = insertSorted(r.workerList, w, func(w *worker) string { return w.ID })
 			continue
 		}
 		if in.Started != w.Started && in.Started > 0 {
--- a/routing/learn.go
+++ b/routing/feedback.go
@@ -172,13 +172,3 @@
 		p.warm, p.incarnation, p.warmAt, p.instances = true, w.incarnation, r.now, e.Instances
 	}
 }
-
-// errsOf is the share of a worker's late answers that are errors. It fades: that they have ceased is told by
-// nothing but new calls.
-func (r *Router) errorRate(w *worker) float64 {
-	return w.errorShare.At(r.now, r.settings.InstanceKeepAlive)
-}
-
-func (r *Router) recordError(w *worker) {
-	w.errorShare.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
-}
--- a/routing/choice.go
+++ b/routing/picker.go
@@ -125,12 +125,6 @@
 	return q.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 && r.isUnhealthy(w)
 }
 
-// ill reports whether a worker answers errors, or seems ill to others and has not answered here lately.
-func (r *Router) isUnhealthy(w *worker) bool {
-	return r.errorRate(w) > maxErrorRate || w.verdict > NotReported &&
-		r.now-w.lastAnswerAt > ownObservationLifetime
-}
-
 // hashOrder is the order of the workers for a function, the same at every scheduler (rendezvous hashing). A
 // worker comes first for as many functions as its size warrants.
 func (r *Router) rendezvousOrder(f *function) []*worker {
@@ -179,30 +173,6 @@
 	return math.Exp(-(r.now - at).Seconds() / (spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds()))
 }
 
-func (r *Router) functionFor(e Request) *function {
-	f := r.functions[e.Function]
-	if f == nil {
-		f = &function{name: e.Function, lastRequestAt: r.now}
-		r.functions[e.Function] = f
-	}
-	f.class, f.concurrency, f.pool = e.Class, max(e.Concurrency, 1), e.Pool
-	f.declaredLoadTime = cmp.Or(max(0, e.LoadTime), f.declaredLoadTime)
-	f.requestWeight, f.lastRequestAt = f.requestWeight*r.decayFactor(f.lastRequestAt)+1, r.now
-	r.requestWeight, r.lastRequestAt = r.requestWeight*r.decayFactor(r.lastRequestAt)+1, r.now
-	return f
-}
-
-func (f *function) placementAt(w *worker) *placement {
-	if i := slices.IndexFunc(f.placements, func(p *placement) bool { return p.worker == w }); i >= 0 {
-		return f.placements[i]
-	}
-	f.placements = append(f.placements, &placement{
-		worker: w, instances: 1,
-		stickiness: rendezvous.Uniform(w.ID, f.name),
-	})
-	return f.placements[len(f.placements)-1]
-}
-
 // isWarm reports whether a copy is believed to stand: it was found within the least keep-alive, in this
 // life of the worker.
 func (r *Router) isWarm(p *placement) bool {
--- a/routing/state.go
+++ b/routing/state.go
@@ -8,8 +8,6 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// What a Router holds of workers, functions and requests. Nothing is decided here.
-
 // A Router decides for one scheduler. It is not safe for concurrent use.
 type Router struct {
 	settings                  Settings
@@ -56,70 +54,21 @@
 	}, nil
 }
 
-type worker struct {
-	Worker
-	loadsWaiting                   int // attempts of ours that wait for a load: they hold no lane
-	inFlight                       []*attempt
-	concurrencyLimit               float64     // how many that hold a lane may be there
-	incarnation                    int         // counts restarts; beliefs of an earlier life are void
-	pressureExcess                 decay.Value // above what others are pressed
-	peerInFlight                   float64     // requests of other schedulers
-	ejected                        bool
-	verdict                        PeerVerdict // what other schedulers hold of it
-	reportedFault                  Fault       // what they were told of it last, as seen at seenAt
-	probes, consecutiveSheds       int         // trials since it became suspect; refusals in a row
-	errorShare, latencyExcess      decay.Value // running share of errors in its answers; excess of its latencies
-	connectionBreaks               int         // times that connections broke with no answer since
-	lastBreakAt, reportedAt        time.Duration
-	lastAnswerAt, probationAt      time.Duration
-	answeredAt                     time.Duration   // when it answered last; 0 if it never did
-	backoffUntil, loadBackoffUntil time.Duration   // it gets nothing new, or no new load, until then
-	slowStartQuota                 int             // calls that it may be sent in a window while cold, until quotaTill
-	slowStartSends                 []time.Duration // when it was sent those of the latest window
-	slowStartQuotaUntil, removedAt time.Duration
-}
-
-type function struct {
-	name                            string
-	class, concurrency              int
-	orderVersion                    int           // of the list that order was made from
-	served                          bool          // some worker answered it
-	pool                            *Pool         // of the workers that may have it
-	requestWeight                   float64       // decaying
-	serviceTimeExcess               decay.Value   // excess of the running mean of served latencies over the aim, in seconds
-	slowestLatency                  decay.Peak    // slowest recent one
-	declaredLoadTime, lastRequestAt time.Duration // told: usual time of a load
-	placements                      []*placement
-	workerOrder                     []*worker
-}
-
-// pair is what is known of a function at a worker.
-type placement struct {
-	worker                           *worker
-	incarnation, instances, inFlight int
-	warm                             bool
-	warmAt                           time.Duration // when last found warm
-	stickiness                       float64       // 0 to 1: the least pressed is the first to leave
-	loading, loadOrdered             bool          // a load that a call began, or that was ordered, is under way
-}
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-type request struct {
-	Request
-	class                              *Class
-	function                           *function
-	expiresAt, dueAt                   time.Duration // when the client gives up; the deadline that orders the queue
-	halfwayAt                          time.Duration // half of the client's time, less what a look may be late
-	attempts                           []*attempt
-	inFlight                           int
-	answered, streaming, reachedWorker bool // reached: some attempt came as far as a worker
-}
+func durationOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-type attempt struct {
-	request                           *request
-	number                            int
-	worker                            *worker
-	placement                         *placement
-	sentAt, overdueAt                 time.Duration // late: when it is overdue
-	work                              float64
-	cold, ended, superseded, neverRan bool // proved: it never ran
+// survey counts the usable lanes, and what share of them is taken.
+func (r *Router) refreshCapacity() {
+	r.utilization, r.capacity, r.healthyWorkers = 0, 0, 0
+	for _, w := range r.workerList {
+		if r.eligible(w) {
+			if !r.isUnhealthy(w) {
+				r.healthyWorkers++
+			}
+			r.utilization += float64(len(w.inFlight) - w.loadsWaiting)
+			r.capacity += w.concurrencyLimit
+		}
+	}
+	r.utilization /= max(r.capacity, 1)
 }
