--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,74 +1,88 @@
 package routing
 
 import (
-	"math"
 	"slices"
 )
 
-// admit refuses a request whose estimated finish passes its deadline, never with nothing ahead.
+// admit queues a request, or rejects it where its estimated finish passes its deadline, the work ahead makes
+// it late, its worker is under pressure, or its tenant is over quota. A deadline rejects none with nothing
+// ahead.
 func (r *Router) admit(e Request) {
 	if e.Class < 0 || e.Class >= len(r.settings.Classes) || r.requests[e.ID] != nil {
 		return
 	}
-	c := &r.settings.Classes[e.Class]
-	q := &request{
-		Request: e, class: c, function: r.functionFor(e), expiresAt: r.now + e.TimeLeft,
-		dueAt: r.now + min(e.TimeLeft, c.Deadline), halfwayAt: r.now + e.TimeLeft/2 - 2*tickInterval,
-	}
-	r.requests[e.ID] = q
+	req := r.newRequest(e)
+	r.requests[e.ID] = req
 	r.loadBudget.RecordArrival(r.now, r.settings.LoadBudgetWindow)
-	// Where a worker has room for this one, only what is out is ahead of it, not what waits for room.
-	w, warm := r.pick(q)
-	ahead := r.inFlightWork
-	if w == nil {
-		ahead = r.workAhead(q.dueAt)
-	}
-	wait := ahead / max(r.capacity, 1)
-	finish := wait + r.serviceTime(q.function)
-	if !warm && (w != nil || !slices.ContainsFunc(q.function.placements, r.isWarm)) {
-		finish += r.loadTime(q.function)
+	target, warm := r.pick(req)
+	// Where a worker has capacity for this one, only what is in flight is ahead of it, not what is queued.
+	work := r.inFlightWork
+	if target == nil {
+		work = r.workAhead(req.dueAt)
 	}
-	// A departure: the call that would begin a load is let in, or slow loads would be refused for ever.
-	begun := slices.ContainsFunc(q.function.placements, func(p *placement) bool {
-		return r.isWarm(p) ||
-			p.loading
-	})
-	hopeless := ahead > 0 && r.now+durationOf(finish) > q.dueAt && (begun || w == nil)
-	// A departure: the work ahead makes it late by the shortest aim. Against the deadline alone queues grow
-	// till every answer is late. One bound, or short aims would starve. Harm: where late worth is high.
-	late := c.LateValue < 1 && wait+min(r.serviceTime(q.function), r.minObjective/2) > r.minObjective
-	// What others have ahead of it shows in how pressed its worker is.
-	share := 0.0
-	if w != nil {
-		share = (r.pressure(w) - 1 - rejectPressureExcess) / rejectPressureExcess
-		late = late || r.rng.Float64() < min(share, maxRejectProbability)*math.Pow(r.peerShare, 4)
+	missesDeadline := work > 0 && r.missesDeadline(req, target, warm, work)
+	overload := 0.0
+	if target != nil {
+		overload = (r.pressure(target) - 1 - rejectPressureExcess) / rejectPressureExcess
 	}
-	// Traffic past its tenant's share is worth little: it makes way as soon as anything has to wait.
+	// What peers have in flight ahead of it shows in the pressure of its worker.
+	shed := r.missesObjective(req, work) ||
+		target != nil && r.rng.Float64() < min(overload, maxRejectProbability)*r.peerInfluence()
+	// Requests over their tenant's quota are worth little: they give way as soon as anything has to wait.
 	overQuota := r.tenantQuotas.Exceeded(r.now, e.Tenant)
-	if hopeless || late || overQuota && (len(r.queue) > 0 || share > 0) {
-		if next, ok := e.forFallbackPool(); ok {
-			delete(r.requests, e.ID)
-			r.admit(next)
-			return
-		}
-		r.rejectOrFail(q)
+	if missesDeadline || shed || overQuota && (len(r.queue) > 0 || overload > 0) {
+		r.divertOrReject(req)
+		return
+	}
+	r.enqueue(req)
+}
+
+// missesDeadline reports whether a request with so many seconds of work ahead would end after its deadline.
+func (r *Router) missesDeadline(req *request, target *worker, warm bool, work float64) bool {
+	finish := work/max(r.capacity, 1) + r.serviceTime(req.function)
+	if !warm && (target != nil || !slices.ContainsFunc(req.function.placements, r.isWarm)) {
+		finish += r.loadTime(req.function)
+	}
+	// A departure from the SCORPIO design: the request that would begin a load is admitted, or functions
+	// that load slowly would be rejected for ever.
+	loadBegun := slices.ContainsFunc(req.function.placements, func(p *placement) bool {
+		return r.isWarm(p) || p.loading
+	})
+	return r.now+durationOf(finish) > req.dueAt && (loadBegun || target == nil)
+}
+
+// missesObjective reports whether the work ahead makes a request late by the shortest latency objective.
+//
+// A departure from the SCORPIO design, which looks at the deadline alone: then queues grow until every
+// answer is late. The bound is the same for all classes, or those with short objectives would starve. Harm:
+// where late answers are worth much.
+func (r *Router) missesObjective(req *request, work float64) bool {
+	wait := work / max(r.capacity, 1)
+	return req.class.LateValue < 1 &&
+		wait+min(r.serviceTime(req.function), r.minObjective/2) > r.minObjective
+}
+
+// divertOrReject admits a request to the fallback of its pool, and rejects it if there is none.
+func (r *Router) divertOrReject(req *request) {
+	if next, ok := req.forFallbackPool(); ok {
+		delete(r.requests, req.ID)
+		r.admit(next)
 		return
 	}
-	r.enqueue(q)
+	r.rejectOrFail(req)
 }
 
-// finish is the only place that ends a request unserved: with a refusal if that is known to be harmless,
-// and a failure otherwise.
-func (r *Router) rejectOrFail(q *request) {
-	if q.answered {
+// rejectOrFail is the only place that ends a request unserved: with a rejection if a repeat is known to be
+// harmless, and with a failure otherwise.
+func (r *Router) rejectOrFail(req *request) {
+	if req.answered {
 		return
 	}
-	a := q.firstPossiblyExecuted()
-	if a == nil || q.class.Idempotency == Idempotent ||
-		q.class.Idempotency == IdempotentByKey && q.class.DeduplicationScope == ScopeAll {
-		r.emit(Reject{q.ID, r.retryAfter()})
+	if req.firstPossiblyExecuted() == nil || req.class.Idempotency == Idempotent ||
+		req.class.Idempotency == IdempotentByKey && req.class.DeduplicationScope == ScopeAll {
+		r.emit(Reject{req.ID, r.retryAfter()})
 	} else {
-		r.emit(Fail{q.ID})
+		r.emit(Fail{req.ID})
 	}
-	r.complete(q)
+	r.complete(req)
 }
--- /dev/null
+++ b/routing/dispatch.go
@@ -0,0 +1,59 @@
+package routing
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// start sets the timer of the sweep and subscribes to the endpoint list, in the first Step alone.
+func (r *Router) start(now time.Duration) {
+	if r.started {
+		return
+	}
+	r.started = true
+	r.servedSince = now
+	r.emit(SetTimer{tickInterval, tickToken})
+	if r.settings.SubscriptionRequired {
+		r.emit(Subscribe{true})
+	}
+}
+
+// handle applies one event of a Step at this time.
+func (r *Router) handle(now time.Duration, event Event) {
+	switch e := event.(type) {
+	case WorkerList:
+		r.applyEndpoints(e)
+	case Request:
+		r.admit(e)
+	case StreamStarted:
+		if q := r.requests[e.ID]; q != nil {
+			q.streaming = true
+		}
+	case AttemptEnded:
+		r.attemptEnded(e)
+	case ClientCanceled:
+		if q := r.requests[e.ID]; q != nil {
+			r.complete(q)
+		}
+	case LoadEnded:
+		r.loadEnded(e)
+	case PeerReports:
+		r.applyPeerReports(e)
+	case EndpointsStale:
+		r.endpointsStaleUntil = now + e.Duration
+	case StateRestored:
+		r.restoreState(e.State)
+	case PoolsChanged:
+		r.membershipVersion++
+	case Shutdown:
+		r.shutdown()
+	}
+}
+
+// shutdown gives every open request its final answer.
+func (r *Router) shutdown() {
+	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
+		r.rejectOrFail(r.requests[id])
+	}
+}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -3,14 +3,13 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"calicohill/internal/stats/decay"
 )
 
 func (r *Router) applyEndpoints(e WorkerList) {
 	if e.Kind == ListFailed {
-		r.resubscribeAt = r.now + time.Second
+		r.resubscribeAt = r.now + resubscribeDelay
 		return
 	}
 	r.membershipVersion++
@@ -64,3 +63,8 @@
 			!slices.ContainsFunc(r.queue, func(q *request) bool { return q.function == f })
 	})
 }
+
+// initialLimit is the concurrency limit of a worker of which nothing is known.
+func (r *Router) initialLimit() float64 {
+	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
+}
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -1,174 +1,193 @@
 package routing
 
-import (
-	"cmp"
-	"slices"
-)
+import "cmp"
 
-// ended takes in how an attempt ended, and holds the request again if it may be tried once more.
+// attemptEnded learns from how an attempt ended, and queues its request again if that may be retried.
 func (r *Router) attemptEnded(e AttemptEnded) {
-	q := r.requests[e.ID]
-	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.attempts) || q.attempts[e.Attempt].ended {
+	req := r.requests[e.ID]
+	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
 		return
 	}
-	a := q.attempts[e.Attempt]
-	w, p, f := a.worker, a.placement, q.function
-	a.ended = true
-	q.reachedWorker = q.reachedWorker || e.Outcome != ConnectFailed && e.Outcome != NotSent
-	a.neverRan = e.Outcome == Shed || e.Outcome == ConnectFailed || e.Outcome == NotSent ||
-		e.Outcome == NotLoaded
-	q.inFlight--
-	p.inFlight--
-	w.inFlight = slices.DeleteFunc(w.inFlight, func(b *attempt) bool { return b == a })
-	if a.cold {
-		w.loadsWaiting--
-	} else if r.inFlightWork -= a.work; r.inFlightWork < 1e-9 {
-		r.inFlightWork = 0
-	}
-	p.loading = p.loading && !(a.cold && p.inFlight == 0)
+	a := req.attempts[e.Attempt]
+	a.neverRan = provesNotRun(e.Outcome)
+	req.reachedWorker = req.reachedWorker || e.Outcome != ConnectFailed && e.Outcome != NotSent
+	r.recordEnd(a)
 	if e.Report != nil && e.Report.InFlight >= 0 {
-		w.peerInFlight += workerMeanWeight * (max(0, e.Report.InFlight-float64(len(w.inFlight))) -
-			w.peerInFlight)
+		peers := max(0, e.Report.InFlight-float64(len(a.worker.inFlight)))
+		a.worker.peerInFlight += workerMeanWeight * (peers - a.worker.peerInFlight)
 	}
 	r.observeLoad(a, e)
+	r.recordOutcome(a, e)
+	switch {
+	case e.RequestAnswered || req.answered:
+		r.complete(req)
+	case req.streaming && req.inFlight == 0:
+		r.rejectOrFail(req)
+	case req.inFlight == 0:
+		r.enqueue(req) // drainQueue ends it if it is too late for another attempt
+	}
+}
+
+// recordOutcome learns what the outcome of an attempt says of its worker and function.
+func (r *Router) recordOutcome(a *attempt, e AttemptEnded) {
 	switch e.Outcome {
 	case Served:
 		r.recordServed(a, e)
 	case Shed:
-		// A warm call met a full queue, a cold one perhaps a want of memory: the worker, or just new loads
-		// there, is left alone for part of a service time, doubling, or held calls use up their attempts.
-		r.recordAnswer(w)
-		w.consecutiveSheds = min(w.consecutiveSheds+1, 4)
-		pause := r.now + durationOf(r.serviceTime(f)/shedBackoffDivisor)<<w.consecutiveSheds
-		if w.loadBackoffUntil = max(w.loadBackoffUntil, pause); !a.cold {
-			w.backoffUntil = max(w.backoffUntil, pause)
-			w.concurrencyLimit = max(minLimit, w.concurrencyLimit*limitDecreaseFactor)
-		}
+		r.recordShed(a)
 	case NotLoaded, Errored:
-		r.recordAnswer(w)
-		if e.Outcome == Errored && f.served { // a function that no worker knows tells nothing of this one
-			r.recordError(w)
+		r.recordAnswer(a.worker)
+		// An error for a function that no worker knows says nothing of this worker.
+		if e.Outcome == Errored && a.request.function.served {
+			r.recordError(a.worker)
 		}
 		if e.Outcome == NotLoaded || e.StartType == LoadFailed {
-			p.warm, p.loading = false, false
+			a.placement.warm = false
+			a.placement.loading = false
 		}
 	case TimedOut:
-		if r.recordLostAnswer(a, hedgeCreditPerTimeout); w.lastAnswerAt < a.sentAt {
-			r.reportFault(w, Unresponsive, a.sentAt)
+		r.recordLostAnswer(a, hedgeCreditPerTimeout)
+		if a.worker.lastAnswerAt < a.sentAt {
+			r.reportFault(a.worker, Unresponsive, a.sentAt)
 		}
 	case Canceled:
-		if a.superseded { // the other was answered first
-			r.recordLostAnswer(a, 1)
+		if a.superseded { // the other attempt was answered first
+			r.recordLostAnswer(a, hedgeCreditPerHedge)
 		}
 	case ConnectionReset:
-		// A connection that broke says little of its worker: an answer that cannot be read ends it too, and
-		// after a death the next is refused. One that breaks time and again with no answer between is ill.
-		if w.lastBreakAt < r.now { // what was lost with one connection counts once
-			w.connectionBreaks++
-		}
-		if w.lastBreakAt = r.now; w.connectionBreaks >= maxConnectionBreaks {
-			r.eject(w)
-			r.reportFault(w, Unreachable, r.now)
-		}
+		r.recordReset(a.worker)
 	case ConnectFailed:
-		// It died or cannot be reached, and what it held is gone, unless it answered elsewhere meanwhile.
-		if w.lastAnswerAt <= a.sentAt {
-			w.incarnation++
-			r.eject(w)
-			r.reportFault(w, Unreachable, r.now)
-		}
+		r.recordConnectFailure(a)
 	}
-	switch {
-	case e.RequestAnswered || q.answered:
-		r.complete(q)
-	case q.streaming && q.inFlight == 0:
-		r.rejectOrFail(q)
-	case q.inFlight == 0:
-		r.enqueue(q) // release ends it if it is too late for another attempt
+}
+
+// recordShed backs off from a worker. A request for a warm instance met a full queue, one that needed a load
+// perhaps a lack of memory: the worker, or just new loads there, is left alone for part of a service time,
+// doubling, or queued requests use up their attempts.
+func (r *Router) recordShed(a *attempt) {
+	w := a.worker
+	r.recordAnswer(w)
+	w.consecutiveSheds = min(w.consecutiveSheds+1, maxShedDoublings)
+	until := r.now + durationOf(r.serviceTime(a.request.function)/shedBackoffDivisor)<<w.consecutiveSheds
+	w.loadBackoffUntil = max(w.loadBackoffUntil, until)
+	if !a.cold {
+		w.backoffUntil = max(w.backoffUntil, until)
+		w.concurrencyLimit = max(minLimit, w.concurrencyLimit*limitDecreaseFactor)
 	}
 }
 
-// feel takes in what the end of an attempt tells of how pressed its worker is. One that never came was a
-// late one; that of a call which may have waited for a load tells of no queue.
+// recordReset counts a broken connection. One says little of its worker: an answer that cannot be read
+// breaks it too, and after a crash the next connection is refused. A worker whose connections break time and
+// again with no answer between is unhealthy.
+func (r *Router) recordReset(w *worker) {
+	if w.lastBreakAt < r.now { // what was lost with one connection counts once
+		w.connectionBreaks++
+	}
+	w.lastBreakAt = r.now
+	if w.connectionBreaks >= maxConnectionBreaks {
+		r.eject(w)
+		r.reportFault(w, Unreachable, r.now)
+	}
+}
+
+// recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
+// unless it answered elsewhere meanwhile.
+func (r *Router) recordConnectFailure(a *attempt) {
+	if a.worker.lastAnswerAt > a.sentAt {
+		return
+	}
+	a.worker.incarnation++
+	r.eject(a.worker)
+	r.reportFault(a.worker, Unreachable, r.now)
+}
+
+// observeLoad learns from the end of an attempt under how much pressure its worker is. An answer that never
+// came counts as a late one; a latency that may include a load says nothing of a queue.
 func (r *Router) observeLoad(a *attempt, e AttemptEnded) {
-	took := cmp.Or(e.Latency, r.now-a.sentAt).Seconds() / r.minObjective
-	x := min(took, 1)
+	objectives := cmp.Or(e.Latency, r.now-a.sentAt).Seconds() / r.minObjective
+	sample := min(objectives, 1)
 	if e.Report != nil && e.Report.Utilization >= 0 {
-		x = e.Report.Utilization
+		sample = e.Report.Utilization
 	}
 	switch {
 	case e.Outcome == TimedOut || e.Outcome == Canceled && a.superseded:
-		x = 1 + took
+		sample = 1 + objectives
 	case e.Outcome == Shed && !a.cold:
-		x = shedPressure
+		sample = shedPressure
 	case e.Outcome == Served && !a.cold:
-		x += took
+		sample += objectives
 	case e.Report == nil:
 		return
 	default:
-		x += idleLatencyPressure
+		sample += idleLatencyPressure
 	}
-	usual, old := min(r.meanPressure, leavePressureStart), a.worker.pressureExcess.At(r.now,
-		r.settings.InstanceKeepAlive)
-	a.worker.pressureExcess.Set(r.now, old+workerMeanWeight*(x-usual-old))
-	r.meanPressure += fleetMeanWeight * (x - r.meanPressure)
+	usual := min(r.meanPressure, leavePressureStart)
+	excess := a.worker.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
+	a.worker.pressureExcess.Set(r.now, excess+workerMeanWeight*(sample-usual-excess))
+	r.meanPressure += fleetMeanWeight * (sample - r.meanPressure)
 }
 
+// recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
 func (r *Router) recordAnswer(w *worker) {
-	if w.lastAnswerAt, w.answeredAt, w.connectionBreaks = r.now, r.now, 0; w.ejected {
-		w.ejected, w.probes, w.concurrencyLimit = false, 0, max(minLimit, min(w.concurrencyLimit, 2))
-	}
-	t := Healthy
+	w.lastAnswerAt = r.now
+	w.answeredAt = r.now
+	w.connectionBreaks = 0
+	if w.ejected {
+		w.ejected = false
+		w.probes = 0
+		w.concurrencyLimit = max(minLimit, min(w.concurrencyLimit, readmissionLimit))
+	}
+	fault := Healthy
 	if r.errorRate(w) > maxErrorRate {
-		t = Failing
+		fault = Failing
 	} else if r.latencyRatio(w) > slowLatencyRatio {
-		t = Slow
+		fault = Slow
 	}
-	r.reportFault(w, t, r.now)
+	r.reportFault(w, fault, r.now)
 }
 
-// learn takes in a served answer.
+// recordServed learns from a served answer.
 func (r *Router) recordServed(a *attempt, e AttemptEnded) {
-	w, p, f := a.worker, a.placement, a.request.function
+	w, p, fn := a.worker, a.placement, a.request.function
 	r.recordAnswer(w)
-	lat := cmp.Or(e.Latency, r.now-a.sentAt).Seconds()
 	if p.incarnation != w.incarnation {
 		p.instances = 1
 	}
-	p.incarnation, p.warm, p.warmAt, p.loading = w.incarnation, true, r.now, false
-	w.consecutiveSheds, f.served = 0, true
+	p.setWarm(r.now)
+	p.loading = false
+	w.consecutiveSheds = 0
+	fn.served = true
 	w.errorShare.Set(r.now, r.errorRate(w)*(1-errorRateWeight))
 	if r.allWarmingUp || !r.isWarmingUp(w) {
 		r.servedAnswers++
 	}
-	f.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, lat)
+	latency := cmp.Or(e.Latency, r.now-a.sentAt).Seconds()
+	fn.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
 	if e.StartType > WarmStart || e.StartType == StartUnknown && a.cold {
 		return
 	}
 	if e.InFlightForFunction >= 0 {
-		p.instances = max(1, (e.InFlightForFunction+f.concurrency)/f.concurrency)
-	}
-	r.meanLatency = cmp.Or(r.meanLatency, lat)
-	w.latencyExcess.Set(r.now, r.latencyRatio(w)+workerMeanWeight*(lat/r.meanLatency-r.latencyRatio(w))-1)
-	r.meanLatency += fleetMeanWeight * (lat - r.meanLatency)
-	f.serviceTimeExcess.Set(r.now, r.serviceTime(f)+functionMeanWeight*(lat-r.serviceTime(f))-
-		r.settings.Classes[f.class].LatencyObjective.Seconds())
-	aim := a.request.class.LatencyObjective.Seconds()
-	switch {
-	case lat > limitObjectiveFraction*aim:
-		w.concurrencyLimit = max(minLimit, w.concurrencyLimit*limitDecreaseFactor)
-	case lat < limitObjectiveFraction/2*aim && float64(len(w.inFlight)+1) >= w.concurrencyLimit/2:
-		w.concurrencyLimit = min(maxLimit, w.concurrencyLimit+1/w.concurrencyLimit)
+		p.instances = max(1, (e.InFlightForFunction+fn.concurrency)/fn.concurrency)
 	}
+	r.recordWarmLatency(a, latency)
 }
 
-func (r *Router) loadEnded(e LoadEnded) {
-	w, f := r.workers[e.Worker], r.functions[e.Function]
-	if w == nil || f == nil {
-		return
-	}
-	p := f.placementAt(w)
-	if p.loadOrdered = false; e.Outcome == Served && e.Instances > 0 {
-		p.warm, p.incarnation, p.warmAt, p.instances = true, w.incarnation, r.now, e.Instances
+// recordWarmLatency learns from the latency, in seconds, of an answer of a warm instance.
+func (r *Router) recordWarmLatency(a *attempt, latency float64) {
+	w, fn := a.worker, a.request.function
+	r.meanLatency = cmp.Or(r.meanLatency, latency)
+	ratio := r.latencyRatio(w)
+	w.latencyExcess.Set(r.now, ratio+workerMeanWeight*(latency/r.meanLatency-ratio)-1)
+	r.meanLatency += fleetMeanWeight * (latency - r.meanLatency)
+	mean := r.serviceTime(fn)
+	fn.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
+		r.settings.Classes[fn.class].LatencyObjective.Seconds())
+	objective := a.request.class.LatencyObjective.Seconds()
+	limit := w.concurrencyLimit
+	switch {
+	case latency > limitObjectiveFraction*objective:
+		w.concurrencyLimit = max(minLimit, limit*limitDecreaseFactor)
+	case latency < limitObjectiveFraction/2*objective && float64(len(w.inFlight)+1) >= limit/2:
+		w.concurrencyLimit = min(maxLimit, limit+1/limit)
 	}
 }
--- a/routing/function.go
+++ b/routing/function.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 	"time"
 
@@ -9,50 +10,125 @@
 	"calicohill/internal/stats/rendezvous"
 )
 
+// function is what is known of a function.
 type function struct {
-	name                            string
-	class, concurrency              int
-	orderVersion                    int           // of the list that order was made from
-	served                          bool          // some worker answered it
-	pool                            *Pool         // of the workers that may have it
-	requestWeight                   float64       // decaying
-	serviceTimeExcess               decay.Value   // excess of the running mean of served latencies over the aim, in seconds
-	slowestLatency                  decay.Peak    // slowest recent one
-	declaredLoadTime, lastRequestAt time.Duration // told: usual time of a load
-	placements                      []*placement
-	workerOrder                     []*worker
-}
-
-// pair is what is known of a function at a worker.
+	name              string
+	class             int           // index in Settings.Classes, of its latest request
+	concurrency       int           // requests that an instance runs at a time
+	pool              *Pool         // workers that may have it; nil means all
+	declaredLoadTime  time.Duration // usual time of a load as requests say; 0 if unknown
+	requestWeight     float64       // count of its requests, decaying; as of lastRequestAt
+	lastRequestAt     time.Duration
+	served            bool        // some worker answered it
+	serviceTimeExcess decay.Value // running mean of latencies over the class's objective, in seconds
+	slowestLatency    decay.Peak  // the slowest recent one, in seconds
+	placements        []*placement
+	workerOrder       []*worker // rendezvous order
+	orderVersion      int       // Router.membershipVersion that workerOrder was made from
+}
+
+// placement is what is known of a function at a worker.
 type placement struct {
-	worker                           *worker
-	incarnation, instances, inFlight int
-	warm                             bool
-	warmAt                           time.Duration // when last found warm
-	stickiness                       float64       // 0 to 1: the least pressed is the first to leave
-	loading, loadOrdered             bool          // a load that a call began, or that was ordered, is under way
+	worker      *worker
+	incarnation int           // of the worker, that warm, loading and instances hold for
+	warm        bool          // the function was found loaded
+	warmAt      time.Duration // when that was last so
+	instances   int           // loaded instances, at least 1
+	inFlight    int           // attempts of ours
+	loading     bool          // a load that a request began is under way
+	loadOrdered bool          // a load that was ordered is under way
+	stickiness  float64       // 0 to 1: the placements with the least are the first to leave a worker under pressure
 }
 
+// loadedPlacements is what there is of a function at the workers that a request may be sent to.
+type loadedPlacements struct {
+	free     *placement // the best one with a free slot
+	shortest *placement // the one with the shortest queue of our requests, where all slots are taken
+	exists   bool       // the function is loaded or loading at some worker
+}
+
+// functionFor returns the record of a request's function, which it makes if needed, and counts the request.
 func (r *Router) functionFor(e Request) *function {
-	f := r.functions[e.Function]
-	if f == nil {
-		f = &function{name: e.Function, lastRequestAt: r.now}
-		r.functions[e.Function] = f
+	fn := r.functions[e.Function]
+	if fn == nil {
+		fn = &function{name: e.Function, lastRequestAt: r.now}
+		r.functions[e.Function] = fn
 	}
-	f.class, f.concurrency, f.pool = e.Class, max(e.Concurrency, 1), e.Pool
-	f.declaredLoadTime = cmp.Or(max(0, e.LoadTime), f.declaredLoadTime)
-	f.requestWeight, f.lastRequestAt = f.requestWeight*r.decayFactor(f.lastRequestAt)+1, r.now
-	r.requestWeight, r.lastRequestAt = r.requestWeight*r.decayFactor(r.lastRequestAt)+1, r.now
-	return f
+	fn.class = e.Class
+	fn.concurrency = max(e.Concurrency, 1)
+	fn.pool = e.Pool
+	fn.declaredLoadTime = cmp.Or(max(0, e.LoadTime), fn.declaredLoadTime)
+	fn.requestWeight = fn.requestWeight*r.decayFactor(fn.lastRequestAt) + 1
+	fn.lastRequestAt = r.now
+	r.requestWeight = r.requestWeight*r.decayFactor(r.lastRequestAt) + 1
+	r.lastRequestAt = r.now
+	return fn
+}
+
+// decayFactor is what is left of a count of requests as of an earlier time, 0 to 1.
+func (r *Router) decayFactor(countedAt time.Duration) float64 {
+	return math.Exp(-(r.now - countedAt).Seconds() / (spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds()))
 }
 
+// placementAt returns the record of a function at a worker, which it makes if needed.
 func (f *function) placementAt(w *worker) *placement {
-	if i := slices.IndexFunc(f.placements, func(p *placement) bool { return p.worker == w }); i >= 0 {
+	i := slices.IndexFunc(f.placements, func(p *placement) bool { return p.worker == w })
+	if i >= 0 {
 		return f.placements[i]
 	}
-	f.placements = append(f.placements, &placement{
-		worker: w, instances: 1,
-		stickiness: rendezvous.Uniform(w.ID, f.name),
-	})
-	return f.placements[len(f.placements)-1]
+	p := &placement{worker: w, instances: 1, stickiness: rendezvous.Uniform(w.ID, f.name)}
+	f.placements = append(f.placements, p)
+	return p
+}
+
+// setWarm notes that the function was found loaded, in the worker's present incarnation.
+func (p *placement) setWarm(now time.Duration) {
+	p.warm = true
+	p.incarnation = p.worker.incarnation
+	p.warmAt = now
+}
+
+// loadEnded learns from the answer to an order to load.
+func (r *Router) loadEnded(e LoadEnded) {
+	w, fn := r.workers[e.Worker], r.functions[e.Function]
+	if w == nil || fn == nil {
+		return
+	}
+	p := fn.placementAt(w)
+	p.loadOrdered = false
+	if e.Outcome == Served && e.Instances > 0 {
+		p.setWarm(r.now)
+		p.instances = e.Instances
+	}
+}
+
+// serviceTime is the running mean of a function's latencies at warm instances, in seconds. It starts at the
+// latency objective of its class and decays back to it while no answers come.
+func (r *Router) serviceTime(fn *function) float64 {
+	return r.settings.Classes[fn.class].LatencyObjective.Seconds() +
+		fn.serviceTimeExcess.At(r.now, r.settings.InstanceKeepAlive)
+}
+
+// loadTime estimates the time of a load, in seconds: as declared, else the function's slowest recent
+// latency, else the latency objective of its class.
+func (r *Router) loadTime(fn *function) float64 {
+	slowest := fn.slowestLatency.Within(r.now, 2*r.settings.InstanceKeepAlive)
+	if fn.declaredLoadTime == 0 && slowest > 0 {
+		return slowest
+	}
+	return cmp.Or(fn.declaredLoadTime, r.settings.Classes[fn.class].LatencyObjective).Seconds()
+}
+
+// rendezvousOrder is the order of the workers for a function, the same at every scheduler (rendezvous
+// hashing). A worker comes first for as many functions as its weight warrants.
+func (r *Router) rendezvousOrder(fn *function) []*worker {
+	if fn.orderVersion != r.membershipVersion {
+		ready := slices.DeleteFunc(slices.Clone(r.workerList), func(w *worker) bool {
+			return w.State != Ready || !fn.pool.Has(w.ID)
+		})
+		identity := func(w *worker) (string, float64) { return w.ID, w.Weight }
+		fn.workerOrder = rendezvous.Order(fn.name, ready, identity)
+		fn.orderVersion = r.membershipVersion
+	}
+	return fn.workerOrder
 }
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -1,63 +1,71 @@
 package routing
 
-import "time"
-
-// watch looks for a worker that takes work and answers nothing: two attempts overdue and no answer since the
-// older went out; one alone may be a heavy request. Covers cut links, hangs and lost machines. Harm: a very
-// slow worker loses its traffic until a trial is answered. What is out there is tried elsewhere.
+// checkOverdue ejects a worker that takes requests and answers none: two attempts are overdue, and there was
+// no answer since the older was sent; one alone may be an expensive request. This covers network partitions,
+// hangs and lost machines. Its attempts are retried or hedged elsewhere. Harm: a very slow worker loses its
+// traffic until a probe is answered.
 func (r *Router) checkOverdue(w *worker) {
-	overdue, newest := 0, time.Duration(0)
-	for _, a := range w.inFlight {
-		if r.now >= a.overdueAt && w.lastAnswerAt < a.sentAt {
-			overdue++
-			newest = a.sentAt
-		}
-	}
-	if overdue > 0 { // where one alone proves little, others may have one too
+	overdue, newest := w.unanswered(r.now)
+	if overdue > 0 { // where one alone proves little, peers may have one too
 		r.reportFault(w, Unresponsive, newest)
 	}
-	if overdue >= 2 {
+	if overdue >= overdueToEject {
 		r.eject(w)
 	}
-	ill := w.State == Gone || w.ejected
+	gone := w.State == Gone
+	unavailable := gone || w.ejected
 	for _, a := range w.inFlight {
+		late := r.now >= a.overdueAt
 		switch {
 		case a.superseded:
-		case ill && (w.State == Gone || r.now >= a.overdueAt || overdue >= 2):
+		case unavailable && (gone || late || overdue >= overdueToEject):
 			r.hedgeOrRetry(a, false)
-		case !ill && r.now >= a.overdueAt && w.lastAnswerAt > a.sentAt && r.hedgeCredit > 0 &&
-			r.utilization <= maxSpillUtilization:
-			// A departure: the answer to one call may be lost where others get theirs. Where that was seen
-			// lately, a few are tried elsewhere too, at a copy that stands and while lanes are free. Harm: a
-			// heavy call runs twice.
-			if r.hedgeOrRetry(a, true); a.superseded {
-				r.hedgeCredit--
-			}
+		case !unavailable && late && w.lastAnswerAt > a.sentAt:
+			r.hedgeSingle(a)
 		}
 	}
 }
 
-// missed takes in that the answer to a call never came, though its worker answered others.
-func (r *Router) recordLostAnswer(a *attempt, more int) {
-	if w := a.worker; !w.ejected && w.lastAnswerAt > a.sentAt {
-		r.hedgeCredit = min(r.hedgeCredit+more, maxHedgeCredit)
+// hedgeSingle hedges one overdue attempt at a worker that answers others.
+//
+// A departure from the SCORPIO design: the answer to one request may be lost where others get theirs. Where
+// that was seen lately, a few are tried elsewhere too, at a warm instance and while there is capacity. Harm:
+// an expensive request runs twice.
+func (r *Router) hedgeSingle(a *attempt) {
+	if r.hedgeCredit <= 0 || r.utilization > maxSpillUtilization {
+		return
+	}
+	r.hedgeOrRetry(a, true)
+	if a.superseded {
+		r.hedgeCredit--
+	}
+}
+
+// recordLostAnswer notes that the answer to an attempt never came though its worker answered others, and
+// allows this many more hedges for it.
+func (r *Router) recordLostAnswer(a *attempt, credit int) {
+	w := a.worker
+	if !w.ejected && w.lastAnswerAt > a.sentAt {
+		r.hedgeCredit = min(r.hedgeCredit+credit, maxHedgeCredit)
 		r.recordError(w)
 	}
 }
 
-// rescue gives an attempt up for another elsewhere, where the class allows one; with beside only for one
-// beside it where a copy stands.
-func (r *Router) hedgeOrRetry(a *attempt, beside bool) {
-	q := a.request
-	if q.answered || q.streaming || q.inFlight > 1 || !r.retryAllowed(q) ||
-		q.class.Idempotency == NonIdempotent {
+// hedgeOrRetry starts another attempt elsewhere in place of one in flight, where the class allows that: a
+// hedge beside it where hedging is allowed, else a cancellation that leads to a retry. With hedgeOnly it
+// starts nothing but a hedge at a warm instance.
+func (r *Router) hedgeOrRetry(a *attempt, hedgeOnly bool) {
+	req := a.request
+	if req.answered || req.streaming || req.inFlight > 1 || !r.retryAllowed(req) ||
+		req.class.Idempotency == NonIdempotent {
 		return
 	}
-	if !r.settings.HedgingAllowed && r.settings.CancelAllowed && !beside {
+	if r.settings.HedgingAllowed {
+		target, warm := r.pick(req)
+		a.superseded = target != nil && target != a.worker && (warm || !hedgeOnly) &&
+			r.startAttempt(req, target, warm)
+	} else if r.settings.CancelAllowed && !hedgeOnly {
 		a.superseded = true
-		r.emit(Cancel{q.ID, a.number})
-	} else if r.settings.HedgingAllowed {
-		w, warm := r.pick(q)
-		a.superseded = w != nil && w != a.worker && (warm || !beside) && r.startAttempt(q, w, warm)
+		r.emit(Cancel{req.ID, a.number})
 	}
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -5,59 +5,60 @@
 	"time"
 )
 
-// ill reports whether a worker answers errors, or seems ill to others and has not answered here lately.
+// eligible reports whether a worker may get requests: an ejected one gets only one probe at a time.
+func (r *Router) eligible(w *worker) bool {
+	return w.State == Ready && (!w.ejected || len(w.inFlight) == 0 && r.now >= w.probationAt)
+}
+
+// isUnhealthy reports whether a worker answers errors, or peers report it and it did not answer here lately.
 func (r *Router) isUnhealthy(w *worker) bool {
 	return r.errorRate(w) > maxErrorRate || w.verdict > NotReported &&
 		r.now-w.lastAnswerAt > ownObservationLifetime
 }
 
-// errsOf is the share of a worker's late answers that are errors. It fades: that they have ceased is told by
-// nothing but new calls.
-func (r *Router) errorRate(w *worker) float64 {
-	return w.errorShare.At(r.now, r.settings.InstanceKeepAlive)
-}
-
-func (r *Router) recordError(w *worker) {
-	w.errorShare.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
-}
-
-// usable reports whether a worker may get work: a suspect one only a single trial at a time.
-func (r *Router) eligible(w *worker) bool {
-	return w.State == Ready && (!w.ejected || len(w.inFlight) == 0 && r.now >= w.probationAt)
-}
-
-// doubt makes a worker suspect: it gets nothing but trials until it answers.
+// eject takes a worker out of use: it gets nothing but probes until it answers.
 func (r *Router) eject(w *worker) {
-	if !w.ejected {
-		w.ejected, w.probes, w.probationAt = true, 0, r.now+r.probationDelay(w)
+	if w.ejected {
+		return
 	}
+	w.ejected = true
+	w.probes = 0
+	w.probationAt = r.now + r.probationDelay(w)
 }
 
-// pause is how long a suspect worker is left alone. Where others find it ill too they take turns at it.
+// probationDelay is how long an ejected worker is left alone before a probe. Where peers find it unhealthy
+// too, the delays are spread at random, so that schedulers take turns.
 func (r *Router) probationDelay(w *worker) time.Duration {
 	if w.verdict == Confirmed {
-		return durationOf((0.5 + r.rng.Float64()) * (baseProbationDelay << maxProbationDoublings).Seconds())
+		longest := (baseProbationDelay << maxProbationDoublings).Seconds()
+		return durationOf((minProbationJitter + r.rng.Float64()) * longest)
 	}
 	return baseProbationDelay << min(w.probes, maxProbationDoublings)
 }
 
-// observe says what this scheduler itself finds of a worker, where there are others to tell.
-func (r *Router) reportFault(w *worker, t Fault, at time.Duration) {
-	if r.settings.FaultReporting && (t != w.reportedFault ||
-		at-w.reportedAt > ownObservationLifetime/4 && (t != Healthy || w.verdict > NotReported)) {
-		w.reportedFault, w.reportedAt = t, at
-		r.emit(ReportFault{w.ID, t, at})
+// reportFault reports to peers what this scheduler itself finds of a worker: at once when that changes, and
+// again from time to time with newer evidence.
+func (r *Router) reportFault(w *worker, fault Fault, observedAt time.Duration) {
+	if !r.settings.FaultReporting {
+		return
+	}
+	worthRepeating := fault != Healthy || w.verdict > NotReported
+	if fault != w.reportedFault || observedAt-w.reportedAt > reportRefreshInterval && worthRepeating {
+		w.reportedFault = fault
+		w.reportedAt = observedAt
+		r.emit(ReportFault{w.ID, fault, observedAt})
 	}
 }
 
-// heed takes in what other schedulers hold of the workers. One that enough find ill is left out as if found
-// silent here, unless it answered here lately or the rest could not carry what is out.
+// applyPeerReports takes in what peers report of the workers. One that enough of them find unhealthy is
+// ejected as if found unresponsive here, unless it answered here lately or the rest could not carry the
+// load.
 func (r *Router) applyPeerReports(e PeerReports) {
 	for _, w := range r.workerList {
 		w.verdict = e.Verdicts[w.ID]
-		rest := r.capacity - w.concurrencyLimit
+		remaining := r.capacity - w.concurrencyLimit
 		if w.verdict == Confirmed && r.now-w.lastAnswerAt > ownObservationLifetime &&
-			r.utilization*r.capacity < maxSpillUtilization*rest {
+			r.utilization*r.capacity < maxSpillUtilization*remaining {
 			r.eject(w)
 			r.refreshCapacity()
 		}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -4,195 +4,192 @@
 	"cmp"
 	"math"
 	"slices"
-	"time"
-
-	"calicohill/internal/stats/rendezvous"
 )
 
-// pick chooses the worker for a request: one where its function was last found warm, while fewer of ours
-// are out there than its lanes; else the less busy of the first two with room in the function's hash order.
-func (r *Router) pick(q *request) (w *worker, warm bool) {
-	f := q.function
-	var best, turn *placement // a copy with a free lane; one with the shortest queue of ours
-	stands := false
-	home := r.preferredWorkers(f)
-	// What others call often too is taken to stand at its homes, though no answer told this scheduler so.
-	known := len(home) > 1 &&
-		float64(r.settings.Schedulers-1)*f.requestWeight/spreadKeepAlives >=
-			presumedWarmRequests*float64(len(home))
-	good := func(p *placement) bool { return r.isWarm(p) || known && slices.Contains(home, p.worker) }
-	for _, p := range f.placements {
-		if !p.loading && !good(p) || r.isDisplaced(p) || !r.accepts(q, p.worker) {
-			continue
+// pick chooses the worker for a request, and reports whether the function is believed to be loaded there:
+// one where it is, while fewer of our requests are in flight there than it runs at a time, else the less
+// busy of the first two with capacity in the function's rendezvous order. It returns nil if the request has
+// to wait.
+func (r *Router) pick(req *request) (target *worker, warm bool) {
+	loaded := r.findLoaded(req)
+	if loaded.free != nil {
+		return loaded.free.worker, r.isWarm(loaded.free)
+	}
+	// A departure from the SCORPIO design: a loaded instance is waited for where that takes less time than a
+	// load elsewhere, or loads evict instances, which then load again. Harm: where declared load times are
+	// longer than real ones.
+	if next := loaded.shortest; next != nil {
+		if !r.isWarm(next) {
+			return nil, false // its load is under way: what waits here blocks no worker if the load is slow
 		}
-		stands = true
-		if !r.hasCapacity(q, p.worker) {
+		if r.waitForSlot(next, req.function) < r.loadTime(req.function) {
+			return next.worker, true
+		}
+	}
+	// A departure from the SCORPIO design: with most capacity in use, a function that is loaded somewhere
+	// waits for capacity there, against load storms in overload. Harm: one much called function in a fleet
+	// that is busy with long requests spreads late.
+	if loaded.exists && r.utilization > maxSpillUtilization {
+		return nil, false
+	}
+	target = r.pickForLoad(req, loaded.exists)
+	return target, target != nil && r.isWarm(req.function.placementAt(target))
+}
+
+// findLoaded looks through the workers where a function is loaded or loading.
+func (r *Router) findLoaded(req *request) loadedPlacements {
+	var found loadedPlacements
+	presumed := r.presumedWarm(req.function)
+	loaded := func(p *placement) bool { return r.isWarm(p) || slices.Contains(presumed, p.worker) }
+	for _, place := range req.function.placements {
+		if !place.loading && !loaded(place) || r.isDisplaced(place) || !r.accepts(req, place.worker) {
 			continue
 		}
-		if p.inFlight >= p.instances*f.concurrency {
-			if turn == nil || p.inFlight*turn.instances < turn.inFlight*p.instances {
-				turn = p
-			}
+		found.exists = true
+		if !r.hasCapacity(req, place.worker) {
 			continue
 		}
-		if best == nil || good(p) && !good(best) ||
-			good(p) == good(best) && r.busier(best.worker, p.worker) {
-			best = p
+		if place.inFlight >= place.instances*req.function.concurrency {
+			found.shortest = shorterQueue(found.shortest, place)
+		} else if best := found.free; best == nil || loaded(place) && !loaded(best) ||
+			loaded(place) == loaded(best) && r.busier(best.worker, place.worker) {
+			found.free = place
 		}
 	}
-	if best != nil {
-		return best.worker, r.isWarm(best)
-	}
-	// A departure: a turn at the copy that stands is waited for where that takes less than a load elsewhere,
-	// or loads push out copies, whose calls load again. Harm: where told loads are slower than real ones.
-	if turn != nil {
-		lanes := float64(turn.instances * f.concurrency)
-		if !r.isWarm(turn) {
-			return nil, false // its load is under way: what waits here clogs no worker if the load is slow
-		}
-		if (float64(turn.inFlight)-lanes+1)/lanes*r.serviceTime(f) < r.loadTime(f) {
-			return turn.worker, true
-		}
+	return found
+}
+
+// shorterQueue returns the placement with fewer requests of ours for each instance; the first may be nil.
+func shorterQueue(best, next *placement) *placement {
+	if best == nil || next.inFlight*best.instances < best.inFlight*next.instances {
+		return next
 	}
-	// A departure: with most lanes taken, what stands somewhere waits for room there, against load storms in
-	// overload. Harm: one much called function in a fleet busy with long calls spreads late.
-	if stands && r.utilization > maxSpillUtilization {
-		return nil, false
+	return best
+}
+
+// presumedWarm returns the workers where a function is taken to be loaded though no answer told this
+// scheduler so: its preferred workers, if peers call it often.
+func (r *Router) presumedWarm(fn *function) []*worker {
+	preferred := r.preferredWorkers(fn)
+	peerRequests := float64(r.settings.Schedulers-1) * fn.requestWeight / spreadKeepAlives
+	if len(preferred) > 1 && peerRequests >= presumedWarmRequests*float64(len(preferred)) {
+		return preferred
 	}
-	// The first copy of all goes to the first with room, so that the store is asked once.
+	return nil
+}
+
+// waitForSlot estimates the wait for a slot of a placement whose slots are all taken, in seconds.
+func (r *Router) waitForSlot(p *placement, fn *function) float64 {
+	slots := float64(p.instances * fn.concurrency)
+	return (float64(p.inFlight) - slots + 1) / slots * r.serviceTime(fn)
+}
+
+// pickForLoad chooses the worker that loads a function: the less busy of the first two with capacity in its
+// rendezvous order. The very first instance goes to the first with capacity, so that the store is asked
+// once. If there is none, a worker that the function has left stands in.
+func (r *Router) pickForLoad(req *request, exists bool) *worker {
 	var first, spare *worker
-	for i, w := range r.rendezvousOrder(f) {
-		if i >= maxCandidates && len(q.attempts) == 0 || first != nil && !stands {
+	for i, candidate := range r.rendezvousOrder(req.function) {
+		if i >= maxCandidates && len(req.attempts) == 0 || first != nil && !exists {
 			break
 		}
-		p := f.placementAt(w)
-		if r.hasCapacity(q, w) && r.isDisplaced(p) && (spare == nil || r.busier(spare, w)) {
-			spare = w
+		p := req.function.placementAt(candidate)
+		if !r.hasCapacity(req, candidate) {
+			continue
 		}
-		if r.hasCapacity(q, w) && !r.isDisplaced(p) && r.now >= w.loadBackoffUntil &&
-			w.loadsWaiting < maxWaitingForLoads && p.inFlight < f.concurrency {
-			if first == nil || r.busier(first, w) {
-				first, w = w, first
-			}
-			if w != nil {
-				break
+		switch {
+		case r.isDisplaced(p):
+			if spare == nil || r.busier(spare, candidate) {
+				spare = candidate
 			}
+		case r.now < candidate.loadBackoffUntil, candidate.loadsWaiting >= maxWaitingForLoads,
+			p.inFlight >= req.function.concurrency:
+			continue
+		case first == nil:
+			first = candidate
+		case r.busier(first, candidate):
+			return candidate
+		default:
+			return first
 		}
 	}
-	if first == nil {
-		first = spare
-	}
-	return first, first != nil && r.isWarm(f.placementAt(first))
+	return cmp.Or(first, spare)
 }
 
 // busier reports whether a is busier than b; a tie is broken at random.
 func (r *Router) busier(a, b *worker) bool {
-	x, y := r.relativeLoad(a), r.relativeLoad(b)
-	return x > y || x == y && r.rng.IntN(2) == 0
+	loadA, loadB := r.relativeLoad(a), r.relativeLoad(b)
+	return loadA > loadB || loadA == loadB && r.rng.IntN(2) == 0
 }
 
-// load is how busy a worker is for its size, and pace how its latencies compare with those of all workers.
-// What presses it counts in quarters: less is noise, and all would go by it.
+// relativeLoad is how busy a worker is for its weight.
 func (r *Router) relativeLoad(w *worker) float64 {
-	press := max(math.Round(4*r.pressure(w)), 1)
-	calls := 1 + float64(len(w.inFlight)) + w.peerInFlight
-	// Where many share a worker, to be met by one more costs it, and shows in none of its reports.
+	pressure := max(math.Round(pressureSteps*r.pressure(w)), 1)
+	requests := 1 + float64(len(w.inFlight)) + w.peerInFlight
+	// Where many share a worker, meeting one more costs it and shows in none of its reports.
 	if w.answeredAt == 0 || r.now-w.answeredAt > r.settings.InstanceKeepAlive {
-		calls += unansweredPenalty * math.Pow(r.peerShare, 4)
+		requests += unansweredPenalty * r.peerInfluence()
 	}
-	return calls * press / (w.Weight * r.slowStartFactor(w))
+	return requests * pressure / (w.Weight * r.slowStartFactor(w))
 }
 
-func (r *Router) latencyRatio(w *worker) float64 {
-	return 1 + w.latencyExcess.At(r.now, r.settings.InstanceKeepAlive)
-}
+// peerInfluence is how much of a worker's load is due to peers: 0 with none, almost 1 with many.
+func (r *Router) peerInfluence() float64 { return math.Pow(r.peerShare, peerShareExponent) }
 
-// room reports whether a worker may be sent this request and has room for it.
-func (r *Router) hasCapacity(q *request, w *worker) bool {
+// hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
+func (r *Router) hasCapacity(req *request, w *worker) bool {
 	return float64(len(w.inFlight)-w.loadsWaiting) < w.concurrencyLimit && r.now >= w.backoffUntil &&
-		r.accepts(q, w)
-}
-
-// fits reports whether a worker may be sent this request.
-func (r *Router) accepts(q *request, w *worker) bool {
-	return r.eligible(w) && r.mayAttempt(q, w) && !q.lastFailedAt(w) && !r.avoids(q, w) &&
-		q.function.pool.Has(w.ID)
+		r.accepts(req, w)
 }
 
-// shuns reports whether a worker is not to have this request: it seems ill, and nothing could be tried after.
-// Others go there still, show when it is well again, and are tried elsewhere.
-func (r *Router) avoids(q *request, w *worker) bool {
-	return q.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 && r.isUnhealthy(w)
+// accepts reports whether a worker may be sent this request.
+func (r *Router) accepts(req *request, w *worker) bool {
+	return r.eligible(w) && r.mayAttempt(req, w) && !req.lastFailedAt(w) && !r.avoids(req, w) &&
+		req.function.pool.Has(w.ID)
 }
 
-// hashOrder is the order of the workers for a function, the same at every scheduler (rendezvous hashing). A
-// worker comes first for as many functions as its size warrants.
-func (r *Router) rendezvousOrder(f *function) []*worker {
-	if f.orderVersion != r.membershipVersion {
-		ready := slices.DeleteFunc(slices.Clone(r.workerList), func(w *worker) bool {
-			return w.State != Ready || !f.pool.Has(w.ID)
-		})
-		of := func(w *worker) (string, float64) { return w.ID, w.Weight }
-		f.workerOrder = rendezvous.Order(f.name, ready, of)
-		f.orderVersion = r.membershipVersion
-	}
-	return f.workerOrder
+// avoids reports whether a worker is not to have this request: it seems unhealthy, and nothing could be
+// retried. Other requests still go there, show when it has recovered, and are retried elsewhere.
+func (r *Router) avoids(req *request, w *worker) bool {
+	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 && r.isUnhealthy(w)
 }
 
-// homes are the workers that a function is spread over: the first of its hash order, as many as its part of
-// the calls warrants, so that all schedulers choose much the same. Where a worker is pressed, the next in the
-// order takes its place: it looks pressed to all.
-func (r *Router) preferredWorkers(f *function) []*worker {
-	order, home := r.rendezvousOrder(f), []*worker(nil)
-	// Few calls prove little: what chance alone could have brought is left out.
-	n := f.requestWeight * r.decayFactor(f.lastRequestAt)
-	part := max(0, n-math.Sqrt(n)) / max(r.requestWeight*r.decayFactor(r.lastRequestAt), 1)
-	k := max(1, int(math.Ceil(part*spreadFactor*float64(len(order)))))
-	for _, w := range order[:min(len(order), k+maxCandidates)] {
-		if len(home) < k && !r.isDisplaced(f.placementAt(w)) {
-			home = append(home, w)
+// preferredWorkers are the workers that a function is spread over: the first of its rendezvous order, as
+// many as its part of the requests warrants, so that all schedulers choose much the same. Where one is under
+// pressure, the next in the order takes its place: it looks so to all schedulers.
+func (r *Router) preferredWorkers(fn *function) []*worker {
+	order := r.rendezvousOrder(fn)
+	// Few requests prove little: what chance alone could have brought is left out.
+	requests := fn.requestWeight * r.decayFactor(fn.lastRequestAt)
+	part := max(0, requests-math.Sqrt(requests)) / max(r.requestWeight*r.decayFactor(r.lastRequestAt), 1)
+	wanted := max(1, int(math.Ceil(part*spreadFactor*float64(len(order)))))
+	var preferred []*worker
+	for _, w := range order[:min(len(order), wanted+maxCandidates)] {
+		if len(preferred) < wanted && !r.isDisplaced(fn.placementAt(w)) {
+			preferred = append(preferred, w)
 		}
 	}
-	return home
+	return preferred
 }
 
-// left reports whether a function leaves a worker for the next in its order, at every scheduler the same ones
-// first: each sees little of a worker, and would hold on to one that all press. Few know by their own counts.
+// isDisplaced reports whether a function leaves a worker for the next in its order. The same functions leave
+// first at every scheduler: each sees little of a worker, and would hold on to one that all of them press.
+// With few schedulers, each knows the worker's load by its own counts.
 func (r *Router) isDisplaced(p *placement) bool {
 	return (r.pressure(p.worker)-leavePressureStart)/(leavePressureFull-leavePressureStart)*
-		math.Pow(r.peerShare, 4) > p.stickiness
+		r.peerInfluence() > p.stickiness
 }
 
-// pressOf is how pressed a worker is believed to be: as last seen, fading to what others are, yet to no more
-// than what it keeps its functions with. One that sees few workers, all pressed, would refuse the rest.
+// pressure is the pressure that a worker is believed to be under: as last seen, fading to that of the
+// others, yet to no more than what it keeps its functions with. A scheduler that sees few workers, all under
+// pressure, would reject requests for the rest.
 func (r *Router) pressure(w *worker) float64 {
 	return min(r.meanPressure, leavePressureStart) + w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
 }
 
-func (r *Router) decayFactor(at time.Duration) float64 {
-	return math.Exp(-(r.now - at).Seconds() / (spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds()))
-}
-
-// isWarm reports whether a copy is believed to stand: it was found within the least keep-alive, in this
-// life of the worker.
+// isWarm reports whether a function is believed to be loaded at a worker: it was found so within the
+// shortest keep-alive, in this incarnation of the worker.
 func (r *Router) isWarm(p *placement) bool {
 	return p.warm && p.incarnation == p.worker.incarnation && p.worker.State == Ready &&
 		r.now-p.warmAt < r.settings.InstanceKeepAlive
 }
-
-// service is the running mean of a function's served latencies, in seconds. It starts at the class aim and
-// decays back to it while none come.
-func (r *Router) serviceTime(f *function) float64 {
-	return r.settings.Classes[f.class].LatencyObjective.Seconds() + f.serviceTimeExcess.At(r.now,
-		r.settings.InstanceKeepAlive)
-}
-
-// loadTime stands in for the time of a load, in seconds: as told, else the function's slowest recent
-// latency, else the class aim.
-func (r *Router) loadTime(f *function) float64 {
-	if slow := f.slowestLatency.Within(r.now, 2*r.settings.InstanceKeepAlive); f.declaredLoadTime == 0 &&
-		slow > 0 {
-		return slow
-	}
-	return cmp.Or(f.declaredLoadTime, r.settings.Classes[f.class].LatencyObjective).Seconds()
-}
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -6,54 +6,64 @@
 	"time"
 )
 
-// hold puts a request among those that wait, least deadline first.
-func (r *Router) enqueue(q *request) {
-	r.queue = insertSorted(r.queue, q, func(q *request) time.Duration { return q.dueAt })
+// enqueue puts a request into the queue, earliest deadline first.
+func (r *Router) enqueue(req *request) {
+	r.queue = insertSorted(r.queue, req, func(q *request) time.Duration { return q.dueAt })
 }
 
-// release sends what can be sent, least deadline first. A request that must wait blocks no other.
+// drainQueue sends what can be sent, earliest deadline first. A request that must wait blocks no other.
 func (r *Router) drainQueue() {
 	r.refreshCapacity()
-	r.queue = slices.DeleteFunc(r.queue, func(q *request) bool {
-		// What found no room in half its time is refused while its client can still do better by coming back:
-		// later a refusal is dear where nothing was ever sent, and past the half it is tried to the end.
-		stuck := !q.reachedWorker && r.now >= q.halfwayAt && r.now < q.halfwayAt+2*tickInterval
-		if next, ok := q.forFallbackPool(); stuck && ok {
-			q.Request, q.function, stuck = next, r.functionFor(next), false
-		}
-		if q.expiresAt-r.now <= 2*tickInterval || stuck || !r.retryAllowed(q) {
-			r.rejectOrFail(q)
-		}
-		if q.answered {
-			return true
-		}
-		w, warm := r.pick(q)
-		if w != nil && !warm && !r.settings.LoadOnDemand && r.settings.LoadAllowed {
-			// Only an order brings the function in: calls wait here for its answer.
-			r.orderLoad(w, q.function)
-			w = nil
+	r.queue = slices.DeleteFunc(r.queue, r.leavesQueue)
+}
+
+// leavesQueue sends a queued request or ends it, if either is due, and reports whether it leaves the queue.
+func (r *Router) leavesQueue(req *request) bool {
+	// A request that found no capacity in half its time is rejected while its client can still do better by
+	// coming back. Later a rejection is expensive where nothing was ever sent: then it is tried to the end.
+	halfway := req.arrivedAt + req.TimeLeft/2 - expiryMargin
+	stuck := !req.reachedWorker && r.now >= halfway && r.now < halfway+expiryMargin
+	if stuck {
+		if next, ok := req.forFallbackPool(); ok {
+			req.Request = next
+			req.function = r.functionFor(next)
+			stuck = false
 		}
-		return w != nil && r.startAttempt(q, w, warm)
-	})
+	}
+	if req.expiresAt-r.now <= expiryMargin || stuck || !r.retryAllowed(req) {
+		r.rejectOrFail(req)
+	}
+	if req.answered {
+		return true
+	}
+	target, warm := r.pick(req)
+	if target != nil && !warm && !r.settings.LoadOnDemand && r.settings.LoadAllowed {
+		// Only an order loads the function: requests are queued here until it is answered.
+		r.orderLoad(target, req.function)
+		return false
+	}
+	return target != nil && r.startAttempt(req, target, warm)
 }
 
-// ahead is the summed service times of what is out and of what is held and due no later, in seconds.
-func (r *Router) workAhead(due time.Duration) float64 {
+// workAhead is the sum of the service times, in seconds, of what is in flight and of what is queued and due
+// no later than a deadline.
+func (r *Router) workAhead(deadline time.Duration) float64 {
 	sum := r.inFlightWork
-	for _, h := range r.queue {
-		if h.dueAt > due {
+	for _, queued := range r.queue {
+		if queued.dueAt > deadline {
 			break
 		}
-		sum += r.serviceTime(h.function)
+		sum += r.serviceTime(queued.function)
 	}
 	return sum
 }
 
-// comeBack is the advice that goes with a refusal: when what is ahead now will be done with, at the most what
-// clients follow. With no usable worker that is not known, and it is the most.
+// retryAfter is the advice that goes with a rejection: when the work that is now ahead will be done, but no
+// longer than clients follow. With no eligible worker that is unknown, and it is the longest advice.
 func (r *Router) retryAfter() time.Duration {
 	if r.capacity == 0 {
 		return r.settings.MaxRetryAfter
 	}
-	return min(max(durationOf(r.workAhead(math.MaxInt64)/r.capacity), tickInterval), r.settings.MaxRetryAfter)
+	drained := durationOf(r.workAhead(math.MaxInt64) / r.capacity)
+	return min(max(drained, tickInterval), r.settings.MaxRetryAfter)
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -1,30 +1,110 @@
 package routing
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
+// request is an open request of a client, or an answered one that still has attempts in flight.
 type request struct {
 	Request
-	class                              *Class
-	function                           *function
-	expiresAt, dueAt                   time.Duration // when the client gives up; the deadline that orders the queue
-	halfwayAt                          time.Duration // half of the client's time, less what a look may be late
-	attempts                           []*attempt
-	inFlight                           int
-	answered, streaming, reachedWorker bool // reached: some attempt came as far as a worker
+	class         *Class
+	function      *function
+	arrivedAt     time.Duration
+	expiresAt     time.Duration // when the client gives up
+	dueAt         time.Duration // deadline that orders the queue
+	attempts      []*attempt    // all of them, in the order of their Sends
+	inFlight      int           // attempts without an end
+	answered      bool          // it has its final answer
+	streaming     bool          // its answer has begun to stream
+	reachedWorker bool          // some attempt came as far as a worker
 }
 
+// attempt is an attempt to serve a request at a worker.
 type attempt struct {
-	request                           *request
-	number                            int
-	worker                            *worker
-	placement                         *placement
-	sentAt, overdueAt                 time.Duration // late: when it is overdue
-	work                              float64
-	cold, ended, superseded, neverRan bool // proved: it never ran
+	request    *request
+	number     int // index in request.attempts
+	worker     *worker
+	placement  *placement
+	sentAt     time.Duration
+	overdueAt  time.Duration
+	work       float64 // expected service time, in seconds
+	cold       bool    // it may have to wait for a load
+	ended      bool
+	neverRan   bool // it ended, and is known never to have run
+	superseded bool // another attempt was started in its place, or it was canceled for one
 }
 
-// close marks a request as answered; it is forgotten when its last attempt has ended. What is still out is
-// called off: nobody waits for it, and where workers heed that, it makes room for others.
+// newRequest returns the record of a request that has just arrived.
+func (r *Router) newRequest(e Request) *request {
+	class := &r.settings.Classes[e.Class]
+	return &request{
+		Request:   e,
+		class:     class,
+		function:  r.functionFor(e),
+		arrivedAt: r.now,
+		expiresAt: r.now + e.TimeLeft,
+		dueAt:     r.now + min(e.TimeLeft, class.Deadline),
+	}
+}
+
+// newAttempt returns the record of an attempt that is about to start.
+func (r *Router) newAttempt(req *request, target *worker, warm bool) *attempt {
+	return &attempt{
+		request:   req,
+		number:    len(req.attempts),
+		worker:    target,
+		placement: req.function.placementAt(target),
+		sentAt:    r.now,
+		work:      r.serviceTime(req.function),
+		cold:      !warm,
+	}
+}
+
+// recordStart enters a new attempt with its request, placement and worker.
+func (r *Router) recordStart(a *attempt) {
+	a.request.attempts = append(a.request.attempts, a)
+	a.request.inFlight++
+	a.placement.inFlight++
+	a.worker.inFlight = append(a.worker.inFlight, a)
+	if r.isWarmingUp(a.worker) {
+		a.worker.slowStartSends = append(a.worker.slowStartSends, r.now)
+	}
+	if !a.cold {
+		r.inFlightWork += a.work
+		return
+	}
+	a.worker.loadsWaiting++
+	p := a.placement
+	if p.incarnation != a.worker.incarnation || !p.loading {
+		p.incarnation = a.worker.incarnation
+		p.warm = false
+		p.instances = 1
+		p.loading = true
+	}
+}
+
+// recordEnd removes an ended attempt from the counts of its request, placement and worker.
+func (r *Router) recordEnd(a *attempt) {
+	a.ended = true
+	a.request.inFlight--
+	a.placement.inFlight--
+	a.worker.inFlight = slices.DeleteFunc(a.worker.inFlight, func(b *attempt) bool { return b == a })
+	if a.cold {
+		a.worker.loadsWaiting--
+		if a.placement.inFlight == 0 {
+			a.placement.loading = false
+		}
+		return
+	}
+	r.inFlightWork -= a.work
+	if r.inFlightWork < workRoundingError {
+		r.inFlightWork = 0
+	}
+}
+
+// complete marks a request as answered; it is forgotten when its last attempt has ended. What is still in
+// flight is canceled: nobody waits for it, and where workers heed that, it makes room for others.
 func (r *Router) complete(q *request) {
 	for _, a := range q.attempts {
 		if !q.answered && !a.ended && r.settings.CancelAllowed {
@@ -36,3 +116,19 @@
 		delete(r.requests, q.ID)
 	}
 }
+
+// firstPossiblyExecuted returns the first attempt that is not known never to have run, or nil.
+func (q *request) firstPossiblyExecuted() *attempt {
+	i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.neverRan })
+	if i < 0 {
+		return nil
+	}
+	return q.attempts[i]
+}
+
+// lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
+// elsewhere.
+func (q *request) lastFailedAt(w *worker) bool {
+	n := len(q.attempts)
+	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
+}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -2,48 +2,60 @@
 
 import "slices"
 
-// maySend is the choke point of rules 2 to 4 for attempts: whether this request may go to this worker now.
-func (r *Router) mayAttempt(q *request, w *worker) bool {
-	if q.answered || r.now >= q.expiresAt || len(q.attempts) >= r.settings.MaxAttempts || w.State != Ready ||
-		q.inFlight > 0 && !r.settings.HedgingAllowed {
+// mayAttempt is the one check of the rules on attempts (their number, hedging, idempotency, slow start):
+// whether this request may be sent to this worker now.
+func (r *Router) mayAttempt(req *request, w *worker) bool {
+	if req.answered || r.now >= req.expiresAt || len(req.attempts) >= r.settings.MaxAttempts ||
+		w.State != Ready || req.inFlight > 0 && !r.settings.HedgingAllowed {
 		return false
 	}
-	a := q.firstPossiblyExecuted()
-	if a != nil && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentByKey &&
-		(r.now-a.sentAt >= q.class.DeduplicationWindow-r.settings.Tick ||
-			!sharesDeduplication(q.class.DeduplicationScope, a.worker, w))) {
+	return r.repeatIsSafe(req, w) && r.withinSlowStartBudget(w)
+}
+
+// repeatIsSafe reports whether an attempt at a worker does no harm though an earlier one may have run.
+func (r *Router) repeatIsSafe(req *request, w *worker) bool {
+	first := req.firstPossiblyExecuted()
+	if first == nil {
+		return true
+	}
+	switch req.class.Idempotency {
+	case NonIdempotent:
 		return false
+	case IdempotentByKey:
+		return r.keyRemembered(req, first) &&
+			sharesDeduplication(req.class.DeduplicationScope, first.worker, w)
+	default:
+		return true
 	}
-	return r.withinSlowStartBudget(w)
 }
 
-func sharesDeduplication(s DeduplicationScope, a, b *worker) bool {
-	return s == ScopeAll || s == ScopeZone && a.Zone == b.Zone || s == ScopeCell && a.Cell == b.Cell
+// keyRemembered reports whether the workers that may have run an attempt still know its idempotency key.
+func (r *Router) keyRemembered(req *request, first *attempt) bool {
+	return r.now-first.sentAt < req.class.DeduplicationWindow-r.settings.Tick
 }
 
-// mayHaveRun is the first attempt that is not known never to have run.
-func (q *request) firstPossiblyExecuted() *attempt {
-	if i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.neverRan }); i >= 0 {
-		return q.attempts[i]
-	}
-	return nil
+// sharesDeduplication reports whether two workers drop each other's repeats.
+func sharesDeduplication(scope DeduplicationScope, a, b *worker) bool {
+	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone || scope == ScopeCell &&
+		a.Cell == b.Cell
 }
 
-// hopeful reports whether some further attempt could be allowed at all.
-func (r *Router) retryAllowed(q *request) bool {
-	a := q.firstPossiblyExecuted()
-	if len(q.attempts) >= r.settings.MaxAttempts || a == nil || q.class.Idempotency == Idempotent {
-		return len(q.attempts) < r.settings.MaxAttempts
+// retryAllowed reports whether some further attempt could be allowed at all, now or later.
+func (r *Router) retryAllowed(req *request) bool {
+	if len(req.attempts) >= r.settings.MaxAttempts {
+		return false
+	}
+	first := req.firstPossiblyExecuted()
+	if first == nil || req.class.Idempotency == Idempotent {
+		return true
 	}
-	return q.class.Idempotency == IdempotentByKey &&
-		r.now-a.sentAt < q.class.DeduplicationWindow-r.settings.Tick &&
+	return req.class.Idempotency == IdempotentByKey && r.keyRemembered(req, first) &&
 		slices.ContainsFunc(r.workerList, func(w *worker) bool {
-			return w.State == Ready && sharesDeduplication(q.class.DeduplicationScope, a.worker, w)
+			return w.State == Ready && sharesDeduplication(req.class.DeduplicationScope, first.worker, w)
 		})
 }
 
-// failedAt reports whether the last attempt went to this worker and may have run: the next goes elsewhere.
-func (q *request) lastFailedAt(w *worker) bool {
-	n := len(q.attempts)
-	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
+// provesNotRun reports whether an attempt with this outcome is known never to have run.
+func provesNotRun(outcome Outcome) bool {
+	return outcome == Shed || outcome == ConnectFailed || outcome == NotSent || outcome == NotLoaded
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -5,40 +5,56 @@
 	"time"
 )
 
-// coldRoom keeps a cold worker's budget, where one is told: in each window that could tip it, this scheduler
-// sends no more than its share of what the worker can do, guessed from what warm workers answer it.
-// Where all are cold it is guessed from what they answer themselves, as ripe as they are: together all
-// schedulers never send more than a multiple, below the one that tips, of what was answered. It begins at one
-// call at a time, answered within the least aim.
+// withinSlowStartBudget reports whether a worker that is warming up may be sent one more request, where the
+// deployment says what overloads it: in each window that could, this scheduler sends no more than its share
+// of what the worker can do.
 func (r *Router) withinSlowStartBudget(w *worker) bool {
 	if !r.isWarmingUp(w) || r.settings.OverloadMultiple == 0 || r.settings.OverloadDuration == 0 {
 		return true
 	}
-	rate, span := float64(r.throughputPerWeight), r.settings.OverloadDuration
-	if r.allWarmingUp {
-		rate, span = max(rate, 1/r.minObjective/float64(r.settings.Schedulers)), min(span, time.Second)
-	}
+	rate, window := r.slowStartRate()
 	if r.now >= w.slowStartQuotaUntil {
-		// Shares under one call would add up if rounded: each scheduler draws whether it has one.
-		budget := slowStartBudgetMargin * r.settings.OverloadMultiple * span.Seconds() *
-			r.slowStartFactor(w) * w.Weight * rate
-		// Most such draws are lost on workers that nothing is for just then. While calls come as usual one is
-		// let through by chance, so that a worker that is called coldEven times as much as others bears it,
-		// and where there are hundreds the home of a function that is called much.
-		usual := r.requestWeight * r.decayFactor(r.lastRequestAt) /
-			(spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds() * max(r.activeWeight, 1))
-		even := max(minSlowStartSkew, slowStartSkewPerWeight*r.activeWeight)
-		chance := budget / (span.Seconds() * even * max(rate, usual) * w.Weight)
-		w.slowStartQuota = int(max(budget, min(chance, 1)) + r.rng.Float64())
-		w.slowStartQuotaUntil = r.now + span
+		w.slowStartQuota = r.drawSlowStartQuota(w, rate, window)
+		w.slowStartQuotaUntil = r.now + window
 	}
-	// Any window counts, wherever it begins, and what waited for a connection comes close to what follows.
-	w.slowStartSends = slices.DeleteFunc(w.slowStartSends,
-		func(at time.Duration) bool { return r.now-at >= span+span/8 })
+	// Any window counts, wherever it begins, and what waited for a connection arrives close to what follows.
+	w.slowStartSends = slices.DeleteFunc(w.slowStartSends, func(sentAt time.Duration) bool {
+		return r.now-sentAt >= window+window/slowStartOverlap
+	})
 	return len(w.slowStartSends) < w.slowStartQuota
 }
 
-// ripeness is the share of its capacity that a worker can be counted on for.
+// slowStartRate estimates the throughput per unit of weight, in requests a second, and gives the window in
+// which it is kept. It is what warm workers answer this scheduler. Where all workers are warming up it is
+// what they answer themselves, as far as they are: together all schedulers never send more than a multiple,
+// below the one that overloads, of what was answered. It begins at one request at a time, answered within
+// the shortest objective.
+func (r *Router) slowStartRate() (rate float64, window time.Duration) {
+	rate, window = float64(r.throughputPerWeight), r.settings.OverloadDuration
+	if r.allWarmingUp {
+		rate = max(rate, 1/r.minObjective/float64(r.settings.Schedulers))
+		window = min(window, maxWarmingWindow)
+	}
+	return rate, window
+}
+
+// drawSlowStartQuota draws how many requests this scheduler may send a warming worker within a window.
+// Shares of less than one request would add up if rounded, so each scheduler draws whether it has one.
+//
+// Most such draws are lost on workers that nothing is for just then. While requests come as usual, one is
+// let through by chance, so that a worker with minSlowStartSkew times the mean rate bears it, and where
+// there are hundreds of workers, the preferred worker of a function that is called much.
+func (r *Router) drawSlowStartQuota(w *worker, rate float64, window time.Duration) int {
+	budget := slowStartBudgetMargin * r.settings.OverloadMultiple * window.Seconds() *
+		r.slowStartFactor(w) * w.Weight * rate
+	usualRate := r.requestWeight * r.decayFactor(r.lastRequestAt) /
+		(spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds() * max(r.activeWeight, 1))
+	skew := max(minSlowStartSkew, slowStartSkewPerWeight*r.activeWeight)
+	chance := budget / (window.Seconds() * skew * max(rate, usualRate) * w.Weight)
+	return int(max(budget, min(chance, 1)) + r.rng.Float64())
+}
+
+// slowStartFactor is the share of its capacity that a worker can be counted on for.
 func (r *Router) slowStartFactor(w *worker) float64 {
 	if !r.isWarmingUp(w) {
 		return 1
@@ -47,7 +63,7 @@
 	return r.settings.SlowStartFraction + (1-r.settings.SlowStartFraction)*elapsed
 }
 
-// isCold reports whether a worker has started so lately that it can do only part of its work.
+// isWarmingUp reports whether a worker has started so lately that it can do only part of its work.
 func (r *Router) isWarmingUp(w *worker) bool {
 	return w.Started > 0 && r.now-w.Started < r.settings.SlowStartDuration
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -8,67 +8,86 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// A Router decides for one scheduler. It is not safe for concurrent use.
+// Router decides for one scheduler. It is not safe for concurrent use.
 type Router struct {
-	settings                  Settings
-	rng                       *rand.Rand
-	now                       time.Duration
-	started                   bool
-	actions                   []Action
-	requests                  map[string]*request // until every attempt has ended
-	queue                     []*request          // least deadline first
-	workers                   map[string]*worker
-	workerList                []*worker // by id
-	membershipVersion         int       // of the list, for the functions' hash orders
-	functions                 map[string]*function
-	minObjective, meanLatency float64                 // least aim of all classes and mean latency of warm calls, in seconds
-	meanPressure              float64                 // running mean of what presses the workers
-	healthyWorkers            int                     // usable workers that do not answer errors
-	hedgeCredit               int                     // calls overdue alone that may be sent elsewhere too
-	capacity, utilization     float64                 // lanes that are usable; share of them that is taken
-	requestWeight             float64                 // of all functions, decaying
-	inFlightWork              float64                 // summed service times of attempts that are out, in seconds
-	peerShare                 float64                 // part of what happens at the workers that other schedulers cause
-	loadBudget                ratelimit.WindowLimiter // of orders to load
-	tenantQuotas              *ratelimit.Quotas       // of tenants
+	settings     Settings
+	minObjective float64 // shortest latency objective of all classes, in seconds
+	peerShare    float64 // part of what happens at the workers that other schedulers cause, 0 to 1
+	rng          *rand.Rand
+	now          time.Duration // the latest time that Step was given
+	started      bool          // Step was called
+	actions      []Action      // of the present Step
 
-	// weight of all workers that are ready and not suspect; answers of warm ones since servedAt, of all if all are cold;
-	// and in a second, for a worker of size 1
-	activeWeight, servedAnswers               float64
-	allWarmingUp                              bool // there is no warm worker
-	throughputPerWeight                       decay.Mean
-	servedSince, resubscribeAt, lastRequestAt time.Duration
-	endpointsStaleUntil                       time.Duration // nothing is sent until then: the list may be old
+	requests     map[string]*request // by id, until every attempt has ended
+	queue        []*request          // requests with no attempt in flight, earliest deadline first
+	inFlightWork float64             // summed service times of attempts in flight at warm instances, in seconds
+	loadBudget   ratelimit.WindowLimiter
+	tenantQuotas *ratelimit.Quotas
+
+	workers             map[string]*worker // by id
+	workerList          []*worker          // the same, in the order of their ids
+	membershipVersion   int                // counts changes of workers and pools, for function.workerOrder
+	resubscribeAt       time.Duration      // when to subscribe again after a failed list call; 0 means never
+	endpointsStaleUntil time.Duration      // nothing is sent until then: the endpoint list may be stale
+
+	functions     map[string]*function // by name
+	requestWeight float64              // count of requests for all functions, decaying; as of lastRequestAt
+	lastRequestAt time.Duration
+
+	capacity       float64 // summed concurrency limits of the eligible workers
+	utilization    float64 // part of capacity that is in use
+	healthyWorkers int     // eligible workers that are not unhealthy
+	hedgeCredit    int     // single overdue attempts that may be hedged
+	meanLatency    float64 // running mean over all warm answers, in seconds
+	meanPressure   float64 // running mean of the pressure of the workers
+
+	activeWeight        float64       // weight of all workers that are ready and not ejected
+	allWarmingUp        bool          // there is no warm worker
+	servedAnswers       float64       // answers of warm workers since servedSince; of all if all are warming up
+	servedSince         time.Duration // when the present measurement of throughput began
+	throughputPerWeight decay.Mean    // of a warm worker, in answers a second per unit of weight
 }
 
-// New returns a Router for these settings. All its randomness comes from the seed.
+// New returns a Router for these settings. All its randomness comes from the seed. It returns an error if
+// the settings make no sense.
 func New(s Settings, seed uint64) (*Router, error) {
-	least, err := s.validate()
+	shortest, err := s.validate()
 	if err != nil {
 		return nil, err
 	}
 	return &Router{
-		settings: s, rng: rand.New(rand.NewPCG(seed, 0)), minObjective: least.Seconds(), membershipVersion: 1,
-		peerShare: 1 - 1/float64(s.Schedulers), tenantQuotas: s.tenantQuotas(), requests: map[string]*request{},
-		workers: map[string]*worker{}, functions: map[string]*function{},
+		settings:          s,
+		minObjective:      shortest.Seconds(),
+		peerShare:         1 - 1/float64(s.Schedulers),
+		rng:               rand.New(rand.NewPCG(seed, 0)),
+		requests:          map[string]*request{},
+		tenantQuotas:      s.tenantQuotas(),
+		workers:           map[string]*worker{},
+		membershipVersion: 1,
+		functions:         map[string]*function{},
 	}, nil
 }
 
+// emit adds an action to those that the present Step returns.
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-func durationOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// durationOf converts seconds.
+func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// survey counts the usable lanes, and what share of them is taken.
+// refreshCapacity sums the capacity of the eligible workers and the part of it that is in use.
 func (r *Router) refreshCapacity() {
-	r.utilization, r.capacity, r.healthyWorkers = 0, 0, 0
+	used := 0.0
+	r.capacity = 0
+	r.healthyWorkers = 0
 	for _, w := range r.workerList {
-		if r.eligible(w) {
-			if !r.isUnhealthy(w) {
-				r.healthyWorkers++
-			}
-			r.utilization += float64(len(w.inFlight) - w.loadsWaiting)
-			r.capacity += w.concurrencyLimit
+		if !r.eligible(w) {
+			continue
+		}
+		if !r.isUnhealthy(w) {
+			r.healthyWorkers++
 		}
+		used += float64(len(w.inFlight) - w.loadsWaiting)
+		r.capacity += w.concurrencyLimit
 	}
-	r.utilization /= max(r.capacity, 1)
+	r.utilization = used / max(r.capacity, 1)
 }
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -2,68 +2,104 @@
 
 import "time"
 
+// Periodic work.
 const (
-	tickInterval, tickToken = 10 * time.Millisecond, 1 // how often held and overdue requests are looked at
-
-	maxCandidates = 4 // workers of the hash order that a request may try before it waits
-	// Weights of a new latency in the means of a function, of a worker, which is seen seldom, and of all.
-	functionMeanWeight, workerMeanWeight, fleetMeanWeight = 0.2, 0.5, 0.05
-
-	initialFleetLimit  = 12.0      // calls of all schedulers at a worker that a limit starts from
-	minLimit, maxLimit = 1.0, 48.0 // its range
-	// An answer from a warm copy that takes longer than limitAims of its aim leaves limitCut of the limit.
-	limitDecreaseFactor, limitObjectiveFraction = 0.8, 0.7
-
-	// An attempt is overdue after this share of the aim or this multiple of the function's mean, whichever is
-	// more (the aim at most), and this multiple of a load where one is due.
-	overdueObjectiveFraction, overdueMeanMultiple, overdueLoadMultiple = 0.5, 3.0, 2.0
-
-	presumedWarmRequests = 4 // calls by others within a keep-alive that leave a copy standing
-	// share of lanes taken up to which a function that stands may be loaded elsewhere too
-	maxSpillUtilization = 0.4
-	// calls of ours that may wait for loads at a worker when another load is sent there
-	maxWaitingForLoads = 4
-
-	// pause before a suspect worker is tried again; doubles so often
-	baseProbationDelay, maxProbationDoublings = time.Second, 3
-
-	// own answers this young outweigh others' word; stalled: so slow
-	ownObservationLifetime, slowLatencyRatio = time.Second, 4.0
+	tickInterval       = 10 * time.Millisecond // between two sweeps over queued and overdue requests
+	tickToken          = 1                     // token of the sweep's timer
+	throughputInterval = time.Second           // between two measurements of throughput
+	resubscribeDelay   = time.Second           // after a failed list call, before the next subscription
+)
 
-	maxConnectionBreaks = 3 // connections that break in a row, with no answer between, make a worker suspect
+// Running means: the weight of a new sample.
+const (
+	functionMeanWeight   = 0.2  // of a function's service time
+	throughputMeanWeight = 0.2  // of the throughput of a warm worker
+	workerMeanWeight     = 0.5  // of what is known of one worker, which is sampled seldom
+	fleetMeanWeight      = 0.05 // of what is known of all workers
+	errorRateWeight      = 0.1  // of a worker's error rate
+)
 
-	// A worker of whose late answers more than errsMost are errors gets no calls that must not be repeated.
-	errorRateWeight, maxErrorRate = 0.1, 0.15
+// Concurrency limit of a worker, in requests of this scheduler.
+const (
+	initialFleetLimit = 12.0 // requests of all schedulers together that a worker's limit starts from
+	minInitialLimit   = 2    // smallest limit that one scheduler starts from
+	minLimit          = 1.0
+	maxLimit          = 48.0
+	readmissionLimit  = 2 // highest limit of a worker that returns from ejection
+	// An answer of a warm instance that takes longer than limitObjectiveFraction of its latency objective
+	// multiplies the limit by limitDecreaseFactor; one within half of that raises it.
+	limitObjectiveFraction = 0.7
+	limitDecreaseFactor    = 0.8
+	workRoundingError      = 1e-9 // seconds of work in flight that count as none: the sum's rounding error
+)
 
-	// Calls overdue alone, at a worker that answers others, that may be sent elsewhere too: for each whose
-	// answer never came, and how many in all.
-	hedgeCreditPerTimeout, maxHedgeCredit = 4, 8
+// Overdue attempts. One is overdue after the larger of a fraction of its latency objective and a multiple of
+// the mean service time, but no later than the objective; a load adds a multiple of its time.
+const (
+	overdueObjectiveFraction = 0.5
+	overdueMeanMultiple      = 3.0
+	overdueLoadMultiple      = 2.0
+	minSendTimeout           = time.Millisecond // shortest timeout of an attempt
+	overdueToEject           = 2                // overdue attempts without an answer that eject a worker
+)
 
-	// a worker that turns a call away is left alone for two such parts of a service time
-	shedBackoffDivisor = 16
+// Choice of a worker.
+const (
+	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
+	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
+	maxSpillUtilization  = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
+	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
+	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
+	spreadKeepAlives     = 2.0  // keep-alives over which that part is counted
+	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
+	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
+	peerShareExponent    = 4    // how fast what peers cause stops to matter when there are few of them
+)
 
-	spreadFactor     = 2.0 // workers for a function, as a multiple of its part of the calls times all workers
-	spreadKeepAlives = 2.0 // keep-alives over which that part is counted
-	// A worker is pressed by the share of its cores that is busy, and by what an answer takes, in least aims.
-	// From the first on functions leave it for the next in their order; from the second on all have.
-	leavePressureStart, leavePressureFull = 0.9, 1.7
-	// of one that turns calls away; of an answer that tells of no queue
-	shedPressure, idleLatencyPressure = 2.0, 0.2
+// Pressure of a worker: the busy fraction of its cores plus a latency in shortest objectives.
+const (
+	leavePressureStart  = 0.9 // from here functions leave it for the next worker in their order
+	leavePressureFull   = 1.7 // from here all have left
+	shedPressure        = 2.0 // of a worker that sheds
+	idleLatencyPressure = 0.2 // latency part of an answer that says nothing of a queue
+)
 
-	rejectPressureExcess = 0.5 // calls for workers pressed by this over 1 begin to be refused; by twice that
-	// no more than this share is, or nothing would show that the worker is well again
+// Admission and queue.
+const (
+	// Requests for workers whose pressure is this far over 1 begin to be rejected, and at twice that the
+	// probability of a rejection is highest. It stays below 1, or no worker would be seen to recover.
+	rejectPressureExcess = 0.5
 	maxRejectProbability = 0.8
+	expiryMargin         = 2 * tickInterval // before the client gives up, when a queued request is ended
+	// After n sheds in a row a worker is left alone for 2^n of these parts of a service time.
+	shedBackoffDivisor = 16
+	maxShedDoublings   = 4
+)
 
-	unansweredPenalty = 0.25 // calls that a worker which answered nothing here lately counts as busier by
+// Outlier detection and hedging.
+const (
+	baseProbationDelay     = time.Second // before an ejected worker is probed; doubles with each probe
+	maxProbationDoublings  = 3
+	minProbationJitter     = 0.5         // randomized delays are this to this plus 1 of the longest
+	ownObservationLifetime = time.Second // own answers younger than this outweigh the reports of peers
+	reportRefreshInterval  = ownObservationLifetime / 4
+	slowLatencyRatio       = 4.0  // latency over that of all workers from which a worker is reported as slow
+	maxConnectionBreaks    = 3    // breaks in a row, with no answer between, that eject a worker
+	maxErrorRate           = 0.15 // a worker above gets no requests that must not be repeated
+	// Hedges of a single overdue attempt at a worker that answers others: how many are allowed.
+	hedgeCreditPerTimeout = 4 // for each answer that never came
+	hedgeCreditPerHedge   = 1 // for each hedge that was answered first
+	maxHedgeCredit        = 8
+)
 
-	slowStartBudgetMargin = 0.9 // share of a cold worker's budget that is used
-	// times that a cold worker may be called as much as the mean of all, at the least
-	minSlowStartSkew = 3.0
-	// The same for each of the workers: the home of a function with a tenth of all calls is called a tenth of
-	// their number times the mean, of which it bears six times coldEven.
+// Slow start.
+const (
+	slowStartBudgetMargin = 0.9 // used part of a warming worker's budget
+	// A warming worker may be sent this multiple of the mean request rate, at the least. Per unit of active
+	// weight it is slowStartSkewPerWeight: the preferred worker of a function with a tenth of all requests
+	// receives a tenth of their number times the mean, of which it bears six times minSlowStartSkew.
+	minSlowStartSkew       = 3.0
 	slowStartSkewPerWeight = 0.025
+	maxWarmingWindow       = time.Second // window of the budget while all workers are warming up
+	slowStartOverlap       = 8           // a window is longer by one part in so many
 )
-
-func (r *Router) initialLimit() float64 {
-	return max(2, initialFleetLimit/float64(r.settings.Schedulers))
-}
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -6,25 +6,68 @@
 	"calicohill/internal/stats/decay"
 )
 
+// worker is what is known of a worker.
 type worker struct {
 	Worker
-	loadsWaiting                   int // attempts of ours that wait for a load: they hold no lane
-	inFlight                       []*attempt
-	concurrencyLimit               float64     // how many that hold a lane may be there
-	incarnation                    int         // counts restarts; beliefs of an earlier life are void
-	pressureExcess                 decay.Value // above what others are pressed
-	peerInFlight                   float64     // requests of other schedulers
-	ejected                        bool
-	verdict                        PeerVerdict // what other schedulers hold of it
-	reportedFault                  Fault       // what they were told of it last, as seen at seenAt
-	probes, consecutiveSheds       int         // trials since it became suspect; refusals in a row
-	errorShare, latencyExcess      decay.Value // running share of errors in its answers; excess of its latencies
-	connectionBreaks               int         // times that connections broke with no answer since
-	lastBreakAt, reportedAt        time.Duration
-	lastAnswerAt, probationAt      time.Duration
-	answeredAt                     time.Duration   // when it answered last; 0 if it never did
-	backoffUntil, loadBackoffUntil time.Duration   // it gets nothing new, or no new load, until then
-	slowStartQuota                 int             // calls that it may be sent in a window while cold, until quotaTill
-	slowStartSends                 []time.Duration // when it was sent those of the latest window
-	slowStartQuotaUntil, removedAt time.Duration
+	removedAt   time.Duration // when it was listed as Gone last
+	incarnation int           // counts restarts; what was believed of an earlier incarnation is void
+
+	// Attempts of this scheduler, and its limits on them.
+	inFlight         []*attempt    // attempts without an end, oldest first
+	loadsWaiting     int           // those that wait for a load; they don't count against the limit
+	concurrencyLimit float64       // the most that may be in flight beside those
+	consecutiveSheds int           // requests shed in a row, up to maxShedDoublings
+	backoffUntil     time.Duration // it gets nothing new until then
+	loadBackoffUntil time.Duration // it gets no new load until then
+
+	// Load.
+	pressureExcess decay.Value // pressure above that of the others
+	peerInFlight   float64     // running mean of requests of other schedulers
+	latencyExcess  decay.Value // running mean of its latency over that of all workers, less 1
+	errorShare     decay.Value // running share of errors in its answers, 0 to 1
+
+	// Health.
+	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
+	answeredAt       time.Duration // when it answered last; 0 if it never did
+	connectionBreaks int           // times that connections broke with no answer since
+	lastBreakAt      time.Duration // when one broke last
+	ejected          bool          // it gets only probes
+	probes           int           // probes sent since it was ejected
+	probationAt      time.Duration // when the next probe may be sent
+	verdict          PeerVerdict   // what peers together report of it
+	reportedFault    Fault         // what this scheduler reported last
+	reportedAt       time.Duration // when that was observed
+
+	// Slow start.
+	slowStartQuota      int             // requests that it may be sent in a window while warming up
+	slowStartQuotaUntil time.Duration   // when the quota is drawn anew
+	slowStartSends      []time.Duration // when those of the latest window were sent
+}
+
+// latencyRatio is how a worker's latencies compare with those of all workers; 1 is the same.
+func (r *Router) latencyRatio(w *worker) float64 {
+	return 1 + w.latencyExcess.At(r.now, r.settings.InstanceKeepAlive)
+}
+
+// errorRate is the share of a worker's recent answers that are errors, 0 to 1. It fades, since nothing but
+// new requests shows that errors have ceased.
+func (r *Router) errorRate(w *worker) float64 {
+	return w.errorShare.At(r.now, r.settings.InstanceKeepAlive)
+}
+
+// recordError counts an error in a worker's error rate.
+func (r *Router) recordError(w *worker) {
+	w.errorShare.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
+}
+
+// unanswered counts the attempts at a worker that are overdue with no answer since they were sent, and
+// returns when the newest was sent.
+func (w *worker) unanswered(now time.Duration) (overdue int, newest time.Duration) {
+	for _, a := range w.inFlight {
+		if now >= a.overdueAt && w.lastAnswerAt < a.sentAt {
+			overdue++
+			newest = a.sentAt
+		}
+	}
+	return overdue, newest
 }
