--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -7,63 +7,100 @@
 	"calicohill/internal/stats/decay"
 )
 
-func (r *Router) applyEndpoints(e WorkerList) {
-	if e.Kind == ListFailed {
+// applyEndpoints takes in an endpoint list. After a failed list call what was known still holds, and the subscription is
+// renewed a little later.
+func (r *Router) applyEndpoints(list WorkerList) {
+	if list.Kind == ListFailed {
 		r.resubscribeAt = r.now + resubscribeDelay
 		return
 	}
 	r.membershipVersion++
-	seen := map[string]bool{}
-	for _, in := range e.Workers {
-		if seen[in.ID] = true; !r.settings.WeightsReported || in.Weight <= 0 {
-			in.Weight = 1
+	listed := map[string]bool{}
+	for _, entry := range list.Workers {
+		listed[entry.ID] = true
+		if !r.settings.WeightsReported || entry.Weight <= 0 {
+			entry.Weight = 1
 		}
-		w := r.workers[in.ID]
-		if w == nil {
-			w = &worker{Worker: in, concurrencyLimit: r.initialLimit(), lastAnswerAt: r.now}
-			r.workers[in.ID] = w
-			r.workerList = insertSorted(r.workerList, w, func(w *worker) string { return w.ID })
-			continue
-		}
-		if in.Started != w.Started && in.Started > 0 {
-			// A new start: it is empty and cold, whatever was known of it before.
-			w.incarnation++
-			w.concurrencyLimit, w.ejected, w.probes, w.peerInFlight = r.initialLimit(), false, 0, 0
-			w.slowStartQuotaUntil, w.slowStartSends = 0, nil
-			w.backoffUntil, w.loadBackoffUntil, w.consecutiveSheds, w.errorShare = 0, 0, 0, decay.Value{}
-		}
-		if in.State == Gone {
-			in, w.removedAt = w.Worker, r.now
-			in.State = Gone
-		}
-		w.Worker = in
+		r.applyEndpoint(entry)
+	}
+	if list.Kind == ListChanges {
+		return
 	}
 	for _, w := range r.workerList {
-		if e.Kind != ListChanges && !seen[w.ID] && w.State != Gone {
-			w.State, w.removedAt = Gone, r.now
+		if !listed[w.ID] && w.State != Gone {
+			w.State = Gone
+			w.removedAt = r.now
 		}
 	}
 }
 
-// tidy forgets functions that nobody calls any more and workers that are gone: new ones come all day.
-func (r *Router) evictIdle() {
-	gone := func(w *worker) bool {
-		return w.State == Gone && len(w.inFlight) == 0 && r.now-w.removedAt >= r.settings.InstanceKeepAlive
+// applyEndpoint takes in one entry of an endpoint list.
+func (r *Router) applyEndpoint(entry Worker) {
+	known := r.workers[entry.ID]
+	if known == nil {
+		known = &worker{Worker: entry, concurrencyLimit: r.initialLimit(), lastAnswerAt: r.now}
+		r.workers[entry.ID] = known
+		r.workerList = insertSorted(r.workerList, known, func(w *worker) string { return w.ID })
+		return
+	}
+	if entry.Started != known.Started && entry.Started > 0 {
+		known.restarted(r.initialLimit())
+	}
+	if entry.State == Gone {
+		// An entry that says Gone need not say anything else: what was known of the worker stays.
+		known.State = Gone
+		known.removedAt = r.now
+		return
 	}
+	known.Worker = entry
+}
+
+// restarted forgets what a restart makes void: the worker has no instances and is warming up.
+func (w *worker) restarted(limit float64) {
+	w.incarnation++
+	w.concurrencyLimit = limit
+	w.ejected = false
+	w.probes = 0
+	w.peerInFlight = 0
+	w.slowStartQuotaUntil = 0
+	w.slowStartSends = nil
+	w.backoffUntil = 0
+	w.loadBackoffUntil = 0
+	w.consecutiveSheds = 0
+	w.errorShare = decay.Value{}
+}
+
+// functionKeepAlives is how many keep-alives a function without requests is remembered.
+const functionKeepAlives = 5
+
+// evictIdle forgets functions that nobody calls any more and workers that are gone, since new ones come all day.
+func (r *Router) evictIdle() {
 	r.workerList = slices.DeleteFunc(r.workerList, func(w *worker) bool {
-		if gone(w) {
+		forgotten := r.isForgotten(w)
+		if forgotten {
 			delete(r.workers, w.ID)
 		}
-		return gone(w)
+		return forgotten
 	})
-	maps.DeleteFunc(r.functions, func(_ string, f *function) bool {
-		f.placements = slices.DeleteFunc(f.placements, func(p *placement) bool { return p.inFlight == 0 && gone(p.worker) })
-		return r.now-f.lastRequestAt >= 5*r.settings.InstanceKeepAlive &&
-			!slices.ContainsFunc(f.placements, func(p *placement) bool { return p.loadOrdered || p.inFlight > 0 }) &&
-			!slices.ContainsFunc(r.queue, func(q *request) bool { return q.function == f })
+	maps.DeleteFunc(r.functions, func(_ string, fn *function) bool {
+		fn.placements = slices.DeleteFunc(fn.placements, func(p *placement) bool {
+			return p.inFlight == 0 && r.isForgotten(p.worker)
+		})
+		return r.now-fn.lastRequestAt >= functionKeepAlives*r.settings.InstanceKeepAlive && !r.inUse(fn)
 	})
 }
 
+// isForgotten reports whether a worker has been gone for so long that nothing of it is needed any more.
+func (r *Router) isForgotten(w *worker) bool {
+	return w.State == Gone && len(w.inFlight) == 0 && r.now-w.removedAt >= r.settings.InstanceKeepAlive
+}
+
+// inUse reports whether a function has an attempt in flight, an open order to load or a queued request.
+func (r *Router) inUse(fn *function) bool {
+	return slices.ContainsFunc(fn.placements, func(p *placement) bool { return p.loadOrdered || p.inFlight > 0 }) ||
+		slices.ContainsFunc(r.queue, func(q *request) bool { return q.function == fn })
+}
+
 // initialLimit is the concurrency limit of a worker of which nothing is known.
 func (r *Router) initialLimit() float64 {
 	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -191,3 +191,13 @@
 		w.concurrencyLimit = min(maxLimit, limit+1/limit)
 	}
 }
+
+// learnThroughput takes in what workers answered in the last interval, in requests a second per unit of
+// weight.
+func (r *Router) learnThroughput(rate float64) {
+	weight := throughputMeanWeight
+	if r.allWarmingUp && rate > float64(r.throughputPerWeight) {
+		weight = 1 // what warming workers answered they can do, whatever they did before
+	}
+	r.throughputPerWeight.Update(rate, weight)
+}
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -9,108 +9,158 @@
 	"calicohill/internal/stats/decay"
 )
 
-// LearnedState is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them, so
-// that they have to go on over the restart.
+// LearnedState is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them,
+// so the clock has to go on over the restart.
 type LearnedState struct {
 	CapturedAt          time.Duration     `cbor:"1,keyasint"`
-	RequestWeight       float64           `cbor:"2,keyasint"` // of all functions, as they count at that time
-	ThroughputPerWeight float64           `cbor:"3,keyasint"` // answers a second of a warm worker of size 1
-	MeanPressure        float64           `cbor:"4,keyasint"` // mean of what presses the workers
-	Functions           []LearnedFunction `cbor:"5,keyasint"` // the most called first
+	RequestWeight       float64           `cbor:"2,keyasint"` // decaying count of requests, as of CapturedAt
+	ThroughputPerWeight float64           `cbor:"3,keyasint"` // of a warm worker, in answers a second per unit of weight
+	MeanPressure        float64           `cbor:"4,keyasint"` // running mean of the pressure of the workers
+	Functions           []LearnedFunction `cbor:"5,keyasint"` // the most requested first
 	Workers             []LearnedWorker   `cbor:"6,keyasint"`
 }
 
 // LearnedFunction is what was learned of a function.
 type LearnedFunction struct {
 	Name              string            `cbor:"1,keyasint"`
-	Class             int               `cbor:"2,keyasint"`
-	Concurrency       int               `cbor:"3,keyasint"`
-	RequestWeight     float64           `cbor:"4,keyasint"`
-	ServiceTimeExcess float64           `cbor:"5,keyasint"` // excess of its service time over the aim, in seconds
-	LoadTime          time.Duration     `cbor:"6,keyasint"`
-	Instances         []LearnedInstance `cbor:"7,keyasint"` // that stood
+	Class             int               `cbor:"2,keyasint"` // index in Settings.Classes
+	Concurrency       int               `cbor:"3,keyasint"` // requests that an instance runs at a time
+	RequestWeight     float64           `cbor:"4,keyasint"` // decaying count of its requests, as of CapturedAt
+	ServiceTimeExcess float64           `cbor:"5,keyasint"` // of its service time over its objective, in seconds
+	LoadTime          time.Duration     `cbor:"6,keyasint"` // usual time of a load; 0 if unknown
+	Instances         []LearnedInstance `cbor:"7,keyasint"` // that were loaded
 }
 
-// LearnedInstance is a copy of a function that stood.
+// LearnedInstance is a function's loaded instances at one worker.
 type LearnedInstance struct {
-	WorkerIndex int           `cbor:"1,keyasint"` // place in LearnedState.Workers
-	LastWarm    time.Duration `cbor:"2,keyasint"` // when it was last found
+	WorkerIndex int           `cbor:"1,keyasint"` // index in LearnedState.Workers
+	LastWarm    time.Duration `cbor:"2,keyasint"` // when they were last found loaded
 	Count       int           `cbor:"3,keyasint"`
 }
 
 // LearnedWorker is what was learned of a worker.
 type LearnedWorker struct {
 	ID             string        `cbor:"1,keyasint"`
-	Started        time.Duration `cbor:"2,keyasint"` // a later start makes it void
-	PressureExcess float64       `cbor:"3,keyasint"` // above what others are pressed
-	LatencyExcess  float64       `cbor:"4,keyasint"` // excess of its latencies, as a share
+	Started        time.Duration `cbor:"2,keyasint"` // a later start makes the entry void
+	PressureExcess float64       `cbor:"3,keyasint"` // pressure above that of the others
+	LatencyExcess  float64       `cbor:"4,keyasint"` // latency over that of all workers, less 1
 }
 
-// memoryMost is how many functions are remembered, memoryWorkers how many workers.
-const maxLearnedFunctions, maxLearnedWorkers = 2000, 10000
+const (
+	maxLearnedFunctions = 2000
+	maxLearnedWorkers   = 10000
+	maxLearnedFigure    = 1e9 // no figure that was learned is larger
+)
 
-// LearnedState returns what was learned so far. Health is not: a worker that was ill may be well after the restart, and one
-// that is ill shows.
+// LearnedState returns what was learned so far. The health of workers is not part of it: one that was unhealthy may have
+// recovered after the restart, and one that is unhealthy will show.
 func (r *Router) LearnedState() LearnedState {
-	m := LearnedState{CapturedAt: r.now, RequestWeight: r.requestWeight * r.decayFactor(r.lastRequestAt), ThroughputPerWeight: float64(r.throughputPerWeight), MeanPressure: r.meanPressure}
-	place := map[*worker]int{}
+	state := LearnedState{
+		CapturedAt:          r.now,
+		RequestWeight:       r.requestWeight * r.decayFactor(r.lastRequestAt),
+		ThroughputPerWeight: float64(r.throughputPerWeight),
+		MeanPressure:        r.meanPressure,
+	}
+	index := map[*worker]int{}
 	for _, w := range r.workerList[:min(len(r.workerList), maxLearnedWorkers)] {
-		place[w] = len(m.Workers)
-		m.Workers = append(m.Workers, LearnedWorker{w.ID, w.Started, w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive), r.latencyRatio(w) - 1})
+		index[w] = len(state.Workers)
+		state.Workers = append(state.Workers, LearnedWorker{
+			ID:             w.ID,
+			Started:        w.Started,
+			PressureExcess: w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive),
+			LatencyExcess:  r.latencyRatio(w) - 1,
+		})
 	}
-	for name, f := range r.functions {
-		k := LearnedFunction{
-			Name: name, Class: f.class, Concurrency: f.concurrency, RequestWeight: f.requestWeight * r.decayFactor(f.lastRequestAt),
-			ServiceTimeExcess: f.serviceTimeExcess.At(r.now, r.settings.InstanceKeepAlive), LoadTime: f.declaredLoadTime,
-		}
-		for _, p := range f.placements {
-			if i, ok := place[p.worker]; ok && r.isWarm(p) {
-				k.Instances = append(k.Instances, LearnedInstance{i, p.warmAt, p.instances})
-			}
-		}
-		m.Functions = append(m.Functions, k)
+	for _, fn := range r.functions {
+		state.Functions = append(state.Functions, r.learnedFunction(fn, index))
 	}
-	slices.SortFunc(m.Functions, func(a, b LearnedFunction) int {
+	slices.SortFunc(state.Functions, func(a, b LearnedFunction) int {
 		return cmp.Or(cmp.Compare(b.RequestWeight, a.RequestWeight), cmp.Compare(a.Name, b.Name))
 	})
-	m.Functions = m.Functions[:min(len(m.Functions), maxLearnedFunctions)]
-	return m
+	state.Functions = state.Functions[:min(len(state.Functions), maxLearnedFunctions)]
+	return state
+}
+
+// learnedFunction returns what was learned of a function; index gives the workers' places in LearnedState.Workers.
+func (r *Router) learnedFunction(fn *function, index map[*worker]int) LearnedFunction {
+	learned := LearnedFunction{
+		Name:              fn.name,
+		Class:             fn.class,
+		Concurrency:       fn.concurrency,
+		RequestWeight:     fn.requestWeight * r.decayFactor(fn.lastRequestAt),
+		ServiceTimeExcess: fn.serviceTimeExcess.At(r.now, r.settings.InstanceKeepAlive),
+		LoadTime:          fn.declaredLoadTime,
+	}
+	for _, p := range fn.placements {
+		if i, ok := index[p.worker]; ok && r.isWarm(p) {
+			learned.Instances = append(learned.Instances, LearnedInstance{i, p.warmAt, p.instances})
+		}
+	}
+	return learned
 }
 
-// sound reports whether a figure can have been learned.
+// plausible reports whether these figures can have been learned.
 func plausible(figures ...float64) bool {
-	return !slices.ContainsFunc(figures, func(x float64) bool { return math.IsNaN(x) || math.Abs(x) > 1e9 })
+	return !slices.ContainsFunc(figures, func(x float64) bool { return math.IsNaN(x) || math.Abs(x) > maxLearnedFigure })
 }
 
-// recall takes up what an earlier process learned, faded by its age. What no longer fits is passed over, and so is all
+// plausible reports whether the figures for all workers and functions together can have been learned by now.
+func (s *LearnedState) plausible(now time.Duration) bool {
+	return s.CapturedAt <= now && s.RequestWeight >= 0 && s.ThroughputPerWeight >= 0 &&
+		plausible(s.RequestWeight, s.ThroughputPerWeight, s.MeanPressure)
+}
+
+// plausible reports whether the figures for a function can have been learned, with this many classes.
+func (f *LearnedFunction) plausible(classes int) bool {
+	return f.Class >= 0 && f.Class < classes && f.Concurrency >= 1 && f.RequestWeight >= 0 &&
+		plausible(f.RequestWeight, f.ServiceTimeExcess)
+}
+
+// restoreState takes up what an earlier process learned, faded by its age. What no longer fits is ignored, and so is all
 // of it once something was learned here.
-func (r *Router) restoreState(m LearnedState) {
-	if len(r.functions) > 0 || m.CapturedAt > r.now || !plausible(m.RequestWeight, m.ThroughputPerWeight, m.MeanPressure) || m.ThroughputPerWeight < 0 || m.RequestWeight < 0 {
+func (r *Router) restoreState(state LearnedState) {
+	if len(r.functions) > 0 || !state.plausible(r.now) {
 		return
 	}
-	r.requestWeight, r.lastRequestAt = m.RequestWeight, m.CapturedAt
-	r.throughputPerWeight, r.meanPressure = decay.Mean(m.ThroughputPerWeight), m.MeanPressure
-	workers := make([]*worker, len(m.Workers))
-	for i, k := range m.Workers {
-		w := r.workers[k.ID]
-		if w != nil && w.Started == k.Started && plausible(k.PressureExcess, k.LatencyExcess) {
+	r.requestWeight = state.RequestWeight
+	r.lastRequestAt = state.CapturedAt
+	r.throughputPerWeight = decay.Mean(state.ThroughputPerWeight)
+	r.meanPressure = state.MeanPressure
+	workers := make([]*worker, len(state.Workers)) // nil where an entry no longer fits
+	for i, learned := range state.Workers {
+		w := r.workers[learned.ID]
+		if w != nil && w.Started == learned.Started && plausible(learned.PressureExcess, learned.LatencyExcess) {
 			workers[i] = w
-			w.pressureExcess.Set(m.CapturedAt, k.PressureExcess)
-			w.latencyExcess.Set(m.CapturedAt, k.LatencyExcess)
+			w.pressureExcess.Set(state.CapturedAt, learned.PressureExcess)
+			w.latencyExcess.Set(state.CapturedAt, learned.LatencyExcess)
 		}
 	}
-	for _, k := range m.Functions[:min(len(m.Functions), maxLearnedFunctions)] {
-		if k.Class < 0 || k.Class >= len(r.settings.Classes) || k.Concurrency < 1 || k.RequestWeight < 0 || !plausible(k.RequestWeight, k.ServiceTimeExcess) {
-			continue
+	for _, learned := range state.Functions[:min(len(state.Functions), maxLearnedFunctions)] {
+		if learned.plausible(len(r.settings.Classes)) {
+			r.functions[learned.Name] = restoreFunction(learned, state.CapturedAt, workers)
 		}
-		f := &function{name: k.Name, class: k.Class, concurrency: k.Concurrency, declaredLoadTime: max(k.LoadTime, 0), requestWeight: k.RequestWeight, lastRequestAt: m.CapturedAt}
-		f.serviceTimeExcess.Set(m.CapturedAt, k.ServiceTimeExcess)
-		r.functions[k.Name] = f
-		for _, c := range k.Instances {
-			if c.WorkerIndex >= 0 && c.WorkerIndex < len(workers) && workers[c.WorkerIndex] != nil && c.LastWarm <= m.CapturedAt {
-				p := f.placementAt(workers[c.WorkerIndex])
-				p.warm, p.incarnation, p.warmAt, p.instances = true, p.worker.incarnation, c.LastWarm, max(c.Count, 1)
-			}
+	}
+}
+
+// restoreFunction makes the record of a function from what was learned of it.
+func restoreFunction(learned LearnedFunction, capturedAt time.Duration, workers []*worker) *function {
+	fn := &function{
+		name:             learned.Name,
+		class:            learned.Class,
+		concurrency:      learned.Concurrency,
+		declaredLoadTime: max(learned.LoadTime, 0),
+		requestWeight:    learned.RequestWeight,
+		lastRequestAt:    capturedAt,
+	}
+	fn.serviceTimeExcess.Set(capturedAt, learned.ServiceTimeExcess)
+	for _, instance := range learned.Instances {
+		i := instance.WorkerIndex
+		if i < 0 || i >= len(workers) || workers[i] == nil || instance.LastWarm > capturedAt {
+			continue
 		}
+		p := fn.placementAt(workers[i])
+		p.setWarm(instance.LastWarm)
+		p.instances = max(instance.Count, 1)
 	}
+	return fn
 }
