--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -106,7 +106,7 @@
 }
 
 // reserve is kept of each client's time: the request has been on its way, and the answer will be.
-const reserve = 3 * time.Millisecond
+const responseReserve = 3 * time.Millisecond
 
 // Errors of Submit.
 var (
@@ -116,54 +116,54 @@
 
 // Dispatcher is the engine of a scheduler. All its methods must be called on the loop.
 type Dispatcher struct {
-	loop    Loop
-	router  *routing.Router
-	workers Workers
-	pool    *bufferpool.Pool
-	maxOpen int
+	loop            Loop
+	router          *routing.Router
+	workers         Workers
+	pool            *bufferpool.Pool
+	maxOpenRequests int
 
-	requests slotmap.Table[*request]
-	byID     map[string]slotmap.Ref
-	attempts slotmap.Table[*attempt]
-	states   map[string]routing.WorkerState
-	entries  map[string]pools.Attributes
-	listed   bool
-	open     int // requests without a final answer
+	requests         slotmap.Table[*request]
+	byID             map[string]slotmap.Ref
+	attempts         slotmap.Table[*attempt]
+	workerStates     map[string]routing.WorkerState
+	workerAttributes map[string]pools.Attributes
+	endpointsKnown   bool
+	openRequests     int // requests without a final answer
 
-	events []routing.Event
-	posted bool
+	events     []routing.Event
+	stepPosted bool
 
-	observe func(routing.ReportFault) // nil where nobody is told
-	routes  *pools.Core               // nil where there are none
+	observeFault func(routing.ReportFault) // nil where nobody is told
+	routes       *pools.Core               // nil where there are none
 }
 
 type request struct {
 	Call
-	ref      slotmap.Ref
-	caller   Responder
-	tag      slotmap.Ref
-	end      time.Duration // when the client gives up, less the reserve
-	done     bool
-	attempts []slotmap.Ref
-	out      int
+	ref              slotmap.Ref
+	responder        Responder
+	tag              slotmap.Ref
+	deadline         time.Duration // when the client gives up, less the reserve
+	answered         bool
+	attempts         []slotmap.Ref
+	attemptsInFlight int
 }
 
 type attempt struct {
-	ref    slotmap.Ref
-	q      *request
-	n      int
-	worker string
-	sent   time.Duration
-	until  time.Duration // its time is over then
-	begin  time.Duration // it is not begun later
-	late   deadline.Timer
+	ref           slotmap.Ref
+	request       *request
+	number        int
+	worker        string
+	sentAt        time.Duration
+	deadline      time.Duration // its time is over then
+	startDeadline time.Duration // it is not begun later
+	timer         deadline.Timer
 }
 
 // New returns a Dispatcher. Use must be called before anything else.
 func New(l Loop, r *routing.Router, pool *bufferpool.Pool, maxOpen int) *Dispatcher {
 	return &Dispatcher{
-		loop: l, router: r, pool: pool, maxOpen: maxOpen,
-		byID: map[string]slotmap.Ref{}, states: map[string]routing.WorkerState{}, entries: map[string]pools.Attributes{},
+		loop: l, router: r, pool: pool, maxOpenRequests: maxOpen,
+		byID: map[string]slotmap.Ref{}, workerStates: map[string]routing.WorkerState{}, workerAttributes: map[string]pools.Attributes{},
 	}
 }
 
@@ -171,42 +171,42 @@
 func (d *Dispatcher) SetWorkers(w Workers) { d.workers = w }
 
 // SetFaultObserver names who is told what the Router finds of workers. It must not wait.
-func (d *Dispatcher) SetFaultObserver(observe func(routing.ReportFault)) { d.observe = observe }
+func (d *Dispatcher) SetFaultObserver(observe func(routing.ReportFault)) { d.observeFault = observe }
 
 // ApplyPeerReports takes in what other schedulers hold of workers.
-func (d *Dispatcher) ApplyPeerReports(h routing.PeerReports) { d.tell(h) }
+func (d *Dispatcher) ApplyPeerReports(h routing.PeerReports) { d.enqueue(h) }
 
 // SetRoutes has requests that come from now on go by these routes; nil is none. Those that are taken keep the workers
 // that theirs had last.
 func (d *Dispatcher) SetRoutes(routes *pools.Core) {
 	d.routes = routes
-	d.reroute(d.attributes())
+	d.notifyRoutes(d.endpointsChanged())
 }
 
 // reroute tells the routes what happened, and the Router if some have other workers for it.
-func (d *Dispatcher) reroute(e pools.Event) {
+func (d *Dispatcher) notifyRoutes(e pools.Event) {
 	if d.routes != nil && d.routes.Step(d.loop.Now(), []pools.Event{e}) {
-		d.tell(routing.PoolsChanged{})
+		d.enqueue(routing.PoolsChanged{})
 	}
 }
 
 // attributes is the list as conditions on workers see it.
-func (d *Dispatcher) attributes() pools.EndpointsChanged {
+func (d *Dispatcher) endpointsChanged() pools.EndpointsChanged {
 	var l pools.EndpointsChanged
 	for _, id := range d.WorkerIDs() {
-		l.Workers = append(l.Workers, d.entries[id])
+		l.Workers = append(l.Workers, d.workerAttributes[id])
 	}
 	return l
 }
 
 // WorkerIDs is the workers that the list names, gone ones left out.
-func (d *Dispatcher) WorkerIDs() []string { return slices.Sorted(maps.Keys(d.states)) }
+func (d *Dispatcher) WorkerIDs() []string { return slices.Sorted(maps.Keys(d.workerStates)) }
 
 // HasEndpoints reports whether a list of workers is held.
-func (d *Dispatcher) HasEndpoints() bool { return d.listed }
+func (d *Dispatcher) HasEndpoints() bool { return d.endpointsKnown }
 
 // OpenRequests is the number of requests that are owed a final answer.
-func (d *Dispatcher) OpenRequests() int { return d.open }
+func (d *Dispatcher) OpenRequests() int { return d.openRequests }
 
 // ---- clients ----
 
@@ -217,22 +217,22 @@
 	if _, ok := d.byID[c.ID]; ok {
 		return 0, ErrDuplicateID
 	}
-	if d.maxOpen > 0 && d.open >= d.maxOpen {
+	if d.maxOpenRequests > 0 && d.openRequests >= d.maxOpenRequests {
 		return 0, ErrTooManyRequests
 	}
 	now := d.loop.Now()
-	q := &request{Call: c, caller: from, tag: tag, end: now + c.TimeLeft - reserve}
+	q := &request{Call: c, responder: from, tag: tag, deadline: now + c.TimeLeft - responseReserve}
 	q.ref = d.requests.Insert(q)
 	d.byID[c.ID] = q.ref
-	d.open++
+	d.openRequests++
 	function, pool := cmp.Or(c.Affinity, c.Function), (*routing.Pool)(nil)
 	if d.routes != nil && c.Route != "" {
 		if pool = d.routes.Route(c.Route); pool != nil {
 			function += "\x00" + c.Route // what is warm in one pool is not in another
 		}
 	}
-	d.tell(routing.Request{
-		ID: c.ID, Class: c.Class, Function: function, Pool: pool, TimeLeft: max(q.end-now, 0),
+	d.enqueue(routing.Request{
+		ID: c.ID, Class: c.Class, Function: function, Pool: pool, TimeLeft: max(q.deadline-now, 0),
 		MemoryMB: c.MemoryMB, Concurrency: c.Concurrency, LoadTime: c.LoadTime,
 	})
 	return q.ref, nil
@@ -240,29 +240,29 @@
 
 // Cancel says that the client has left. Nothing more is owed.
 func (d *Dispatcher) Cancel(ref slotmap.Ref) {
-	if q, ok := d.requests.Get(ref); ok && !q.done {
-		d.finish(q)
-		d.tell(routing.ClientCanceled{ID: q.ID})
+	if q, ok := d.requests.Get(ref); ok && !q.answered {
+		d.markAnswered(q)
+		d.enqueue(routing.ClientCanceled{ID: q.ID})
 	}
 }
 
 // answer gives the final answer, unless there was one.
-func (d *Dispatcher) answer(q *request, a Answer) {
-	if q.done {
+func (d *Dispatcher) respond(q *request, a Answer) {
+	if q.answered {
 		return
 	}
-	d.finish(q)
-	q.caller.Respond(q.tag, a)
+	d.markAnswered(q)
+	q.responder.Respond(q.tag, a)
 }
 
-func (d *Dispatcher) finish(q *request) {
-	q.done = true
-	d.open--
+func (d *Dispatcher) markAnswered(q *request) {
+	q.answered = true
+	d.openRequests--
 }
 
 // forget frees a request that is answered and has no attempt out.
-func (d *Dispatcher) forget(q *request) {
-	if !q.done || q.out > 0 {
+func (d *Dispatcher) releaseIfDone(q *request) {
+	if !q.answered || q.attemptsInFlight > 0 {
 		return
 	}
 	if _, ok := d.requests.Get(q.ref); !ok {
@@ -283,34 +283,34 @@
 		return
 	}
 	if e.Outcome == routing.Served {
-		d.answer(a.q, Answer{Status: Served, Body: e.Body})
+		d.respond(a.request, Answer{Status: Served, Body: e.Body})
 	}
-	d.end(a, e)
+	d.finishAttempt(a, e)
 }
 
 // end closes an attempt and tells the Router.
-func (d *Dispatcher) end(a *attempt, e AttemptResult) {
-	d.loop.ClearDeadline(&a.late)
+func (d *Dispatcher) finishAttempt(a *attempt, e AttemptResult) {
+	d.loop.ClearDeadline(&a.timer)
 	d.attempts.Remove(a.ref)
-	a.q.out--
-	d.tell(routing.AttemptEnded{
-		ID: a.q.ID, Attempt: a.n, Worker: a.worker, Outcome: e.Outcome,
-		RequestAnswered: a.q.done, Latency: d.loop.Now() - a.sent, InFlightForFunction: e.InFlightForFunction, Report: e.Report,
+	a.request.attemptsInFlight--
+	d.enqueue(routing.AttemptEnded{
+		ID: a.request.ID, Attempt: a.number, Worker: a.worker, Outcome: e.Outcome,
+		RequestAnswered: a.request.answered, Latency: d.loop.Now() - a.sentAt, InFlightForFunction: e.InFlightForFunction, Report: e.Report,
 	})
 }
 
 // halt gives an attempt up. One of which nothing was written has not run, whatever the reason.
-func (d *Dispatcher) halt(a *attempt, written routing.Outcome, unwritten routing.Outcome) {
+func (d *Dispatcher) cancelAttempt(a *attempt, written routing.Outcome, unwritten routing.Outcome) {
 	e := AttemptResult{Outcome: written, InFlightForFunction: -1}
 	if !d.workers.Cancel(a.ref) {
 		e.Outcome = unwritten
 	}
-	d.end(a, e)
+	d.finishAttempt(a, e)
 }
 
 // ProbeEnded reports how a probe ended.
 func (d *Dispatcher) ProbeEnded(worker string, took time.Duration, e AttemptResult) {
-	d.tell(routing.ProbeEnded{Worker: worker, Outcome: e.Outcome, Latency: took, Report: e.Report})
+	d.enqueue(routing.ProbeEnded{Worker: worker, Outcome: e.Outcome, Latency: took, Report: e.Report})
 }
 
 // MaySend reports whether an attempt may still be written. The client may have left, its time be over after a stall, or
@@ -318,119 +318,121 @@
 // while this one waited for a connection.
 func (d *Dispatcher) MaySend(ref slotmap.Ref) bool {
 	a, ok := d.attempts.Get(ref)
-	return ok && !a.q.done && d.loop.Now() < min(a.until, a.begin) && d.states[a.worker] == routing.Ready
+	return ok && !a.request.answered && d.loop.Now() < min(a.deadline, a.startDeadline) && d.workerStates[a.worker] == routing.Ready
 }
 
 // ---- the list ----
 
 // UpdateEndpoints takes in a list of workers.
 func (d *Dispatcher) UpdateEndpoints(r EndpointList) {
-	d.listed = true
+	d.endpointsKnown = true
 	l := routing.WorkerList{Kind: routing.ListChanges}
 	if r.Full {
 		l.Kind = routing.ListFull
-		clear(d.states)
-		clear(d.entries)
+		clear(d.workerStates)
+		clear(d.workerAttributes)
 	}
 	for _, e := range r.Endpoints {
 		l.Workers = append(l.Workers, e.Worker)
-		d.states[e.ID] = e.State
+		d.workerStates[e.ID] = e.State
 		if e.State == routing.Gone {
-			delete(d.states, e.ID)
-			delete(d.entries, e.ID)
+			delete(d.workerStates, e.ID)
+			delete(d.workerAttributes, e.ID)
 			continue
 		}
-		d.entries[e.ID] = pools.Attributes{ID: e.ID, Model: e.Model, Zone: e.ZoneName, Group: e.Cell, State: pools.StateName(e.State)}
+		d.workerAttributes[e.ID] = pools.Attributes{ID: e.ID, Model: e.Model, Zone: e.ZoneName, Group: e.Cell, State: pools.StateName(e.State)}
 	}
-	d.reroute(d.attributes())
+	d.notifyRoutes(d.endpointsChanged())
 	// The Router hears of it before the attempts that end with it.
-	d.tell(l)
+	d.enqueue(l)
 	d.workers.UpdateEndpoints(r)
 }
 
 // MarkStale says for how long the list may be old, from now; 0 that it is not.
-func (d *Dispatcher) MarkStale(lasts time.Duration) { d.tell(routing.EndpointsStale{Duration: lasts}) }
+func (d *Dispatcher) MarkStale(lasts time.Duration) {
+	d.enqueue(routing.EndpointsStale{Duration: lasts})
+}
 
 // Shutdown has every request that is open get its final answer now, unserved: the program is about to be ended.
-func (d *Dispatcher) Shutdown() { d.tell(routing.Shutdown{}) }
+func (d *Dispatcher) Shutdown() { d.enqueue(routing.Shutdown{}) }
 
 // LearnedState is what the Router has learned.
 func (d *Dispatcher) LearnedState() routing.LearnedState { return d.router.LearnedState() }
 
 // RestoreState has the Router take up what an earlier process learned. It must follow the first list.
-func (d *Dispatcher) RestoreState(m routing.LearnedState) { d.tell(routing.StateRestored{State: m}) }
+func (d *Dispatcher) RestoreState(m routing.LearnedState) { d.enqueue(routing.StateRestored{State: m}) }
 
 // ---- the Router ----
 
 // tell keeps an event for the Step that ends this pass of the loop.
-func (d *Dispatcher) tell(e routing.Event) {
+func (d *Dispatcher) enqueue(e routing.Event) {
 	d.events = append(d.events, e)
-	if !d.posted {
-		d.posted = true
+	if !d.stepPosted {
+		d.stepPosted = true
 		d.loop.Post(d.step)
 	}
 }
 
 func (d *Dispatcher) step() {
-	d.posted = false
+	d.stepPosted = false
 	events := d.events
 	d.events = nil
 	actions := d.router.Step(d.loop.Now(), events)
 	for _, a := range actions {
-		d.do(a)
+		d.perform(a)
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case routing.AttemptEnded:
-			d.forgetID(e.ID)
+			d.releaseByID(e.ID)
 		case routing.ClientCanceled:
-			d.forgetID(e.ID)
+			d.releaseByID(e.ID)
 		}
 	}
 }
 
-func (d *Dispatcher) forgetID(id string) {
+func (d *Dispatcher) releaseByID(id string) {
 	if q, ok := d.requests.Get(d.byID[id]); ok {
-		d.forget(q)
+		d.releaseIfDone(q)
 	}
 }
 
-func (d *Dispatcher) do(a routing.Action) {
+func (d *Dispatcher) perform(a routing.Action) {
 	switch a := a.(type) {
 	case routing.Send:
 		d.send(a)
 	case routing.Cancel:
 		if q, ok := d.requests.Get(d.byID[a.ID]); ok && a.Attempt < len(q.attempts) {
 			if at, ok := d.attempts.Get(q.attempts[a.Attempt]); ok {
-				d.halt(at, routing.Canceled, routing.NotSent)
+				d.cancelAttempt(at, routing.Canceled, routing.NotSent)
 			}
 		}
 	case routing.Reject:
-		d.final(a.ID, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
+		d.respondByID(a.ID, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 	case routing.Fail:
-		d.final(a.ID, Answer{Status: Failed})
+		d.respondByID(a.ID, Answer{Status: Failed})
 	case routing.SetTimer:
-		d.loop.SetDeadline(&deadline.Timer{Fire: func() { d.tell(routing.TimerFired{Token: a.Token}) }},
+		d.loop.SetDeadline(&deadline.Timer{Fire: func() { d.enqueue(routing.TimerFired{Token: a.Token}) }},
 			d.loop.Now()+a.After)
 	case routing.ReportFault:
-		d.reroute(pools.FaultObserved{Worker: a.Worker, Fault: a.Fault})
-		if d.observe != nil {
-			d.observe(a)
+		d.notifyRoutes(pools.FaultObserved{Worker: a.Worker, Fault: a.Fault})
+		if d.observeFault != nil {
+			d.observeFault(a)
 		}
 	case routing.Probe:
 		d.workers.Probe(a.Worker)
 	case routing.Load:
 		// No peer takes orders to load: the Router hears that this one never left.
-		d.tell(routing.LoadEnded{Worker: a.Worker, Function: a.Function, Outcome: routing.NotSent})
+		d.enqueue(routing.LoadEnded{Worker: a.Worker, Function: a.Function, Outcome: routing.NotSent})
 	case routing.Unload, routing.Subscribe, routing.FetchList:
 		// Nothing to do: the list comes unasked, and no peer takes orders to unload.
 	}
 }
 
-func (d *Dispatcher) final(id string, a Answer) {
+func (d *Dispatcher) respondByID(id string, a Answer) {
 	if q, ok := d.requests.Get(d.byID[id]); ok {
-		d.answer(q, a)
-		d.forget(q)
+		d.respond(q, a)
+		d.releaseIfDone(q)
 	}
 }
 
@@ -440,24 +442,24 @@
 		return
 	}
 	now := d.loop.Now()
-	a := &attempt{q: q, n: len(q.attempts), worker: s.Worker, sent: now}
+	a := &attempt{request: q, number: len(q.attempts), worker: s.Worker, sentAt: now}
 	a.ref = d.attempts.Insert(a)
 	q.attempts = append(q.attempts, a.ref)
-	q.out++
-	until := q.end
+	q.attemptsInFlight++
+	until := q.deadline
 	if s.Timeout > 0 {
 		until = min(until, now+s.Timeout)
 	}
-	a.until, a.begin = until, until
+	a.deadline, a.startDeadline = until, until
 	if s.StartWithin > 0 {
-		a.begin = now + s.StartWithin
+		a.startDeadline = now + s.StartWithin
 	}
 	if !d.MaySend(a.ref) {
-		d.end(a, AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
+		d.finishAttempt(a, AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
 		return
 	}
-	a.late.Fire = func() { d.halt(a, routing.TimedOut, routing.ConnectFailed) }
-	d.loop.SetDeadline(&a.late, until)
+	a.timer.Fire = func() { d.cancelAttempt(a, routing.TimedOut, routing.ConnectFailed) }
+	d.loop.SetDeadline(&a.timer, until)
 	at := Attempt{
 		Ref: a.ref, Worker: s.Worker, ID: q.ID, Class: q.Class, Function: q.Function, IdempotencyKey: q.IdempotencyKey,
 		Timeout: until - now,
