--- /dev/null
+++ b/internal/dispatch/dispatcher.go
@@ -0,0 +1,140 @@
+// Package dispatch connects the routing decisions with the network. A Dispatcher owns the Router, the table of requests
+// and their deadlines. It collects the events of one pass of the event loop into one Router step, and carries out the
+// Router's actions.
+//
+// The package knows no protocol. A front end submits Calls and is a Responder, the transport to the workers implements
+// Workers, and whatever discovers workers passes on EndpointLists.
+package dispatch
+
+import (
+	"time"
+
+	"calicohill/internal/rules/pools"
+	"calicohill/internal/runtime/bufferpool"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
+)
+
+// Loop is what a Dispatcher needs of the event loop.
+type Loop interface {
+	// Now is the current time, the same clock as the deadlines'.
+	Now() time.Duration
+	// Post has a function called on the loop after the current pass.
+	Post(fn func())
+	// SetDeadline has timer.Fire called on the loop at a time; a timer that is set already is moved.
+	SetDeadline(timer *deadline.Timer, at time.Duration)
+	// ClearDeadline stops a timer. One that is not set is ignored.
+	ClearDeadline(timer *deadline.Timer)
+}
+
+// Dispatcher holds the requests of a scheduler and drives its Router. All methods must be called on the event loop.
+type Dispatcher struct {
+	loop            Loop
+	router          *routing.Router
+	workers         Workers
+	pool            *bufferpool.Pool
+	maxOpenRequests int // 0 means no limit
+
+	requests     slotmap.Table[*request]
+	byID         map[string]slotmap.Ref // refs of requests
+	attempts     slotmap.Table[*attempt]
+	openRequests int // requests without a final answer
+
+	workerStates     map[string]routing.WorkerState
+	workerAttributes map[string]pools.Attributes
+	endpointsKnown   bool
+
+	events     []routing.Event // for the next step
+	stepPosted bool
+
+	observeFault func(routing.ReportFault) // nil if nobody observes faults
+	routes       *pools.Core               // nil if there are none
+}
+
+// New returns a Dispatcher that has at most maxOpenRequests requests open at once; 0 means no limit. Buffers of requests
+// are returned to the pool. SetWorkers must be called before any other method.
+func New(loop Loop, router *routing.Router, pool *bufferpool.Pool, maxOpenRequests int) *Dispatcher {
+	return &Dispatcher{
+		loop:             loop,
+		router:           router,
+		pool:             pool,
+		maxOpenRequests:  maxOpenRequests,
+		byID:             map[string]slotmap.Ref{},
+		workerStates:     map[string]routing.WorkerState{},
+		workerAttributes: map[string]pools.Attributes{},
+	}
+}
+
+// SetWorkers sets the transport to the workers.
+func (d *Dispatcher) SetWorkers(workers Workers) { d.workers = workers }
+
+// SetFaultObserver sets the function that is called with each fault that the Router finds in a worker. It must not block.
+func (d *Dispatcher) SetFaultObserver(observe func(routing.ReportFault)) { d.observeFault = observe }
+
+// Shutdown has every open request get its final answer now, unserved, because the program is about to end.
+func (d *Dispatcher) Shutdown() { d.enqueue(routing.Shutdown{}) }
+
+// LearnedState returns what the Router has learned.
+func (d *Dispatcher) LearnedState() routing.LearnedState { return d.router.LearnedState() }
+
+// RestoreState gives the Router what an earlier process learned. It must follow the first endpoint list.
+func (d *Dispatcher) RestoreState(state routing.LearnedState) {
+	d.enqueue(routing.StateRestored{State: state})
+}
+
+// enqueue adds an event to the Router step at the end of this pass of the loop.
+func (d *Dispatcher) enqueue(event routing.Event) {
+	d.events = append(d.events, event)
+	if !d.stepPosted {
+		d.stepPosted = true
+		d.loop.Post(d.step)
+	}
+}
+
+// step passes the enqueued events to the Router, performs its actions, and releases the requests that are done.
+func (d *Dispatcher) step() {
+	d.stepPosted = false
+	events := d.events
+	d.events = nil
+	for _, action := range d.router.Step(d.loop.Now(), events) {
+		d.perform(action)
+	}
+	for _, event := range events {
+		switch event := event.(type) {
+		case routing.AttemptEnded:
+			d.releaseByID(event.ID)
+		case routing.ClientCanceled:
+			d.releaseByID(event.ID)
+		}
+	}
+}
+
+// perform carries out an action of the Router.
+func (d *Dispatcher) perform(action routing.Action) {
+	switch action := action.(type) {
+	case routing.Send:
+		d.send(action)
+	case routing.Cancel:
+		d.cancelAttemptByNumber(action.ID, action.Attempt)
+	case routing.Reject:
+		d.respondByID(action.ID, Answer{Status: Rejected, RetryAfter: action.RetryAfter})
+	case routing.Fail:
+		d.respondByID(action.ID, Answer{Status: Failed})
+	case routing.SetTimer:
+		timer := &deadline.Timer{Fire: func() { d.enqueue(routing.TimerFired{Token: action.Token}) }}
+		d.loop.SetDeadline(timer, d.loop.Now()+action.After)
+	case routing.ReportFault:
+		d.notifyRoutes(pools.FaultObserved{Worker: action.Worker, Fault: action.Fault})
+		if d.observeFault != nil {
+			d.observeFault(action)
+		}
+	case routing.Probe:
+		d.workers.Probe(action.Worker)
+	case routing.Load:
+		// The transport has no message for it, so the Router learns that this one was never sent.
+		d.enqueue(routing.LoadEnded{Worker: action.Worker, Function: action.Function, Outcome: routing.NotSent})
+	case routing.Unload, routing.Subscribe, routing.FetchList:
+		// Nothing to do: endpoint lists come unasked, and the transport has no message to unload an instance.
+	}
+}
