--- a/internal/frontend/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -18,27 +18,27 @@
 
 // fields are the parameters of a request that mean something here.
 type fields struct {
-	path, id, budget, once, key, spec, length string
-	method                                    string
-	others                                    [][]string // by slot; nil where one is missing
+	path, id, budgetMS, idempotencyKey, function, spec, contentLength string
+	method                                                            string
+	ruleParams                                                        [][]string // by slot; nil where one is missing
 }
 
 // parseFields reads the parameters. slots are further ones that rules read, by name.
 func parseFields(params []byte, slots map[string]int) (f fields, err error) {
 	known := map[string]*string{
-		"SCRIPT_NAME": &f.path, "HTTP_REQUEST_ID": &f.id, "HTTP_BUDGET_MS": &f.budget,
-		"HTTP_ONCE_KEY": &f.once, "HTTP_RESOURCE_KEY": &f.key, "HTTP_X_SPEC": &f.spec,
-		"CONTENT_LENGTH": &f.length, "REQUEST_METHOD": &f.method,
+		"SCRIPT_NAME": &f.path, "HTTP_REQUEST_ID": &f.id, "HTTP_BUDGET_MS": &f.budgetMS,
+		"HTTP_ONCE_KEY": &f.idempotencyKey, "HTTP_RESOURCE_KEY": &f.function, "HTTP_X_SPEC": &f.spec,
+		"CONTENT_LENGTH": &f.contentLength, "REQUEST_METHOD": &f.method,
 	}
 	if len(slots) > 0 {
-		f.others = make([][]string, len(slots))
+		f.ruleParams = make([][]string, len(slots))
 	}
-	err = pairs(params, func(name, value []byte) {
+	err = forEachPair(params, func(name, value []byte) {
 		if p := known[string(name)]; p != nil {
 			*p = string(value)
 		}
 		if i, ok := slots[string(name)]; ok {
-			f.others[i] = []string{string(value)}
+			f.ruleParams[i] = []string{string(value)}
 		}
 	})
 	return f, err
@@ -55,20 +55,20 @@
 	if !isHex16(f.id) {
 		return c, fmt.Errorf("Request-Id %.40q", f.id)
 	}
-	if !isHex16(f.key) {
-		return c, fmt.Errorf("Resource-Key %.40q", f.key)
+	if !isHex16(f.function) {
+		return c, fmt.Errorf("Resource-Key %.40q", f.function)
 	}
-	ms, err := strconv.ParseUint(f.budget, 10, 31)
+	ms, err := strconv.ParseUint(f.budgetMS, 10, 31)
 	if c.TimeLeft = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || c.TimeLeft > maxBudget {
-		return c, fmt.Errorf("Budget-Ms %.40q", f.budget)
+		return c, fmt.Errorf("Budget-Ms %.40q", f.budgetMS)
 	}
-	if f.once == "" && site.Classes[c.Class].Idempotency == routing.IdempotentByKey {
+	if f.idempotencyKey == "" && site.Classes[c.Class].Idempotency == routing.IdempotentByKey {
 		return c, errors.New("no Once-Key")
 	}
-	if !isToken(f.once) {
-		return c, fmt.Errorf("Once-Key %.40q", f.once)
+	if !isToken(f.idempotencyKey) {
+		return c, fmt.Errorf("Once-Key %.40q", f.idempotencyKey)
 	}
-	c.ID, c.Function, c.IdempotencyKey = f.id, f.key, f.once
+	c.ID, c.Function, c.IdempotencyKey = f.id, f.function, f.idempotencyKey
 	return c, parseSpec(f.spec, &c)
 }
 
--- a/internal/frontend/fastcgi/client.go
+++ b/internal/frontend/fastcgi/client.go
@@ -47,23 +47,23 @@
 	}
 }
 
-// ErrBusy is the error of a Client that has as many requests open as a connection carries.
-var ErrBusy = errors.New("fastcgi: 32 requests are open on the connection")
+// ErrTooManyStreams is the error of a Client that has as many requests open as a connection carries.
+var ErrTooManyStreams = errors.New("fastcgi: 32 requests are open on the connection")
 
 // Client is a connection to a scheduler that carries up to 32 requests at a time. It is safe for concurrent use.
 // A connection that breaks fails all that is open on it, and every later request.
 type Client struct {
-	c  net.Conn
-	mu sync.Mutex
+	conn net.Conn
+	mu   sync.Mutex
 	// waits are the requests that are open, by the number that they have on the connection.
-	waits map[uint16]*wait
-	next  uint16
-	err   error // why nothing more can be asked
+	pending map[uint16]*pendingReply
+	lastID  uint16
+	err     error // why nothing more can be asked
 }
 
-type wait struct {
-	done chan Reply // closed without a Reply when the connection ends
-	out  []byte
+type pendingReply struct {
+	reply  chan Reply // closed without a Reply when the connection ends
+	stdout []byte
 }
 
 // Dial connects to a scheduler.
@@ -73,22 +73,22 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{c: conn, waits: map[uint16]*wait{}}
-	go c.read()
+	c := &Client{conn: conn, pending: map[uint16]*pendingReply{}}
+	go c.readLoop()
 	return c, nil
 }
 
 // Close ends the connection.
-func (c *Client) Close() error { return c.c.Close() }
+func (c *Client) Close() error { return c.conn.Close() }
 
 // Do sends a request and waits for its answer. When the context ends first, the request is aborted.
 func (c *Client) Do(ctx context.Context, q Request) (Reply, error) {
-	id, w, err := c.begin(q)
+	id, w, err := c.send(q)
 	if err != nil {
 		return Reply{}, err
 	}
 	select {
-	case r, ok := <-w.done:
+	case r, ok := <-w.reply:
 		if !ok {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -99,34 +99,34 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		// The number stays taken until the scheduler has ended the request too.
-		_, _ = c.c.Write(appendHeader(nil, typeAbort, id, 0))
+		_, _ = c.conn.Write(appendHeader(nil, typeAbortRequest, id, 0))
 		return Reply{}, ctx.Err()
 	}
 }
 
-func (c *Client) begin(q Request) (uint16, *wait, error) {
+func (c *Client) send(q Request) (uint16, *pendingReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
 		return 0, nil, c.err
 	}
-	if len(c.waits) >= maxStreams {
-		return 0, nil, ErrBusy
+	if len(c.pending) >= maxStreamsPerConn {
+		return 0, nil, ErrTooManyStreams
 	}
-	for c.next++; c.next == 0 || c.waits[c.next] != nil; c.next++ {
+	for c.lastID++; c.lastID == 0 || c.pending[c.lastID] != nil; c.lastID++ {
 	}
-	w := &wait{done: make(chan Reply, 1)}
-	c.waits[c.next] = w
-	if _, err := c.c.Write(appendRequest(nil, c.next, q)); err != nil {
-		delete(c.waits, c.next)
+	w := &pendingReply{reply: make(chan Reply, 1)}
+	c.pending[c.lastID] = w
+	if _, err := c.conn.Write(appendRequest(nil, c.lastID, q)); err != nil {
+		delete(c.pending, c.lastID)
 		return 0, nil, fmt.Errorf("sending a request: %w", err)
 	}
-	return c.next, w, nil
+	return c.lastID, w, nil
 }
 
 // appendRequest adds all records of a request.
 func appendRequest(b []byte, id uint16, q Request) []byte {
-	b = appendHeader(b, typeBegin, id, 8)
+	b = appendHeader(b, typeBeginRequest, id, 8)
 	b = append(b, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
 	var params []byte
 	for _, p := range append([][2]string{
@@ -156,7 +156,7 @@
 // appendStream adds a stream and the empty record that ends it.
 func appendStream(b []byte, kind byte, id uint16, content []byte) []byte {
 	for len(content) > 0 {
-		n := min(len(content), maxContent)
+		n := min(len(content), maxContentLen)
 		b = append(appendHeader(b, kind, id, n), content[:n]...)
 		content = content[n:]
 	}
@@ -164,20 +164,20 @@
 }
 
 // read takes in answers until the connection ends.
-func (c *Client) read() {
-	err := c.records(bufio.NewReader(c.c))
-	c.c.Close()
+func (c *Client) readLoop() {
+	err := c.readRecords(bufio.NewReader(c.conn))
+	c.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.err = fmt.Errorf("fastcgi: the connection ended: %w", err)
-	for id, w := range c.waits {
-		delete(c.waits, id)
-		close(w.done)
+	for id, w := range c.pending {
+		delete(c.pending, id)
+		close(w.reply)
 	}
 }
 
-func (c *Client) records(r io.Reader) error {
-	buf := make([]byte, headerLen+maxContent+255)
+func (c *Client) readRecords(r io.Reader) error {
+	buf := make([]byte, headerLen+maxContentLen+255)
 	for {
 		if _, err := io.ReadFull(r, buf[:headerLen]); err != nil {
 			return err
@@ -186,34 +186,34 @@
 		if _, err := io.ReadFull(r, buf[headerLen:whole]); err != nil {
 			return err
 		}
-		rec, _, err := parse(buf[:whole])
+		rec, _, err := parseRecord(buf[:whole])
 		if err != nil {
 			return err
 		}
-		if err := c.take(rec); err != nil {
+		if err := c.handleRecord(rec); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *Client) take(rec record) error {
+func (c *Client) handleRecord(rec record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.waits[rec.id]
+	w := c.pending[rec.id]
 	switch {
 	case w == nil:
 	case rec.kind == typeStdout:
-		w.out = append(w.out, rec.content...)
-	case rec.kind == typeEnd && len(rec.content) == 8:
-		delete(c.waits, rec.id)
+		w.stdout = append(w.stdout, rec.content...)
+	case rec.kind == typeEndRequest && len(rec.content) == 8:
+		delete(c.pending, rec.id)
 		reply := Reply{}
-		if rec.content[4] == statusComplete && len(w.out) > 0 {
+		if rec.content[4] == statusComplete && len(w.stdout) > 0 {
 			var err error
-			if reply, err = parseReply(w.out); err != nil {
+			if reply, err = parseReply(w.stdout); err != nil {
 				return err
 			}
 		}
-		w.done <- reply
+		w.reply <- reply
 	}
 	return nil
 }
--- a/internal/frontend/fastcgi/fields_test.go
+++ b/internal/frontend/fastcgi/fields_test.go
@@ -17,7 +17,7 @@
 		Budget: time.Second, Spec: "memory_mb:512;lanes:2",
 	})
 	for len(b) > 0 {
-		r, n, err := parse(b)
+		r, n, err := parseRecord(b)
 		if err != nil || n == 0 {
 			t.Fatal(err)
 		}
--- a/internal/frontend/fastcgi/fuzz_test.go
+++ b/internal/frontend/fastcgi/fuzz_test.go
@@ -10,7 +10,7 @@
 	f.Add([]byte{1, 4, 0, 1, 0, 8, 0, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for len(b) > 0 {
-			r, n, err := parse(b)
+			r, n, err := parseRecord(b)
 			if err != nil || n == 0 {
 				return
 			}
@@ -18,7 +18,7 @@
 				t.Fatalf("record takes %d of %d bytes, content %d", n, len(b), len(r.content))
 			}
 			total := 0
-			_ = pairs(r.content, func(name, value []byte) { total += len(name) + len(value) })
+			_ = forEachPair(r.content, func(name, value []byte) { total += len(name) + len(value) })
 			if total > len(r.content) {
 				t.Fatalf("pairs of %d bytes in %d", total, len(r.content))
 			}
--- a/internal/frontend/fastcgi/record.go
+++ b/internal/frontend/fastcgi/record.go
@@ -9,16 +9,16 @@
 
 // The record types of FastCGI 1.0.
 const (
-	typeBegin     = 1
-	typeAbort     = 2
-	typeEnd       = 3
-	typeParams    = 4
-	typeStdin     = 5
-	typeStdout    = 6
-	typeData      = 8
-	typeGetValues = 9
-	typeValues    = 10
-	typeUnknown   = 11
+	typeBeginRequest    = 1
+	typeAbortRequest    = 2
+	typeEndRequest      = 3
+	typeParams          = 4
+	typeStdin           = 5
+	typeStdout          = 6
+	typeData            = 8
+	typeGetValues       = 9
+	typeGetValuesResult = 10
+	typeUnknownType     = 11
 )
 
 // The protocol statuses of an END_REQUEST.
@@ -29,11 +29,11 @@
 )
 
 const (
-	version       = 1
-	headerLen     = 8
-	roleResponder = 1
-	flagKeepConn  = 1
-	maxContent    = 65535
+	protocolVersion = 1
+	headerLen       = 8
+	roleResponder   = 1
+	flagKeepConn    = 1
+	maxContentLen   = 65535
 )
 
 // record is one record of the protocol. Its content is part of the buffer that it was read from.
@@ -47,11 +47,11 @@
 
 // parse reads the record that a buffer begins with and tells how many bytes it takes, padding included, 0 if it
 // is not whole yet.
-func parse(b []byte) (r record, n int, err error) {
+func parseRecord(b []byte) (r record, n int, err error) {
 	if len(b) < headerLen {
 		return r, 0, nil
 	}
-	if b[0] != version {
+	if b[0] != protocolVersion {
 		return r, 0, fmt.Errorf("%w: version %d", errFraming, b[0])
 	}
 	r.kind, r.id = b[1], binary.BigEndian.Uint16(b[2:])
@@ -64,10 +64,10 @@
 	return r, n, nil
 }
 
-var errPair = errors.New("name-value pair cut short")
+var errTruncatedPair = errors.New("name-value pair cut short")
 
 // pairs calls fn for each name-value pair of a stream.
-func pairs(b []byte, fn func(name, value []byte)) error {
+func forEachPair(b []byte, fn func(name, value []byte)) error {
 	for len(b) > 0 {
 		var size [2]uint32
 		for i := range size {
@@ -77,12 +77,12 @@
 			case len(b) >= 4:
 				size[i], b = binary.BigEndian.Uint32(b)&0x7fffffff, b[4:]
 			default:
-				return errPair
+				return errTruncatedPair
 			}
 		}
 		// As 64 bits, or two lengths that add up past 32 would look short.
 		if uint64(size[0])+uint64(size[1]) > uint64(len(b)) {
-			return errPair
+			return errTruncatedPair
 		}
 		fn(b[:size[0]], b[size[0]:size[0]+size[1]])
 		b = b[size[0]+size[1]:]
@@ -91,13 +91,13 @@
 }
 
 func appendHeader(b []byte, kind byte, id uint16, length int) []byte {
-	return append(b, version, kind, byte(id>>8), byte(id), byte(length>>8), byte(length), 0, 0)
+	return append(b, protocolVersion, kind, byte(id>>8), byte(id), byte(length>>8), byte(length), 0, 0)
 }
 
 // appendStdout adds a stream of STDOUT records and its end.
 func appendStdout(b []byte, id uint16, text, body []byte) []byte {
 	for len(text)+len(body) > 0 {
-		n := min(len(text)+len(body), maxContent)
+		n := min(len(text)+len(body), maxContentLen)
 		b = appendHeader(b, typeStdout, id, n)
 		k := min(n, len(text))
 		b = append(append(b, text[:k]...), body[:n-k]...)
@@ -106,29 +106,29 @@
 	return appendHeader(b, typeStdout, id, 0)
 }
 
-func appendEnd(b []byte, id uint16, status byte) []byte {
-	b = appendHeader(b, typeEnd, id, 8)
+func appendEndRequest(b []byte, id uint16, status byte) []byte {
+	b = appendHeader(b, typeEndRequest, id, 8)
 	return append(b, 0, 0, 0, 0, status, 0, 0, 0)
 }
 
-func appendUnknown(b []byte, kind byte) []byte {
-	b = appendHeader(b, typeUnknown, 0, 8)
+func appendUnknownType(b []byte, kind byte) []byte {
+	b = appendHeader(b, typeUnknownType, 0, 8)
 	return append(b, kind, 0, 0, 0, 0, 0, 0, 0)
 }
 
 // appendValues answers a GET_VALUES.
-func appendValues(b []byte, asked []byte, conns int) ([]byte, error) {
+func appendGetValuesResult(b []byte, asked []byte, conns int) ([]byte, error) {
 	values := map[string]string{
 		"FCGI_MAX_CONNS": strconv.Itoa(conns),
-		"FCGI_MAX_REQS":  strconv.Itoa(conns * maxStreams), "FCGI_MPXS_CONNS": "1",
+		"FCGI_MAX_REQS":  strconv.Itoa(conns * maxStreamsPerConn), "FCGI_MPXS_CONNS": "1",
 	}
 	var list []byte
-	err := pairs(asked, func(name, _ []byte) {
+	err := forEachPair(asked, func(name, _ []byte) {
 		if v, ok := values[string(name)]; ok {
 			list = append(list, byte(len(name)), byte(len(v)))
 			list = append(append(list, name...), v...)
 			delete(values, string(name))
 		}
 	})
-	return append(appendHeader(b, typeValues, 0, len(list)), list...), err
+	return append(appendHeader(b, typeGetValuesResult, 0, len(list)), list...), err
 }
--- a/internal/frontend/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -13,8 +13,8 @@
 
 // Rules is the rules that requests meet, or none.
 type Rules struct {
-	table *match.Table
-	slots map[string]int
+	table       *match.Table
+	slotByParam map[string]int
 }
 
 // NewRules returns the rules of a table; nil where it is empty.
@@ -22,9 +22,9 @@
 	if t == nil || t.Len() == 0 {
 		return nil
 	}
-	r := &Rules{table: t, slots: map[string]int{}}
+	r := &Rules{table: t, slotByParam: map[string]int{}}
 	for i, name := range t.Slots() {
-		r.slots[name] = i
+		r.slotByParam[name] = i
 	}
 	return r
 }
@@ -47,19 +47,19 @@
 
 // decide has the rules decide what is theirs to decide: the class, by the path that stands for it, and what goes
 // along with the call.
-func (s *Server) decide(f *fields, c *conn) (affinity, route string) {
+func (s *Server) applyRules(f *fields, c *conn) (affinity, route string) {
 	class, under := strings.CutPrefix(f.path, classPath)
 	if !under {
 		class = ""
 	}
 	var d dispatch.Call
 	_ = parseSpec(f.spec, &d) // a bad one is rejected after this, whatever rules make of it
-	ms, _ := strconv.ParseUint(f.budget, 10, 31)
-	size, _ := strconv.Atoi(f.length)
+	ms, _ := strconv.ParseUint(f.budgetMS, 10, 31)
+	size, _ := strconv.Atoi(f.contentLength)
 	q := match.Request{
-		Class: class, Handler: f.key, Path: f.path, Method: f.method, OnceKey: f.once, ID: f.id, Client: c.address(),
+		Class: class, Handler: f.function, Path: f.path, Method: f.method, OnceKey: f.idempotencyKey, ID: f.id, Client: c.clientAddress(),
 		Budget: time.Duration(ms) * time.Millisecond, Body: max(size, 0), Memory: d.MemoryMB, Lanes: d.Concurrency, Local: time.Now(),
-		Params: f.others,
+		Params: f.ruleParams,
 	}
 	got := s.rules.table.Match(&q)
 	for _, failed := range got.Failed {
@@ -78,11 +78,11 @@
 }
 
 // address is the client's IP address.
-func (c *conn) address() string {
-	if c.remote == "" && c.c != nil {
-		if a, err := netip.ParseAddrPort(c.c.RemoteAddr().String()); err == nil {
-			c.remote = a.Addr().Unmap().String()
+func (c *conn) clientAddress() string {
+	if c.clientIP == "" && c.socket != nil {
+		if a, err := netip.ParseAddrPort(c.socket.RemoteAddr().String()); err == nil {
+			c.clientIP = a.Addr().Unmap().String()
 		}
 	}
-	return c.remote
+	return c.clientIP
 }
