--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -25,34 +25,34 @@
 const (
 	// idleShare is the part of the time after which an agent closes an idle connection that a connection is
 	// used for: a request written just then would meet the close, and nobody could tell whether it ran.
-	idleShare = 0.85
+	idleCloseFraction = 0.85
 	// silence is how long a connection may answer nothing, with something out that was written before, until
 	// new requests go on another: a machine that was cut off gives no sign on the old one.
-	silence = time.Second
+	silenceTimeout = time.Second
 	// lostMost is how many requests in a row may be given up on a connection that answered nothing meanwhile:
 	// those of impatient clients end before silence is noticed.
-	lostMost = 3
+	maxUnansweredCancels = 3
 	// lostAfter is how long a request must have been out to count as one of those. Clients that withdraw hundreds
 	// at once tell nothing of the worker.
-	lostAfter = 200 * time.Millisecond
+	minUnansweredCancelAge = 200 * time.Millisecond
 	// perWorker is how many connections to one worker may be open, silent ones included.
-	perWorker = 8
+	maxConnsPerWorker = 8
 	// spread is how many connections to one worker are used side by side, as far as there is something to carry.
 	// A connection that breaks, by one answer that cannot be read, takes along all that is out on it.
-	spread = 4
+	preferredConnsPerWorker = 4
 	// carryEach is how many schedulers there are for each request that a connection carries before another is used
 	// beside it, spread requests at most: agents take only so many connections of all of them together.
-	carryEach = 3
+	schedulersPerInFlight = 3
 	// aloneFor is how long no connection is added to those of a worker after one did not come up.
-	aloneFor = time.Second
+	dialBackoff = time.Second
 	// crossing is how long after a request was given up, or answered, another answer to it may still come.
-	crossing = 3 * time.Second
+	lateAnswerWindow = 3 * time.Second
 	// wholeIn is how long the rest of an answer may take once it has begun to come.
-	wholeIn = 250 * time.Millisecond
+	partialAnswerTimeout = 250 * time.Millisecond
 	// writeTries is how many connections may turn out to be dead when a request is about to be written.
-	writeTries = 3
+	maxWriteAttempts = 3
 	// backlog is how much may wait unsent on a connection until the agent counts as not reading.
-	backlog = 256 << 10
+	maxOutboundBytes = 256 << 10
 )
 
 // Sink is told what becomes of attempts and probes.
@@ -83,66 +83,66 @@
 
 // Pool keeps the connections to all workers. It is a dispatch.Workers.
 type Pool struct {
-	loop    Loop
-	sink    Sink
-	opt     Options
-	log     logrus.FieldLogger
-	workers map[string]*worker
-	sent    map[slotmap.Ref]*job
-	conns   slotmap.Table[*conn]
-	dialing int
-	queued  []*worker // that are dialed once there are descriptors for it
-	wear    wear
-	fresh   time.Duration // how long a connection may rest and be used again; 0 means any time
-	probes  uint64
-	scratch []byte
+	loop            Loop
+	sink            Sink
+	options         Options
+	log             logrus.FieldLogger
+	workers         map[string]*worker
+	attempts        map[slotmap.Ref]*call
+	conns           slotmap.Table[*conn]
+	dialsInProgress int
+	dialQueue       []*worker // that are dialed once there are descriptors for it
+	idleResets      idleResetDetector
+	maxIdle         time.Duration // how long a connection may rest and be used again; 0 means any time
+	probeCount      uint64
+	writeBuffer     []byte
 }
 
 // worker is a process at an address; a new uid or a new start makes a new one.
 type worker struct {
-	id, addr string
-	state    routing.WorkerState
-	started  time.Duration
-	conns    []*conn
-	waiting  []*job // for a connection
-	dialing  int
-	alone    time.Duration // until then no connection is added to those that there are
+	id, addr         string
+	state            routing.WorkerState
+	startedAt        time.Duration
+	conns            []*conn
+	pending          []*call // for a connection
+	dialsInProgress  int
+	noExtraConnUntil time.Duration // until then no connection is added to those that there are
 }
 
 // job is an attempt or a probe.
-type job struct {
+type call struct {
 	dispatch.Attempt
-	w       *worker
-	c       *conn // nil while it waits for one
-	probe   bool
-	tries   int // connections that were dead when it was to be written
-	written time.Duration
-	late    deadline.Timer // of a probe; those of attempts are the dispatcher's
+	target           *worker
+	conn             *conn // nil while it waits for one
+	isHealthCheck    bool
+	writeAttempts    int // connections that were dead when it was to be written
+	writtenAt        time.Duration
+	healthCheckTimer deadline.Timer // of a probe; those of attempts are the dispatcher's
 }
 
 // conn is a connection to a worker. It is its loop.Peer.
 type conn struct {
-	ref     slotmap.Ref
-	pool    *Pool
-	w       *worker
-	c       gnet.Conn                // nil until it is up and once it is gone
-	out     map[string]*job          // by request id
-	spent   map[string]time.Duration // when a request was given up or answered: another answer may yet come
-	opened  time.Duration
-	written time.Duration // when the last request or probe was
-	heard   time.Duration // when something last came
-	lost    int           // requests given up since
-	rest    time.Duration // before the latest request that had the connection to itself
-	used    bool          // since then nothing was heard
-	retired bool          // gets nothing new
-	partial bool          // an answer has begun to come
-	idle    deadline.Timer
-	due     deadline.Timer // for the rest of that answer
+	ref                  slotmap.Ref
+	pool                 *Pool
+	target               *worker
+	socket               gnet.Conn                // nil until it is up and once it is gone
+	inFlight             map[string]*call         // by request id
+	recentlyEnded        map[string]time.Duration // when a request was given up or answered: another answer may yet come
+	openedAt             time.Duration
+	lastWriteAt          time.Duration // when the last request or probe was
+	lastReadAt           time.Duration // when something last came
+	unansweredCancels    int           // requests given up since
+	idleBeforeUse        time.Duration // before the latest request that had the connection to itself
+	idleReuseUnconfirmed bool          // since then nothing was heard
+	draining             bool          // gets nothing new
+	partialAnswer        bool          // an answer has begun to come
+	idleTimer            deadline.Timer
+	partialAnswerTimer   deadline.Timer // for the rest of that answer
 }
 
 // New returns a Pool without workers.
 func New(l Loop, s Sink, o Options, log logrus.FieldLogger) *Pool {
-	return &Pool{loop: l, sink: s, opt: o, log: log, workers: map[string]*worker{}, sent: map[slotmap.Ref]*job{}}
+	return &Pool{loop: l, sink: s, options: o, log: log, workers: map[string]*worker{}, attempts: map[slotmap.Ref]*call{}}
 }
 
 // UpdateEndpoints takes in the list of workers.
@@ -152,7 +152,7 @@
 		seen[e.ID] = true
 		w := p.workers[e.ID]
 		if w != nil && (e.State == routing.Gone || e.Addr != w.addr) {
-			p.drop(w)
+			p.removeWorker(w)
 			w = nil
 		}
 		if e.State == routing.Gone {
@@ -163,17 +163,17 @@
 			p.workers[e.ID] = w
 		}
 		if w.state = e.State; w.state != routing.Ready {
-			p.failWaiting(w, routing.NotSent)
+			p.failPending(w, routing.NotSent)
 		}
-		if e.Started != w.started {
-			w.started = e.Started
-			p.closeOlder(w)
+		if e.Started != w.startedAt {
+			w.startedAt = e.Started
+			p.closeStaleConns(w)
 		}
 	}
 	if r.Full {
 		for id, w := range p.workers {
 			if !seen[id] {
-				p.drop(w)
+				p.removeWorker(w)
 			}
 		}
 	}
@@ -181,111 +181,111 @@
 
 // drop forgets a worker that is gone. What is out there may still be answered, so its connections end with
 // that; another worker at its address, or of its name, never gets to use them.
-func (p *Pool) drop(w *worker) {
+func (p *Pool) removeWorker(w *worker) {
 	w.state = routing.Gone
 	delete(p.workers, w.id)
-	p.failWaiting(w, routing.NotSent)
+	p.failPending(w, routing.NotSent)
 	for _, c := range slices.Clone(w.conns) {
-		c.retire("worker gone")
-		c.closeIfSpent()
+		c.drain("worker gone")
+		c.closeIfDrained()
 	}
 }
 
 // closeOlder closes a worker's connections from before its latest start. What runs there now knows nothing of
 // them: without this, requests out at a machine that came back cut off from them would wait to their end.
-func (p *Pool) closeOlder(w *worker) {
+func (p *Pool) closeStaleConns(w *worker) {
 	for _, c := range slices.Clone(w.conns) {
-		if c.opened < w.started {
+		if c.openedAt < w.startedAt {
 			c.close()
 		}
 	}
 }
 
-func (p *Pool) failWaiting(w *worker, o routing.Outcome) {
-	waiting := w.waiting
-	w.waiting = nil
+func (p *Pool) failPending(w *worker, o routing.Outcome) {
+	waiting := w.pending
+	w.pending = nil
 	for _, j := range waiting {
 		p.finish(j, dispatch.AttemptResult{Outcome: o, InFlightForFunction: -1})
 	}
 }
 
 // finish reports how a job ended.
-func (p *Pool) finish(j *job, e dispatch.AttemptResult) {
-	if j.probe {
-		p.loop.ClearDeadline(&j.late)
-		p.sink.ProbeEnded(j.Worker, p.loop.Now()-j.written, e)
+func (p *Pool) finish(j *call, e dispatch.AttemptResult) {
+	if j.isHealthCheck {
+		p.loop.ClearDeadline(&j.healthCheckTimer)
+		p.sink.ProbeEnded(j.Worker, p.loop.Now()-j.writtenAt, e)
 		return
 	}
-	delete(p.sent, j.Ref)
+	delete(p.attempts, j.Ref)
 	p.sink.AttemptEnded(j.Ref, e)
 }
 
 // Send writes an attempt, or has it wait for a connection.
 func (p *Pool) Send(a dispatch.Attempt) {
-	j := &job{Attempt: a, w: p.workers[a.Worker]}
-	p.sent[a.Ref] = j
-	p.start(j)
+	j := &call{Attempt: a, target: p.workers[a.Worker]}
+	p.attempts[a.Ref] = j
+	p.assign(j)
 }
 
 // Probe asks a worker for its load report.
 func (p *Pool) Probe(id string) {
-	p.probes++
-	j := &job{
-		Attempt: dispatch.Attempt{Worker: id, ID: "p" + strconv.FormatUint(p.probes, 10)},
-		w:       p.workers[id], probe: true, written: p.loop.Now(),
+	p.probeCount++
+	j := &call{
+		Attempt: dispatch.Attempt{Worker: id, ID: "p" + strconv.FormatUint(p.probeCount, 10)},
+		target:  p.workers[id], isHealthCheck: true, writtenAt: p.loop.Now(),
 	}
-	j.late.Fire = func() {
-		p.forget(j)
+	j.healthCheckTimer.Fire = func() {
+		p.detach(j)
 		p.finish(j, dispatch.AttemptResult{Outcome: routing.TimedOut, InFlightForFunction: -1})
 	}
-	p.loop.SetDeadline(&j.late, p.loop.Now()+p.opt.ConnectTimeout)
-	p.start(j)
+	p.loop.SetDeadline(&j.healthCheckTimer, p.loop.Now()+p.options.ConnectTimeout)
+	p.assign(j)
 }
 
-func (p *Pool) start(j *job) {
-	w := j.w
+func (p *Pool) assign(j *call) {
+	w := j.target
 	if w == nil || w.state != routing.Ready {
 		p.finish(j, dispatch.AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
 		return
 	}
-	c, usable := p.pick(j)
+	c, usable := p.pickConn(j)
 	if c != nil {
-		if len(c.out) >= min(max(p.opt.Schedulers/carryEach, 1), spread) && usable < spread {
-			p.widen(w)
+		if len(c.inFlight) >= min(max(p.options.Schedulers/schedulersPerInFlight, 1), preferredConnsPerWorker) && usable < preferredConnsPerWorker {
+			p.addConn(w)
 		}
 		c.write(j)
 		return
 	}
-	if len(w.conns)+w.dialing >= perWorker || p.conns.Len()+p.dialing >= p.opt.MaxConns {
-		if w.dialing == 0 && !p.evict(w) {
+	if len(w.conns)+w.dialsInProgress >= maxConnsPerWorker || p.conns.Len()+p.dialsInProgress >= p.options.MaxConns {
+		if w.dialsInProgress == 0 && !p.evictIdleConn(w) {
 			p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectFailed, InFlightForFunction: -1})
 			return
 		}
 	}
-	w.waiting = append(w.waiting, j)
-	if (len(w.waiting)-1)/p.opt.PipelineDepth >= w.dialing {
+	w.pending = append(w.pending, j)
+	if (len(w.pending)-1)/p.options.PipelineDepth >= w.dialsInProgress {
 		p.dial(w)
 	}
 }
 
 // pick chooses a connection that may carry the job, the one with the least out, and tells how many could be used.
-func (p *Pool) pick(j *job) (best *conn, usable int) {
+func (p *Pool) pickConn(j *call) (best *conn, usable int) {
 	now := p.loop.Now()
-	for _, c := range j.w.conns {
+	for _, c := range j.target.conns {
 		// What waits here to be sent on a connection can't be taken back: by the time that it goes its client may
 		// have left, or its worker drain.
-		if c.retired || c.partial || len(c.out) >= p.opt.PipelineDepth || c.silent(now) || c.c.OutboundBuffered() > 0 ||
-			p.fresh > 0 && len(c.out) == 0 && c.rested(now) >= p.fresh {
+		if c.draining || c.partialAnswer || len(c.inFlight) >= p.options.PipelineDepth || c.unresponsive(now) || c.socket.OutboundBuffered() > 0 ||
+			p.maxIdle > 0 && len(c.inFlight) == 0 && c.idleFor(now) >= p.maxIdle {
 			continue
 		}
 		usable++
 		// Two attempts of one request on a connection could not be told apart, and one that was given up or
 		// answered may yet be answered there once more.
-		_, taken := c.out[j.ID]
-		if at, ok := c.spent[j.ID]; taken || ok && now-at < crossing {
+		_, taken := c.inFlight[j.ID]
+		if at, ok := c.recentlyEnded[j.ID]; taken || ok && now-at < lateAnswerWindow {
 			continue
 		}
-		if best == nil || len(c.out) < len(best.out) {
+		if best == nil || len(c.inFlight) < len(best.inFlight) {
 			best = c
 		}
 	}
@@ -294,18 +294,18 @@
 
 // widen adds a connection to those of a worker, for what comes next. Half of all that there may be are kept for
 // workers that have none.
-func (p *Pool) widen(w *worker) {
+func (p *Pool) addConn(w *worker) {
 	// Where connections do not outlast a short rest, more of them rest longer and are of no use.
-	if w.dialing == 0 && len(w.conns) < perWorker && p.loop.Now() >= w.alone && p.fresh == 0 &&
-		2*(p.conns.Len()+p.dialing) < p.opt.MaxConns {
+	if w.dialsInProgress == 0 && len(w.conns) < maxConnsPerWorker && p.loop.Now() >= w.noExtraConnUntil && p.maxIdle == 0 &&
+		2*(p.conns.Len()+p.dialsInProgress) < p.options.MaxConns {
 		p.dial(w)
 	}
 }
 
 // silent reports whether a connection has answered nothing for long, though something is out.
-func (c *conn) silent(now time.Duration) bool {
-	for _, j := range c.out {
-		if j.written > c.heard && now-j.written > silence {
+func (c *conn) unresponsive(now time.Duration) bool {
+	for _, j := range c.inFlight {
+		if j.writtenAt > c.lastReadAt && now-j.writtenAt > silenceTimeout {
 			return true
 		}
 	}
@@ -314,15 +314,15 @@
 
 // evict makes room for a dial by closing a connection that nobody waits on: one of the worker's if it has as many as
 // may be, else the one of all that has rested longest.
-func (p *Pool) evict(w *worker) bool {
+func (p *Pool) evictIdleConn(w *worker) bool {
 	from := maps.Values(p.workers)
-	if len(w.conns)+w.dialing >= perWorker {
+	if len(w.conns)+w.dialsInProgress >= maxConnsPerWorker {
 		from = slices.Values([]*worker{w})
 	}
 	var longest *conn
 	for w := range from {
 		for _, c := range w.conns {
-			if len(c.out) == 0 && (longest == nil || max(c.written, c.heard) < max(longest.written, longest.heard)) {
+			if len(c.inFlight) == 0 && (longest == nil || max(c.lastWriteAt, c.lastReadAt) < max(longest.lastWriteAt, longest.lastReadAt)) {
 				longest = c
 			}
 		}
@@ -338,64 +338,64 @@
 //
 // Guards against a program that has no descriptor left: gnet ends its loop when it can't accept a client.
 func (p *Pool) dial(w *worker) {
-	if p.conns.Len()+2*(p.dialing+1) > p.opt.MaxDescriptors {
-		if !slices.Contains(p.queued, w) {
-			p.queued = append(p.queued, w)
+	if p.conns.Len()+2*(p.dialsInProgress+1) > p.options.MaxDescriptors {
+		if !slices.Contains(p.dialQueue, w) {
+			p.dialQueue = append(p.dialQueue, w)
 		}
 		return
 	}
-	w.dialing++
-	p.dialing++
-	c := &conn{pool: p, w: w, out: map[string]*job{}, spent: map[string]time.Duration{}}
-	p.loop.Dial(w.addr, p.opt.ConnectTimeout, c, func(err error) {
-		w.dialing--
-		p.dialing--
-		w.alone = p.loop.Now() + aloneFor
+	w.dialsInProgress++
+	p.dialsInProgress++
+	c := &conn{pool: p, target: w, inFlight: map[string]*call{}, recentlyEnded: map[string]time.Duration{}}
+	p.loop.Dial(w.addr, p.options.ConnectTimeout, c, func(err error) {
+		w.dialsInProgress--
+		p.dialsInProgress--
+		w.noExtraConnUntil = p.loop.Now() + dialBackoff
 		p.log.WithError(err).WithField("worker", w.id).Warn("agent not reached")
-		if w.dialing == 0 {
-			p.writeWaiting(w) // others may have come free meanwhile
-			p.failWaiting(w, routing.ConnectFailed)
+		if w.dialsInProgress == 0 {
+			p.writePending(w) // others may have come free meanwhile
+			p.failPending(w, routing.ConnectFailed)
 		}
-		p.dialQueued()
+		p.startQueuedDials()
 	})
 }
 
 // writeWaiting writes what waits for a connection to a worker, as far as there is one for it.
-func (p *Pool) writeWaiting(w *worker) {
-	waiting := w.waiting
-	w.waiting = nil
+func (p *Pool) writePending(w *worker) {
+	waiting := w.pending
+	w.pending = nil
 	for _, j := range waiting {
 		// While it waited its request may have been answered, or its worker begun to drain.
-		if !j.probe && !p.sink.MaySend(j.Ref) {
+		if !j.isHealthCheck && !p.sink.MaySend(j.Ref) {
 			p.finish(j, dispatch.AttemptResult{Outcome: routing.NotSent, InFlightForFunction: -1})
-		} else if pick, _ := p.pick(j); pick != nil {
+		} else if pick, _ := p.pickConn(j); pick != nil {
 			pick.write(j)
 		} else {
-			w.waiting = append(w.waiting, j)
+			w.pending = append(w.pending, j)
 		}
 	}
 }
 
 // dialQueued makes the connections that waited for descriptors, as far as they are still needed.
-func (p *Pool) dialQueued() {
-	for len(p.queued) > 0 && p.conns.Len()+2*(p.dialing+1) <= p.opt.MaxDescriptors {
-		w := p.queued[0]
-		p.queued = p.queued[1:]
-		if len(w.waiting) > 0 && w.dialing == 0 {
+func (p *Pool) startQueuedDials() {
+	for len(p.dialQueue) > 0 && p.conns.Len()+2*(p.dialsInProgress+1) <= p.options.MaxDescriptors {
+		w := p.dialQueue[0]
+		p.dialQueue = p.dialQueue[1:]
+		if len(w.pending) > 0 && w.dialsInProgress == 0 {
 			p.dial(w)
 		}
 	}
 }
 
 // forget takes a job out of whatever holds it and reports whether any of it was written.
-func (p *Pool) forget(j *job) bool {
-	if j.c != nil {
-		j.c.giveUp(j)
+func (p *Pool) detach(j *call) bool {
+	if j.conn != nil {
+		j.conn.abandon(j)
 		return true
 	}
-	for i, other := range j.w.waiting {
+	for i, other := range j.target.pending {
 		if other == j {
-			j.w.waiting = append(j.w.waiting[:i:i], j.w.waiting[i+1:]...)
+			j.target.pending = append(j.target.pending[:i:i], j.target.pending[i+1:]...)
 			break
 		}
 	}
@@ -403,41 +403,41 @@
 }
 
 // giveUp takes a job off a connection.
-func (c *conn) giveUp(j *job) {
-	delete(c.out, j.ID)
-	c.spend(j.ID)
+func (c *conn) abandon(j *call) {
+	delete(c.inFlight, j.ID)
+	c.recordEnded(j.ID)
 }
 
 // spend remembers an id for as long as an answer to it may come that is not for the next attempt.
-func (c *conn) spend(id string) {
+func (c *conn) recordEnded(id string) {
 	now := c.pool.loop.Now()
-	if len(c.spent) >= c.pool.opt.PipelineDepth {
-		maps.DeleteFunc(c.spent, func(_ string, at time.Duration) bool { return now-at >= crossing })
+	if len(c.recentlyEnded) >= c.pool.options.PipelineDepth {
+		maps.DeleteFunc(c.recentlyEnded, func(_ string, at time.Duration) bool { return now-at >= lateAnswerWindow })
 	}
-	c.spent[id] = now
+	c.recentlyEnded[id] = now
 }
 
 // Cancel gives an attempt up; it is not reported any more.
 func (p *Pool) Cancel(ref slotmap.Ref) (written bool) {
-	j := p.sent[ref]
+	j := p.attempts[ref]
 	if j == nil {
 		return false
 	}
-	delete(p.sent, ref)
-	c := j.c
-	if !p.forget(j) {
+	delete(p.attempts, ref)
+	c := j.conn
+	if !p.detach(j) {
 		return false
 	}
-	if out := p.loop.Now() - j.written; c.heard < j.written && out >= lostAfter {
-		if c.lost++; c.lost >= lostMost || out > silence {
-			c.retire("silent")
+	if out := p.loop.Now() - j.writtenAt; c.lastReadAt < j.writtenAt && out >= minUnansweredCancelAge {
+		if c.unansweredCancels++; c.unansweredCancels >= maxUnansweredCancels || out > silenceTimeout {
+			c.drain("silent")
 		}
 	}
-	if c.c != nil {
-		p.scratch = append(append(append(p.scratch[:0], "halt "...), j.ID...), crlf...)
-		c.send(p.scratch)
+	if c.socket != nil {
+		p.writeBuffer = append(append(append(p.writeBuffer[:0], "halt "...), j.ID...), crlf...)
+		c.writeControl(p.writeBuffer)
 	}
-	c.closeIfSpent()
+	c.closeIfDrained()
 	return true
 }
 
@@ -445,92 +445,94 @@
 
 // Opened takes over a connection that is up.
 func (c *conn) Opened(gc gnet.Conn) {
-	p, w := c.pool, c.w
-	w.dialing--
-	p.dialing--
-	c.c = gc
-	c.opened = p.loop.Now()
-	c.heard = c.opened
+	p, w := c.pool, c.target
+	w.dialsInProgress--
+	p.dialsInProgress--
+	c.socket = gc
+	c.openedAt = p.loop.Now()
+	c.lastReadAt = c.openedAt
 	c.ref = p.conns.Insert(c)
 	w.conns = append(w.conns, c)
-	c.idle.Fire, c.due.Fire = c.idled, c.cutShort
-	p.loop.SetDeadline(&c.idle, c.heard+p.idleAfter())
-	defer p.dialQueued()
+	c.idleTimer.Fire, c.partialAnswerTimer.Fire = c.onIdleTimer, c.onPartialAnswerTimeout
+	p.loop.SetDeadline(&c.idleTimer, c.lastReadAt+p.idleTimeout())
+	defer p.startQueuedDials()
 	if w.state == routing.Gone {
 		c.close()
 		return
 	}
-	p.writeWaiting(w)
-	if len(w.waiting) > 0 && w.dialing == 0 {
+	p.writePending(w)
+	if len(w.pending) > 0 && w.dialsInProgress == 0 {
 		p.dial(w)
 	}
 }
 
-func (p *Pool) idleAfter() time.Duration {
-	after := time.Duration(idleShare * float64(p.opt.IdleCloseAfter))
-	if p.fresh > 0 {
-		after = min(after, p.fresh)
+func (p *Pool) idleTimeout() time.Duration {
+	after := time.Duration(idleCloseFraction * float64(p.options.IdleCloseAfter))
+	if p.maxIdle > 0 {
+		after = min(after, p.maxIdle)
 	}
 	return after
 }
 
 // rested is how long nothing has gone on a connection.
-func (c *conn) rested(now time.Duration) time.Duration { return now - max(c.written, c.heard) }
+func (c *conn) idleFor(now time.Duration) time.Duration {
+	return now - max(c.lastWriteAt, c.lastReadAt)
+}
 
 // idled closes a connection on which nothing has gone for long.
-func (c *conn) idled() {
-	now, limit := c.pool.loop.Now(), c.pool.idleAfter()
-	if rested := c.rested(now); rested < limit || len(c.out) > 0 {
-		c.pool.loop.SetDeadline(&c.idle, now+max(limit-rested, limit/8))
+func (c *conn) onIdleTimer() {
+	now, limit := c.pool.loop.Now(), c.pool.idleTimeout()
+	if rested := c.idleFor(now); rested < limit || len(c.inFlight) > 0 {
+		c.pool.loop.SetDeadline(&c.idleTimer, now+max(limit-rested, limit/8))
 		return
 	}
 	c.close()
 }
 
 // outlasted takes in what became of a connection that was used after a rest, and what follows for all others.
-func (p *Pool) outlasted(c *conn, broke bool) {
-	c.used = false
+func (p *Pool) recordIdleReuse(c *conn, broke bool) {
+	c.idleReuseUnconfirmed = false
 	now := p.loop.Now()
-	p.wear.note(now, c.rest, broke)
-	fresh := p.wear.limit(p.fresh)
-	if fresh == p.fresh {
+	p.idleResets.record(now, c.idleBeforeUse, broke)
+	fresh := p.idleResets.maxIdle(p.maxIdle)
+	if fresh == p.maxIdle {
 		return
 	}
-	p.fresh = fresh
+	p.maxIdle = fresh
 	p.log.WithField("rest", fresh).Info("agent connections: longest rest changed")
 	for _, w := range p.workers {
 		for _, c := range w.conns {
-			p.loop.SetDeadline(&c.idle, now)
+			p.loop.SetDeadline(&c.idleTimer, now)
 		}
 	}
 }
 
 // write sends a job. From here on it may have run, unless the system took nothing of it.
-func (c *conn) write(j *job) {
+func (c *conn) write(j *call) {
 	p := c.pool
-	j.c, j.written = c, p.loop.Now()
-	if len(c.out) == 0 {
-		c.rest, c.used = c.rested(j.written), true
-	}
-	c.written = j.written
-	c.out[j.ID] = j
-	b := p.scratch[:0]
-	if j.probe {
+	j.conn, j.writtenAt = c, p.loop.Now()
+	if len(c.inFlight) == 0 {
+		c.idleBeforeUse, c.idleReuseUnconfirmed = c.idleFor(j.writtenAt), true
+	}
+	c.lastWriteAt = j.writtenAt
+	c.inFlight[j.ID] = j
+	b := p.writeBuffer[:0]
+	if j.isHealthCheck {
 		b = append(append(append(b, "stat "...), j.ID...), crlf...)
 	} else {
-		b = appendGo(b, &j.Attempt, p.opt.Classes[j.Class])
+		b = appendStart(b, &j.Attempt, p.options.Classes[j.Class])
 	}
-	p.scratch = b
+	p.writeBuffer = b
 	// The peer may have closed already. Nothing waits to be sent before this, so that an error of this write means that
 	// none of it has left.
-	delete(c.out, j.ID)
-	switch n, err := c.c.Write(b); {
+	delete(c.inFlight, j.ID)
+	switch n, err := c.socket.Write(b); {
 	case err == nil:
-		c.out[j.ID] = j
+		c.inFlight[j.ID] = j
 	case n == 0:
 		// The peer may be well: connections are reset at any time. Another one shows.
-		if j.c, j.tries = nil, j.tries+1; j.tries < writeTries {
-			p.start(j)
+		if j.conn, j.writeAttempts = nil, j.writeAttempts+1; j.writeAttempts < maxWriteAttempts {
+			p.assign(j)
 			return
 		}
 		p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectFailed, InFlightForFunction: -1})
@@ -540,7 +542,7 @@
 }
 
 // appendGo adds the command that begins an attempt.
-func appendGo(b []byte, a *dispatch.Attempt, class string) []byte {
+func appendStart(b []byte, a *dispatch.Attempt, class string) []byte {
 	b = append(append(b, "go "...), a.ID...)
 	b = append(append(b, " sort="...), class...)
 	b = append(append(b, ",asset="...), a.Function...)
@@ -554,52 +556,52 @@
 	return append(append(b, a.Body...), crlf...)
 }
 
-func (c *conn) send(b []byte) {
+func (c *conn) writeControl(b []byte) {
 	// An error closes the connection and is reported by Closed.
-	_, err := c.c.Write(b)
-	if err == nil && c.c != nil && c.c.OutboundBuffered() > backlog {
-		c.pool.log.WithField("worker", c.w.id).Warn("agent does not read: connection closed")
+	_, err := c.socket.Write(b)
+	if err == nil && c.socket != nil && c.socket.OutboundBuffered() > maxOutboundBytes {
+		c.pool.log.WithField("worker", c.target.id).Warn("agent does not read: connection closed")
 		c.close()
 	}
 }
 
 // Readable reads answers.
 func (c *conn) Readable(gc gnet.Conn) error {
-	c.heard, c.lost = c.pool.loop.Now(), 0
-	if c.used {
-		c.pool.outlasted(c, false)
+	c.lastReadAt, c.unansweredCancels = c.pool.loop.Now(), 0
+	if c.idleReuseUnconfirmed {
+		c.pool.recordIdleReuse(c, false)
 	}
 	for {
 		b, err := gc.Peek(-1)
 		if err != nil || len(b) == 0 {
 			return nil
 		}
-		a, n, err := parse(b, c.pool.opt.MaxAnswerBytes)
+		a, n, err := parseAnswer(b, c.pool.options.MaxAnswerBytes)
 		if err != nil {
-			c.pool.log.WithError(err).WithField("worker", c.w.id).Warn("agent closed: it cannot be understood")
+			c.pool.log.WithError(err).WithField("worker", c.target.id).Warn("agent closed: it cannot be understood")
 			return err
 		}
 		if n == 0 {
 			// Guards against an answer that stops short: until the rest comes, nothing else comes here.
-			if !c.partial {
-				c.partial = true
-				c.pool.loop.SetDeadline(&c.due, c.heard+wholeIn)
+			if !c.partialAnswer {
+				c.partialAnswer = true
+				c.pool.loop.SetDeadline(&c.partialAnswerTimer, c.lastReadAt+partialAnswerTimeout)
 			}
 			return nil
 		}
-		if c.partial {
-			c.partial = false
-			c.pool.loop.ClearDeadline(&c.due)
+		if c.partialAnswer {
+			c.partialAnswer = false
+			c.pool.loop.ClearDeadline(&c.partialAnswerTimer)
 		}
-		c.take(a)
-		if c.c == nil {
+		c.handleAnswer(a)
+		if c.socket == nil {
 			return nil
 		}
 		if _, err := gc.Discard(n); err != nil {
 			return fmt.Errorf("reading on: %w", err)
 		}
-		c.closeIfSpent()
-		if c.c == nil {
+		c.closeIfDrained()
+		if c.socket == nil {
 			return nil
 		}
 	}
@@ -611,78 +613,78 @@
 }
 
 // take passes an answer on.
-func (c *conn) take(a answer) {
-	j, ok := c.out[a.id]
+func (c *conn) handleAnswer(a answer) {
+	j, ok := c.inFlight[a.id]
 	if !ok {
 		return // it was given up before
 	}
-	delete(c.out, a.id)
-	if a.word != "OK" { // which ends the request: it has no next attempt
-		c.spend(a.id)
+	delete(c.inFlight, a.id)
+	if a.status != "OK" { // which ends the request: it has no next attempt
+		c.recordEnded(a.id)
 	}
-	e := dispatch.AttemptResult{Outcome: outcomes[a.word], Body: a.body, InFlightForFunction: -1, Report: a.report}
-	if a.word == "OK" || a.word == "BUSY" {
-		e.InFlightForFunction = a.depth
+	e := dispatch.AttemptResult{Outcome: outcomes[a.status], Body: a.body, InFlightForFunction: -1, Report: a.loadReport}
+	if a.status == "OK" || a.status == "BUSY" {
+		e.InFlightForFunction = a.inFlightForFunction
 	}
 	c.pool.finish(j, e)
 }
 
 // cutShort gives up a connection on which the rest of an answer does not come.
-func (c *conn) cutShort() {
-	c.pool.log.WithField("worker", c.w.id).Warn("agent closed: an answer stops short")
+func (c *conn) onPartialAnswerTimeout() {
+	c.pool.log.WithField("worker", c.target.id).Warn("agent closed: an answer stops short")
 	c.close()
 }
 
 // retire has a connection get nothing new.
-func (c *conn) retire(why string) {
-	if !c.retired {
-		c.retired = true
-		c.pool.log.WithFields(logrus.Fields{"worker": c.w.id, "why": why}).Info("agent connection retired")
+func (c *conn) drain(why string) {
+	if !c.draining {
+		c.draining = true
+		c.pool.log.WithFields(logrus.Fields{"worker": c.target.id, "why": why}).Info("agent connection retired")
 	}
 }
 
 // closeIfSpent closes a retired connection once nobody waits for anything on it.
-func (c *conn) closeIfSpent() {
-	if c.retired && len(c.out) == 0 {
+func (c *conn) closeIfDrained() {
+	if c.draining && len(c.inFlight) == 0 {
 		c.close()
 	}
 }
 
 func (c *conn) close() {
-	if c.c != nil {
+	if c.socket != nil {
 		// On the loop gnet closes at once and calls Closed.
-		_ = c.c.EventLoop().Close(c.c)
+		_ = c.socket.EventLoop().Close(c.socket)
 	}
 }
 
-var errClosed = errors.New("closed")
+var errConnClosed = errors.New("closed")
 
 // Closed ends all that was out: it was written, so it may have run.
 func (c *conn) Closed(_ gnet.Conn, err error) {
-	p, w := c.pool, c.w
-	c.c = nil
+	p, w := c.pool, c.target
+	c.socket = nil
 	p.conns.Remove(c.ref)
-	p.loop.ClearDeadline(&c.idle)
-	p.loop.ClearDeadline(&c.due)
+	p.loop.ClearDeadline(&c.idleTimer)
+	p.loop.ClearDeadline(&c.partialAnswerTimer)
 	for i, other := range w.conns {
 		if other == c {
 			w.conns = append(w.conns[:i:i], w.conns[i+1:]...)
 			break
 		}
 	}
-	lost := len(c.out)
-	if c.used && lost > 0 && err != nil { // without an error it was closed from here
-		p.outlasted(c, true)
+	lost := len(c.inFlight)
+	if c.idleReuseUnconfirmed && lost > 0 && err != nil { // without an error it was closed from here
+		p.recordIdleReuse(c, true)
 	}
-	for id, j := range c.out {
-		delete(c.out, id)
+	for id, j := range c.inFlight {
+		delete(c.inFlight, id)
 		p.finish(j, dispatch.AttemptResult{Outcome: routing.ConnectionReset, InFlightForFunction: -1})
 	}
 	if lost > 0 {
 		if err == nil {
-			err = errClosed
+			err = errConnClosed
 		}
 		p.log.WithError(err).WithFields(logrus.Fields{"worker": w.id, "lost": lost}).Warn("agent connection lost")
 	}
-	p.dialQueued()
+	p.startQueuedDials()
 }
--- a/internal/nodeagent/line.go
+++ b/internal/nodeagent/answer.go
@@ -12,17 +12,17 @@
 )
 
 // maxLine is the longest line that an agent may write.
-const maxLine = 4 << 10
+const maxAnswerLineBytes = 4 << 10
 
 // answer is one answer of an agent.
 type answer struct {
-	id, word string
-	depth    int // 0 if absent
-	report   *routing.LoadReport
-	body     []byte
+	id, status          string
+	inFlightForFunction int // 0 if absent
+	loadReport          *routing.LoadReport
+	body                []byte
 }
 
-var errLine = errors.New("answer cannot be read")
+var errMalformedAnswer = errors.New("answer cannot be read")
 
 // parse reads the answer that a buffer begins with and tells how many bytes it takes, 0 if it is not whole yet.
 // The body is part of the buffer, and no longer than a limit.
@@ -30,33 +30,33 @@
 // Guards against an agent that writes without end or nonsense: lines and bodies are bounded, every word must
 // be as the protocol has it, and an error is for good. Noise that runs into the next line must not pass for an
 // unknown id, or that line's answer would never come.
-func parse(b []byte, maxBody int) (a answer, n int, err error) {
-	end := bytes.Index(b[:min(len(b), maxLine)], crlf)
+func parseAnswer(b []byte, maxBody int) (a answer, n int, err error) {
+	end := bytes.Index(b[:min(len(b), maxAnswerLineBytes)], crlf)
 	if end < 0 {
-		if len(b) >= maxLine {
-			return a, 0, fmt.Errorf("%w: no line end in %d bytes", errLine, maxLine)
+		if len(b) >= maxAnswerLineBytes {
+			return a, 0, fmt.Errorf("%w: no line end in %d bytes", errMalformedAnswer, maxAnswerLineBytes)
 		}
 		return a, 0, nil
 	}
 	if bytes.ContainsFunc(b[:end], func(c rune) bool { return c < ' ' || c > '~' }) {
-		return a, 0, fmt.Errorf("%w: %.20q", errLine, b[:end])
+		return a, 0, fmt.Errorf("%w: %.20q", errMalformedAnswer, b[:end])
 	}
 	words := strings.Split(string(b[:end]), " ")
 	if len(words) < 2 || len(words) > 4 || words[0] == "" {
-		return a, 0, fmt.Errorf("%w: %d words", errLine, len(words))
+		return a, 0, fmt.Errorf("%w: %d words", errMalformedAnswer, len(words))
 	}
-	a.id, a.word = words[0], words[1]
-	switch a.word {
+	a.id, a.status = words[0], words[1]
+	switch a.status {
 	case "OK", "MISS", "BUSY", "ERR", "VOID":
 		if len(words) != 4 {
-			return a, 0, fmt.Errorf("%w: %s of %d words", errLine, a.word, len(words))
+			return a, 0, fmt.Errorf("%w: %s of %d words", errMalformedAnswer, a.status, len(words))
 		}
 	case "UP", "DOWN": // the answers to probes need no body
 	default:
-		return a, 0, fmt.Errorf("%w: word %.20q", errLine, a.word)
+		return a, 0, fmt.Errorf("%w: word %.20q", errMalformedAnswer, a.status)
 	}
 	if len(words) > 2 {
-		if err := a.fields(words[2]); err != nil {
+		if err := a.parseFields(words[2]); err != nil {
 			return a, 0, err
 		}
 	}
@@ -66,49 +66,49 @@
 	}
 	length, err := strconv.ParseUint(words[3], 10, 32)
 	if err != nil || length > uint64(maxBody) {
-		return a, 0, fmt.Errorf("%w: length %.20q", errLine, words[3])
+		return a, 0, fmt.Errorf("%w: length %.20q", errMalformedAnswer, words[3])
 	}
 	whole := n + int(length) + len(crlf)
 	if len(b) < whole {
 		return a, 0, nil
 	}
 	if !bytes.Equal(b[whole-len(crlf):whole], crlf) {
-		return a, 0, fmt.Errorf("%w: body of %d bytes runs on", errLine, length)
+		return a, 0, fmt.Errorf("%w: body of %d bytes runs on", errMalformedAnswer, length)
 	}
 	a.body = b[n : n+int(length)]
 	return a, whole, nil
 }
 
 // fields reads name=value,name=value, or - for none. Names that are not known are skipped.
-func (a *answer) fields(list string) error {
+func (a *answer) parseFields(list string) error {
 	if list == "-" {
 		return nil
 	}
 	for f := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(f, "=")
 		if !ok || name == "" {
-			return fmt.Errorf("%w: field %.20q", errLine, f)
+			return fmt.Errorf("%w: field %.20q", errMalformedAnswer, f)
 		}
 		switch name {
 		case "depth":
 			n, err := strconv.ParseUint(value, 10, 31)
 			if err != nil {
-				return fmt.Errorf("%w: depth %.20q", errLine, value)
+				return fmt.Errorf("%w: depth %.20q", errMalformedAnswer, value)
 			}
-			a.depth = int(n)
+			a.inFlightForFunction = int(n)
 		case "l":
-			r, err := parseReport(value)
+			r, err := parseLoadReport(value)
 			if err != nil {
 				return err
 			}
-			a.report = r
+			a.loadReport = r
 		}
 	}
 	return nil
 }
 
 // parseReport reads a load report, as in inflight:7;util:0.61.
-func parseReport(list string) (*routing.LoadReport, error) {
+func parseLoadReport(list string) (*routing.LoadReport, error) {
 	r := &routing.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, MemoryHeldFraction: -1, LoadsInProgress: -1}
 	known := map[string]*float64{
 		"inflight": &r.InFlight, "queue": &r.QueueLength, "util": &r.Utilization,
@@ -118,7 +118,7 @@
 		name, value, ok := strings.Cut(f, ":")
 		x, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			return nil, fmt.Errorf("%w: report %.20q", errLine, f)
+			return nil, fmt.Errorf("%w: report %.20q", errMalformedAnswer, f)
 		}
 		if p := known[name]; p != nil {
 			*p = x
--- a/internal/nodeagent/fuzz_test.go
+++ b/internal/nodeagent/fuzz_test.go
@@ -9,14 +9,14 @@
 	f.Add([]byte("x MISS - 0\r\n\r\n\r\n"))
 	f.Add([]byte("x OK depth=-1 4294967295\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, n, err := parse(b, 1<<10)
+		a, n, err := parseAnswer(b, 1<<10)
 		if err != nil {
 			return
 		}
-		if n > len(b) || len(a.body) > n || n > maxLine+(1<<10)+len(crlf) {
+		if n > len(b) || len(a.body) > n || n > maxAnswerLineBytes+(1<<10)+len(crlf) {
 			t.Fatalf("answer takes %d of %d bytes, body %d", n, len(b), len(a.body))
 		}
-		if n > 0 && (a.id == "" || a.depth < 0) {
+		if n > 0 && (a.id == "" || a.inFlightForFunction < 0) {
 			t.Fatalf("answer %+v", a)
 		}
 	})
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p, l, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 			c.before(p)
-			w := l.up()
+			w := l.completeDial()
 			if c.after != nil {
 				c.after(p)
 			}
