--- a/internal/nodeagent/answer.go
+++ b/internal/nodeagent/answer.go
@@ -11,118 +11,163 @@
 	"calicohill/routing"
 )
 
-// maxLine is the longest line that an agent may write.
+// maxAnswerLineBytes is the longest line that an agent may write.
 const maxAnswerLineBytes = 4 << 10
 
+// An answer is a line of two to four words: call id, status, fields, and the length of the body that follows.
+const (
+	minAnswerWords = 2
+	maxAnswerWords = 4
+)
+
+// The statuses of answers. Those of attempts are followed by a body, those of health checks need none.
+const (
+	statusOK    = "OK"
+	statusMiss  = "MISS" // the function is not loaded there
+	statusBusy  = "BUSY" // the worker sheds load
+	statusError = "ERR"
+	statusVoid  = "VOID" // the attempt was not run
+
+	statusHealthy = "UP"
+	statusDown    = "DOWN"
+)
+
 // answer is one answer of an agent.
 type answer struct {
-	id, status          string
+	id                  string
+	status              string
 	inFlightForFunction int // 0 if absent
 	loadReport          *routing.LoadReport
 	body                []byte
 }
 
+// errMalformedAnswer is wrapped by all errors of parseAnswer.
 var errMalformedAnswer = errors.New("answer cannot be read")
 
-// parse reads the answer that a buffer begins with and tells how many bytes it takes, 0 if it is not whole yet.
-// The body is part of the buffer, and no longer than a limit.
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", errMalformedAnswer, fmt.Sprintf(format, args...))
+}
+
+// parseAnswer parses the answer at the start of a buffer and tells how many bytes it takes, 0 if it is not complete.
+// The body is part of the buffer and at most maxBody bytes long. After an error the connection is of no use.
 //
-// Guards against an agent that writes without end or nonsense: lines and bodies are bounded, every word must
-// be as the protocol has it, and an error is for good. Noise that runs into the next line must not pass for an
-// unknown id, or that line's answer would never come.
-func parseAnswer(b []byte, maxBody int) (a answer, n int, err error) {
-	end := bytes.Index(b[:min(len(b), maxAnswerLineBytes)], crlf)
-	if end < 0 {
-		if len(b) >= maxAnswerLineBytes {
-			return a, 0, fmt.Errorf("%w: no line end in %d bytes", errMalformedAnswer, maxAnswerLineBytes)
+// It guards against agents that write without end, or garbage: lines and bodies are bounded and every word must be as
+// the protocol has it. Garbage that runs into the next line must not pass for an unknown id, or the answer on that
+// line would be lost.
+func parseAnswer(buffer []byte, maxBody int) (ans answer, size int, err error) {
+	lineEnd := bytes.Index(buffer[:min(len(buffer), maxAnswerLineBytes)], crlf)
+	if lineEnd < 0 {
+		if len(buffer) >= maxAnswerLineBytes {
+			return answer{}, 0, malformed("no line end in %d bytes", maxAnswerLineBytes)
 		}
-		return a, 0, nil
-	}
-	if bytes.ContainsFunc(b[:end], func(c rune) bool { return c < ' ' || c > '~' }) {
-		return a, 0, fmt.Errorf("%w: %.20q", errMalformedAnswer, b[:end])
+		return answer{}, 0, nil
 	}
-	words := strings.Split(string(b[:end]), " ")
-	if len(words) < 2 || len(words) > 4 || words[0] == "" {
-		return a, 0, fmt.Errorf("%w: %d words", errMalformedAnswer, len(words))
+	words, err := splitAnswerLine(buffer[:lineEnd])
+	if err != nil {
+		return answer{}, 0, err
 	}
-	a.id, a.status = words[0], words[1]
-	switch a.status {
-	case "OK", "MISS", "BUSY", "ERR", "VOID":
-		if len(words) != 4 {
-			return a, 0, fmt.Errorf("%w: %s of %d words", errMalformedAnswer, a.status, len(words))
+	ans.id = words[0]
+	ans.status = words[1]
+	if len(words) > minAnswerWords {
+		if err := ans.parseFields(words[2]); err != nil {
+			return answer{}, 0, err
 		}
-	case "UP", "DOWN": // the answers to probes need no body
-	default:
-		return a, 0, fmt.Errorf("%w: word %.20q", errMalformedAnswer, a.status)
 	}
-	if len(words) > 2 {
-		if err := a.parseFields(words[2]); err != nil {
-			return a, 0, err
-		}
-	}
-	n = end + len(crlf)
-	if len(words) < 4 {
-		return a, n, nil
+	bodyStart := lineEnd + len(crlf)
+	if len(words) < maxAnswerWords {
+		return ans, bodyStart, nil
 	}
 	length, err := strconv.ParseUint(words[3], 10, 32)
 	if err != nil || length > uint64(maxBody) {
-		return a, 0, fmt.Errorf("%w: length %.20q", errMalformedAnswer, words[3])
+		return answer{}, 0, malformed("length %.20q", words[3])
 	}
-	whole := n + int(length) + len(crlf)
-	if len(b) < whole {
-		return a, 0, nil
+	bodyEnd := bodyStart + int(length)
+	size = bodyEnd + len(crlf)
+	if len(buffer) < size {
+		return answer{}, 0, nil
 	}
-	if !bytes.Equal(b[whole-len(crlf):whole], crlf) {
-		return a, 0, fmt.Errorf("%w: body of %d bytes runs on", errMalformedAnswer, length)
+	if !bytes.Equal(buffer[bodyEnd:size], crlf) {
+		return answer{}, 0, malformed("body of %d bytes runs on", length)
 	}
-	a.body = b[n : n+int(length)]
-	return a, whole, nil
+	ans.body = buffer[bodyStart:bodyEnd]
+	return ans, size, nil
 }
 
-// fields reads name=value,name=value, or - for none. Names that are not known are skipped.
+// splitAnswerLine splits a line into words and checks their number against the status.
+func splitAnswerLine(line []byte) ([]string, error) {
+	if bytes.ContainsFunc(line, func(c rune) bool { return c < ' ' || c > '~' }) {
+		return nil, malformed("%.20q", line)
+	}
+	words := strings.Split(string(line), " ")
+	if len(words) < minAnswerWords || len(words) > maxAnswerWords || words[0] == "" {
+		return nil, malformed("%d words", len(words))
+	}
+	switch status := words[1]; status {
+	case statusOK, statusMiss, statusBusy, statusError, statusVoid:
+		if len(words) != maxAnswerWords {
+			return nil, malformed("%s of %d words", status, len(words))
+		}
+	case statusHealthy, statusDown:
+	default:
+		return nil, malformed("word %.20q", status)
+	}
+	return words, nil
+}
+
+// parseFields parses name=value,name=value, or - for none. Unknown names are skipped.
 func (a *answer) parseFields(list string) error {
 	if list == "-" {
 		return nil
 	}
-	for f := range strings.SplitSeq(list, ",") {
-		name, value, ok := strings.Cut(f, "=")
+	for field := range strings.SplitSeq(list, ",") {
+		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return fmt.Errorf("%w: field %.20q", errMalformedAnswer, f)
+			return malformed("field %.20q", field)
 		}
 		switch name {
 		case "depth":
-			n, err := strconv.ParseUint(value, 10, 31)
+			inFlight, err := strconv.ParseUint(value, 10, 31)
 			if err != nil {
-				return fmt.Errorf("%w: depth %.20q", errMalformedAnswer, value)
+				return malformed("depth %.20q", value)
 			}
-			a.inFlightForFunction = int(n)
+			a.inFlightForFunction = int(inFlight)
 		case "l":
-			r, err := parseLoadReport(value)
+			report, err := parseLoadReport(value)
 			if err != nil {
 				return err
 			}
-			a.loadReport = r
+			a.loadReport = report
 		}
 	}
 	return nil
 }
 
-// parseReport reads a load report, as in inflight:7;util:0.61.
+// parseLoadReport parses a load report, as in inflight:7;util:0.61. Unknown names are skipped; figures that are
+// missing are -1.
 func parseLoadReport(list string) (*routing.LoadReport, error) {
-	r := &routing.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, MemoryHeldFraction: -1, LoadsInProgress: -1}
-	known := map[string]*float64{
-		"inflight": &r.InFlight, "queue": &r.QueueLength, "util": &r.Utilization,
-		"x0": &r.MemoryHeldFraction, "x1": &r.LoadsInProgress,
+	report := &routing.LoadReport{
+		InFlight:           -1,
+		QueueLength:        -1,
+		Utilization:        -1,
+		MemoryHeldFraction: -1,
+		LoadsInProgress:    -1,
+	}
+	figures := map[string]*float64{
+		"inflight": &report.InFlight,
+		"queue":    &report.QueueLength,
+		"util":     &report.Utilization,
+		"x0":       &report.MemoryHeldFraction,
+		"x1":       &report.LoadsInProgress,
 	}
-	for f := range strings.SplitSeq(list, ";") {
-		name, value, ok := strings.Cut(f, ":")
-		x, err := strconv.ParseFloat(value, 64)
-		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			return nil, fmt.Errorf("%w: report %.20q", errMalformedAnswer, f)
+	for field := range strings.SplitSeq(list, ";") {
+		name, text, ok := strings.Cut(field, ":")
+		value, err := strconv.ParseFloat(text, 64)
+		if !ok || err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
+			return nil, malformed("report %.20q", field)
 		}
-		if p := known[name]; p != nil {
-			*p = x
+		if figure := figures[name]; figure != nil {
+			*figure = value
 		}
 	}
-	return r, nil
+	return report, nil
 }
--- /dev/null
+++ b/internal/nodeagent/command.go
@@ -0,0 +1,47 @@
+package nodeagent
+
+import (
+	"strconv"
+
+	"calicohill/internal/dispatch"
+)
+
+// crlf ends each line of the agents' protocol and each body.
+var crlf = []byte("\r\n")
+
+// appendStart appends the command that starts an attempt. The timeout goes in whole milliseconds, at least one.
+func appendStart(buffer []byte, attempt *dispatch.Attempt, class string) []byte {
+	buffer = append(buffer, "go "...)
+	buffer = append(buffer, attempt.ID...)
+	buffer = append(buffer, " sort="...)
+	buffer = append(buffer, class...)
+	buffer = append(buffer, ",asset="...)
+	buffer = append(buffer, attempt.Function...)
+	buffer = append(buffer, ",patience="...)
+	buffer = strconv.AppendInt(buffer, max(attempt.Timeout.Milliseconds(), 1), 10)
+	if attempt.IdempotencyKey != "" {
+		buffer = append(buffer, ",op="...)
+		buffer = append(buffer, attempt.IdempotencyKey...)
+	}
+	buffer = append(buffer, ' ')
+	buffer = strconv.AppendInt(buffer, int64(len(attempt.Body)), 10)
+	buffer = append(buffer, crlf...)
+	buffer = append(buffer, attempt.Body...)
+	return append(buffer, crlf...)
+}
+
+// appendCancel appends the command that cancels an attempt. It has no answer.
+func appendCancel(buffer []byte, id string) []byte {
+	return appendCommand(buffer, "halt ", id)
+}
+
+// appendHealthCheck appends the command that asks for a worker's health and load report.
+func appendHealthCheck(buffer []byte, id string) []byte {
+	return appendCommand(buffer, "stat ", id)
+}
+
+func appendCommand(buffer []byte, verb, id string) []byte {
+	buffer = append(buffer, verb...)
+	buffer = append(buffer, id...)
+	return append(buffer, crlf...)
+}
--- /dev/null
+++ b/internal/nodeagent/fakes_test.go
@@ -0,0 +1,131 @@
+package nodeagent
+
+import (
+	"io"
+	"strings"
+	"time"
+
+	"calicohill/internal/dispatch"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
+
+	"github.com/panjf2000/gnet/v2"
+	"github.com/sirupsen/logrus"
+)
+
+// fakeLoop is an event loop with a clock that the test sets. It keeps the dials for the test to complete or fail.
+type fakeLoop struct {
+	now       time.Duration
+	deadlines deadline.Queue
+	dials     []pendingDial
+}
+
+// pendingDial is a dial that has neither succeeded nor failed.
+type pendingDial struct {
+	addr      string
+	handler   eventloop.ConnHandler
+	onFailure func(error)
+}
+
+func (l *fakeLoop) Now() time.Duration { return l.now }
+
+func (l *fakeLoop) Post(fn func()) { fn() }
+
+func (l *fakeLoop) SetDeadline(timer *deadline.Timer, at time.Duration) { l.deadlines.Set(timer, at) }
+
+func (l *fakeLoop) ClearDeadline(timer *deadline.Timer) { l.deadlines.Remove(timer) }
+
+func (l *fakeLoop) Dial(addr string, _ time.Duration, handler eventloop.ConnHandler, onFailure func(error)) {
+	l.dials = append(l.dials, pendingDial{addr: addr, handler: handler, onFailure: onFailure})
+}
+
+// completeDial has the oldest dial succeed.
+func (l *fakeLoop) completeDial() *fakeConn {
+	oldest := l.dials[0]
+	l.dials = l.dials[1:]
+	established := &fakeConn{handler: oldest.handler, addr: oldest.addr}
+	oldest.handler.Opened(established)
+	return established
+}
+
+// fakeConn is a connection that sends all that is written, or buffers it while it is blocked.
+type fakeConn struct {
+	gnet.Conn
+	handler  eventloop.ConnHandler
+	addr     string
+	blocked  bool
+	sent     strings.Builder
+	buffered strings.Builder // waits to be sent
+	closed   bool
+}
+
+func (c *fakeConn) Write(b []byte) (int, error) {
+	if c.blocked {
+		return c.buffered.Write(b)
+	}
+	return c.sent.Write(b)
+}
+
+func (c *fakeConn) OutboundBuffered() int { return c.buffered.Len() }
+
+func (c *fakeConn) EventLoop() gnet.EventLoop { return fakeEventLoop{conn: c} }
+
+// fakeEventLoop is the event loop of a fakeConn.
+type fakeEventLoop struct {
+	gnet.EventLoop
+	conn *fakeConn
+}
+
+func (l fakeEventLoop) Close(gnet.Conn) error {
+	if !l.conn.closed {
+		l.conn.closed = true
+		l.conn.handler.Closed(l.conn, nil)
+	}
+	return nil
+}
+
+// recordingSink allows every attempt and keeps the outcomes.
+type recordingSink map[slotmap.Ref]routing.Outcome
+
+func (recordingSink) MaySend(slotmap.Ref) bool { return true }
+
+func (s recordingSink) AttemptEnded(ref slotmap.Ref, result dispatch.AttemptResult) {
+	s[ref] = result.Outcome
+}
+
+func (recordingSink) ProbeEnded(string, time.Duration, dispatch.AttemptResult) {}
+
+// newPool returns a Pool with these workers, each of which is its own address.
+func newPool(options Options, workers ...string) (*Pool, *fakeLoop, recordingSink) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	options.Classes = []string{"consulta"}
+	options.PipelineDepth = 100
+	options.Schedulers = 1
+	options.IdleCloseAfter = 15 * time.Second
+	options.ConnectTimeout = 250 * time.Millisecond
+	options.MaxAnswerBytes = 1 << 20
+	loop := &fakeLoop{now: time.Hour}
+	sink := recordingSink{}
+	pool := New(loop, sink, options, log)
+	var list dispatch.EndpointList
+	for _, id := range workers {
+		worker := routing.Worker{ID: id, State: routing.Ready}
+		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{Worker: worker, Addr: id})
+	}
+	pool.UpdateEndpoints(list)
+	return pool, loop, sink
+}
+
+// attempt returns attempt n, from 1 to 9, for a worker.
+func attempt(n int, worker string) dispatch.Attempt {
+	return dispatch.Attempt{
+		Ref:      slotmap.Ref(n),
+		Worker:   worker,
+		ID:       strings.Repeat("0", 15) + string(rune('0'+n)),
+		Function: "f",
+		Timeout:  time.Second,
+	}
+}
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -12,7 +12,7 @@
 	keyed.IdempotencyKey, keyed.Timeout, keyed.Body = "k-1", 2500*time.Millisecond+999*time.Microsecond, []byte("two\r\nlines")
 	short := attempt(3, "a")
 	short.Timeout = 999 * time.Microsecond
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name   string
 		before func(*Pool) // the connection is up
 		after  func(*Pool)
@@ -36,15 +36,15 @@
 		},
 		{"probe", func(p *Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			p, l, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
-			c.before(p)
-			w := l.completeDial()
-			if c.after != nil {
-				c.after(p)
+		t.Run(tt.name, func(t *testing.T) {
+			p, loop, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
+			tt.before(p)
+			connection := loop.completeDial()
+			if tt.after != nil {
+				tt.after(p)
 			}
-			if got := w.sent.String(); got != c.want {
-				t.Errorf("sent %q, want %q", got, c.want)
+			if got := connection.sent.String(); got != tt.want {
+				t.Errorf("sent %q, want %q", got, tt.want)
 			}
 		})
 	}
--- a/internal/nodeagent/idle_reset.go
+++ b/internal/nodeagent/idle_reset.go
@@ -6,59 +6,85 @@
 )
 
 const (
-	// wearLeast is the first bound between lengths of rest; each further one is twice the last.
+	// minIdleBound is the upper bound of the first bucket of idle times; that of each further one is twice the last.
 	minIdleBound = 12500 * time.Microsecond
-	idleBuckets  = 12
-	// wearHalf is the time in which what was seen loses half its weight.
+	// idleBuckets is the number of buckets; the last one has no upper bound.
+	idleBuckets = 12
+	// resetHalfLife is the time in which an observation loses half its weight.
 	resetHalfLife = 15 * time.Second
-	// wearBreaks breaks, and this share of uses, show that connections do not outlast a rest, if shorter rests
-	// have less than a part of that share. Once that was seen it holds until breaks have faded to wearFaded:
-	// connections are not put to the test meanwhile.
-	minResets, minResetFraction, maxShorterResetRatio = 3, 0.1, 0.25
-	minResetsToHold                                   = 1
+	// minDecayInterval is the least time between two decays of the counts.
+	minDecayInterval = time.Second
 )
 
-// wear learns how long connections may rest between requests until something on the way forgets them, long before
-// the time that the settings give: a request that meets such an end may have run, and nobody can tell.
+// Connections do not survive an idle time if at least minResets uses after it, and minResetFraction of them, met a
+// reset, while after shorter idle times the fraction of resets was at most maxShorterResetRatio of that. A limit that
+// was found holds until the resets have decayed below minResetsToHold, since no connection is tested meanwhile.
+const (
+	minResets            = 3.0
+	minResetFraction     = 0.1
+	maxShorterResetRatio = 0.25
+	minResetsToHold      = 1.0
+)
+
+// idleResetDetector learns how long connections may be idle until something on the way (a firewall, a proxy) forgets
+// them, long before the time of the settings: a command that meets such a reset may have run, and nobody can tell.
 type idleResetDetector struct {
-	reuses, resets [idleBuckets]float64 // by length of rest
-	lastDecayAt    time.Duration
+	reuses      [idleBuckets]float64 // first uses after being idle, decayed, by idle time
+	resets      [idleBuckets]float64 // how many of them met a reset
+	lastDecayAt time.Duration
 }
 
-// note takes in what became of a connection that was used after a rest.
-func (w *idleResetDetector) record(now, rest time.Duration, broke bool) {
-	if now-w.lastDecayAt > time.Second {
-		fade := math.Exp2(-(now - w.lastDecayAt).Seconds() / resetHalfLife.Seconds())
-		for i := range idleBuckets {
-			w.reuses[i] *= fade
-			w.resets[i] *= fade
-		}
-		w.lastDecayAt = now
+// record records whether a connection that was used after being idle was reset.
+func (d *idleResetDetector) record(now, idle time.Duration, reset bool) {
+	d.decay(now)
+	bucket := idleBucket(idle)
+	d.reuses[bucket]++
+	if reset {
+		d.resets[bucket]++
 	}
-	i := 0
-	for bound := minIdleBound; rest >= bound && i < idleBuckets-1; bound *= 2 {
-		i++
+}
+
+// decay reduces the weight of earlier observations.
+func (d *idleResetDetector) decay(now time.Duration) {
+	elapsed := now - d.lastDecayAt
+	if elapsed <= minDecayInterval {
+		return
+	}
+	factor := math.Exp2(-elapsed.Seconds() / resetHalfLife.Seconds())
+	for i := range idleBuckets {
+		d.reuses[i] *= factor
+		d.resets[i] *= factor
 	}
-	w.reuses[i]++
-	if broke {
-		w.resets[i]++
+	d.lastDecayAt = now
+}
+
+// idleBucket is the bucket of an idle time.
+func idleBucket(idle time.Duration) int {
+	bucket := 0
+	for bound := minIdleBound; idle >= bound && bucket < idleBuckets-1; bound *= 2 {
+		bucket++
 	}
+	return bucket
 }
 
-// limit is the rest that connections outlast, given what it was last; 0 if they outlast any. Breaks that come
-// whatever the rest are none of its business.
-func (w *idleResetDetector) maxIdle(last time.Duration) time.Duration {
-	uses, breaks := w.reuses[0], w.resets[0] // of shorter rests
+// maxIdle is the idle time that connections survive, given the last result; 0 if they survive any. Resets that come
+// at any idle time do not count.
+func (d *idleResetDetector) maxIdle(last time.Duration) time.Duration {
+	shorterReuses := d.reuses[0]
+	shorterResets := d.resets[0]
 	for i := 1; i < idleBuckets; i++ {
-		enough := float64(minResets)
-		if last == minIdleBound<<(i-1) {
-			enough = minResetsToHold
+		lowerBound := minIdleBound << (i - 1)
+		required := minResets
+		if last == lowerBound {
+			required = minResetsToHold
 		}
-		share := w.resets[i] / max(w.reuses[i], 1)
-		if w.resets[i] >= enough && share >= minResetFraction && breaks <= maxShorterResetRatio*share*uses {
-			return minIdleBound << (i - 1)
+		fraction := d.resets[i] / max(d.reuses[i], 1)
+		if d.resets[i] >= required && fraction >= minResetFraction &&
+			shorterResets <= maxShorterResetRatio*fraction*shorterReuses {
+			return lowerBound
 		}
-		uses, breaks = uses+w.reuses[i], breaks+w.resets[i]
+		shorterReuses += d.reuses[i]
+		shorterResets += d.resets[i]
 	}
 	return 0
 }
