--- a/internal/discovery/pollplan/polling_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -139,12 +139,12 @@
 func TestStalled(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		stop func(*pollplan.Core, time.Duration) time.Duration // when it goes on
-		want bool                                              // that it is blind
+		stop func(*pollplan.Planner, time.Duration) time.Duration // when it goes on
+		want bool                                                 // that it is blind
 	}{
-		{"while an ask waits", func(_ *pollplan.Core, now time.Duration) time.Duration { return now + time.Second }, false},
-		{"past the end of its wait", func(_ *pollplan.Core, now time.Duration) time.Duration { return now + 9*time.Second }, true},
-		{"between two asks", func(c *pollplan.Core, now time.Duration) time.Duration {
+		{"while an ask waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
+		{"past the end of its wait", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
+		{"between two asks", func(c *pollplan.Planner, now time.Duration) time.Duration {
 			c.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
 			return now + 600*time.Millisecond
 		}, true},
--- a/internal/discovery/http.go
+++ b/internal/discovery/response.go
@@ -11,24 +11,24 @@
 
 // Limits on what the bulletin may answer.
 const (
-	maxHead = 16 << 10
-	maxBody = 4 << 20
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 4 << 20
 )
 
 var (
-	errHTTP  = errors.New("answer cannot be read")
-	crlf     = []byte("\r\n")
-	headEnd  = []byte("\r\n\r\n")
-	maxChunk = 64 // of a chunk's head
+	errMalformedResponse = errors.New("answer cannot be read")
+	crlf                 = []byte("\r\n")
+	headerTerminator     = []byte("\r\n\r\n")
+	maxChunkHeaderBytes  = 64 // of a chunk's head
 )
 
 // away is an answer that is no list. after is how long the bulletin asks to be left alone; 0 if it does not.
-type away struct {
+type statusError struct {
 	status string
 	after  time.Duration
 }
 
-func (a away) Error() string { return fmt.Sprintf("status %.40q", a.status) }
+func (a statusError) Error() string { return fmt.Sprintf("status %.40q", a.status) }
 
 // retryAfter is what the header Retry-After of an answer says in seconds (RFC 9110, 10.2.3); 0 without it, and where
 // it gives a date: clocks differ.
@@ -47,34 +47,34 @@
 // yet; last reports that the connection ends with it.
 //
 // Guards against a peer that writes without end: head and body are bounded.
-func parse(b []byte) (body []byte, n int, last bool, err error) {
-	end := bytes.Index(b[:min(len(b), maxHead)], headEnd)
+func parseResponse(b []byte) (body []byte, n int, last bool, err error) {
+	end := bytes.Index(b[:min(len(b), maxHeaderBytes)], headerTerminator)
 	if end < 0 {
-		if len(b) >= maxHead {
-			return nil, 0, false, fmt.Errorf("%w: head over %d bytes", errHTTP, maxHead)
+		if len(b) >= maxHeaderBytes {
+			return nil, 0, false, fmt.Errorf("%w: head over %d bytes", errMalformedResponse, maxHeaderBytes)
 		}
 		return nil, 0, false, nil
 	}
 	lines := strings.Split(string(b[:end]), "\r\n")
 	version, status, _ := strings.Cut(lines[0], " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, 0, false, fmt.Errorf("%w: %.40q", errHTTP, lines[0])
+		return nil, 0, false, fmt.Errorf("%w: %.40q", errMalformedResponse, lines[0])
 	}
 	if !strings.HasPrefix(status, "200") {
-		return nil, 0, false, away{status, retryAfter(lines[1:])}
+		return nil, 0, false, statusError{status, retryAfter(lines[1:])}
 	}
 	length, chunked := -1, false
 	last = version == "HTTP/1.0"
 	for _, l := range lines[1:] {
 		name, value, ok := strings.Cut(l, ":")
 		if value = strings.TrimSpace(value); !ok {
-			return nil, 0, false, fmt.Errorf("%w: header %.40q", errHTTP, l)
+			return nil, 0, false, fmt.Errorf("%w: header %.40q", errMalformedResponse, l)
 		}
 		switch strings.ToLower(name) {
 		case "content-length":
 			x, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || x > maxBody {
-				return nil, 0, false, fmt.Errorf("%w: length %.20q", errHTTP, value)
+			if err != nil || x > maxBodyBytes {
+				return nil, 0, false, fmt.Errorf("%w: length %.20q", errMalformedResponse, value)
 			}
 			length = int(x)
 		case "transfer-encoding":
@@ -83,37 +83,37 @@
 			last = strings.EqualFold(value, "close")
 		}
 	}
-	rest := b[end+len(headEnd):]
+	rest := b[end+len(headerTerminator):]
 	if chunked {
-		body, n, err = unchunk(rest)
+		body, n, err = decodeChunked(rest)
 		if n > 0 {
-			n += end + len(headEnd)
+			n += end + len(headerTerminator)
 		}
 		return body, n, last, err
 	}
 	if length < 0 {
-		return nil, 0, false, fmt.Errorf("%w: no length", errHTTP)
+		return nil, 0, false, fmt.Errorf("%w: no length", errMalformedResponse)
 	}
 	if len(rest) < length {
 		return nil, 0, false, nil
 	}
-	return rest[:length], end + len(headEnd) + length, last, nil
+	return rest[:length], end + len(headerTerminator) + length, last, nil
 }
 
 // unchunk joins the chunks that a buffer begins with, and tells how many bytes they take, 0 if not all are there.
-func unchunk(b []byte) (body []byte, n int, err error) {
+func decodeChunked(b []byte) (body []byte, n int, err error) {
 	for {
-		head := bytes.Index(b[n:min(len(b), n+maxChunk)], crlf)
+		head := bytes.Index(b[n:min(len(b), n+maxChunkHeaderBytes)], crlf)
 		if head < 0 {
-			if len(b)-n >= maxChunk {
-				return nil, 0, fmt.Errorf("%w: head of a chunk", errHTTP)
+			if len(b)-n >= maxChunkHeaderBytes {
+				return nil, 0, fmt.Errorf("%w: head of a chunk", errMalformedResponse)
 			}
 			return nil, 0, nil
 		}
 		text, _, _ := strings.Cut(string(b[n:n+head]), ";")
 		size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
-		if err != nil || int(size)+len(body) > maxBody {
-			return nil, 0, fmt.Errorf("%w: chunk of %.20q", errHTTP, text)
+		if err != nil || int(size)+len(body) > maxBodyBytes {
+			return nil, 0, fmt.Errorf("%w: chunk of %.20q", errMalformedResponse, text)
 		}
 		n += head + len(crlf)
 		if len(b) < n+int(size)+len(crlf) {
@@ -122,7 +122,7 @@
 		body = append(body, b[n:n+int(size)]...)
 		n += int(size)
 		if !bytes.Equal(b[n:n+len(crlf)], crlf) {
-			return nil, 0, fmt.Errorf("%w: chunk runs on, or has a trailer", errHTTP)
+			return nil, 0, fmt.Errorf("%w: chunk runs on, or has a trailer", errMalformedResponse)
 		}
 		n += len(crlf)
 		if size == 0 {
--- a/internal/testbed/asks.go
+++ b/internal/testbed/asks.go
@@ -25,7 +25,7 @@
 	Knows int             // number of its last event
 	Told  time.Duration   // when it had that
 	Polls []time.Duration // asks that it sent
-	core  *pollplan.Core
+	core  *pollplan.Planner
 	fleet *Asks
 	wake  deadline.Timer
 	conns map[int]*Inquiry // nil where nothing is asked
