--- a/cmd/calicohill/endings_test.go
+++ b/cmd/calicohill/endings_test.go
@@ -364,7 +364,7 @@
 	s.bulletin.CloseClientConnections()
 	s.bulletin.Listener.Close()
 	for _, s := range sites {
-		until(t, "discovery is missed", func() bool { return strings.Contains(s.log.String(), "bulletin not heard") })
+		until(t, "discovery is missed", func() bool { return strings.Contains(s.log.String(), "list service unreachable") })
 		for range 200 {
 			s.front()
 		}
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -81,7 +81,7 @@
 	s.stale = 0
 	s.start()
 	serves(t, s, "c")
-	if !strings.Contains(s.log.String(), "bulletin counts anew") {
+	if !strings.Contains(s.log.String(), "event numbers restarted") {
 		t.Error("the log does not say that the list service counts anew")
 	}
 }
--- /dev/null
+++ b/internal/discovery/connection.go
@@ -0,0 +1,111 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"calicohill/internal/discovery/pollplan"
+
+	"github.com/panjf2000/gnet/v2"
+)
+
+// errConnectionClosed stands for a connection that the service closed in order.
+var errConnectionClosed = errors.New("closed")
+
+// connection is a connection to the list service, with one poll at a time. It is its own eventloop.ConnHandler.
+type connection struct {
+	watcher *Watcher
+	number  int       // the planner's
+	socket  gnet.Conn // nil until it is up and once it is gone
+}
+
+// isOpen reports whether the connection has not been given up.
+func (c *connection) isOpen() bool { return c.watcher.connections[c.number] == c }
+
+// poll sends a poll.
+func (c *connection) poll(timeout time.Duration) {
+	// A failed write closes the connection and is seen by Closed.
+	_, _ = c.socket.Write(c.watcher.pollRequest(timeout))
+}
+
+// close closes the socket, if there is one.
+func (c *connection) close() {
+	if c.socket != nil {
+		closeSocket(c.socket)
+	}
+}
+
+// closeSocket closes a socket that nothing is expected of any more; an error would say that it is closed already.
+func closeSocket(socket gnet.Conn) { _ = socket.EventLoop().Close(socket) }
+
+// fail gives up the connection. retryAfter is how long the service asked not to be polled; 0 if it did not.
+func (c *connection) fail(err error, retryAfter time.Duration) {
+	if !c.isOpen() {
+		return
+	}
+	watcher := c.watcher
+	if !watcher.unreachable {
+		watcher.unreachable = true
+		watcher.log.WithError(err).Warn("list service unreachable")
+	}
+	watcher.step(pollplan.Failed{Conn: c.number, RetryAfter: retryAfter})
+}
+
+// Opened is called by the event loop when the connection is up.
+func (c *connection) Opened(socket gnet.Conn) {
+	c.socket = socket
+	if !c.isOpen() { // given up before it was up
+		closeSocket(socket)
+		return
+	}
+	c.watcher.step(pollplan.Connected{Conn: c.number})
+}
+
+// Readable is called by the event loop when bytes have come; it reads the response to a poll once that is complete.
+func (c *connection) Readable(socket gnet.Conn) error {
+	buffered, err := socket.Peek(-1)
+	if err != nil || len(buffered) == 0 {
+		return nil
+	}
+	resp, err := parseResponse(buffered)
+	if err == nil && resp.size == 0 {
+		return nil
+	}
+	watcher := c.watcher
+	before := watcher.lastEvent
+	if err == nil {
+		err = watcher.applyResponse(resp.body)
+	}
+	if err != nil {
+		var status statusError
+		errors.As(err, &status)
+		c.fail(err, status.retryAfter)
+		return nil
+	}
+	if _, err := socket.Discard(resp.size); err != nil {
+		return fmt.Errorf("reading on: %w", err)
+	}
+	if watcher.unreachable {
+		watcher.unreachable = false
+		watcher.log.Info("list service reachable again")
+	}
+	watcher.step(pollplan.Answered{
+		Conn:              c.number,
+		HasUpdates:        watcher.lastEvent > before,
+		ConnectionClosing: resp.closing,
+	})
+	if watcher.lastEvent < before { // the list is read from its beginning, at once
+		watcher.step(pollplan.Stalled{})
+	}
+	return nil
+}
+
+// Closed is called by the event loop when the connection is gone.
+func (c *connection) Closed(_ gnet.Conn, err error) {
+	c.socket = nil
+	if err == nil {
+		err = errConnectionClosed
+	}
+	c.fail(err, 0)
+}
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,124 +9,174 @@
 	"time"
 )
 
-// Limits on what the bulletin may answer.
+// Bounds on a response, against a peer that writes without end.
 const (
-	maxHeaderBytes = 16 << 10
-	maxBodyBytes   = 4 << 20
+	maxHeaderBytes      = 16 << 10
+	maxBodyBytes        = 4 << 20
+	maxChunkHeaderBytes = 64 // of one chunk of the chunked coding
 )
 
+// lengthUnknown marks a response without Content-Length.
+const lengthUnknown = -1
+
 var (
-	errMalformedResponse = errors.New("answer cannot be read")
-	crlf                 = []byte("\r\n")
-	headerTerminator     = []byte("\r\n\r\n")
-	maxChunkHeaderBytes  = 64 // of a chunk's head
+	crlf             = []byte("\r\n")
+	headerTerminator = []byte("\r\n\r\n")
 )
 
-// away is an answer that is no list. after is how long the bulletin asks to be left alone; 0 if it does not.
+// errMalformedResponse is a response that is not HTTP/1 as this package reads it, or over its bounds.
+var errMalformedResponse = errors.New("answer cannot be read")
+
+// statusError is a response with another status than 200.
 type statusError struct {
-	status string
-	after  time.Duration
+	status     string        // the status line after the version
+	retryAfter time.Duration // how long the service asks not to be polled; 0 if it doesn't
 }
 
-func (a statusError) Error() string { return fmt.Sprintf("status %.40q", a.status) }
+func (e statusError) Error() string { return fmt.Sprintf("status %.40q", e.status) }
 
-// retryAfter is what the header Retry-After of an answer says in seconds (RFC 9110, 10.2.3); 0 without it, and where
-// it gives a date: clocks differ.
-func retryAfter(head []string) time.Duration {
-	for _, l := range head {
-		name, value, _ := strings.Cut(l, ":")
-		if strings.EqualFold(name, "retry-after") {
-			s, _ := strconv.ParseUint(strings.TrimSpace(value), 10, 16)
-			return time.Duration(s) * time.Second
-		}
-	}
-	return 0
+// response is an HTTP response at the beginning of a buffer.
+type response struct {
+	body    []byte
+	size    int  // bytes of the buffer that it takes; 0 if it is not complete yet
+	closing bool // the service closes the connection after it
+}
+
+// responseHeader is what the header of a response with status 200 says.
+type responseHeader struct {
+	contentLength int // bytes, or lengthUnknown
+	chunked       bool
+	closing       bool
 }
 
-// parse reads the HTTP answer that a buffer begins with. n is how many bytes it takes, 0 if it is not whole
-// yet; last reports that the connection ends with it.
-//
-// Guards against a peer that writes without end: head and body are bounded.
-func parseResponse(b []byte) (body []byte, n int, last bool, err error) {
-	end := bytes.Index(b[:min(len(b), maxHeaderBytes)], headerTerminator)
-	if end < 0 {
-		if len(b) >= maxHeaderBytes {
-			return nil, 0, false, fmt.Errorf("%w: head over %d bytes", errMalformedResponse, maxHeaderBytes)
+// parseResponse parses the response at the beginning of a buffer. The error is a statusError or wraps
+// errMalformedResponse.
+func parseResponse(buffer []byte) (response, error) {
+	headerEnd := bytes.Index(buffer[:min(len(buffer), maxHeaderBytes)], headerTerminator)
+	if headerEnd < 0 {
+		if len(buffer) >= maxHeaderBytes {
+			return response{}, fmt.Errorf("%w: head over %d bytes", errMalformedResponse, maxHeaderBytes)
 		}
-		return nil, 0, false, nil
+		return response{}, nil
+	}
+	header, err := parseHeader(strings.Split(string(buffer[:headerEnd]), "\r\n"))
+	if err != nil {
+		return response{}, err
 	}
-	lines := strings.Split(string(b[:end]), "\r\n")
+	bodyStart := headerEnd + len(headerTerminator)
+	body, bodySize, err := parseBody(buffer[bodyStart:], header)
+	if err != nil || bodySize < 0 {
+		return response{}, err
+	}
+	return response{body: body, size: bodyStart + bodySize, closing: header.closing}, nil
+}
+
+// parseHeader parses the status line and the fields after it.
+func parseHeader(lines []string) (responseHeader, error) {
 	version, status, _ := strings.Cut(lines[0], " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, 0, false, fmt.Errorf("%w: %.40q", errMalformedResponse, lines[0])
+		return responseHeader{}, fmt.Errorf("%w: %.40q", errMalformedResponse, lines[0])
 	}
 	if !strings.HasPrefix(status, "200") {
-		return nil, 0, false, statusError{status, retryAfter(lines[1:])}
+		return responseHeader{}, statusError{status: status, retryAfter: retryAfter(lines[1:])}
 	}
-	length, chunked := -1, false
-	last = version == "HTTP/1.0"
-	for _, l := range lines[1:] {
-		name, value, ok := strings.Cut(l, ":")
-		if value = strings.TrimSpace(value); !ok {
-			return nil, 0, false, fmt.Errorf("%w: header %.40q", errMalformedResponse, l)
+	header := responseHeader{contentLength: lengthUnknown, closing: version == "HTTP/1.0"}
+	for _, line := range lines[1:] {
+		if err := header.parseField(line); err != nil {
+			return responseHeader{}, err
 		}
-		switch strings.ToLower(name) {
-		case "content-length":
-			x, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || x > maxBodyBytes {
-				return nil, 0, false, fmt.Errorf("%w: length %.20q", errMalformedResponse, value)
-			}
-			length = int(x)
-		case "transfer-encoding":
-			chunked = strings.EqualFold(value, "chunked")
-		case "connection":
-			last = strings.EqualFold(value, "close")
+	}
+	return header, nil
+}
+
+// parseField takes in a field of the header; where one stands twice the later counts.
+func (h *responseHeader) parseField(line string) error {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok {
+		return fmt.Errorf("%w: header %.40q", errMalformedResponse, line)
+	}
+	value = strings.TrimSpace(value)
+	switch strings.ToLower(name) {
+	case "content-length":
+		length, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || length > maxBodyBytes {
+			return fmt.Errorf("%w: length %.20q", errMalformedResponse, value)
 		}
+		h.contentLength = int(length)
+	case "transfer-encoding":
+		h.chunked = strings.EqualFold(value, "chunked")
+	case "connection":
+		h.closing = strings.EqualFold(value, "close")
 	}
-	rest := b[end+len(headerTerminator):]
-	if chunked {
-		body, n, err = decodeChunked(rest)
-		if n > 0 {
-			n += end + len(headerTerminator)
+	return nil
+}
+
+// retryAfter is the Retry-After of a header in seconds (RFC 9110, 10.2.3); 0 without it, and where it gives a date, since
+// clocks differ.
+func retryAfter(fields []string) time.Duration {
+	for _, line := range fields {
+		name, value, _ := strings.Cut(line, ":")
+		if strings.EqualFold(name, "retry-after") {
+			seconds, _ := strconv.ParseUint(strings.TrimSpace(value), 10, 16)
+			return time.Duration(seconds) * time.Second
 		}
-		return body, n, last, err
 	}
-	if length < 0 {
-		return nil, 0, false, fmt.Errorf("%w: no length", errMalformedResponse)
+	return 0
+}
+
+// incomplete is the size of a body that has not all come yet.
+const incomplete = -1
+
+// parseBody returns the body at the beginning of a buffer and how many bytes it takes there, or incomplete.
+func parseBody(buffer []byte, header responseHeader) (body []byte, size int, err error) {
+	if header.chunked {
+		return decodeChunked(buffer)
+	}
+	if header.contentLength == lengthUnknown {
+		return nil, incomplete, fmt.Errorf("%w: no length", errMalformedResponse)
 	}
-	if len(rest) < length {
-		return nil, 0, false, nil
+	if len(buffer) < header.contentLength {
+		return nil, incomplete, nil
 	}
-	return rest[:length], end + len(headerTerminator) + length, last, nil
+	return buffer[:header.contentLength], header.contentLength, nil
 }
 
-// unchunk joins the chunks that a buffer begins with, and tells how many bytes they take, 0 if not all are there.
-func decodeChunked(b []byte) (body []byte, n int, err error) {
+// decodeChunked joins the chunks at the beginning of a buffer and returns how many bytes they take there, or incomplete.
+func decodeChunked(buffer []byte) (body []byte, size int, err error) {
 	for {
-		head := bytes.Index(b[n:min(len(b), n+maxChunkHeaderBytes)], crlf)
-		if head < 0 {
-			if len(b)-n >= maxChunkHeaderBytes {
-				return nil, 0, fmt.Errorf("%w: head of a chunk", errMalformedResponse)
+		headerSize := bytes.Index(buffer[size:min(len(buffer), size+maxChunkHeaderBytes)], crlf)
+		if headerSize < 0 {
+			if len(buffer)-size >= maxChunkHeaderBytes {
+				return nil, incomplete, fmt.Errorf("%w: head of a chunk", errMalformedResponse)
 			}
-			return nil, 0, nil
+			return nil, incomplete, nil
 		}
-		text, _, _ := strings.Cut(string(b[n:n+head]), ";")
-		size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
-		if err != nil || int(size)+len(body) > maxBodyBytes {
-			return nil, 0, fmt.Errorf("%w: chunk of %.20q", errMalformedResponse, text)
+		length, err := parseChunkLength(buffer[size:size+headerSize], maxBodyBytes-len(body))
+		if err != nil {
+			return nil, incomplete, err
 		}
-		n += head + len(crlf)
-		if len(b) < n+int(size)+len(crlf) {
-			return nil, 0, nil
+		start := size + headerSize + len(crlf)
+		end := start + length
+		if len(buffer) < end+len(crlf) {
+			return nil, incomplete, nil
 		}
-		body = append(body, b[n:n+int(size)]...)
-		n += int(size)
-		if !bytes.Equal(b[n:n+len(crlf)], crlf) {
-			return nil, 0, fmt.Errorf("%w: chunk runs on, or has a trailer", errMalformedResponse)
+		body = append(body, buffer[start:end]...)
+		size = end + len(crlf)
+		if !bytes.Equal(buffer[end:size], crlf) {
+			return nil, incomplete, fmt.Errorf("%w: chunk runs on, or has a trailer", errMalformedResponse)
 		}
-		n += len(crlf)
-		if size == 0 {
-			return body, n, nil
+		if length == 0 {
+			return body, size, nil
 		}
 	}
 }
+
+// parseChunkLength parses the hexadecimal length of a chunk, which may have extensions after a semicolon.
+func parseChunkLength(header []byte, maxLength int) (int, error) {
+	text, _, _ := strings.Cut(string(header), ";")
+	length, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+	if err != nil || int(length) > maxLength {
+		return 0, fmt.Errorf("%w: chunk of %.20q", errMalformedResponse, text)
+	}
+	return int(length), nil
+}
