--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -1,10 +1,11 @@
-// Package pollplan decides when a scheduler asks the list service, so that hundreds of schedulers which all lost it at
-// the same moment do not all come back at the same moment. No clock, no I/O: Step takes events and gives actions.
+// Package pollplan decides when a scheduler polls the list service, so that hundreds of schedulers which all lost it at the
+// same moment do not all come back at the same moment. It has no clock and does no I/O: Step takes events and returns
+// actions.
 //
-// A scheduler comes back to the service at times of its own: each window of the clock has one, at a place that it
-// draws at its start. So no trouble, however often it strikes the whole fleet, has more than the fleet's size come in a
-// window, or brings those into step that were not. A place by rank would be more even, and hundreds that were all told
-// the same rank would come as one; see docs/design/coldstart.md.
+// A scheduler comes back to the service at times of its own: each reconnect window of the clock has one, at an offset that
+// it draws at its start. So no fault, however often it strikes the whole fleet, brings more than the fleet's size within a
+// window, or synchronizes schedulers that were not. An offset by rank would be more even, but hundreds of schedulers that
+// were all given the same rank would come as one; see docs/design/coldstart.md.
 package pollplan
 
 import (
@@ -14,327 +15,359 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
+// The long poll.
 const (
-	// PollTimeout is how long an ask has the service wait for news, in the mean. Short, so that one which has fallen
-	// silent is noticed well before what it has to tell counts as told.
+	// PollTimeout is how long a poll has the service wait for an update, in the mean. It is short so that a service which
+	// has become unresponsive is noticed well before what it has to tell counts as told.
 	PollTimeout = 2 * time.Second
-	// patienceOff is how far the first ask after an event may be off that: an event answers the polls of the whole
-	// fleet at once, and asks that all last as long would stay in step for good.
+	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
+	// polls of the whole fleet at once, and polls that all last as long would stay synchronized for good.
 	firstPollJitter = time.Second
-	// longest is how long the protocol lets an ask wait. Asks of a large fleet do, whenever the last answer was late
-	// or none: the service may be behind, and more asks help it as little as they help against silence.
+	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet do whenever the last response was
+	// late or missing: the service may be behind, and more polls help it as little as they help against silence.
 	maxPollTimeout = 5 * time.Second
-	// overdue is how long after the end of its wait an ask counts as late, and another is made beside it. What a
-	// silent service has to tell counts as told 2 s after that end, so that the longest may be late for longer.
-	overdueAfter, maxOverdueAfter = 500 * time.Millisecond, 1500 * time.Millisecond
-	// forsaken is how long after its making a late ask gives way to the next. Until then it keeps its place, in the
+	// overdueAfter is how long after the end of its wait a poll is overdue, and another is made beside it.
+	overdueAfter = 500 * time.Millisecond
+	// maxOverdueAfter is the same where the service may be behind. What an unresponsive service has to tell counts as told
+	// 2 s after the end of the wait, so that the longest poll may be late for longer.
+	maxOverdueAfter = 1500 * time.Millisecond
+	// abandonAfter is how long after its making an overdue poll gives way to the next. Until then it keeps its place in the
 	// queue of a service that is behind.
 	abandonAfter = 20 * time.Second
-	// window is how far apart the times at most are at which a scheduler of a fleet may come back: what the service
-	// tells has to be known 2 s after a break. windowEach is what each scheduler adds.
-	maxReconnectWindow, reconnectWindowPerPeer = 1900 * time.Millisecond, 20 * time.Millisecond
-	// newsWindow and newsWindowEach are the same where nothing shows that the service is ill: at a start, and when
-	// it has just answered all at once. What it tells next may be a drain, which counts as told whether anybody
-	// asks or not, and has to be heeded within a grace that the settings give: no more than newsPart of that passes.
-	maxUpdateWindow, updateWindowPerPeer = 700 * time.Millisecond, 3 * time.Millisecond
-	updateWindowGraceFraction            = 0.7
-	// againMin and againMax are the pauses before the next ask where asks fail and nobody else is there.
-	minBackoff, maxBackoff = 10 * time.Millisecond, 640 * time.Millisecond
-	// heeded is the longest that a service may send a scheduler away for: what it has to tell counts as told 7 s
-	// later.
-	maxRetryAfter = 4 * time.Second
-	// hasty is how long after an ask the next may be made if the answer brought nothing, hastyPart how much of that
-	// grace at the most.
-	minPollInterval, pollIntervalGraceFraction = 500 * time.Millisecond, 0.5
-	// blindFor is how long the word of the service is waited for after a stall.
-	staleAfterStall = 250 * time.Millisecond
-	// rate and burst bound the asks of a second, whatever the answers bring.
-	maxPollsPerSecond, maxPollBurst = 20, 40
+	// minPollInterval is how long after a poll the next may be made if the response brought nothing.
+	minPollInterval = 500 * time.Millisecond
+	// pollIntervalGraceFraction bounds that interval by a fraction of the drain grace.
+	pollIntervalGraceFraction = 0.5
+	// maxPollsPerSecond and maxPollBurst bound the polls of one scheduler, whatever the responses bring.
+	maxPollsPerSecond = 20
+	maxPollBurst      = 40
 )
 
-// Event is what happened: a Started, Connected, Answered, Failed, AddressChanged or Stalled.
-type Event any
-
-// Started is the start. Listed reports that a list of workers is known already, Restored that it is from an earlier life.
-type Started struct{ HasEndpoints, Restored bool }
-
-// Connected is a connection that came up.
-type Connected struct{ Conn int }
-
-// Answered is a whole answer. News reports that it brought events not known before, ConnectionClosing that the connection ends
-// with it.
-type Answered struct {
-	Conn                          int
-	HasUpdates, ConnectionClosing bool
-}
-
-// Failed is a connection that did not come up or is lost, or an answer that is none. After is how long the service
-// asked to be left alone; 0 if it did not.
-type Failed struct {
-	Conn       int
-	RetryAfter time.Duration
-}
-
-// AddressChanged says that the service is at another address.
-type AddressChanged struct{}
-
-// Stalled says that the process did nothing for a while: it was stopped, or had no processor.
-type Stalled struct{}
-
-// Action is what is to be done: a Dial, Poll, Close, PollOverdue or MarkStale.
-type Action any
-
-// Dial opens a connection, which gets that number. Up or Failed follows.
-type Dial struct{ Conn int }
-
-// Poll has the service asked over a connection, to wait that long for news. Answered or Failed follows, or neither.
-type Poll struct {
-	Conn    int
-	Timeout time.Duration
-}
-
-// Close ends a connection. Nothing of it is reported any more.
-type Close struct{ Conn int }
+// The spread over the fleet.
+const (
+	// maxReconnectWindow is how far apart at most the times are at which a scheduler of a fleet may come back: what the
+	// service tells has to be known 2 s after a connection broke.
+	maxReconnectWindow = 1900 * time.Millisecond
+	// reconnectWindowPerPeer is what each other scheduler adds to the window.
+	reconnectWindowPerPeer = 20 * time.Millisecond
+	// maxUpdateWindow is the same where nothing shows that the service is faulty: at a start, and when it has just answered
+	// the whole fleet. What it tells next may be a drain, which counts as told whether anybody polls or not.
+	maxUpdateWindow = 700 * time.Millisecond
+	// updateWindowPerPeer is what each other scheduler adds to the update window.
+	updateWindowPerPeer = 3 * time.Millisecond
+	// updateWindowGraceFraction bounds the update window by a fraction of the grace within which a drain has to be obeyed.
+	updateWindowGraceFraction = 0.7
+)
 
-// PollOverdue says that an ask is late and another is made beside it.
-type PollOverdue struct{}
+// Failures.
+const (
+	// minBackoff and maxBackoff bound the pause before the next poll where polls fail; it doubles with each failure. In a
+	// fleet the reconnect window comes on top.
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 640 * time.Millisecond
+	// maxRetryAfter bounds the Retry-After that is obeyed: what the service has to tell counts as told 7 s later.
+	maxRetryAfter = 4 * time.Second
+	// staleAfterStall is how long the service's response is waited for after a stall before the list counts as stale.
+	staleAfterStall = 250 * time.Millisecond
+)
 
-// MarkStale says that the list may be old for so long from now, unless another MarkStale says 0 before: nobody listened to the
-// service, and what it told meanwhile counts as told.
-type MarkStale struct{ Duration time.Duration }
+// pollStream is the second word of the random generator's seed: it sets these draws apart from a scheduler's others.
+const pollStream = 0x706f6c6c // "poll"
 
+// phase is what a connection is used for at the moment.
 type phase int
 
 const (
 	dialing phase = iota
-	polling
-	idle
+	polling       // a poll is in flight
+	idle          // the next poll waits for its time
 )
 
-// ask is a connection and what it is used for.
+// connection is a connection to the service and its poll.
 type connection struct {
 	number    int
 	phase     phase
-	at        time.Duration // when the ask was made; while resting, when the next is
-	timeoutAt time.Duration // how long the service may wait with the answer
-	overdueAt time.Duration // when it counts as late
+	at        time.Duration // when the poll was made; while idle, when the next is due
+	timeoutAt time.Duration // until when the service may wait with the response
+	overdueAt time.Duration // when the poll is overdue
 }
 
-// Planner decides for one scheduler.
+// Planner decides for one scheduler. At most two connections are open: the current one and one whose poll is overdue.
 type Planner struct {
-	reconnectWindow, updateWindow     time.Duration
-	pollInterval                      time.Duration
-	slowPollTimeout, slowOverdueAfter time.Duration // of an ask, and after it, while the service may be behind
-	rng                               *rand.Rand
-	slot                              time.Duration // within the window
-	overdue                           *connection   // one that got no answer in time; nil if none
-	current                           *connection   // nil while the next one waits for its time
-	dialAt                            time.Duration // that time; 0 if none
-	backoff                           time.Duration // after the next failure; 0 if the last ask went well
-	synchronized                      bool          // the whole fleet may just have been answered
-	serviceSlow                       bool          // the last answer came late, or there was none yet
-	stale                             bool          // the service's word on what came during a stall is waited for
-	pollLimit                         ratelimit.TokenBucket
-	lastConn                          int
-	actions                           []Action
+	reconnectWindow  time.Duration
+	updateWindow     time.Duration
+	pollInterval     time.Duration // least time from a poll whose response brought nothing to the next
+	slowPollTimeout  time.Duration // of polls while the service may be behind
+	slowOverdueAfter time.Duration // the same of overdueAfter
+	rng              *rand.Rand
+	slot             time.Duration // offset of the scheduler's own times within the reconnect window
+
+	current      *connection   // nil while the next one waits for its time
+	dialAt       time.Duration // that time; 0 if none
+	overdue      *connection   // the one whose poll got no response in time; nil if none
+	lastConn     int           // number of the last connection dialed
+	backoff      time.Duration // pause after the last failure; 0 if the last poll succeeded
+	synchronized bool          // the whole fleet may just have been answered
+	serviceSlow  bool          // the last response came late, or there was none yet
+	stale        bool          // after a stall, no response to a later poll has come yet
+	pollLimit    ratelimit.TokenBucket
+	actions      []Action // returned by Step, and reused by the next
 }
 
-// New returns a Planner of one of so many schedulers, which have to heed a drain within a grace of when it is told. The
+// New returns the Planner of one of so many schedulers, which have to obey a drain within the grace after it was told. The
 // seed is the scheduler's own.
-func New(schedulers int, grace time.Duration, seed uint64) *Planner {
-	others := time.Duration(max(schedulers, 1) - 1)
-	part := func(p float64) time.Duration { return time.Duration(p * float64(grace)) }
-	c := &Planner{
-		reconnectWindow: min(maxReconnectWindow, others*reconnectWindowPerPeer), updateWindow: min(maxUpdateWindow, others*updateWindowPerPeer, part(updateWindowGraceFraction)),
-		pollInterval: min(minPollInterval, part(pollIntervalGraceFraction)),
-		serviceSlow:  true, rng: rand.New(rand.NewPCG(seed, 0x706f6c6c)),
+func New(schedulers int, drainGrace time.Duration, seed uint64) *Planner {
+	peers := time.Duration(max(schedulers, 1) - 1)
+	ofGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drainGrace)) }
+	planner := &Planner{
+		reconnectWindow: min(maxReconnectWindow, peers*reconnectWindowPerPeer),
+		updateWindow:    min(maxUpdateWindow, peers*updateWindowPerPeer, ofGrace(updateWindowGraceFraction)),
+		pollInterval:    min(minPollInterval, ofGrace(pollIntervalGraceFraction)),
+		serviceSlow:     true,
+		rng:             rand.New(rand.NewPCG(seed, pollStream)),
 	}
-	c.slot = c.draw(c.reconnectWindow)
-	c.slowPollTimeout = PollTimeout + (maxPollTimeout-PollTimeout)*c.reconnectWindow/maxReconnectWindow
-	c.slowOverdueAfter = overdueAfter + (maxOverdueAfter-overdueAfter)*c.reconnectWindow/maxReconnectWindow
-	return c
+	planner.slot = planner.draw(planner.reconnectWindow)
+	planner.slowPollTimeout = planner.scaled(PollTimeout, maxPollTimeout)
+	planner.slowOverdueAfter = planner.scaled(overdueAfter, maxOverdueAfter)
+	return planner
 }
 
-// Step takes in what happened and says what is to be done, in order. now never goes back; it is Unix time, or any
-// other that began long ago.
-func (c *Planner) Step(now time.Duration, events ...Event) []Action {
-	c.actions = c.actions[:0]
-	for _, e := range events {
-		switch e := e.(type) {
-		case Started:
-			c.dialAt, c.synchronized = now, true
-			if e.HasEndpoints { // one that has none is of no use to anybody, and asks first
-				c.dialAt += c.draw(c.updateWindow)
-			}
-			if e.Restored {
-				c.stale = true
-				c.actions = append(c.actions, MarkStale{c.updateWindow + staleAfterStall})
-			}
-		case Connected:
-			if c.current != nil && c.current.number == e.Conn {
-				c.poll(now)
-			}
-		case Answered:
-			c.answered(now, e)
-		case Failed:
-			c.failed(now, e)
-		case AddressChanged:
-			c.closeConnection(&c.overdue)
-			c.closeConnection(&c.current)
-			c.backoff, c.dialAt = 0, c.nextSlot(now)
-		case Stalled:
-			c.stalled(now)
-		}
+// scaled is between low, for a scheduler alone, and high, for a fleet with the longest reconnect window.
+func (p *Planner) scaled(low, high time.Duration) time.Duration {
+	return low + (high-low)*p.reconnectWindow/maxReconnectWindow
+}
+
+// Step takes in events and returns what is to be done, in order; the slice is valid until the next Step. now never goes
+// back; it is Unix time, or any other that began long ago.
+func (p *Planner) Step(now time.Duration, events ...Event) []Action {
+	p.actions = p.actions[:0]
+	for _, event := range events {
+		p.handle(now, event)
 	}
-	for at, ok := c.Next(); ok && at <= now; at, ok = c.Next() {
-		c.timerExpired(now)
+	for at, ok := p.Next(); ok && at <= now; at, ok = p.Next() {
+		p.timerExpired(now)
 	}
-	return c.actions
+	return p.actions
 }
 
-// Next is when Step is to be called at the latest though nothing happens; false if that need not be.
-func (c *Planner) Next() (time.Duration, bool) {
+// handle takes in one event.
+func (p *Planner) handle(now time.Duration, event Event) {
+	switch event := event.(type) {
+	case Started:
+		p.started(now, event)
+	case Connected:
+		if p.current.is(event.Conn) {
+			p.poll(now)
+		}
+	case Answered:
+		p.answered(now, event)
+	case Failed:
+		p.failed(now, event)
+	case AddressChanged:
+		p.closeConnection(&p.overdue)
+		p.closeConnection(&p.current)
+		p.backoff = 0
+		p.dialAt = p.nextSlot(now)
+	case Stalled:
+		p.stalled(now)
+	}
+}
+
+// Next returns when Step is to be called at the latest though nothing happens; false if it need not be.
+func (p *Planner) Next() (time.Duration, bool) {
 	switch {
-	case c.current == nil:
-		return c.dialAt, c.dialAt > 0
-	case c.current.phase == polling:
-		return c.current.overdueAt, true
+	case p.current == nil:
+		return p.dialAt, p.dialAt > 0
+	case p.current.phase == polling:
+		return p.current.overdueAt, true
 	default:
-		return c.current.at, c.current.phase == idle
+		return p.current.at, p.current.phase == idle
 	}
 }
 
-// due does what its time has come for.
-func (c *Planner) timerExpired(now time.Duration) {
+// is reports whether a connection, which may be nil, has a number.
+func (c *connection) is(number int) bool { return c != nil && c.number == number }
+
+// started plans the first poll.
+func (p *Planner) started(now time.Duration, event Started) {
+	p.dialAt = now
+	p.synchronized = true
+	if event.HasEndpoints { // a scheduler without any is of no use to anybody, and polls first
+		p.dialAt += p.draw(p.updateWindow)
+	}
+	if event.Restored {
+		p.stale = true
+		p.actions = append(p.actions, MarkStale{p.updateWindow + staleAfterStall})
+	}
+}
+
+// timerExpired does what the time that Next returned was for.
+func (p *Planner) timerExpired(now time.Duration) {
 	switch {
-	case c.current == nil:
-		c.lastConn++
-		c.dialAt, c.current = 0, &connection{number: c.lastConn}
-		c.actions = append(c.actions, Dial{c.lastConn})
-	case c.current.phase == idle:
-		c.poll(now)
+	case p.current == nil:
+		p.lastConn++
+		p.dialAt = 0
+		p.current = &connection{number: p.lastConn}
+		p.actions = append(p.actions, Dial{p.lastConn})
+	case p.current.phase == idle:
+		p.poll(now)
 	default:
-		if c.overdue != nil && now-c.overdue.at >= abandonAfter {
-			c.closeConnection(&c.overdue)
-		}
-		if c.overdue == nil {
-			c.overdue, c.current = c.current, nil
-		}
-		c.closeConnection(&c.current)
-		c.dialAt, c.serviceSlow = now, true
-		c.actions = append(c.actions, PollOverdue{})
+		p.pollOverdue(now)
 	}
 }
 
-// ask asks over the current connection, as soon as the bound on asks allows.
-func (c *Planner) poll(now time.Duration) {
-	a := c.current
-	if !c.pollLimit.Take(now, 1, maxPollsPerSecond, maxPollBurst) {
-		a.phase, a.at = idle, now+time.Second/maxPollsPerSecond
+// pollOverdue has another poll made beside one that is overdue, which keeps its place in the service's queue. Where one
+// that was overdue before has that place still, it is kept instead until it is abandoned.
+func (p *Planner) pollOverdue(now time.Duration) {
+	if p.overdue != nil && now-p.overdue.at >= abandonAfter {
+		p.closeConnection(&p.overdue)
+	}
+	if p.overdue == nil {
+		p.overdue = p.current
+		p.current = nil
+	}
+	p.closeConnection(&p.current)
+	p.dialAt = now
+	p.serviceSlow = true
+	p.actions = append(p.actions, PollOverdue{})
+}
+
+// poll polls over the current connection, as soon as the bound on polls allows.
+func (p *Planner) poll(now time.Duration) {
+	conn := p.current
+	if !p.pollLimit.Take(now, 1, maxPollsPerSecond, maxPollBurst) {
+		conn.phase = idle
+		conn.at = now + time.Second/maxPollsPerSecond
 		return
 	}
-	patience, grace := PollTimeout, overdueAfter
-	if c.serviceSlow {
-		patience, grace = c.slowPollTimeout, c.slowOverdueAfter
+	timeout := PollTimeout
+	lateness := overdueAfter
+	if p.serviceSlow {
+		timeout = p.slowPollTimeout
+		lateness = p.slowOverdueAfter
 	}
-	if c.synchronized {
-		off := min(firstPollJitter, c.reconnectWindow)
-		patience = min(patience, maxPollTimeout-off) + c.draw(2*off) - off
+	if p.synchronized {
+		jitter := min(firstPollJitter, p.reconnectWindow)
+		timeout = min(timeout, maxPollTimeout-jitter) + p.draw(2*jitter) - jitter
 	}
-	if c.stale { // whether it has news or not
-		patience = 0
+	if p.stale { // a response is needed at once, with updates or without
+		timeout = 0
 	}
-	a.phase, a.at, a.timeoutAt, a.overdueAt = polling, now, now+patience, now+patience+grace
-	c.synchronized = false
-	c.actions = append(c.actions, Poll{a.number, patience})
+	conn.phase = polling
+	conn.at = now
+	conn.timeoutAt = now + timeout
+	conn.overdueAt = conn.timeoutAt + lateness
+	p.synchronized = false
+	p.actions = append(p.actions, Poll{conn.number, timeout})
 }
 
-func (c *Planner) answered(now time.Duration, e Answered) {
-	if c.overdue != nil && c.overdue.number == e.Conn {
-		if c.current != nil && c.current.phase == polling { // that one waits already
-			c.closeConnection(&c.overdue)
-			c.backoff, c.synchronized = 0, true
-			return
-		}
-		c.closeConnection(&c.current)
-		c.current, c.overdue = c.overdue, nil
+// answered plans the poll after a response.
+func (p *Planner) answered(now time.Duration, event Answered) {
+	if p.overdue.is(event.Conn) && !p.resume() {
+		return
 	}
-	a := c.current
-	if a == nil || a.number != e.Conn || a.phase != polling {
+	conn := p.current
+	if !conn.is(event.Conn) || conn.phase != polling {
 		return
 	}
-	if c.stale {
-		c.stale = a.at < a.timeoutAt // a wait that began before the stall
-		if !c.stale {
-			c.actions = append(c.actions, MarkStale{0})
+	if p.stale {
+		p.stale = conn.at < conn.timeoutAt // a poll that waits was made before the stall
+		if !p.stale {
+			p.actions = append(p.actions, MarkStale{0})
 		}
 	}
-	c.serviceSlow = c.overdue != nil || now > a.overdueAt
-	c.closeConnection(&c.overdue)
-	c.backoff = 0
-	next := now
-	if !e.HasUpdates && a.at < a.timeoutAt {
-		next = max(now, a.at+c.pollInterval)
+	p.serviceSlow = p.overdue != nil || now > conn.overdueAt
+	p.closeConnection(&p.overdue)
+	p.backoff = 0
+	next := p.nextPoll(now, event)
+	if event.ConnectionClosing {
+		p.closeConnection(&p.current)
+		p.dialAt = next
+		return
+	}
+	conn.phase = idle
+	conn.at = next
+}
+
+// resume makes the connection whose overdue poll was answered after all the current one. It returns false where the poll
+// made beside it is in flight already: then the overdue one is closed instead.
+func (p *Planner) resume() bool {
+	if p.current != nil && p.current.phase == polling {
+		p.closeConnection(&p.overdue)
+		p.backoff = 0
+		p.synchronized = true
+		return false
 	}
-	if c.synchronized = c.synchronized || e.HasUpdates || c.serviceSlow; c.synchronized && !c.stale {
-		next += c.draw(c.updateWindow)
+	p.closeConnection(&p.current)
+	p.current = p.overdue
+	p.overdue = nil
+	return true
+}
+
+// nextPoll is when to poll after a response on the current connection.
+func (p *Planner) nextPoll(now time.Duration, event Answered) time.Duration {
+	next := now
+	if !event.HasUpdates && p.current.at < p.current.timeoutAt {
+		next = max(now, p.current.at+p.pollInterval)
 	}
-	if e.ConnectionClosing {
-		c.closeConnection(&c.current)
-		c.dialAt = next
-		return
+	p.synchronized = p.synchronized || event.HasUpdates || p.serviceSlow
+	if p.synchronized && !p.stale {
+		next += p.draw(p.updateWindow)
 	}
-	a.phase, a.at = idle, next
+	return next
 }
 
-// stalled has the service asked at once, unless it waits with an answer: what it told would be there to be read.
-func (c *Planner) stalled(now time.Duration) {
-	a := c.current
-	if a != nil && a.phase == polling && now < a.timeoutAt {
+// stalled has the service polled at once, unless a poll waits there still: what the service told meanwhile would be there to
+// be read.
+func (p *Planner) stalled(now time.Duration) {
+	conn := p.current
+	if conn != nil && conn.phase == polling && now < conn.timeoutAt {
 		return
 	}
-	c.stale = true
-	c.actions = append(c.actions, MarkStale{staleAfterStall})
+	p.stale = true
+	p.actions = append(p.actions, MarkStale{staleAfterStall})
 	switch {
-	case a == nil && c.backoff == 0:
-		c.dialAt = now
-	case a != nil && a.phase == idle:
-		a.at = now
-	case a != nil: // its answer may not be read yet
-		a.overdueAt = max(a.overdueAt, now+staleAfterStall)
+	case conn == nil && p.backoff == 0:
+		p.dialAt = now
+	case conn != nil && conn.phase == idle:
+		conn.at = now
+	case conn != nil: // its response may have come and not be read yet
+		conn.overdueAt = max(conn.overdueAt, now+staleAfterStall)
 	}
 }
 
-func (c *Planner) failed(now time.Duration, e Failed) {
-	if c.overdue != nil && c.overdue.number == e.Conn {
-		c.closeConnection(&c.overdue)
+// failed plans the next connection after the current one failed.
+func (p *Planner) failed(now time.Duration, event Failed) {
+	if p.overdue.is(event.Conn) {
+		p.closeConnection(&p.overdue)
 		return
 	}
-	if c.current == nil || c.current.number != e.Conn {
+	if !p.current.is(event.Conn) {
 		return
 	}
-	c.closeConnection(&c.current)
-	c.backoff, c.serviceSlow = min(max(2*c.backoff, minBackoff), maxBackoff), true
-	c.dialAt = c.nextSlot(now + max(c.backoff, min(e.RetryAfter, maxRetryAfter)))
+	p.closeConnection(&p.current)
+	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
+	p.serviceSlow = true
+	p.dialAt = p.nextSlot(now + max(p.backoff, min(event.RetryAfter, maxRetryAfter)))
 }
 
-// turn is the scheduler's next own time, from a time on.
-func (c *Planner) nextSlot(from time.Duration) time.Duration {
-	if c.reconnectWindow == 0 {
+// nextSlot is the scheduler's first own time at or after another.
+func (p *Planner) nextSlot(from time.Duration) time.Duration {
+	if p.reconnectWindow == 0 {
 		return from
 	}
-	return from + (c.slot-from%c.reconnectWindow+c.reconnectWindow)%c.reconnectWindow
+	return from + (p.slot-from%p.reconnectWindow+p.reconnectWindow)%p.reconnectWindow
 }
 
-// shut ends a connection, if there is one.
-func (c *Planner) closeConnection(a **connection) {
-	if *a != nil {
-		c.actions = append(c.actions, Close{(*a).number})
-		*a = nil
+// closeConnection closes a connection and clears its place, if there is one.
+func (p *Planner) closeConnection(place **connection) {
+	if *place != nil {
+		p.actions = append(p.actions, Close{(*place).number})
+		*place = nil
 	}
 }
 
-// within draws a time from 0 to d.
-func (c *Planner) draw(d time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(d) + 1))
+// draw draws a time from 0 to most, both included.
+func (p *Planner) draw(most time.Duration) time.Duration {
+	return time.Duration(p.rng.Int64N(int64(most) + 1))
 }
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -11,39 +11,54 @@
 	"pgregory.net/rapid"
 )
 
-// even is how many of 100 ms there are when each asks once in the 2 s of the protocol.
-func even(n int) int { return n / 20 }
+const (
+	// fleetSize is the size of a large fleet.
+	fleetSize = 300
+	// evenPeak is how many polls there are within 100 ms when each scheduler of it polls once in the 2 s of the protocol.
+	evenPeak = fleetSize / 20
+)
 
 // Whatever 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their asks over
 // the time that the protocol allows: 2 s after a break; 1 s, for a drain, where the service is well.
 func TestSpread(t *testing.T) {
-	const n = 300
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		bound int
 		do    func(*testbed.Asks)
 	}{
-		{"refused for 8 s", 2 * even(n), func(f *testbed.Asks) { f.Set(testbed.Refuse); f.Run(8 * time.Second); f.Set(testbed.Well) }},
-		{"busy for 8 s", 2 * even(n), func(f *testbed.Asks) { f.Set(testbed.Busy); f.Run(8 * time.Second); f.Set(testbed.Well) }},
+		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.Asks) {
+			fleet.Set(testbed.Refuse)
+			fleet.Run(8 * time.Second)
+			fleet.Set(testbed.Well)
+		}},
+		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.Asks) {
+			fleet.Set(testbed.Busy)
+			fleet.Run(8 * time.Second)
+			fleet.Set(testbed.Well)
+		}},
 		// Answered all at once, they have to ask again within the second that a drain allows.
-		{"silent for 8 s", 2 * n / 10, func(f *testbed.Asks) { f.Set(testbed.Silent); f.Run(8 * time.Second); f.Set(testbed.Well) }},
-		{"broken", 2 * even(n), (*testbed.Asks).Break},
-		{"broken twice", 2 * even(n), func(f *testbed.Asks) { f.Break(); f.Run(time.Second); f.Break() }},
+		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.Asks) {
+			fleet.Set(testbed.Silent)
+			fleet.Run(8 * time.Second)
+			fleet.Set(testbed.Well)
+		}},
+		{"broken", 2 * evenPeak, (*testbed.Asks).Break},
+		{"broken twice", 2 * evenPeak, func(fleet *testbed.Asks) { fleet.Break(); fleet.Run(time.Second); fleet.Break() }},
 	} {
 		for seed := range uint64(5) {
-			f := testbed.NewAsks(n, time.Second, seed, true)
-			f.Run(10 * time.Second)
-			if got := testbed.Peak(f.Polls, 0); got > 2*n/10 {
+			fleet := testbed.NewAsks(fleetSize, time.Second, seed, true)
+			fleet.Run(10 * time.Second)
+			if got := testbed.Peak(fleet.Polls, 0); got > 2*fleetSize/10 {
 				t.Errorf("start, seed %d: %d asks within 100 ms", seed, got)
 			}
-			at := f.Now
-			c.do(f)
-			f.Run(30 * time.Second)
-			if got := testbed.Peak(f.Polls, at); got > c.bound {
-				t.Errorf("%s, seed %d: %d asks within 100 ms, even are %d", c.name, seed, got, even(n))
+			at := fleet.Now
+			tt.do(fleet)
+			fleet.Run(30 * time.Second)
+			if got := testbed.Peak(fleet.Polls, at); got > tt.bound {
+				t.Errorf("%s, seed %d: %d asks within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
-			if got := testbed.Peak(f.Dials, at); got > 2*even(n) {
-				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", c.name, seed, got, even(n))
+			if got := testbed.Peak(fleet.Dials, at); got > 2*evenPeak {
+				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
 		}
 	}
@@ -54,17 +69,17 @@
 func TestWellToldInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
-			f := testbed.NewAsks(300, grace, seed, true)
+			fleet := testbed.NewAsks(300, grace, seed, true)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 20 {
-				f.Tell()
-				f.Run(grace * 8 / 10)
-				for i, node := range f.Nodes {
-					if node.Knows != f.Desk.Number {
-						t.Fatalf("seed %d: scheduler %d does not know event %d after %v", seed, i, f.Desk.Number, grace*8/10)
+				fleet.Tell()
+				fleet.Run(grace * 8 / 10)
+				for i, node := range fleet.Nodes {
+					if node.Knows != fleet.Desk.Number {
+						t.Fatalf("seed %d: scheduler %d does not know event %d after %v", seed, i, fleet.Desk.Number, grace*8/10)
 					}
 				}
-				f.Run(time.Duration(rng.IntN(3000)) * time.Millisecond)
+				fleet.Run(time.Duration(rng.IntN(3000)) * time.Millisecond)
 			}
 		}
 	}
@@ -72,33 +87,31 @@
 
 // An event answers all polls at once. Those that come back for more are spread, and soon nobody is in step.
 func TestNotInStepAfterNews(t *testing.T) {
-	const n = 300
-	f := testbed.NewAsks(n, time.Second, 1, true)
-	f.Run(10 * time.Second)
-	f.Tell()
-	at := f.Now
-	f.Run(10 * time.Second)
-	if got := testbed.Peak(f.Polls, at); got > 2*n/10 {
-		t.Errorf("%d of %d ask within 100 ms after an event", got, n)
+	fleet := testbed.NewAsks(fleetSize, time.Second, 1, true)
+	fleet.Run(10 * time.Second)
+	fleet.Tell()
+	at := fleet.Now
+	fleet.Run(10 * time.Second)
+	if got := testbed.Peak(fleet.Polls, at); got > 2*fleetSize/10 {
+		t.Errorf("%d of %d ask within 100 ms after an event", got, fleetSize)
 	}
-	if got := testbed.Peak(f.Polls, at+time.Second); got > 2*even(n) {
-		t.Errorf("%d ask within 100 ms a second after an event, even are %d", got, even(n))
+	if got := testbed.Peak(fleet.Polls, at+time.Second); got > 2*evenPeak {
+		t.Errorf("%d ask within 100 ms a second after an event, even are %d", got, evenPeak)
 	}
 }
 
 // A service that answers a tenth of what the fleet asks in its 2 s lists all in 1.3 times the time that takes it at
 // best, and nobody asks much oftener than the 7 s of the protocol demand.
 func TestCrowded(t *testing.T) {
-	const n = 300
-	f := testbed.NewAsks(n, time.Second, 1, true)
-	f.Set(testbed.Crowded)
-	f.Desk.Rate = n / 20.
-	f.Desk.Number = 2
+	fleet := testbed.NewAsks(fleetSize, time.Second, 1, true)
+	fleet.Set(testbed.Crowded)
+	fleet.Desk.Rate = fleetSize / 20.
+	fleet.Desk.Number = 2
 	limit := 20 * time.Second
-	began := f.Now
-	f.Run(limit * 13 / 10)
+	began := fleet.Now
+	fleet.Run(limit * 13 / 10)
 	asked, needed := 0, 0
-	for i, node := range f.Nodes {
+	for i, node := range fleet.Nodes {
 		if node.Knows < 2 {
 			t.Errorf("scheduler %d has no list after 1.3 times the least time", i)
 		}
@@ -116,15 +129,15 @@
 
 // Alone before a well service a scheduler asks as soon as it can: at the start, after each answer, after a break.
 func TestAlone(t *testing.T) {
-	f := testbed.NewAsks(1, time.Second, 1, true)
-	start := f.Now
-	f.Run(time.Second)
-	f.Tell()
-	f.Run(time.Second)
-	f.Break()
-	f.Run(time.Second)
+	fleet := testbed.NewAsks(1, time.Second, 1, true)
+	start := fleet.Now
+	fleet.Run(time.Second)
+	fleet.Tell()
+	fleet.Run(time.Second)
+	fleet.Break()
+	fleet.Run(time.Second)
 	var got []time.Duration
-	for _, at := range f.Nodes[0].Polls {
+	for _, at := range fleet.Nodes[0].Polls {
 		got = append(got, (at - start).Round(time.Millisecond))
 	}
 	for i, want := range []time.Duration{1, 1002, 2013} { // milliseconds: a dial takes 1, an answer too
@@ -137,48 +150,48 @@
 // A process that was stopped does not know what was told meanwhile. The list counts as old until the service has
 // answered an ask made after that, unless one waits there still: what it told would be there to be read.
 func TestStalled(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name string
 		stop func(*pollplan.Planner, time.Duration) time.Duration // when it goes on
-		want bool                                                 // that it is blind
+		want bool                                                 // that the list counts as stale
 	}{
 		{"while an ask waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
 		{"past the end of its wait", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
-		{"between two asks", func(c *pollplan.Planner, now time.Duration) time.Duration {
-			c.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
+		{"between two asks", func(planner *pollplan.Planner, now time.Duration) time.Duration {
+			planner.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
 			return now + 600*time.Millisecond
 		}, true},
 	} {
 		now := time.Hour
-		core := pollplan.New(300, time.Second, 1)
-		core.Step(now, pollplan.Started{})
-		core.Step(now, pollplan.Connected{Conn: 1})
-		now = c.stop(core, now)
-		got := core.Step(now, pollplan.Stalled{})
-		if blind := len(got) > 0 && got[0] == (pollplan.MarkStale{Duration: 250 * time.Millisecond}); blind != c.want {
-			t.Errorf("%s: %v, want blind %v", c.name, got, c.want)
+		planner := pollplan.New(300, time.Second, 1)
+		planner.Step(now, pollplan.Started{})
+		planner.Step(now, pollplan.Connected{Conn: 1})
+		now = tt.stop(planner, now)
+		got := planner.Step(now, pollplan.Stalled{})
+		if stale := len(got) > 0 && got[0] == (pollplan.MarkStale{Duration: 250 * time.Millisecond}); stale != tt.want {
+			t.Errorf("%s: %v, want stale %v", tt.name, got, tt.want)
 		}
-		if !c.want {
+		if !tt.want {
 			continue
 		}
-		if asked := len(got) == 2 && got[1] == (pollplan.Poll{Conn: 1}); !asked {
-			// The old ask is answered first, and the next is made at once, for an answer at once.
-			if got = core.Step(now+1, pollplan.Answered{Conn: 1}); len(got) != 1 || got[0] != (pollplan.Poll{Conn: 1}) {
-				t.Errorf("%s: on the answer to the old ask %v", c.name, got)
+		if polled := len(got) == 2 && got[1] == (pollplan.Poll{Conn: 1}); !polled {
+			// The old poll is answered first, and the next is made at once, for an answer at once.
+			if got = planner.Step(now+1, pollplan.Answered{Conn: 1}); len(got) != 1 || got[0] != (pollplan.Poll{Conn: 1}) {
+				t.Errorf("%s: on the answer to the old poll %v", tt.name, got)
 			}
 		}
-		if got = core.Step(now+2, pollplan.Answered{Conn: 1}); len(got) != 2 || got[0] != (pollplan.MarkStale{}) {
-			t.Errorf("%s: on the answer %v", c.name, got)
+		if got = planner.Step(now+2, pollplan.Answered{Conn: 1}); len(got) != 2 || got[0] != (pollplan.MarkStale{}) {
+			t.Errorf("%s: on the answer %v", tt.name, got)
 		}
 	}
 }
 
 // Who has no list asks before all others.
 func TestUnlistedFirst(t *testing.T) {
-	for _, n := range []int{1, 300} {
-		c := pollplan.New(n, time.Second, 1)
-		if got := c.Step(time.Hour, pollplan.Started{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
-			t.Errorf("of %d: at its start it does %v", n, got)
+	for _, schedulers := range []int{1, fleetSize} {
+		planner := pollplan.New(schedulers, time.Second, 1)
+		if got := planner.Step(time.Hour, pollplan.Started{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
+			t.Errorf("of %d: at its start it does %v", schedulers, got)
 		}
 	}
 }
@@ -186,36 +199,36 @@
 // Over any order of troubles: the service's word is known 2 s after its return, at most two connections are held,
 // asks are bounded, and events are neither missed nor come doubled.
 func TestBounds(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 30).Draw(t, "schedulers")
-		f := testbed.NewAsks(n, time.Second, rapid.Uint64().Draw(t, "seed"), rapid.Bool().Draw(t, "listed"))
-		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(t, "do"); do {
+	rapid.Check(t, func(rt *rapid.T) {
+		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
+		fleet := testbed.NewAsks(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
+		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
+			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(rt, "do"); do {
 			case "break":
-				f.Break()
+				fleet.Break()
 			case "tell":
-				f.Tell()
+				fleet.Tell()
 			case "run":
 			default:
-				f.Set(testbed.Mood(do))
+				fleet.Set(testbed.Mood(do))
 			}
-			f.Run(time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond)
-			if f.Desk.Open() > 2*n {
-				t.Fatalf("%d asks open of %d schedulers", f.Desk.Open(), n)
+			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
+			if fleet.Desk.Open() > 2*schedulers {
+				rt.Fatalf("%d asks open of %d schedulers", fleet.Desk.Open(), schedulers)
 			}
 		}
 		// What it has to say after trouble is known 7 s later at the latest, and what it says when well at once.
-		f.Set(testbed.Well)
-		f.Run(7 * time.Second)
-		f.Tell()
-		f.Run(2 * time.Second)
-		for i, node := range f.Nodes {
-			if node.Knows != f.Desk.Number {
-				t.Fatalf("scheduler %d knows event %d of %d", i, node.Knows, f.Desk.Number)
+		fleet.Set(testbed.Well)
+		fleet.Run(7 * time.Second)
+		fleet.Tell()
+		fleet.Run(2 * time.Second)
+		for i, node := range fleet.Nodes {
+			if node.Knows != fleet.Desk.Number {
+				rt.Fatalf("scheduler %d knows event %d of %d", i, node.Knows, fleet.Desk.Number)
 			}
 			for k := range max(len(node.Polls)-60, 0) {
 				if node.Polls[k+60]-node.Polls[k] < time.Second {
-					t.Fatalf("scheduler %d asks 60 times a second", i)
+					rt.Fatalf("scheduler %d asks 60 times a second", i)
 				}
 			}
 		}
