--- /dev/null
+++ b/internal/discovery/pollplan/planner.go
@@ -0,0 +1,373 @@
+// Package pollplan decides when a scheduler polls the list service, so that hundreds of schedulers which all lost it at the
+// same moment do not all come back at the same moment. It has no clock and does no I/O: Step takes events and returns
+// actions.
+//
+// A scheduler comes back to the service at times of its own: each reconnect window of the clock has one, at an offset that
+// it draws at its start. So no fault, however often it strikes the whole fleet, brings more than the fleet's size within a
+// window, or synchronizes schedulers that were not. An offset by rank would be more even, but hundreds of schedulers that
+// were all given the same rank would come as one; see docs/design/coldstart.md.
+package pollplan
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"calicohill/internal/stats/ratelimit"
+)
+
+// The long poll.
+const (
+	// PollTimeout is how long a poll has the service wait for an update, in the mean. It is short so that a service which
+	// has become unresponsive is noticed well before what it has to tell counts as told.
+	PollTimeout = 2 * time.Second
+	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
+	// polls of the whole fleet at once, and polls that all last as long would stay synchronized for good.
+	firstPollJitter = time.Second
+	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet do whenever the last response was
+	// late or missing: the service may be behind, and more polls help it as little as they help against silence.
+	maxPollTimeout = 5 * time.Second
+	// overdueAfter is how long after the end of its wait a poll is overdue, and another is made beside it.
+	overdueAfter = 500 * time.Millisecond
+	// maxOverdueAfter is the same where the service may be behind. What an unresponsive service has to tell counts as told
+	// 2 s after the end of the wait, so that the longest poll may be late for longer.
+	maxOverdueAfter = 1500 * time.Millisecond
+	// abandonAfter is how long after its making an overdue poll gives way to the next. Until then it keeps its place in the
+	// queue of a service that is behind.
+	abandonAfter = 20 * time.Second
+	// minPollInterval is how long after a poll the next may be made if the response brought nothing.
+	minPollInterval = 500 * time.Millisecond
+	// pollIntervalGraceFraction bounds that interval by a fraction of the drain grace.
+	pollIntervalGraceFraction = 0.5
+	// maxPollsPerSecond and maxPollBurst bound the polls of one scheduler, whatever the responses bring.
+	maxPollsPerSecond = 20
+	maxPollBurst      = 40
+)
+
+// The spread over the fleet.
+const (
+	// maxReconnectWindow is how far apart at most the times are at which a scheduler of a fleet may come back: what the
+	// service tells has to be known 2 s after a connection broke.
+	maxReconnectWindow = 1900 * time.Millisecond
+	// reconnectWindowPerPeer is what each other scheduler adds to the window.
+	reconnectWindowPerPeer = 20 * time.Millisecond
+	// maxUpdateWindow is the same where nothing shows that the service is faulty: at a start, and when it has just answered
+	// the whole fleet. What it tells next may be a drain, which counts as told whether anybody polls or not.
+	maxUpdateWindow = 700 * time.Millisecond
+	// updateWindowPerPeer is what each other scheduler adds to the update window.
+	updateWindowPerPeer = 3 * time.Millisecond
+	// updateWindowGraceFraction bounds the update window by a fraction of the grace within which a drain has to be obeyed.
+	updateWindowGraceFraction = 0.7
+)
+
+// Failures.
+const (
+	// minBackoff and maxBackoff bound the pause before the next poll where polls fail; it doubles with each failure. In a
+	// fleet the reconnect window comes on top.
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 640 * time.Millisecond
+	// maxRetryAfter bounds the Retry-After that is obeyed: what the service has to tell counts as told 7 s later.
+	maxRetryAfter = 4 * time.Second
+	// staleAfterStall is how long the service's response is waited for after a stall before the list counts as stale.
+	staleAfterStall = 250 * time.Millisecond
+)
+
+// pollStream is the second word of the random generator's seed: it sets these draws apart from a scheduler's others.
+const pollStream = 0x706f6c6c // "poll"
+
+// phase is what a connection is used for at the moment.
+type phase int
+
+const (
+	dialing phase = iota
+	polling       // a poll is in flight
+	idle          // the next poll waits for its time
+)
+
+// connection is a connection to the service and its poll.
+type connection struct {
+	number    int
+	phase     phase
+	at        time.Duration // when the poll was made; while idle, when the next is due
+	timeoutAt time.Duration // until when the service may wait with the response
+	overdueAt time.Duration // when the poll is overdue
+}
+
+// Planner decides for one scheduler. At most two connections are open: the current one and one whose poll is overdue.
+type Planner struct {
+	reconnectWindow  time.Duration
+	updateWindow     time.Duration
+	pollInterval     time.Duration // least time from a poll whose response brought nothing to the next
+	slowPollTimeout  time.Duration // of polls while the service may be behind
+	slowOverdueAfter time.Duration // the same of overdueAfter
+	rng              *rand.Rand
+	slot             time.Duration // offset of the scheduler's own times within the reconnect window
+
+	current      *connection   // nil while the next one waits for its time
+	dialAt       time.Duration // that time; 0 if none
+	overdue      *connection   // the one whose poll got no response in time; nil if none
+	lastConn     int           // number of the last connection dialed
+	backoff      time.Duration // pause after the last failure; 0 if the last poll succeeded
+	synchronized bool          // the whole fleet may just have been answered
+	serviceSlow  bool          // the last response came late, or there was none yet
+	stale        bool          // after a stall, no response to a later poll has come yet
+	pollLimit    ratelimit.TokenBucket
+	actions      []Action // returned by Step, and reused by the next
+}
+
+// New returns the Planner of one of so many schedulers, which have to obey a drain within the grace after it was told. The
+// seed is the scheduler's own.
+func New(schedulers int, drainGrace time.Duration, seed uint64) *Planner {
+	peers := time.Duration(max(schedulers, 1) - 1)
+	ofGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drainGrace)) }
+	planner := &Planner{
+		reconnectWindow: min(maxReconnectWindow, peers*reconnectWindowPerPeer),
+		updateWindow:    min(maxUpdateWindow, peers*updateWindowPerPeer, ofGrace(updateWindowGraceFraction)),
+		pollInterval:    min(minPollInterval, ofGrace(pollIntervalGraceFraction)),
+		serviceSlow:     true,
+		rng:             rand.New(rand.NewPCG(seed, pollStream)),
+	}
+	planner.slot = planner.draw(planner.reconnectWindow)
+	planner.slowPollTimeout = planner.scaled(PollTimeout, maxPollTimeout)
+	planner.slowOverdueAfter = planner.scaled(overdueAfter, maxOverdueAfter)
+	return planner
+}
+
+// scaled is between low, for a scheduler alone, and high, for a fleet with the longest reconnect window.
+func (p *Planner) scaled(low, high time.Duration) time.Duration {
+	return low + (high-low)*p.reconnectWindow/maxReconnectWindow
+}
+
+// Step takes in events and returns what is to be done, in order; the slice is valid until the next Step. now never goes
+// back; it is Unix time, or any other that began long ago.
+func (p *Planner) Step(now time.Duration, events ...Event) []Action {
+	p.actions = p.actions[:0]
+	for _, event := range events {
+		p.handle(now, event)
+	}
+	for at, ok := p.Next(); ok && at <= now; at, ok = p.Next() {
+		p.timerExpired(now)
+	}
+	return p.actions
+}
+
+// handle takes in one event.
+func (p *Planner) handle(now time.Duration, event Event) {
+	switch event := event.(type) {
+	case Started:
+		p.started(now, event)
+	case Connected:
+		if p.current.is(event.Conn) {
+			p.poll(now)
+		}
+	case Answered:
+		p.answered(now, event)
+	case Failed:
+		p.failed(now, event)
+	case AddressChanged:
+		p.closeConnection(&p.overdue)
+		p.closeConnection(&p.current)
+		p.backoff = 0
+		p.dialAt = p.nextSlot(now)
+	case Stalled:
+		p.stalled(now)
+	}
+}
+
+// Next returns when Step is to be called at the latest though nothing happens; false if it need not be.
+func (p *Planner) Next() (time.Duration, bool) {
+	switch {
+	case p.current == nil:
+		return p.dialAt, p.dialAt > 0
+	case p.current.phase == polling:
+		return p.current.overdueAt, true
+	default:
+		return p.current.at, p.current.phase == idle
+	}
+}
+
+// is reports whether a connection, which may be nil, has a number.
+func (c *connection) is(number int) bool { return c != nil && c.number == number }
+
+// started plans the first poll.
+func (p *Planner) started(now time.Duration, event Started) {
+	p.dialAt = now
+	p.synchronized = true
+	if event.HasEndpoints { // a scheduler without any is of no use to anybody, and polls first
+		p.dialAt += p.draw(p.updateWindow)
+	}
+	if event.Restored {
+		p.stale = true
+		p.actions = append(p.actions, MarkStale{p.updateWindow + staleAfterStall})
+	}
+}
+
+// timerExpired does what the time that Next returned was for.
+func (p *Planner) timerExpired(now time.Duration) {
+	switch {
+	case p.current == nil:
+		p.lastConn++
+		p.dialAt = 0
+		p.current = &connection{number: p.lastConn}
+		p.actions = append(p.actions, Dial{p.lastConn})
+	case p.current.phase == idle:
+		p.poll(now)
+	default:
+		p.pollOverdue(now)
+	}
+}
+
+// pollOverdue has another poll made beside one that is overdue, which keeps its place in the service's queue. Where one
+// that was overdue before has that place still, it is kept instead until it is abandoned.
+func (p *Planner) pollOverdue(now time.Duration) {
+	if p.overdue != nil && now-p.overdue.at >= abandonAfter {
+		p.closeConnection(&p.overdue)
+	}
+	if p.overdue == nil {
+		p.overdue = p.current
+		p.current = nil
+	}
+	p.closeConnection(&p.current)
+	p.dialAt = now
+	p.serviceSlow = true
+	p.actions = append(p.actions, PollOverdue{})
+}
+
+// poll polls over the current connection, as soon as the bound on polls allows.
+func (p *Planner) poll(now time.Duration) {
+	conn := p.current
+	if !p.pollLimit.Take(now, 1, maxPollsPerSecond, maxPollBurst) {
+		conn.phase = idle
+		conn.at = now + time.Second/maxPollsPerSecond
+		return
+	}
+	timeout := PollTimeout
+	lateness := overdueAfter
+	if p.serviceSlow {
+		timeout = p.slowPollTimeout
+		lateness = p.slowOverdueAfter
+	}
+	if p.synchronized {
+		jitter := min(firstPollJitter, p.reconnectWindow)
+		timeout = min(timeout, maxPollTimeout-jitter) + p.draw(2*jitter) - jitter
+	}
+	if p.stale { // a response is needed at once, with updates or without
+		timeout = 0
+	}
+	conn.phase = polling
+	conn.at = now
+	conn.timeoutAt = now + timeout
+	conn.overdueAt = conn.timeoutAt + lateness
+	p.synchronized = false
+	p.actions = append(p.actions, Poll{conn.number, timeout})
+}
+
+// answered plans the poll after a response.
+func (p *Planner) answered(now time.Duration, event Answered) {
+	if p.overdue.is(event.Conn) && !p.resume() {
+		return
+	}
+	conn := p.current
+	if !conn.is(event.Conn) || conn.phase != polling {
+		return
+	}
+	if p.stale {
+		p.stale = conn.at < conn.timeoutAt // a poll that waits was made before the stall
+		if !p.stale {
+			p.actions = append(p.actions, MarkStale{0})
+		}
+	}
+	p.serviceSlow = p.overdue != nil || now > conn.overdueAt
+	p.closeConnection(&p.overdue)
+	p.backoff = 0
+	next := p.nextPoll(now, event)
+	if event.ConnectionClosing {
+		p.closeConnection(&p.current)
+		p.dialAt = next
+		return
+	}
+	conn.phase = idle
+	conn.at = next
+}
+
+// resume makes the connection whose overdue poll was answered after all the current one. It returns false where the poll
+// made beside it is in flight already: then the overdue one is closed instead.
+func (p *Planner) resume() bool {
+	if p.current != nil && p.current.phase == polling {
+		p.closeConnection(&p.overdue)
+		p.backoff = 0
+		p.synchronized = true
+		return false
+	}
+	p.closeConnection(&p.current)
+	p.current = p.overdue
+	p.overdue = nil
+	return true
+}
+
+// nextPoll is when to poll after a response on the current connection.
+func (p *Planner) nextPoll(now time.Duration, event Answered) time.Duration {
+	next := now
+	if !event.HasUpdates && p.current.at < p.current.timeoutAt {
+		next = max(now, p.current.at+p.pollInterval)
+	}
+	p.synchronized = p.synchronized || event.HasUpdates || p.serviceSlow
+	if p.synchronized && !p.stale {
+		next += p.draw(p.updateWindow)
+	}
+	return next
+}
+
+// stalled has the service polled at once, unless a poll waits there still: what the service told meanwhile would be there to
+// be read.
+func (p *Planner) stalled(now time.Duration) {
+	conn := p.current
+	if conn != nil && conn.phase == polling && now < conn.timeoutAt {
+		return
+	}
+	p.stale = true
+	p.actions = append(p.actions, MarkStale{staleAfterStall})
+	switch {
+	case conn == nil && p.backoff == 0:
+		p.dialAt = now
+	case conn != nil && conn.phase == idle:
+		conn.at = now
+	case conn != nil: // its response may have come and not be read yet
+		conn.overdueAt = max(conn.overdueAt, now+staleAfterStall)
+	}
+}
+
+// failed plans the next connection after the current one failed.
+func (p *Planner) failed(now time.Duration, event Failed) {
+	if p.overdue.is(event.Conn) {
+		p.closeConnection(&p.overdue)
+		return
+	}
+	if !p.current.is(event.Conn) {
+		return
+	}
+	p.closeConnection(&p.current)
+	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
+	p.serviceSlow = true
+	p.dialAt = p.nextSlot(now + max(p.backoff, min(event.RetryAfter, maxRetryAfter)))
+}
+
+// nextSlot is the scheduler's first own time at or after another.
+func (p *Planner) nextSlot(from time.Duration) time.Duration {
+	if p.reconnectWindow == 0 {
+		return from
+	}
+	return from + (p.slot-from%p.reconnectWindow+p.reconnectWindow)%p.reconnectWindow
+}
+
+// closeConnection closes a connection and clears its place, if there is one.
+func (p *Planner) closeConnection(place **connection) {
+	if *place != nil {
+		p.actions = append(p.actions, Close{(*place).number})
+		*place = nil
+	}
+}
+
+// draw draws a time from 0 to most, both included.
+func (p *Planner) draw(most time.Duration) time.Duration {
+	return time.Duration(p.rng.Int64N(int64(most) + 1))
+}
--- /dev/null
+++ b/internal/discovery/pollplan/planner_test.go
@@ -0,0 +1,236 @@
+package pollplan_test
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"calicohill/internal/discovery/pollplan"
+	"calicohill/internal/testbed"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	// fleetSize is the size of a large fleet.
+	fleetSize = 300
+	// evenPeak is how many polls there are within 100 ms when each scheduler of it polls once in the 2 s of the protocol.
+	evenPeak = fleetSize / 20
+)
+
+// Whatever 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their asks over
+// the time that the protocol allows: 2 s after a break; 1 s, for a drain, where the service is well.
+func TestSpread(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		bound int
+		do    func(*testbed.Asks)
+	}{
+		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.Asks) {
+			fleet.Set(testbed.Refuse)
+			fleet.Run(8 * time.Second)
+			fleet.Set(testbed.Well)
+		}},
+		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.Asks) {
+			fleet.Set(testbed.Busy)
+			fleet.Run(8 * time.Second)
+			fleet.Set(testbed.Well)
+		}},
+		// Answered all at once, they have to ask again within the second that a drain allows.
+		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.Asks) {
+			fleet.Set(testbed.Silent)
+			fleet.Run(8 * time.Second)
+			fleet.Set(testbed.Well)
+		}},
+		{"broken", 2 * evenPeak, (*testbed.Asks).Break},
+		{"broken twice", 2 * evenPeak, func(fleet *testbed.Asks) { fleet.Break(); fleet.Run(time.Second); fleet.Break() }},
+	} {
+		for seed := range uint64(5) {
+			fleet := testbed.NewAsks(fleetSize, time.Second, seed, true)
+			fleet.Run(10 * time.Second)
+			if got := testbed.Peak(fleet.Polls, 0); got > 2*fleetSize/10 {
+				t.Errorf("start, seed %d: %d asks within 100 ms", seed, got)
+			}
+			at := fleet.Now
+			tt.do(fleet)
+			fleet.Run(30 * time.Second)
+			if got := testbed.Peak(fleet.Polls, at); got > tt.bound {
+				t.Errorf("%s, seed %d: %d asks within 100 ms, even are %d", tt.name, seed, got, evenPeak)
+			}
+			if got := testbed.Peak(fleet.Dials, at); got > 2*evenPeak {
+				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
+			}
+		}
+	}
+}
+
+// What a well service tells counts as told to all, also to those that have just started or are between two asks: each
+// knows it in time to send nothing to a worker that drains later than the grace after, whatever that is.
+func TestWellToldInTime(t *testing.T) {
+	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
+		for seed := range uint64(5) {
+			fleet := testbed.NewAsks(300, grace, seed, true)
+			rng := rand.New(rand.NewPCG(seed, 1))
+			for range 20 {
+				fleet.Tell()
+				fleet.Run(grace * 8 / 10)
+				for i, node := range fleet.Nodes {
+					if node.Knows != fleet.Desk.Number {
+						t.Fatalf("seed %d: scheduler %d does not know event %d after %v", seed, i, fleet.Desk.Number, grace*8/10)
+					}
+				}
+				fleet.Run(time.Duration(rng.IntN(3000)) * time.Millisecond)
+			}
+		}
+	}
+}
+
+// An event answers all polls at once. Those that come back for more are spread, and soon nobody is in step.
+func TestNotInStepAfterNews(t *testing.T) {
+	fleet := testbed.NewAsks(fleetSize, time.Second, 1, true)
+	fleet.Run(10 * time.Second)
+	fleet.Tell()
+	at := fleet.Now
+	fleet.Run(10 * time.Second)
+	if got := testbed.Peak(fleet.Polls, at); got > 2*fleetSize/10 {
+		t.Errorf("%d of %d ask within 100 ms after an event", got, fleetSize)
+	}
+	if got := testbed.Peak(fleet.Polls, at+time.Second); got > 2*evenPeak {
+		t.Errorf("%d ask within 100 ms a second after an event, even are %d", got, evenPeak)
+	}
+}
+
+// A service that answers a tenth of what the fleet asks in its 2 s lists all in 1.3 times the time that takes it at
+// best, and nobody asks much oftener than the 7 s of the protocol demand.
+func TestCrowded(t *testing.T) {
+	fleet := testbed.NewAsks(fleetSize, time.Second, 1, true)
+	fleet.Set(testbed.Crowded)
+	fleet.Desk.Rate = fleetSize / 20.
+	fleet.Desk.Number = 2
+	limit := 20 * time.Second
+	began := fleet.Now
+	fleet.Run(limit * 13 / 10)
+	asked, needed := 0, 0
+	for i, node := range fleet.Nodes {
+		if node.Knows < 2 {
+			t.Errorf("scheduler %d has no list after 1.3 times the least time", i)
+		}
+		for _, at := range node.Polls {
+			if at < node.Told {
+				asked++
+			}
+		}
+		needed += 1 + int((node.Told-began)/(7*time.Second))
+	}
+	if asked*10 > needed*12 {
+		t.Errorf("asked %d times until all were listed, the protocol's times need %d", asked, needed)
+	}
+}
+
+// Alone before a well service a scheduler asks as soon as it can: at the start, after each answer, after a break.
+func TestAlone(t *testing.T) {
+	fleet := testbed.NewAsks(1, time.Second, 1, true)
+	start := fleet.Now
+	fleet.Run(time.Second)
+	fleet.Tell()
+	fleet.Run(time.Second)
+	fleet.Break()
+	fleet.Run(time.Second)
+	var got []time.Duration
+	for _, at := range fleet.Nodes[0].Polls {
+		got = append(got, (at - start).Round(time.Millisecond))
+	}
+	for i, want := range []time.Duration{1, 1002, 2013} { // milliseconds: a dial takes 1, an answer too
+		if want *= time.Millisecond; len(got) <= i || got[i] < want-2*time.Millisecond || got[i] > want+2*time.Millisecond {
+			t.Fatalf("asks at %v, want the %d. at %v", got, i+1, want)
+		}
+	}
+}
+
+// A process that was stopped does not know what was told meanwhile. The list counts as old until the service has
+// answered an ask made after that, unless one waits there still: what it told would be there to be read.
+func TestStalled(t *testing.T) {
+	for _, tt := range []struct {
+		name string
+		stop func(*pollplan.Planner, time.Duration) time.Duration // when it goes on
+		want bool                                                 // that the list counts as stale
+	}{
+		{"while an ask waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
+		{"past the end of its wait", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
+		{"between two asks", func(planner *pollplan.Planner, now time.Duration) time.Duration {
+			planner.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
+			return now + 600*time.Millisecond
+		}, true},
+	} {
+		now := time.Hour
+		planner := pollplan.New(300, time.Second, 1)
+		planner.Step(now, pollplan.Started{})
+		planner.Step(now, pollplan.Connected{Conn: 1})
+		now = tt.stop(planner, now)
+		got := planner.Step(now, pollplan.Stalled{})
+		if stale := len(got) > 0 && got[0] == (pollplan.MarkStale{Duration: 250 * time.Millisecond}); stale != tt.want {
+			t.Errorf("%s: %v, want stale %v", tt.name, got, tt.want)
+		}
+		if !tt.want {
+			continue
+		}
+		if polled := len(got) == 2 && got[1] == (pollplan.Poll{Conn: 1}); !polled {
+			// The old poll is answered first, and the next is made at once, for an answer at once.
+			if got = planner.Step(now+1, pollplan.Answered{Conn: 1}); len(got) != 1 || got[0] != (pollplan.Poll{Conn: 1}) {
+				t.Errorf("%s: on the answer to the old poll %v", tt.name, got)
+			}
+		}
+		if got = planner.Step(now+2, pollplan.Answered{Conn: 1}); len(got) != 2 || got[0] != (pollplan.MarkStale{}) {
+			t.Errorf("%s: on the answer %v", tt.name, got)
+		}
+	}
+}
+
+// Who has no list asks before all others.
+func TestUnlistedFirst(t *testing.T) {
+	for _, schedulers := range []int{1, fleetSize} {
+		planner := pollplan.New(schedulers, time.Second, 1)
+		if got := planner.Step(time.Hour, pollplan.Started{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
+			t.Errorf("of %d: at its start it does %v", schedulers, got)
+		}
+	}
+}
+
+// Over any order of troubles: the service's word is known 2 s after its return, at most two connections are held,
+// asks are bounded, and events are neither missed nor come doubled.
+func TestBounds(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
+		fleet := testbed.NewAsks(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
+		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
+			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(rt, "do"); do {
+			case "break":
+				fleet.Break()
+			case "tell":
+				fleet.Tell()
+			case "run":
+			default:
+				fleet.Set(testbed.Mood(do))
+			}
+			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
+			if fleet.Desk.Open() > 2*schedulers {
+				rt.Fatalf("%d asks open of %d schedulers", fleet.Desk.Open(), schedulers)
+			}
+		}
+		// What it has to say after trouble is known 7 s later at the latest, and what it says when well at once.
+		fleet.Set(testbed.Well)
+		fleet.Run(7 * time.Second)
+		fleet.Tell()
+		fleet.Run(2 * time.Second)
+		for i, node := range fleet.Nodes {
+			if node.Knows != fleet.Desk.Number {
+				rt.Fatalf("scheduler %d knows event %d of %d", i, node.Knows, fleet.Desk.Number)
+			}
+			for k := range max(len(node.Polls)-60, 0) {
+				if node.Polls[k+60]-node.Polls[k] < time.Second {
+					rt.Fatalf("scheduler %d asks 60 times a second", i)
+				}
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,148 @@
+// Package discovery watches the endpoint list: it long-polls the list service (the bulletin, on the operators' pages) for
+// numbered events and hands the node agents that they name to a sink.
+//
+// When to poll is decided by package pollplan; this package has the connections, the HTTP responses and the order of the
+// events. All of it runs on the goroutine of the event loop.
+package discovery
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"calicohill/internal/discovery/pollplan"
+	"calicohill/internal/dispatch"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+
+	"github.com/sirupsen/logrus"
+)
+
+// connectTimeout bounds how long a connection to the list service may take to come up.
+const connectTimeout = 250 * time.Millisecond
+
+// Loop is what a Watcher needs of the event loop.
+type Loop interface {
+	dispatch.Loop
+	// Dial opens a connection whose events go to the handler; failed is called instead if it doesn't come up in time.
+	Dial(addr string, timeout time.Duration, handler eventloop.ConnHandler, failed func(error))
+}
+
+// Watcher polls the list service when its Planner says so, and hands each change of the endpoint list to a sink.
+type Watcher struct {
+	loop    Loop
+	addr    string
+	zones   []string
+	kinds   []string
+	sink    func(dispatch.EndpointList)
+	log     logrus.FieldLogger
+	planner *pollplan.Planner
+
+	// OnChange, if set, is called after a response whose events changed the list, never between two of them.
+	OnChange func()
+	// OnStale, if set, is told for how long the list may be outdated after a stall; 0 says that it is current again.
+	OnStale func(time.Duration)
+
+	connections map[int]*connection // open or being opened, by the planner's number
+	unreachable bool                // the last poll failed, and that was logged
+	pollTimer   deadline.Timer
+
+	initial        Feed              // what Start applies: configured or restored
+	restored       bool              // the list is an earlier process's, and the service has not answered yet
+	targets        map[string]target // current list by UID; kept only where OnChange is set
+	lastEvent      int               // number of the last event applied; 0 asks for the whole list
+	malformedEvent int               // number of an event that was rejected once; it is read leniently if it comes again
+	acceptedGap    int               // events up to this number may be missing: the service doesn't have them any more
+}
+
+// New returns a Watcher that does nothing until Start. The known events come in the form of a poll's response; an error
+// names the first invalid one. zones and kinds are the platform's names in the order of their numbers.
+func New(loop Loop, addr string, known []byte, zones, kinds []string, planner *pollplan.Planner,
+	sink func(dispatch.EndpointList), log logrus.FieldLogger,
+) (*Watcher, error) {
+	watcher := &Watcher{
+		loop:        loop,
+		addr:        addr,
+		zones:       zones,
+		kinds:       kinds,
+		sink:        sink,
+		log:         log,
+		planner:     planner,
+		connections: map[int]*connection{},
+	}
+	watcher.pollTimer.Fire = func() { watcher.step() }
+	var err error
+	watcher.initial, err = parseKnown(known, zones, kinds)
+	return watcher, err
+}
+
+// Start applies the events known already and begins to poll.
+func (w *Watcher) Start() {
+	if n := len(w.initial.Events); n > 0 { // events missing among these can't be had from anybody
+		w.acceptedGap = w.initial.Events[n-1].Number
+	}
+	if err := w.applyEvents(&w.initial); err != nil {
+		w.log.WithError(err).Error("initial endpoint list rejected") // New has parsed it once
+	}
+	w.initial = Feed{}
+	w.step(pollplan.Started{HasEndpoints: w.lastEvent > 0, Restored: w.restored})
+}
+
+// SetAddress has the list service polled at another address from now on; the numbers of its events continue. Polls at the
+// old address end at once: it has no more to say, and one still waiting would keep the new one from being polled.
+func (w *Watcher) SetAddress(addr string) {
+	if addr == w.addr {
+		return
+	}
+	w.addr = addr
+	w.step(pollplan.AddressChanged{})
+}
+
+// Stalled reports that the process did not run for a while.
+func (w *Watcher) Stalled() { w.step(pollplan.Stalled{}) }
+
+// step passes events to the planner, carries out its actions and sets the timer for the next.
+func (w *Watcher) step(events ...pollplan.Event) {
+	// An action may lead to another step, which reuses the planner's slice.
+	for _, action := range slices.Clone(w.planner.Step(w.loop.Now(), events...)) {
+		w.do(action)
+	}
+	if at, ok := w.planner.Next(); ok {
+		w.loop.SetDeadline(&w.pollTimer, at)
+	} else {
+		w.loop.ClearDeadline(&w.pollTimer)
+	}
+}
+
+// do carries out an action of the planner.
+func (w *Watcher) do(action pollplan.Action) {
+	switch action := action.(type) {
+	case pollplan.Dial:
+		w.dial(action.Conn)
+	case pollplan.Poll:
+		w.connections[action.Conn].poll(action.Timeout)
+	case pollplan.Close:
+		conn := w.connections[action.Conn]
+		delete(w.connections, action.Conn)
+		conn.close()
+	case pollplan.MarkStale:
+		if w.OnStale != nil {
+			w.OnStale(action.Duration)
+		}
+	case pollplan.PollOverdue:
+		w.log.Warn("poll overdue: polled once more")
+	}
+}
+
+// dial opens a connection under the planner's number.
+func (w *Watcher) dial(number int) {
+	conn := &connection{watcher: w, number: number}
+	w.connections[number] = conn
+	w.loop.Dial(w.addr, connectTimeout, conn, func(err error) { conn.fail(err, 0) })
+}
+
+// pollRequest is the HTTP request that asks for events after the last one.
+func (w *Watcher) pollRequest(timeout time.Duration) []byte {
+	return fmt.Appendf(nil, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
+		w.lastEvent, timeout.Milliseconds(), w.addr)
+}
