--- a/internal/runtime/deadline/timer_queue.go
+++ b/internal/runtime/deadline/timer_queue.go
@@ -1,4 +1,4 @@
-// Package deadline holds all deadlines of the program in one ordered structure.
+// Package deadline keeps all timers of the event loop in one priority queue, ordered by the time at which they are due.
 package deadline
 
 import (
@@ -6,78 +6,88 @@
 	"time"
 )
 
-// Timer is one deadline. It belongs to whoever waits for it and may be set and dropped any number of times.
+// Timer is one timer. It belongs to whoever waits for it and may be started and stopped any number of times. The zero
+// Timer, with Fire set, is ready for use.
 type Timer struct {
-	Fire func() // called once the deadline has come; the entry is no longer queued then
+	// Fire is called once the timer is due. It is no longer queued then, so that Fire may start it again.
+	Fire func()
 
-	at    time.Duration
-	order uint64
-	place int // in the heap, from 1; 0 means not queued
+	at       time.Duration
+	sequence uint64 // number of the call of Set that started it; the order among timers due at one time
+	position int    // index in the heap plus 1; 0 means not queued
 }
 
-// Queue orders entries by time, and those of one time by when they were set.
+// Queue orders timers by the time at which they are due, and those of one time by when they were set. The zero Queue is
+// empty. It is not safe for concurrent use.
 type Queue struct {
-	heap  entries
-	count uint64
+	timers   timerHeap
+	sequence uint64 // calls of Set so far
 }
 
-// Set queues an entry for a time, or moves it there.
-func (q *Queue) Set(e *Timer, at time.Duration) {
-	q.count++
-	e.at, e.order = at, q.count
-	if e.place > 0 {
-		heap.Fix(&q.heap, e.place-1)
+// Set queues a timer for a time, or moves it there if it is queued already.
+func (q *Queue) Set(timer *Timer, at time.Duration) {
+	q.sequence++
+	timer.at = at
+	timer.sequence = q.sequence
+	if timer.position > 0 {
+		heap.Fix(&q.timers, timer.position-1)
 		return
 	}
-	heap.Push(&q.heap, e)
+	heap.Push(&q.timers, timer)
 }
 
-// Remove takes an entry out. One that is not queued stays so.
-func (q *Queue) Remove(e *Timer) {
-	if e.place > 0 {
-		heap.Remove(&q.heap, e.place-1)
+// Remove takes a timer out of the queue. It does nothing if the timer is not queued.
+func (q *Queue) Remove(timer *Timer) {
+	if timer.position > 0 {
+		heap.Remove(&q.timers, timer.position-1)
 	}
 }
 
-// Next is the time of the earliest entry, if there is one.
+// Next returns the time at which the earliest timer is due, and whether there is one.
 func (q *Queue) Next() (time.Duration, bool) {
-	if len(q.heap) == 0 {
+	if len(q.timers) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.timers[0].at, true
 }
 
-// PopDue takes out the earliest entry if its time has come, and nil otherwise.
+// PopDue takes out the earliest timer and returns it if it is due, and returns nil otherwise.
 func (q *Queue) PopDue(now time.Duration) *Timer {
-	if len(q.heap) == 0 || q.heap[0].at > now {
+	if len(q.timers) == 0 || q.timers[0].at > now {
 		return nil
 	}
-	return heap.Pop(&q.heap).(*Timer)
+	return heap.Pop(&q.timers).(*Timer)
 }
 
-type entries []*Timer
+// timerHeap implements heap.Interface and keeps the position of each timer up to date.
+type timerHeap []*Timer
 
-func (h entries) Len() int { return len(h) }
-func (h entries) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].sequence < h[j].sequence
 }
 
-func (h entries) Swap(i, j int) {
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i+1, j+1
+	h[i].position = i + 1
+	h[j].position = j + 1
 }
 
-func (h *entries) Push(x any) {
-	e := x.(*Timer)
-	*h = append(*h, e)
-	e.place = len(*h)
+func (h *timerHeap) Push(x any) {
+	timer := x.(*Timer)
+	*h = append(*h, timer)
+	timer.position = len(*h)
 }
 
-func (h *entries) Pop() any {
-	old := *h
-	e := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	e.place = 0
-	return e
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	timer := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	timer.position = 0
+	return timer
 }
--- /dev/null
+++ b/internal/runtime/deadline/timer_queue_test.go
@@ -0,0 +1,88 @@
+package deadline_test
+
+import (
+	"cmp"
+	"slices"
+	"testing"
+	"time"
+
+	"calicohill/internal/runtime/deadline"
+
+	"pgregory.net/rapid"
+)
+
+func TestEmptyQueue(t *testing.T) {
+	var queue deadline.Queue
+	if at, ok := queue.Next(); ok {
+		t.Errorf("an empty queue has a timer at %v", at)
+	}
+	if timer := queue.PopDue(time.Hour); timer != nil {
+		t.Errorf("an empty queue pops %v", timer)
+	}
+	queue.Remove(&deadline.Timer{}) // not queued: does nothing
+}
+
+func TestPopDueLeavesLaterTimers(t *testing.T) {
+	var queue deadline.Queue
+	timer := &deadline.Timer{}
+	queue.Set(timer, 10)
+	if got := queue.PopDue(9); got != nil {
+		t.Error("a timer is popped before it is due")
+	}
+	if got := queue.PopDue(10); got != timer {
+		t.Error("a timer is not popped when it is due")
+	}
+	if got := queue.PopDue(10); got != nil {
+		t.Error("a timer is popped twice")
+	}
+}
+
+// queued is a timer of the model: when it is due, and the number of the call that set it.
+type queued struct {
+	timer    *deadline.Timer
+	at       time.Duration
+	sequence int
+}
+
+func byDueTime(a, b queued) int {
+	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
+}
+
+// TestQueueAgainstSortedList plays random calls on a queue and on a sorted list.
+func TestQueueAgainstSortedList(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		var queue deadline.Queue
+		var model []queued
+		timers := make([]deadline.Timer, 10)
+		drop := func(timer *deadline.Timer) {
+			model = slices.DeleteFunc(model, func(q queued) bool { return q.timer == timer })
+		}
+		for step := range rapid.IntRange(1, 200).Draw(rt, "steps") {
+			timer := &timers[rapid.IntRange(0, len(timers)-1).Draw(rt, "timer")]
+			clock := time.Duration(rapid.IntRange(0, 20).Draw(rt, "clock"))
+			switch rapid.IntRange(0, 2).Draw(rt, "call") {
+			case 0:
+				queue.Set(timer, clock)
+				drop(timer)
+				model = append(model, queued{timer, clock, step})
+				slices.SortFunc(model, byDueTime)
+			case 1:
+				queue.Remove(timer)
+				drop(timer)
+			default:
+				var want *deadline.Timer
+				if len(model) > 0 && model[0].at <= clock {
+					want = model[0].timer
+					model = model[1:]
+				}
+				if got := queue.PopDue(clock); got != want {
+					rt.Fatalf("PopDue(%d) = %p, want %p", clock, got, want)
+				}
+			}
+			next, ok := queue.Next()
+			if ok != (len(model) > 0) || ok && next != model[0].at {
+				rt.Fatalf("Next() = %v, %v with %d timers queued", next, ok, len(model))
+			}
+		}
+	})
+}
