--- a/internal/runtime/slotmap/table.go
+++ b/internal/runtime/slotmap/table.go
@@ -1,71 +1,86 @@
-// Package slotmap keeps things in numbered slots that are used again. A number carries its slot's generation, so
-// that one kept past the end of what it stood for finds nothing rather than the slot's next owner.
+// Package slotmap is a generational slot map: it stores values in numbered slots that are reused. A reference carries the
+// generation of its slot, so that one kept beyond the removal of its value finds nothing rather than the slot's next
+// value.
 package slotmap
 
-// Ref names what a Table holds. The zero Ref names nothing.
+// slotShift is the position of the slot's index in a Ref; the generation is in the bits below.
+const slotShift = 32
+
+// Ref refers to a value of a Table. The zero Ref refers to nothing.
 type Ref uint64
 
-// Table holds values by Ref. The zero Table is empty and ready for use.
+// Table holds values by Ref. The zero Table is empty and ready for use. It is not safe for concurrent use.
 type Table[T any] struct {
-	slots []entry[T]
-	free  []uint32
-	held  int
+	slots []slot[T]
+	free  []uint32 // indexes of empty slots; the last one is used next
+	size  int
 }
 
-type entry[T any] struct {
+type slot[T any] struct {
 	value      T
 	generation uint32
-	taken      bool
+	occupied   bool
 }
 
 // Insert stores a value and returns its Ref.
-func (t *Table[T]) Insert(v T) Ref {
-	var i uint32
-	if n := len(t.free); n > 0 {
-		i, t.free = t.free[n-1], t.free[:n-1]
-	} else {
-		i = uint32(len(t.slots))
-		t.slots = append(t.slots, entry[T]{})
-	}
-	s := &t.slots[i]
+func (t *Table[T]) Insert(value T) Ref {
+	index := t.takeSlot()
+	s := &t.slots[index]
 	s.generation++
-	if s.generation == 0 { // wrapped: Ref 0 must stay unused
+	if s.generation == 0 { // wrapped around: Ref 0 must stay unused
 		s.generation = 1
 	}
-	s.value, s.taken = v, true
-	t.held++
-	return Ref(i)<<32 | Ref(s.generation)
+	s.value = value
+	s.occupied = true
+	t.size++
+	return Ref(index)<<slotShift | Ref(s.generation)
+}
+
+// takeSlot returns the index of an empty slot, a new one where none is free.
+func (t *Table[T]) takeSlot() uint32 {
+	if n := len(t.free); n > 0 {
+		index := t.free[n-1]
+		t.free = t.free[:n-1]
+		return index
+	}
+	t.slots = append(t.slots, slot[T]{})
+	return uint32(len(t.slots) - 1)
 }
 
-// Get returns what a Ref names, and whether it still names anything.
-func (t *Table[T]) Get(r Ref) (T, bool) {
-	if s := t.find(r); s != nil {
+// Get returns the value of a Ref, and whether it is still stored.
+func (t *Table[T]) Get(ref Ref) (T, bool) {
+	if s := t.find(ref); s != nil {
 		return s.value, true
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
-// Remove empties the slot of a Ref. A stale Ref frees nothing.
-func (t *Table[T]) Remove(r Ref) {
-	if s := t.find(r); s != nil {
-		var none T
-		s.value, s.taken = none, false
-		t.free = append(t.free, uint32(r>>32))
-		t.held--
+// Remove removes the value of a Ref. A stale Ref removes nothing.
+func (t *Table[T]) Remove(ref Ref) {
+	s := t.find(ref)
+	if s == nil {
+		return
 	}
+	var zero T
+	s.value = zero
+	s.occupied = false
+	t.free = append(t.free, uint32(ref>>slotShift))
+	t.size--
 }
 
-// Len is the number of values held.
-func (t *Table[T]) Len() int { return t.held }
+// Len returns the number of values stored.
+func (t *Table[T]) Len() int { return t.size }
 
-func (t *Table[T]) find(r Ref) *entry[T] {
-	i := uint64(r >> 32)
-	if i >= uint64(len(t.slots)) {
+// find returns the slot that a Ref refers to, or nil if its value has been removed.
+func (t *Table[T]) find(ref Ref) *slot[T] {
+	index := uint64(ref >> slotShift)
+	if index >= uint64(len(t.slots)) {
 		return nil
 	}
-	if s := &t.slots[i]; s.taken && s.generation == uint32(r) {
-		return s
+	s := &t.slots[index]
+	if !s.occupied || s.generation != uint32(ref) {
+		return nil
 	}
-	return nil
+	return s
 }
--- a/internal/runtime/slotmap/table_test.go
+++ b/internal/runtime/slotmap/table_test.go
@@ -10,38 +10,39 @@
 	"pgregory.net/rapid"
 )
 
-// A number kept past the end of what it stood for finds nothing, however often its slot was used again.
+// A reference kept beyond the removal of its value finds nothing, however often its slot has been reused.
 func TestStaleRefs(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		var table slotmap.Table[int]
-		held, stale := map[slotmap.Ref]int{}, []slotmap.Ref{0}
-		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
-			if len(held) == 0 || rapid.Bool().Draw(t, "put") {
-				r := table.Insert(i)
-				if _, taken := held[r]; taken {
-					t.Fatalf("%v is given out twice", r)
+		stored := map[slotmap.Ref]int{}
+		stale := []slotmap.Ref{0}
+		for i := range rapid.IntRange(1, 200).Draw(rt, "steps") {
+			if len(stored) == 0 || rapid.Bool().Draw(rt, "insert") {
+				ref := table.Insert(i)
+				if _, taken := stored[ref]; taken {
+					rt.Fatalf("%v is given out twice", ref)
 				}
-				held[r] = i
+				stored[ref] = i
 				continue
 			}
-			r := rapid.SampledFrom(slices.Sorted(maps.Keys(held))).Draw(t, "free")
-			table.Remove(r)
-			delete(held, r)
-			stale = append(stale, r)
-			table.Remove(rapid.SampledFrom(stale).Draw(t, "stale")) // frees nothing
+			ref := rapid.SampledFrom(slices.Sorted(maps.Keys(stored))).Draw(rt, "remove")
+			table.Remove(ref)
+			delete(stored, ref)
+			stale = append(stale, ref)
+			table.Remove(rapid.SampledFrom(stale).Draw(rt, "stale")) // removes nothing
 		}
-		for _, r := range stale {
-			if v, ok := table.Get(r); ok {
-				t.Fatalf("%v, which was freed, names %d", r, v)
+		for _, ref := range stale {
+			if value, ok := table.Get(ref); ok {
+				rt.Fatalf("%v, which was removed, refers to %d", ref, value)
 			}
 		}
-		for r, want := range held {
-			if v, ok := table.Get(r); !ok || v != want {
-				t.Fatalf("%v names %d, %v, want %d", r, v, ok, want)
+		for ref, want := range stored {
+			if value, ok := table.Get(ref); !ok || value != want {
+				rt.Fatalf("%v refers to %d, %v, want %d", ref, value, ok, want)
 			}
 		}
-		if table.Len() != len(held) {
-			t.Fatalf("%d held, want %d", table.Len(), len(held))
+		if table.Len() != len(stored) {
+			rt.Fatalf("Len() = %d, want %d", table.Len(), len(stored))
 		}
 	})
 }
