--- /dev/null
+++ b/internal/runtime/logging/logging_test.go
@@ -0,0 +1,149 @@
+package logging_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/runtime/logging"
+)
+
+// line is the fields of a JSON log line that the tests compare.
+type line struct {
+	Level   string `json:"level"`
+	Message string `json:"msg"`
+	Part    string `json:"part"`
+	More    int    `json:"more"`
+	Error   string `json:"error"`
+}
+
+func newLoggers(t *testing.T, out *bytes.Buffer, settings operatorfile.Log) *logging.Loggers {
+	t.Helper()
+	loggers, err := logging.New(out, settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return loggers
+}
+
+// readLines decodes and removes the JSON lines written so far.
+func readLines(t *testing.T, out *bytes.Buffer) []line {
+	t.Helper()
+	var lines []line
+	decoder := json.NewDecoder(out)
+	for decoder.More() {
+		var l line
+		if err := decoder.Decode(&l); err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, l)
+	}
+	return lines
+}
+
+func TestLevels(t *testing.T) {
+	own := map[string]string{"gossip": "debug"}
+	cases := map[string]struct {
+		settings operatorfile.Log
+		part     string
+		written  bool // an info line
+	}{
+		"common level":           {operatorfile.Log{JSON: true, Level: "info"}, "agent", true},
+		"below the common level": {operatorfile.Log{JSON: true, Level: "warning"}, "agent", false},
+		"level of the part":      {operatorfile.Log{JSON: true, Level: "warning", Parts: own}, "gossip", true},
+		"level of another part":  {operatorfile.Log{JSON: true, Level: "warning", Parts: own}, "agent", false},
+	}
+	for name, tt := range cases {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			newLoggers(t, &out, tt.settings).Part(tt.part).Info("hello")
+			lines := readLines(t, &out)
+			if !tt.written {
+				if len(lines) != 0 {
+					t.Errorf("wrote %v", lines)
+				}
+				return
+			}
+			if want := (line{Level: "info", Message: "hello", Part: tt.part}); len(lines) != 1 || lines[0] != want {
+				t.Errorf("wrote %+v, want %+v", lines, want)
+			}
+		})
+	}
+}
+
+func TestApplyChangesRunningLoggers(t *testing.T) {
+	var out bytes.Buffer
+	loggers := newLoggers(t, &out, operatorfile.Log{Level: "warning"})
+	entry := loggers.Part("agent")
+	entry.Info("not written")
+	entry.Warn("as text")
+	text := out.String()
+	if !strings.Contains(text, `level=warning msg="as text" part=agent`) || strings.Contains(text, "not written") {
+		t.Errorf("wrote %q", text)
+	}
+	out.Reset()
+	if err := loggers.Apply(operatorfile.Log{JSON: true, Level: "info"}); err != nil {
+		t.Fatal(err)
+	}
+	entry.Info("as JSON")
+	if lines := readLines(t, &out); len(lines) != 1 || lines[0].Message != "as JSON" {
+		t.Errorf("wrote %+v", lines)
+	}
+}
+
+func TestUnknownLevel(t *testing.T) {
+	if _, err := logging.New(&bytes.Buffer{}, operatorfile.Log{Level: "loud"}); err == nil ||
+		!strings.HasPrefix(err.Error(), "log level: ") {
+		t.Errorf("error %v", err)
+	}
+}
+
+func TestUnknownPart(t *testing.T) {
+	var out bytes.Buffer
+	loggers := newLoggers(t, &out, operatorfile.Log{Level: "info"})
+	defer func() {
+		if recover() == nil {
+			t.Error("an unknown part has a logger")
+		}
+	}()
+	loggers.Part("nobody")
+}
+
+func TestRateLimited(t *testing.T) {
+	var out bytes.Buffer
+	limited := logging.RateLimited{Log: newLoggers(t, &out, operatorfile.Log{JSON: true, Level: "info"}).Part("agent")}
+	calls := []struct {
+		now     time.Duration
+		message string
+		err     error
+	}{
+		{0, "a", nil},
+		{time.Millisecond, "a", nil},
+		{time.Millisecond, "b", errors.New("broken")}, // another message has a limit of its own
+		{time.Second - 1, "a", nil},
+		{time.Second, "a", nil},
+		{2 * time.Second, "a", nil},
+	}
+	for _, call := range calls {
+		limited.Warn(call.now, call.message, call.err)
+	}
+	want := []line{
+		{Level: "warning", Message: "a", Part: "agent"},
+		{Level: "warning", Message: "b", Part: "agent", Error: "broken"},
+		{Level: "warning", Message: "a", Part: "agent", More: 2},
+		{Level: "warning", Message: "a", Part: "agent"},
+	}
+	got := readLines(t, &out)
+	if len(got) != len(want) {
+		t.Fatalf("wrote %+v, want %+v", got, want)
+	}
+	for i := range want {
+		if got[i] != want[i] {
+			t.Errorf("line %d is %+v, want %+v", i+1, got[i], want[i])
+		}
+	}
+}
