--- a/internal/stats/ratelimit/quotas.go
+++ b/internal/stats/ratelimit/quotas.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Quotas is a bucket for each of some parties, of which each may take so many a second and one at least at once.
+// Quotas limits the rate of each of several tenants by a token bucket. Each may take as many at once as it may in a
+// second, and at least one.
 type Quotas struct {
-	rates   []float64
+	rates   []float64 // a second, by tenant
 	buckets []TokenBucket
 }
 
-// NewQuotas returns Quotas of these rates, in things a second; 0 and below mean no bound.
+// NewQuotas returns Quotas with a rate a second for each tenant. A rate of 0 or below means no limit.
 func NewQuotas(rates []float64) *Quotas {
 	return &Quotas{rates: rates, buckets: make([]TokenBucket, len(rates))}
 }
 
-// Exceeded takes one out of a party's share and reports whether there was none left. A party that has no share spends
-// nothing.
-func (s *Quotas) Exceeded(now time.Duration, party int) bool {
-	if party < 0 || party >= len(s.rates) || s.rates[party] <= 0 {
+// Exceeded takes one out of a tenant's quota and reports whether none was left. A tenant without a quota, or out of
+// range, never exceeds it.
+func (q *Quotas) Exceeded(now time.Duration, tenant int) bool {
+	if tenant < 0 || tenant >= len(q.rates) || q.rates[tenant] <= 0 {
 		return false
 	}
-	rate := s.rates[party]
-	return !s.buckets[party].Take(now, 1, rate, max(rate, 1))
+	rate := q.rates[tenant]
+	return !q.buckets[tenant].Take(now, 1, rate, max(rate, 1))
 }
--- a/internal/stats/ratelimit/token_bucket.go
+++ b/internal/stats/ratelimit/token_bucket.go
@@ -1,25 +1,26 @@
-// Package ratelimit is a token bucket without a clock.
+// Package ratelimit holds rate limiters without a clock of their own: a token bucket, a bucket for each of several
+// tenants, and a sliding window whose limit grows with the arrivals. Callers pass the current time to each call.
 package ratelimit
 
 import "time"
 
-// TokenBucket fills with time and is emptied by what is taken. The zero TokenBucket begins empty at time 0, so that it is full
-// wherever the clock has run for long.
+// TokenBucket fills with time and is emptied by what is taken. The zero TokenBucket is empty at time 0, so that it is
+// full wherever the clock has run for long. It is not safe for concurrent use.
 type TokenBucket struct {
-	level float64
-	at    time.Duration
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// Allow takes n out of a bucket that fills by rate a second and holds burst at most, or reports that so much is not
-// there.
+// Take takes n tokens out of a bucket that fills by rate tokens a second and holds burst at most. It takes nothing and
+// returns false if fewer than n are there.
 func (b *TokenBucket) Take(now time.Duration, n, rate, burst float64) bool {
-	if now > b.at {
-		b.level = min(burst, b.level+rate*(now-b.at).Seconds())
-		b.at = now
+	if now > b.refilledAt {
+		b.tokens = min(burst, b.tokens+rate*(now-b.refilledAt).Seconds())
+		b.refilledAt = now
 	}
-	if b.level < n {
+	if b.tokens < n {
 		return false
 	}
-	b.level -= n
+	b.tokens -= n
 	return true
 }
--- a/internal/stats/ratelimit/window_limiter.go
+++ b/internal/stats/ratelimit/window_limiter.go
@@ -6,25 +6,30 @@
 	"calicohill/internal/stats/decay"
 )
 
-// WindowLimiter lets so many things be done in a window of time: some whatever happens, and more for each thing that came in.
-// The zero WindowLimiter has seen nothing.
-type WindowLimiter struct{ came, done decay.Window }
+// WindowLimiter limits how many events are allowed within a sliding window: a fixed number, and more for each arrival
+// within the window. The zero WindowLimiter has seen nothing. It is not safe for concurrent use.
+type WindowLimiter struct {
+	arrivals decay.Window
+	allowed  decay.Window
+}
 
-// RecordArrival counts something that came in, for as long as a window lasts; 0 means that nothing is rationed.
-func (r *WindowLimiter) RecordArrival(now, window time.Duration) {
+// RecordArrival counts an arrival for the length of a window. A window of 0 means that nothing is limited, and counts
+// nothing.
+func (l *WindowLimiter) RecordArrival(now, window time.Duration) {
 	if window > 0 {
-		r.came.Add(now)
-		r.came.Expire(now, window)
+		l.arrivals.Add(now)
+		l.arrivals.Expire(now, window)
 	}
 }
 
-// Allow counts one more thing as done, or reports that the ration is spent: free things and perCame for each that came
-// within the window, less an edge for those of which it is not sure that they came so late.
-func (r *WindowLimiter) Allow(now, window, edge time.Duration, free, perCame float64) bool {
-	came := float64(r.came.Within(now, window-edge))
-	if float64(r.done.Within(now, window)+1) > free+perCame*came {
+// Allow counts one more event, or returns false if the limit is reached: base events and perArrival for each arrival
+// within the window. Arrivals of the first margin of the window don't count, since the time of an arrival is known only
+// to within that margin.
+func (l *WindowLimiter) Allow(now, window, margin time.Duration, base, perArrival float64) bool {
+	arrivals := float64(l.arrivals.Within(now, window-margin))
+	if float64(l.allowed.Within(now, window)+1) > base+perArrival*arrivals {
 		return false
 	}
-	r.done.Add(now)
+	l.allowed.Add(now)
 	return true
 }
