--- a/internal/stats/decay/decay.go
+++ b/internal/stats/decay/decay.go
@@ -1,4 +1,5 @@
-// Package decay holds figures that fade while nothing new is heard: by the factor e in a time that the reader names.
+// Package decay holds statistics of recent observations: a value that decays exponentially with time, a recent maximum,
+// an exponentially weighted mean and a count over a sliding window. They have no clock: callers pass the current time.
 package decay
 
 import (
@@ -7,64 +8,71 @@
 	"time"
 )
 
-// Value is a figure and when it was set. The zero Value is 0.
+// Value is a number that decays from the time at which it was set: by the factor e in each time constant, which the
+// reader names. The zero Value is 0.
 type Value struct {
 	v  float64
 	at time.Duration
 }
 
-// At is what is left of the figure.
+// At returns what is left of the value at a time, for the time constant tau.
 func (d Value) At(now, tau time.Duration) float64 {
 	return d.v * math.Exp(-(now-d.at).Seconds()/tau.Seconds())
 }
 
-// Set replaces the figure.
-func (d *Value) Set(now time.Duration, v float64) { d.v, d.at = v, now }
+// Set replaces the value.
+func (d *Value) Set(now time.Duration, v float64) {
+	d.v = v
+	d.at = now
+}
 
-// Peak is the largest of the figures of a while. The zero Peak is 0.
+// Peak is the maximum of recent observations. The zero Peak is 0.
 type Peak struct{ Value }
 
-// Observe takes a figure in: one that is larger than the peak, or comes when that is older than span, is the new peak.
-func (p *Peak) Observe(now, span time.Duration, v float64) {
-	if v > p.v || now-p.at > span {
+// Observe takes an observation in. It becomes the peak if it is larger, or if the peak is older than maxAge.
+func (p *Peak) Observe(now, maxAge time.Duration, v float64) {
+	if v > p.v || now-p.at > maxAge {
 		p.Set(now, v)
 	}
 }
 
-// Within is the peak, or 0 if it is not younger than span.
-func (p *Peak) Within(now, span time.Duration) float64 {
-	if now-p.at < span {
+// Within returns the peak if it is younger than maxAge, and 0 otherwise.
+func (p *Peak) Within(now, maxAge time.Duration) float64 {
+	if now-p.at < maxAge {
 		return p.v
 	}
 	return 0
 }
 
-// Mean is a running mean whose first figure counts whole. The zero Mean is 0.
+// Mean is an exponentially weighted moving mean that starts at its first observation. The zero Mean is 0.
 type Mean float64
 
-// Update moves the mean by a part of its way to a figure, 0 to 1.
-func (m *Mean) Update(v, part float64) {
+// Update moves the mean towards an observation by the fraction weight, from 0 to 1, of the distance.
+func (m *Mean) Update(v, weight float64) {
 	if *m == 0 {
 		*m = Mean(v)
 	}
-	*m += Mean(part * (v - float64(*m)))
+	*m += Mean(weight * (v - float64(*m)))
 }
 
-// Window counts what came within a time of now. The zero Window is empty.
-type Window struct{ times []time.Duration }
+// Window counts events within a sliding window of time. The zero Window is empty.
+type Window struct {
+	times []time.Duration // of the events
+}
 
-// Update counts one more.
+// Add counts one event.
 func (w *Window) Add(now time.Duration) { w.times = append(w.times, now) }
 
-// Expire drops those at the beginning that came longer ago than span.
-func (w *Window) Expire(now, span time.Duration) {
-	for len(w.times) > 0 && now-w.times[0] > span {
+// Expire forgets the earliest events, up to the first that is not older than maxAge.
+func (w *Window) Expire(now, maxAge time.Duration) {
+	for len(w.times) > 0 && now-w.times[0] > maxAge {
 		w.times = w.times[1:]
 	}
 }
 
-// Within is how many came no longer ago than span. Older ones are forgotten, so span must not grow later.
-func (w *Window) Within(now, span time.Duration) int {
-	w.times = slices.DeleteFunc(w.times, func(t time.Duration) bool { return now-t > span })
+// Within returns the number of events that are not older than maxAge. Older ones are forgotten, so that maxAge must not
+// grow from one call to the next.
+func (w *Window) Within(now, maxAge time.Duration) int {
+	w.times = slices.DeleteFunc(w.times, func(t time.Duration) bool { return now-t > maxAge })
 	return len(w.times)
 }
