--- a/internal/stats/rendezvous/order.go
+++ b/internal/stats/rendezvous/order.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Order returns members in the order of their scores for a key, ties by id. Everybody who knows the same members
-// by the same ids and sizes gets the same order.
-func Order[T any](key string, members []T, of func(T) (id string, size float64)) []T {
+// Order returns members by descending score for a key, ties by id. idAndWeight returns a member's id and its weight,
+// which is above 0. All who know the same members by the same ids and weights get the same order.
+func Order[T any](key string, members []T, idAndWeight func(T) (id string, weight float64)) []T {
 	type scored struct {
 		member T
 		id     string
 		score  float64
 	}
-	all := make([]scored, len(members))
-	for i, m := range members {
-		id, size := of(m)
-		all[i] = scored{m, id, Score(key, id, size)}
+	candidates := make([]scored, len(members))
+	for i, member := range members {
+		id, weight := idAndWeight(member)
+		candidates[i] = scored{member, id, Score(key, id, weight)}
 	}
-	slices.SortFunc(all, func(a, b scored) int {
+	slices.SortFunc(candidates, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
 	})
-	order := make([]T, len(all))
-	for i, s := range all {
-		order[i] = s.member
+	order := make([]T, len(candidates))
+	for i, candidate := range candidates {
+		order[i] = candidate.member
 	}
 	return order
 }
