--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -132,7 +132,7 @@
 				t.Fatal(err)
 			}
 		}},
-		{"no folder for it", "snapshot not written", func(t *testing.T, file string) {
+		{"no folder for it", "snapshot write failed, keeping the previous file", func(t *testing.T, file string) {
 			if err := os.RemoveAll(filepath.Dir(file)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -67,7 +67,7 @@
 const (
 	goldenFleet = "gt-registros"
 	goldenTime  = 1_790_000_000 * time.Second // Unix time of the golden records
-	goldenAge   = time.Hour                   // oldest record that counts
+	goldenAge   = time.Hour                   // maximum age of a record
 )
 
 // goldenFeed is an endpoint list in the form of an answer of the list service.
@@ -103,24 +103,24 @@
 
 // A record is encoded to the golden bytes, and the golden bytes decode to the record.
 func TestGoldenRecord(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name   string
 		record Record
 	}{
 		{"full.snapshot", goldenRecord()},
 		{"empty.snapshot", Record{Fleet: goldenFleet, CreatedAt: goldenTime}},
 	} {
-		encoded, err := Encode(c.record)
+		encoded, err := Encode(tt.record)
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, c.name, encoded)
-		decoded, err := Decode(readGolden(t, c.name), goldenFleet, goldenTime+time.Minute, goldenAge)
+		compareGolden(t, tt.name, encoded)
+		decoded, err := Decode(readGolden(t, tt.name), goldenFleet, goldenTime+time.Minute, goldenAge)
 		if err != nil {
-			t.Fatalf("%s: %v", c.name, err)
+			t.Fatalf("%s: %v", tt.name, err)
 		}
-		if !reflect.DeepEqual(decoded, c.record) {
-			t.Errorf("%s: read as\n%+v\nwant\n%+v", c.name, decoded, c.record)
+		if !reflect.DeepEqual(decoded, tt.record) {
+			t.Errorf("%s: read as\n%+v\nwant\n%+v", tt.name, decoded, tt.record)
 		}
 	}
 }
@@ -150,26 +150,26 @@
 
 // The error texts of golden bytes that do not count.
 func TestGoldenErrors(t *testing.T) {
-	whole := readGolden(t, "full.snapshot")
-	damaged := bytes.Clone(whole)
+	complete := readGolden(t, "full.snapshot")
+	damaged := bytes.Clone(complete)
 	damaged[len(damaged)-1] ^= 1
-	otherVersion := bytes.Replace(whole, []byte("snapshot 1"), []byte("snapshot 2"), 1)
-	for _, c := range []struct {
+	otherVersion := bytes.Replace(complete, []byte("snapshot 1"), []byte("snapshot 2"), 1)
+	for _, tt := range []struct {
 		content []byte
 		fleet   string
 		now     time.Duration
 		want    string
 	}{
-		{whole[:10], goldenFleet, goldenTime, "snapshot of 10 bytes: not whole"},
+		{complete[:10], goldenFleet, goldenTime, "snapshot of 10 bytes: not whole"},
 		{damaged, goldenFleet, goldenTime, "snapshot: checksum: not whole"},
 		{otherVersion, goldenFleet, goldenTime, `snapshot "2": of another version`},
-		{whole, "other", goldenTime, `snapshot of "gt-registros": of another fleet`},
-		{whole, goldenFleet, goldenTime + 2*time.Hour, "snapshot of 2h0m0s ago: too old"},
-		{whole, goldenFleet, goldenTime - 2*time.Minute, "snapshot of 2m0s ahead: of a time to come"},
+		{complete, "other", goldenTime, `snapshot of "gt-registros": of another fleet`},
+		{complete, goldenFleet, goldenTime + 2*time.Hour, "snapshot of 2h0m0s ago: too old"},
+		{complete, goldenFleet, goldenTime - 2*time.Minute, "snapshot of 2m0s ahead: of a time to come"},
 		{make([]byte, MaxSize+1), goldenFleet, goldenTime, "snapshot of 6295553 bytes: too large"},
 	} {
-		if _, err := Decode(c.content, c.fleet, c.now, goldenAge); err == nil || err.Error() != c.want {
-			t.Errorf("error %v, want %s", err, c.want)
+		if _, err := Decode(tt.content, tt.fleet, tt.now, goldenAge); err == nil || err.Error() != tt.want {
+			t.Errorf("error %v, want %s", err, tt.want)
 		}
 	}
 }
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -1,4 +1,5 @@
-// Package snapshotfile gives the records of internal/snapshot a file and time, beside the event loop.
+// Package snapshotfile writes and reads the file of a snapshot. internal/snapshot decides when it is written; the disk
+// is waited for on goroutines beside the event loop.
 package snapshotfile
 
 import (
@@ -17,119 +18,155 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Loop is what a File needs of the event loop.
+const (
+	temporarySuffix = ".new"   // of a file that is being written
+	rejectedSuffix  = ".aside" // of a file that Read has rejected
+	fileMode        = 0o600
+)
+
+// Loop is the part of the event loop that a File uses.
 type Loop interface {
 	Now() time.Duration
 	SetDeadline(e *deadline.Timer, at time.Duration)
 	Post(func())
 }
 
-// File is where a scheduler keeps its list and what it learned.
+// File keeps the snapshot file of a scheduler up to date. Its methods are called on the event loop.
 type File struct {
-	path, fleet string
-	loop        Loop
-	log         logrus.FieldLogger
-	list        func() (no int, feed func() ([]byte, error)) // feed is called off the loop
-	memory      func() routing.LearnedState
-	keeper      snapshot.Scheduler
-	wake        deadline.Timer
+	path  string
+	fleet string
+	loop  Loop
+	log   logrus.FieldLogger
+
+	captureEndpoints func() (eventNumber int, encode func() ([]byte, error)) // encode runs off the loop
+	captureState     func() routing.LearnedState
+
+	scheduler snapshot.Scheduler
+	timer     deadline.Timer
 }
 
-// New returns a File that keeps what list and memory give, which are called on the loop.
-func New(l Loop, path, fleet string, list func() (int, func() ([]byte, error)), memory func() routing.LearnedState,
+// New returns a File that saves what endpoints and state return. Both are called on the loop; the function that
+// endpoints returns beside the number of the list's last event encodes the list, and is called off the loop.
+func New(loop Loop, path, fleet string, endpoints func() (int, func() ([]byte, error)), state func() routing.LearnedState,
 	log logrus.FieldLogger,
 ) *File {
-	f := &File{path: path, fleet: fleet, loop: l, list: list, memory: memory, log: log}
-	f.wake.Fire = func() { f.step() }
+	f := &File{path: path, fleet: fleet, loop: loop, log: log, captureEndpoints: endpoints, captureState: state}
+	f.timer.Fire = func() { f.step() }
 	return f
 }
 
-// Changed says that the list is another.
+// Changed notifies the File that the endpoint list has changed.
 func (f *File) Changed() { f.step(snapshot.Changed{}) }
 
+// step passes events to the scheduler, carries out its actions, and sets the timer for the next step.
 func (f *File) step(events ...snapshot.Event) {
 	now := f.loop.Now()
-	for _, a := range f.keeper.Step(now, events...) {
-		switch a := a.(type) {
+	for _, action := range f.scheduler.Step(now, events...) {
+		switch action := action.(type) {
 		case snapshot.Write:
-			no, feed := f.list()
-			r := snapshot.Record{Fleet: f.fleet, EventNumber: no, CreatedAt: now, State: f.memory()}
-			go func() {
-				err := f.write(r, feed)
-				f.loop.Post(func() { f.step(snapshot.Written{Err: err}) })
-			}()
+			f.startWrite(now)
 		case snapshot.ReportStatus:
-			if a.Err != nil {
-				f.log.WithError(a.Err).Error("snapshot not written: the last one stands")
-			} else {
-				f.log.Info("snapshot written again")
-			}
+			f.reportStatus(action.Err)
 		}
 	}
-	if at, ok := f.keeper.Next(); ok {
-		f.loop.SetDeadline(&f.wake, at)
+	if at, ok := f.scheduler.Next(); ok {
+		f.loop.SetDeadline(&f.timer, at)
 	}
 }
 
-// write puts a record in the place of the last one, whole or not at all.
-func (f *File) write(r snapshot.Record, feed func() ([]byte, error)) (err error) {
-	if r.Endpoints, err = feed(); err != nil {
-		return err
+// startWrite captures a record and writes it on a goroutine of its own.
+func (f *File) startWrite(now time.Duration) {
+	eventNumber, encodeEndpoints := f.captureEndpoints()
+	record := snapshot.Record{Fleet: f.fleet, EventNumber: eventNumber, CreatedAt: now, State: f.captureState()}
+	go func() {
+		err := f.write(record, encodeEndpoints)
+		f.loop.Post(func() { f.step(snapshot.Written{Err: err}) })
+	}()
+}
+
+func (f *File) reportStatus(err error) {
+	if err != nil {
+		f.log.WithError(err).Error("snapshot write failed, keeping the previous file")
+		return
 	}
-	b, err := snapshot.Encode(r)
+	f.log.Info("snapshot writes succeed again")
+}
+
+// write replaces the file by one with the record. Whatever fails, and whenever the machine goes down, the file is
+// either the old one or the new one, complete.
+func (f *File) write(record snapshot.Record, encodeEndpoints func() ([]byte, error)) error {
+	endpoints, err := encodeEndpoints()
 	if err != nil {
 		return err
 	}
-	next, err := os.OpenFile(f.path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	record.Endpoints = endpoints
+	data, err := snapshot.Encode(record)
 	if err != nil {
 		return err
 	}
-	_, err = next.Write(b)
-	if err == nil {
-		err = next.Sync()
+	temporary := f.path + temporarySuffix
+	if err := writeSynced(temporary, data); err != nil {
+		return err
 	}
-	if err = errors.Join(err, next.Close()); err != nil {
+	if err := os.Rename(temporary, f.path); err != nil {
 		return err
 	}
-	if err := os.Rename(f.path+".new", f.path); err != nil {
+	return syncDirectory(filepath.Dir(f.path))
+}
+
+// writeSynced writes a file and waits until it is on the disk.
+func writeSynced(path string, data []byte) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+	if err != nil {
 		return err
 	}
-	dir, err := os.Open(filepath.Dir(f.path))
+	_, err = file.Write(data)
+	if err == nil {
+		err = file.Sync()
+	}
+	return errors.Join(err, file.Close())
+}
+
+// syncDirectory waits until a rename in a directory is on the disk.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(dir.Sync(), dir.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Read is the record in a file. One that does not count is set aside, as FILE.aside, and is an error; where there is no
-// file there is neither.
-func Read(path, fleet string, now, oldest time.Duration) (snapshot.Record, error) {
-	b, err := read(path)
+// Read returns the record in a snapshot file; an empty one if there is no file. now is the Unix time, maxAge the age
+// up to which a record is accepted. A file that can't be read, or that snapshot.Decode rejects, is renamed to
+// FILE.aside, so that it neither stops this start nor gets lost, and the error says why.
+func Read(path, fleet string, now, maxAge time.Duration) (snapshot.Record, error) {
+	data, err := readFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return snapshot.Record{}, nil
 	}
-	r, wrong := snapshot.Record{}, err
+	var record snapshot.Record
 	if err == nil {
-		r, wrong = snapshot.Decode(b, fleet, now, oldest)
+		record, err = snapshot.Decode(data, fleet, now, maxAge)
 	}
-	if wrong != nil {
-		return snapshot.Record{}, errors.Join(wrong, os.Rename(path, path+".aside"))
+	if err != nil {
+		return snapshot.Record{}, errors.Join(err, os.Rename(path, path+rejectedSuffix))
 	}
-	return r, nil
+	return record, nil
 }
 
-func read(path string) ([]byte, error) {
+// readFile returns the content of a regular file, up to one byte more than a valid snapshot can have.
+func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() { // a pipe would be waited for
+	if !info.Mode().IsRegular() { // opening a named pipe would block
 		return nil, fmt.Errorf("%s is not a file", path)
 	}
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, snapshot.MaxSize+1))
+	data, err := io.ReadAll(io.LimitReader(file, snapshot.MaxSize+1))
+	return data, errors.Join(err, file.Close())
 }
--- a/internal/snapshot/snapshotfile/golden_test.go
+++ b/internal/snapshot/snapshotfile/golden_test.go
@@ -53,7 +53,7 @@
 const (
 	goldenFleet = "gt-registros"
 	goldenTime  = 1_790_000_000 * time.Second // Unix time of the golden records
-	goldenAge   = time.Hour                   // oldest record that counts
+	goldenAge   = time.Hour                   // maximum age of a record
 )
 
 // goldenFeed is an endpoint list in the form of an answer of the list service.
