--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads a scheduler's configuration: the file that ROUTER_CONFIG names.
+// Package config reads a scheduler's configuration: the platform's JSON file that ROUTER_CONFIG names.
 package config
 
 import (
@@ -14,22 +14,23 @@
 	"calicohill/internal/config/deployment"
 )
 
-// Config is what a scheduler is told at its start.
+// Config is the configuration of a scheduler.
 type Config struct {
-	Name             string
-	Listen           string // where clients connect
-	DiscoveryAddress string // where the list of workers is asked for
-	KnownEndpoints   []byte // the events of the list so far, as the bulletin would answer; nil if none
-	Seed             uint64
-	MemoryMB         int
-	MaxSockets       int
+	Name             string // of this scheduler
+	Listen           string // host:port that clients connect to
+	DiscoveryAddress string // host:port of the endpoint list service
+	KnownEndpoints   []byte // the endpoint list's events so far, in the form of an answer of the list service; nil if none
+	Seed             uint64 // of all random draws
+	MemoryMB         int    // memory limit of the process, in MiB
+	MaxSockets       int    // maximum number of open descriptors
 	Deployment       deployment.Settings
 }
 
+// file is the configuration file. Errors of encoding/json quote the names of this type and of its fields.
 type file struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
-	Seed   string `json:"seed"`
+	Seed   string `json:"seed"` // hexadecimal
 	Limits struct {
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
@@ -39,78 +40,102 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Limits that hold where none are told.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	leastSockets    = 64
+	defaultMemoryMB = 192  // where the file has none
+	defaultSockets  = 1024 // where the file has none
+	minSockets      = 64
+
+	// maxClassNameLength is the length of the longest class name, in bytes.
+	maxClassNameLength = 64
 )
 
-// Read reads a configuration file. A name or an address to listen on that is given here goes before the file's.
+// Read reads a configuration file. A name or a listen address that is not empty takes precedence over the file's. The
+// error names the file and the value that is wrong.
 func Read(path, name, listen string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	var f file
-	if err := json.Unmarshal(text, &f); err != nil {
+	var parsed file
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c := &Config{
-		Name: f.Name, Listen: f.Listen, DiscoveryAddress: f.Bulletin, KnownEndpoints: f.Known,
-		MemoryMB: int(f.Limits.MemoryMB), MaxSockets: f.Limits.Sockets,
-	}
 	if name != "" {
-		c.Name = name
+		parsed.Name = name
 	}
 	if listen != "" {
-		c.Listen = listen
-	}
-	if c.MemoryMB == 0 {
-		c.MemoryMB = defaultMemoryMB
-	}
-	if c.MaxSockets == 0 {
-		c.MaxSockets = defaultSockets
+		parsed.Listen = listen
 	}
-	if err := c.fill(&f); err != nil {
+	config, err := parsed.config()
+	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
-func (c *Config) fill(f *file) (err error) {
-	for what, addr := range map[string]string{"listen": c.Listen, "bulletin": c.DiscoveryAddress} {
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return fmt.Errorf("%s: %w", what, err)
-		}
+// config returns the configuration in a file, with defaults filled in, if it is valid.
+func (f *file) config() (*Config, error) {
+	config := &Config{
+		Name:             f.Name,
+		Listen:           f.Listen,
+		DiscoveryAddress: f.Bulletin,
+		KnownEndpoints:   f.Known,
+		MemoryMB:         int(f.Limits.MemoryMB),
+		MaxSockets:       f.Limits.Sockets,
+	}
+	if config.MemoryMB == 0 {
+		config.MemoryMB = defaultMemoryMB
+	}
+	if config.MaxSockets == 0 {
+		config.MaxSockets = defaultSockets
 	}
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return fmt.Errorf("seed: %w", err)
+	if err := checkAddress("listen", config.Listen); err != nil {
+		return nil, err
 	}
-	if c.MaxSockets < leastSockets || c.MemoryMB < 0 {
-		return fmt.Errorf("limits: %d sockets, %d MB of memory: at least %d sockets are needed",
-			c.MaxSockets, c.MemoryMB, leastSockets)
+	if err := checkAddress("bulletin", config.DiscoveryAddress); err != nil {
+		return nil, err
+	}
+	var err error
+	if config.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %w", err)
+	}
+	if config.MaxSockets < minSockets || config.MemoryMB < 0 {
+		return nil, fmt.Errorf("limits: %d sockets, %d MB of memory: at least %d sockets are needed",
+			config.MaxSockets, config.MemoryMB, minSockets)
 	}
 	if len(f.Settings) == 0 {
-		return errors.New("no settings")
+		return nil, errors.New("no settings")
 	}
-	if c.Deployment, err = deployment.Parse(f.Settings); err != nil {
-		return err
+	if config.Deployment, err = deployment.Parse(f.Settings); err != nil {
+		return nil, err
+	}
+	return config, checkDeployment(&config.Deployment)
+}
+
+// checkAddress returns an error if the address under a key of the file is not host:port.
+func checkAddress(key, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s: %w", key, err)
 	}
-	for i, name := range c.Deployment.ClassNames {
-		if !isName(name) || slices.Contains(c.Deployment.ClassNames[:i], name) {
+	return nil
+}
+
+// checkDeployment checks the settings that a scheduler needs but the simulator does not.
+func checkDeployment(settings *deployment.Settings) error {
+	for i, name := range settings.ClassNames {
+		if !isClassName(name) || slices.Contains(settings.ClassNames[:i], name) {
 			return fmt.Errorf("settings: class %d: name %q is not one, or another's too", i, name)
 		}
 	}
-	if c.Deployment.PipelineDepth < 1 || c.Deployment.ConnectTimeout <= 0 || c.Deployment.IdleCloseAfter <= 0 {
+	if settings.PipelineDepth < 1 || settings.ConnectTimeout <= 0 || settings.IdleCloseAfter <= 0 {
 		return errors.New("settings: ceilings: multiplex, connectTimeoutMs and idleCloseMs must be above 0")
 	}
 	return nil
 }
 
-// isName reports whether a class's name can stand in a path, and in a list of fields.
-func isName(s string) bool {
-	return s != "" && len(s) <= 64 && !strings.ContainsFunc(s, func(c rune) bool {
-		return c <= ' ' || c >= 0x7f || strings.ContainsRune(",=/?", c)
+// isClassName reports whether a name can be part of a request's path and of a comma-separated list of fields.
+func isClassName(name string) bool {
+	return name != "" && len(name) <= maxClassNameLength && !strings.ContainsFunc(name, func(char rune) bool {
+		return char <= ' ' || char >= 0x7f || strings.ContainsRune(",=/?", char)
 	})
 }
