--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -52,27 +52,27 @@
 }
 
 const (
-	helpers      = 3                      // members asked to ask one that did not answer
-	fanout       = 3                      // members that news goes to at a time
-	newsEvery    = 200 * time.Millisecond // how often
-	maxHealth    = 8                      // the worst local health; times grow with it
-	syncEvery    = 5                      // every which probe compares what both know
-	retryEvery   = 5 * time.Second        // how often one that is dead, or a seed, is asked
-	forgetDead   = 60 * time.Second       // how long one that is gone is remembered, so that old news does not bring it back
-	claimsRate   = 1.0                    // claims a second that are believed of one member, and
-	claimsBurst  = 4.0                    // how many at once
-	acksRate     = 1.0                    // pings a second of one member that are answered, and
-	acksBurst    = 4.0                    // how many at once
-	maxWaiting   = 64                     // candidates, and pings of others that are waited for
-	repeatFactor = 2                      // how often news is told: this often times the logarithm of the members
-	sweepEvery   = 100 * time.Millisecond // how often those suspected or gone are looked at
-	lastAsks     = 3                      // how often a suspect is told so by this member itself before it counts as dead
-	asksPart     = 0.1                    // of the messages, for that
-	pausedFor    = 1500 * time.Millisecond
-	packetRoom   = MaxDatagram - fixedBytes - 2*(maxName+1) - signatureLen - 64 // left for what a message carries
+	indirectProbes       = 3                      // members asked to ask one that did not answer
+	gossipFanout         = 3                      // members that news goes to at a time
+	gossipInterval       = 200 * time.Millisecond // how often
+	maxHealthScore       = 8                      // the worst local health; times grow with it
+	probesPerSync        = 5                      // every which probe compares what both know
+	reconnectInterval    = 5 * time.Second        // how often one that is dead, or a seed, is asked
+	deadRetention        = 60 * time.Second       // how long one that is gone is remembered, so that old news does not bring it back
+	claimRate            = 1.0                    // claims a second that are believed of one member, and
+	claimBurst           = 4.0                    // how many at once
+	answerRate           = 1.0                    // pings a second of one member that are answered, and
+	answerBurst          = 4.0                    // how many at once
+	maxWaiting           = 64                     // candidates, and pings of others that are waited for
+	retransmitMultiplier = 2                      // how often news is told: this often times the logarithm of the members
+	sweepInterval        = 100 * time.Millisecond // how often those suspected or gone are looked at
+	maxSuspicionNotices  = 3                      // how often a suspect is told so by this member itself before it counts as dead
+	noticeShare          = 0.1                    // of the messages, for that
+	pauseThreshold       = 1500 * time.Millisecond
+	maxPayloadBytes      = MaxDatagram - fixedHeaderBytes - 2*(maxNameBytes+1) - signatureBytes - 64 // left for what a message carries
 )
 
-// Event is something that a Core is told. The concrete types are Received, Say, Leave, Drop and Retry.
+// Event is something that a Core is told. The concrete types are Received, Say, Leave, RemoveMember and UpdateSeeds.
 type Event interface{ event() }
 
 // Received is a message that a Guard let through.
@@ -90,19 +90,19 @@
 // Leave has this member say that it goes.
 type Leave struct{}
 
-// Drop says that a member no longer counts: its key does not.
-type Drop struct{ Name string }
+// RemoveMember says that a member no longer counts: its key does not.
+type RemoveMember struct{ Name string }
 
-// Retry changes the seeds.
-type Retry struct{ Seeds []netip.AddrPort }
+// UpdateSeeds changes the seeds.
+type UpdateSeeds struct{ Seeds []netip.AddrPort }
 
-func (Received) event() {}
-func (Say) event()      {}
-func (Leave) event()    {}
-func (Drop) event()     {}
-func (Retry) event()    {}
+func (Received) event()     {}
+func (Say) event()          {}
+func (Leave) event()        {}
+func (RemoveMember) event() {}
+func (UpdateSeeds) event()  {}
 
-// Action is something that a Core asks for. The concrete types are Transmit, Changed, Forgotten, Heard and Usurped.
+// Action is something that a Core asks for. The concrete types are Transmit, MemberChanged, MemberForgotten, StatementReceived and NameConflict.
 type Action interface{ action() }
 
 // Transmit sends a message.
@@ -113,168 +113,168 @@
 	Message *Message
 }
 
-// Changed says that a member is new, or another state holds for it.
-type Changed struct{ Member Member }
+// MemberChanged says that a member is new, or another state holds for it.
+type MemberChanged struct{ Member Member }
 
-// Forgotten says that nothing is held of a member any more.
-type Forgotten struct{ Name string }
+// MemberForgotten says that nothing is held of a member any more.
+type MemberForgotten struct{ Name string }
 
-// Heard brings a statement that is new.
-type Heard struct{ Statement Statement }
+// StatementReceived brings a statement that is new.
+type StatementReceived struct{ Statement Statement }
 
-// Usurped says that another member of this one's name started later. Nothing is sent from then on.
-type Usurped struct{ Epoch int64 }
+// NameConflict says that another member of this one's name started later. Nothing is sent from then on.
+type NameConflict struct{ Epoch int64 }
 
-func (Transmit) action()  {}
-func (Changed) action()   {}
-func (Heard) action()     {}
-func (Forgotten) action() {}
-func (Usurped) action()   {}
+func (Transmit) action()          {}
+func (MemberChanged) action()     {}
+func (StatementReceived) action() {}
+func (MemberForgotten) action()   {}
+func (NameConflict) action()      {}
 
 // Member is what a Core holds of another member.
 type Member struct {
 	Record
-	State State
-	Since time.Duration // when the state began
+	State      State
+	StateSince time.Duration // when the state began
 }
 
 type member struct {
 	Member
-	acks, claims ratelimit.TokenBucket
-	heard        time.Duration // when it last said something itself
-	asked        int           // how often it was told that it is suspect
+	ackBudget, claimBudget ratelimit.TokenBucket
+	lastContact            time.Duration // when it last said something itself
+	suspicionNotices       int           // how often it was told that it is suspect
 }
 
-func (m *member) claim() Claim {
-	return Claim{Name: m.Name, Epoch: m.Epoch, Inc: m.Inc, State: m.State}
+func (m *member) currentClaim() Claim {
+	return Claim{Name: m.Name, Epoch: m.Epoch, Incarnation: m.Incarnation, State: m.State}
 }
 
 // probe is a ping that is out.
 type probe struct {
-	name    string // "" of a seed
-	nonce   uint64
-	sent    time.Duration
-	asked   bool // others were asked to ask
-	nacks   int
-	helpers int
-	relay   string // who asked this member to ask
-	its     uint64 // nonce
-	nacked  bool
+	target         string // "" of a seed
+	nonce          uint64
+	sentAt         time.Duration
+	indirect       bool // others were asked to ask
+	nacks          int
+	relays         int
+	requester      string // who asked this member to ask
+	requesterNonce uint64 // nonce
+	nackSent       bool
 }
 
 // news is something to be told on.
-type news struct {
+type broadcast struct {
 	record    *Record
 	claim     *Claim
 	statement *Statement
-	told      int
+	transmits int
 }
 
 // Core is one member's view of the fleet. It is not safe for concurrent use.
 type Core struct {
-	cfg                Config
-	rng                *rand.Rand
-	now                time.Duration
-	acts               []Action
-	started            bool
-	silent             bool // it left or was usurped
-	own                Record
-	health             int // 0 is well
-	members            map[string]*member
-	order              []string // that members are probed in, shuffled
-	next               int      // in it
-	probes             []*probe
-	queue              map[string]*news
-	found              map[string]Record // who is said to be there, and has not answered yet
-	budget             ratelimit.TokenBucket
-	newsBudget         ratelimit.TokenBucket
-	asksBudget         ratelimit.TokenBucket
-	answers, strangers ratelimit.TokenBucket
-	nonce              uint64
-	nextProbe          time.Duration
-	nextNews           time.Duration
-	nextRetry          time.Duration
-	nextSweep          time.Duration
-	round              int
-	cursor             int // among members, for summaries
-	doubted            int // members that are not alive
-	latest             map[string]Statement
-	Sent               uint64 // messages so far
+	config                       Config
+	rng                          *rand.Rand
+	now                          time.Duration
+	actions                      []Action
+	started                      bool
+	stopped                      bool // it left or was usurped
+	self                         Record
+	healthScore                  int // 0 is well
+	members                      map[string]*member
+	probeOrder                   []string // that members are probed in, shuffled
+	probeIndex                   int      // in it
+	probes                       []*probe
+	broadcasts                   map[string]*broadcast
+	candidates                   map[string]Record // who is said to be there, and has not answered yet
+	sendBudget                   ratelimit.TokenBucket
+	gossipBudget                 ratelimit.TokenBucket
+	noticeBudget                 ratelimit.TokenBucket
+	answerBudget, strangerBudget ratelimit.TokenBucket
+	nonce                        uint64
+	nextProbe                    time.Duration
+	nextGossip                   time.Duration
+	nextReconnect                time.Duration
+	nextSweep                    time.Duration
+	probeRound                   int
+	summaryCursor                int // among members, for summaries
+	notAlive                     int // members that are not alive
+	statements                   map[string]Statement
+	Sent                         uint64 // messages so far
 }
 
 // New returns a Core that knows nobody.
 func New(c Config) *Core {
 	k := &Core{
-		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), members: map[string]*member{}, queue: map[string]*news{},
-		found: map[string]Record{}, latest: map[string]Statement{},
+		config: c, rng: rand.New(rand.NewPCG(c.Seed, 1)), members: map[string]*member{}, broadcasts: map[string]*broadcast{},
+		candidates: map[string]Record{}, statements: map[string]Statement{},
 	}
-	k.own = Record{Name: c.Name, Addr: Addr{c.Addr}, Epoch: c.Epoch, Inc: 1}
-	k.sign()
+	k.self = Record{Name: c.Name, Addr: Addr{c.Addr}, Epoch: c.Epoch, Incarnation: 1}
+	k.signSelf()
 	return k
 }
 
-func (c *Core) sign() {
-	if c.cfg.Sign != nil {
-		c.cfg.Sign(&c.own)
+func (c *Core) signSelf() {
+	if c.config.Sign != nil {
+		c.config.Sign(&c.self)
 	}
 }
 
 // Step tells the Core what happened at one moment, in order, and returns what is to be done.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
 	gap := now - c.Next() // by how much the wish to be stepped was missed
-	c.acts = nil
+	c.actions = nil
 	if !c.started {
 		c.started, gap = true, 0
-		c.nextProbe, c.nextNews, c.nextRetry = now, now, now
+		c.nextProbe, c.nextGossip, c.nextReconnect = now, now, now
 	}
 	c.now = max(now, c.now)
-	if gap > pausedFor {
-		c.paused(gap)
+	if gap > pauseThreshold {
+		c.recoverFromPause(gap)
 	}
 	for _, e := range events {
-		if c.silent {
+		if c.stopped {
 			break
 		}
 		switch e := e.(type) {
 		case Received:
-			c.received(e)
+			c.handleMessage(e)
 		case Say:
-			c.latest[c.cfg.Name] = e.Statement
-			c.spread("s"+c.cfg.Name, &news{statement: &e.Statement})
-			c.nextNews = c.now
+			c.statements[c.config.Name] = e.Statement
+			c.enqueueBroadcast("s"+c.config.Name, &broadcast{statement: &e.Statement})
+			c.nextGossip = c.now
 		case Leave:
-			c.own.Gone = true
-			c.sign()
-			c.spread("r"+c.cfg.Name, &news{record: &c.own})
-			c.tell(2 * fanout)
-			c.silent = true // whoever is not told finds out
-		case Drop:
-			c.forget(e.Name)
-		case Retry:
-			c.cfg.Seeds = e.Seeds
+			c.self.Gone = true
+			c.signSelf()
+			c.enqueueBroadcast("r"+c.config.Name, &broadcast{record: &c.self})
+			c.sendGossip(2 * gossipFanout)
+			c.stopped = true // whoever is not told finds out
+		case RemoveMember:
+			c.forgetMember(e.Name)
+		case UpdateSeeds:
+			c.config.Seeds = e.Seeds
 		}
 	}
-	if !c.silent {
-		c.expire()
-		c.due()
+	if !c.stopped {
+		c.expireTimeouts()
+		c.runPeriodicTasks()
 	}
-	return c.acts
+	return c.actions
 }
 
 // Next is when Step must be called at the latest.
 func (c *Core) Next() time.Duration {
-	if c.silent {
+	if c.stopped {
 		return math.MaxInt64
 	}
-	next := min(c.nextProbe, c.nextRetry)
-	if c.doubted > 0 {
+	next := min(c.nextProbe, c.nextReconnect)
+	if c.notAlive > 0 {
 		next = min(next, c.nextSweep)
 	}
-	if len(c.queue)+len(c.found) > 0 {
-		next = min(next, c.nextNews)
+	if len(c.broadcasts)+len(c.candidates) > 0 {
+		next = min(next, c.nextGossip)
 	}
 	for _, p := range c.probes {
-		next = min(next, p.sent+c.timeout(p))
+		next = min(next, p.sentAt+c.probeTimeout(p))
 	}
 	return next
 }
@@ -288,8 +288,8 @@
 	return list
 }
 
-// Count is how many members are taken to be there, this one included.
-func (c *Core) Count() int {
+// NumMembers is how many members are taken to be there, this one included.
+func (c *Core) NumMembers() int {
 	n := 1
 	for _, m := range c.members {
 		if m.State <= Suspect {
@@ -299,80 +299,82 @@
 	return n
 }
 
-// Health is the local health: 0 is well, 8 the worst.
-func (c *Core) Health() int { return c.health }
+// HealthScore is the local health: 0 is well, 8 the worst.
+func (c *Core) HealthScore() int { return c.healthScore }
 
 // paused forgets what was waited for while this member did not run: that nothing was heard proves nothing.
-func (c *Core) paused(gap time.Duration) {
+func (c *Core) recoverFromPause(gap time.Duration) {
 	c.probes = nil
-	c.health = min(c.health+2, maxHealth)
+	c.healthScore = min(c.healthScore+2, maxHealthScore)
 	for _, m := range c.members {
 		if m.State == Suspect {
-			m.Since += gap
+			m.StateSince += gap
 		}
 	}
-	c.nextProbe = c.now + c.cfg.ProbeEvery
+	c.nextProbe = c.now + c.config.ProbeEvery
 }
 
 // slow is a time that grows with the local health: a member that has trouble itself waits longer for others.
-func (c *Core) slow(d time.Duration) time.Duration { return d * time.Duration(1+c.health) }
+func (c *Core) scaleByHealth(d time.Duration) time.Duration {
+	return d * time.Duration(1+c.healthScore)
+}
 
-func (c *Core) timeout(p *probe) time.Duration {
-	if p.relay != "" && !p.nacked {
-		return c.cfg.ProbeTimeout * 4 / 5
+func (c *Core) probeTimeout(p *probe) time.Duration {
+	if p.requester != "" && !p.nackSent {
+		return c.config.ProbeTimeout * 4 / 5
 	}
-	if p.relay == "" && !p.asked {
-		return min(c.slow(c.cfg.ProbeTimeout), c.slow(c.cfg.ProbeEvery)/2)
+	if p.requester == "" && !p.indirect {
+		return min(c.scaleByHealth(c.config.ProbeTimeout), c.scaleByHealth(c.config.ProbeEvery)/2)
 	}
-	return c.slow(c.cfg.ProbeEvery)
+	return c.scaleByHealth(c.config.ProbeEvery)
 }
 
 // ---- what comes ----
 
-func (c *Core) received(e Received) {
+func (c *Core) handleMessage(e Received) {
 	m := e.Message
-	if e.From == c.cfg.Name {
-		if e.Epoch > c.own.Epoch {
-			c.usurp(e.Epoch)
+	if e.From == c.config.Name {
+		if e.Epoch > c.self.Epoch {
+			c.stopForNameConflict(e.Epoch)
 		}
 		return
 	}
 	for _, r := range m.Records {
-		c.record(r)
+		c.mergeRecord(r)
 	}
 	from := c.members[e.From]
 	if from != nil {
-		from.heard = c.now
+		from.lastContact = c.now
 	}
-	if c.silent {
+	if c.stopped {
 		return
 	}
 	if e.Trusted {
 		for _, cl := range m.Claims {
-			c.claim(from, cl)
+			c.handleClaim(from, cl)
 		}
 	}
 	for _, s := range m.Statements {
-		c.statement(s)
+		c.handleStatement(s)
 	}
 	switch m.Kind {
 	case Ping:
-		if c.owes(from) {
-			c.answer(e, from)
+		if c.mayAnswer(from) {
+			c.sendAck(e, from)
 		}
 	case Ack:
-		c.acked(e)
+		c.handleAck(e)
 	case Nack:
-		if p := c.probing(m.Nonce); p != nil {
+		if p := c.probeByNonce(m.Nonce); p != nil {
 			p.nacks++
 		}
-	case Ask:
-		if from != nil && c.owes(from) {
-			c.ask(e)
+	case IndirectPing:
+		if from != nil && c.mayAnswer(from) {
+			c.handleIndirectPing(e)
 		}
 	case Gossip:
-		if len(m.Want) > 0 && e.Trusted && c.owes(from) {
-			c.send(e.From, e.Addr, &Message{Kind: Gossip, Records: c.wanted(m.Want)})
+		if len(m.Want) > 0 && e.Trusted && c.mayAnswer(from) {
+			c.transmit(e.From, e.Addr, &Message{Kind: Gossip, Records: c.requestedRecords(m.Want)})
 		}
 	}
 }
@@ -380,39 +382,39 @@
 // owes reports whether a member is still owed an answer: each so many a second, all that are not members yet as many
 // as three, and all together a part of what is sent. Otherwise one that asks all the time would leave nothing for this
 // member's own pings and for the answers to others.
-func (c *Core) owes(from *member) bool {
-	own, parts := &c.strangers, 3.0
+func (c *Core) mayAnswer(from *member) bool {
+	own, parts := &c.strangerBudget, 3.0
 	if from != nil {
-		own, parts = &from.acks, 1
+		own, parts = &from.ackBudget, 1
 	}
-	most := float64(c.cfg.Messages)
-	return own.Take(c.now, 1, parts*acksRate, parts*acksBurst) && c.answers.Take(c.now, 1, 0.3*most, 0.3*most)
+	most := float64(c.config.Messages)
+	return own.Take(c.now, 1, parts*answerRate, parts*answerBurst) && c.answerBudget.Take(c.now, 1, 0.3*most, 0.3*most)
 }
 
 // answer acknowledges a ping, with what its sender lacks.
-func (c *Core) answer(e Received, from *member) {
+func (c *Core) sendAck(e Received, from *member) {
 	a := &Message{Kind: Ack, Nonce: e.Message.Nonce}
 	if from == nil || len(e.Message.Cert) > 0 {
-		a.Records = append(a.Records, c.own)
+		a.Records = append(a.Records, c.self)
 	}
 	if from == nil {
 		a.Want = append(a.Want, e.From)
 	}
 	if from != nil && from.State > Alive { // it is told what to contradict
-		a.Claims = append(a.Claims, from.claim())
+		a.Claims = append(a.Claims, from.currentClaim())
 	}
-	room := packetRoom - maxCert
+	room := maxPayloadBytes - maxCertBytes
 	for _, s := range e.Message.Summaries {
 		m := c.members[s.Name]
 		switch {
-		case s.Name == c.cfg.Name:
+		case s.Name == c.config.Name:
 		case m == nil:
 			// One that is gone is not asked for: it would be taken for alive.
 			if s.State <= Suspect && len(a.Want) < maxItems/2 {
 				a.Want = append(a.Want, s.Name)
 				room -= len(s.Name) + 2
 			}
-		case newer(m.Epoch, m.Inc, m.State, s) && (m.State <= Suspect || m.Gone):
+		case supersedes(m.Epoch, m.Incarnation, m.State, s) && (m.State <= Suspect || m.Gone):
 			if room -= m.size(); room > 0 {
 				a.Records = append(a.Records, m.Record)
 			}
@@ -420,7 +422,7 @@
 	}
 	if len(e.Message.Summaries) > 0 || from == nil {
 		// Whoever knows nobody asks with a list that is short: it gets some that are not in it.
-		for _, m := range c.sample(fanout, func(m *member) bool {
+		for _, m := range c.randomMembers(gossipFanout, func(m *member) bool {
 			return m.State == Alive && m.Name != e.From && !slices.ContainsFunc(e.Message.Summaries,
 				func(s Claim) bool { return s.Name == m.Name })
 		}) {
@@ -429,20 +431,20 @@
 			}
 		}
 	}
-	c.send(e.From, e.Addr, a)
+	c.transmit(e.From, e.Addr, a)
 }
 
 // newer reports whether what is held is later than a summary.
-func newer(epoch int64, inc uint32, state State, s Claim) bool {
-	return cmp.Or(cmp.Compare(epoch, s.Epoch), cmp.Compare(inc, s.Inc), cmp.Compare(state, s.State)) > 0
+func supersedes(epoch int64, inc uint32, state State, s Claim) bool {
+	return cmp.Or(cmp.Compare(epoch, s.Epoch), cmp.Compare(inc, s.Incarnation), cmp.Compare(state, s.State)) > 0
 }
 
-func (c *Core) wanted(names []string) (list []Record) {
-	room := packetRoom
+func (c *Core) requestedRecords(names []string) (list []Record) {
+	room := maxPayloadBytes
 	for _, n := range names {
-		if n == c.cfg.Name {
-			list = append(list, c.own)
-			room -= c.own.size()
+		if n == c.config.Name {
+			list = append(list, c.self)
+			room -= c.self.size()
 		} else if m := c.members[n]; m != nil && m.State <= Suspect {
 			if room -= m.size(); room > 0 {
 				list = append(list, m.Record)
@@ -452,7 +454,7 @@
 	return list
 }
 
-func (c *Core) probing(nonce uint64) *probe {
+func (c *Core) probeByNonce(nonce uint64) *probe {
 	if i := slices.IndexFunc(c.probes, func(p *probe) bool { return p.nonce == nonce }); i >= 0 {
 		return c.probes[i]
 	}
@@ -460,54 +462,54 @@
 }
 
 // acked takes in that a member has answered: the one that was asked, under a number that nobody else was told.
-func (c *Core) acked(e Received) {
-	p := c.probing(e.Message.Nonce)
+func (c *Core) handleAck(e Received) {
+	p := c.probeByNonce(e.Message.Nonce)
 	if p == nil {
 		return
 	}
-	if p.name != "" && e.From != p.name && !p.asked {
+	if p.target != "" && e.From != p.target && !p.indirect {
 		return
 	}
 	c.probes = slices.DeleteFunc(c.probes, func(o *probe) bool { return o == p })
-	if p.relay != "" {
-		if m := c.members[p.relay]; m != nil {
-			c.send(m.Name, m.Addr.AddrPort, &Message{Kind: Ack, Nonce: p.its})
+	if p.requester != "" {
+		if m := c.members[p.requester]; m != nil {
+			c.transmit(m.Name, m.Addr.AddrPort, &Message{Kind: Ack, Nonce: p.requesterNonce})
 		}
 		return
 	}
-	c.health = max(c.health-1, 0)
+	c.healthScore = max(c.healthScore-1, 0)
 	if len(e.Message.Want) > 0 {
-		c.send(e.From, e.Addr, &Message{Kind: Gossip, Records: c.wanted(e.Message.Want)})
+		c.transmit(e.From, e.Addr, &Message{Kind: Gossip, Records: c.requestedRecords(e.Message.Want)})
 	}
 }
 
 // ask pings another member for one that had no answer from it.
-func (c *Core) ask(e Received) {
+func (c *Core) handleIndirectPing(e Received) {
 	m := c.members[e.Message.Target]
 	if m == nil || len(c.probes) >= maxWaiting {
-		c.send(e.From, e.Addr, &Message{Kind: Nack, Nonce: e.Message.Nonce})
+		c.transmit(e.From, e.Addr, &Message{Kind: Nack, Nonce: e.Message.Nonce})
 		return
 	}
-	p := c.ping(m.Name, m.Addr.AddrPort, nil)
+	p := c.sendPing(m.Name, m.Addr.AddrPort, nil)
 	if p != nil {
-		p.relay, p.its = e.From, e.Message.Nonce
+		p.requester, p.requesterNonce = e.From, e.Message.Nonce
 	}
 }
 
 // record takes in what a member says of itself. One without a signature only says where to ask, unless nobody
 // signs here.
-func (c *Core) record(r Record) {
-	if r.Name == c.cfg.Name {
-		if r.Epoch > c.own.Epoch && r.Sig != nil {
-			c.usurp(r.Epoch)
+func (c *Core) mergeRecord(r Record) {
+	if r.Name == c.config.Name {
+		if r.Epoch > c.self.Epoch && r.Sig != nil {
+			c.stopForNameConflict(r.Epoch)
 		}
 		return
 	}
 	m := c.members[r.Name]
-	if c.cfg.Sign != nil && r.Sig == nil {
+	if c.config.Sign != nil && r.Sig == nil {
 		known := m != nil && m.Epoch >= r.Epoch && m.State <= Suspect
-		if !known && !r.Gone && len(c.found) < maxWaiting {
-			c.found[r.Name] = r
+		if !known && !r.Gone && len(c.candidates) < maxWaiting {
+			c.candidates[r.Name] = r
 		}
 		return
 	}
@@ -516,243 +518,243 @@
 		state = Left
 	}
 	if m == nil {
-		if state == Left || len(c.members) >= c.cfg.MaxMembers && !c.makeRoom() {
+		if state == Left || len(c.members) >= c.config.MaxMembers && !c.evictOldestGone() {
 			return
 		}
 		m = &member{Member: Member{Record: r, State: Dead}}
 		c.members[r.Name] = m
-		c.order = slices.Insert(c.order, c.rng.IntN(len(c.order)+1), r.Name)
-	} else if !(r.Epoch > m.Epoch || r.Epoch == m.Epoch && (r.Inc > m.Inc || r.Inc == m.Inc && state == Left && m.State != Left)) {
+		c.probeOrder = slices.Insert(c.probeOrder, c.rng.IntN(len(c.probeOrder)+1), r.Name)
+	} else if !(r.Epoch > m.Epoch || r.Epoch == m.Epoch && (r.Incarnation > m.Incarnation || r.Incarnation == m.Incarnation && state == Left && m.State != Left)) {
 		return
 	}
-	delete(c.found, r.Name)
+	delete(c.candidates, r.Name)
 	m.Record = r
-	c.turn(m, state)
-	c.spread("r"+r.Name, &news{record: &m.Record})
+	c.setState(m, state)
+	c.enqueueBroadcast("r"+r.Name, &broadcast{record: &m.Record})
 }
 
 // makeRoom forgets the member that has been gone longest.
-func (c *Core) makeRoom() bool {
+func (c *Core) evictOldestGone() bool {
 	var oldest *member
-	for _, name := range c.order {
-		if m := c.members[name]; m.State >= Dead && (oldest == nil || m.Since < oldest.Since) {
+	for _, name := range c.probeOrder {
+		if m := c.members[name]; m.State >= Dead && (oldest == nil || m.StateSince < oldest.StateSince) {
 			oldest = m
 		}
 	}
 	if oldest != nil {
-		c.forget(oldest.Name)
+		c.forgetMember(oldest.Name)
 	}
 	return oldest != nil
 }
 
-func (c *Core) forget(name string) {
+func (c *Core) forgetMember(name string) {
 	if m := c.members[name]; m != nil {
 		if m.State != Left {
-			c.turn(m, Left)
+			c.setState(m, Left)
 		}
 		delete(c.members, name)
-		c.order = slices.DeleteFunc(c.order, func(n string) bool { return n == name })
+		c.probeOrder = slices.DeleteFunc(c.probeOrder, func(n string) bool { return n == name })
 	}
-	c.acts = append(c.acts, Forgotten{name})
-	delete(c.queue, "r"+name)
-	delete(c.queue, "c"+name)
-	delete(c.queue, "s"+name)
-	delete(c.latest, name)
-	delete(c.found, name)
+	c.actions = append(c.actions, MemberForgotten{name})
+	delete(c.broadcasts, "r"+name)
+	delete(c.broadcasts, "c"+name)
+	delete(c.broadcasts, "s"+name)
+	delete(c.statements, name)
+	delete(c.candidates, name)
 }
 
-func (c *Core) turn(m *member, s State) {
+func (c *Core) setState(m *member, s State) {
 	if m.State != s {
-		m.State, m.Since = s, c.now
-		c.acts = append(c.acts, Changed{m.Member})
+		m.State, m.StateSince = s, c.now
+		c.actions = append(c.actions, MemberChanged{m.Member})
 	}
 }
 
 // claim takes in what one member holds of another. It makes it suspect at the most: that is contradicted by a
 // member that is there, and counts as true once it was not.
-func (c *Core) claim(from *member, cl Claim) {
-	if cl.State != Suspect && cl.State != Dead || from == nil || !from.claims.Take(c.now, 1, claimsRate, claimsBurst) {
+func (c *Core) handleClaim(from *member, cl Claim) {
+	if cl.State != Suspect && cl.State != Dead || from == nil || !from.claimBudget.Take(c.now, 1, claimRate, claimBurst) {
 		return
 	}
-	if cl.Name == c.cfg.Name {
-		if cl.Epoch == c.own.Epoch && cl.Inc == c.own.Inc {
-			c.own.Inc++
-			c.sign()
-			c.health = min(c.health+1, maxHealth)
-			c.spread("r"+c.cfg.Name, &news{record: &c.own})
-			c.nextNews = c.now
+	if cl.Name == c.config.Name {
+		if cl.Epoch == c.self.Epoch && cl.Incarnation == c.self.Incarnation {
+			c.self.Incarnation++
+			c.signSelf()
+			c.healthScore = min(c.healthScore+1, maxHealthScore)
+			c.enqueueBroadcast("r"+c.config.Name, &broadcast{record: &c.self})
+			c.nextGossip = c.now
 		}
 		// News may miss one member in a fleet. Whoever still holds this one suspect is answered itself.
-		if cl.Epoch == c.own.Epoch && c.owes(from) {
-			c.send(from.Name, from.Addr.AddrPort, &Message{Kind: Gossip, Records: []Record{c.own}})
+		if cl.Epoch == c.self.Epoch && c.mayAnswer(from) {
+			c.transmit(from.Name, from.Addr.AddrPort, &Message{Kind: Gossip, Records: []Record{c.self}})
 		}
 		return
 	}
-	if m := c.members[cl.Name]; m != nil && m.Epoch == cl.Epoch && m.Inc == cl.Inc && m.State == Alive {
-		c.suspect(m)
+	if m := c.members[cl.Name]; m != nil && m.Epoch == cl.Epoch && m.Incarnation == cl.Incarnation && m.State == Alive {
+		c.suspectMember(m)
 	}
 }
 
-func (c *Core) suspect(m *member) {
-	c.doubted++
-	m.asked = 0
-	c.turn(m, Suspect)
-	c.spread("c"+m.Name, &news{claim: ptr(m.claim())})
+func (c *Core) suspectMember(m *member) {
+	c.notAlive++
+	m.suspicionNotices = 0
+	c.setState(m, Suspect)
+	c.enqueueBroadcast("c"+m.Name, &broadcast{claim: ptr(m.currentClaim())})
 }
 
 func ptr[T any](v T) *T { return &v }
 
-func (c *Core) statement(s Statement) {
-	old, ok := c.latest[s.Name]
-	if ok && (s.Epoch < old.Epoch || s.Epoch == old.Epoch && s.Seq <= old.Seq) || s.Name == c.cfg.Name {
+func (c *Core) handleStatement(s Statement) {
+	old, ok := c.statements[s.Name]
+	if ok && (s.Epoch < old.Epoch || s.Epoch == old.Epoch && s.Seq <= old.Seq) || s.Name == c.config.Name {
 		return
 	}
-	if !ok && len(c.latest) >= c.cfg.MaxMembers {
+	if !ok && len(c.statements) >= c.config.MaxMembers {
 		return
 	}
-	c.latest[s.Name] = s
-	c.acts = append(c.acts, Heard{s})
-	c.spread("s"+s.Name, &news{statement: &s})
+	c.statements[s.Name] = s
+	c.actions = append(c.actions, StatementReceived{s})
+	c.enqueueBroadcast("s"+s.Name, &broadcast{statement: &s})
 }
 
-func (c *Core) usurp(epoch int64) {
-	c.silent = true
-	c.acts = append(c.acts, Usurped{epoch})
+func (c *Core) stopForNameConflict(epoch int64) {
+	c.stopped = true
+	c.actions = append(c.actions, NameConflict{epoch})
 }
 
 // ---- what is due ----
 
 // expire ends what was waited for long enough.
-func (c *Core) expire() {
+func (c *Core) expireTimeouts() {
 	for _, p := range slices.Clone(c.probes) {
-		if c.now-p.sent < c.timeout(p) {
+		if c.now-p.sentAt < c.probeTimeout(p) {
 			continue
 		}
-		m := c.members[p.name]
+		m := c.members[p.target]
 		switch {
-		case p.relay != "":
-			if p.nacked {
-				c.end(p)
-			} else if r := c.members[p.relay]; r != nil {
-				c.send(r.Name, r.Addr.AddrPort, &Message{Kind: Nack, Nonce: p.its})
+		case p.requester != "":
+			if p.nackSent {
+				c.endProbe(p)
+			} else if r := c.members[p.requester]; r != nil {
+				c.transmit(r.Name, r.Addr.AddrPort, &Message{Kind: Nack, Nonce: p.requesterNonce})
 			}
-			p.nacked = true
+			p.nackSent = true
 		case m == nil:
-			c.end(p)
-		case !p.asked:
-			p.asked = true
-			for _, h := range c.sample(helpers, func(o *member) bool { return o.State == Alive && o != m }) {
-				if c.send(h.Name, h.Addr.AddrPort, &Message{Kind: Ask, Nonce: p.nonce, Target: m.Name}) {
-					p.helpers++
+			c.endProbe(p)
+		case !p.indirect:
+			p.indirect = true
+			for _, h := range c.randomMembers(indirectProbes, func(o *member) bool { return o.State == Alive && o != m }) {
+				if c.transmit(h.Name, h.Addr.AddrPort, &Message{Kind: IndirectPing, Nonce: p.nonce, Target: m.Name}) {
+					p.relays++
 				}
 			}
 		default:
-			c.failed(p, m)
+			c.handleProbeFailure(p, m)
 		}
 	}
 	if c.now < c.nextSweep {
 		return
 	}
-	c.nextSweep = c.now + sweepEvery
+	c.nextSweep = c.now + sweepInterval
 	// With more members news of a suspicion takes longer to reach the one suspected, and its word to come back.
-	wait := time.Duration(float64(c.cfg.SuspectFor) * max(1, math.Log10(float64(len(c.members)+1))))
-	c.doubted = 0
-	for _, name := range slices.Clone(c.order) {
+	wait := time.Duration(float64(c.config.SuspectFor) * max(1, math.Log10(float64(len(c.members)+1))))
+	c.notAlive = 0
+	for _, name := range slices.Clone(c.probeOrder) {
 		m := c.members[name]
 		if m.State != Alive {
-			c.doubted++
+			c.notAlive++
 		}
 		switch {
-		case m.State == Suspect && c.now-m.Since >= wait:
-			c.turn(m, Dead)
-			c.spread("c"+name, &news{claim: ptr(m.claim())})
+		case m.State == Suspect && c.now-m.StateSince >= wait:
+			c.setState(m, Dead)
+			c.enqueueBroadcast("c"+name, &broadcast{claim: ptr(m.currentClaim())})
 		// Its word may have gone round without coming here, and the claim without reaching it.
-		case m.State == Suspect && c.now-m.Since >= wait*time.Duration(m.asked+1)/(lastAsks+1) && c.mayAsk():
-			m.asked++
-			c.send(m.Name, m.Addr.AddrPort, &Message{Kind: Gossip, Claims: []Claim{m.claim()}})
-		case m.State >= Dead && c.now-m.Since >= forgetDead:
-			c.forget(name)
+		case m.State == Suspect && c.now-m.StateSince >= wait*time.Duration(m.suspicionNotices+1)/(maxSuspicionNotices+1) && c.mayNotifySuspect():
+			m.suspicionNotices++
+			c.transmit(m.Name, m.Addr.AddrPort, &Message{Kind: Gossip, Claims: []Claim{m.currentClaim()}})
+		case m.State >= Dead && c.now-m.StateSince >= deadRetention:
+			c.forgetMember(name)
 		}
 	}
 }
 
-func (c *Core) mayAsk() bool {
-	most := float64(c.cfg.Messages) * asksPart
-	return c.asksBudget.Take(c.now, 1, most, most)
+func (c *Core) mayNotifySuspect() bool {
+	most := float64(c.config.Messages) * noticeShare
+	return c.noticeBudget.Take(c.now, 1, most, most)
 }
 
-func (c *Core) end(p *probe) {
+func (c *Core) endProbe(p *probe) {
 	c.probes = slices.DeleteFunc(c.probes, func(o *probe) bool { return o == p })
 }
 
 // failed takes in that nobody had an answer of a member. Where the helpers were not heard either, this member is
 // as likely to be the one that is cut off.
-func (c *Core) failed(p *probe, m *member) {
-	c.end(p)
-	c.health = min(c.health+1+max(0, p.helpers-p.nacks)/2, maxHealth)
-	if m.State == Alive && m.heard < p.sent {
-		c.suspect(m)
+func (c *Core) handleProbeFailure(p *probe, m *member) {
+	c.endProbe(p)
+	c.healthScore = min(c.healthScore+1+max(0, p.relays-p.nacks)/2, maxHealthScore)
+	if m.State == Alive && m.lastContact < p.sentAt {
+		c.suspectMember(m)
 	}
 }
 
 // due does what its time has come for.
-func (c *Core) due() {
+func (c *Core) runPeriodicTasks() {
 	if c.now >= c.nextProbe {
-		c.nextProbe = c.now + c.slow(c.cfg.ProbeEvery)
-		c.probe()
+		c.nextProbe = c.now + c.scaleByHealth(c.config.ProbeEvery)
+		c.probeNext()
 	}
-	if c.now >= c.nextRetry {
-		c.nextRetry = c.now + retryEvery
-		c.retry()
+	if c.now >= c.nextReconnect {
+		c.nextReconnect = c.now + reconnectInterval
+		c.reconnect()
 	}
-	if c.now >= c.nextNews && len(c.queue)+len(c.found) > 0 {
-		c.nextNews = c.now + newsEvery
-		c.meet()
-		c.tell(fanout)
+	if c.now >= c.nextGossip && len(c.broadcasts)+len(c.candidates) > 0 {
+		c.nextGossip = c.now + gossipInterval
+		c.pingCandidate()
+		c.sendGossip(gossipFanout)
 	}
 }
 
 // probe asks the next member in a shuffled order whether it is there.
-func (c *Core) probe() {
-	c.round++
-	for range len(c.order) {
-		if c.next >= len(c.order) {
-			c.next = 0
-			c.rng.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
-		}
-		m := c.members[c.order[c.next]]
-		c.next++
+func (c *Core) probeNext() {
+	c.probeRound++
+	for range len(c.probeOrder) {
+		if c.probeIndex >= len(c.probeOrder) {
+			c.probeIndex = 0
+			c.rng.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
+		}
+		m := c.members[c.probeOrder[c.probeIndex]]
+		c.probeIndex++
 		if m.State <= Suspect {
 			var known []Claim
-			if c.round%syncEvery == 0 {
+			if c.probeRound%probesPerSync == 0 {
 				known = c.summaries()
 			}
-			c.ping(m.Name, m.Addr.AddrPort, known)
+			c.sendPing(m.Name, m.Addr.AddrPort, known)
 			break
 		}
 	}
 }
 
 // meet asks one that is said to be there.
-func (c *Core) meet() {
-	most := float64(c.cfg.Messages)
-	if len(c.found) == 0 || !c.newsBudget.Take(c.now, 1, 0.2*most, 0.3*most) {
+func (c *Core) pingCandidate() {
+	most := float64(c.config.Messages)
+	if len(c.candidates) == 0 || !c.gossipBudget.Take(c.now, 1, 0.2*most, 0.3*most) {
 		return
 	}
 	// At random, or one that tells of members which do not exist could have them always come first.
-	names := slices.Sorted(maps.Keys(c.found))
+	names := slices.Sorted(maps.Keys(c.candidates))
 	name := names[c.rng.IntN(len(names))]
-	r := c.found[name]
-	delete(c.found, name)
-	c.ping(name, r.Addr.AddrPort, c.summaries())
+	r := c.candidates[name]
+	delete(c.candidates, name)
+	c.sendPing(name, r.Addr.AddrPort, c.summaries())
 }
 
 // retry asks somebody who is not there: a seed of whom nothing is known, else one that is dead. Whoever was cut off
 // is found again by it.
-func (c *Core) retry() {
+func (c *Core) reconnect() {
 	var asked []netip.AddrPort
-	for _, s := range c.cfg.Seeds {
-		taken := s == c.cfg.Addr
+	for _, s := range c.config.Seeds {
+		taken := s == c.config.Addr
 		for _, m := range c.members {
 			taken = taken || m.Addr.AddrPort == s && m.State <= Suspect
 		}
@@ -761,32 +763,32 @@
 		}
 	}
 	if len(asked) > 0 {
-		c.ping("", asked[c.rng.IntN(len(asked))], c.summaries())
+		c.sendPing("", asked[c.rng.IntN(len(asked))], c.summaries())
 	}
-	for _, m := range c.sample(1, func(m *member) bool { return m.State == Dead }) {
-		c.ping(m.Name, m.Addr.AddrPort, c.summaries(), m.claim())
+	for _, m := range c.randomMembers(1, func(m *member) bool { return m.State == Dead }) {
+		c.sendPing(m.Name, m.Addr.AddrPort, c.summaries(), m.currentClaim())
 	}
 	if len(c.members) == 0 {
-		c.nextRetry = c.now + c.cfg.ProbeEvery
+		c.nextReconnect = c.now + c.config.ProbeEvery
 	}
 }
 
 // summaries is what is known of some members, others each time.
 func (c *Core) summaries() []Claim {
-	list := []Claim{{Name: c.cfg.Name, Epoch: c.own.Epoch, Inc: c.own.Inc}}
+	list := []Claim{{Name: c.config.Name, Epoch: c.self.Epoch, Incarnation: c.self.Incarnation}}
 	names := slices.Sorted(maps.Keys(c.members))
 	for range min(len(names), maxItems/2-1) {
-		c.cursor = (c.cursor + 1) % len(names)
-		m := c.members[names[c.cursor]]
-		list = append(list, m.claim())
+		c.summaryCursor = (c.summaryCursor + 1) % len(names)
+		m := c.members[names[c.summaryCursor]]
+		list = append(list, m.currentClaim())
 	}
 	return list
 }
 
 // sample is some members at random.
-func (c *Core) sample(n int, ok func(*member) bool) (list []*member) {
-	for _, i := range c.rng.Perm(len(c.order)) {
-		if m := c.members[c.order[i]]; len(list) < n && ok(m) {
+func (c *Core) randomMembers(n int, ok func(*member) bool) (list []*member) {
+	for _, i := range c.rng.Perm(len(c.probeOrder)) {
+		if m := c.members[c.probeOrder[i]]; len(list) < n && ok(m) {
 			list = append(list, m)
 		}
 		if len(list) == n {
@@ -798,17 +800,17 @@
 
 // ---- what is sent ----
 
-func (c *Core) ping(name string, addr netip.AddrPort, known []Claim, claims ...Claim) *probe {
+func (c *Core) sendPing(name string, addr netip.AddrPort, known []Claim, claims ...Claim) *probe {
 	c.nonce = c.rng.Uint64()
 	m := &Message{Kind: Ping, Nonce: c.nonce, Summaries: known, Claims: claims}
 	// Whoever asks for the first time says who it is.
-	if held := c.members[name]; held == nil || held.heard == 0 || len(known) > 0 {
-		m.Records = []Record{c.own}
+	if held := c.members[name]; held == nil || held.lastContact == 0 || len(known) > 0 {
+		m.Records = []Record{c.self}
 	}
-	if !c.send(name, addr, m) {
+	if !c.transmit(name, addr, m) {
 		return nil
 	}
-	p := &probe{name: name, nonce: c.nonce, sent: c.now}
+	p := &probe{target: name, nonce: c.nonce, sentAt: c.now}
 	if len(c.probes) < 2*maxWaiting {
 		c.probes = append(c.probes, p)
 	}
@@ -816,40 +818,40 @@
 }
 
 // spread has news told on, in place of older news of the same kind on the same member.
-func (c *Core) spread(key string, n *news) {
+func (c *Core) enqueueBroadcast(key string, n *broadcast) {
 	switch key[0] {
 	case 'r': // what a member says of itself ends what was claimed of it
-		delete(c.queue, "c"+key[1:])
+		delete(c.broadcasts, "c"+key[1:])
 	case 'c':
-		delete(c.queue, "r"+key[1:])
+		delete(c.broadcasts, "r"+key[1:])
 	}
-	c.queue[key] = n
+	c.broadcasts[key] = n
 }
 
 // tell sends news to some members by messages of their own.
-func (c *Core) tell(to int) {
-	for _, m := range c.sample(to, func(m *member) bool { return m.State <= Suspect }) {
+func (c *Core) sendGossip(to int) {
+	for _, m := range c.randomMembers(to, func(m *member) bool { return m.State <= Suspect }) {
 		msg := &Message{Kind: Gossip}
 		// News takes a part of the budget, so that pings and their answers always find some.
-		most := float64(c.cfg.Messages)
-		if len(c.queue) == 0 || !c.newsBudget.Take(c.now, 1, 0.2*most, 0.3*most) || !c.send(m.Name, m.Addr.AddrPort, msg) {
+		most := float64(c.config.Messages)
+		if len(c.broadcasts) == 0 || !c.gossipBudget.Take(c.now, 1, 0.2*most, 0.3*most) || !c.transmit(m.Name, m.Addr.AddrPort, msg) {
 			return
 		}
 	}
-	if len(c.order) == 0 {
-		clear(c.queue) // nobody is there to hear it; whoever comes asks
+	if len(c.probeOrder) == 0 {
+		clear(c.broadcasts) // nobody is there to hear it; whoever comes asks
 	}
 }
 
 // send sends a message if the budget allows, with as much news as there is room for: what was told least first.
-func (c *Core) send(name string, addr netip.AddrPort, m *Message) bool {
+func (c *Core) transmit(name string, addr netip.AddrPort, m *Message) bool {
 	// A rate and a burst that together are the most of any second.
-	most := float64(c.cfg.Messages)
-	if !c.budget.Take(c.now, 1, 0.6*most, 0.4*most) {
+	most := float64(c.config.Messages)
+	if !c.sendBudget.Take(c.now, 1, 0.6*most, 0.4*most) {
 		return false
 	}
 	c.Sent++
-	room := packetRoom - maxCert
+	room := maxPayloadBytes - maxCertBytes
 	for _, r := range m.Records {
 		room -= r.size()
 	}
@@ -859,12 +861,12 @@
 	for _, n := range m.Want {
 		room -= len(n) + 2
 	}
-	limit := repeatFactor * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
-	keys := slices.SortedFunc(maps.Keys(c.queue), func(a, b string) int {
-		return cmp.Or(cmp.Compare(c.queue[a].told, c.queue[b].told), cmp.Compare(a, b))
+	limit := retransmitMultiplier * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
+	keys := slices.SortedFunc(maps.Keys(c.broadcasts), func(a, b string) int {
+		return cmp.Or(cmp.Compare(c.broadcasts[a].transmits, c.broadcasts[b].transmits), cmp.Compare(a, b))
 	})
 	for _, k := range keys {
-		n := c.queue[k]
+		n := c.broadcasts[k]
 		switch {
 		case n.record != nil && room >= n.record.size() && len(m.Records) < maxItems:
 			m.Records = append(m.Records, *n.record)
@@ -873,34 +875,34 @@
 			m.Claims = append(m.Claims, *n.claim)
 			room -= n.claim.size()
 		// Where the receiver knows this member no certificate goes along, and a statement may have its room.
-		case n.statement != nil && room+maxCert >= n.statement.size() && len(m.Statements) < maxItems && name != "" && c.acquainted(name):
+		case n.statement != nil && room+maxCertBytes >= n.statement.size() && len(m.Statements) < maxItems && name != "" && c.hasContacted(name):
 			m.Statements = append(m.Statements, *n.statement)
 			room -= n.statement.size()
 		default:
 			continue
 		}
-		if n.told++; n.told >= limit {
-			delete(c.queue, k)
+		if n.transmits++; n.transmits >= limit {
+			delete(c.broadcasts, k)
 		}
 	}
-	c.acts = append(c.acts, Transmit{To: name, Addr: addr, Inc: c.own.Inc, Message: m})
+	c.actions = append(c.actions, Transmit{To: name, Addr: addr, Inc: c.self.Incarnation, Message: m})
 	return true
 }
 
 // acquainted reports whether a member has said something itself, so that both know each other's key.
-func (c *Core) acquainted(name string) bool {
+func (c *Core) hasContacted(name string) bool {
 	m := c.members[name]
-	return m != nil && m.heard > 0
+	return m != nil && m.lastContact > 0
 }
 
-// Introduce makes members known that were met before, without a word of theirs. It is for a start with a list.
-func (c *Core) Introduce(now time.Duration, records []Record) {
+// AddKnownMembers makes members known that were met before, without a word of theirs. It is for a start with a list.
+func (c *Core) AddKnownMembers(now time.Duration, records []Record) {
 	for _, r := range records {
-		m := &member{Member: Member{Record: r, State: Alive, Since: now}, heard: max(now, 1)}
-		if c.members[r.Name] == nil && len(c.members) < c.cfg.MaxMembers && r.Name != c.cfg.Name {
+		m := &member{Member: Member{Record: r, State: Alive, StateSince: now}, lastContact: max(now, 1)}
+		if c.members[r.Name] == nil && len(c.members) < c.config.MaxMembers && r.Name != c.config.Name {
 			c.members[r.Name] = m
-			c.order = append(c.order, r.Name)
+			c.probeOrder = append(c.probeOrder, r.Name)
 		}
 	}
-	c.rng.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
+	c.rng.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 }
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -165,15 +165,15 @@
 // goldenDialogue returns a datagram of each kind, all fields of a message among them.
 func goldenDialogue(a, b, c *Guard) []goldenStep {
 	newRecord := func(g *Guard, name string, inc uint32, gone bool) Record {
-		r := Record{Name: name, Addr: Addr{goldenAddrs[name]}, Epoch: goldenEpochs[name], Inc: inc, Gone: gone}
+		r := Record{Name: name, Addr: Addr{goldenAddrs[name]}, Epoch: goldenEpochs[name], Incarnation: inc, Gone: gone}
 		g.SignRecord(&r)
 		return r
 	}
 	claims := []Claim{
-		{Name: "a", Epoch: goldenEpochs["a"], Inc: 1, State: Alive},
-		{Name: "b", Epoch: goldenEpochs["b"], Inc: 23, State: Suspect},
-		{Name: "c", Epoch: goldenEpochs["c"], Inc: 24, State: Dead},
-		{Name: "förr", Epoch: -1, Inc: 4_294_967_295, State: Left},
+		{Name: "a", Epoch: goldenEpochs["a"], Incarnation: 1, State: Alive},
+		{Name: "b", Epoch: goldenEpochs["b"], Incarnation: 23, State: Suspect},
+		{Name: "c", Epoch: goldenEpochs["c"], Incarnation: 24, State: Dead},
+		{Name: "förr", Epoch: -1, Incarnation: 4_294_967_295, State: Left},
 	}
 	return []goldenStep{
 		{"ping.datagram", "a", "", Message{
@@ -184,7 +184,7 @@
 			Kind: Ack, Nonce: 0x0123_4567_89ab_cdef, Want: []string{"c", "förr"},
 			Records: []Record{newRecord(b, "b", 23, false)},
 		}},
-		{"ask.datagram", "a", "b", Message{Kind: Ask, Nonce: 7, Target: "c", Claims: claims}},
+		{"ask.datagram", "a", "b", Message{Kind: IndirectPing, Nonce: 7, Target: "c", Claims: claims}},
 		{"nack.datagram", "b", "a", Message{Kind: Nack, Nonce: 7}},
 		{"gossip.datagram", "a", "b", Message{
 			Kind: Gossip, Claims: claims[1:2],
@@ -216,9 +216,9 @@
 		if err != nil {
 			t.Fatalf("%s: %v", s.file, err)
 		}
-		if opened.From != s.from || opened.Epoch != goldenEpochs[s.from] || opened.Trusted != (i > 1) || len(opened.Twice) > 0 {
+		if opened.From != s.from || opened.Epoch != goldenEpochs[s.from] || opened.Trusted != (i > 1) || len(opened.Equivocators) > 0 {
 			t.Errorf("%s: from %q, started %d, trusted %t, contradicting %v", s.file, opened.From, opened.Epoch,
-				opened.Trusted, opened.Twice)
+				opened.Trusted, opened.Equivocators)
 		}
 		if !reflect.DeepEqual(opened.Message, &want) {
 			t.Errorf("%s: read as\n%+v\nwant\n%+v", s.file, opened.Message, &want)
@@ -261,7 +261,7 @@
 func TestGoldenErrors(t *testing.T) {
 	whole := readGolden(t, "ping.datagram")
 	forged, otherVersion := bytes.Clone(whole), bytes.Clone(whole)
-	forged[fixedBytes+3] ^= 1 // the first byte of the signature, behind the names "a" and ""
+	forged[fixedHeaderBytes+3] ^= 1 // the first byte of the signature, behind the names "a" and ""
 	otherVersion[1]++
 	for _, c := range []struct {
 		name, receiver string
@@ -370,14 +370,14 @@
 						From: opened.From, Addr: goldenAddrs[n.name],
 						Epoch: opened.Epoch, Message: opened.Message, Trusted: opened.Trusted,
 					})
-				case Changed:
+				case MemberChanged:
 					m := action.Member
-					fmt.Fprintf(&lines, "%v %s holds %s of %d.%d to be state %d\n", now, n.name, m.Name, m.Epoch, m.Inc, m.State)
-				case Heard:
+					fmt.Fprintf(&lines, "%v %s holds %s of %d.%d to be state %d\n", now, n.name, m.Name, m.Epoch, m.Incarnation, m.State)
+				case StatementReceived:
 					fmt.Fprintf(&lines, "%v %s hears %s say %q\n", now, n.name, action.Statement.Name, action.Statement.Body)
-				case Forgotten:
+				case MemberForgotten:
 					fmt.Fprintf(&lines, "%v %s forgets %s\n", now, n.name, action.Name)
-				case Usurped:
+				case NameConflict:
 					t.Errorf("%s is usurped", n.name)
 				}
 			}
--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -29,46 +29,46 @@
 // What a Guard lets its budget of checks be spent on. Those who have shown a cookie have a part each, so that
 // neither forged addresses nor another member can take it from them.
 const (
-	peerChecks    = 0.2  // of the checks a second for each sender with a cookie
-	knownChecks   = 0.25 // for all datagrams without one from addresses of members and seeds
-	unknownChecks = 0.1  // for all others
-	maxPeers      = 4096
-	late          = 2 * time.Second // that a datagram may be on its way, on top of the skew
+	peerCheckShare    = 0.2  // of the checks a second for each sender with a cookie
+	knownCheckShare   = 0.25 // for all datagrams without one from addresses of members and seeds
+	unknownCheckShare = 0.1  // for all others
+	maxPeers          = 4096
+	maxTransitTime    = 2 * time.Second // that a datagram may be on its way, on top of the skew
 )
 
 // Guard decides which datagrams are read, and seals those that are sent. It holds what is known of each member's
 // key, start and latest numbers. It reads no clock and is not safe for concurrent use.
 type Guard struct {
-	fleet  string
-	own    *pki.Member
-	epoch  int64
-	trust  *pki.Trust
-	secret []byte // of cookies; new with each start, so that what was recorded before shows none
-	checks float64
-	skew   time.Duration
-	seq    uint64
+	fleet           string
+	own             *pki.Member
+	epoch           int64
+	trust           *pki.Trust
+	secret          []byte // of cookies; new with each start, so that what was recorded before shows none
+	checksPerSecond float64
+	clockSkew       time.Duration
+	seq             uint64
 
-	peers                map[string]*peer
-	known                map[netip.AddrPort]bool // seeds and addresses of members
-	all, familiar, alien ratelimit.TokenBucket
-	Spent                uint64 // signatures checked so far
+	peers                                   map[string]*peer
+	knownAddrs                              map[netip.AddrPort]bool // seeds and addresses of members
+	totalBudget, knownBudget, unknownBudget ratelimit.TokenBucket
+	SignaturesChecked                       uint64 // signatures checked so far
 }
 
 // peer is what a Guard knows of a member.
 type peer struct {
-	cert    *x509.Certificate
-	epoch   int64
-	highest uint64 // sequence number
-	window  uint64 // bit i: the number highest-i was seen
-	cookie  Cookie // to be shown to it
-	budget  ratelimit.TokenBucket
-	heard   time.Duration
-	met     bool // it has shown this member's cookie in its present life
+	cert         *x509.Certificate
+	epoch        int64
+	highestSeq   uint64 // sequence number
+	replayWindow uint64 // bit i: the number highest-i was seen
+	cookie       Cookie // to be shown to it
+	budget       ratelimit.TokenBucket
+	lastSeen     time.Duration
+	cookieSeen   bool // it has shown this member's cookie in its present life
 
-	said     Statement // its latest
-	recEpoch int64     // of its latest record
-	recInc   uint32
-	recGone  bool
+	lastStatement     Statement // its latest
+	recordEpoch       int64     // of its latest record
+	recordIncarnation uint32
+	recordGone        bool
 }
 
 // GuardConfig is what a Guard works with.
@@ -86,25 +86,25 @@
 // NewGuard returns a Guard.
 func NewGuard(c GuardConfig) *Guard {
 	g := &Guard{
-		fleet: c.Fleet, own: c.Own, epoch: c.Epoch, trust: c.Trust, secret: c.Secret, checks: float64(c.Checks),
-		skew: c.Skew, peers: map[string]*peer{}, known: map[netip.AddrPort]bool{},
+		fleet: c.Fleet, own: c.Own, epoch: c.Epoch, trust: c.Trust, secret: c.Secret, checksPerSecond: float64(c.Checks),
+		clockSkew: c.Skew, peers: map[string]*peer{}, knownAddrs: map[netip.AddrPort]bool{},
 	}
 	for _, s := range c.Seeds {
-		g.known[s] = true
+		g.knownAddrs[s] = true
 	}
 	return g
 }
 
-// Know takes in which addresses members and seeds have.
-func (g *Guard) Know(addrs []netip.AddrPort) {
-	clear(g.known)
+// SetKnownAddresses takes in which addresses members and seeds have.
+func (g *Guard) SetKnownAddresses(addrs []netip.AddrPort) {
+	clear(g.knownAddrs)
 	for _, a := range addrs {
-		g.known[a] = true
+		g.knownAddrs[a] = true
 	}
 }
 
-// Trust takes up new keys. Members whose certificates no longer count are forgotten, and their names returned.
-func (g *Guard) Trust(own *pki.Member, t *pki.Trust, wall time.Time) (gone []string) {
+// UpdateTrust takes up new keys. Members whose certificates no longer count are forgotten, and their names returned.
+func (g *Guard) UpdateTrust(own *pki.Member, t *pki.Trust, wall time.Time) (gone []string) {
 	g.own, g.trust = own, t
 	for name, p := range g.peers {
 		if p.cert != nil && t.Current(p.cert, wall) != nil {
@@ -124,8 +124,8 @@
 	return p != nil && p.cert != nil
 }
 
-// Cert is this member's own certificate.
-func (g *Guard) Cert() []byte { return g.own.Cert.Raw }
+// Certificate is this member's own certificate.
+func (g *Guard) Certificate() []byte { return g.own.Cert.Raw }
 
 // cookieFor is the cookie that a member is to show. It needs no table: it is made from the secret.
 func (g *Guard) cookieFor(name string) (c Cookie) {
@@ -149,7 +149,7 @@
 // not know this member is sent its certificate too.
 func (g *Guard) Seal(to string, inc uint32, wall time.Time, m *Message) ([]byte, error) {
 	g.seq++
-	h := header{from: g.own.Name(), to: to, epoch: g.epoch, inc: inc, seq: g.seq}
+	h := header{from: g.own.Name(), to: to, epoch: g.epoch, incarnation: inc, seq: g.seq}
 	m.At, m.Cert = wall.UnixMilli(), nil
 	if to != "" {
 		m.Cookie = g.cookieFor(to)
@@ -158,11 +158,11 @@
 		h.cookie = p.cookie
 	}
 	// Whoever has shown a cookie has read a message with the certificate; it may have started anew since.
-	if p := g.peers[to]; p == nil || !p.met || len(m.Summaries) > 0 {
+	if p := g.peers[to]; p == nil || !p.cookieSeen || len(m.Summaries) > 0 {
 		m.Cert = g.own.Cert.Raw
 	}
 	body, err := encode(m)
-	if err == nil && len(m.Statements) > 0 && len(body) > MaxDatagram-signatureLen-len(h.append(nil)) {
+	if err == nil && len(m.Statements) > 0 && len(body) > MaxDatagram-signatureBytes-len(h.appendTo(nil)) {
 		// A certificate that was not reckoned with takes the room: statements are told again by others.
 		m.Statements = nil
 		body, err = encode(m)
@@ -171,7 +171,7 @@
 		return nil, fmt.Errorf("gossip: sealing a message: %w", err)
 	}
 	sig := ed25519.Sign(g.own.Key, h.signed(g.fleet, body))
-	b := append(append(h.append(make([]byte, 0, MaxDatagram)), sig...), body...)
+	b := append(append(h.appendTo(make([]byte, 0, MaxDatagram)), sig...), body...)
 	if len(b) > MaxDatagram {
 		return nil, fmt.Errorf("gossip: a message of %d bytes", len(b))
 	}
@@ -184,8 +184,8 @@
 	Epoch int64 // the start of its sender
 	*Message
 	Trusted bool // its sender has heard from this member since both started: no replay
-	// Twice is a statement that contradicts another of the same number, signed by the same member.
-	Twice []string
+	// Equivocators is a statement that contradicts another of the same number, signed by the same member.
+	Equivocators []string
 }
 
 // Open reads a datagram, or says why it is dropped. What costs little is looked at first, and no signature is
@@ -199,12 +199,12 @@
 		return nil, ErrNotForUs
 	}
 	p := g.peers[h.from]
-	if p != nil && (h.epoch < p.epoch || h.epoch == p.epoch && !p.fresh(h.seq)) {
+	if p != nil && (h.epoch < p.epoch || h.epoch == p.epoch && !p.isFresh(h.seq)) {
 		return nil, ErrReplayed
 	}
 	want := g.cookieFor(h.from)
 	trusted := p != nil && subtle.ConstantTimeCompare(want[:], h.cookie[:]) == 1
-	pay := func() bool { return g.pay(now, p, trusted, from) }
+	pay := func() bool { return g.spendCheck(now, p, trusted, from) }
 	if !pay() {
 		return nil, ErrBudget
 	}
@@ -230,39 +230,39 @@
 	if err := g.trust.Current(cert, wall); err != nil {
 		return nil, err
 	}
-	if !g.check(cert, h.signed(g.fleet, body), sig) {
+	if !g.verifySignature(cert, h.signed(g.fleet, body), sig) {
 		return nil, ErrSignature
 	}
-	if d := wall.Sub(time.UnixMilli(m.At)).Abs(); d > g.skew+late {
+	if d := wall.Sub(time.UnixMilli(m.At)).Abs(); d > g.clockSkew+maxTransitTime {
 		return nil, ErrClock
 	}
 	if h.from == g.own.Name() && h.epoch == g.epoch {
 		return nil, ErrReplayed // its own, sent back
 	}
 	if p == nil {
-		if p = g.admit(h.from, now); p == nil {
+		if p = g.addPeer(h.from, now); p == nil {
 			return nil, ErrBudget
 		}
 	}
 	if h.epoch > p.epoch {
-		p.epoch, p.highest, p.window = h.epoch, 0, 0
-		p.cookie, p.met = Cookie{}, false
+		p.epoch, p.highestSeq, p.replayWindow = h.epoch, 0, 0
+		p.cookie, p.cookieSeen = Cookie{}, false
 	}
-	p.met = p.met || trusted
-	p.cert, p.heard = cert, now
-	p.see(h.seq)
+	p.cookieSeen = p.cookieSeen || trusted
+	p.cert, p.lastSeen = cert, now
+	p.markSeen(h.seq)
 	if m.Cookie != (Cookie{}) {
 		p.cookie = m.Cookie
 	}
 	o := &Opened{From: h.from, Epoch: h.epoch, Message: m, Trusted: trusted}
-	g.records(o, pay)
-	g.statements(o, wall, pay)
+	g.filterRecords(o, pay)
+	g.filterStatements(o, wall, pay)
 	return o, nil
 }
 
 // verifyCert reads a certificate that a datagram brings, and holds it to the name that it comes under.
 func (g *Guard) verifyCert(der []byte, name string, wall time.Time) (*x509.Certificate, error) {
-	g.Spent++
+	g.SignaturesChecked++
 	c, err := g.trust.Verify(der, wall)
 	if err != nil {
 		return nil, err
@@ -273,67 +273,67 @@
 	return c, nil
 }
 
-func (g *Guard) check(c *x509.Certificate, text, sig []byte) bool {
-	g.Spent++
+func (g *Guard) verifySignature(c *x509.Certificate, text, sig []byte) bool {
+	g.SignaturesChecked++
 	key, ok := c.PublicKey.(ed25519.PublicKey)
 	return ok && ed25519.Verify(key, text, sig)
 }
 
 // pay takes one check from the budget of whoever seems to have sent a datagram.
-func (g *Guard) pay(now time.Duration, p *peer, trusted bool, from netip.AddrPort) bool {
-	own, part := &g.alien, unknownChecks
+func (g *Guard) spendCheck(now time.Duration, p *peer, trusted bool, from netip.AddrPort) bool {
+	own, part := &g.unknownBudget, unknownCheckShare
 	switch {
 	case trusted:
-		own, part = &p.budget, peerChecks
-	case g.known[from]:
-		own, part = &g.familiar, knownChecks
+		own, part = &p.budget, peerCheckShare
+	case g.knownAddrs[from]:
+		own, part = &g.knownBudget, knownCheckShare
 	}
 	// A second of budget may be spent at once.
-	rate := max(part*g.checks, 1)
-	return own.Take(now, 1, rate, rate) && g.all.Take(now, 1, g.checks, g.checks)
+	rate := max(part*g.checksPerSecond, 1)
+	return own.Take(now, 1, rate, rate) && g.totalBudget.Take(now, 1, g.checksPerSecond, g.checksPerSecond)
 }
 
 // admit makes room for a member that was not known. With the table full the one that was silent longest goes.
-func (g *Guard) admit(name string, now time.Duration) *peer {
+func (g *Guard) addPeer(name string, now time.Duration) *peer {
 	if len(g.peers) >= maxPeers {
 		oldest := ""
 		for n, p := range g.peers {
-			if oldest == "" || p.heard < g.peers[oldest].heard {
+			if oldest == "" || p.lastSeen < g.peers[oldest].lastSeen {
 				oldest = n
 			}
 		}
 		delete(g.peers, oldest)
 	}
-	p := &peer{heard: now}
+	p := &peer{lastSeen: now}
 	g.peers[name] = p
 	return p
 }
 
 // fresh reports whether a number was not seen and is not too old to tell.
-func (p *peer) fresh(seq uint64) bool {
-	return seq > p.highest || p.highest-seq < 64 && p.window>>(p.highest-seq)&1 == 0
+func (p *peer) isFresh(seq uint64) bool {
+	return seq > p.highestSeq || p.highestSeq-seq < 64 && p.replayWindow>>(p.highestSeq-seq)&1 == 0
 }
 
-func (p *peer) see(seq uint64) {
-	if seq > p.highest {
-		if n := seq - p.highest; n < 64 {
-			p.window <<= n
+func (p *peer) markSeen(seq uint64) {
+	if seq > p.highestSeq {
+		if n := seq - p.highestSeq; n < 64 {
+			p.replayWindow <<= n
 		} else {
-			p.window = 0
+			p.replayWindow = 0
 		}
-		p.highest = seq
+		p.highestSeq = seq
 	}
-	p.window |= 1 << (p.highest - seq)
+	p.replayWindow |= 1 << (p.highestSeq - seq)
 }
 
 // records keeps the records of a message that are signed by whom they are of and newer than what is known. Those
 // of members whose key is not known stay without a signature: they only say where somebody may be found.
-func (g *Guard) records(o *Opened, pay func() bool) {
+func (g *Guard) filterRecords(o *Opened, pay func() bool) {
 	kept := o.Records[:0]
 	for _, r := range o.Records {
 		if r.Name == g.own.Name() {
 			// Only one of this name that started later is news, and only with this member's own key.
-			if r.Epoch > g.epoch && pay() && g.check(g.own.Cert, r.signed(g.fleet), r.Sig) {
+			if r.Epoch > g.epoch && pay() && g.verifySignature(g.own.Cert, r.signed(g.fleet), r.Sig) {
 				kept = append(kept, r)
 			}
 			continue
@@ -344,30 +344,30 @@
 			kept = append(kept, r)
 			continue
 		}
-		newer := r.Epoch > p.recEpoch || r.Epoch == p.recEpoch && (r.Inc > p.recInc || r.Inc == p.recInc && r.Gone && !p.recGone)
-		if !newer || !pay() || !g.check(p.cert, r.signed(g.fleet), r.Sig) {
+		newer := r.Epoch > p.recordEpoch || r.Epoch == p.recordEpoch && (r.Incarnation > p.recordIncarnation || r.Incarnation == p.recordIncarnation && r.Gone && !p.recordGone)
+		if !newer || !pay() || !g.verifySignature(p.cert, r.signed(g.fleet), r.Sig) {
 			continue
 		}
-		p.recEpoch, p.recInc, p.recGone = r.Epoch, r.Inc, r.Gone
+		p.recordEpoch, p.recordIncarnation, p.recordGone = r.Epoch, r.Incarnation, r.Gone
 		kept = append(kept, r)
 	}
 	o.Records = kept
 }
 
 // statements keeps the statements of a message that are new and signed by whom they are of.
-func (g *Guard) statements(o *Opened, wall time.Time, pay func() bool) {
+func (g *Guard) filterStatements(o *Opened, wall time.Time, pay func() bool) {
 	kept := o.Statements[:0]
 	for _, s := range o.Statements {
-		if s.Name == g.own.Name() || wall.Sub(time.UnixMilli(s.At)).Abs() > g.skew+10*late {
+		if s.Name == g.own.Name() || wall.Sub(time.UnixMilli(s.At)).Abs() > g.clockSkew+10*maxTransitTime {
 			continue
 		}
 		p := g.peers[s.Name]
 		var cert *x509.Certificate
 		if p != nil {
 			cert = p.cert
-			old := s.Epoch < p.said.Epoch || s.Epoch == p.said.Epoch && s.Seq < p.said.Seq
-			same := s.Epoch == p.said.Epoch && s.Seq == p.said.Seq
-			if old || same && string(s.Sig) == string(p.said.Sig) {
+			old := s.Epoch < p.lastStatement.Epoch || s.Epoch == p.lastStatement.Epoch && s.Seq < p.lastStatement.Seq
+			same := s.Epoch == p.lastStatement.Epoch && s.Seq == p.lastStatement.Seq
+			if old || same && string(s.Sig) == string(p.lastStatement.Sig) {
 				continue
 			}
 		}
@@ -381,21 +381,21 @@
 			}
 			cert = c
 		}
-		if g.trust.Current(cert, wall) != nil || !pay() || !g.check(cert, s.signed(g.fleet), s.Sig) {
+		if g.trust.Current(cert, wall) != nil || !pay() || !g.verifySignature(cert, s.signed(g.fleet), s.Sig) {
 			continue
 		}
 		if p == nil {
-			if p = g.admit(s.Name, 0); p == nil {
+			if p = g.addPeer(s.Name, 0); p == nil {
 				continue
 			}
 			p.cert = cert
 		}
-		if s.Epoch == p.said.Epoch && s.Seq == p.said.Seq {
+		if s.Epoch == p.lastStatement.Epoch && s.Seq == p.lastStatement.Seq {
 			// Ed25519 signs the same text in the same way: these are two texts under one number.
-			o.Twice = append(o.Twice, s.Name)
+			o.Equivocators = append(o.Equivocators, s.Name)
 			continue
 		}
-		p.said = s
+		p.lastStatement = s
 		kept = append(kept, s)
 	}
 	o.Statements = kept
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -14,12 +14,12 @@
 
 // Bounds of a message. What passes them is dropped whole.
 const (
-	maxItems     = 32  // records, claims, statements or summaries in a message
-	maxBody      = 480 // bytes of a statement's body
-	maxCert      = 560 // bytes of a certificate
-	maxName      = 64
-	signatureLen = 64
-	cookieLen    = 8
+	maxItems          = 32  // records, claims, statements or summaries in a message
+	maxStatementBytes = 480 // bytes of a statement's body
+	maxCertBytes      = 560 // bytes of a certificate
+	maxNameBytes      = 64
+	signatureBytes    = 64
+	cookieBytes       = 8
 )
 
 // Kind says what a message is for.
@@ -27,12 +27,12 @@
 
 // The kinds of message.
 const (
-	Ping     Kind = iota + 1 // asks for an Ack under its Nonce
-	Ack                      // answers a Ping, or an Ask once the member asked for has answered
-	Nack                     // answers an Ask whose member has not answered: whoever asked is heard, at least
-	Ask                      // asks to ping Target and pass its Ack on
-	Gossip                   // only brings what it carries
-	lastKind = Gossip
+	Ping         Kind = iota + 1 // asks for an Ack under its Nonce
+	Ack                          // answers a Ping, or an IndirectPing once the member asked for has answered
+	Nack                         // answers an IndirectPing whose member has not answered: whoever asked is heard, at least
+	IndirectPing                 // asks to ping Target and pass its Ack on
+	Gossip                       // only brings what it carries
+	lastKind     = Gossip
 )
 
 // Message is what one member tells another. Its figures are only as true as its sender, but for Records and
@@ -42,7 +42,7 @@
 	Kind       Kind
 	Nonce      uint64
 	At         int64    // when it was sent by its sender's clock, Unix milliseconds
-	Target     string   // of an Ask
+	Target     string   // of an IndirectPing
 	Cookie     Cookie   // what the sender wants to see on what it is sent
 	Cert       []byte   // the sender's, for one that may not know it
 	Records    []Record // of members
@@ -53,29 +53,29 @@
 }
 
 // Cookie shows that its bearer has had a message from whom it is shown to, since that one started.
-type Cookie [cookieLen]byte
+type Cookie [cookieBytes]byte
 
 // Addr is a UDP address.
 type Addr struct{ netip.AddrPort }
 
 // Record is what a member says of itself.
 type Record struct {
-	_     struct{} `cbor:",toarray"`
-	Name  string
-	Addr  Addr
-	Epoch int64  // when it started, Unix milliseconds by its own clock
-	Inc   uint32 // its incarnation: grows when it contradicts that it is gone
-	Gone  bool   // it leaves
-	Sig   []byte
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Addr        Addr
+	Epoch       int64  // when it started, Unix milliseconds by its own clock
+	Incarnation uint32 `cbor:"Inc"` // its incarnation: grows when it contradicts that it is gone
+	Gone        bool   // it leaves
+	Sig         []byte
 }
 
 // Claim is what one member holds of another.
 type Claim struct {
-	_     struct{} `cbor:",toarray"`
-	Name  string
-	Epoch int64
-	Inc   uint32
-	State State
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Epoch       int64
+	Incarnation uint32 `cbor:"Inc"`
+	State       State
 }
 
 // Statement is what a member says to all, passed on as it is.
@@ -90,7 +90,7 @@
 	Sig   []byte
 }
 
-var errAddr = errors.New("gossip: not an address")
+var errAddress = errors.New("gossip: not an address")
 
 // MarshalBinary writes an address as 4 or 16 bytes and the port.
 func (a Addr) MarshalBinary() ([]byte, error) {
@@ -107,7 +107,7 @@
 		return nil
 	}
 	if len(b) != 6 && len(b) != 18 {
-		return errAddr
+		return errAddress
 	}
 	ip, _ := netip.AddrFromSlice(b[:len(b)-2])
 	a.AddrPort = netip.AddrPortFrom(ip.Unmap(), binary.BigEndian.Uint16(b[len(b)-2:]))
@@ -146,20 +146,20 @@
 	if err := decoder.Unmarshal(b, &m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	ok := m.Kind >= Ping && m.Kind <= lastKind && len(m.Target) <= maxName && len(m.Cert) <= maxCert &&
+	ok := m.Kind >= Ping && m.Kind <= lastKind && len(m.Target) <= maxNameBytes && len(m.Cert) <= maxCertBytes &&
 		len(m.Records) <= maxItems && len(m.Claims) <= maxItems && len(m.Statements) <= maxItems &&
 		len(m.Summaries) <= maxItems && len(m.Want) <= maxItems
 	for _, r := range m.Records {
-		ok = ok && named(r.Name) && r.Addr.IsValid() && len(r.Sig) <= signatureLen
+		ok = ok && validName(r.Name) && r.Addr.IsValid() && len(r.Sig) <= signatureBytes
 	}
 	for _, c := range append(m.Claims, m.Summaries...) {
-		ok = ok && named(c.Name) && c.State <= Left
+		ok = ok && validName(c.Name) && c.State <= Left
 	}
 	for _, s := range m.Statements {
-		ok = ok && named(s.Name) && len(s.Body) <= maxBody && len(s.Cert) <= maxCert && len(s.Sig) <= signatureLen
+		ok = ok && validName(s.Name) && len(s.Body) <= maxStatementBytes && len(s.Cert) <= maxCertBytes && len(s.Sig) <= signatureBytes
 	}
 	for _, n := range m.Want {
-		ok = ok && named(n)
+		ok = ok && validName(n)
 	}
 	if !ok {
 		return nil, fmt.Errorf("%w: out of bounds", ErrMalformed)
@@ -167,7 +167,7 @@
 	return &m, nil
 }
 
-func named(name string) bool { return name != "" && len(name) <= maxName }
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
 // size is what a record, a claim and a statement take in a datagram, at the most.
 func (r *Record) size() int    { return len(r.Name) + len(r.Sig) + 48 }
@@ -182,7 +182,7 @@
 )
 
 // text begins a signed text: each part with its length, so that no two lists of parts give the same text.
-func text(domain string, parts ...string) []byte {
+func signedPrefix(domain string, parts ...string) []byte {
 	b := []byte(domain)
 	for _, p := range parts {
 		b = binary.BigEndian.AppendUint16(b, uint16(len(p)))
@@ -193,9 +193,9 @@
 
 func (r *Record) signed(fleet string) []byte {
 	addr, _ := r.Addr.MarshalBinary()
-	b := text(domainRecord, fleet, r.Name, string(addr))
+	b := signedPrefix(domainRecord, fleet, r.Name, string(addr))
 	b = binary.BigEndian.AppendUint64(b, uint64(r.Epoch))
-	b = binary.BigEndian.AppendUint32(b, r.Inc)
+	b = binary.BigEndian.AppendUint32(b, r.Incarnation)
 	if r.Gone {
 		return append(b, 1)
 	}
@@ -203,7 +203,7 @@
 }
 
 func (s *Statement) signed(fleet string) []byte {
-	b := text(domainStatement, fleet, s.Name)
+	b := signedPrefix(domainStatement, fleet, s.Name)
 	b = binary.BigEndian.AppendUint64(b, uint64(s.Epoch))
 	b = binary.BigEndian.AppendUint64(b, s.Seq)
 	b = binary.BigEndian.AppendUint64(b, uint64(s.At))
@@ -213,23 +213,23 @@
 // header is what a datagram begins with, in front of a signature and a message: enough to decide whether the
 // signature is worth a check.
 type header struct {
-	cookie   Cookie
-	from, to string // to is "" while the sender does not know whom it writes to
-	epoch    int64
-	inc      uint32
-	seq      uint64
+	cookie      Cookie
+	from, to    string // to is "" while the sender does not know whom it writes to
+	epoch       int64
+	incarnation uint32
+	seq         uint64
 }
 
 const (
-	magic      = 0xca
-	formatNow  = 1
-	fixedBytes = 2 + cookieLen + 8 + 4 + 8
+	magic            = 0xca
+	formatVersion    = 1
+	fixedHeaderBytes = 2 + cookieBytes + 8 + 4 + 8
 )
 
-func (h *header) append(b []byte) []byte {
-	b = append(append(b, magic, formatNow), h.cookie[:]...)
+func (h *header) appendTo(b []byte) []byte {
+	b = append(append(b, magic, formatVersion), h.cookie[:]...)
 	b = binary.BigEndian.AppendUint64(b, uint64(h.epoch))
-	b = binary.BigEndian.AppendUint32(b, h.inc)
+	b = binary.BigEndian.AppendUint32(b, h.incarnation)
 	b = binary.BigEndian.AppendUint64(b, h.seq)
 	b = append(append(b, byte(len(h.from))), h.from...)
 	return append(append(b, byte(len(h.to))), h.to...)
@@ -237,38 +237,38 @@
 
 // parseHeader reads a header and returns the signature and the message behind it. It copies nothing but names.
 func parseHeader(b []byte) (h header, sig, body []byte, err error) {
-	if len(b) < fixedBytes+2+signatureLen || len(b) > MaxDatagram || b[0] != magic || b[1] != formatNow {
+	if len(b) < fixedHeaderBytes+2+signatureBytes || len(b) > MaxDatagram || b[0] != magic || b[1] != formatVersion {
 		return h, nil, nil, ErrMalformed
 	}
 	copy(h.cookie[:], b[2:])
-	b = b[2+cookieLen:]
+	b = b[2+cookieBytes:]
 	h.epoch = int64(binary.BigEndian.Uint64(b))
-	h.inc = binary.BigEndian.Uint32(b[8:])
+	h.incarnation = binary.BigEndian.Uint32(b[8:])
 	h.seq = binary.BigEndian.Uint64(b[12:])
 	b = b[20:]
 	for _, p := range []*string{&h.from, &h.to} {
-		if len(b) < 1 || int(b[0]) > maxName || len(b) < 1+int(b[0]) {
+		if len(b) < 1 || int(b[0]) > maxNameBytes || len(b) < 1+int(b[0]) {
 			return h, nil, nil, ErrMalformed
 		}
 		*p, b = string(b[1:1+b[0]]), b[1+b[0]:]
 	}
-	if h.from == "" || len(b) < signatureLen {
+	if h.from == "" || len(b) < signatureBytes {
 		return h, nil, nil, ErrMalformed
 	}
-	return h, b[:signatureLen], b[signatureLen:], nil
+	return h, b[:signatureBytes], b[signatureBytes:], nil
 }
 
 // signed is what the signature of a message is made over.
 func (h *header) signed(fleet string, body []byte) []byte {
-	head := h.append(nil)
+	head := h.appendTo(nil)
 	// The cookie is for whoever reads the datagram before the signature; it may change on the way.
-	copy(head[2:], make([]byte, cookieLen))
-	return append(append(text(domainMessage, fleet), head...), body...)
+	copy(head[2:], make([]byte, cookieBytes))
+	return append(append(signedPrefix(domainMessage, fleet), head...), body...)
 }
 
 // Size is about what a message takes in a datagram, in bytes.
 func (m *Message) Size() int {
-	n := fixedBytes + 2 + 2*8 + signatureLen + 48 + len(m.Cert) + len(m.Target)
+	n := fixedHeaderBytes + 2 + 2*8 + signatureBytes + 48 + len(m.Cert) + len(m.Target)
 	for _, r := range m.Records {
 		n += r.size()
 	}
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -205,11 +205,11 @@
 
 func (n *Node) reload(set operatorfile.Gossip, own *pki.Member, trust *pki.Trust) {
 	n.trust = trust.After(n.trust, time.Now(), set.Overlap)
-	gone := n.guard.Trust(own, n.trust, time.Now())
-	events := []gossip.Event{gossip.Retry{Seeds: set.Seeds}}
+	gone := n.guard.UpdateTrust(own, n.trust, time.Now())
+	events := []gossip.Event{gossip.UpdateSeeds{Seeds: set.Seeds}}
 	for _, name := range gone {
 		n.log.WithField("peer", name).Warn("peer no longer counts: its certificate does not")
-		events = append(events, gossip.Drop{Name: name})
+		events = append(events, gossip.RemoveMember{Name: name})
 	}
 	n.set.Seeds, n.set.Overlap = set.Seeds, set.Overlap
 	n.events = append(n.events, faultreport.Configure{Config: worth(set)})
@@ -272,7 +272,7 @@
 			n.step([]gossip.Event{gossip.Leave{}})
 			n.log.WithFields(logrus.Fields{
 				"seconds": time.Since(n.base).Seconds(), "sent": n.sent, "bytes": n.bytes,
-				"peak": n.peak, "checks": n.guard.Spent, "members": n.core.Count(),
+				"peak": n.peak, "checks": n.guard.SignaturesChecked, "members": n.core.NumMembers(),
 			}).Info("gossip ended")
 			return
 		}
@@ -288,7 +288,7 @@
 		n.thin.Warn(n.now(), "gossip datagram dropped", fmt.Errorf("from %s: %w", d.from, err))
 		return events
 	}
-	for _, name := range o.Twice {
+	for _, name := range o.Equivocators {
 		n.events = append(n.events, faultreport.Lied{From: name})
 	}
 	return append(events, gossip.Received{From: o.From, Addr: d.from, Epoch: o.Epoch, Message: o.Message, Trusted: o.Trusted})
@@ -306,15 +306,15 @@
 			switch a := a.(type) {
 			case gossip.Transmit:
 				n.transmit(a)
-			case gossip.Changed:
+			case gossip.MemberChanged:
 				members = true
 				n.log.WithFields(logrus.Fields{"peer": a.Member.Name, "address": a.Member.Addr.String()}).
 					Info("peer " + a.Member.State.String())
-			case gossip.Forgotten:
+			case gossip.MemberForgotten:
 				n.guard.Forget(a.Name)
-			case gossip.Heard:
+			case gossip.StatementReceived:
 				n.events = append(n.events, faultreport.Heard{From: a.Statement.Name, Body: a.Statement.Body})
-			case gossip.Usurped:
+			case gossip.NameConflict:
 				n.log.WithField("name", n.own.Name()).Error("another scheduler has this one's name: this one says no more")
 			}
 		}
@@ -373,7 +373,7 @@
 			names = append(names, m.Name)
 		}
 	}
-	n.guard.Know(addrs)
+	n.guard.SetKnownAddresses(addrs)
 	n.events = append(n.events, faultreport.Members{Names: names})
 }
 
--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -72,8 +72,8 @@
 	net.Run(25 * time.Second)
 	agree(t, net)
 	for _, n := range net.Nodes {
-		if n.Core != nil && n.Core.Count() != 10 {
-			t.Errorf("%s counts %d members, want 10", n.Name, n.Core.Count())
+		if n.Core != nil && n.Core.NumMembers() != 10 {
+			t.Errorf("%s counts %d members, want 10", n.Name, n.Core.NumMembers())
 		}
 	}
 	net.Start(net.Nodes[3], net.Nodes[0]) // nothing is kept on disk: it comes back as new
@@ -131,7 +131,7 @@
 	for seed := range uint64(20) {
 		net := fleet(t, 12, seed)
 		net.Corrupt = func(n *Node, m *gossip.Transmit) bool {
-			told := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool { return r.Name == "n5" && r.Inc > 1 })
+			told := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool { return r.Name == "n5" && r.Incarnation > 1 })
 			return !(told && m.To == "n7" && n.Name != "n5")
 		}
 		net.Changed = func(n *Node, m gossip.Member) {
@@ -153,7 +153,7 @@
 		n.Side = 1
 	}
 	net.Run(40 * time.Second)
-	if got := net.Nodes[0].Core.Count(); got != 5 {
+	if got := net.Nodes[0].Core.NumMembers(); got != 5 {
 		t.Errorf("the smaller side counts %d members, want 5", got)
 	}
 	for _, n := range net.Nodes {
@@ -178,7 +178,7 @@
 		for _, o := range net.Nodes {
 			var claims []gossip.Claim
 			for _, m := range liar.Core.Members() {
-				claims = append(claims, gossip.Claim{Name: m.Name, Epoch: m.Epoch, Inc: m.Inc, State: gossip.Dead})
+				claims = append(claims, gossip.Claim{Name: m.Name, Epoch: m.Epoch, Incarnation: m.Incarnation, State: gossip.Dead})
 			}
 			if o != liar {
 				net.Send(liar, o.Addr, &gossip.Message{Kind: gossip.Gossip, Claims: claims})
@@ -201,7 +201,7 @@
 		From: "n2", Epoch: net.Nodes[2].Epoch + 1,
 		Message: &gossip.Message{Kind: gossip.Ping, Nonce: 1},
 	}})
-	if len(acts) != 1 || acts[0] != (gossip.Usurped{Epoch: net.Nodes[2].Epoch + 1}) {
+	if len(acts) != 1 || acts[0] != (gossip.NameConflict{Epoch: net.Nodes[2].Epoch + 1}) {
 		t.Errorf("actions %v", acts)
 	}
 	if acts := older.Step(net.Now+10*time.Second, nil); len(acts) > 0 {
@@ -264,7 +264,7 @@
 			case 5:
 				net.Send(n, net.Nodes[0].Addr, &gossip.Message{
 					Kind:  gossip.Kind(rapid.IntRange(1, 5).Draw(t, "kind")),
-					Nonce: 1, Target: "n1", Claims: []gossip.Claim{{Name: "n1", Epoch: net.Nodes[1].Epoch, Inc: 1, State: gossip.Dead}},
+					Nonce: 1, Target: "n1", Claims: []gossip.Claim{{Name: "n1", Epoch: net.Nodes[1].Epoch, Incarnation: 1, State: gossip.Dead}},
 					Want: []string{"n0", "gone"}, Summaries: []gossip.Claim{{Name: "who"}},
 				})
 			}
@@ -306,7 +306,7 @@
 	for i := range 2000 {
 		for _, liar := range net.Nodes[1:4] {
 			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.Ping, Nonce: uint64(i)})
-			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.Ask, Nonce: uint64(i), Target: "n9"})
+			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.IndirectPing, Nonce: uint64(i), Target: "n9"})
 			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.Gossip, Want: []string{"n0", "n5", "n6"}})
 		}
 		net.Run(10 * time.Millisecond)
--- a/internal/testbed/gossipsim/sim.go
+++ b/internal/testbed/gossipsim/sim.go
@@ -85,11 +85,11 @@
 		var all []gossip.Record
 		for _, o := range n.Nodes {
 			if o != node && o.Core != nil && node.Core != nil {
-				all = append(all, gossip.Record{Name: o.Name, Addr: gossip.Addr{AddrPort: o.Addr}, Epoch: o.Epoch, Inc: 1})
+				all = append(all, gossip.Record{Name: o.Name, Addr: gossip.Addr{AddrPort: o.Addr}, Epoch: o.Epoch, Incarnation: 1})
 			}
 		}
 		if node.Core != nil {
-			node.Core.Introduce(n.Now, all)
+			node.Core.AddKnownMembers(n.Now, all)
 		}
 	}
 }
@@ -152,11 +152,11 @@
 			node.Sent++
 			node.count(n.Now)
 			n.deliver(node, a)
-		case gossip.Heard:
+		case gossip.StatementReceived:
 			if n.Heard != nil {
 				n.Heard(node, a.Statement)
 			}
-		case gossip.Changed:
+		case gossip.MemberChanged:
 			if n.Changed != nil {
 				n.Changed(node, a.Member)
 			}
