--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -70,7 +70,7 @@
 	var long []Accusation // more than fit: those with the least Last are kept
 	for i := range uint32(14) {
 		long = append(long, Accusation{
-			Worker: strings.Repeat(string(rune('a'+i)), MaxWorker), Trouble: routing.Unresponsive,
+			Worker: strings.Repeat(string(rune('a'+i)), MaxWorkerIDBytes), Trouble: routing.Unresponsive,
 			First: 100_000, Last: 100 - i, Attempts: 10,
 		})
 	}
@@ -113,7 +113,7 @@
 	}{
 		{whole[:len(whole)-1], "suspicion: malformed statement: unexpected EOF"},
 		{wrongTrouble, "suspicion: malformed statement"},
-		{make([]byte, maxBody+1), "suspicion: malformed statement"},
+		{make([]byte, maxStatementBytes+1), "suspicion: malformed statement"},
 	} {
 		if _, err := Decode(c.body); err == nil || err.Error() != c.want || !errors.Is(err, ErrMalformed) {
 			t.Errorf("error %v, want %s", err, c.want)
--- a/internal/fleet/faultreport/suspicion.go
+++ b/internal/fleet/faultreport/suspicion.go
@@ -24,7 +24,9 @@
 
 // grave reports whether a worker may be left out for a trouble. One that only stalls or fails some requests still
 // serves.
-func grave(t routing.Fault) bool { return t == routing.Unresponsive || t == routing.Unreachable }
+func warrantsEjection(t routing.Fault) bool {
+	return t == routing.Unresponsive || t == routing.Unreachable
+}
 
 // Accusation is what one scheduler finds wrong with a worker.
 type Accusation struct {
@@ -36,22 +38,22 @@
 	Attempts uint16 // that showed it
 }
 
-// MaxAccusations is how many accusations a statement holds, and MaxWorker how long a worker's id in one may be.
+// MaxAccusations is how many accusations a statement holds, and MaxWorkerIDBytes how long a worker's id in one may be.
 const (
-	MaxAccusations = 12
-	MaxWorker      = 48
-	maxBody        = 480
+	MaxAccusations    = 12
+	MaxWorkerIDBytes  = 48
+	maxStatementBytes = 480
 )
 
 var (
-	encoder = func() cbor.EncMode {
+	statementEncoder = func() cbor.EncMode {
 		m, err := cbor.CoreDetEncOptions().EncMode()
 		if err != nil {
 			panic(err) // the options are constant
 		}
 		return m
 	}()
-	decoder = func() cbor.DecMode {
+	statementDecoder = func() cbor.DecMode {
 		m, err := cbor.DecOptions{
 			MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16,
 			IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, UTF8: cbor.UTF8RejectInvalid,
@@ -72,10 +74,10 @@
 	slices.SortFunc(list, func(a, b Accusation) int {
 		return cmp.Or(cmp.Compare(a.Last, b.Last), cmp.Compare(a.Worker, b.Worker))
 	})
-	list = slices.DeleteFunc(list, func(a Accusation) bool { return len(a.Worker) > MaxWorker })
+	list = slices.DeleteFunc(list, func(a Accusation) bool { return len(a.Worker) > MaxWorkerIDBytes })
 	for list = list[:min(len(list), MaxAccusations)]; ; list = list[:len(list)-1] {
-		b, err := encoder.Marshal(list)
-		if err != nil || len(b) <= maxBody {
+		b, err := statementEncoder.Marshal(list)
+		if err != nil || len(b) <= maxStatementBytes {
 			return b, err
 		}
 	}
@@ -84,15 +86,15 @@
 // Decode reads the body of a statement.
 func Decode(b []byte) ([]Accusation, error) {
 	var list []Accusation
-	if len(b) > maxBody {
+	if len(b) > maxStatementBytes {
 		return nil, ErrMalformed
 	}
-	if err := decoder.Unmarshal(b, &list); err != nil {
+	if err := statementDecoder.Unmarshal(b, &list); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	seen := map[string]bool{}
 	for _, a := range list {
-		if a.Worker == "" || len(a.Worker) > MaxWorker || a.Trouble == routing.Healthy || a.Trouble > routing.Unreachable || a.Last > a.First ||
+		if a.Worker == "" || len(a.Worker) > MaxWorkerIDBytes || a.Trouble == routing.Healthy || a.Trouble > routing.Unreachable || a.Last > a.First ||
 			seen[a.Worker] {
 			return nil, ErrMalformed
 		}
@@ -112,19 +114,19 @@
 }
 
 const (
-	sayEvery    = 200 * time.Millisecond // the least time between two statements
-	repeats     = 3                      // statements within Config.ForgetAfter while there is something to say
-	least       = 2                      // accusers that it takes at the least: one alone leaves nobody out
-	contradicts = 300 * time.Millisecond // how far within the time of an accusation an answer must lie to belie it
-	creditLost  = 0.5                    // what a belied accusation leaves of its accuser's credit
-	creditLeast = 0.6                    // credit under which an accuser is not heard
-	creditBack  = 0.02                   // credit won back in a second
-	massShare   = 0.5                    // accusing more of the list than this, and more than
-	massLeast   = 4                      // this many, makes an accuser unheard
-	unheardFor  = 30 * time.Second       // for so long
-	holdEvery   = 500 * time.Millisecond // how often the Router is told the same
-	maxAccusers = 4096
-	maxSeen     = 4096 // own findings
+	minBroadcastInterval        = 200 * time.Millisecond // the least time between two statements
+	broadcastsPerTTL            = 3                      // statements within Config.ForgetAfter while there is something to say
+	minQuorum                   = 2                      // accusers that it takes at the least: one alone leaves nobody out
+	contradictionMargin         = 300 * time.Millisecond // how far within the time of an accusation an answer must lie to belie it
+	contradictionFactor         = 0.5                    // what a belied accusation leaves of its accuser's credit
+	minReputation               = 0.6                    // credit under which an accuser is not heard
+	reputationRecoveryPerSecond = 0.02                   // credit won back in a second
+	massReportFraction          = 0.5                    // accusing more of the list than this, and more than
+	massReportThreshold         = 4                      // this many, makes an accuser unheard
+	muteDuration                = 30 * time.Second       // for so long
+	verdictRefreshInterval      = 500 * time.Millisecond // how often the Router is told the same
+	maxReporters                = 4096
+	maxFindings                 = 4096 // own findings
 )
 
 // Event is something that a Core is told.
@@ -181,257 +183,257 @@
 
 // finding is what this scheduler finds of a worker.
 type finding struct {
-	trouble     routing.Fault
-	first, last time.Duration
-	attempts    uint16
-	well        time.Duration // latest answer
+	fault               routing.Fault
+	firstSeen, lastSeen time.Duration
+	attempts            uint16
+	lastHealthy         time.Duration // latest answer
 }
 
-type accuser struct {
-	here     bool // a member
-	credit   float64
-	creditAt time.Duration
-	unheard  time.Duration // until then
-	held     map[string]held
-	told     bool                     // that it is not heard
-	vouches  map[string]time.Duration // when it last vouched for a worker
+type reporter struct {
+	isMember           bool // a member
+	reputation         float64
+	reputationAt       time.Duration
+	mutedUntil         time.Duration // until then
+	reports            map[string]peerReport
+	discreditAnnounced bool                     // that it is not heard
+	clearedAt          map[string]time.Duration // when it last vouched for a worker
 }
 
 // held is an accusation, by the clock of this scheduler.
-type held struct {
-	trouble           routing.Fault
-	first, last, till time.Duration
-	belied            bool
+type peerReport struct {
+	fault                          routing.Fault
+	firstSeen, lastSeen, expiresAt time.Duration
+	contradicted                   bool
 }
 
 // Core is one scheduler's view. It is not safe for concurrent use.
 type Core struct {
-	cfg      Config
-	now      time.Duration
-	listed   map[string]bool
-	own      map[string]*finding
-	accusers map[string]*accuser
-	vouched  []string // workers that an accuser has just had an answer from
-	words    map[string]routing.PeerVerdict
-	holding  time.Duration // when the latest Hold was made
-	members  int           // with this one
-	said     time.Duration
-	changed  bool // own findings, since said
-	silent   int  // statements of nothing that are still to be made
-	acts     []Action
+	config              Config
+	now                 time.Duration
+	endpoints           map[string]bool
+	findings            map[string]*finding
+	reporters           map[string]*reporter
+	cleared             []string // workers that an accuser has just had an answer from
+	verdicts            map[string]routing.PeerVerdict
+	verdictsPublishedAt time.Duration // when the latest Hold was made
+	fleetSize           int           // with this one
+	broadcastAt         time.Duration
+	findingsChanged     bool // own findings, since said
+	emptyBroadcastsLeft int  // statements of nothing that are still to be made
+	actions             []Action
 }
 
 // New returns a Core that knows nothing.
 func New(c Config) *Core {
 	return &Core{
-		cfg: c, listed: map[string]bool{}, own: map[string]*finding{}, accusers: map[string]*accuser{},
-		words: map[string]routing.PeerVerdict{}, members: 1,
+		config: c, endpoints: map[string]bool{}, findings: map[string]*finding{}, reporters: map[string]*reporter{},
+		verdicts: map[string]routing.PeerVerdict{}, fleetSize: 1,
 	}
 }
 
 // Step tells the Core what happened at one moment and returns what is to be done.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
-	c.now, c.acts = max(now, c.now), nil
+	c.now, c.actions = max(now, c.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case FaultObserved:
-			c.saw(e)
+			c.observe(e)
 		case EndpointsChanged:
-			c.list(e.Workers)
+			c.setEndpoints(e.Workers)
 		case Members:
-			c.meet(e.Names)
+			c.setMembers(e.Names)
 		case Heard:
-			c.heard(e)
+			c.receive(e)
 		case Lied:
-			if a := c.accusers[e.From]; a != nil {
+			if a := c.reporters[e.From]; a != nil {
 				c.mute(e.From, a, "it tells different stories")
 			}
 		case Configure:
-			c.cfg = e.Config
+			c.config = e.Config
 		}
 	}
 	c.expire()
-	c.say()
-	c.hold()
-	return c.acts
+	c.broadcast()
+	c.publishVerdicts()
+	return c.actions
 }
 
 // Next is when Step must be called at the latest.
 func (c *Core) Next() time.Duration {
-	if len(c.words) == 0 && c.silent == 0 && !c.changed {
+	if len(c.verdicts) == 0 && c.emptyBroadcastsLeft == 0 && !c.findingsChanged {
 		return c.now + time.Second // only to forget
 	}
-	return c.now + sayEvery
+	return c.now + minBroadcastInterval
 }
 
 // Need is how many accusers it takes to leave a worker out: one more than may lie, and two at the least.
 func (c *Core) Need() int {
-	liars := c.cfg.Liars
+	liars := c.config.Liars
 	if liars < 0 {
-		liars = (c.members - 1) / 3
+		liars = (c.fleetSize - 1) / 3
 	}
-	return max(least, liars+1)
+	return max(minQuorum, liars+1)
 }
 
 // ---- what this scheduler sees ----
 
-func (c *Core) saw(e FaultObserved) {
-	f := c.own[e.Worker]
+func (c *Core) observe(e FaultObserved) {
+	f := c.findings[e.Worker]
 	if f == nil {
-		if len(c.own) >= maxSeen || !c.listed[e.Worker] {
+		if len(c.findings) >= maxFindings || !c.endpoints[e.Worker] {
 			return
 		}
 		f = &finding{}
-		c.own[e.Worker] = f
+		c.findings[e.Worker] = f
 	}
 	if e.Fault == routing.Healthy {
-		f.well = max(f.well, e.At)
-		if f.trouble != routing.Healthy {
-			c.changed = true
+		f.lastHealthy = max(f.lastHealthy, e.At)
+		if f.fault != routing.Healthy {
+			c.findingsChanged = true
 		}
-		f.trouble, f.attempts = routing.Healthy, 0
-		c.belie(e.Worker, e.At)
+		f.fault, f.attempts = routing.Healthy, 0
+		c.contradict(e.Worker, e.At)
 		return
 	}
-	if f.trouble != e.Fault {
-		f.trouble, f.first, f.attempts = e.Fault, e.At, 0
-		c.changed = true
-	} else if e.At > f.last {
-		c.changed = true // newer proof
+	if f.fault != e.Fault {
+		f.fault, f.firstSeen, f.attempts = e.Fault, e.At, 0
+		c.findingsChanged = true
+	} else if e.At > f.lastSeen {
+		c.findingsChanged = true // newer proof
 	}
-	f.last = max(f.last, e.At)
+	f.lastSeen = max(f.lastSeen, e.At)
 	f.attempts = min(f.attempts, 1<<15) + 1
 }
 
 // belie takes credit from those who found a worker silent while it answered here.
-func (c *Core) belie(worker string, at time.Duration) {
-	for _, name := range slices.Sorted(maps.Keys(c.accusers)) {
-		a := c.accusers[name]
-		h, ok := a.held[worker]
-		if !ok || h.belied || !grave(h.trouble) || at < h.first+contradicts || at > h.last-contradicts {
+func (c *Core) contradict(worker string, at time.Duration) {
+	for _, name := range slices.Sorted(maps.Keys(c.reporters)) {
+		a := c.reporters[name]
+		h, ok := a.reports[worker]
+		if !ok || h.contradicted || !warrantsEjection(h.fault) || at < h.firstSeen+contradictionMargin || at > h.lastSeen-contradictionMargin {
 			continue
 		}
-		h.belied = true
-		a.held[worker] = h
-		a.credit, a.creditAt = a.creditNow(c.now)*creditLost, c.now
-		if a.credit < creditLeast {
-			c.tell(name, a, "answers here belie what it says")
+		h.contradicted = true
+		a.reports[worker] = h
+		a.reputation, a.reputationAt = a.reputationNow(c.now)*contradictionFactor, c.now
+		if a.reputation < minReputation {
+			c.announceDiscredit(name, a, "answers here belie what it says")
 		}
 	}
 }
 
-func (a *accuser) creditNow(now time.Duration) float64 {
-	return min(1, a.credit+creditBack*(now-a.creditAt).Seconds())
+func (a *reporter) reputationNow(now time.Duration) float64 {
+	return min(1, a.reputation+reputationRecoveryPerSecond*(now-a.reputationAt).Seconds())
 }
 
 // ---- what others say ----
 
-func (c *Core) list(workers []string) {
-	clear(c.listed)
+func (c *Core) setEndpoints(workers []string) {
+	clear(c.endpoints)
 	for _, w := range workers {
-		c.listed[w] = true
+		c.endpoints[w] = true
 	}
-	maps.DeleteFunc(c.own, func(w string, f *finding) bool {
-		c.changed = c.changed || !c.listed[w] && f.trouble != routing.Healthy
-		return !c.listed[w]
+	maps.DeleteFunc(c.findings, func(w string, f *finding) bool {
+		c.findingsChanged = c.findingsChanged || !c.endpoints[w] && f.fault != routing.Healthy
+		return !c.endpoints[w]
 	})
 }
 
-func (c *Core) meet(names []string) {
-	for _, a := range c.accusers {
-		a.here = false
+func (c *Core) setMembers(names []string) {
+	for _, a := range c.reporters {
+		a.isMember = false
 	}
 	for _, n := range names {
-		if a := c.accuser(n); a != nil {
-			a.here = true
+		if a := c.ensureReporter(n); a != nil {
+			a.isMember = true
 		}
 	}
-	c.members = len(names) + 1
+	c.fleetSize = len(names) + 1
 }
 
-func (c *Core) accuser(name string) *accuser {
-	a := c.accusers[name]
-	if a == nil && len(c.accusers) < maxAccusers {
-		a = &accuser{credit: 1, held: map[string]held{}, vouches: map[string]time.Duration{}}
-		c.accusers[name] = a
+func (c *Core) ensureReporter(name string) *reporter {
+	a := c.reporters[name]
+	if a == nil && len(c.reporters) < maxReporters {
+		a = &reporter{reputation: 1, reports: map[string]peerReport{}, clearedAt: map[string]time.Duration{}}
+		c.reporters[name] = a
 	}
 	return a
 }
 
-func (c *Core) heard(e Heard) {
+func (c *Core) receive(e Heard) {
 	list, err := Decode(e.Body)
-	a := c.accusers[e.From]
+	a := c.reporters[e.From]
 	if err != nil || a == nil {
 		return
 	}
-	listed, before := 0, a.held
-	a.held = map[string]held{}
+	listed, before := 0, a.reports
+	a.reports = map[string]peerReport{}
 	for _, n := range list {
-		if !c.listed[n.Worker] {
+		if !c.endpoints[n.Worker] {
 			continue // it may be listed there already, or still
 		}
 		listed++
-		h := held{trouble: n.Trouble, first: c.now - ms(n.First), last: c.now - ms(n.Last)}
-		if h.till = h.last + c.cfg.ForgetAfter; h.till <= c.now {
+		h := peerReport{fault: n.Trouble, firstSeen: c.now - milliseconds(n.First), lastSeen: c.now - milliseconds(n.Last)}
+		if h.expiresAt = h.lastSeen + c.config.ForgetAfter; h.expiresAt <= c.now {
 			continue
 		}
 		// Once belied it stays so, however often it is said again, as long as it is the same trouble.
-		if old, ok := before[n.Worker]; ok && old.belied && h.first < old.last {
-			h.belied = true
+		if old, ok := before[n.Worker]; ok && old.contradicted && h.firstSeen < old.lastSeen {
+			h.contradicted = true
 		}
-		a.held[n.Worker] = h
-		if f := c.own[n.Worker]; f != nil && f.well > 0 && !h.belied {
-			c.belie(n.Worker, f.well)
+		a.reports[n.Worker] = h
+		if f := c.findings[n.Worker]; f != nil && f.lastHealthy > 0 && !h.contradicted {
+			c.contradict(n.Worker, f.lastHealthy)
 		}
 	}
-	if listed > massLeast && float64(listed) > massShare*float64(len(c.listed)) {
+	if listed > massReportThreshold && float64(listed) > massReportFraction*float64(len(c.endpoints)) {
 		c.mute(e.From, a, "it accuses most of the workers")
 		return
 	}
 	// Whoever takes its word back has had an answer. It may be a liar's, and brings one trial at the most; so it is
 	// heeded once in a while for each worker.
 	for _, w := range slices.Sorted(maps.Keys(before)) {
-		h, at := before[w], a.vouches[w]
-		if _, still := a.held[w]; !still && grave(h.trouble) && !h.belied && c.heeded(a) &&
-			(at == 0 || c.now-at >= c.cfg.ForgetAfter) {
-			a.vouches[w] = c.now
-			c.vouched = append(c.vouched, w)
+		h, at := before[w], a.clearedAt[w]
+		if _, still := a.reports[w]; !still && warrantsEjection(h.fault) && !h.contradicted && c.isTrusted(a) &&
+			(at == 0 || c.now-at >= c.config.ForgetAfter) {
+			a.clearedAt[w] = c.now
+			c.cleared = append(c.cleared, w)
 		}
 	}
 }
 
-func ms(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func (c *Core) mute(name string, a *accuser, why string) {
-	a.unheard = c.now + unheardFor
-	clear(a.held)
-	c.tell(name, a, why)
+func (c *Core) mute(name string, a *reporter, why string) {
+	a.mutedUntil = c.now + muteDuration
+	clear(a.reports)
+	c.announceDiscredit(name, a, why)
 }
 
-func (c *Core) tell(name string, a *accuser, why string) {
-	if !a.told {
-		a.told = true
-		c.acts = append(c.acts, Discredited{name, why})
+func (c *Core) announceDiscredit(name string, a *reporter, why string) {
+	if !a.discreditAnnounced {
+		a.discreditAnnounced = true
+		c.actions = append(c.actions, Discredited{name, why})
 	}
 }
 
 // heeded reports whether an accuser counts.
-func (c *Core) heeded(a *accuser) bool {
-	return a.here && c.now >= a.unheard && a.creditNow(c.now) >= creditLeast
+func (c *Core) isTrusted(a *reporter) bool {
+	return a.isMember && c.now >= a.mutedUntil && a.reputationNow(c.now) >= minReputation
 }
 
 func (c *Core) expire() {
-	maps.DeleteFunc(c.accusers, func(_ string, a *accuser) bool {
-		maps.DeleteFunc(a.held, func(w string, h held) bool { return c.now >= h.till || !c.listed[w] })
-		maps.DeleteFunc(a.vouches, func(_ string, at time.Duration) bool { return c.now-at >= c.cfg.ForgetAfter })
-		if c.heeded(a) {
-			a.told = false
+	maps.DeleteFunc(c.reporters, func(_ string, a *reporter) bool {
+		maps.DeleteFunc(a.reports, func(w string, h peerReport) bool { return c.now >= h.expiresAt || !c.endpoints[w] })
+		maps.DeleteFunc(a.clearedAt, func(_ string, at time.Duration) bool { return c.now-at >= c.config.ForgetAfter })
+		if c.isTrusted(a) {
+			a.discreditAnnounced = false
 		}
-		return !a.here && len(a.held) == 0 && c.now >= a.unheard && a.creditNow(c.now) >= 1
+		return !a.isMember && len(a.reports) == 0 && c.now >= a.mutedUntil && a.reputationNow(c.now) >= 1
 	})
-	for _, f := range c.own {
-		if f.trouble != routing.Healthy && c.now-f.last >= c.cfg.ForgetAfter {
-			f.trouble, f.attempts, c.changed = routing.Healthy, 0, true
+	for _, f := range c.findings {
+		if f.fault != routing.Healthy && c.now-f.lastSeen >= c.config.ForgetAfter {
+			f.fault, f.attempts, c.findingsChanged = routing.Healthy, 0, true
 		}
 	}
 }
@@ -439,47 +441,47 @@
 // ---- what comes of it ----
 
 // say makes a statement of what is found here: when that has changed, and again as long as there is anything.
-func (c *Core) say() {
-	again := c.now-c.said >= c.cfg.ForgetAfter/repeats
-	if c.now-c.said < sayEvery || !c.changed && !again {
+func (c *Core) broadcast() {
+	again := c.now-c.broadcastAt >= c.config.ForgetAfter/broadcastsPerTTL
+	if c.now-c.broadcastAt < minBroadcastInterval || !c.findingsChanged && !again {
 		return
 	}
 	var list []Accusation
-	for _, w := range slices.Sorted(maps.Keys(c.own)) {
-		if f := c.own[w]; f.trouble != routing.Healthy {
+	for _, w := range slices.Sorted(maps.Keys(c.findings)) {
+		if f := c.findings[w]; f.fault != routing.Healthy {
 			list = append(list, Accusation{
-				Worker: w, Trouble: f.trouble, First: ago(c.now, f.first),
-				Last: ago(c.now, f.last), Attempts: f.attempts,
+				Worker: w, Trouble: f.fault, First: millisecondsSince(c.now, f.firstSeen),
+				Last: millisecondsSince(c.now, f.lastSeen), Attempts: f.attempts,
 			})
 		}
 	}
 	if len(list) > 0 {
-		c.silent = repeats
-	} else if c.silent == 0 {
-		c.changed = false
+		c.emptyBroadcastsLeft = broadcastsPerTTL
+	} else if c.emptyBroadcastsLeft == 0 {
+		c.findingsChanged = false
 		return
 	} else {
-		c.silent-- // that there is nothing any more may be lost on its way
+		c.emptyBroadcastsLeft-- // that there is nothing any more may be lost on its way
 	}
-	c.said, c.changed = c.now, false
-	c.acts = append(c.acts, Say{list})
+	c.broadcastAt, c.findingsChanged = c.now, false
+	c.actions = append(c.actions, Say{list})
 }
 
-func ago(now, at time.Duration) uint32 { return uint32(max(0, now-at).Milliseconds()) }
+func millisecondsSince(now, at time.Duration) uint32 { return uint32(max(0, now-at).Milliseconds()) }
 
 // hold works out the word on each worker.
-func (c *Core) hold() {
+func (c *Core) publishVerdicts() {
 	graves, all := map[string]int{}, map[string]int{}
-	for _, a := range c.accusers {
-		if !c.heeded(a) {
+	for _, a := range c.reporters {
+		if !c.isTrusted(a) {
 			continue
 		}
-		for w, h := range a.held {
-			if h.belied {
+		for w, h := range a.reports {
+			if h.contradicted {
 				continue
 			}
 			all[w]++
-			if grave(h.trouble) {
+			if warrantsEjection(h.fault) {
 				graves[w]++
 			}
 		}
@@ -489,7 +491,7 @@
 		words[w] = routing.Reported
 	}
 	// Those with the most accusers come first where not all may be left out; those left out before stay so.
-	need, most := c.Need(), int(c.cfg.LeaveOut*float64(len(c.listed)))
+	need, most := c.Need(), int(c.config.LeaveOut*float64(len(c.endpoints)))
 	var ill []string
 	for w, n := range graves {
 		if n >= need {
@@ -497,20 +499,20 @@
 		}
 	}
 	slices.SortFunc(ill, func(a, b string) int {
-		return cmp.Or(cmp.Compare(rank(c.words[b]), rank(c.words[a])), cmp.Compare(graves[b], graves[a]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(verdictRank(c.verdicts[b]), verdictRank(c.verdicts[a])), cmp.Compare(graves[b], graves[a]), cmp.Compare(a, b))
 	})
 	for _, w := range ill[:min(len(ill), most)] {
 		words[w] = routing.Confirmed
 	}
 	// The Router weighs them against its own answers, which age.
-	if !maps.Equal(words, c.words) || len(c.vouched) > 0 || len(words) > 0 && c.now-c.holding >= holdEvery {
-		c.words, c.holding = words, c.now
-		c.acts = append(c.acts, Hold{routing.PeerReports{Verdicts: maps.Clone(words), Cleared: c.vouched}})
-		c.vouched = nil
+	if !maps.Equal(words, c.verdicts) || len(c.cleared) > 0 || len(words) > 0 && c.now-c.verdictsPublishedAt >= verdictRefreshInterval {
+		c.verdicts, c.verdictsPublishedAt = words, c.now
+		c.actions = append(c.actions, Hold{routing.PeerReports{Verdicts: maps.Clone(words), Cleared: c.cleared}})
+		c.cleared = nil
 	}
 }
 
-func rank(w routing.PeerVerdict) int {
+func verdictRank(w routing.PeerVerdict) int {
 	if w == routing.Confirmed {
 		return 1
 	}
--- a/internal/fleet/faultreport/suspicion_test.go
+++ b/internal/fleet/faultreport/suspicion_test.go
@@ -13,20 +13,20 @@
 const second = time.Second
 
 // fataler is a test, or one run of a property.
-type fataler interface{ Fatal(args ...any) }
+type fatalReporter interface{ Fatal(args ...any) }
 
 // fleet is the cores of honest schedulers among liars, with statements passed at once.
-type fleet struct {
-	t     fataler
-	now   time.Duration
-	names []string
-	cores map[string]*Core // of the honest
-	words map[string]map[string]routing.PeerVerdict
-	told  []string // who was discredited, by whom
+type testFleet struct {
+	tb          fatalReporter
+	now         time.Duration
+	names       []string
+	cores       map[string]*Core // of the honest
+	verdicts    map[string]map[string]routing.PeerVerdict
+	discredited []string // who was discredited, by whom
 }
 
-func newFleet(t fataler, members, liars, workers int, change ...func(*Config)) *fleet {
-	f := &fleet{t: t, now: time.Hour, cores: map[string]*Core{}, words: map[string]map[string]routing.PeerVerdict{}}
+func newFleet(t fatalReporter, members, liars, workers int, change ...func(*Config)) *testFleet {
+	f := &testFleet{tb: t, now: time.Hour, cores: map[string]*Core{}, verdicts: map[string]map[string]routing.PeerVerdict{}}
 	cfg := Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: 10 * second}
 	for _, c := range change {
 		c(&cfg)
@@ -46,37 +46,37 @@
 				others = append(others, o)
 			}
 		}
-		f.step(n, EndpointsChanged{list(workers)}, Members{others})
+		f.step(n, EndpointsChanged{workerNames(workers)}, Members{others})
 	}
 	return f
 }
 
-func list(n int) (all []string) {
+func workerNames(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("w%d", i))
 	}
 	return all
 }
 
-func (f *fleet) step(n string, events ...Event) {
+func (f *testFleet) step(n string, events ...Event) {
 	c := f.cores[n]
 	for _, a := range c.Step(f.now, events) {
 		switch a := a.(type) {
 		case Say:
-			f.say(n, a.Accusations)
+			f.deliver(n, a.Accusations)
 		case Hold:
-			f.words[n] = a.Verdicts
+			f.verdicts[n] = a.Verdicts
 		case Discredited:
-			f.told = append(f.told, n+" "+a.From)
+			f.discredited = append(f.discredited, n+" "+a.From)
 		}
 	}
 }
 
 // say passes a statement on to all others that are honest.
-func (f *fleet) say(from string, list []Accusation, only ...string) {
+func (f *testFleet) deliver(from string, list []Accusation, only ...string) {
 	body, err := Encode(list)
 	if err != nil {
-		f.t.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	for _, n := range f.names {
 		if f.cores[n] != nil && n != from && (len(only) == 0 || n == only[0]) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (f *fleet) run(d time.Duration) {
+func (f *testFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += 100 * time.Millisecond
 		for _, n := range f.names {
@@ -96,9 +96,9 @@
 	}
 }
 
-func (f *fleet) word(n, w string) routing.PeerVerdict { return f.words[n][w] }
+func (f *testFleet) verdict(n, w string) routing.PeerVerdict { return f.verdicts[n][w] }
 
-func silent(w string) []Accusation {
+func unresponsiveReport(w string) []Accusation {
 	return []Accusation{{Worker: w, Trouble: routing.Unresponsive, First: 2000, Last: 0, Attempts: 9}}
 }
 
@@ -108,12 +108,12 @@
 		f := newFleet(t, 12, liars, 20)
 		for range 20 {
 			for i := range liars {
-				f.say(f.names[i], silent("w3"))
+				f.deliver(f.names[i], unresponsiveReport("w3"))
 			}
 			f.run(500 * time.Millisecond)
 		}
 		for n := range f.cores {
-			if got := f.word(n, "w3"); got != want {
+			if got := f.verdict(n, "w3"); got != want {
 				t.Errorf("%d liars: %s holds %v, want %v", liars, n, got, want)
 			}
 		}
@@ -124,23 +124,23 @@
 func TestMassAccuser(t *testing.T) {
 	f := newFleet(t, 12, 1, 10)
 	var all []Accusation
-	for _, w := range list(10) {
-		all = append(all, silent(w)[0])
+	for _, w := range workerNames(10) {
+		all = append(all, unresponsiveReport(w)[0])
 	}
-	f.say("n0", all)
+	f.deliver("n0", all)
 	f.run(second)
-	f.say("n0", silent("w1")) // nor anything else that it says meanwhile
+	f.deliver("n0", unresponsiveReport("w1")) // nor anything else that it says meanwhile
 	for n := range f.cores {
-		if len(f.words[n]) > 0 {
-			t.Errorf("%s holds %v", n, f.words[n])
+		if len(f.verdicts[n]) > 0 {
+			t.Errorf("%s holds %v", n, f.verdicts[n])
 		}
 	}
-	if len(f.told) != 11 {
-		t.Errorf("%d instances said that it is not heard, want 11", len(f.told))
+	if len(f.discredited) != 11 {
+		t.Errorf("%d instances said that it is not heard, want 11", len(f.discredited))
 	}
-	f.run(unheardFor)
-	f.say("n0", silent("w1"))
-	if got := f.word("n5", "w1"); got != routing.Reported {
+	f.run(muteDuration)
+	f.deliver("n0", unresponsiveReport("w1"))
+	if got := f.verdict("n5", "w1"); got != routing.Reported {
 		t.Errorf("after a while it is heard again: %v", got)
 	}
 }
@@ -151,19 +151,19 @@
 	for i := range 8 {
 		w := fmt.Sprintf("w%d", i%2)
 		f.step("n1", FaultObserved{w, routing.Healthy, f.now - second})
-		f.say("n0", silent(w))
+		f.deliver("n0", unresponsiveReport(w))
 		f.run(500 * time.Millisecond)
 	}
-	f.say("n0", silent("w7"))
-	if got := f.word("n1", "w7"); got != routing.NotReported {
+	f.deliver("n0", unresponsiveReport("w7"))
+	if got := f.verdict("n1", "w7"); got != routing.NotReported {
 		t.Errorf("one that was belied is heard: %v", got)
 	}
-	if got := f.word("n2", "w7"); got != routing.Reported {
+	if got := f.verdict("n2", "w7"); got != routing.Reported {
 		t.Errorf("one that nobody belied is not heard: %v", got)
 	}
 	f.run(40 * second)
-	f.say("n0", silent("w7"))
-	if got := f.word("n1", "w7"); got != routing.Reported {
+	f.deliver("n0", unresponsiveReport("w7"))
+	if got := f.verdict("n1", "w7"); got != routing.Reported {
 		t.Errorf("its credit does not come back: %v", got)
 	}
 }
@@ -180,8 +180,8 @@
 		see("w4", routing.Unresponsive, "n1", "n5", "n8", "n9")
 		f.run(second)
 	}
-	for n, words := range f.words {
-		if n != "n1" && words["w4"] != routing.Confirmed && f.cores[n].own["w4"] == nil {
+	for n, words := range f.verdicts {
+		if n != "n1" && words["w4"] != routing.Confirmed && f.cores[n].findings["w4"] == nil {
 			t.Errorf("%s holds %v", n, words["w4"])
 		}
 	}
@@ -196,7 +196,7 @@
 	}
 	see("w4", routing.Healthy, "n1", "n5", "n8", "n9")
 	f.run(second)
-	for n, words := range f.words {
+	for n, words := range f.verdicts {
 		if words["w4"] != routing.NotReported {
 			t.Errorf("%s still holds %v", n, words["w4"])
 		}
@@ -215,19 +215,19 @@
 func TestExpires(t *testing.T) {
 	f := newFleet(t, 12, 4, 20)
 	for i := range 4 {
-		f.say(f.names[i], append(silent("w3"), silent("w4")...))
+		f.deliver(f.names[i], append(unresponsiveReport("w3"), unresponsiveReport("w4")...))
 	}
-	if f.word("n9", "w3") != routing.Confirmed {
+	if f.verdict("n9", "w3") != routing.Confirmed {
 		t.Fatal("not believed")
 	}
-	f.step("n9", EndpointsChanged{list(4)})
+	f.step("n9", EndpointsChanged{workerNames(4)})
 	f.run(100 * time.Millisecond)
-	if f.word("n9", "w4") != routing.NotReported || f.word("n9", "w3") != routing.Confirmed {
-		t.Errorf("after w4 has gone: %v", f.words["n9"])
+	if f.verdict("n9", "w4") != routing.NotReported || f.verdict("n9", "w3") != routing.Confirmed {
+		t.Errorf("after w4 has gone: %v", f.verdicts["n9"])
 	}
 	f.run(10 * second)
-	if len(f.words["n9"]) > 0 {
-		t.Errorf("after its time: %v", f.words["n9"])
+	if len(f.verdicts["n9"]) > 0 {
+		t.Errorf("after its time: %v", f.verdicts["n9"])
 	}
 }
 
@@ -238,14 +238,14 @@
 		for i := range 6 {
 			var some []Accusation
 			for w := range 9 {
-				some = append(some, silent(fmt.Sprintf("w%d", w))[0])
+				some = append(some, unresponsiveReport(fmt.Sprintf("w%d", w))[0])
 			}
-			f.say(f.names[i], some)
+			f.deliver(f.names[i], some)
 		}
 		f.run(second)
 	}
 	out := 0
-	for _, w := range f.words["n8"] {
+	for _, w := range f.verdicts["n8"] {
 		if w == routing.Confirmed {
 			out++
 		}
@@ -276,20 +276,20 @@
 					})
 				}
 				honest := f.names[rapid.IntRange(liars, n-1).Draw(t, "to")]
-				f.say(f.names[rapid.IntRange(0, liars-1).Draw(t, "liar")], lies, honest)
+				f.deliver(f.names[rapid.IntRange(0, liars-1).Draw(t, "liar")], lies, honest)
 			case move == 2:
 				f.step(f.names[rapid.IntRange(liars, n-1).Draw(t, "by")], FaultObserved{w, routing.Healthy, f.now})
 			default:
 				f.run(time.Duration(rapid.IntRange(1, 3000).Draw(t, "wait")) * time.Millisecond)
 			}
-			for name, words := range f.words {
+			for name, words := range f.verdicts {
 				for w, word := range words {
 					if word == routing.Confirmed {
 						t.Fatalf("%s believes that %s is ill on the word of %d liars of %d", name, w, liars, n)
 					}
 				}
-				if c := f.cores[name]; len(c.accusers) > n || len(c.own) > workers {
-					t.Fatalf("%s holds %d accusers and %d findings", name, len(c.accusers), len(c.own))
+				if c := f.cores[name]; len(c.reporters) > n || len(c.findings) > workers {
+					t.Fatalf("%s holds %d accusers and %d findings", name, len(c.reporters), len(c.findings))
 				}
 			}
 		}
@@ -306,14 +306,14 @@
 			}
 			f.run(second)
 		}
-		if got := f.words[f.names[n-1]]["w0"]; got != routing.Confirmed {
+		if got := f.verdicts[f.names[n-1]]["w0"]; got != routing.Confirmed {
 			t.Fatalf("a silence that %d see is held as %v by another of %d", seers, got, n)
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(mustEncode(silent("w1")))
+	f.Add(mustEncode(unresponsiveReport("w1")))
 	f.Add([]byte{0x9f, 0x9f, 0x9f})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -344,19 +344,19 @@
 func TestEquivocation(t *testing.T) {
 	f := newFleet(t, 12, 3, 20)
 	for i := range 3 {
-		f.say(f.names[i], silent("w3"), "n5")
-		f.say(f.names[i], silent("w4"), "n6")
+		f.deliver(f.names[i], unresponsiveReport("w3"), "n5")
+		f.deliver(f.names[i], unresponsiveReport("w4"), "n6")
 	}
 	f.run(second)
 	for _, n := range []string{"n5", "n6"} {
-		for w, word := range f.words[n] {
+		for w, word := range f.verdicts[n] {
 			if word == routing.Confirmed {
 				t.Errorf("%s believes that %s is ill", n, w)
 			}
 		}
 	}
 	f.step("n5", Lied{"n0"}, Lied{"n1"}, Lied{"n2"})
-	if len(f.words["n5"]) > 0 || len(f.told) != 3 {
-		t.Errorf("%v is still held, %v said", f.words["n5"], f.told)
+	if len(f.verdicts["n5"]) > 0 || len(f.discredited) != 3 {
+		t.Errorf("%v is still held, %v said", f.verdicts["n5"], f.discredited)
 	}
 }
