--- /dev/null
+++ b/internal/fleet/faultreport/fleet_test.go
@@ -0,0 +1,121 @@
+package faultreport
+
+import (
+	"fmt"
+	"time"
+
+	"calicohill/routing"
+)
+
+// fatalReporter is a test, or one run of a property.
+type fatalReporter interface{ Fatal(args ...any) }
+
+// testFleet holds the cores of the honest members of a fleet; statements are delivered at once.
+type testFleet struct {
+	tb          fatalReporter
+	now         time.Duration
+	names       []string
+	cores       map[string]*Core // of the honest
+	verdicts    map[string]map[string]routing.PeerVerdict
+	discredited []string // "BY NAME" for each Discredited
+}
+
+// newFleet returns a fleet whose first members are byzantine and have no core.
+func newFleet(tb fatalReporter, members, byzantine, workers int) *testFleet {
+	fleet := &testFleet{
+		tb:       tb,
+		now:      time.Hour,
+		cores:    map[string]*Core{},
+		verdicts: map[string]map[string]routing.PeerVerdict{},
+	}
+	config := Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: 10 * second}
+	for i := range members {
+		fleet.names = append(fleet.names, fmt.Sprintf("n%d", i))
+	}
+	for i, name := range fleet.names {
+		if i < byzantine {
+			continue
+		}
+		fleet.cores[name] = New(config)
+		var others []string
+		for _, other := range fleet.names {
+			if other != name {
+				others = append(others, other)
+			}
+		}
+		fleet.step(name, EndpointsChanged{workerNames(workers)}, Members{others})
+	}
+	return fleet
+}
+
+// workerNames returns w0, w1 and so on.
+func workerNames(count int) (names []string) {
+	for i := range count {
+		names = append(names, fmt.Sprintf("w%d", i))
+	}
+	return names
+}
+
+// step applies events to a member's core and carries out its actions.
+func (f *testFleet) step(name string, events ...Event) {
+	for _, action := range f.cores[name].Step(f.now, events) {
+		switch action := action.(type) {
+		case Say:
+			f.deliver(name, action.Accusations)
+		case Hold:
+			f.verdicts[name] = action.Verdicts
+		case Discredited:
+			f.discredited = append(f.discredited, name+" "+action.From)
+		}
+	}
+}
+
+// deliver passes a statement on to all other honest members, or to one only.
+func (f *testFleet) deliver(from string, reports []Accusation, only ...string) {
+	body, err := Encode(reports)
+	if err != nil {
+		f.tb.Fatal(err)
+	}
+	for _, name := range f.names {
+		if f.cores[name] != nil && name != from && (len(only) == 0 || name == only[0]) {
+			f.step(name, Heard{from, body})
+		}
+	}
+}
+
+// run lets time go by in steps of 100 ms.
+func (f *testFleet) run(duration time.Duration) {
+	for end := f.now + duration; f.now < end; {
+		f.now += 100 * time.Millisecond
+		for _, name := range f.names {
+			if f.cores[name] != nil {
+				f.step(name)
+			}
+		}
+	}
+}
+
+// verdict returns the latest verdict that a member published on a worker.
+func (f *testFleet) verdict(member, worker string) routing.PeerVerdict {
+	return f.verdicts[member][worker]
+}
+
+// unresponsiveReport returns a statement with one report of a fault that warrants ejection.
+func unresponsiveReport(worker string) []Accusation {
+	return []Accusation{{Worker: worker, Trouble: routing.Unresponsive, First: 2000, Last: 0, Attempts: 9}}
+}
+
+func mustEncode(reports []Accusation) []byte {
+	body, err := Encode(reports)
+	if err != nil {
+		panic(err)
+	}
+	return body
+}
+
+func workersOf(reports []Accusation) (names []string) {
+	for _, report := range reports {
+		names = append(names, report.Worker)
+	}
+	return names
+}
--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -61,20 +61,20 @@
 	}
 }
 
-// A statement's body is encoded to the golden bytes, and the golden bytes decode to its accusations.
+// A statement's body is encoded to the golden bytes, and the golden bytes decode to its reports.
 func TestGoldenStatements(t *testing.T) {
 	silent := Accusation{Worker: "w-1", Trouble: routing.Unresponsive, First: 1200, Last: 0, Attempts: 7}
 	stalled := Accusation{Worker: "w-2", Trouble: routing.Slow, First: 30_000, Last: 24, Attempts: 300}
 	failing := Accusation{Worker: "vävare/3", Trouble: routing.Failing, First: 4_294_967_295, Last: 256, Attempts: 65_535}
 	unreachable := Accusation{Worker: "w-4", Trouble: routing.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
-	var long []Accusation // more than fit: those with the least Last are kept
+	var long []Accusation // more than fit: the most recent are kept
 	for i := range uint32(14) {
 		long = append(long, Accusation{
 			Worker: strings.Repeat(string(rune('a'+i)), MaxWorkerIDBytes), Trouble: routing.Unresponsive,
 			First: 100_000, Last: 100 - i, Attempts: 10,
 		})
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name       string
 		list, want []Accusation
 	}{
@@ -86,37 +86,37 @@
 		{"all.cbor", []Accusation{unreachable, failing, stalled, silent}, []Accusation{silent, stalled, failing, unreachable}},
 		{"long.cbor", long, []Accusation{long[13], long[12], long[11], long[10], long[9], long[8], long[7]}},
 	} {
-		encoded, err := Encode(c.list)
+		encoded, err := Encode(tt.list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, c.name, encoded)
-		decoded, err := Decode(readGolden(t, c.name))
+		compareGolden(t, tt.name, encoded)
+		decoded, err := Decode(readGolden(t, tt.name))
 		if err != nil {
-			t.Fatalf("%s: %v", c.name, err)
+			t.Fatalf("%s: %v", tt.name, err)
 		}
-		if !reflect.DeepEqual(decoded, c.want) {
-			t.Errorf("%s: read as\n%+v\nwant\n%+v", c.name, decoded, c.want)
+		if !reflect.DeepEqual(decoded, tt.want) {
+			t.Errorf("%s: read as\n%+v\nwant\n%+v", tt.name, decoded, tt.want)
 		}
 	}
 }
 
-// The error texts of bodies that do not count.
+// The error texts of malformed bodies.
 func TestGoldenErrors(t *testing.T) {
 	whole := readGolden(t, "all.cbor")
-	wrongTrouble := bytes.Clone(readGolden(t, "silent.cbor"))
-	place := bytes.Index(wrongTrouble, []byte("w-1")) + len("w-1")
-	wrongTrouble[place] = byte(routing.Unreachable) + 1
-	for _, c := range []struct {
+	wrongFault := bytes.Clone(readGolden(t, "silent.cbor"))
+	place := bytes.Index(wrongFault, []byte("w-1")) + len("w-1")
+	wrongFault[place] = byte(routing.Unreachable) + 1
+	for _, tt := range []struct {
 		body []byte
 		want string
 	}{
 		{whole[:len(whole)-1], "suspicion: malformed statement: unexpected EOF"},
-		{wrongTrouble, "suspicion: malformed statement"},
+		{wrongFault, "suspicion: malformed statement"},
 		{make([]byte, maxStatementBytes+1), "suspicion: malformed statement"},
 	} {
-		if _, err := Decode(c.body); err == nil || err.Error() != c.want || !errors.Is(err, ErrMalformed) {
-			t.Errorf("error %v, want %s", err, c.want)
+		if _, err := Decode(tt.body); err == nil || err.Error() != tt.want || !errors.Is(err, ErrMalformed) {
+			t.Errorf("error %v, want %s", err, tt.want)
 		}
 	}
 }
