--- a/internal/fleet/quota/allowance.go
+++ b/internal/fleet/quota/allowance.go
@@ -7,7 +7,7 @@
 // what may be used.
 //
 // What holds whatever is lost, doubled, late, out of order, stopped or started anew, as long as each clock runs between 1 -
-// Drift and 1 + Drift of true time and all members that run are told sizes of the fleet no smaller than their number: the
+// MaxClockDrift and 1 + MaxClockDrift of true time and all members that run are told sizes of the fleet no smaller than their number: the
 // sum of what all may use, and of what is still in use, is never above the whole. The argument is in docs/design/shared.md, and
 // the checker in this package's tests looks for a course that breaks it.
 package quota
@@ -24,153 +24,153 @@
 
 // Budget is something that all members together may have so many units of in use.
 type Budget struct {
-	Name  string
-	Whole int64         // units, of all members together
-	Hold  time.Duration // for how long a unit may stay in use once taken
+	Name     string
+	Total    int64         // units, of all members together
+	HoldTime time.Duration // for how long a unit may stay in use once taken
 }
 
 // Config is what a Core works with.
 type Config struct {
-	Self    string
-	Epoch   int64 // of this start; later ones are greater
-	Members int   // of the fleet, as told: while that changes, the largest that any of them may still be told
-	Budgets []Budget
-	Lease   time.Duration // for how long units are lent
-	Drift   float64       // by which part of true time a clock may be fast or slow, below 1
+	Self          string
+	Epoch         int64 // of this start; later ones are greater
+	FleetSize     int   // of the fleet, as told: while that changes, the largest that any of them may still be told
+	Budgets       []Budget
+	LeaseDuration time.Duration // for how long units are lent
+	MaxClockDrift float64       // by which part of true time a clock may be fast or slow, below 1
 }
 
-var errConfig = errors.New("allowance: unusable settings")
+var ErrInvalidConfig = errors.New("allowance: unusable settings")
 
 const (
-	saysMost  = 8                 // loans, and wants, that a statement holds
-	mostWhole = math.MaxInt64 / 4 // sums of two stay in range
+	maxStatementEntries = 8                 // loans, and wants, that a statement holds
+	maxBudgetTotal      = math.MaxInt64 / 4 // sums of two stay in range
 	// Of those that hear a want so many times what it takes answer it: some have nothing to spare.
-	answers = 2.0
+	targetOfferRatio = 2.0
 )
 
 // Statement is what a member tells all others. A later one takes the place of an earlier one.
 type Statement struct {
-	Members int    `cbor:"1,keyasint"` // as it was told
-	Wants   []Want `cbor:"2,keyasint,omitempty"`
-	Loans   []Loan `cbor:"3,keyasint,omitempty"` // all that it counts as lent
+	FleetSize int            `cbor:"1,keyasint"` // as it was told
+	Requests  []LeaseRequest `cbor:"2,keyasint,omitempty"`
+	Leases    []Lease        `cbor:"3,keyasint,omitempty"` // all that it counts as lent
 }
 
-// Want asks for units of a budget.
-type Want struct {
+// LeaseRequest asks for units of a budget.
+type LeaseRequest struct {
 	Budget string `cbor:"1,keyasint"`
 	Number uint32 `cbor:"2,keyasint"` // of the want; later ones are greater
 	Units  int64  `cbor:"3,keyasint"`
 }
 
-// Loan lends units to a member, in answer to a want of it.
-type Loan struct {
-	Budget string `cbor:"1,keyasint"`
-	To     string `cbor:"2,keyasint"`
-	Epoch  int64  `cbor:"3,keyasint"` // the borrower's
-	Want   uint32 `cbor:"4,keyasint"`
-	Units  int64  `cbor:"5,keyasint"`
+// Lease lends units to a member, in answer to a want of it.
+type Lease struct {
+	Budget        string `cbor:"1,keyasint"`
+	Borrower      string `cbor:"2,keyasint"`
+	BorrowerEpoch int64  `cbor:"3,keyasint"` // the borrower's
+	Request       uint32 `cbor:"4,keyasint"`
+	Units         int64  `cbor:"5,keyasint"`
 }
 
-// Event is something that a Core is told. The concrete types are Needs, Heard, Resize and Gone.
+// Event is something that a Core is told. The concrete types are DemandChanged, StatementReceived, FleetResized and MemberForgotten.
 type Event interface{ event() }
 
-// Needs says how many units of a budget this member has a use for, those in use included.
-type Needs struct {
+// DemandChanged says how many units of a budget this member has a use for, those in use included.
+type DemandChanged struct {
 	Budget string
 	Units  int64
 }
 
-// Heard brings the statement of another member, which is known to be its own.
-type Heard struct {
+// StatementReceived brings the statement of another member, which is known to be its own.
+type StatementReceived struct {
 	From  string
 	Epoch int64
 	Statement
 }
 
-// Resize says that another size of the fleet is told.
-type Resize struct{ Members int }
+// FleetResized says that another size of the fleet is told.
+type FleetResized struct{ FleetSize int }
 
-// Gone says that a member is forgotten. What it lent lasts.
-type Gone struct{ Name string }
+// MemberForgotten says that a member is forgotten. What it lent lasts.
+type MemberForgotten struct{ Name string }
 
-func (Gone) event()   {}
-func (Needs) event()  {}
-func (Heard) event()  {}
-func (Resize) event() {}
+func (MemberForgotten) event()   {}
+func (DemandChanged) event()     {}
+func (StatementReceived) event() {}
+func (FleetResized) event()      {}
 
-// Action is something that a Core asks for. The concrete types are Say, Allow and Lied.
+// Action is something that a Core asks for. The concrete types are Broadcast, LimitChanged and OverlendingDetected.
 type Action interface{ action() }
 
-// Say has a statement told to all others, in place of the one before.
-type Say struct{ Statement }
+// Broadcast has a statement told to all others, in place of the one before.
+type Broadcast struct{ Statement }
 
-// Allow says how many units may be in use from now on.
-type Allow struct {
+// LimitChanged says how many units may be in use from now on.
+type LimitChanged struct {
 	Budget string
 	Units  int64
 }
 
-// Lied says that a member lends what it does not own. Nothing is borrowed from it.
-type Lied struct{ From string }
+// OverlendingDetected says that a member lends what it does not own. Nothing is borrowed from it.
+type OverlendingDetected struct{ From string }
 
-func (Say) action()   {}
-func (Allow) action() {}
-func (Lied) action()  {}
+func (Broadcast) action()           {}
+func (LimitChanged) action()        {}
+func (OverlendingDetected) action() {}
 
 // Core is one member's books. It is not safe for concurrent use.
 type Core struct {
-	cfg     Config
-	now     time.Duration
-	born    time.Duration // the first Step
-	started bool
-	number  uint32          // of the latest want
-	asked   []time.Duration // when wants were said, the latest last
-	from    uint32          // number of the first of those
-	budgets []*budget
-	said    Statement
-	liars   map[string]bool
+	config             Config
+	now                time.Duration
+	startedAt          time.Duration // the first Step
+	started            bool
+	requestNumber      uint32          // of the latest want
+	requestTimes       []time.Duration // when wants were said, the latest last
+	firstRequestNumber uint32          // number of the first of those
+	budgets            []*budget
+	latestStatement    Statement
+	distrusted         map[string]bool
 }
 
 type budget struct {
 	Budget
-	need, allowed int64
-	lent          []lent
-	borrowed      []borrowed
-	wants         int64 // units that the latest want asks for, 0 for none
-	number        uint32
-	next          time.Duration // when the next may be made
-	served        map[string]servedWant
+	demand, limit  int64
+	granted        []grantedLease
+	borrowed       []borrowedLease
+	requestedUnits int64 // units that the latest want asks for, 0 for none
+	requestNumber  uint32
+	nextRequestAt  time.Duration // when the next may be made
+	answered       map[string]answeredRequest
 }
 
-type lent struct {
-	Loan
-	till time.Duration // until when it counts as gone
+type grantedLease struct {
+	Lease
+	expiresAt time.Duration // until when it counts as gone
 }
 
-type borrowed struct {
-	from  string
-	epoch int64
-	want  uint32
-	units int64
-	till  time.Duration
+type borrowedLease struct {
+	lender      string
+	lenderEpoch int64
+	request     uint32
+	units       int64
+	expiresAt   time.Duration
 }
 
-type servedWant struct {
+type answeredRequest struct {
 	epoch  int64
 	number uint32
 }
 
 // New returns a Core that has heard nobody.
 func New(c Config) (*Core, error) {
-	if c.Self == "" || c.Members < 1 || c.Lease <= 0 || c.Drift < 0 || c.Drift >= 1 {
-		return nil, fmt.Errorf("%w: %+v", errConfig, c)
+	if c.Self == "" || c.FleetSize < 1 || c.LeaseDuration <= 0 || c.MaxClockDrift < 0 || c.MaxClockDrift >= 1 {
+		return nil, fmt.Errorf("%w: %+v", ErrInvalidConfig, c)
 	}
-	k := &Core{cfg: c, liars: map[string]bool{}}
+	k := &Core{config: c, distrusted: map[string]bool{}}
 	for _, b := range c.Budgets {
-		if b.Whole < 0 || b.Whole > mostWhole || b.Hold < 0 || slices.ContainsFunc(k.budgets, func(o *budget) bool { return o.Name == b.Name }) {
-			return nil, fmt.Errorf("%w: budget %+v", errConfig, b)
+		if b.Total < 0 || b.Total > maxBudgetTotal || b.HoldTime < 0 || slices.ContainsFunc(k.budgets, func(o *budget) bool { return o.Name == b.Name }) {
+			return nil, fmt.Errorf("%w: budget %+v", ErrInvalidConfig, b)
 		}
-		k.budgets = append(k.budgets, &budget{Budget: b, served: map[string]servedWant{}})
+		k.budgets = append(k.budgets, &budget{Budget: b, answered: map[string]answeredRequest{}})
 	}
 	return k, nil
 }
@@ -179,40 +179,40 @@
 // between a stop of the process and the Step after it: what was allowed before may have lapsed.
 func (c *Core) Step(now time.Duration, events []Event) (acts []Action) {
 	if c.now = max(c.now, now); !c.started {
-		c.started, c.born = true, c.now
+		c.started, c.startedAt = true, c.now
 	}
 	for _, b := range c.budgets {
-		c.lapse(b)
+		c.expireLeases(b)
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Needs:
-			if b := c.budget(e.Budget); b != nil {
-				b.need = max(e.Units, 0)
+		case DemandChanged:
+			if b := c.findBudget(e.Budget); b != nil {
+				b.demand = max(e.Units, 0)
 			}
-		case Heard:
-			if e.From != c.cfg.Self {
-				acts = append(acts, c.heard(e)...)
+		case StatementReceived:
+			if e.From != c.config.Self {
+				acts = append(acts, c.receive(e)...)
 			}
-		case Resize:
-			c.cfg.Members = max(e.Members, 1)
-		case Gone:
-			delete(c.liars, e.Name)
+		case FleetResized:
+			c.config.FleetSize = max(e.FleetSize, 1)
+		case MemberForgotten:
+			delete(c.distrusted, e.Name)
 			for _, b := range c.budgets {
-				delete(b.served, e.Name)
+				delete(b.answered, e.Name)
 			}
 		}
 	}
 	for _, b := range c.budgets {
-		c.ask(b)
-		if n := c.usable(b); n != b.allowed {
-			b.allowed = n
-			acts = append(acts, Allow{b.Name, n})
+		c.requestLease(b)
+		if n := c.usableUnits(b); n != b.limit {
+			b.limit = n
+			acts = append(acts, LimitChanged{b.Name, n})
 		}
 	}
-	if s := c.statement(); !same(s, c.said) {
-		c.said = s
-		acts = append(acts, Say{s})
+	if s := c.currentStatement(); !equalStatements(s, c.latestStatement) {
+		c.latestStatement = s
+		acts = append(acts, Broadcast{s})
 	}
 	return acts
 }
@@ -221,16 +221,16 @@
 func (c *Core) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, b := range c.budgets {
-		for _, l := range b.lent {
-			next = min(next, l.till)
+		for _, l := range b.granted {
+			next = min(next, l.expiresAt)
 		}
 		for _, l := range b.borrowed {
-			next = min(next, l.till)
+			next = min(next, l.expiresAt)
 		}
-		if b.need > b.allowed {
-			next = min(next, b.next)
+		if b.demand > b.limit {
+			next = min(next, b.nextRequestAt)
 		}
-		for _, at := range []time.Duration{c.born + c.gone(0, b.Hold), c.born + c.gone(c.cfg.Lease, b.Hold)} {
+		for _, at := range []time.Duration{c.startedAt + c.reservationTime(0, b.HoldTime), c.startedAt + c.reservationTime(c.config.LeaseDuration, b.HoldTime)} {
 			if at > c.now {
 				next = min(next, at)
 			}
@@ -240,41 +240,41 @@
 }
 
 // Part is what a member owns of a budget.
-func (c *Core) part(b *budget) int64 {
-	if seeded == partOfThoseHeard {
-		return b.Whole / int64(len(b.served)+1)
+func (c *Core) fixedQuota(b *budget) int64 {
+	if seeded == quotaFromHeardMembers {
+		return b.Total / int64(len(b.answered)+1)
 	}
-	return b.Whole / int64(c.cfg.Members)
+	return b.Total / int64(c.config.FleetSize)
 }
 
 // lendable is what a member lends of a part at the most, and begins a new start without: half.
-func lendable(part int64) int64 { return part / 2 }
+func maxLendable(part int64) int64 { return part / 2 }
 
 // gone is for how long what another may use for a time, and hold, counts as gone by this member's clock: that may be the
 // fastest while the other's is the slowest.
-func (c *Core) gone(lease, hold time.Duration) time.Duration {
-	d := c.cfg.Drift
-	if seeded == noDrift {
+func (c *Core) reservationTime(lease, hold time.Duration) time.Duration {
+	d := c.config.MaxClockDrift
+	if seeded == ignoresClockDrift {
 		d = 0
 	}
 	return time.Duration(math.Ceil(float64(lease+hold) * (1 + d) / (1 - d)))
 }
 
 // own is what this member has of its part. A new start knows nothing of what the one before it had in use, which lasts
-// for Hold, and lent, which lasts for a lease more.
-func (c *Core) own(b *budget) int64 {
-	switch age := c.now - c.born; {
-	case seeded == forgetsOnRestart:
-	case age < c.gone(0, b.Hold):
+// for HoldTime, and lent, which lasts for a lease more.
+func (c *Core) ownQuota(b *budget) int64 {
+	switch age := c.now - c.startedAt; {
+	case seeded == ignoresPreviousStart:
+	case age < c.reservationTime(0, b.HoldTime):
 		return 0
-	case age < c.gone(c.cfg.Lease, b.Hold):
-		return c.part(b) - lendable(c.part(b))
+	case age < c.reservationTime(c.config.LeaseDuration, b.HoldTime):
+		return c.fixedQuota(b) - maxLendable(c.fixedQuota(b))
 	}
-	return c.part(b)
+	return c.fixedQuota(b)
 }
 
-func (c *Core) usable(b *budget) int64 {
-	n := c.own(b) - b.out()
+func (c *Core) usableUnits(b *budget) int64 {
+	n := c.ownQuota(b) - b.lentUnits()
 	for _, l := range b.borrowed {
 		n += l.units
 	}
@@ -282,81 +282,81 @@
 }
 
 // out is what is lent.
-func (b *budget) out() (n int64) {
-	if seeded == keepsWhatItLent {
+func (b *budget) lentUnits() (n int64) {
+	if seeded == usesLentUnits {
 		return 0
 	}
-	for _, l := range b.lent {
+	for _, l := range b.granted {
 		n += l.Units
 	}
 	return n
 }
 
 // lapse ends loans whose time is past.
-func (c *Core) lapse(b *budget) {
-	b.lent = slices.DeleteFunc(b.lent, func(l lent) bool { return c.now >= l.till })
-	b.borrowed = slices.DeleteFunc(b.borrowed, func(l borrowed) bool { return c.now >= l.till })
+func (c *Core) expireLeases(b *budget) {
+	b.granted = slices.DeleteFunc(b.granted, func(l grantedLease) bool { return c.now >= l.expiresAt })
+	b.borrowed = slices.DeleteFunc(b.borrowed, func(l borrowedLease) bool { return c.now >= l.expiresAt })
 }
 
 // ask wants what is lacking, and what will be once half a lease is past.
-func (c *Core) ask(b *budget) {
-	lacks := b.need - c.own(b) + b.out()
+func (c *Core) requestLease(b *budget) {
+	lacks := b.demand - c.ownQuota(b) + b.lentUnits()
 	for _, l := range b.borrowed {
-		if l.till-c.now > c.cfg.Lease/2 {
+		if l.expiresAt-c.now > c.config.LeaseDuration/2 {
 			lacks -= l.units
 		}
 	}
 	if lacks <= 0 {
-		b.wants = 0
+		b.requestedUnits = 0
 		return
 	}
-	if c.now < b.next {
+	if c.now < b.nextRequestAt {
 		return
 	}
-	c.number++
-	b.wants, b.number, b.next = lacks, c.number, c.now+c.cfg.Lease/4
-	if len(c.asked) == 0 {
-		c.from = c.number
+	c.requestNumber++
+	b.requestedUnits, b.requestNumber, b.nextRequestAt = lacks, c.requestNumber, c.now+c.config.LeaseDuration/4
+	if len(c.requestTimes) == 0 {
+		c.firstRequestNumber = c.requestNumber
 	}
-	c.asked = append(c.asked, c.now)
-	for len(c.asked) > 0 && c.now-c.asked[0] >= c.cfg.Lease {
-		c.asked, c.from = c.asked[1:], c.from+1
+	c.requestTimes = append(c.requestTimes, c.now)
+	for len(c.requestTimes) > 0 && c.now-c.requestTimes[0] >= c.config.LeaseDuration {
+		c.requestTimes, c.firstRequestNumber = c.requestTimes[1:], c.firstRequestNumber+1
 	}
 }
 
 // askedAt is when a want was said, if what is lent for it may still be used.
-func (c *Core) askedAt(number uint32) (time.Duration, bool) {
-	if number < c.from || number-c.from >= uint32(len(c.asked)) {
+func (c *Core) requestTime(number uint32) (time.Duration, bool) {
+	if number < c.firstRequestNumber || number-c.firstRequestNumber >= uint32(len(c.requestTimes)) {
 		return 0, false
 	}
-	return c.asked[number-c.from], true
+	return c.requestTimes[number-c.firstRequestNumber], true
 }
 
-func (c *Core) heard(e Heard) (acts []Action) {
+func (c *Core) receive(e StatementReceived) (acts []Action) {
 	for _, b := range c.budgets {
 		var sum int64
-		for _, l := range e.Loans {
+		for _, l := range e.Leases {
 			if l.Budget == b.Name {
-				sum = min(sum, b.Whole+1) + min(max(l.Units, 0), b.Whole+1) // which a peer's figures can't make overflow
+				sum = min(sum, b.Total+1) + min(max(l.Units, 0), b.Total+1) // which a peer's figures can't make overflow
 			}
 		}
 		// One that was told a smaller fleet owns more by what it knows: it lies not, and is not believed either.
-		if theirs := b.Whole / int64(max(e.Members, 1)); sum > lendable(theirs) && !c.liars[e.From] {
-			c.liars[e.From] = true
-			acts = append(acts, Lied{e.From})
+		if theirs := b.Total / int64(max(e.FleetSize, 1)); sum > maxLendable(theirs) && !c.distrusted[e.From] {
+			c.distrusted[e.From] = true
+			acts = append(acts, OverlendingDetected{e.From})
 		}
-		if c.liars[e.From] || sum > lendable(c.part(b)) {
+		if c.distrusted[e.From] || sum > maxLendable(c.fixedQuota(b)) {
 			continue
 		}
-		for _, l := range e.Loans {
-			if l.Budget == b.Name && l.To == c.cfg.Self && l.Units > 0 && l.Epoch == c.cfg.Epoch {
-				c.borrow(b, e, l)
+		for _, l := range e.Leases {
+			if l.Budget == b.Name && l.Borrower == c.config.Self && l.Units > 0 && l.BorrowerEpoch == c.config.Epoch {
+				c.acceptLease(b, e, l)
 			}
 		}
 	}
-	for _, w := range e.Wants {
-		if b := c.budget(w.Budget); b != nil && w.Units > 0 {
-			c.lend(b, e, w)
+	for _, w := range e.Requests {
+		if b := c.findBudget(w.Budget); b != nil && w.Units > 0 {
+			c.answerRequest(b, e, w)
 		}
 	}
 	return acts
@@ -364,67 +364,67 @@
 
 // borrow takes in a loan to this member. It lasts from when the want was said, which was before anybody lent for it: so
 // it ends here before it does there, whatever the clocks show.
-func (c *Core) borrow(b *budget, e Heard, l Loan) {
-	at, ok := c.askedAt(l.Want)
+func (c *Core) acceptLease(b *budget, e StatementReceived, l Lease) {
+	at, ok := c.requestTime(l.Request)
 	if seeded == leaseFromArrival {
 		at, ok = c.now, true
 	}
-	known := slices.ContainsFunc(b.borrowed, func(o borrowed) bool {
-		return o.from == e.From && o.epoch == e.Epoch && o.want == l.Want
+	known := slices.ContainsFunc(b.borrowed, func(o borrowedLease) bool {
+		return o.lender == e.From && o.lenderEpoch == e.Epoch && o.request == l.Request
 	})
-	if till := at + c.cfg.Lease; ok && (!known || seeded == countsTwice) && till > c.now {
-		b.borrowed = append(b.borrowed, borrowed{e.From, e.Epoch, l.Want, l.Units, till})
+	if till := at + c.config.LeaseDuration; ok && (!known || seeded == acceptsDuplicates) && till > c.now {
+		b.borrowed = append(b.borrowed, borrowedLease{e.From, e.Epoch, l.Request, l.Units, till})
 	}
 }
 
 // lend answers a want with what can be spared, once. Who answers is drawn by all alike, so that not all do.
-func (c *Core) lend(b *budget, e Heard, w Want) {
-	if old, ok := b.served[e.From]; ok && (e.Epoch < old.epoch || e.Epoch == old.epoch && w.Number <= old.number) {
+func (c *Core) answerRequest(b *budget, e StatementReceived, w LeaseRequest) {
+	if old, ok := b.answered[e.From]; ok && (e.Epoch < old.epoch || e.Epoch == old.epoch && w.Number <= old.number) {
 		return
 	}
-	b.served[e.From] = servedWant{e.Epoch, w.Number}
-	most := float64(lendable(c.part(b))) * float64(c.cfg.Members)
-	if rendezvous.Uniform(fmt.Sprint(e.From, w.Number), c.cfg.Self)*most > answers*float64(w.Units) {
+	b.answered[e.From] = answeredRequest{e.Epoch, w.Number}
+	most := float64(maxLendable(c.fixedQuota(b))) * float64(c.config.FleetSize)
+	if rendezvous.Uniform(fmt.Sprint(e.From, w.Number), c.config.Self)*most > targetOfferRatio*float64(w.Units) {
 		return
 	}
-	spare := min(lendable(c.part(b))-b.out(), c.usable(b)-b.need, w.Units)
-	if c.now-c.born < c.gone(c.cfg.Lease, b.Hold) && seeded != forgetsOnRestart {
+	spare := min(maxLendable(c.fixedQuota(b))-b.lentUnits(), c.usableUnits(b)-b.demand, w.Units)
+	if c.now-c.startedAt < c.reservationTime(c.config.LeaseDuration, b.HoldTime) && seeded != ignoresPreviousStart {
 		spare = 0
 	}
 	lentInAll := 0
 	for _, o := range c.budgets {
-		lentInAll += len(o.lent)
+		lentInAll += len(o.granted)
 	}
-	if spare <= 0 || lentInAll >= saysMost {
+	if spare <= 0 || lentInAll >= maxStatementEntries {
 		return
 	}
-	till := c.now + c.gone(c.cfg.Lease, b.Hold)
-	if seeded == endsEarly {
-		till = c.now + c.cfg.Lease/2
+	till := c.now + c.reservationTime(c.config.LeaseDuration, b.HoldTime)
+	if seeded == reclaimsEarly {
+		till = c.now + c.config.LeaseDuration/2
 	}
-	b.lent = append(b.lent, lent{Loan{b.Name, e.From, e.Epoch, w.Number, spare}, till})
+	b.granted = append(b.granted, grantedLease{Lease{b.Name, e.From, e.Epoch, w.Number, spare}, till})
 }
 
-func (c *Core) budget(name string) *budget {
+func (c *Core) findBudget(name string) *budget {
 	if i := slices.IndexFunc(c.budgets, func(b *budget) bool { return b.Name == name }); i >= 0 {
 		return c.budgets[i]
 	}
 	return nil
 }
 
-func (c *Core) statement() Statement {
-	s := Statement{Members: c.cfg.Members}
+func (c *Core) currentStatement() Statement {
+	s := Statement{FleetSize: c.config.FleetSize}
 	for _, b := range c.budgets {
-		if b.wants > 0 && len(s.Wants) < saysMost {
-			s.Wants = append(s.Wants, Want{b.Name, b.number, b.wants})
+		if b.requestedUnits > 0 && len(s.Requests) < maxStatementEntries {
+			s.Requests = append(s.Requests, LeaseRequest{b.Name, b.requestNumber, b.requestedUnits})
 		}
-		for _, l := range b.lent {
-			s.Loans = append(s.Loans, l.Loan)
+		for _, l := range b.granted {
+			s.Leases = append(s.Leases, l.Lease)
 		}
 	}
 	return s
 }
 
-func same(a, b Statement) bool {
-	return a.Members == b.Members && slices.Equal(a.Wants, b.Wants) && slices.Equal(a.Loans, b.Loans)
+func equalStatements(a, b Statement) bool {
+	return a.FleetSize == b.FleetSize && slices.Equal(a.Requests, b.Requests) && slices.Equal(a.Leases, b.Leases)
 }
--- a/internal/fleet/quota/seeded_off.go
+++ b/internal/fleet/quota/seeded_off.go
@@ -2,4 +2,4 @@
 
 package quota
 
-const seeded = none
+const seeded = noFault
--- a/internal/fleet/quota/seeded_on.go
+++ b/internal/fleet/quota/seeded_on.go
@@ -2,4 +2,4 @@
 
 package quota
 
-var seeded = none
+var seeded = noFault
--- a/internal/fleet/quota/seeded_test.go
+++ b/internal/fleet/quota/seeded_test.go
@@ -9,11 +9,11 @@
 
 // The checker finds each fault that is built in on purpose.
 func TestFaultsAreFound(t *testing.T) {
-	defer func() { seeded = none }()
-	for seeded = forgetsOnRestart; seeded <= keepsWhatItLent; seeded++ {
+	defer func() { seeded = noFault }()
+	for seeded = ignoresPreviousStart; seeded <= usesLentUnits; seeded++ {
 		found := false
-		for _, r := range rates {
-			for n := 1; n <= depth && !found; n++ {
+		for _, r := range clockRateSets {
+			for n := 1; n <= maxDepth && !found; n++ {
 				if course, states := explore(n, r...); course != nil {
 					found = true
 					t.Logf("fault %d after %d states, clocks %v: %s", seeded, states, r, strings.Join(course, "; "))
