--- a/routing/admission.go
+++ b/routing/admission.go
@@ -7,12 +7,12 @@
 // admit queues a request, or rejects it where its estimated finish passes its deadline, the work ahead makes
 // it late, its worker is under pressure, or its tenant is over quota. A deadline rejects none with nothing
 // ahead.
-func (r *Router) admit(e Request) {
-	if e.Class < 0 || e.Class >= len(r.settings.Classes) || r.requests[e.ID] != nil {
+func (r *Router) admit(arrival Request) {
+	if arrival.Class < 0 || arrival.Class >= len(r.settings.Classes) || r.requests[arrival.ID] != nil {
 		return
 	}
-	req := r.newRequest(e)
-	r.requests[e.ID] = req
+	req := r.newRequest(arrival)
+	r.requests[arrival.ID] = req
 	r.loadBudget.RecordArrival(r.now, r.settings.LoadBudgetWindow)
 	target, warm := r.pick(req)
 	// Where a worker has capacity for this one, only what is in flight is ahead of it, not what is queued.
@@ -29,7 +29,7 @@
 	shed := r.missesObjective(req, work) ||
 		target != nil && r.rng.Float64() < min(overload, maxRejectProbability)*r.peerInfluence()
 	// Requests over their tenant's quota are worth little: they give way as soon as anything has to wait.
-	overQuota := r.tenantQuotas.Exceeded(r.now, e.Tenant)
+	overQuota := r.tenantQuotas.Exceeded(r.now, arrival.Tenant)
 	if missesDeadline || shed || overQuota && (len(r.queue) > 0 || overload > 0) {
 		r.divertOrReject(req)
 		return
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -21,29 +21,29 @@
 
 // handle applies one event of a Step at this time.
 func (r *Router) handle(now time.Duration, event Event) {
-	switch e := event.(type) {
+	switch event := event.(type) {
 	case WorkerList:
-		r.applyEndpoints(e)
+		r.applyEndpoints(event)
 	case Request:
-		r.admit(e)
+		r.admit(event)
 	case StreamStarted:
-		if q := r.requests[e.ID]; q != nil {
+		if q := r.requests[event.ID]; q != nil {
 			q.streaming = true
 		}
 	case AttemptEnded:
-		r.attemptEnded(e)
+		r.attemptEnded(event)
 	case ClientCanceled:
-		if q := r.requests[e.ID]; q != nil {
+		if q := r.requests[event.ID]; q != nil {
 			r.complete(q)
 		}
 	case LoadEnded:
-		r.loadEnded(e)
+		r.loadEnded(event)
 	case PeerReports:
-		r.applyPeerReports(e)
+		r.applyPeerReports(event)
 	case EndpointsStale:
-		r.endpointsStaleUntil = now + e.Duration
+		r.endpointsStaleUntil = now + event.Duration
 	case StateRestored:
-		r.restoreState(e.State)
+		r.restoreState(event.State)
 	case PoolsChanged:
 		r.membershipVersion++
 	case Shutdown:
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -67,7 +67,7 @@
 	w.backoffUntil = 0
 	w.loadBackoffUntil = 0
 	w.consecutiveSheds = 0
-	w.errorShare = decay.Value{}
+	w.recentErrors = decay.Value{}
 }
 
 // functionKeepAlives is how many keep-alives a function without requests is remembered.
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -3,23 +3,23 @@
 import "cmp"
 
 // attemptEnded learns from how an attempt ended, and queues its request again if that may be retried.
-func (r *Router) attemptEnded(e AttemptEnded) {
-	req := r.requests[e.ID]
-	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
+func (r *Router) attemptEnded(end AttemptEnded) {
+	req := r.requests[end.ID]
+	if req == nil || end.Attempt < 0 || end.Attempt >= len(req.attempts) || req.attempts[end.Attempt].ended {
 		return
 	}
-	a := req.attempts[e.Attempt]
-	a.neverRan = provesNotRun(e.Outcome)
-	req.reachedWorker = req.reachedWorker || e.Outcome != ConnectFailed && e.Outcome != NotSent
-	r.recordEnd(a)
-	if e.Report != nil && e.Report.InFlight >= 0 {
-		peers := max(0, e.Report.InFlight-float64(len(a.worker.inFlight)))
-		a.worker.peerInFlight += workerMeanWeight * (peers - a.worker.peerInFlight)
+	ended := req.attempts[end.Attempt]
+	ended.neverRan = provesNotRun(end.Outcome)
+	req.reachedWorker = req.reachedWorker || end.Outcome != ConnectFailed && end.Outcome != NotSent
+	r.recordEnd(ended)
+	if end.Report != nil && end.Report.InFlight >= 0 {
+		peers := max(0, end.Report.InFlight-float64(len(ended.worker.inFlight)))
+		ended.worker.peerInFlight += workerMeanWeight * (peers - ended.worker.peerInFlight)
 	}
-	r.observeLoad(a, e)
-	r.recordOutcome(a, e)
+	r.observeLoad(ended, end)
+	r.recordOutcome(ended, end)
 	switch {
-	case e.RequestAnswered || req.answered:
+	case end.RequestAnswered || req.answered:
 		r.complete(req)
 	case req.streaming && req.inFlight == 0:
 		r.rejectOrFail(req)
@@ -29,50 +29,51 @@
 }
 
 // recordOutcome learns what the outcome of an attempt says of its worker and function.
-func (r *Router) recordOutcome(a *attempt, e AttemptEnded) {
-	switch e.Outcome {
+func (r *Router) recordOutcome(ended *attempt, end AttemptEnded) {
+	switch end.Outcome {
 	case Served:
-		r.recordServed(a, e)
+		r.recordServed(ended, end)
 	case Shed:
-		r.recordShed(a)
+		r.recordShed(ended)
 	case NotLoaded, Errored:
-		r.recordAnswer(a.worker)
+		r.recordAnswer(ended.worker)
 		// An error for a function that no worker knows says nothing of this worker.
-		if e.Outcome == Errored && a.request.function.served {
-			r.recordError(a.worker)
+		if end.Outcome == Errored && ended.request.function.served {
+			r.recordError(ended.worker)
 		}
-		if e.Outcome == NotLoaded || e.StartType == LoadFailed {
-			a.placement.warm = false
-			a.placement.loading = false
+		if end.Outcome == NotLoaded || end.StartType == LoadFailed {
+			ended.placement.warm = false
+			ended.placement.loading = false
 		}
 	case TimedOut:
-		r.recordLostAnswer(a, hedgeCreditPerTimeout)
-		if a.worker.lastAnswerAt < a.sentAt {
-			r.reportFault(a.worker, Unresponsive, a.sentAt)
+		r.recordLostAnswer(ended, hedgeCreditPerTimeout)
+		if ended.worker.lastAnswerAt < ended.sentAt {
+			r.reportFault(ended.worker, Unresponsive, ended.sentAt)
 		}
 	case Canceled:
-		if a.superseded { // the other attempt was answered first
-			r.recordLostAnswer(a, hedgeCreditPerHedge)
+		if ended.superseded { // the other attempt was answered first
+			r.recordLostAnswer(ended, hedgeCreditPerHedge)
 		}
 	case ConnectionReset:
-		r.recordReset(a.worker)
+		r.recordReset(ended.worker)
 	case ConnectFailed:
-		r.recordConnectFailure(a)
+		r.recordConnectFailure(ended)
 	}
 }
 
 // recordShed backs off from a worker. A request for a warm instance met a full queue, one that needed a load
 // perhaps a lack of memory: the worker, or just new loads there, is left alone for part of a service time,
 // doubling, or queued requests use up their attempts.
-func (r *Router) recordShed(a *attempt) {
-	w := a.worker
-	r.recordAnswer(w)
-	w.consecutiveSheds = min(w.consecutiveSheds+1, maxShedDoublings)
-	until := r.now + durationOf(r.serviceTime(a.request.function)/shedBackoffDivisor)<<w.consecutiveSheds
-	w.loadBackoffUntil = max(w.loadBackoffUntil, until)
-	if !a.cold {
-		w.backoffUntil = max(w.backoffUntil, until)
-		w.concurrencyLimit = max(minLimit, w.concurrencyLimit*limitDecreaseFactor)
+func (r *Router) recordShed(ended *attempt) {
+	source := ended.worker
+	r.recordAnswer(source)
+	source.consecutiveSheds = min(source.consecutiveSheds+1, maxShedDoublings)
+	backoff := durationOf(r.serviceTime(ended.request.function) / shedBackoffDivisor)
+	until := r.now + backoff<<source.consecutiveSheds
+	source.loadBackoffUntil = max(source.loadBackoffUntil, until)
+	if !ended.cold {
+		source.backoffUntil = max(source.backoffUntil, until)
+		source.concurrencyLimit = max(minLimit, source.concurrencyLimit*limitDecreaseFactor)
 	}
 }
 
@@ -80,11 +81,11 @@
 // breaks it too, and after a crash the next connection is refused. A worker whose connections break time and
 // again with no answer between is unhealthy.
 func (r *Router) recordReset(w *worker) {
-	if w.lastBreakAt < r.now { // what was lost with one connection counts once
-		w.connectionBreaks++
+	if w.lastResetAt < r.now { // what was lost with one connection counts once
+		w.connectionResets++
 	}
-	w.lastBreakAt = r.now
-	if w.connectionBreaks >= maxConnectionBreaks {
+	w.lastResetAt = r.now
+	if w.connectionResets >= maxConnectionResets {
 		r.eject(w)
 		r.reportFault(w, Unreachable, r.now)
 	}
@@ -92,103 +93,103 @@
 
 // recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
 // unless it answered elsewhere meanwhile.
-func (r *Router) recordConnectFailure(a *attempt) {
-	if a.worker.lastAnswerAt > a.sentAt {
+func (r *Router) recordConnectFailure(ended *attempt) {
+	if ended.worker.lastAnswerAt > ended.sentAt {
 		return
 	}
-	a.worker.incarnation++
-	r.eject(a.worker)
-	r.reportFault(a.worker, Unreachable, r.now)
+	ended.worker.incarnation++
+	r.eject(ended.worker)
+	r.reportFault(ended.worker, Unreachable, r.now)
 }
 
 // observeLoad learns from the end of an attempt under how much pressure its worker is. An answer that never
 // came counts as a late one; a latency that may include a load says nothing of a queue.
-func (r *Router) observeLoad(a *attempt, e AttemptEnded) {
-	objectives := cmp.Or(e.Latency, r.now-a.sentAt).Seconds() / r.minObjective
+func (r *Router) observeLoad(ended *attempt, end AttemptEnded) {
+	objectives := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds() / r.minObjective
 	sample := min(objectives, 1)
-	if e.Report != nil && e.Report.Utilization >= 0 {
-		sample = e.Report.Utilization
+	if end.Report != nil && end.Report.Utilization >= 0 {
+		sample = end.Report.Utilization
 	}
 	switch {
-	case e.Outcome == TimedOut || e.Outcome == Canceled && a.superseded:
+	case end.Outcome == TimedOut || end.Outcome == Canceled && ended.superseded:
 		sample = 1 + objectives
-	case e.Outcome == Shed && !a.cold:
+	case end.Outcome == Shed && !ended.cold:
 		sample = shedPressure
-	case e.Outcome == Served && !a.cold:
+	case end.Outcome == Served && !ended.cold:
 		sample += objectives
-	case e.Report == nil:
+	case end.Report == nil:
 		return
 	default:
 		sample += idleLatencyPressure
 	}
 	usual := min(r.meanPressure, leavePressureStart)
-	excess := a.worker.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
-	a.worker.pressureExcess.Set(r.now, excess+workerMeanWeight*(sample-usual-excess))
+	excess := ended.worker.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
+	ended.worker.pressureExcess.Set(r.now, excess+workerMeanWeight*(sample-usual-excess))
 	r.meanPressure += fleetMeanWeight * (sample - r.meanPressure)
 }
 
 // recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
-func (r *Router) recordAnswer(w *worker) {
-	w.lastAnswerAt = r.now
-	w.answeredAt = r.now
-	w.connectionBreaks = 0
-	if w.ejected {
-		w.ejected = false
-		w.probes = 0
-		w.concurrencyLimit = max(minLimit, min(w.concurrencyLimit, readmissionLimit))
+func (r *Router) recordAnswer(source *worker) {
+	source.lastAnswerAt = r.now
+	source.answeredAt = r.now
+	source.connectionResets = 0
+	if source.ejected {
+		source.ejected = false
+		source.probes = 0
+		source.concurrencyLimit = max(minLimit, min(source.concurrencyLimit, readmissionLimit))
 	}
 	fault := Healthy
-	if r.errorRate(w) > maxErrorRate {
+	if r.errorRate(source) > maxErrorRate {
 		fault = Failing
-	} else if r.latencyRatio(w) > slowLatencyRatio {
+	} else if r.latencyRatio(source) > slowLatencyRatio {
 		fault = Slow
 	}
-	r.reportFault(w, fault, r.now)
+	r.reportFault(source, fault, r.now)
 }
 
 // recordServed learns from a served answer.
-func (r *Router) recordServed(a *attempt, e AttemptEnded) {
-	w, p, fn := a.worker, a.placement, a.request.function
-	r.recordAnswer(w)
-	if p.incarnation != w.incarnation {
-		p.instances = 1
-	}
-	p.setWarm(r.now)
-	p.loading = false
-	w.consecutiveSheds = 0
-	fn.served = true
-	w.errorShare.Set(r.now, r.errorRate(w)*(1-errorRateWeight))
-	if r.allWarmingUp || !r.isWarmingUp(w) {
+func (r *Router) recordServed(ended *attempt, end AttemptEnded) {
+	source, place, called := ended.worker, ended.placement, ended.request.function
+	r.recordAnswer(source)
+	if place.incarnation != source.incarnation {
+		place.instances = 1
+	}
+	place.setWarm(r.now)
+	place.loading = false
+	source.consecutiveSheds = 0
+	called.served = true
+	source.recentErrors.Set(r.now, r.errorRate(source)*(1-errorRateWeight))
+	if r.allWarmingUp || !r.isWarmingUp(source) {
 		r.servedAnswers++
 	}
-	latency := cmp.Or(e.Latency, r.now-a.sentAt).Seconds()
-	fn.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
-	if e.StartType > WarmStart || e.StartType == StartUnknown && a.cold {
+	latency := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds()
+	called.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
+	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.cold {
 		return
 	}
-	if e.InFlightForFunction >= 0 {
-		p.instances = max(1, (e.InFlightForFunction+fn.concurrency)/fn.concurrency)
+	if end.InFlightForFunction >= 0 {
+		place.instances = max(1, (end.InFlightForFunction+called.concurrency)/called.concurrency)
 	}
-	r.recordWarmLatency(a, latency)
+	r.recordWarmLatency(ended, latency)
 }
 
 // recordWarmLatency learns from the latency, in seconds, of an answer of a warm instance.
-func (r *Router) recordWarmLatency(a *attempt, latency float64) {
-	w, fn := a.worker, a.request.function
+func (r *Router) recordWarmLatency(ended *attempt, latency float64) {
+	source, called := ended.worker, ended.request.function
 	r.meanLatency = cmp.Or(r.meanLatency, latency)
-	ratio := r.latencyRatio(w)
-	w.latencyExcess.Set(r.now, ratio+workerMeanWeight*(latency/r.meanLatency-ratio)-1)
+	ratio := r.latencyRatio(source)
+	source.latencyExcess.Set(r.now, ratio+workerMeanWeight*(latency/r.meanLatency-ratio)-1)
 	r.meanLatency += fleetMeanWeight * (latency - r.meanLatency)
-	mean := r.serviceTime(fn)
-	fn.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
-		r.settings.Classes[fn.class].LatencyObjective.Seconds())
-	objective := a.request.class.LatencyObjective.Seconds()
-	limit := w.concurrencyLimit
+	mean := r.serviceTime(called)
+	called.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
+		r.settings.Classes[called.class].LatencyObjective.Seconds())
+	objective := ended.request.class.LatencyObjective.Seconds()
+	limit := source.concurrencyLimit
 	switch {
 	case latency > limitObjectiveFraction*objective:
-		w.concurrencyLimit = max(minLimit, limit*limitDecreaseFactor)
-	case latency < limitObjectiveFraction/2*objective && float64(len(w.inFlight)+1) >= limit/2:
-		w.concurrencyLimit = min(maxLimit, limit+1/limit)
+		source.concurrencyLimit = max(minLimit, limit*limitDecreaseFactor)
+	case latency < limitObjectiveFraction/2*objective && float64(len(source.inFlight)+1) >= limit/2:
+		source.concurrencyLimit = min(maxLimit, limit+1/limit)
 	}
 }
 
--- a/routing/function.go
+++ b/routing/function.go
@@ -48,21 +48,21 @@
 }
 
 // functionFor returns the record of a request's function, which it makes if needed, and counts the request.
-func (r *Router) functionFor(e Request) *function {
-	fn := r.functions[e.Function]
-	if fn == nil {
-		fn = &function{name: e.Function, lastRequestAt: r.now}
-		r.functions[e.Function] = fn
+func (r *Router) functionFor(arrival Request) *function {
+	called := r.functions[arrival.Function]
+	if called == nil {
+		called = &function{name: arrival.Function, lastRequestAt: r.now}
+		r.functions[arrival.Function] = called
 	}
-	fn.class = e.Class
-	fn.concurrency = max(e.Concurrency, 1)
-	fn.pool = e.Pool
-	fn.declaredLoadTime = cmp.Or(max(0, e.LoadTime), fn.declaredLoadTime)
-	fn.requestWeight = fn.requestWeight*r.decayFactor(fn.lastRequestAt) + 1
-	fn.lastRequestAt = r.now
+	called.class = arrival.Class
+	called.concurrency = max(arrival.Concurrency, 1)
+	called.pool = arrival.Pool
+	called.declaredLoadTime = cmp.Or(max(0, arrival.LoadTime), called.declaredLoadTime)
+	called.requestWeight = called.requestWeight*r.decayFactor(called.lastRequestAt) + 1
+	called.lastRequestAt = r.now
 	r.requestWeight = r.requestWeight*r.decayFactor(r.lastRequestAt) + 1
 	r.lastRequestAt = r.now
-	return fn
+	return called
 }
 
 // decayFactor is what is left of a count of requests as of an earlier time, 0 to 1.
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -4,23 +4,23 @@
 // no answer since the older was sent; one alone may be an expensive request. This covers network partitions,
 // hangs and lost machines. Its attempts are retried or hedged elsewhere. Harm: a very slow worker loses its
 // traffic until a probe is answered.
-func (r *Router) checkOverdue(w *worker) {
-	overdue, newest := w.unanswered(r.now)
+func (r *Router) checkOverdue(suspect *worker) {
+	overdue, newest := suspect.unanswered(r.now)
 	if overdue > 0 { // where one alone proves little, peers may have one too
-		r.reportFault(w, Unresponsive, newest)
+		r.reportFault(suspect, Unresponsive, newest)
 	}
 	if overdue >= overdueToEject {
-		r.eject(w)
+		r.eject(suspect)
 	}
-	gone := w.State == Gone
-	unavailable := gone || w.ejected
-	for _, a := range w.inFlight {
+	gone := suspect.State == Gone
+	unavailable := gone || suspect.ejected
+	for _, a := range suspect.inFlight {
 		late := r.now >= a.overdueAt
 		switch {
 		case a.superseded:
 		case unavailable && (gone || late || overdue >= overdueToEject):
 			r.hedgeOrRetry(a, false)
-		case !unavailable && late && w.lastAnswerAt > a.sentAt:
+		case !unavailable && late && suspect.lastAnswerAt > a.sentAt:
 			r.hedgeSingle(a)
 		}
 	}
@@ -32,7 +32,7 @@
 // that was seen lately, a few are tried elsewhere too, at a warm instance and while there is capacity. Harm:
 // an expensive request runs twice.
 func (r *Router) hedgeSingle(a *attempt) {
-	if r.hedgeCredit <= 0 || r.utilization > maxSpillUtilization {
+	if r.hedgeCredit <= 0 || r.utilization > maxSpreadUtilization {
 		return
 	}
 	r.hedgeOrRetry(a, true)
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -144,7 +144,7 @@
 
 // restoreFunction makes the record of a function from what was learned of it.
 func restoreFunction(learned LearnedFunction, capturedAt time.Duration, workers []*worker) *function {
-	fn := &function{
+	restored := &function{
 		name:             learned.Name,
 		class:            learned.Class,
 		concurrency:      learned.Concurrency,
@@ -152,15 +152,15 @@
 		requestWeight:    learned.RequestWeight,
 		lastRequestAt:    capturedAt,
 	}
-	fn.serviceTimeExcess.Set(capturedAt, learned.ServiceTimeExcess)
+	restored.serviceTimeExcess.Set(capturedAt, learned.ServiceTimeExcess)
 	for _, instance := range learned.Instances {
 		i := instance.WorkerIndex
 		if i < 0 || i >= len(workers) || workers[i] == nil || instance.LastWarm > capturedAt {
 			continue
 		}
-		p := fn.placementAt(workers[i])
+		p := restored.placementAt(workers[i])
 		p.setWarm(instance.LastWarm)
 		p.instances = max(instance.Count, 1)
 	}
-	return fn
+	return restored
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -42,8 +42,8 @@
 	if !r.settings.FaultReporting {
 		return
 	}
-	worthRepeating := fault != Healthy || w.verdict > NotReported
-	if fault != w.reportedFault || observedAt-w.reportedAt > reportRefreshInterval && worthRepeating {
+	notable := fault != Healthy || w.verdict > NotReported
+	if fault != w.reportedFault || observedAt-w.reportedAt > reportRefreshInterval && notable {
 		w.reportedFault = fault
 		w.reportedAt = observedAt
 		r.emit(ReportFault{w.ID, fault, observedAt})
@@ -58,7 +58,7 @@
 		w.verdict = e.Verdicts[w.ID]
 		remaining := r.capacity - w.concurrencyLimit
 		if w.verdict == Confirmed && r.now-w.lastAnswerAt > ownObservationLifetime &&
-			r.utilization*r.capacity < maxSpillUtilization*remaining {
+			r.utilization*r.capacity < maxSpreadUtilization*remaining {
 			r.eject(w)
 			r.refreshCapacity()
 		}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -29,7 +29,7 @@
 	// A departure from the SCORPIO design: with most capacity in use, a function that is loaded somewhere
 	// waits for capacity there, against load storms in overload. Harm: one much called function in a fleet
 	// that is busy with long requests spreads late.
-	if loaded.exists && r.utilization > maxSpillUtilization {
+	if loaded.exists && r.utilization > maxSpreadUtilization {
 		return nil, false
 	}
 	target = r.pickForLoad(req, loaded.exists)
@@ -134,7 +134,7 @@
 }
 
 // peerInfluence is how much of a worker's load is due to peers: 0 with none, almost 1 with many.
-func (r *Router) peerInfluence() float64 { return math.Pow(r.peerShare, peerShareExponent) }
+func (r *Router) peerInfluence() float64 { return math.Pow(r.peerFraction, peerInfluenceExponent) }
 
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
 func (r *Router) hasCapacity(req *request, w *worker) bool {
@@ -161,8 +161,8 @@
 	order := r.rendezvousOrder(fn)
 	// Few requests prove little: what chance alone could have brought is left out.
 	requests := fn.requestWeight * r.decayFactor(fn.lastRequestAt)
-	part := max(0, requests-math.Sqrt(requests)) / max(r.requestWeight*r.decayFactor(r.lastRequestAt), 1)
-	wanted := max(1, int(math.Ceil(part*spreadFactor*float64(len(order)))))
+	fraction := max(0, requests-math.Sqrt(requests)) / max(r.requestWeight*r.decayFactor(r.lastRequestAt), 1)
+	wanted := max(1, int(math.Ceil(fraction*spreadFactor*float64(len(order)))))
 	var preferred []*worker
 	for _, w := range order[:min(len(order), wanted+maxCandidates)] {
 		if len(preferred) < wanted && !r.isDisplaced(fn.placementAt(w)) {
--- a/routing/request.go
+++ b/routing/request.go
@@ -36,15 +36,15 @@
 }
 
 // newRequest returns the record of a request that has just arrived.
-func (r *Router) newRequest(e Request) *request {
-	class := &r.settings.Classes[e.Class]
+func (r *Router) newRequest(arrival Request) *request {
+	class := &r.settings.Classes[arrival.Class]
 	return &request{
-		Request:   e,
+		Request:   arrival,
 		class:     class,
-		function:  r.functionFor(e),
+		function:  r.functionFor(arrival),
 		arrivedAt: r.now,
-		expiresAt: r.now + e.TimeLeft,
-		dueAt:     r.now + min(e.TimeLeft, class.Deadline),
+		expiresAt: r.now + arrival.TimeLeft,
+		dueAt:     r.now + min(arrival.TimeLeft, class.Deadline),
 	}
 }
 
@@ -62,42 +62,42 @@
 }
 
 // recordStart enters a new attempt with its request, placement and worker.
-func (r *Router) recordStart(a *attempt) {
-	a.request.attempts = append(a.request.attempts, a)
-	a.request.inFlight++
-	a.placement.inFlight++
-	a.worker.inFlight = append(a.worker.inFlight, a)
-	if r.isWarmingUp(a.worker) {
-		a.worker.slowStartSends = append(a.worker.slowStartSends, r.now)
+func (r *Router) recordStart(started *attempt) {
+	started.request.attempts = append(started.request.attempts, started)
+	started.request.inFlight++
+	started.placement.inFlight++
+	started.worker.inFlight = append(started.worker.inFlight, started)
+	if r.isWarmingUp(started.worker) {
+		started.worker.slowStartSends = append(started.worker.slowStartSends, r.now)
 	}
-	if !a.cold {
-		r.inFlightWork += a.work
+	if !started.cold {
+		r.inFlightWork += started.work
 		return
 	}
-	a.worker.loadsWaiting++
-	p := a.placement
-	if p.incarnation != a.worker.incarnation || !p.loading {
-		p.incarnation = a.worker.incarnation
-		p.warm = false
-		p.instances = 1
-		p.loading = true
+	started.worker.loadsWaiting++
+	place := started.placement
+	if place.incarnation != started.worker.incarnation || !place.loading {
+		place.incarnation = started.worker.incarnation
+		place.warm = false
+		place.instances = 1
+		place.loading = true
 	}
 }
 
 // recordEnd removes an ended attempt from the counts of its request, placement and worker.
-func (r *Router) recordEnd(a *attempt) {
-	a.ended = true
-	a.request.inFlight--
-	a.placement.inFlight--
-	a.worker.inFlight = slices.DeleteFunc(a.worker.inFlight, func(b *attempt) bool { return b == a })
-	if a.cold {
-		a.worker.loadsWaiting--
-		if a.placement.inFlight == 0 {
-			a.placement.loading = false
+func (r *Router) recordEnd(ended *attempt) {
+	ended.ended = true
+	ended.request.inFlight--
+	ended.placement.inFlight--
+	ended.worker.inFlight = slices.DeleteFunc(ended.worker.inFlight, func(b *attempt) bool { return b == ended })
+	if ended.cold {
+		ended.worker.loadsWaiting--
+		if ended.placement.inFlight == 0 {
+			ended.placement.loading = false
 		}
 		return
 	}
-	r.inFlightWork -= a.work
+	r.inFlightWork -= ended.work
 	if r.inFlightWork < workRoundingError {
 		r.inFlightWork = 0
 	}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -23,7 +23,7 @@
 		return false
 	case IdempotentByKey:
 		return r.keyRemembered(req, first) &&
-			sharesDeduplication(req.class.DeduplicationScope, first.worker, w)
+			sameDeduplicationScope(req.class.DeduplicationScope, first.worker, w)
 	default:
 		return true
 	}
@@ -35,7 +35,7 @@
 }
 
 // sharesDeduplication reports whether two workers drop each other's repeats.
-func sharesDeduplication(scope DeduplicationScope, a, b *worker) bool {
+func sameDeduplicationScope(scope DeduplicationScope, a, b *worker) bool {
 	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone || scope == ScopeCell &&
 		a.Cell == b.Cell
 }
@@ -51,7 +51,7 @@
 	}
 	return req.class.Idempotency == IdempotentByKey && r.keyRemembered(req, first) &&
 		slices.ContainsFunc(r.workerList, func(w *worker) bool {
-			return w.State == Ready && sharesDeduplication(req.class.DeduplicationScope, first.worker, w)
+			return w.State == Ready && sameDeduplicationScope(req.class.DeduplicationScope, first.worker, w)
 		})
 }
 
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -60,16 +60,16 @@
 const defaultKeepAlive = 10 * time.Second
 
 // check fills in what was not told and returns the least aim of all classes, or what makes no sense.
-func (s *Settings) validate() (least time.Duration, err error) {
+func (s *Settings) validate() (shortest time.Duration, err error) {
 	if len(s.Classes) == 0 || s.Schedulers < 1 || s.MaxAttempts < 1 {
 		return 0, errors.New("calicohill: at least 1 class, 1 scheduler and 1 attempt are needed")
 	}
-	least = s.Classes[0].LatencyObjective
+	shortest = s.Classes[0].LatencyObjective
 	for i, c := range s.Classes {
 		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return 0, fmt.Errorf("calicohill: class %d: aim and deadline must be above 0", i)
 		}
-		least = min(least, c.LatencyObjective)
+		shortest = min(shortest, c.LatencyObjective)
 	}
 	if s.SlowStartFraction < 0 || s.LoadBudgetPerRequest < 0 || s.LoadBudgetBase < 0 || s.OverloadMultiple < 0 {
 		return 0, errors.New("calicohill: settings below 0")
@@ -80,7 +80,7 @@
 	if !s.HonorsRetryAfter {
 		s.MaxRetryAfter = 0
 	}
-	return least, nil
+	return shortest, nil
 }
 
 // shares are those of the tenants in what one scheduler takes in. A share under one call is saved up.
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -8,20 +8,20 @@
 // withinSlowStartBudget reports whether a worker that is warming up may be sent one more request, where the
 // deployment says what overloads it: in each window that could, this scheduler sends no more than its share
 // of what the worker can do.
-func (r *Router) withinSlowStartBudget(w *worker) bool {
-	if !r.isWarmingUp(w) || r.settings.OverloadMultiple == 0 || r.settings.OverloadDuration == 0 {
+func (r *Router) withinSlowStartBudget(warming *worker) bool {
+	if !r.isWarmingUp(warming) || r.settings.OverloadMultiple == 0 || r.settings.OverloadDuration == 0 {
 		return true
 	}
 	rate, window := r.slowStartRate()
-	if r.now >= w.slowStartQuotaUntil {
-		w.slowStartQuota = r.drawSlowStartQuota(w, rate, window)
-		w.slowStartQuotaUntil = r.now + window
+	if r.now >= warming.slowStartQuotaUntil {
+		warming.slowStartQuota = r.drawSlowStartQuota(warming, rate, window)
+		warming.slowStartQuotaUntil = r.now + window
 	}
 	// Any window counts, wherever it begins, and what waited for a connection arrives close to what follows.
-	w.slowStartSends = slices.DeleteFunc(w.slowStartSends, func(sentAt time.Duration) bool {
+	warming.slowStartSends = slices.DeleteFunc(warming.slowStartSends, func(sentAt time.Duration) bool {
 		return r.now-sentAt >= window+window/slowStartOverlap
 	})
-	return len(w.slowStartSends) < w.slowStartQuota
+	return len(warming.slowStartSends) < warming.slowStartQuota
 }
 
 // slowStartRate estimates the throughput per unit of weight, in requests a second, and gives the window in
--- a/routing/state.go
+++ b/routing/state.go
@@ -12,7 +12,7 @@
 type Router struct {
 	settings     Settings
 	minObjective float64 // shortest latency objective of all classes, in seconds
-	peerShare    float64 // part of what happens at the workers that other schedulers cause, 0 to 1
+	peerFraction float64 // part of what happens at the workers that other schedulers cause, 0 to 1
 	rng          *rand.Rand
 	now          time.Duration // the latest time that Step was given
 	started      bool          // Step was called
@@ -58,7 +58,7 @@
 	return &Router{
 		settings:          s,
 		minObjective:      shortest.Seconds(),
-		peerShare:         1 - 1/float64(s.Schedulers),
+		peerFraction:      1 - 1/float64(s.Schedulers),
 		rng:               rand.New(rand.NewPCG(seed, 0)),
 		requests:          map[string]*request{},
 		tenantQuotas:      s.tenantQuotas(),
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -45,15 +45,15 @@
 
 // Choice of a worker.
 const (
-	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
-	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
-	maxSpillUtilization  = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
-	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
-	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
-	spreadKeepAlives     = 2.0  // keep-alives over which that part is counted
-	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
-	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
-	peerShareExponent    = 4    // how fast what peers cause stops to matter when there are few of them
+	maxCandidates         = 4    // workers of the rendezvous order that a first attempt considers
+	presumedWarmRequests  = 4    // peers' requests within a keep-alive that keep an instance loaded
+	maxSpreadUtilization  = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
+	maxWaitingForLoads    = 4    // requests of ours that may wait for loads at a worker that gets another
+	spreadFactor          = 2.0  // preferred workers of a function, as a multiple of its part of all requests
+	spreadKeepAlives      = 2.0  // keep-alives over which that part is counted
+	unansweredPenalty     = 0.25 // requests that a worker with no recent answer counts as busier by
+	pressureSteps         = 4    // steps in which pressure counts; less is noise, and all would follow it
+	peerInfluenceExponent = 4    // how fast what peers cause stops to matter when there are few of them
 )
 
 // Pressure of a worker: the busy fraction of its cores plus a latency in shortest objectives.
@@ -84,7 +84,7 @@
 	ownObservationLifetime = time.Second // own answers younger than this outweigh the reports of peers
 	reportRefreshInterval  = ownObservationLifetime / 4
 	slowLatencyRatio       = 4.0  // latency over that of all workers from which a worker is reported as slow
-	maxConnectionBreaks    = 3    // breaks in a row, with no answer between, that eject a worker
+	maxConnectionResets    = 3    // breaks in a row, with no answer between, that eject a worker
 	maxErrorRate           = 0.15 // a worker above gets no requests that must not be repeated
 	// Hedges of a single overdue attempt at a worker that answers others: how many are allowed.
 	hedgeCreditPerTimeout = 4 // for each answer that never came
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -24,13 +24,13 @@
 	pressureExcess decay.Value // pressure above that of the others
 	peerInFlight   float64     // running mean of requests of other schedulers
 	latencyExcess  decay.Value // running mean of its latency over that of all workers, less 1
-	errorShare     decay.Value // running share of errors in its answers, 0 to 1
+	recentErrors   decay.Value // running share of errors in its answers, 0 to 1
 
 	// Health.
 	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
 	answeredAt       time.Duration // when it answered last; 0 if it never did
-	connectionBreaks int           // times that connections broke with no answer since
-	lastBreakAt      time.Duration // when one broke last
+	connectionResets int           // times that connections broke with no answer since
+	lastResetAt      time.Duration // when one broke last
 	ejected          bool          // it gets only probes
 	probes           int           // probes sent since it was ejected
 	probationAt      time.Duration // when the next probe may be sent
@@ -52,12 +52,12 @@
 // errorRate is the share of a worker's recent answers that are errors, 0 to 1. It fades, since nothing but
 // new requests shows that errors have ceased.
 func (r *Router) errorRate(w *worker) float64 {
-	return w.errorShare.At(r.now, r.settings.InstanceKeepAlive)
+	return w.recentErrors.At(r.now, r.settings.InstanceKeepAlive)
 }
 
 // recordError counts an error in a worker's error rate.
 func (r *Router) recordError(w *worker) {
-	w.errorShare.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
+	w.recentErrors.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
 }
 
 // unanswered counts the attempts at a worker that are overdue with no answer since they were sent, and
