--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Action is something that a Router asks for, to be done in the order given. The concrete types are Send,
-// Cancel, Reject, Fail, SetTimer, Probe, Load, Unload, Subscribe, FetchList and, where Settings.Observed, ReportFault.
+// Action is something that a Router asks for, to be done in the order given. The concrete types are Send, Cancel, Reject,
+// Fail, SetTimer, Probe, Load, Unload, Subscribe, FetchList and, with Settings.FaultReporting, ReportFault.
 type Action interface{ action() }
 
-// Send starts an attempt. The attempts of a request are numbered from 0 in the order of their Sends.
+// Send starts an attempt. The attempts of a request are numbered from 0 in the order of their Sends. It is answered by
+// AttemptEnded.
 type Send struct {
 	ID      string
 	Worker  string
 	Timeout time.Duration // 0 means until the client gives up
-	// StartWithin is how long from now it may begin: a repeat that has waited longer for its connection would come when
-	// workers have forgotten the first. 0 means any time.
+	// StartWithin is how long from now the attempt may begin: a repeat that has waited longer for its connection would
+	// arrive when workers have forgotten the idempotency key. 0 means any time.
 	StartWithin time.Duration
 }
 
-// Cancel stops the wait for an attempt.
+// Cancel stops the wait for an attempt. The attempt still gets its AttemptEnded.
 type Cancel struct {
 	ID      string
-	Attempt int
+	Attempt int // number of the attempt, see Send
 }
 
-// Reject is a final answer: not served, and trying again is harmless.
+// Reject is a final answer: the request was not served, and a retry is harmless.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // advice on when to try again; 0 means none
+	RetryAfter time.Duration // advice on when to retry; 0 means none
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that promises nothing: the request may have run.
 type Fail struct{ ID string }
 
 // SetTimer asks for a TimerFired.
@@ -37,29 +38,34 @@
 	Token uint64
 }
 
-// Probe asks a worker for its load report.
+// Probe asks a worker for its load report. It is answered by ProbeEnded.
 type Probe struct{ Worker string }
 
-// Load orders a worker to hold at least that many copies of a function; 0 only asks.
+// Load orders a worker to hold at least this many instances of a function; 0 only asks how many there are. It is answered
+// by LoadEnded.
 type Load struct {
-	Worker, Function string
-	Instances        int
+	Worker    string
+	Function  string
+	Instances int
 }
 
-// Unload has the idle copies of a function at a worker unloaded.
-type Unload struct{ Worker, Function string }
+// Unload orders a worker to unload the idle instances of a function.
+type Unload struct {
+	Worker   string
+	Function string
+}
 
-// Subscribe asks discovery for changes of the worker list from now on, or stops asking.
+// Subscribe asks discovery for changes of the endpoint list from now on, or stops that.
 type Subscribe struct{ On bool }
 
-// FetchList asks discovery for the whole list, once.
+// FetchList asks discovery for the whole endpoint list, once.
 type FetchList struct{}
 
-// ReportFault says what this scheduler itself finds of a worker, first when that changes and again with newer proof.
+// ReportFault says what this scheduler itself finds of a worker: once when that changes, and again with newer evidence.
 type ReportFault struct {
 	Worker     string
-	Fault      Fault         // Well: an answer
-	ObservedAt time.Duration // when the request was sent that shows it, or the answer came
+	Fault      Fault         // Healthy: the worker answered
+	ObservedAt time.Duration // when the request that shows it was sent, or the answer arrived
 }
 
 func (ReportFault) action() {}
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,11 +2,17 @@
 
 import "time"
 
-// Event is something that a Router is told. The concrete types are WorkerList, Request, StreamStarted,
-// AttemptEnded, ClientCanceled, TimerFired, ProbeEnded, LoadEnded, PeerMessage, PeerReports, PoolsChanged, EndpointsStale, StateRestored
-// and Shutdown.
+// Event is something that happened, as reported to Step. The concrete types are WorkerList, Request, StreamStarted,
+// AttemptEnded, ClientCanceled, TimerFired, ProbeEnded, LoadEnded, PeerMessage, PeerReports, PoolsChanged,
+// EndpointsStale, StateRestored and Shutdown.
 type Event interface{ event() }
 
+// WorkerList is the endpoint list or changes of it, from discovery.
+type WorkerList struct {
+	Kind    ListKind
+	Workers []Worker
+}
+
 // ListKind tells how to read a WorkerList.
 type ListKind int
 
@@ -18,138 +24,129 @@
 	ListFailed                  // the call for a list failed; what was known still holds
 )
 
-// WorkerState is what the list knows of a worker.
-type WorkerState int
-
-// The states.
-const (
-	Gone WorkerState = iota
-	Ready
-	Draining
-)
-
 // Worker is an entry of a WorkerList.
 type Worker struct {
 	ID      string
 	State   WorkerState
-	Weight  float64 // size, for comparison with other workers
-	Kind    int
-	Zone    int
-	Cell    int           // workers of a cell share which keys they have seen
-	Started time.Duration // clock time of the latest start; 0 means long ago
+	Weight  float64       // capacity, for comparison with other workers; see Settings.WeightsReported
+	Kind    int           // index in Settings.WorkerMemoryMB
+	Zone    int           // failure domain
+	Cell    int           // workers of a cell share which idempotency keys they have seen
+	Started time.Duration // time of the latest start, on the clock of Step; 0 means long ago
 }
 
-// WorkerList brings what discovery knows of the workers.
-type WorkerList struct {
-	Kind    ListKind
-	Workers []Worker
-}
+// WorkerState is what discovery knows of a worker.
+type WorkerState int
 
-// Request is a client's request, to which the Router owes exactly one final answer.
+// The states.
+const (
+	Gone     WorkerState = iota // it was removed
+	Ready                       // it takes requests
+	Draining                    // it ends what it has and takes nothing new
+)
+
+// Request is a client's request, to which the Router owes exactly one final answer: an attempt that ends with
+// RequestAnswered, a Reject or a Fail.
 type Request struct {
 	ID           string
-	Class        int
-	Tenant       int
+	Class        int // index in Settings.Classes
+	Tenant       int // index in Settings.Tenants
 	Function     string
-	TimeLeft     time.Duration // until the client gives this try up
-	ExpectedWork time.Duration // expected work; 0 if unknown
-	MemoryMB     float64       // of a loaded copy, in MB
-	Concurrency  int           // requests that a copy runs at a time
+	TimeLeft     time.Duration // until the client gives up
+	ExpectedWork time.Duration // 0 if unknown
+	MemoryMB     float64       // of a loaded instance, in MB
+	Concurrency  int           // requests that an instance runs at a time
 	LoadTime     time.Duration // usual time of a load; 0 if unknown
-	MarkedRetry  bool          // the client marked it as a repeat
+	MarkedRetry  bool          // the client marked it as a retry
 	Pool         *Pool         // workers that may have it; nil means all
 }
 
-// Pool is the workers that requests of a route may go to. All requests of one Function name one Pool. Whoever keeps
-// it may change Workers between two Steps, and tells the next by PoolsChanged.
-type Pool struct {
-	Workers  map[string]bool // by id
-	Fallback *Pool           // stands in while this one has no room; nil means none does
-}
+// fallbackSuffix is added to a function's name in the fallback of its pool: a NUL, so that it looks like no other name.
+const fallbackSuffix = "\x00"
 
-// spill is the same request for the pool that stands in for its own, if one does. It is another function there: what
+// forFallbackPool is the same request for the fallback of its pool, if there is one. It is another function there: what
 // is warm in one pool is not in another.
 func (q Request) forFallbackPool() (Request, bool) {
 	if q.Pool == nil || q.Pool.Fallback == nil {
 		return q, false
 	}
-	q.Pool, q.Function = q.Pool.Fallback, q.Function+"\x00"
+	q.Pool = q.Pool.Fallback
+	q.Function += fallbackSuffix
 	return q, true
 }
 
-// Has reports whether a worker belongs to a pool; every worker belongs to no pool.
-func (p *Pool) Has(worker string) bool { return p == nil || p.Workers[worker] }
-
-// EndpointsStale says for how long the list may be old, from now: nobody heard of its changes for a while. Nothing is sent
-// until then, or until another says 0.
-type EndpointsStale struct{ Duration time.Duration }
+// Pool is the set of workers that requests of a route may go to. All requests of one Function name one Pool. Its owner may
+// change Workers between two Steps, and reports that to the next with PoolsChanged.
+type Pool struct {
+	Workers  map[string]bool // by id
+	Fallback *Pool           // stands in while this one has no capacity; nil means none does
+}
 
-// StateRestored brings what an earlier process of this scheduler learned. It follows the first WorkerList.
-type StateRestored struct{ State LearnedState }
+// Has reports whether a worker belongs to a pool. Every worker belongs to the nil pool.
+func (p *Pool) Has(worker string) bool { return p == nil || p.Workers[worker] }
 
 // PoolsChanged says that some Pool has other workers than before.
 type PoolsChanged struct{}
 
-// Shutdown says that this scheduler is about to end: what is open gets its final answer now.
-type Shutdown struct{}
+// StreamStarted says that the answer of a streaming request has begun.
+type StreamStarted struct {
+	ID      string
+	Attempt int // number of the attempt, see Send
+	Worker  string
+	Latency time.Duration
+}
 
-// Outcome says how an attempt, a probe or an order to load ended.
+// AttemptEnded says how an attempt ended. Every Send gets exactly one.
+type AttemptEnded struct {
+	ID                  string
+	Attempt             int // number of the attempt, see Send
+	Worker              string
+	Outcome             Outcome
+	RequestAnswered     bool          // the request has its final answer
+	Latency             time.Duration // 0 if unknown
+	StartType           StartType
+	InFlightForFunction int         // requests for the function that the worker had on arrival; -1 if unknown
+	Report              *LoadReport // nil if none came along
+}
+
+// Outcome says how an attempt, a Probe or a Load ended.
 type Outcome int
 
 // The outcomes.
 const (
 	Served          Outcome = iota // answered
 	Errored                        // the worker answered with an error; the request may have run
-	Shed                           // turned away unseen
+	Shed                           // the worker rejected it unseen
 	TimedOut                       // no answer in time; it may have run or be running
 	ConnectFailed                  // no connection was made
 	ConnectionReset                // the connection broke; it may have run
-	Canceled                       // called off; it may have run
-	NotSent                        // never left this scheduler
+	Canceled                       // canceled by this scheduler; it may have run
+	NotSent                        // it never left this scheduler
 	NotLoaded                      // the function isn't loaded there and no load is under way, or the load failed
 )
 
 // StartType says in what state an answered request found its function.
 type StartType int
 
-// The states of warmth.
+// The start types.
 const (
 	StartUnknown    StartType = iota
-	WarmStart                 // a copy stood loaded
+	WarmStart                 // an instance was loaded
 	ColdStart                 // the request began a load
-	JoinedColdStart           // it waited for a load begun before
+	JoinedColdStart           // it waited for a load that had begun before
 	LoadFailed                // the load that it waited for failed
 )
 
-// LoadReport is a worker's load report. A value is negative if it was not told.
+// LoadReport is a worker's load report. A value is negative if it is unknown.
 type LoadReport struct {
-	InFlight, QueueLength, Utilization float64
-	MemoryHeldFraction                 float64 // share of memory that cannot be freed
-	LoadsInProgress                    float64 // loads under way or waiting
-}
-
-// StreamStarted says that the answer of a streamed request has begun.
-type StreamStarted struct {
-	ID      string
-	Attempt int
-	Worker  string
-	Latency time.Duration
+	InFlight           float64 // requests
+	QueueLength        float64 // requests that wait
+	Utilization        float64 // fraction of its cores that is busy
+	MemoryHeldFraction float64 // fraction of its memory that cannot be freed
+	LoadsInProgress    float64 // loads under way or waiting
 }
 
-// AttemptEnded says how an attempt ended. Every Send gets exactly one.
-type AttemptEnded struct {
-	ID                  string
-	Attempt             int
-	Worker              string
-	Outcome             Outcome
-	RequestAnswered     bool // the request has its final answer
-	Latency             time.Duration
-	StartType           StartType
-	InFlightForFunction int         // requests for the function that the worker held on arrival; -1 if unknown
-	Report              *LoadReport // nil if none came along
-}
-
-// ClientCanceled says that the client left; nothing more is owed for the request.
+// ClientCanceled says that the client left: nothing more is owed for the request.
 type ClientCanceled struct{ ID string }
 
 // TimerFired says that the timer with this token has come due.
@@ -160,7 +157,7 @@
 	Worker  string
 	Outcome Outcome
 	Latency time.Duration
-	Report  *LoadReport
+	Report  *LoadReport // nil if there is none
 }
 
 // LoadEnded is the answer to a Load.
@@ -168,20 +165,40 @@
 	Worker    string
 	Function  string
 	Outcome   Outcome
-	Instances int // copies that stand loaded
+	Instances int // instances that are loaded
 	Latency   time.Duration
 }
 
 // PeerMessage is a message of another scheduler.
 type PeerMessage struct {
-	From int
+	From int // rank of the sender
 	Data []byte
 }
 
+// PeerReports is what other schedulers together report of the workers. It replaces all earlier reports: a worker without
+// a verdict is NotReported.
+type PeerReports struct {
+	Verdicts map[string]PeerVerdict // by worker
+	Cleared  []string               // workers that have just answered a scheduler which had reported them
+}
+
+// PeerVerdict is what other schedulers together report of a worker.
+type PeerVerdict uint8
+
+// The verdicts, each stronger than the one before.
+const (
+	NotReported PeerVerdict = iota
+	Reported                // some find it unhealthy
+	Confirmed               // more of them than may lie find it unresponsive or unreachable
+)
+
+// String returns the name of a verdict in logs and on the operator's pages.
+func (v PeerVerdict) String() string { return [...]string{"none", "noted", "believed"}[v] }
+
 // Fault is what a scheduler may find wrong with a worker.
 type Fault uint8
 
-// The troubles.
+// The faults.
 const (
 	Healthy      Fault = iota
 	Unresponsive       // takes requests and answers none
@@ -190,27 +207,20 @@
 	Unreachable        // takes no connections, or breaks them
 )
 
-func (t Fault) String() string {
-	return [...]string{"well", "silent", "stalled", "failing", "unreachable"}[t]
+// String returns the name of a fault in logs and on the operator's pages.
+func (f Fault) String() string {
+	return [...]string{"well", "silent", "stalled", "failing", "unreachable"}[f]
 }
 
-// PeerVerdict is what other schedulers together hold of a worker.
-type PeerVerdict uint8
-
-// The words, each stronger than the one before.
-const (
-	NotReported PeerVerdict = iota
-	Reported                // some find it ill
-	Confirmed               // more of them than may lie find it silent or unreachable
-)
+// EndpointsStale says for how long from now the endpoint list may be stale: nobody heard of changes for a while. Nothing
+// is sent until then, or until another EndpointsStale says 0.
+type EndpointsStale struct{ Duration time.Duration }
 
-func (w PeerVerdict) String() string { return [...]string{"none", "noted", "believed"}[w] }
+// StateRestored brings what an earlier process of this scheduler learned. It follows the first WorkerList.
+type StateRestored struct{ State LearnedState }
 
-// PeerReports is what other schedulers hold of workers, in place of all before. Who is not named has no word.
-type PeerReports struct {
-	Verdicts map[string]PeerVerdict
-	Cleared  []string // workers that a scheduler which found them ill has just had an answer from
-}
+// Shutdown says that this scheduler is about to end: every open request gets its final answer now.
+type Shutdown struct{}
 
 func (WorkerList) event()     {}
 func (Request) event()        {}
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -8,58 +8,58 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Settings tells a Router what the deployment allows, promises and charges. A Router keeps no other
-// configuration; it serves whatever it is told here.
+// Settings tells a Router what the deployment allows, promises and charges. A Router keeps no other configuration.
 type Settings struct {
 	Schedulers int           // schedulers that share the workers, this one included
 	Rank       int           // number of this scheduler among them, from 0
 	Zone       int           // zone of this scheduler
-	Tick       time.Duration // least time between two batches
+	Tick       time.Duration // shortest time between two batches of events
 
 	Classes        []Class
 	Tenants        []Tenant
-	OverQuotaValue float64 // worth of a request past its tenant's share, as a fraction of the usual
+	OverQuotaValue float64 // value of a request over its tenant's quota, as a fraction of the usual
 
 	MaxAttempts          int           // attempts allowed for a request
 	MaxOpenRequests      int           // requests that may be open at once; 0 means no limit
-	HedgingAllowed       bool          // two attempts of a request may be out together
+	HedgingAllowed       bool          // two attempts of a request may be in flight together
 	CancelAllowed        bool          // Cancel is allowed
 	ProbeAllowed         bool          // Probe is allowed
-	HonorsRetryAfter     bool          // clients are told Reject.RetryAfter
-	MaxRetryAfter        time.Duration // longest advice that clients follow
-	SubscriptionRequired bool          // the worker list comes only to those who Subscribe or StoreFetch
-	EndpointsKnownWithin time.Duration // with SubscriptionRequired: told of what was listed that long ago, even unasked
+	HonorsRetryAfter     bool          // clients get to see Reject.RetryAfter
+	MaxRetryAfter        time.Duration // longest Retry-After that clients follow
+	SubscriptionRequired bool          // the endpoint list comes only after Subscribe or FetchList
+	EndpointsKnownWithin time.Duration // with SubscriptionRequired: delay of changes that arrive even without either
 	ReportsInAnswers     bool          // load reports come with answers as well as with probes
 	ReportsInProbes      bool          // load reports come with probes
 
-	AnswerSlack time.Duration // how far past the client's time a final answer may land
-	DrainGrace  time.Duration // how long sends may go on after a worker was told to drain or be gone
+	AnswerSlack time.Duration // how far past the client's time a final answer may arrive
+	DrainGrace  time.Duration // how long sends may go on after a worker was listed as Draining or Gone
 
-	SlowStartFraction    float64       // a worker starts with no less than this share of its capacity
-	SlowStartDuration    time.Duration // and has all of it no later than this after its start
-	OverloadMultiple     float64       // sent more than this multiple of its capacity
-	OverloadDuration     time.Duration // for this long, a cold worker falls over
-	InstanceKeepAlive    time.Duration // an idle copy stays loaded at least this long
-	LoadOnDemand         bool          // a worker loads what a request lacks; otherwise only Load brings it in
-	AnswersTellStartType bool          // answers tell StartType
-	AnswersTellInFlight  bool          // answers tell InFlightForFunction
+	SlowStartFraction    float64       // share of its capacity that a worker has at its start, at the least
+	SlowStartDuration    time.Duration // time after its start until it has all of it, at the most
+	OverloadMultiple     float64       // a warming worker crashes if it is sent more than this multiple of its capacity
+	OverloadDuration     time.Duration // for this long; 0 means that nothing overloads it
+	InstanceKeepAlive    time.Duration // shortest time that an idle instance stays loaded
+	LoadOnDemand         bool          // a worker loads what a request lacks; otherwise only Load loads a function
+	AnswersTellStartType bool          // answers tell AttemptEnded.StartType
+	AnswersTellInFlight  bool          // answers tell AttemptEnded.InFlightForFunction
 
 	LoadAllowed          bool          // Load and Unload are allowed
-	LoadBudgetBase       float64       // orders to load allowed in a LoadBudgetWindow whatever the traffic
-	LoadBudgetPerRequest float64       // and as many more for each request taken in that time
-	LoadBudgetWindow     time.Duration // 0 means that orders to load are not rationed
-	LoadTimeout          time.Duration // how long an unanswered order to load stays open
+	LoadBudgetBase       float64       // Loads allowed in a LoadBudgetWindow whatever the traffic
+	LoadBudgetPerRequest float64       // Loads allowed beside for each request that arrived in that time
+	LoadBudgetWindow     time.Duration // 0 means that Loads are not limited
+	LoadTimeout          time.Duration // how long an unanswered Load stays open
 	WorkerMemoryMB       []float64     // memory of each kind of worker, in MB
 	Fees                 Fees
 	WeightsReported      bool // Worker.Weight means something
-	ClientsMarkRetries   bool // clients mark their repeats
-	FaultReporting       bool // ReportFault is heeded: by other schedulers, whose word comes as PeerReports, or by routes
+	ClientsMarkRetries   bool // clients set Request.MarkedRetry
+	FaultReporting       bool // ReportFault has readers: peers, which answer with PeerReports, or the operator's routes
 }
 
-// keepAlive holds where none is told.
+// defaultKeepAlive stands for Settings.InstanceKeepAlive where that is not set.
 const defaultKeepAlive = 10 * time.Second
 
-// check fills in what was not told and returns the least aim of all classes, or what makes no sense.
+// validate fills in what was not set and returns the shortest latency objective of all classes, or an error that says
+// what makes no sense.
 func (s *Settings) validate() (shortest time.Duration, err error) {
 	if len(s.Classes) == 0 || s.Schedulers < 1 || s.MaxAttempts < 1 {
 		return 0, errors.New("calicohill: at least 1 class, 1 scheduler and 1 attempt are needed")
@@ -83,7 +83,7 @@
 	return shortest, nil
 }
 
-// shares are those of the tenants in what one scheduler takes in. A share under one call is saved up.
+// tenantQuotas are those of the tenants in what one scheduler takes in. A fraction of a request is saved up.
 func (s *Settings) tenantQuotas() *ratelimit.Quotas {
 	var rates []float64
 	for _, t := range s.Tenants {
@@ -92,50 +92,50 @@
 	return ratelimit.NewQuotas(rates)
 }
 
-// Fees are points of the service figure, each times its rate.
+// Fees are points of the service figure, each to be multiplied by its rate.
 type Fees struct {
 	WastedWork  float64 // work that answered nothing, per work offered
-	LateFailure float64 // worth that ended unserved after its aim, per worth offered
+	LateFailure float64 // value of requests that failed after their latency objective, per value offered
 	StoreFetch  float64 // fetches from the store, per request
 	CrossZone   float64 // attempts that cross zones, per request
-	Probe       float64 // probes and orders, per request
-	IdleMemory  float64 // mean share of memory held by idle and loading copies
+	Probe       float64 // probes and Loads, per request
+	IdleMemory  float64 // mean fraction of memory held by idle and loading instances
 }
 
 // Idempotency says what repeating a request of a class does.
 type Idempotency int
 
-// The effects.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // repeats do no harm
-	IdempotentByKey                    // repeats are dropped by the workers of a DeduplicationScope, for a while
+	IdempotentByKey                    // repeats with the same key are dropped, see Class.DeduplicationScope
 	NonIdempotent                      // a repeat acts twice
 )
 
-// DeduplicationScope is the group of workers that drops the repeats of a IdempotentByKey request.
+// DeduplicationScope is the group of workers that drops the repeats of an IdempotentByKey request.
 type DeduplicationScope int
 
 // The scopes.
 const (
-	ScopeAll DeduplicationScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  DeduplicationScope = iota // all workers
+	ScopeZone                           // the workers of a zone
+	ScopeCell                           // the workers of a cell
 )
 
 // Class describes a class of requests.
 type Class struct {
-	LatencyObjective    time.Duration // an answer within this time earns the full worth
-	Deadline            time.Duration // a client waits this long in all
-	PriorityWeight      float64
-	LateValue           float64 // share of the worth paid for an answer between LatencyObjective and Deadline
+	LatencyObjective    time.Duration // an answer within this time earns the full value
+	Deadline            time.Duration // how long a client waits in all
+	PriorityWeight      float64       // value of an answer in time, for comparison with other classes
+	LateValue           float64       // fraction of it for an answer between LatencyObjective and Deadline
 	Idempotency         Idempotency
-	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow time.Duration // how long the workers remember a key
-	Streaming           bool          // answers stream: StreamStarted comes before AttemptEnded
+	DeduplicationScope  DeduplicationScope // with IdempotentByKey: which workers drop repeats
+	DeduplicationWindow time.Duration      // with IdempotentByKey: how long they remember a key
+	Streaming           bool               // answers stream: StreamStarted comes before AttemptEnded
 }
 
 // Tenant describes a customer's share of the service.
 type Tenant struct {
-	QuotaFraction     float64
-	RequestsPerSecond float64 // requests per second within its share, over all schedulers
+	QuotaFraction     float64 // of the service
+	RequestsPerSecond float64 // the same in requests a second, over all schedulers; 0 means no limit
 }
