--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,12 +1,9 @@
 package routing
 
-import (
-	"slices"
-)
+import "slices"
 
 // admit queues a request, or rejects it where its estimated finish passes its deadline, the work ahead makes
-// it late, its worker is under pressure, or its tenant is over quota. A deadline rejects none with nothing
-// ahead.
+// it late, its worker is under pressure, or its tenant is over quota. With no work ahead, no deadline does.
 func (r *Router) admit(arrival Request) {
 	if arrival.Class < 0 || arrival.Class >= len(r.settings.Classes) || r.requests[arrival.ID] != nil {
 		return
@@ -55,7 +52,7 @@
 //
 // A departure from the SCORPIO design, which looks at the deadline alone: then queues grow until every
 // answer is late. The bound is the same for all classes, or those with short objectives would starve. Harm:
-// where late answers are worth much.
+// late answers that are worth much are lost.
 func (r *Router) missesObjective(req *request, work float64) bool {
 	wait := work / max(r.capacity, 1)
 	return req.class.LateValue < 1 &&
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -1,9 +1,9 @@
 package routing
 
-// checkOverdue ejects a worker that takes requests and answers none: two attempts are overdue, and there was
-// no answer since the older was sent; one alone may be an expensive request. This covers network partitions,
-// hangs and lost machines. Its attempts are retried or hedged elsewhere. Harm: a very slow worker loses its
-// traffic until a probe is answered.
+// checkOverdue ejects a worker that takes requests and answers none: two attempts are overdue with no answer
+// since the older was sent; one alone may be an expensive request. This covers network partitions, hangs and
+// lost machines. Its attempts are retried or hedged elsewhere. Harm: a very slow worker loses its traffic
+// until a probe is answered.
 func (r *Router) checkOverdue(suspect *worker) {
 	overdue, newest := suspect.unanswered(r.now)
 	if overdue > 0 { // where one alone proves little, peers may have one too
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -12,8 +12,8 @@
 
 // isUnhealthy reports whether a worker answers errors, or peers report it and it did not answer here lately.
 func (r *Router) isUnhealthy(w *worker) bool {
-	return r.errorRate(w) > maxErrorRate || w.verdict > NotReported &&
-		r.now-w.lastAnswerAt > ownObservationLifetime
+	return r.errorRate(w) > maxErrorRate ||
+		w.verdict > NotReported && r.now-w.lastAnswerAt > ownObservationLifetime
 }
 
 // eject takes a worker out of use: it gets nothing but probes until it answers.
@@ -53,16 +53,16 @@
 // applyPeerReports takes in what peers report of the workers. One that enough of them find unhealthy is
 // ejected as if found unresponsive here, unless it answered here lately or the rest could not carry the
 // load.
-func (r *Router) applyPeerReports(e PeerReports) {
+func (r *Router) applyPeerReports(reports PeerReports) {
 	for _, w := range r.workerList {
-		w.verdict = e.Verdicts[w.ID]
+		w.verdict = reports.Verdicts[w.ID]
 		remaining := r.capacity - w.concurrencyLimit
 		if w.verdict == Confirmed && r.now-w.lastAnswerAt > ownObservationLifetime &&
 			r.utilization*r.capacity < maxSpreadUtilization*remaining {
 			r.eject(w)
 			r.refreshCapacity()
 		}
-		if slices.Contains(e.Cleared, w.ID) {
+		if slices.Contains(reports.Cleared, w.ID) {
 			w.probationAt = r.now
 		}
 	}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -34,10 +34,10 @@
 	return r.now-first.sentAt < req.class.DeduplicationWindow-r.settings.Tick
 }
 
-// sharesDeduplication reports whether two workers drop each other's repeats.
+// sameDeduplicationScope reports whether two workers drop each other's repeats.
 func sameDeduplicationScope(scope DeduplicationScope, a, b *worker) bool {
-	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone || scope == ScopeCell &&
-		a.Cell == b.Cell
+	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone ||
+		scope == ScopeCell && a.Cell == b.Cell
 }
 
 // retryAllowed reports whether some further attempt could be allowed at all, now or later.
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,8 +1,6 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
 // Step reports to the Router everything that happened at one moment, in order, and returns what is to be
 // done. Time never runs backwards: an earlier now counts as the latest one. Events with ids that the Router
