--- a/routing/memory_test.go
+++ b/routing/memory_test.go
@@ -11,26 +11,26 @@
 )
 
 // learned is a bed whose Router has served calls of some functions.
-func learned(t *testing.T, workers ...Worker) *bed {
-	b := newBed(t, settings(many), workers...)
-	b.warmUp(200, 10*ms)
+func learnedHarness(t *testing.T, workers ...Worker) *testHarness {
+	b := newHarness(t, settings(manySchedulers), workers...)
+	b.warmUp(200, 10*millisecond)
 	return b
 }
 
 // After a restart calls go where copies stood, and what warm workers answer is known from the first call on.
 func TestRecall(t *testing.T) {
-	b := learned(t, fleet(6)...)
-	m := b.r.LearnedState()
-	next := newBed(t, settings(many), fleet(6)...)
+	b := learnedHarness(t, readyWorkers(6)...)
+	m := b.router.LearnedState()
+	next := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
 	next.now = b.now + time.Second
 	next.step(0, StateRestored{m})
-	if got, want := next.r.throughputPerWeight, b.r.throughputPerWeight; got != want || want == 0 {
+	if got, want := next.router.throughputPerWeight, b.router.throughputPerWeight; got != want || want == 0 {
 		t.Errorf("a warm worker answers %v a second, as recalled; it was %v", got, want)
 	}
 	for i := range 7 {
-		f := next.r.functions[fmt.Sprint("f", i)]
+		f := next.router.functions[fmt.Sprint("f", i)]
 		s := next.send(fmt.Sprint("r", i), f.name)
-		if p := f.placementAt(next.r.workers[s.Worker]); !next.r.isWarm(p) {
+		if p := f.placementAt(next.router.workers[s.Worker]); !next.router.isWarm(p) {
 			t.Errorf("%s went to %s, where no copy stood", f.name, s.Worker)
 		}
 	}
@@ -39,8 +39,8 @@
 // What no longer holds is passed over: copies of workers that started anew or are gone, or that rested for too long, and
 // all of it where something was learned already or the memory is of a time to come.
 func TestRecallOfNoUse(t *testing.T) {
-	b := learned(t, fleet(2)...)
-	m := b.r.LearnedState()
+	b := learnedHarness(t, readyWorkers(2)...)
+	m := b.router.LearnedState()
 	for _, c := range []struct {
 		name    string
 		after   time.Duration
@@ -48,23 +48,23 @@
 		calls   int
 		knows   bool
 	}{
-		{"as it was", time.Second, fleet(2), 0, true},
+		{"as it was", time.Second, readyWorkers(2), 0, true},
 		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: b.now}, {ID: "w1", State: Ready, Weight: 1, Started: b.now}}, 0, false},
-		{"other workers", time.Second, []Worker{ready("x", 0)}, 0, false},
-		{"long ago", time.Minute, fleet(2), 0, false},
-		{"learned already", time.Second, fleet(2), 1, false},
-		{"of a time to come", -time.Minute, fleet(2), 0, false},
+		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
+		{"long ago", time.Minute, readyWorkers(2), 0, false},
+		{"learned already", time.Second, readyWorkers(2), 1, false},
+		{"of a time to come", -time.Minute, readyWorkers(2), 0, false},
 	} {
-		next := newBed(t, settings(many), c.workers...)
+		next := newHarness(t, settings(manySchedulers), c.workers...)
 		next.now = b.now + c.after
 		for i := range c.calls {
 			next.send(fmt.Sprint("s", i), "other")
 		}
 		next.step(0, StateRestored{m})
 		knows := false
-		for _, f := range next.r.functions {
+		for _, f := range next.router.functions {
 			for _, p := range f.placements {
-				knows = knows || next.r.isWarm(p)
+				knows = knows || next.router.isWarm(p)
 			}
 		}
 		if knows != c.knows {
@@ -95,20 +95,20 @@
 			}
 			m.Functions = append(m.Functions, k)
 		}
-		b := newBed(t, settings(many), fleet(4)...)
-		b.step(ms, StateRestored{m})
+		b := newHarness(t, settings(manySchedulers), readyWorkers(4)...)
+		b.step(millisecond, StateRestored{m})
 		answered := 0
 		for i := range 20 {
-			for _, s := range only[Send](b.step(100*ms, call(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
-				b.step(ms, end(s, 0, Served))
+			for _, s := range actionsOf[Send](b.step(100*millisecond, newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
+				b.step(millisecond, attemptEnd(s, 0, Served))
 				answered++
 			}
 		}
 		if answered == 0 {
 			rt.Fatal("nothing is sent any more")
 		}
-		again := b.r.LearnedState()
-		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, b.r.LearnedState()) {
+		again := b.router.LearnedState()
+		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, b.router.LearnedState()) {
 			rt.Fatalf("it remembers %+v", again)
 		}
 	})
