--- /dev/null
+++ b/routing/attempt_test.go
@@ -0,0 +1,63 @@
+package routing
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Rule 5: orders to load are rationed within every window, however many functions ask for one.
+func TestLoadRation(t *testing.T) {
+	b := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
+	var calls, orders []time.Duration
+	for i := range 1200 {
+		if i == 600 {
+			b.now += 4 * time.Second // a lull: the window's edge then passes over a dense stretch of calls
+		}
+		f := fmt.Sprint("f", i%40)
+		acts := b.step(5*millisecond, newTestRequest(fmt.Sprint("r", i), f), TimerFired{tickToken})
+		calls = append(calls, b.now)
+		for _, l := range actionsOf[Load](acts) {
+			orders = append(orders, b.now)
+			b.step(0, LoadEnded{Worker: l.Worker, Function: l.Function, Outcome: Shed})
+		}
+		for _, s := range actionsOf[Send](acts) {
+			b.step(0, attemptEnd(s, 0, Served))
+		}
+		in := func(ts []time.Duration, window time.Duration) (n float64) {
+			for _, t := range ts {
+				if b.now-t <= window {
+					n++
+				}
+			}
+			return n
+		}
+		// A call may have come in up to a tick (here 2 ms) before the batch that told of it.
+		got, most := in(orders, 5*time.Second), 2+0.01*in(calls, 5*time.Second-2*millisecond)
+		if got > most {
+			t.Fatalf("%v orders to load in the window, %v are allowed", got, most)
+		}
+	}
+	if len(orders) == 0 {
+		t.Error("no order to load at all")
+	}
+}
+
+// Where only orders bring a function in, it is ordered once and its calls wait for the answer.
+func TestOrdersWhatWorkersDoNotLoad(t *testing.T) {
+	b := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
+	acts := append(b.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), b.wait(100*millisecond)...)
+	loads := actionsOf[Load](acts)
+	if len(loads) != 1 || len(actionsOf[Send](acts)) != 0 {
+		t.Fatalf("got %v, want one order and no call sent before its answer", acts)
+	}
+	acts = b.step(millisecond, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
+	for _, s := range actionsOf[Send](acts) {
+		if s.Worker != loads[0].Worker {
+			t.Errorf("sent to %s, loaded at %s", s.Worker, loads[0].Worker)
+		}
+	}
+	if n := len(actionsOf[Send](acts)); n != 2 {
+		t.Errorf("%d calls sent once loaded, want 2", n)
+	}
+}
--- /dev/null
+++ b/routing/picker_test.go
@@ -0,0 +1,164 @@
+package routing
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+func TestGoesWhereFoundWarm(t *testing.T) {
+	b := newHarness(t, settings(), readyWorkers(8)...)
+	s := b.send("a", "f")
+	b.step(50*millisecond, attemptEnd(s, 0, Served))
+	for i := range 10 {
+		again := b.send(fmt.Sprint("b", i), "f")
+		if again.Worker != s.Worker {
+			t.Fatalf("sent to %s, found warm at %s", again.Worker, s.Worker)
+		}
+		b.step(50*millisecond, attemptEnd(again, 0, Served))
+	}
+}
+
+func TestSchedulersAgreeOnANewLoad(t *testing.T) {
+	for i := range 10 {
+		f := fmt.Sprint("f", i)
+		one, two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...), newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
+		two.router.rng = rand.New(rand.NewPCG(99, 0))
+		if a, b := one.send("a", f), two.send("b", f); a.Worker != b.Worker {
+			t.Errorf("%s goes to %s and to %s", f, a.Worker, b.Worker)
+		}
+	}
+}
+
+// A refused cold call pauses the worker for new loads, not at once trying the same one again.
+func TestPauseAfterTurningAway(t *testing.T) {
+	b := newHarness(t, settings(), readyWorkers(1)...)
+	s := b.send("a", "f")
+	if acts := b.step(millisecond, attemptEnd(s, 0, Shed)); len(actionsOf[Send](acts)) != 0 {
+		t.Errorf("sent back at once to a worker that turned it away: %v", acts)
+	}
+	if acts := b.wait(2500 * millisecond); len(actionsOf[Send](acts)) == 0 {
+		t.Error("never tried again")
+	}
+}
+
+// A much called function is spread over several workers, the same ones at all schedulers; others keep to one.
+func TestHomesAreShared(t *testing.T) {
+	var first []*worker
+	for seed := range uint64(3) {
+		r, err := New(settings(manySchedulers), seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b := &testHarness{t: t, router: r, now: time.Hour}
+		b.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(20)})
+		for i := range 200 {
+			f := "hot"
+			if i%2 == 0 {
+				f = fmt.Sprint("f", i)
+			}
+			for _, s := range actionsOf[Send](b.step(20*millisecond, newTestRequest(fmt.Sprint("r", i), f))) {
+				b.step(0, attemptEnd(s, 0, Served))
+			}
+		}
+		hot, rare := b.router.preferredWorkers(b.router.functions["hot"]), b.router.preferredWorkers(b.router.functions["f198"])
+		if len(hot) < 5 || len(rare) != 1 {
+			t.Fatalf("%d homes for half of all calls and %d for a rare function, want many and 1", len(hot), len(rare))
+		}
+		if first == nil {
+			first = hot
+		}
+		for i := range min(len(hot), len(first)) {
+			if hot[i].ID != first[i].ID {
+				t.Errorf("home %d is %s at one scheduler and %s at another", i, hot[i].ID, first[i].ID)
+			}
+		}
+	}
+}
+
+// A worker that all schedulers together press is left: by the more of its functions the more it is pressed, the same
+// ones first at every scheduler. Each scheduler alone once held on to its homes while a third of the workers idled.
+func TestPressedWorkerIsLeft(t *testing.T) {
+	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
+		b := newHarness(t, settings(change), readyWorkers(6)...)
+		w := b.router.workers["w0"]
+		for range 8 {
+			for _, a := range []*worker{w, b.router.workers["w1"], b.router.workers["w2"], b.router.workers["w3"]} {
+				e := AttemptEnded{Outcome: Served, Latency: 50 * millisecond, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
+				if a == w {
+					e.Latency, e.Report.Utilization = took, util
+				}
+				b.router.observeLoad(&attempt{worker: a}, e)
+			}
+		}
+		gone := map[string]bool{}
+		for i := range 100 {
+			if f := (&function{name: fmt.Sprint("f", i)}); b.router.isDisplaced(f.placementAt(w)) {
+				gone[f.name] = true
+			}
+		}
+		return gone
+	}
+	calm, busy, late := leaving(manySchedulers, 0.4, 50*millisecond), leaving(manySchedulers, 1, 50*millisecond), leaving(manySchedulers, 1, 900*millisecond)
+	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
+		t.Errorf("of 100 functions %d leave a calm worker, %d a busy and %d a late one, want none, some and most",
+			len(calm), len(busy), len(late))
+	}
+	for f := range busy {
+		if !late[f] {
+			t.Errorf("%s leaves a busy worker and stays at one that is late too", f)
+		}
+	}
+	if own := leaving(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
+		t.Errorf("%d functions leave a worker that is pressed by our own calls", len(own))
+	}
+}
+
+// Requests of a pool stay in it, and go to the one that stands in where it has no room: by their estimate on arrival,
+// or when half their time has passed.
+func TestPoolSpills(t *testing.T) {
+	b := newHarness(t, settings(), readyWorkers(6)...)
+	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
+	first := &Pool{Workers: map[string]bool{"w0": true, "w1": true}, Fallback: second}
+	at := map[string]int{}
+	for i := range 200 {
+		q := newTestRequest(fmt.Sprintf("a%d", i), "f\x00lane")
+		q.Pool = first
+		for _, s := range actionsOf[Send](b.step(millisecond, q)) {
+			at[s.Worker]++
+		}
+	}
+	b.wait(3 * time.Second)
+	if at["w4"]+at["w5"] > 0 {
+		t.Errorf("sent outside the pools: %v", at)
+	}
+	if at["w0"]+at["w1"] == 0 || at["w2"]+at["w3"] == 0 {
+		t.Errorf("sent to one pool alone: %v", at)
+	}
+	first.Workers = map[string]bool{"w4": true}
+	q := newTestRequest("late", "g\x00lane")
+	q.Pool = first
+	if got := actionsOf[Send](b.step(0, PoolsChanged{}, q)); len(got) != 1 || got[0].Worker != "w4" {
+		t.Errorf("after a change: %v", got)
+	}
+}
+
+// Of two workers with nothing out, where many schedulers share them, the one that answered here lately is taken.
+func TestGoesWhereItWasMet(t *testing.T) {
+	b := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
+	s := b.send("a", "f")
+	b.step(50*millisecond, attemptEnd(s, 0, Served))
+	met := b.router.workers[s.Worker]
+	other := b.router.workerList[0]
+	if other == met {
+		other = b.router.workerList[1]
+	}
+	if !b.router.busier(other, met) || b.router.busier(met, other) {
+		t.Error("a worker that was never met is taken before one that was")
+	}
+	b.wait(b.router.settings.InstanceKeepAlive + time.Second)
+	if b.router.relativeLoad(met) != b.router.relativeLoad(other) {
+		t.Error("a worker counts as met for ever")
+	}
+}
--- /dev/null
+++ b/routing/queue_test.go
@@ -0,0 +1,50 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+// A refusal tells the client when to come back: when what is ahead will be done with, never later than clients
+// follow, and not at all where they are not told.
+func TestRefusalsAdvise(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		honoured bool
+		workers  int
+		outWork  float64 // seconds; one worker has 12 lanes
+		want     time.Duration
+	}{
+		{"no worker", true, 0, 0, 500 * millisecond},
+		{"clients are not told", false, 0, 0, 0},
+		{"little ahead", true, 1, 2.4, 200 * millisecond},
+		{"next to nothing ahead", true, 1, 0.001, tickInterval},
+		{"much ahead", true, 1, 60, 500 * millisecond},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, settings(func(s *Settings) {
+				s.HonorsRetryAfter, s.MaxRetryAfter = c.honoured, 500*millisecond
+			}), readyWorkers(c.workers)...)
+			b.step(millisecond)
+			b.router.inFlightWork = c.outWork
+			q := &request{Request: newTestRequest("a", "f"), class: &b.router.settings.Classes[0]}
+			b.router.actions = nil
+			b.router.rejectOrFail(q)
+			if got := actionsOf[Reject](b.router.actions); len(got) != 1 || got[0].RetryAfter.Round(millisecond) != c.want {
+				t.Errorf("got %v, want one refusal with %v", got, c.want)
+			}
+		})
+	}
+}
+
+// The ordinary path.
+func TestLeastDeadlineFirst(t *testing.T) {
+	b := newHarness(t, settings())
+	late, soon := newTestRequest("late", "f"), newTestRequest("soon", "g")
+	soon.TimeLeft = 2 * time.Second
+	b.step(millisecond, late, soon)
+	got := actionsOf[Send](b.step(millisecond, WorkerList{Workers: readyWorkers(2)}))
+	if len(got) != 2 || got[0].ID != "soon" || got[1].ID != "late" {
+		t.Errorf("left as %v, want soon before late", got)
+	}
+}
--- /dev/null
+++ b/routing/retry_test.go
@@ -0,0 +1,78 @@
+package routing
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// Rule 2: what may follow an attempt that did not serve.
+func TestRepeats(t *testing.T) {
+	const again, refuse, fail = "again", "refuse", "fail"
+	for _, c := range []struct {
+		name    string
+		change  func(*Settings)
+		outcome Outcome
+		after   time.Duration
+		want    string
+	}{
+		{"safe, timed out", unchangedSettings, TimedOut, 600 * millisecond, again},
+		{"safe, attempts used up", singleAttempt, TimedOut, 600 * millisecond, refuse},
+		{"unsafe, shed", nonIdempotent, Shed, 10 * millisecond, again},
+		{"unsafe, unreached", nonIdempotent, ConnectFailed, 10 * millisecond, again},
+		{"unsafe, not loaded", nonIdempotent, NotLoaded, 10 * millisecond, again},
+		{"unsafe, reset", nonIdempotent, ConnectionReset, 10 * millisecond, fail},
+		{"unsafe, error", nonIdempotent, Errored, 10 * millisecond, fail},
+		{"unsafe, timed out", nonIdempotent, TimedOut, 600 * millisecond, fail},
+		{"keyed, in its span", dedupInZone, TimedOut, 1990 * millisecond, again},
+		{"keyed, at the end of its span", dedupInZone, TimedOut, 1998 * millisecond, fail},
+		{"keyed, past its span", dedupInZone, TimedOut, 2100 * millisecond, fail},
+		{"keyed by all, past its span", dedupEverywhere, TimedOut, 2100 * millisecond, refuse},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, settings(c.change), readyWorkers(6)...)
+			s := b.send("a", "f")
+			acts := b.step(c.after, attemptEnd(s, 0, c.outcome))
+			got := map[string]int{
+				again: len(actionsOf[Send](acts)), refuse: len(actionsOf[Reject](acts)),
+				fail: len(actionsOf[Fail](acts)),
+			}
+			want := map[string]int{again: 0, refuse: 0, fail: 0}
+			want[c.want] = 1
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("got %v, want %s", got, c.want)
+			}
+		})
+	}
+}
+
+func unchangedSettings(*Settings) {}
+
+func TestKeyedStaysInItsGroup(t *testing.T) {
+	zones := map[string]int{}
+	for _, w := range readyWorkers(6) {
+		zones[w.ID] = w.Zone
+	}
+	for i := range 20 {
+		b := newHarness(t, settings(dedupInZone), readyWorkers(6)...)
+		s := b.send("a", fmt.Sprint("f", i))
+		acts := actionsOf[Send](b.step(10*millisecond, attemptEnd(s, 0, ConnectionReset)))
+		if len(acts) != 1 || zones[acts[0].Worker] != zones[s.Worker] || acts[0].Worker == s.Worker {
+			t.Fatalf("after %v: %v, want another worker of the same zone", s, acts)
+		}
+	}
+}
+
+// A stream that has started belongs to the client: nothing more is sent for it when it breaks.
+func TestStartedStreamIsNotRepeated(t *testing.T) {
+	b := newHarness(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), readyWorkers(3)...)
+	s := b.send("a", "f")
+	b.step(50*millisecond, StreamStarted{ID: "a", Worker: s.Worker, Latency: 50 * millisecond})
+	broken := attemptEnd(s, 0, ConnectionReset)
+	broken.RequestAnswered = true
+	acts := append(b.step(500*millisecond, broken), b.wait(3*time.Second)...)
+	if len(actionsOf[Send](acts))+len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
+		t.Errorf("something follows a broken stream: %v", acts)
+	}
+}
--- /dev/null
+++ b/routing/slowstart_test.go
@@ -0,0 +1,147 @@
+package routing
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// Rule 4: a cold worker's budget holds in every window, with bursts, and falls with the schedulers' number.
+func TestColdBudget(t *testing.T) {
+	b := newHarness(t, settings(), readyWorker("w0", 0))
+	n := 0
+	serve := func(d time.Duration) (cold []time.Duration) {
+		for end0 := b.now + d; b.now < end0; n++ {
+			for _, s := range actionsOf[Send](b.step(tickInterval, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
+				TimerFired{tickToken})) {
+				if s.Worker == "w1" {
+					cold = append(cold, b.now)
+				}
+				b.step(0, attemptEnd(s, 0, Served))
+			}
+		}
+		return cold
+	}
+	serve(5 * time.Second) // about 100 calls a second on one warm worker
+	rate := float64(b.router.throughputPerWeight)
+	b.step(0, WorkerList{Workers: []Worker{
+		{ID: "w1", State: Ready, Weight: 1, Started: b.now},
+		{ID: "w0", State: Draining},
+	}})
+	started := b.now
+	cold := serve(3 * time.Second)
+	checkSlowStartBudget(t, cold, started, rate)
+}
+
+// bears checks that calls were sent to a cold worker, and in no second more than tip it over: it can do as much as a rate
+// when it is warm.
+func checkSlowStartBudget(t *testing.T, cold []time.Duration, started time.Duration, rate float64) {
+	t.Helper()
+	if len(cold) == 0 {
+		t.Fatal("nothing was sent to the cold worker")
+	}
+	for i, t0 := range cold {
+		in := 0
+		for _, u := range cold[i:] {
+			if u-t0 < time.Second {
+				in++
+			}
+		}
+		share := 0.25 + 0.75*(t0+time.Second-started).Seconds()/10
+		if limit := 2 * share * rate; float64(in) > limit {
+			t.Fatalf("%d sends in the second from %v, the worker tips over at %.0f", in, t0-started, limit)
+		}
+	}
+}
+
+// The budget holds for any window, not only for those that it is drawn for: what is saved till the end of one is not
+// followed by all of the next.
+func TestColdBudgetOfAnyWindow(t *testing.T) {
+	b := newHarness(t, settings(), readyWorker("w0", 0))
+	n := 0
+	var cold []time.Duration
+	step := func(calls int) {
+		events := []Event{TimerFired{tickToken}}
+		for range calls {
+			events = append(events, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%50)))
+			n++
+		}
+		for _, s := range actionsOf[Send](b.step(tickInterval, events...)) {
+			if s.Worker == "w1" {
+				cold = append(cold, b.now)
+			}
+			b.step(0, attemptEnd(s, 0, Served))
+		}
+	}
+	for range 500 { // about 100 calls a second on one warm worker
+		step(1)
+	}
+	rate := float64(b.router.throughputPerWeight)
+	b.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: b.now}, {ID: "w0", State: Draining}}})
+	started := b.now
+	for range 6 { // a few calls begin a window, most come around its end
+		step(1)
+		for b.now < b.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
+			step(0)
+		}
+		for range 24 {
+			step(30)
+		}
+	}
+	checkSlowStartBudget(t, cold, started, rate)
+}
+
+// Where nothing is told of a fall, a cold worker is called like any other.
+func TestNoColdBudget(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
+		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
+		"no time":     func(s *Settings) { s.OverloadDuration = 0 },
+	} {
+		set := settings()
+		change(&set)
+		b := newHarness(t, set, Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
+		for i := range 5 {
+			acts := b.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
+			if len(actionsOf[Send](acts)) != 1 {
+				t.Fatalf("%s: call %d is not sent", name, i)
+			}
+			b.step(0, attemptEnd(actionsOf[Send](acts)[0], 0, Served))
+		}
+	}
+}
+
+// Rule 4 with many schedulers: a share under one call must not be rounded up by each of them.
+func TestColdBudgetOfManySchedulers(t *testing.T) {
+	for _, n := range []int{1, 3, 80, 220} {
+		total, budget := 0, 0.0
+		for seed := range n {
+			r, err := New(settings(func(s *Settings) { s.Schedulers = n }), uint64(seed))
+			if err != nil {
+				t.Fatal(err)
+			}
+			b := &testHarness{t: t, router: r, now: time.Hour}
+			b.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(4)})
+			b.warmUp(50, time.Second)
+			b.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: b.now}}})
+			budget += b.router.settings.OverloadMultiple * b.router.settings.SlowStartFraction * float64(b.router.throughputPerWeight) * b.router.settings.OverloadDuration.Seconds()
+			for i := range 10 { // one window, with far more calls than the worker may get
+				for k := range 10 { // new functions: a fifth of them have the new worker as their first
+					id := fmt.Sprint("c", i, "-", k)
+					for _, s := range actionsOf[Send](b.step(5*millisecond, newTestRequest(id, "n"+id))) {
+						if s.Worker == "new" {
+							total++
+						}
+						b.step(0, attemptEnd(s, 0, Served))
+					}
+				}
+			}
+		}
+		if got, most := float64(total), budget+3*math.Sqrt(budget)+1; got > most {
+			t.Errorf("%d schedulers sent %v calls to a cold worker within a window, %v are allowed", n, got, most)
+		}
+		if n >= 80 && total == 0 {
+			t.Errorf("%d schedulers sent nothing at all to a cold worker", n)
+		}
+	}
+}
