--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -8,25 +8,25 @@
 
 // Rule 5: orders to load are rationed within every window, however many functions ask for one.
 func TestLoadRation(t *testing.T) {
-	b := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
+	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
 	var calls, orders []time.Duration
 	for i := range 1200 {
 		if i == 600 {
-			b.now += 4 * time.Second // a lull: the window's edge then passes over a dense stretch of calls
+			harness.now += 4 * time.Second // a lull: the window's edge then passes over a dense stretch of calls
 		}
 		f := fmt.Sprint("f", i%40)
-		acts := b.step(5*millisecond, newTestRequest(fmt.Sprint("r", i), f), TimerFired{tickToken})
-		calls = append(calls, b.now)
+		acts := harness.step(5*millisecond, newTestRequest(fmt.Sprint("r", i), f), TimerFired{tickToken})
+		calls = append(calls, harness.now)
 		for _, l := range actionsOf[Load](acts) {
-			orders = append(orders, b.now)
-			b.step(0, LoadEnded{Worker: l.Worker, Function: l.Function, Outcome: Shed})
+			orders = append(orders, harness.now)
+			harness.step(0, LoadEnded{Worker: l.Worker, Function: l.Function, Outcome: Shed})
 		}
 		for _, s := range actionsOf[Send](acts) {
-			b.step(0, attemptEnd(s, 0, Served))
+			harness.step(0, attemptEnd(s, 0, Served))
 		}
 		in := func(ts []time.Duration, window time.Duration) (n float64) {
 			for _, t := range ts {
-				if b.now-t <= window {
+				if harness.now-t <= window {
 					n++
 				}
 			}
@@ -45,13 +45,13 @@
 
 // Where only orders bring a function in, it is ordered once and its calls wait for the answer.
 func TestOrdersWhatWorkersDoNotLoad(t *testing.T) {
-	b := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
-	acts := append(b.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), b.wait(100*millisecond)...)
+	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
+	acts := append(harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), harness.wait(100*millisecond)...)
 	loads := actionsOf[Load](acts)
 	if len(loads) != 1 || len(actionsOf[Send](acts)) != 0 {
 		t.Fatalf("got %v, want one order and no call sent before its answer", acts)
 	}
-	acts = b.step(millisecond, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
+	acts = harness.step(millisecond, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
 	for _, s := range actionsOf[Send](acts) {
 		if s.Worker != loads[0].Worker {
 			t.Errorf("sent to %s, loaded at %s", s.Worker, loads[0].Worker)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -10,7 +10,7 @@
 
 // settings returns settings with one safe class and plenty of everything.
 func settings(change ...func(*Settings)) Settings {
-	s := Settings{
+	made := Settings{
 		Schedulers: 1, Tick: 2 * millisecond, MaxAttempts: 4, CancelAllowed: true, ProbeAllowed: true,
 		AnswerSlack: 8 * millisecond, DrainGrace: 500 * millisecond, SlowStartFraction: 0.25, SlowStartDuration: 10 * time.Second,
 		OverloadMultiple: 2, OverloadDuration: time.Second, InstanceKeepAlive: 8 * time.Second, LoadOnDemand: true,
@@ -21,9 +21,9 @@
 		}},
 	}
 	for _, f := range change {
-		f(&s)
+		f(&made)
 	}
-	return s
+	return made
 }
 
 func dedupInZone(s *Settings) {
@@ -42,7 +42,7 @@
 func threeSchedulers(s *Settings) { s.Schedulers = 3 }
 func singleAttempt(s *Settings)   { s.MaxAttempts = 1 }
 
-// bed drives a Router by hand.
+// testHarness drives a Router by hand.
 type testHarness struct {
 	t      *testing.T
 	router *Router
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestSecondCopies(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		change  []func(*Settings)
 		sends   bool
@@ -14,16 +14,16 @@
 		{"allowed, but unsafe", []func(*Settings){hedgingAllowed, nonIdempotent}, false, false},
 		{"neither copies nor cancels", []func(*Settings){cancelForbidden}, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, settings(c.change...), readyWorkers(4)...)
-			b.send("a", "f")
-			b.send("b", "f")
-			acts := b.wait(2800 * millisecond) // past a load's patience, with two calls unanswered
-			if got := len(actionsOf[Send](acts)) > 0; got != c.sends {
-				t.Errorf("second copies: %v, want %v", got, c.sends)
+		t.Run(tt.name, func(t *testing.T) {
+			harness := newHarness(t, settings(tt.change...), readyWorkers(4)...)
+			harness.send("a", "f")
+			harness.send("b", "f")
+			acts := harness.wait(2800 * millisecond) // past a load's patience, with two calls unanswered
+			if got := len(actionsOf[Send](acts)) > 0; got != tt.sends {
+				t.Errorf("second copies: %v, want %v", got, tt.sends)
 			}
-			if got := len(actionsOf[Cancel](acts)) > 0; got != c.cancels {
-				t.Errorf("cancels: %v, want %v", got, c.cancels)
+			if got := len(actionsOf[Cancel](acts)) > 0; got != tt.cancels {
+				t.Errorf("cancels: %v, want %v", got, tt.cancels)
 			}
 		})
 	}
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// learned is a bed whose Router has served calls of some functions.
+// learnedHarness is a harness whose Router has served calls of some functions.
 func learnedHarness(t *testing.T, workers ...Worker) *testHarness {
-	b := newHarness(t, settings(manySchedulers), workers...)
-	b.warmUp(200, 10*millisecond)
-	return b
+	harness := newHarness(t, settings(manySchedulers), workers...)
+	harness.warmUp(200, 10*millisecond)
+	return harness
 }
 
 // After a restart calls go where copies stood, and what warm workers answer is known from the first call on.
 func TestRecall(t *testing.T) {
-	b := learnedHarness(t, readyWorkers(6)...)
-	m := b.router.LearnedState()
+	harness := learnedHarness(t, readyWorkers(6)...)
+	m := harness.router.LearnedState()
 	next := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
-	next.now = b.now + time.Second
+	next.now = harness.now + time.Second
 	next.step(0, StateRestored{m})
-	if got, want := next.router.throughputPerWeight, b.router.throughputPerWeight; got != want || want == 0 {
+	if got, want := next.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
 		t.Errorf("a warm worker answers %v a second, as recalled; it was %v", got, want)
 	}
 	for i := range 7 {
@@ -39,9 +39,9 @@
 // What no longer holds is passed over: copies of workers that started anew or are gone, or that rested for too long, and
 // all of it where something was learned already or the memory is of a time to come.
 func TestRecallOfNoUse(t *testing.T) {
-	b := learnedHarness(t, readyWorkers(2)...)
-	m := b.router.LearnedState()
-	for _, c := range []struct {
+	harness := learnedHarness(t, readyWorkers(2)...)
+	state := harness.router.LearnedState()
+	for _, tt := range []struct {
 		name    string
 		after   time.Duration
 		workers []Worker
@@ -49,26 +49,26 @@
 		knows   bool
 	}{
 		{"as it was", time.Second, readyWorkers(2), 0, true},
-		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: b.now}, {ID: "w1", State: Ready, Weight: 1, Started: b.now}}, 0, false},
+		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
 		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
 		{"long ago", time.Minute, readyWorkers(2), 0, false},
 		{"learned already", time.Second, readyWorkers(2), 1, false},
 		{"of a time to come", -time.Minute, readyWorkers(2), 0, false},
 	} {
-		next := newHarness(t, settings(manySchedulers), c.workers...)
-		next.now = b.now + c.after
-		for i := range c.calls {
+		next := newHarness(t, settings(manySchedulers), tt.workers...)
+		next.now = harness.now + tt.after
+		for i := range tt.calls {
 			next.send(fmt.Sprint("s", i), "other")
 		}
-		next.step(0, StateRestored{m})
+		next.step(0, StateRestored{state})
 		knows := false
 		for _, f := range next.router.functions {
 			for _, p := range f.placements {
 				knows = knows || next.router.isWarm(p)
 			}
 		}
-		if knows != c.knows {
-			t.Errorf("%s: copies are believed to stand: %v, want %v", c.name, knows, c.knows)
+		if knows != tt.knows {
+			t.Errorf("%s: copies are believed to stand: %v, want %v", tt.name, knows, tt.knows)
 		}
 	}
 }
@@ -76,39 +76,39 @@
 // Whatever stands in a memory, a Router that took it up goes on deciding, and what it remembers then is sound.
 func TestRecallAnything(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
-	number, at := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
+	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
-		m := LearnedState{
+		state := LearnedState{
 			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), RequestWeight: figure.Draw(rt, "calls"),
 			ThroughputPerWeight: figure.Draw(rt, "rate"), MeanPressure: figure.Draw(rt, "press"),
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "workers") {
-			m.Workers = append(m.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
+			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
 			k := LearnedFunction{
 				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Concurrency: number.Draw(rt, "lanes"),
-				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: at.Draw(rt, "told"),
+				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: instant.Draw(rt, "told"),
 			}
 			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
-				k.Instances = append(k.Instances, LearnedInstance{number.Draw(rt, "place"), at.Draw(rt, "found"), number.Draw(rt, "copies")})
+				k.Instances = append(k.Instances, LearnedInstance{number.Draw(rt, "place"), instant.Draw(rt, "found"), number.Draw(rt, "copies")})
 			}
-			m.Functions = append(m.Functions, k)
+			state.Functions = append(state.Functions, k)
 		}
-		b := newHarness(t, settings(manySchedulers), readyWorkers(4)...)
-		b.step(millisecond, StateRestored{m})
+		harness := newHarness(t, settings(manySchedulers), readyWorkers(4)...)
+		harness.step(millisecond, StateRestored{state})
 		answered := 0
 		for i := range 20 {
-			for _, s := range actionsOf[Send](b.step(100*millisecond, newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
-				b.step(millisecond, attemptEnd(s, 0, Served))
+			for _, s := range actionsOf[Send](harness.step(100*millisecond, newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
+				harness.step(millisecond, attemptEnd(s, 0, Served))
 				answered++
 			}
 		}
 		if answered == 0 {
 			rt.Fatal("nothing is sent any more")
 		}
-		again := b.router.LearnedState()
-		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, b.router.LearnedState()) {
+		again := harness.router.LearnedState()
+		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, harness.router.LearnedState()) {
 			rt.Fatalf("it remembers %+v", again)
 		}
 	})
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestGoesWhereFoundWarm(t *testing.T) {
-	b := newHarness(t, settings(), readyWorkers(8)...)
-	s := b.send("a", "f")
-	b.step(50*millisecond, attemptEnd(s, 0, Served))
+	harness := newHarness(t, settings(), readyWorkers(8)...)
+	s := harness.send("a", "f")
+	harness.step(50*millisecond, attemptEnd(s, 0, Served))
 	for i := range 10 {
-		again := b.send(fmt.Sprint("b", i), "f")
+		again := harness.send(fmt.Sprint("b", i), "f")
 		if again.Worker != s.Worker {
 			t.Fatalf("sent to %s, found warm at %s", again.Worker, s.Worker)
 		}
-		b.step(50*millisecond, attemptEnd(again, 0, Served))
+		harness.step(50*millisecond, attemptEnd(again, 0, Served))
 	}
 }
 
@@ -33,12 +33,12 @@
 
 // A refused cold call pauses the worker for new loads, not at once trying the same one again.
 func TestPauseAfterTurningAway(t *testing.T) {
-	b := newHarness(t, settings(), readyWorkers(1)...)
-	s := b.send("a", "f")
-	if acts := b.step(millisecond, attemptEnd(s, 0, Shed)); len(actionsOf[Send](acts)) != 0 {
+	harness := newHarness(t, settings(), readyWorkers(1)...)
+	s := harness.send("a", "f")
+	if acts := harness.step(millisecond, attemptEnd(s, 0, Shed)); len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("sent back at once to a worker that turned it away: %v", acts)
 	}
-	if acts := b.wait(2500 * millisecond); len(actionsOf[Send](acts)) == 0 {
+	if acts := harness.wait(2500 * millisecond); len(actionsOf[Send](acts)) == 0 {
 		t.Error("never tried again")
 	}
 }
@@ -81,20 +81,20 @@
 // ones first at every scheduler. Each scheduler alone once held on to its homes while a third of the workers idled.
 func TestPressedWorkerIsLeft(t *testing.T) {
 	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
-		b := newHarness(t, settings(change), readyWorkers(6)...)
-		w := b.router.workers["w0"]
+		harness := newHarness(t, settings(change), readyWorkers(6)...)
+		w := harness.router.workers["w0"]
 		for range 8 {
-			for _, a := range []*worker{w, b.router.workers["w1"], b.router.workers["w2"], b.router.workers["w3"]} {
+			for _, a := range []*worker{w, harness.router.workers["w1"], harness.router.workers["w2"], harness.router.workers["w3"]} {
 				e := AttemptEnded{Outcome: Served, Latency: 50 * millisecond, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
 				if a == w {
 					e.Latency, e.Report.Utilization = took, util
 				}
-				b.router.observeLoad(&attempt{worker: a}, e)
+				harness.router.observeLoad(&attempt{worker: a}, e)
 			}
 		}
 		gone := map[string]bool{}
 		for i := range 100 {
-			if f := (&function{name: fmt.Sprint("f", i)}); b.router.isDisplaced(f.placementAt(w)) {
+			if f := (&function{name: fmt.Sprint("f", i)}); harness.router.isDisplaced(f.placementAt(w)) {
 				gone[f.name] = true
 			}
 		}
@@ -118,47 +118,47 @@
 // Requests of a pool stay in it, and go to the one that stands in where it has no room: by their estimate on arrival,
 // or when half their time has passed.
 func TestPoolSpills(t *testing.T) {
-	b := newHarness(t, settings(), readyWorkers(6)...)
+	harness := newHarness(t, settings(), readyWorkers(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
 	first := &Pool{Workers: map[string]bool{"w0": true, "w1": true}, Fallback: second}
-	at := map[string]int{}
+	sentTo := map[string]int{}
 	for i := range 200 {
 		q := newTestRequest(fmt.Sprintf("a%d", i), "f\x00lane")
 		q.Pool = first
-		for _, s := range actionsOf[Send](b.step(millisecond, q)) {
-			at[s.Worker]++
+		for _, s := range actionsOf[Send](harness.step(millisecond, q)) {
+			sentTo[s.Worker]++
 		}
 	}
-	b.wait(3 * time.Second)
-	if at["w4"]+at["w5"] > 0 {
-		t.Errorf("sent outside the pools: %v", at)
+	harness.wait(3 * time.Second)
+	if sentTo["w4"]+sentTo["w5"] > 0 {
+		t.Errorf("sent outside the pools: %v", sentTo)
 	}
-	if at["w0"]+at["w1"] == 0 || at["w2"]+at["w3"] == 0 {
-		t.Errorf("sent to one pool alone: %v", at)
+	if sentTo["w0"]+sentTo["w1"] == 0 || sentTo["w2"]+sentTo["w3"] == 0 {
+		t.Errorf("sent to one pool alone: %v", sentTo)
 	}
 	first.Workers = map[string]bool{"w4": true}
 	q := newTestRequest("late", "g\x00lane")
 	q.Pool = first
-	if got := actionsOf[Send](b.step(0, PoolsChanged{}, q)); len(got) != 1 || got[0].Worker != "w4" {
+	if got := actionsOf[Send](harness.step(0, PoolsChanged{}, q)); len(got) != 1 || got[0].Worker != "w4" {
 		t.Errorf("after a change: %v", got)
 	}
 }
 
 // Of two workers with nothing out, where many schedulers share them, the one that answered here lately is taken.
 func TestGoesWhereItWasMet(t *testing.T) {
-	b := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
-	s := b.send("a", "f")
-	b.step(50*millisecond, attemptEnd(s, 0, Served))
-	met := b.router.workers[s.Worker]
-	other := b.router.workerList[0]
+	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
+	s := harness.send("a", "f")
+	harness.step(50*millisecond, attemptEnd(s, 0, Served))
+	met := harness.router.workers[s.Worker]
+	other := harness.router.workerList[0]
 	if other == met {
-		other = b.router.workerList[1]
+		other = harness.router.workerList[1]
 	}
-	if !b.router.busier(other, met) || b.router.busier(met, other) {
+	if !harness.router.busier(other, met) || harness.router.busier(met, other) {
 		t.Error("a worker that was never met is taken before one that was")
 	}
-	b.wait(b.router.settings.InstanceKeepAlive + time.Second)
-	if b.router.relativeLoad(met) != b.router.relativeLoad(other) {
+	harness.wait(harness.router.settings.InstanceKeepAlive + time.Second)
+	if harness.router.relativeLoad(met) != harness.router.relativeLoad(other) {
 		t.Error("a worker counts as met for ever")
 	}
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -8,7 +8,7 @@
 // A refusal tells the client when to come back: when what is ahead will be done with, never later than clients
 // follow, and not at all where they are not told.
 func TestRefusalsAdvise(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name     string
 		honoured bool
 		workers  int
@@ -21,17 +21,17 @@
 		{"next to nothing ahead", true, 1, 0.001, tickInterval},
 		{"much ahead", true, 1, 60, 500 * millisecond},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, settings(func(s *Settings) {
-				s.HonorsRetryAfter, s.MaxRetryAfter = c.honoured, 500*millisecond
-			}), readyWorkers(c.workers)...)
-			b.step(millisecond)
-			b.router.inFlightWork = c.outWork
-			q := &request{Request: newTestRequest("a", "f"), class: &b.router.settings.Classes[0]}
-			b.router.actions = nil
-			b.router.rejectOrFail(q)
-			if got := actionsOf[Reject](b.router.actions); len(got) != 1 || got[0].RetryAfter.Round(millisecond) != c.want {
-				t.Errorf("got %v, want one refusal with %v", got, c.want)
+		t.Run(tt.name, func(t *testing.T) {
+			harness := newHarness(t, settings(func(s *Settings) {
+				s.HonorsRetryAfter, s.MaxRetryAfter = tt.honoured, 500*millisecond
+			}), readyWorkers(tt.workers)...)
+			harness.step(millisecond)
+			harness.router.inFlightWork = tt.outWork
+			q := &request{Request: newTestRequest("a", "f"), class: &harness.router.settings.Classes[0]}
+			harness.router.actions = nil
+			harness.router.rejectOrFail(q)
+			if got := actionsOf[Reject](harness.router.actions); len(got) != 1 || got[0].RetryAfter.Round(millisecond) != tt.want {
+				t.Errorf("got %v, want one refusal with %v", got, tt.want)
 			}
 		})
 	}
@@ -39,11 +39,11 @@
 
 // The ordinary path.
 func TestLeastDeadlineFirst(t *testing.T) {
-	b := newHarness(t, settings())
+	harness := newHarness(t, settings())
 	late, soon := newTestRequest("late", "f"), newTestRequest("soon", "g")
 	soon.TimeLeft = 2 * time.Second
-	b.step(millisecond, late, soon)
-	got := actionsOf[Send](b.step(millisecond, WorkerList{Workers: readyWorkers(2)}))
+	harness.step(millisecond, late, soon)
+	got := actionsOf[Send](harness.step(millisecond, WorkerList{Workers: readyWorkers(2)}))
 	if len(got) != 2 || got[0].ID != "soon" || got[1].ID != "late" {
 		t.Errorf("left as %v, want soon before late", got)
 	}
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// play feeds a Router random legal events and checks rules 1 and 2 and the drain rule on what it does.
-func playRandomEvents(t *testing.T, s Settings, seed uint64, steps int) [][]Action {
-	r, err := New(s, seed)
+// playRandomEvents feeds a Router random legal events and checks rules 1 and 2 and the drain rule on what it does.
+func playRandomEvents(t *testing.T, deployed Settings, seed uint64, steps int) [][]Action {
+	router, err := New(deployed, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,29 +32,29 @@
 	events := []Event{WorkerList{Kind: ListCached, Workers: workers}}
 	var all [][]Action
 	for i := range steps {
-		acts := r.Step(now, events)
+		acts := router.Step(now, events)
 		all = append(all, acts)
-		for _, a := range acts {
+		for _, action := range acts {
 			final := ""
-			switch a := a.(type) {
+			switch action := action.(type) {
 			case Send:
-				q := held[a.ID]
-				if q == nil || q.done || now >= q.end || !ok[a.Worker] ||
-					len(q.out) > 0 && !s.HedgingAllowed || q.dirty && s.Classes[0].Idempotency == NonIdempotent {
-					t.Fatalf("step %d: %+v breaks a rule: %+v", i, a, q)
+				q := held[action.ID]
+				if q == nil || q.done || now >= q.end || !ok[action.Worker] ||
+					len(q.out) > 0 && !deployed.HedgingAllowed || q.dirty && deployed.Classes[0].Idempotency == NonIdempotent {
+					t.Fatalf("step %d: %+v breaks a rule: %+v", i, action, q)
 				}
-				q.out[q.n] = a.Worker
+				q.out[q.n] = action.Worker
 				q.n++
 			case Load:
-				if !ok[a.Worker] {
-					t.Fatalf("step %d: order to %s", i, a.Worker)
+				if !ok[action.Worker] {
+					t.Fatalf("step %d: order to %s", i, action.Worker)
 				}
 			case Fail:
-				final = a.ID
+				final = action.ID
 			case Reject:
-				final = a.ID
-				if q := held[a.ID]; q != nil && (q.dirty || len(q.out) > 0) && s.Classes[0].Idempotency == NonIdempotent {
-					t.Fatalf("step %d: %s refused though it may have run", i, a.ID)
+				final = action.ID
+				if q := held[action.ID]; q != nil && (q.dirty || len(q.out) > 0) && deployed.Classes[0].Idempotency == NonIdempotent {
+					t.Fatalf("step %d: %s refused though it may have run", i, action.ID)
 				}
 			}
 			if final != "" {
@@ -67,27 +67,27 @@
 		now += time.Duration(rng.IntN(8)+2) * millisecond
 		events = []Event{TimerFired{tickToken}}
 		for _, id := range order {
-			q := held[id]
-			if !q.done && now > q.end+s.AnswerSlack {
+			open := held[id]
+			if !open.done && now > open.end+deployed.AnswerSlack {
 				t.Fatalf("step %d: %s unanswered past its time", i, id)
 			}
-			for n := range q.n {
-				w, out := q.out[n]
-				if !out || now < q.end-5*millisecond && rng.IntN(12) > 0 {
+			for attempt := range open.n {
+				target, out := open.out[attempt]
+				if !out || now < open.end-5*millisecond && rng.IntN(12) > 0 {
 					continue
 				}
-				delete(q.out, n)
+				delete(open.out, attempt)
 				o := Outcome(rng.IntN(int(NotLoaded) + 1))
-				if now >= q.end-5*millisecond {
+				if now >= open.end-5*millisecond {
 					o = TimedOut
 				}
 				if o == Served {
-					q.done = true
+					open.done = true
 				} else if o != Shed && o != ConnectFailed && o != NotSent && o != NotLoaded {
-					q.dirty = true
+					open.dirty = true
 				}
 				events = append(events, AttemptEnded{
-					ID: id, Attempt: n, Worker: w, Outcome: o, RequestAnswered: q.done,
+					ID: id, Attempt: attempt, Worker: target, Outcome: o, RequestAnswered: open.done,
 					Latency: 30 * millisecond, StartType: StartType(rng.IntN(4)), InFlightForFunction: rng.IntN(3),
 				})
 			}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -10,7 +10,7 @@
 // Rule 2: what may follow an attempt that did not serve.
 func TestRepeats(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		change  func(*Settings)
 		outcome Outcome
@@ -30,18 +30,18 @@
 		{"keyed, past its span", dedupInZone, TimedOut, 2100 * millisecond, fail},
 		{"keyed by all, past its span", dedupEverywhere, TimedOut, 2100 * millisecond, refuse},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, settings(c.change), readyWorkers(6)...)
-			s := b.send("a", "f")
-			acts := b.step(c.after, attemptEnd(s, 0, c.outcome))
+		t.Run(tt.name, func(t *testing.T) {
+			harness := newHarness(t, settings(tt.change), readyWorkers(6)...)
+			s := harness.send("a", "f")
+			acts := harness.step(tt.after, attemptEnd(s, 0, tt.outcome))
 			got := map[string]int{
 				again: len(actionsOf[Send](acts)), refuse: len(actionsOf[Reject](acts)),
 				fail: len(actionsOf[Fail](acts)),
 			}
 			want := map[string]int{again: 0, refuse: 0, fail: 0}
-			want[c.want] = 1
+			want[tt.want] = 1
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("got %v, want %s", got, c.want)
+				t.Errorf("got %v, want %s", got, tt.want)
 			}
 		})
 	}
@@ -55,9 +55,9 @@
 		zones[w.ID] = w.Zone
 	}
 	for i := range 20 {
-		b := newHarness(t, settings(dedupInZone), readyWorkers(6)...)
-		s := b.send("a", fmt.Sprint("f", i))
-		acts := actionsOf[Send](b.step(10*millisecond, attemptEnd(s, 0, ConnectionReset)))
+		harness := newHarness(t, settings(dedupInZone), readyWorkers(6)...)
+		s := harness.send("a", fmt.Sprint("f", i))
+		acts := actionsOf[Send](harness.step(10*millisecond, attemptEnd(s, 0, ConnectionReset)))
 		if len(acts) != 1 || zones[acts[0].Worker] != zones[s.Worker] || acts[0].Worker == s.Worker {
 			t.Fatalf("after %v: %v, want another worker of the same zone", s, acts)
 		}
@@ -66,12 +66,12 @@
 
 // A stream that has started belongs to the client: nothing more is sent for it when it breaks.
 func TestStartedStreamIsNotRepeated(t *testing.T) {
-	b := newHarness(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), readyWorkers(3)...)
-	s := b.send("a", "f")
-	b.step(50*millisecond, StreamStarted{ID: "a", Worker: s.Worker, Latency: 50 * millisecond})
+	harness := newHarness(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), readyWorkers(3)...)
+	s := harness.send("a", "f")
+	harness.step(50*millisecond, StreamStarted{ID: "a", Worker: s.Worker, Latency: 50 * millisecond})
 	broken := attemptEnd(s, 0, ConnectionReset)
 	broken.RequestAnswered = true
-	acts := append(b.step(500*millisecond, broken), b.wait(3*time.Second)...)
+	acts := append(harness.step(500*millisecond, broken), harness.wait(3*time.Second)...)
 	if len(actionsOf[Send](acts))+len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
 		t.Errorf("something follows a broken stream: %v", acts)
 	}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -19,7 +19,7 @@
 	if list == nil {
 		t.Fatal("no policy in deploy/balancer.toml")
 	}
-	n := 0
+	lines := 0
 	for _, name := range strings.Split(string(list[1]), ", ") {
 		name = strings.Trim(name, `"`)
 		text, err := os.ReadFile("../" + name)
@@ -28,15 +28,15 @@
 		}
 		for i, line := range bytes.Split(text, []byte("\n")) {
 			if len(bytes.TrimSpace(line)) > 0 {
-				n++
+				lines++
 			}
 			if w := len([]rune(string(bytes.ReplaceAll(line, []byte("\t"), []byte("    "))))); w > 110 {
 				t.Errorf("%s:%d is %d columns wide, 110 are allowed", name, i+1, w)
 			}
 		}
 	}
-	if n > 950 {
-		t.Errorf("the policy has %d lines that are not blank, 950 are allowed", n)
+	if lines > 950 {
+		t.Errorf("the policy has %d lines that are not blank, 950 are allowed", lines)
 	}
 }
 
@@ -58,9 +58,9 @@
 // Rule 1: one final answer, in time, whatever becomes of the request.
 func TestOneFinalAnswer(t *testing.T) {
 	t.Run("no worker", func(t *testing.T) {
-		b := newHarness(t, settings())
-		b.step(0, newTestRequest("a", "f"))
-		early, late := b.wait(1400*millisecond), b.wait(100*millisecond)
+		harness := newHarness(t, settings())
+		harness.step(0, newTestRequest("a", "f"))
+		early, late := harness.wait(1400*millisecond), harness.wait(100*millisecond)
 		if n := len(actionsOf[Reject](early)); n != 0 {
 			t.Errorf("%d refusals long before half of the client's time", n)
 		}
@@ -70,36 +70,36 @@
 	})
 	// Past half its time a refusal costs where nothing was ever sent: what a worker has seen is held on.
 	t.Run("no room after a worker turned it away", func(t *testing.T) {
-		b := newHarness(t, settings(), readyWorkers(1)...)
-		s := b.send("a", "f")
+		harness := newHarness(t, settings(), readyWorkers(1)...)
+		s := harness.send("a", "f")
 		gone := readyWorker("w0", 0)
 		gone.State = Gone
-		b.step(millisecond, WorkerList{Workers: []Worker{gone}}, attemptEnd(s, 0, Shed))
-		if acts := b.wait(1900 * millisecond); len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 0 {
+		harness.step(millisecond, WorkerList{Workers: []Worker{gone}}, attemptEnd(s, 0, Shed))
+		if acts := harness.wait(1900 * millisecond); len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 0 {
 			t.Errorf("got %v at half of the client's time, want it held", acts)
 		}
 	})
 	t.Run("time-out at the deadline", func(t *testing.T) {
-		b := newHarness(t, settings(nonIdempotent), readyWorkers(3)...)
-		s := b.send("a", "f")
+		harness := newHarness(t, settings(nonIdempotent), readyWorkers(3)...)
+		s := harness.send("a", "f")
 		if s.Timeout >= 3*time.Second {
 			t.Errorf("time-out %v reaches past the client's time", s.Timeout)
 		}
-		acts := b.step(s.Timeout, attemptEnd(s, 0, TimedOut))
+		acts := harness.step(s.Timeout, attemptEnd(s, 0, TimedOut))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) != 0 {
 			t.Errorf("got %v, want one failure", acts)
 		}
-		if acts := b.wait(time.Second); len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
+		if acts := harness.wait(time.Second); len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
 			t.Errorf("something follows the final answer: %v", acts)
 		}
 	})
 	t.Run("client left", func(t *testing.T) {
-		b := newHarness(t, settings(), readyWorkers(3)...)
-		s := b.send("a", "f")
-		if n := len(actionsOf[Cancel](b.step(millisecond, ClientCanceled{"a"}))); n != 1 {
+		harness := newHarness(t, settings(), readyWorkers(3)...)
+		s := harness.send("a", "f")
+		if n := len(actionsOf[Cancel](harness.step(millisecond, ClientCanceled{"a"}))); n != 1 {
 			t.Errorf("%d attempts called off when the client left, want 1", n)
 		}
-		acts := append(b.step(millisecond, attemptEnd(s, 0, Shed)), b.wait(4*time.Second)...)
+		acts := append(harness.step(millisecond, attemptEnd(s, 0, Shed)), harness.wait(4*time.Second)...)
 		if len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
 			t.Errorf("something follows the client's leaving: %v", acts)
 		}
@@ -107,17 +107,17 @@
 }
 
 func TestStaleIDsArePassedOver(t *testing.T) {
-	b := newHarness(t, settings(loadsAllowed), readyWorkers(2)...)
-	acts := b.step(millisecond, attemptEnd(Send{ID: "none", Worker: "w0"}, 0, Served), ClientCanceled{"none"},
+	harness := newHarness(t, settings(loadsAllowed), readyWorkers(2)...)
+	acts := harness.step(millisecond, attemptEnd(Send{ID: "none", Worker: "w0"}, 0, Served), ClientCanceled{"none"},
 		StreamStarted{ID: "none", Worker: "nobody"}, ProbeEnded{Worker: "nobody"}, TimerFired{Token: 99},
 		LoadEnded{Worker: "nobody", Function: "f"}, PeerMessage{From: 3})
 	if len(acts) != 0 {
 		t.Errorf("acted on stale ids: %v", acts)
 	}
-	s := b.send("a", "f")
-	b.step(millisecond, attemptEnd(s, 5, Shed), attemptEnd(s, -1, Shed))
-	b.step(millisecond, attemptEnd(s, 0, Served), attemptEnd(s, 0, Served))
-	if n := len(b.router.workers[s.Worker].inFlight); n != 0 {
+	s := harness.send("a", "f")
+	harness.step(millisecond, attemptEnd(s, 5, Shed), attemptEnd(s, -1, Shed))
+	harness.step(millisecond, attemptEnd(s, 0, Served), attemptEnd(s, 0, Served))
+	if n := len(harness.router.workers[s.Worker].inFlight); n != 0 {
 		t.Errorf("%d attempts counted as out after the only one ended twice", n)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -9,32 +9,33 @@
 
 // Rule 4: a cold worker's budget holds in every window, with bursts, and falls with the schedulers' number.
 func TestColdBudget(t *testing.T) {
-	b := newHarness(t, settings(), readyWorker("w0", 0))
+	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
 	serve := func(d time.Duration) (cold []time.Duration) {
-		for end0 := b.now + d; b.now < end0; n++ {
-			for _, s := range actionsOf[Send](b.step(tickInterval, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
+		for end0 := harness.now + d; harness.now < end0; n++ {
+			for _, s := range actionsOf[Send](harness.step(tickInterval, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
 				TimerFired{tickToken})) {
 				if s.Worker == "w1" {
-					cold = append(cold, b.now)
+					cold = append(cold, harness.now)
 				}
-				b.step(0, attemptEnd(s, 0, Served))
+				harness.step(0, attemptEnd(s, 0, Served))
 			}
 		}
 		return cold
 	}
 	serve(5 * time.Second) // about 100 calls a second on one warm worker
-	rate := float64(b.router.throughputPerWeight)
-	b.step(0, WorkerList{Workers: []Worker{
-		{ID: "w1", State: Ready, Weight: 1, Started: b.now},
+	rate := float64(harness.router.throughputPerWeight)
+	harness.step(0, WorkerList{Workers: []Worker{
+		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
 		{ID: "w0", State: Draining},
 	}})
-	started := b.now
+	started := harness.now
 	cold := serve(3 * time.Second)
 	checkSlowStartBudget(t, cold, started, rate)
 }
 
-// bears checks that calls were sent to a cold worker, and in no second more than tip it over: it can do as much as a rate
+// checkSlowStartBudget checks that requests were sent to a warming worker, and in no second more than overload it: it
+// can do as much as a rate
 // when it is warm.
 func checkSlowStartBudget(t *testing.T, cold []time.Duration, started time.Duration, rate float64) {
 	t.Helper()
@@ -58,7 +59,7 @@
 // The budget holds for any window, not only for those that it is drawn for: what is saved till the end of one is not
 // followed by all of the next.
 func TestColdBudgetOfAnyWindow(t *testing.T) {
-	b := newHarness(t, settings(), readyWorker("w0", 0))
+	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
 	var cold []time.Duration
 	step := func(calls int) {
@@ -67,22 +68,22 @@
 			events = append(events, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%50)))
 			n++
 		}
-		for _, s := range actionsOf[Send](b.step(tickInterval, events...)) {
+		for _, s := range actionsOf[Send](harness.step(tickInterval, events...)) {
 			if s.Worker == "w1" {
-				cold = append(cold, b.now)
+				cold = append(cold, harness.now)
 			}
-			b.step(0, attemptEnd(s, 0, Served))
+			harness.step(0, attemptEnd(s, 0, Served))
 		}
 	}
 	for range 500 { // about 100 calls a second on one warm worker
 		step(1)
 	}
-	rate := float64(b.router.throughputPerWeight)
-	b.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: b.now}, {ID: "w0", State: Draining}}})
-	started := b.now
+	rate := float64(harness.router.throughputPerWeight)
+	harness.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: harness.now}, {ID: "w0", State: Draining}}})
+	started := harness.now
 	for range 6 { // a few calls begin a window, most come around its end
 		step(1)
-		for b.now < b.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
+		for harness.now < harness.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
 			step(0)
 		}
 		for range 24 {
@@ -100,23 +101,23 @@
 	} {
 		set := settings()
 		change(&set)
-		b := newHarness(t, set, Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
+		harness := newHarness(t, set, Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
 		for i := range 5 {
-			acts := b.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
+			acts := harness.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
 			if len(actionsOf[Send](acts)) != 1 {
 				t.Fatalf("%s: call %d is not sent", name, i)
 			}
-			b.step(0, attemptEnd(actionsOf[Send](acts)[0], 0, Served))
+			harness.step(0, attemptEnd(actionsOf[Send](acts)[0], 0, Served))
 		}
 	}
 }
 
 // Rule 4 with many schedulers: a share under one call must not be rounded up by each of them.
 func TestColdBudgetOfManySchedulers(t *testing.T) {
-	for _, n := range []int{1, 3, 80, 220} {
+	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
-		for seed := range n {
-			r, err := New(settings(func(s *Settings) { s.Schedulers = n }), uint64(seed))
+		for seed := range schedulers {
+			r, err := New(settings(func(s *Settings) { s.Schedulers = schedulers }), uint64(seed))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -138,10 +139,10 @@
 			}
 		}
 		if got, most := float64(total), budget+3*math.Sqrt(budget)+1; got > most {
-			t.Errorf("%d schedulers sent %v calls to a cold worker within a window, %v are allowed", n, got, most)
+			t.Errorf("%d schedulers sent %v calls to a cold worker within a window, %v are allowed", schedulers, got, most)
 		}
-		if n >= 80 && total == 0 {
-			t.Errorf("%d schedulers sent nothing at all to a cold worker", n)
+		if schedulers >= 80 && total == 0 {
+			t.Errorf("%d schedulers sent nothing at all to a cold worker", schedulers)
 		}
 	}
 }
