--- /dev/null
+++ b/routing/endpoints_test.go
@@ -0,0 +1,91 @@
+package routing
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Rule 3: nothing new to a worker that drains or is gone, from the moment it is told.
+func TestNothingIsSentToDrainingWorkers(t *testing.T) {
+	for _, state := range []WorkerState{Draining, Gone} {
+		harness := newHarness(t, settings(loadsAllowed), readyWorkers(3)...)
+		s := harness.send("a", "f")
+		harness.step(50*millisecond, attemptEnd(s, 0, Served))
+		harness.step(millisecond, WorkerList{Workers: []Worker{{ID: s.Worker, State: state}}})
+		for i := range 20 {
+			for _, a := range harness.step(10*millisecond, newTestRequest(fmt.Sprint("b", i), "f"), TimerFired{tickToken}) {
+				if to, ok := a.(Send); ok && to.Worker == s.Worker {
+					t.Errorf("state %d: sent to %s", state, s.Worker)
+				}
+				if to, ok := a.(Load); ok && to.Worker == s.Worker {
+					t.Errorf("state %d: order to load at %s", state, s.Worker)
+				}
+			}
+		}
+	}
+	harness := newHarness(t, settings(), readyWorkers(2)...)
+	harness.step(millisecond, WorkerList{Kind: ListFull, Workers: readyWorkers(1)})
+	for i := range 20 {
+		if s := harness.send(fmt.Sprint("c", i), fmt.Sprint("f", i)); s.Worker != "w0" {
+			t.Fatalf("sent to %s, which a full list no longer names", s.Worker)
+		}
+		harness.step(millisecond, attemptEnd(Send{ID: fmt.Sprint("c", i), Worker: "w0"}, 0, Served))
+	}
+}
+
+// After a stall nothing is sent until the list is known to be good again, or that takes too long; what cannot wait so
+// long is refused in time.
+func TestStaleEndpointsHoldSends(t *testing.T) {
+	harness := newHarness(t, settings(), readyWorkers(2)...)
+	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
+	if got := actionsOf[Send](append(harness.step(millisecond, newTestRequest("a", "f")), harness.wait(200*millisecond)...)); len(got) > 0 {
+		t.Fatalf("sent by a list that may be old: %v", got)
+	}
+	if got := actionsOf[Send](harness.step(millisecond, EndpointsStale{})); len(got) != 1 {
+		t.Errorf("%d sends once the list is good, want 1", len(got))
+	}
+	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
+	short := newTestRequest("b", "f")
+	short.TimeLeft = 100 * millisecond
+	got := append(harness.step(millisecond, short, newTestRequest("c", "g")), harness.wait(300*millisecond)...)
+	if s := actionsOf[Send](got); len(s) != 1 || s[0].ID != "c" {
+		t.Errorf("sent after the bound on waiting: %v, want c alone", s)
+	}
+	if r := actionsOf[Reject](got); len(r) != 1 || r[0].ID != "b" {
+		t.Errorf("refused: %v, want b, whose time ran out", r)
+	}
+}
+
+func TestRestartVoidsWarmInstances(t *testing.T) {
+	harness := newHarness(t, settings(), readyWorkers(2)...)
+	s := harness.send("a", "f")
+	harness.step(50*millisecond, attemptEnd(s, 0, Served))
+	p := harness.router.functions["f"].placementAt(harness.router.workers[s.Worker])
+	if !harness.router.isWarm(p) {
+		t.Fatal("not believed warm after a served answer")
+	}
+	harness.step(millisecond, WorkerList{Workers: []Worker{{ID: s.Worker, State: Ready, Started: harness.now}}})
+	if harness.router.isWarm(p) {
+		t.Error("still believed warm after a new start")
+	}
+}
+
+// Workers that are gone, and what was known of them, are forgotten in the end; one that is back is as good as new.
+func TestGoneWorkersAreForgotten(t *testing.T) {
+	harness := newHarness(t, settings(), readyWorker("stays", 0))
+	for i := range 50 {
+		id := fmt.Sprintf("w%d", i)
+		harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{readyWorker(id, 0)}})
+		s := harness.send(fmt.Sprint("q", i), "f")
+		harness.step(millisecond, attemptEnd(s, 0, Served))
+	}
+	harness.step(millisecond, WorkerList{Kind: ListChanges, Workers: []Worker{{ID: "w49", State: Gone}, readyWorker("stays", 0)}})
+	harness.wait(10 * time.Second)
+	if n, m, p := len(harness.router.workerList), len(harness.router.workers), len(harness.router.functions["f"].placements); n != 1 || m != 1 || p > 1 {
+		t.Errorf("%d and %d workers and %d pairs are kept, want those of one worker", n, m, p)
+	}
+	if s := harness.send("last", "f"); s.Worker != "stays" {
+		t.Errorf("sent to %s", s.Worker)
+	}
+}
--- /dev/null
+++ b/routing/hedging_test.go
@@ -0,0 +1,30 @@
+package routing
+
+import "testing"
+
+func TestHedging(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		change  []func(*Settings)
+		sends   bool
+		cancels bool
+	}{
+		{"allowed", []func(*Settings){hedgingAllowed}, true, false},
+		{"not allowed", nil, false, true},
+		{"allowed, but unsafe", []func(*Settings){hedgingAllowed, nonIdempotent}, false, false},
+		{"neither copies nor cancels", []func(*Settings){cancelForbidden}, false, false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			harness := newHarness(t, settings(tt.change...), readyWorkers(4)...)
+			harness.send("a", "f")
+			harness.send("b", "f")
+			acts := harness.wait(2800 * millisecond) // past a load's patience, with two calls unanswered
+			if got := len(actionsOf[Send](acts)) > 0; got != tt.sends {
+				t.Errorf("second copies: %v, want %v", got, tt.sends)
+			}
+			if got := len(actionsOf[Cancel](acts)) > 0; got != tt.cancels {
+				t.Errorf("cancels: %v, want %v", got, tt.cancels)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/routing/learned_state_test.go
@@ -0,0 +1,115 @@
+package routing
+
+import (
+	"fmt"
+	"math"
+	"reflect"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// learnedHarness is a harness whose Router has served calls of some functions.
+func learnedHarness(t *testing.T, workers ...Worker) *testHarness {
+	harness := newHarness(t, settings(manySchedulers), workers...)
+	harness.warmUp(200, 10*millisecond)
+	return harness
+}
+
+// After a restart calls go where copies stood, and what warm workers answer is known from the first call on.
+func TestRestoreState(t *testing.T) {
+	harness := learnedHarness(t, readyWorkers(6)...)
+	m := harness.router.LearnedState()
+	next := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
+	next.now = harness.now + time.Second
+	next.step(0, StateRestored{m})
+	if got, want := next.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
+		t.Errorf("a warm worker answers %v a second, as recalled; it was %v", got, want)
+	}
+	for i := range 7 {
+		f := next.router.functions[fmt.Sprint("f", i)]
+		s := next.send(fmt.Sprint("r", i), f.name)
+		if p := f.placementAt(next.router.workers[s.Worker]); !next.router.isWarm(p) {
+			t.Errorf("%s went to %s, where no copy stood", f.name, s.Worker)
+		}
+	}
+}
+
+// What no longer holds is passed over: copies of workers that started anew or are gone, or that rested for too long, and
+// all of it where something was learned already or the memory is of a time to come.
+func TestRestoreIgnoresVoidState(t *testing.T) {
+	harness := learnedHarness(t, readyWorkers(2)...)
+	state := harness.router.LearnedState()
+	for _, tt := range []struct {
+		name    string
+		after   time.Duration
+		workers []Worker
+		calls   int
+		knows   bool
+	}{
+		{"as it was", time.Second, readyWorkers(2), 0, true},
+		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
+		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
+		{"long ago", time.Minute, readyWorkers(2), 0, false},
+		{"learned already", time.Second, readyWorkers(2), 1, false},
+		{"of a time to come", -time.Minute, readyWorkers(2), 0, false},
+	} {
+		next := newHarness(t, settings(manySchedulers), tt.workers...)
+		next.now = harness.now + tt.after
+		for i := range tt.calls {
+			next.send(fmt.Sprint("s", i), "other")
+		}
+		next.step(0, StateRestored{state})
+		knows := false
+		for _, f := range next.router.functions {
+			for _, p := range f.placements {
+				knows = knows || next.router.isWarm(p)
+			}
+		}
+		if knows != tt.knows {
+			t.Errorf("%s: copies are believed to stand: %v, want %v", tt.name, knows, tt.knows)
+		}
+	}
+}
+
+// Whatever stands in a memory, a Router that took it up goes on deciding, and what it remembers then is sound.
+func TestRestoreArbitraryState(t *testing.T) {
+	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
+	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
+	rapid.Check(t, func(rt *rapid.T) {
+		state := LearnedState{
+			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), RequestWeight: figure.Draw(rt, "calls"),
+			ThroughputPerWeight: figure.Draw(rt, "rate"), MeanPressure: figure.Draw(rt, "press"),
+		}
+		for range rapid.IntRange(0, 3).Draw(rt, "workers") {
+			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
+		}
+		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
+			k := LearnedFunction{
+				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Concurrency: number.Draw(rt, "lanes"),
+				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: instant.Draw(rt, "told"),
+			}
+			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
+				k.Instances = append(k.Instances, LearnedInstance{number.Draw(rt, "place"), instant.Draw(rt, "found"), number.Draw(rt, "copies")})
+			}
+			state.Functions = append(state.Functions, k)
+		}
+		harness := newHarness(t, settings(manySchedulers), readyWorkers(4)...)
+		harness.step(millisecond, StateRestored{state})
+		answered := 0
+		for i := range 20 {
+			for _, s := range actionsOf[Send](harness.step(100*millisecond, newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
+				harness.step(millisecond, attemptEnd(s, 0, Served))
+				answered++
+			}
+		}
+		if answered == 0 {
+			rt.Fatal("nothing is sent any more")
+		}
+		again := harness.router.LearnedState()
+		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, harness.router.LearnedState()) {
+			rt.Fatalf("it remembers %+v", again)
+		}
+	})
+}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -23,7 +23,7 @@
 		return false
 	case IdempotentByKey:
 		return r.keyRemembered(req, first) &&
-			sharesDeduplication(req.class.DeduplicationScope, first.worker, w)
+			sameDeduplicationScope(req.class.DeduplicationScope, first.worker, w)
 	default:
 		return true
 	}
@@ -34,10 +34,10 @@
 	return r.now-first.sentAt < req.class.DeduplicationWindow-r.settings.Tick
 }
 
-// sharesDeduplication reports whether two workers drop each other's repeats.
-func sharesDeduplication(scope DeduplicationScope, a, b *worker) bool {
-	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone || scope == ScopeCell &&
-		a.Cell == b.Cell
+// sameDeduplicationScope reports whether two workers drop each other's repeats.
+func sameDeduplicationScope(scope DeduplicationScope, a, b *worker) bool {
+	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone ||
+		scope == ScopeCell && a.Cell == b.Cell
 }
 
 // retryAllowed reports whether some further attempt could be allowed at all, now or later.
@@ -51,7 +51,7 @@
 	}
 	return req.class.Idempotency == IdempotentByKey && r.keyRemembered(req, first) &&
 		slices.ContainsFunc(r.workerList, func(w *worker) bool {
-			return w.State == Ready && sharesDeduplication(req.class.DeduplicationScope, first.worker, w)
+			return w.State == Ready && sameDeduplicationScope(req.class.DeduplicationScope, first.worker, w)
 		})
 }
 
