--- a/internal/frontend/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -13,93 +13,127 @@
 	"calicohill/routing"
 )
 
-// maxBudget is the longest that a client may say it waits; more is taken for nonsense.
-const maxBudget = 10 * time.Minute
+const (
+	// classPath begins the path of a call; the name of the class follows.
+	classPath = "/rpc/"
+	// healthPath is the path of a health check.
+	healthPath = "/health"
 
-// fields are the parameters of a request that mean something here.
+	// maxBudget bounds how long a client may say that it waits; a longer time is rejected as nonsense.
+	maxBudget = 10 * time.Minute
+	// budgetBits is the size of the integer, in milliseconds, that a budget must fit into.
+	budgetBits = 31
+
+	maxIdempotencyKeyLen = 128
+	hexIDLen             = 16
+)
+
+// fields are the parameters of a request that mean something to the scheduler, as the client sent them.
 type fields struct {
-	path, id, budgetMS, idempotencyKey, function, spec, contentLength string
-	method                                                            string
-	ruleParams                                                        [][]string // by slot; nil where one is missing
+	path           string     // SCRIPT_NAME
+	method         string     // REQUEST_METHOD
+	contentLength  string     // CONTENT_LENGTH
+	id             string     // Request-Id
+	function       string     // Resource-Key
+	idempotencyKey string     // Once-Key
+	budgetMS       string     // Budget-Ms
+	spec           string     // X-Spec
+	ruleParams     [][]string // by slot, those that rules read; nil where one is missing
 }
 
-// parseFields reads the parameters. slots are further ones that rules read, by name.
-func parseFields(params []byte, slots map[string]int) (f fields, err error) {
+// parseFields reads the parameters of a request. Those that rules read, named in slotByParam, go into their slots of
+// ruleParams, where a missing one is nil. The error is errTruncatedPair.
+func parseFields(params []byte, slotByParam map[string]int) (fields, error) {
+	var parsed fields
 	known := map[string]*string{
-		"SCRIPT_NAME": &f.path, "HTTP_REQUEST_ID": &f.id, "HTTP_BUDGET_MS": &f.budgetMS,
-		"HTTP_ONCE_KEY": &f.idempotencyKey, "HTTP_RESOURCE_KEY": &f.function, "HTTP_X_SPEC": &f.spec,
-		"CONTENT_LENGTH": &f.contentLength, "REQUEST_METHOD": &f.method,
+		"SCRIPT_NAME":       &parsed.path,
+		"REQUEST_METHOD":    &parsed.method,
+		"CONTENT_LENGTH":    &parsed.contentLength,
+		"HTTP_REQUEST_ID":   &parsed.id,
+		"HTTP_RESOURCE_KEY": &parsed.function,
+		"HTTP_ONCE_KEY":     &parsed.idempotencyKey,
+		"HTTP_BUDGET_MS":    &parsed.budgetMS,
+		"HTTP_X_SPEC":       &parsed.spec,
 	}
-	if len(slots) > 0 {
-		f.ruleParams = make([][]string, len(slots))
+	if len(slotByParam) > 0 {
+		parsed.ruleParams = make([][]string, len(slotByParam))
 	}
-	err = forEachPair(params, func(name, value []byte) {
-		if p := known[string(name)]; p != nil {
-			*p = string(value)
+	err := forEachPair(params, func(name, value []byte) {
+		if field := known[string(name)]; field != nil {
+			*field = string(value)
 		}
-		if i, ok := slots[string(name)]; ok {
-			f.ruleParams[i] = []string{string(value)}
+		if slot, ok := slotByParam[string(name)]; ok {
+			parsed.ruleParams[slot] = []string{string(value)}
 		}
 	})
-	return f, err
+	return parsed, err
+}
+
+// budget is the time that the client waits for an answer. An error means that it is no number.
+func (f *fields) budget() (time.Duration, error) {
+	ms, err := strconv.ParseUint(f.budgetMS, 10, budgetBits)
+	return time.Duration(ms) * time.Millisecond, err
 }
 
-// call checks the fields of a request. What passes can be written to a worker as it is.
-func (f *fields) call(site *deployment.Settings, classes map[string]int) (c dispatch.Call, err error) {
-	name, under := strings.CutPrefix(f.path, "/rpc/")
-	class, ok := classes[name]
-	if !under || !ok {
-		return c, fmt.Errorf("path %.40q", f.path)
+// call validates the fields of a request. What passes can be written to a worker as it is.
+func (f *fields) call(site *deployment.Settings, classByName map[string]int) (dispatch.Call, error) {
+	name, underClassPath := strings.CutPrefix(f.path, classPath)
+	class, known := classByName[name]
+	if !underClassPath || !known {
+		return dispatch.Call{}, fmt.Errorf("path %.40q", f.path)
 	}
-	c.Class = class
-	if !isHex16(f.id) {
-		return c, fmt.Errorf("Request-Id %.40q", f.id)
+	call := dispatch.Call{ID: f.id, Class: class, Function: f.function, IdempotencyKey: f.idempotencyKey}
+	if !isHexID(f.id) {
+		return call, fmt.Errorf("Request-Id %.40q", f.id)
 	}
-	if !isHex16(f.function) {
-		return c, fmt.Errorf("Resource-Key %.40q", f.function)
+	if !isHexID(f.function) {
+		return call, fmt.Errorf("Resource-Key %.40q", f.function)
 	}
-	ms, err := strconv.ParseUint(f.budgetMS, 10, 31)
-	if c.TimeLeft = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || c.TimeLeft > maxBudget {
-		return c, fmt.Errorf("Budget-Ms %.40q", f.budgetMS)
+	budget, err := f.budget()
+	if err != nil || budget == 0 || budget > maxBudget {
+		return call, fmt.Errorf("Budget-Ms %.40q", f.budgetMS)
 	}
-	if f.idempotencyKey == "" && site.Classes[c.Class].Idempotency == routing.IdempotentByKey {
-		return c, errors.New("no Once-Key")
+	call.TimeLeft = budget
+	if f.idempotencyKey == "" && site.Classes[class].Idempotency == routing.IdempotentByKey {
+		return call, errors.New("no Once-Key")
 	}
-	if !isToken(f.idempotencyKey) {
-		return c, fmt.Errorf("Once-Key %.40q", f.idempotencyKey)
+	if !isIdempotencyKey(f.idempotencyKey) {
+		return call, fmt.Errorf("Once-Key %.40q", f.idempotencyKey)
 	}
-	c.ID, c.Function, c.IdempotencyKey = f.id, f.function, f.idempotencyKey
-	return c, parseSpec(f.spec, &c)
+	err = parseSpec(f.spec, &call)
+	return call, err
 }
 
-// parseSpec reads the further figures, as in memory_mb:512;lanes:2. Names that are not known are skipped.
-func parseSpec(spec string, c *dispatch.Call) error {
+// parseSpec reads what the client knows of the function, as in memory_mb:512;lanes:2, into a call. Unknown names are
+// skipped. What stands before a part that is malformed has been read when the error is returned.
+func parseSpec(spec string, call *dispatch.Call) error {
 	if spec == "" {
 		return nil
 	}
-	for part := range strings.SplitSeq(spec, ";") {
-		name, value, ok := strings.Cut(part, ":")
-		x, err := strconv.ParseFloat(value, 64)
-		if !ok || err != nil || math.IsNaN(x) || x < 0 || x > math.MaxInt32 {
-			return fmt.Errorf("X-Spec %.40q", part)
+	for item := range strings.SplitSeq(spec, ";") {
+		name, text, found := strings.Cut(item, ":")
+		value, err := strconv.ParseFloat(text, 64)
+		if !found || err != nil || math.IsNaN(value) || value < 0 || value > math.MaxInt32 {
+			return fmt.Errorf("X-Spec %.40q", item)
 		}
 		switch name {
 		case "memory_mb":
-			c.MemoryMB = x
+			call.MemoryMB = value
 		case "lanes":
-			c.Concurrency = int(x)
+			call.Concurrency = int(value)
 		case "load_ms":
-			c.LoadTime = time.Duration(x * float64(time.Millisecond))
+			call.LoadTime = time.Duration(value * float64(time.Millisecond))
 		}
 	}
 	return nil
 }
 
-func isHex16(s string) bool {
-	if len(s) != 16 {
+// isHexID reports whether a text is 16 hexadecimal digits, of either case.
+func isHexID(text string) bool {
+	if len(text) != hexIDLen {
 		return false
 	}
-	for _, c := range []byte(s) {
+	for _, c := range []byte(text) {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
 			return false
 		}
@@ -107,12 +141,13 @@
 	return true
 }
 
-// isToken reports whether a key can stand in a list of fields. An empty one stands for none.
-func isToken(s string) bool {
-	if len(s) > 128 {
+// isIdempotencyKey reports whether a key can be written to a worker as an element of a list. The empty key, which stands
+// for none, can.
+func isIdempotencyKey(key string) bool {
+	if len(key) > maxIdempotencyKeyLen {
 		return false
 	}
-	for _, c := range []byte(s) {
+	for _, c := range []byte(key) {
 		if c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
 			return false
 		}
--- /dev/null
+++ b/internal/frontend/fastcgi/call_test.go
@@ -0,0 +1,50 @@
+package fastcgi
+
+import (
+	"testing"
+	"time"
+
+	"calicohill/internal/config/deployment"
+	"calicohill/routing"
+)
+
+// ordinaryParams is the content of the PARAMS stream of an ordinary request, as it stands in the request's records.
+func ordinaryParams(t testing.TB) []byte {
+	t.Helper()
+	var params []byte
+	records := appendRequest(nil, 1, Request{
+		Path: "/rpc/consulta", ID: "9b1f03aa5c7e2d41", Function: "7f3a9c21e0b4d655", OnceKey: "k",
+		Budget: time.Second, Spec: "memory_mb:512;lanes:2",
+	})
+	for len(records) > 0 {
+		rec, size, err := parseRecord(records)
+		if err != nil || size == 0 {
+			t.Fatal(err)
+		}
+		if rec.kind == typeParams {
+			params = append(params, rec.content...)
+		}
+		records = records[size:]
+	}
+	return params
+}
+
+var oneClass = deployment.Settings{
+	Settings:   routing.Settings{Classes: []routing.Class{{LatencyObjective: 1, Deadline: 1}}},
+	ClassNames: []string{"consulta"},
+}
+
+func BenchmarkFields(b *testing.B) {
+	params := ordinaryParams(b)
+	classByName := map[string]int{"consulta": 0}
+	b.ReportAllocs()
+	for b.Loop() {
+		parsed, err := parseFields(params, nil)
+		if err == nil {
+			_, err = parsed.call(&oneClass, classByName)
+		}
+		if err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/frontend/fastcgi/client.go
+++ b/internal/frontend/fastcgi/client.go
@@ -19,48 +19,56 @@
 // Request is a request as a client makes it.
 type Request struct {
 	Path     string        // SCRIPT_NAME, as in /rpc/consulta
-	ID       string        // Request-Id: 16 hex digits, new with every request
-	Function string        // Resource-Key: 16 hex digits
-	OnceKey  string        // "" if none
-	Budget   time.Duration // that the client waits, a millisecond at least
+	ID       string        // Request-Id: 16 hexadecimal digits, unique for each request
+	Function string        // Resource-Key: 16 hexadecimal digits
+	OnceKey  string        // idempotency key; "" if none
+	Budget   time.Duration // how long the client waits for the answer; sent as a millisecond if it is less
 	Spec     string        // X-Spec; "" if none
-	Params   [][2]string   // further parameters, as CGI names them
+	Params   [][2]string   // further parameters, name and value, as CGI names them; one without a value is not sent
 	Body     []byte
 }
 
 // Reply is the answer to a Request.
 type Reply struct {
-	Status     int // HTTP's; 0 where the request was turned away as OVERLOADED
-	RetryAfter time.Duration
+	Status     int           // HTTP status; 0 if the scheduler ended the request as OVERLOADED
+	RetryAfter time.Duration // 0 if the scheduler gave no advice
 	Body       []byte
 }
 
-// Verdict tells served, refused and failed apart, as the protocol does.
+// The verdicts of replies.
+const (
+	VerdictServed  = "served"
+	VerdictRefused = "refused"
+	VerdictFailed  = "failed"
+)
+
+// Verdict tells served requests, refused ones, whose retry is harmless, and failed ones apart, as the protocol does.
 func (r Reply) Verdict() string {
 	switch r.Status {
 	case http.StatusOK:
-		return "served"
+		return VerdictServed
 	case 0, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return "refused"
+		return VerdictRefused
 	default:
-		return "failed"
+		return VerdictFailed
 	}
 }
 
-// ErrTooManyStreams is the error of a Client that has as many requests open as a connection carries.
-var ErrTooManyStreams = errors.New("fastcgi: 32 requests are open on the connection")
+// ErrTooManyRequests is the error of a Client that has as many requests open as a connection carries.
+var ErrTooManyRequests = errors.New("fastcgi: 32 requests are open on the connection")
 
 // Client is a connection to a scheduler that carries up to 32 requests at a time. It is safe for concurrent use.
-// A connection that breaks fails all that is open on it, and every later request.
+// When the connection breaks, all requests that are open on it fail, and so does every later one.
 type Client struct {
 	conn net.Conn
-	mu   sync.Mutex
-	// waits are the requests that are open, by the number that they have on the connection.
-	pending map[uint16]*pendingReply
-	lastID  uint16
-	err     error // why nothing more can be asked
+
+	mu      sync.Mutex
+	pending map[requestID]*pendingReply
+	lastID  requestID
+	err     error // why the connection has ended; nil while it has not
 }
 
+// pendingReply is a request that waits for its reply.
 type pendingReply struct {
 	reply  chan Reply // closed without a Reply when the connection ends
 	stdout []byte
@@ -68,125 +76,129 @@
 
 // Dial connects to a scheduler.
 func Dial(ctx context.Context, addr string) (*Client, error) {
-	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp", addr)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, pending: map[uint16]*pendingReply{}}
-	go c.readLoop()
-	return c, nil
+	client := &Client{conn: conn, pending: map[requestID]*pendingReply{}}
+	go client.readLoop()
+	return client, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Do sends a request and waits for its answer. When the context ends first, the request is aborted.
-func (c *Client) Do(ctx context.Context, q Request) (Reply, error) {
-	id, w, err := c.send(q)
+// Do sends a request and waits for its reply. When the context ends first, the request is aborted. The error is
+// ErrTooManyRequests, the context's, or what ended the connection.
+func (c *Client) Do(ctx context.Context, request Request) (Reply, error) {
+	id, pending, err := c.send(request)
 	if err != nil {
 		return Reply{}, err
 	}
 	select {
-	case r, ok := <-w.reply:
+	case reply, ok := <-pending.reply:
 		if !ok {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return Reply{}, c.err
 		}
-		return r, nil
+		return reply, nil
 	case <-ctx.Done():
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		// The number stays taken until the scheduler has ended the request too.
+		// The ID stays in use until the scheduler has ended the request too.
+		// A failed write is a broken connection, which readLoop notices.
 		_, _ = c.conn.Write(appendHeader(nil, typeAbortRequest, id, 0))
 		return Reply{}, ctx.Err()
 	}
 }
 
-func (c *Client) send(q Request) (uint16, *pendingReply, error) {
+// send writes a request under an ID that is not in use.
+func (c *Client) send(request Request) (requestID, *pendingReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
 		return 0, nil, c.err
 	}
-	if len(c.pending) >= maxStreamsPerConn {
-		return 0, nil, ErrTooManyStreams
+	if len(c.pending) >= maxRequestsPerConn {
+		return 0, nil, ErrTooManyRequests
 	}
-	for c.lastID++; c.lastID == 0 || c.pending[c.lastID] != nil; c.lastID++ {
-	}
-	w := &pendingReply{reply: make(chan Reply, 1)}
-	c.pending[c.lastID] = w
-	if _, err := c.conn.Write(appendRequest(nil, c.lastID, q)); err != nil {
-		delete(c.pending, c.lastID)
+	id := c.nextID()
+	pending := &pendingReply{reply: make(chan Reply, 1)}
+	c.pending[id] = pending
+	if _, err := c.conn.Write(appendRequest(nil, id, request)); err != nil {
+		delete(c.pending, id)
 		return 0, nil, fmt.Errorf("sending a request: %w", err)
 	}
-	return c.lastID, w, nil
-}
-
-// appendRequest adds all records of a request.
-func appendRequest(b []byte, id uint16, q Request) []byte {
-	b = appendHeader(b, typeBeginRequest, id, 8)
-	b = append(b, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
-	var params []byte
-	for _, p := range append([][2]string{
-		{"SCRIPT_NAME", q.Path},
-		{"HTTP_REQUEST_ID", q.ID},
-		{"HTTP_RESOURCE_KEY", q.Function},
-		{"HTTP_BUDGET_MS", strconv.FormatInt(max(q.Budget.Milliseconds(), 1), 10)},
-		{"HTTP_ONCE_KEY", q.OnceKey},
-		{"HTTP_X_SPEC", q.Spec},
-	}, q.Params...) {
-		if p[1] == "" {
-			continue
-		}
-		for _, part := range p {
-			if len(part) < 0x80 {
-				params = append(params, byte(len(part)))
-			} else {
-				params = binary.BigEndian.AppendUint32(params, uint32(len(part))|1<<31)
-			}
-		}
-		params = append(append(params, p[0]...), p[1]...)
+	return id, pending, nil
+}
+
+// nextID returns the next ID that is not in use. There is one, since fewer than maxRequestsPerConn are.
+func (c *Client) nextID() requestID {
+	c.lastID++
+	for c.lastID == noRequest || c.pending[c.lastID] != nil {
+		c.lastID++
 	}
-	b = appendStream(b, typeParams, id, params)
-	return appendStream(b, typeStdin, id, q.Body)
+	return c.lastID
 }
 
-// appendStream adds a stream and the empty record that ends it.
-func appendStream(b []byte, kind byte, id uint16, content []byte) []byte {
-	for len(content) > 0 {
-		n := min(len(content), maxContentLen)
-		b = append(appendHeader(b, kind, id, n), content[:n]...)
-		content = content[n:]
+// appendRequest appends all records of a request.
+func appendRequest(buf []byte, id requestID, request Request) []byte {
+	buf = appendHeader(buf, typeBeginRequest, id, controlBodyLen)
+	buf = append(buf, 0, roleResponder, flagKeepConn, 0, 0, 0, 0, 0)
+	buf = appendStream(buf, typeParams, id, requestParams(request), nil)
+	return appendStream(buf, typeStdin, id, request.Body, nil)
+}
+
+// requestParams is the content of the PARAMS stream of a request.
+func requestParams(request Request) []byte {
+	budgetMS := max(request.Budget.Milliseconds(), 1)
+	params := append([][2]string{
+		{"SCRIPT_NAME", request.Path},
+		{"HTTP_REQUEST_ID", request.ID},
+		{"HTTP_RESOURCE_KEY", request.Function},
+		{"HTTP_BUDGET_MS", strconv.FormatInt(budgetMS, 10)},
+		{"HTTP_ONCE_KEY", request.OnceKey},
+		{"HTTP_X_SPEC", request.Spec},
+	}, request.Params...)
+	var stream []byte
+	for _, param := range params {
+		name, value := param[0], param[1]
+		if value != "" {
+			stream = appendPair(stream, name, value)
+		}
 	}
-	return appendHeader(b, kind, id, 0)
+	return stream
 }
 
-// read takes in answers until the connection ends.
+// readLoop reads replies until the connection ends, and fails the requests that are open then.
 func (c *Client) readLoop() {
 	err := c.readRecords(bufio.NewReader(c.conn))
 	c.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.err = fmt.Errorf("fastcgi: the connection ended: %w", err)
-	for id, w := range c.pending {
+	for id, pending := range c.pending {
 		delete(c.pending, id)
-		close(w.reply)
+		close(pending.reply)
 	}
 }
 
+// readRecords handles records until one cannot be read or understood.
 func (c *Client) readRecords(r io.Reader) error {
-	buf := make([]byte, headerLen+maxContentLen+255)
+	buf := make([]byte, headerLen+maxContentLen+maxPaddingLen)
 	for {
 		if _, err := io.ReadFull(r, buf[:headerLen]); err != nil {
 			return err
 		}
-		whole := headerLen + int(binary.BigEndian.Uint16(buf[4:])) + int(buf[6])
-		if _, err := io.ReadFull(r, buf[headerLen:whole]); err != nil {
+		contentLen := int(binary.BigEndian.Uint16(buf[4:]))
+		paddingLen := int(buf[6])
+		size := headerLen + contentLen + paddingLen
+		if _, err := io.ReadFull(r, buf[headerLen:size]); err != nil {
 			return err
 		}
-		rec, _, err := parseRecord(buf[:whole])
+		rec, _, err := parseRecord(buf[:size])
 		if err != nil {
 			return err
 		}
@@ -196,40 +208,48 @@
 	}
 }
 
+// handleRecord handles a record of a reply. Those of requests that are not open are ignored.
 func (c *Client) handleRecord(rec record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.pending[rec.id]
+	pending := c.pending[rec.id]
 	switch {
-	case w == nil:
+	case pending == nil:
 	case rec.kind == typeStdout:
-		w.stdout = append(w.stdout, rec.content...)
-	case rec.kind == typeEndRequest && len(rec.content) == 8:
+		pending.stdout = append(pending.stdout, rec.content...)
+	case rec.kind == typeEndRequest && len(rec.content) == controlBodyLen:
 		delete(c.pending, rec.id)
-		reply := Reply{}
-		if rec.content[4] == statusComplete && len(w.stdout) > 0 {
-			var err error
-			if reply, err = parseReply(w.stdout); err != nil {
-				return err
-			}
+		reply, err := replyOf(pending.stdout, protocolStatus(rec.content[4]))
+		if err != nil {
+			return err
 		}
-		w.reply <- reply
+		pending.reply <- reply
 	}
 	return nil
 }
 
-func parseReply(text []byte) (r Reply, err error) {
-	b := bufio.NewReader(bytes.NewReader(text))
-	head, err := textproto.NewReader(b).ReadMIMEHeader()
+// replyOf is the reply to a request that has ended.
+func replyOf(stdout []byte, status protocolStatus) (Reply, error) {
+	if status != statusComplete || len(stdout) == 0 {
+		return Reply{}, nil
+	}
+	return parseReply(stdout)
+}
+
+// parseReply reads the header fields and the body of a reply.
+func parseReply(stdout []byte) (Reply, error) {
+	reader := bufio.NewReader(bytes.NewReader(stdout))
+	header, err := textproto.NewReader(reader).ReadMIMEHeader()
 	if err != nil {
-		return r, fmt.Errorf("answer: %w", err)
+		return Reply{}, fmt.Errorf("answer: %w", err)
 	}
-	code, _, _ := bytes.Cut([]byte(head.Get("Status")), []byte(" "))
-	if r.Status, err = strconv.Atoi(string(code)); err != nil {
-		return r, fmt.Errorf("answer: status %.40q", head.Get("Status"))
+	var reply Reply
+	code, _, _ := bytes.Cut([]byte(header.Get("Status")), []byte(" "))
+	if reply.Status, err = strconv.Atoi(string(code)); err != nil {
+		return reply, fmt.Errorf("answer: status %.40q", header.Get("Status"))
 	}
-	ms, _ := strconv.Atoi(head.Get("Back-Off-Ms"))
-	r.RetryAfter = time.Duration(ms) * time.Millisecond
-	r.Body, err = io.ReadAll(b)
-	return r, err
+	retryAfterMS, _ := strconv.Atoi(header.Get(retryAfterHeader)) // none, or a malformed one, is no advice
+	reply.RetryAfter = time.Duration(retryAfterMS) * time.Millisecond
+	reply.Body, err = io.ReadAll(reader)
+	return reply, err
 }
--- a/internal/frontend/fastcgi/record.go
+++ b/internal/frontend/fastcgi/record.go
@@ -7,128 +7,190 @@
 	"strconv"
 )
 
-// The record types of FastCGI 1.0.
+// recordType is the type of a FastCGI record.
+type recordType uint8
+
+// The record types of FastCGI 1.0 that mean something here.
 const (
-	typeBeginRequest    = 1
-	typeAbortRequest    = 2
-	typeEndRequest      = 3
-	typeParams          = 4
-	typeStdin           = 5
-	typeStdout          = 6
-	typeData            = 8
-	typeGetValues       = 9
-	typeGetValuesResult = 10
-	typeUnknownType     = 11
+	typeBeginRequest    recordType = 1
+	typeAbortRequest    recordType = 2
+	typeEndRequest      recordType = 3
+	typeParams          recordType = 4
+	typeStdin           recordType = 5
+	typeStdout          recordType = 6
+	typeData            recordType = 8
+	typeGetValues       recordType = 9
+	typeGetValuesResult recordType = 10
+	typeUnknownType     recordType = 11
 )
 
-// The protocol statuses of an END_REQUEST.
+// protocolStatus is the protocol status of an END_REQUEST record.
+type protocolStatus uint8
+
+// The protocol statuses that are sent.
 const (
-	statusComplete    = 0
-	statusOverloaded  = 2
-	statusUnknownRole = 3
+	statusComplete    protocolStatus = 0
+	statusOverloaded  protocolStatus = 2
+	statusUnknownRole protocolStatus = 3
 )
 
+// The other constants of the protocol.
 const (
 	protocolVersion = 1
-	headerLen       = 8
 	roleResponder   = 1
 	flagKeepConn    = 1
-	maxContentLen   = 65535
+
+	headerLen     = 8
+	maxContentLen = 65535
+	maxPaddingLen = 255
+	// controlBodyLen is the length of the content of BEGIN_REQUEST, END_REQUEST and UNKNOWN_TYPE records.
+	controlBodyLen = 8
+
+	// A length of a name or a value takes one byte, or from longLength on four bytes with the highest bit set.
+	longLength     = 0x80
+	longLengthFlag = 1 << 31
+	longLengthSize = 4
 )
 
+// requestID is the number of a request on its connection. noRequest is that of the records that manage a connection.
+type requestID uint16
+
+const noRequest requestID = 0
+
 // record is one record of the protocol. Its content is part of the buffer that it was read from.
 type record struct {
-	kind    byte
-	id      uint16
+	kind    recordType
+	id      requestID
 	content []byte
 }
 
-var errFraming = errors.New("broken framing")
+var (
+	errFraming       = errors.New("broken framing")
+	errTruncatedPair = errors.New("name-value pair cut short")
+)
 
-// parse reads the record that a buffer begins with and tells how many bytes it takes, padding included, 0 if it
-// is not whole yet.
-func parseRecord(b []byte) (r record, n int, err error) {
-	if len(b) < headerLen {
-		return r, 0, nil
+// parseRecord reads the record at the start of a buffer and returns how many bytes it takes, padding included; 0 means
+// that the record is not complete yet. An error, which wraps errFraming, means that no record begins there.
+func parseRecord(buf []byte) (rec record, size int, err error) {
+	if len(buf) < headerLen {
+		return record{}, 0, nil
 	}
-	if b[0] != protocolVersion {
-		return r, 0, fmt.Errorf("%w: version %d", errFraming, b[0])
+	if buf[0] != protocolVersion {
+		return record{}, 0, fmt.Errorf("%w: version %d", errFraming, buf[0])
 	}
-	r.kind, r.id = b[1], binary.BigEndian.Uint16(b[2:])
-	length := int(binary.BigEndian.Uint16(b[4:]))
-	n = headerLen + length + int(b[6])
-	if len(b) < n {
-		return r, 0, nil
+	contentLen := int(binary.BigEndian.Uint16(buf[4:]))
+	paddingLen := int(buf[6])
+	size = headerLen + contentLen + paddingLen
+	if len(buf) < size {
+		return record{}, 0, nil
 	}
-	r.content = b[headerLen : headerLen+length]
-	return r, n, nil
+	rec = record{
+		kind:    recordType(buf[1]),
+		id:      requestID(binary.BigEndian.Uint16(buf[2:])),
+		content: buf[headerLen : headerLen+contentLen],
+	}
+	return rec, size, nil
 }
 
-var errTruncatedPair = errors.New("name-value pair cut short")
-
-// pairs calls fn for each name-value pair of a stream.
-func forEachPair(b []byte, fn func(name, value []byte)) error {
-	for len(b) > 0 {
-		var size [2]uint32
-		for i := range size {
-			switch {
-			case len(b) >= 1 && b[0] < 0x80:
-				size[i], b = uint32(b[0]), b[1:]
-			case len(b) >= 4:
-				size[i], b = binary.BigEndian.Uint32(b)&0x7fffffff, b[4:]
-			default:
-				return errTruncatedPair
-			}
+// forEachPair calls visit for each name-value pair of a stream, up to the first that is truncated, for which it returns
+// errTruncatedPair.
+func forEachPair(stream []byte, visit func(name, value []byte)) error {
+	for len(stream) > 0 {
+		nameLen, rest, err := readLength(stream)
+		if err != nil {
+			return err
+		}
+		valueLen, rest, err := readLength(rest)
+		if err != nil {
+			return err
 		}
-		// As 64 bits, or two lengths that add up past 32 would look short.
-		if uint64(size[0])+uint64(size[1]) > uint64(len(b)) {
+		// With 64 bits, since two lengths whose sum needs more than 32 would look short.
+		pairLen := uint64(nameLen) + uint64(valueLen)
+		if pairLen > uint64(len(rest)) {
 			return errTruncatedPair
 		}
-		fn(b[:size[0]], b[size[0]:size[0]+size[1]])
-		b = b[size[0]+size[1]:]
+		visit(rest[:nameLen], rest[nameLen:pairLen])
+		stream = rest[pairLen:]
 	}
 	return nil
 }
 
-func appendHeader(b []byte, kind byte, id uint16, length int) []byte {
-	return append(b, protocolVersion, kind, byte(id>>8), byte(id), byte(length>>8), byte(length), 0, 0)
+// readLength reads the length of a name or a value, and returns what follows it.
+func readLength(buf []byte) (length uint32, rest []byte, err error) {
+	switch {
+	case len(buf) >= 1 && buf[0] < longLength:
+		return uint32(buf[0]), buf[1:], nil
+	case len(buf) >= longLengthSize:
+		return binary.BigEndian.Uint32(buf) &^ longLengthFlag, buf[longLengthSize:], nil
+	default:
+		return 0, nil, errTruncatedPair
+	}
+}
+
+// appendLength appends the length of a name or a value.
+func appendLength(buf []byte, length int) []byte {
+	if length < longLength {
+		return append(buf, byte(length))
+	}
+	return binary.BigEndian.AppendUint32(buf, uint32(length)|longLengthFlag)
+}
+
+// appendPair appends a name-value pair.
+func appendPair(buf []byte, name, value string) []byte {
+	buf = appendLength(buf, len(name))
+	buf = appendLength(buf, len(value))
+	buf = append(buf, name...)
+	return append(buf, value...)
+}
+
+// appendHeader appends the header of a record without padding.
+func appendHeader(buf []byte, kind recordType, id requestID, contentLen int) []byte {
+	return append(buf, protocolVersion, byte(kind), byte(id>>8), byte(id), byte(contentLen>>8), byte(contentLen), 0, 0)
 }
 
-// appendStdout adds a stream of STDOUT records and its end.
-func appendStdout(b []byte, id uint16, text, body []byte) []byte {
-	for len(text)+len(body) > 0 {
-		n := min(len(text)+len(body), maxContentLen)
-		b = appendHeader(b, typeStdout, id, n)
-		k := min(n, len(text))
-		b = append(append(b, text[:k]...), body[:n-k]...)
-		text, body = text[k:], body[n-k:]
+// appendStream appends a stream of records and the empty record that ends it. The content of the stream is head followed
+// by body.
+func appendStream(buf []byte, kind recordType, id requestID, head, body []byte) []byte {
+	for len(head)+len(body) > 0 {
+		contentLen := min(len(head)+len(body), maxContentLen)
+		buf = appendHeader(buf, kind, id, contentLen)
+		fromHead := min(contentLen, len(head))
+		fromBody := contentLen - fromHead
+		buf = append(buf, head[:fromHead]...)
+		buf = append(buf, body[:fromBody]...)
+		head = head[fromHead:]
+		body = body[fromBody:]
 	}
-	return appendHeader(b, typeStdout, id, 0)
+	return appendHeader(buf, kind, id, 0)
 }
 
-func appendEndRequest(b []byte, id uint16, status byte) []byte {
-	b = appendHeader(b, typeEndRequest, id, 8)
-	return append(b, 0, 0, 0, 0, status, 0, 0, 0)
+// appendEndRequest appends an END_REQUEST record.
+func appendEndRequest(buf []byte, id requestID, status protocolStatus) []byte {
+	buf = appendHeader(buf, typeEndRequest, id, controlBodyLen)
+	return append(buf, 0, 0, 0, 0, byte(status), 0, 0, 0)
 }
 
-func appendUnknownType(b []byte, kind byte) []byte {
-	b = appendHeader(b, typeUnknownType, 0, 8)
-	return append(b, kind, 0, 0, 0, 0, 0, 0, 0)
+// appendUnknownType appends the answer to a record whose type is not known.
+func appendUnknownType(buf []byte, kind recordType) []byte {
+	buf = appendHeader(buf, typeUnknownType, noRequest, controlBodyLen)
+	return append(buf, byte(kind), 0, 0, 0, 0, 0, 0, 0)
 }
 
-// appendValues answers a GET_VALUES.
-func appendGetValuesResult(b []byte, asked []byte, conns int) ([]byte, error) {
+// appendGetValuesResult appends the answer to a GET_VALUES record with the given content: those of the variables asked
+// for that are known, each once.
+func appendGetValuesResult(buf, content []byte, maxConns int) ([]byte, error) {
 	values := map[string]string{
-		"FCGI_MAX_CONNS": strconv.Itoa(conns),
-		"FCGI_MAX_REQS":  strconv.Itoa(conns * maxStreamsPerConn), "FCGI_MPXS_CONNS": "1",
+		"FCGI_MAX_CONNS":  strconv.Itoa(maxConns),
+		"FCGI_MAX_REQS":   strconv.Itoa(maxConns * maxRequestsPerConn),
+		"FCGI_MPXS_CONNS": "1",
 	}
-	var list []byte
-	err := forEachPair(asked, func(name, _ []byte) {
-		if v, ok := values[string(name)]; ok {
-			list = append(list, byte(len(name)), byte(len(v)))
-			list = append(append(list, name...), v...)
+	var result []byte
+	err := forEachPair(content, func(name, _ []byte) {
+		if value, ok := values[string(name)]; ok {
+			result = appendPair(result, string(name), value)
 			delete(values, string(name))
 		}
 	})
-	return append(appendHeader(b, typeGetValuesResult, 0, len(list)), list...), err
+	buf = appendHeader(buf, typeGetValuesResult, noRequest, len(result))
+	return append(buf, result...), err
 }
--- a/internal/frontend/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -11,25 +11,25 @@
 	"calicohill/internal/rules/match"
 )
 
-// Rules is the rules that requests meet, or none.
+// Rules are the operators' rules that decide on requests.
 type Rules struct {
 	table       *match.Table
-	slotByParam map[string]int
+	slotByParam map[string]int // where a request's fields hold the parameters that rules read
 }
 
-// NewRules returns the rules of a table; nil where it is empty.
-func NewRules(t *match.Table) *Rules {
-	if t == nil || t.Len() == 0 {
+// NewRules returns the rules of a table, or nil if it has none.
+func NewRules(table *match.Table) *Rules {
+	if table == nil || table.Len() == 0 {
 		return nil
 	}
-	r := &Rules{table: t, slotByParam: map[string]int{}}
-	for i, name := range t.Slots() {
-		r.slotByParam[name] = i
+	rules := &Rules{table: table, slotByParam: map[string]int{}}
+	for slot, name := range table.Slots() {
+		rules.slotByParam[name] = slot
 	}
-	return r
+	return rules
 }
 
-// Counts is what became of each rule so far.
+// Counts returns how often each rule was evaluated so far, and with which result; nil for nil rules.
 func (r *Rules) Counts() []match.Count {
 	if r == nil {
 		return nil
@@ -37,51 +37,81 @@
 	return r.table.Counts()
 }
 
-// Use has requests that come from now on meet these rules; nil is none. Those that are taken keep what they met.
-func (s *Server) Use(r *Rules) { s.rules = r }
+// paramSlots is where parameters that rules read go; nil for nil rules.
+func (r *Rules) paramSlots() map[string]int {
+	if r == nil {
+		return nil
+	}
+	return r.slotByParam
+}
 
-// Rules is the rules in use.
+// Use sets the rules for requests whose parameters are complete from now on; nil means none. Earlier requests keep what
+// was decided for them.
+func (s *Server) Use(rules *Rules) { s.rules = rules }
+
+// Rules returns the rules in use; nil if there are none.
 func (s *Server) Rules() *Rules { return s.rules }
 
-const classPath = "/rpc/"
+// decision is what rules decided for a request beside its class.
+type decision struct {
+	affinity string // "" if no rule set it
+	route    string // "" if no rule set it
+}
 
-// decide has the rules decide what is theirs to decide: the class, by the path that stands for it, and what goes
-// along with the call.
-func (s *Server) applyRules(f *fields, c *conn) (affinity, route string) {
-	class, under := strings.CutPrefix(f.path, classPath)
-	if !under {
-		class = ""
+// applyRules evaluates the rules for a request. The class that they choose replaces the one in the request's path.
+func (s *Server) applyRules(request *fields, conn *conn) decision {
+	if s.rules == nil {
+		return decision{}
 	}
-	var d dispatch.Call
-	_ = parseSpec(f.spec, &d) // a bad one is rejected after this, whatever rules make of it
-	ms, _ := strconv.ParseUint(f.budgetMS, 10, 31)
-	size, _ := strconv.Atoi(f.contentLength)
-	q := match.Request{
-		Class: class, Handler: f.function, Path: f.path, Method: f.method, OnceKey: f.idempotencyKey, ID: f.id, Client: c.clientAddress(),
-		Budget: time.Duration(ms) * time.Millisecond, Body: max(size, 0), Memory: d.MemoryMB, Lanes: d.Concurrency, Local: time.Now(),
-		Params: f.ruleParams,
-	}
-	got := s.rules.table.Match(&q)
-	for _, failed := range got.Failed {
-		// The reason may hold what the client sent: as a message it would get around the thinning out.
+	result := s.rules.table.Match(matchRequest(request, conn.clientAddress()))
+	for _, failed := range result.Failed {
+		// The reason may hold what the client sent: within the message it would get around the rate limit.
 		name, reason, _ := strings.Cut(failed, ": ")
 		s.rulesLog.Warn(s.loop.Now(), "rule failed: "+name, errors.New(reason))
 	}
-	if got.Class != "" {
-		f.path = classPath + got.Class
+	if result.Class != "" {
+		request.path = classPath + result.Class
+	}
+	if len(result.Rules) > 0 {
+		s.rulesLog.Log.WithField("id", request.id).WithField("rules", result.Rules).WithField("class", result.Class).
+			WithField("route", result.Route).WithField("labels", result.Labels).Debug("rules matched")
+	}
+	return decision{affinity: result.Key, route: result.Route}
+}
+
+// matchRequest is a request as rules see it. It has not been validated: a malformed field has its zero value here, or
+// what could be read of it, and has the request rejected later, whatever rules decide.
+func matchRequest(request *fields, clientAddress string) *match.Request {
+	class, underClassPath := strings.CutPrefix(request.path, classPath)
+	if !underClassPath {
+		class = ""
 	}
-	if len(got.Rules) > 0 {
-		s.rulesLog.Log.WithField("id", f.id).WithField("rules", got.Rules).WithField("class", got.Class).
-			WithField("route", got.Route).WithField("labels", got.Labels).Debug("rules matched")
+	var spec dispatch.Call
+	_ = parseSpec(request.spec, &spec)
+	budget, _ := request.budget()
+	contentLen, _ := strconv.Atoi(request.contentLength)
+	return &match.Request{
+		Class:   class,
+		Handler: request.function,
+		Path:    request.path,
+		Method:  request.method,
+		OnceKey: request.idempotencyKey,
+		ID:      request.id,
+		Client:  clientAddress,
+		Budget:  budget,
+		Body:    max(contentLen, 0),
+		Memory:  spec.MemoryMB,
+		Lanes:   spec.Concurrency,
+		Local:   time.Now(),
+		Params:  request.ruleParams,
 	}
-	return got.Key, got.Route
 }
 
-// address is the client's IP address.
+// clientAddress returns the client's IP address; "" if it is not known.
 func (c *conn) clientAddress() string {
 	if c.clientIP == "" && c.socket != nil {
-		if a, err := netip.ParseAddrPort(c.socket.RemoteAddr().String()); err == nil {
-			c.clientIP = a.Addr().Unmap().String()
+		if address, err := netip.ParseAddrPort(c.socket.RemoteAddr().String()); err == nil {
+			c.clientIP = address.Addr().Unmap().String()
 		}
 	}
 	return c.clientIP
