--- a/internal/rules/match/compile.go
+++ b/internal/rules/match/compile.go
@@ -19,13 +19,13 @@
 
 // Bounds of what is loaded.
 const (
-	MaxRules   = 10000
-	maxSource  = 2048 // bytes of an expression
-	maxNodes   = 256
-	maxNesting = 24
-	maxParams  = 64   // different parameters that all rules read
-	maxText    = 1024 // bytes that an expression may yield or put together
-	maxRegexp  = 200  // instructions of a regular expression
+	MaxRules              = 10000
+	maxSourceBytes        = 2048 // bytes of an expression
+	maxNodes              = 256
+	maxNesting            = 24
+	maxParams             = 64   // different parameters that all rules read
+	maxTextBytes          = 1024 // bytes that an expression may yield or put together
+	maxRegexpInstructions = 200  // instructions of a regular expression
 	// MaxCost is the worst cost that an expression may have, in units. A unit is about what comparing two numbers
 	// takes.
 	MaxCost = 2000
@@ -41,23 +41,23 @@
 
 func (r *Refusal) Error() string { return r.Reason }
 
-func refuse(n ast.Node, format string, args ...any) *Refusal {
+func refusalAt(n ast.Node, format string, args ...any) *Refusal {
 	return &Refusal{n.Location().From, fmt.Sprintf(format, args...)}
 }
 
 // kind is the type that an expression must yield.
-type kind int
+type resultKind int
 
 const (
-	truth kind = iota
-	text
+	boolResult resultKind = iota
+	textResult
 )
 
 // code is an expression that was loaded.
-type code struct {
-	program *vm.Program
-	cost    int
-	needs   []literals // each of which must hold for a truth
+type compiledExpr struct {
+	program      *vm.Program
+	cost         int
+	requirements []requirement // each of which must hold for a truth
 }
 
 // compiler loads the expressions of one table.
@@ -77,16 +77,16 @@
 }
 
 // compile loads an expression.
-func (c *compiler) compile(source string, want kind) (*code, *Refusal) {
-	if len(source) > maxSource {
-		return nil, &Refusal{0, fmt.Sprintf("%d bytes are over %d", len(source), maxSource)}
+func (c *compiler) compile(source string, want resultKind) (*compiledExpr, *Refusal) {
+	if len(source) > maxSourceBytes {
+		return nil, &Refusal{0, fmt.Sprintf("%d bytes are over %d", len(source), maxSourceBytes)}
 	}
 	tree, err := parser.Parse(source)
 	if err != nil {
-		return nil, failed(err)
+		return nil, libraryRefusal(err)
 	}
 	before := len(c.slots)
-	rw := &rewriter{c: c, written: true}
+	rw := &rewriter{compiler: c, firstPass: true}
 	ast.Walk(&tree.Node, rw)
 	if rw.refusal != nil {
 		return nil, rw.refusal
@@ -104,19 +104,19 @@
 		return nil, &Refusal{0, fmt.Sprintf("its worst cost is %d, at most %d is allowed", f.cost, MaxCost)}
 	}
 	as := expr.AsBool()
-	if want == text {
+	if want == textResult {
 		as = expr.AsKind(reflect.String)
 	}
-	again := &rewriter{c: c}
+	again := &rewriter{compiler: c}
 	program, err := expr.Compile(source, expr.Env(c.env), as, expr.DisableAllBuiltins(), expr.Patch(again), expr.MaxNodes(4*maxNodes))
 	if err != nil {
-		return nil, failed(err)
+		return nil, libraryRefusal(err)
 	}
-	return &code{program: program, cost: f.cost, needs: needs(tree.Node)}, nil
+	return &compiledExpr{program: program, cost: f.cost, requirements: requirementsOf(tree.Node)}, nil
 }
 
 // failed is the refusal that an error of the library stands for.
-func failed(err error) *Refusal {
+func libraryRefusal(err error) *Refusal {
 	var at *file.Error
 	if errors.As(err, &at) {
 		return &Refusal{at.From, at.Message}
@@ -127,14 +127,14 @@
 // rewriter turns what operators write into what is evaluated: handler.startsWith("a") into an operator, param["A"]
 // into a slot, durations and regular expressions into constants.
 type rewriter struct {
-	c       *compiler
-	written bool // the tree is as it was written, not yet turned into anything
-	refusal *Refusal
+	compiler  *compiler
+	firstPass bool // the tree is as it was written, not yet turned into anything
+	refusal   *Refusal
 }
 
 func (r *rewriter) refuse(n ast.Node, format string, args ...any) {
 	if r.refusal == nil {
-		r.refusal = refuse(n, format, args...)
+		r.refusal = refusalAt(n, format, args...)
 	}
 }
 
@@ -142,22 +142,22 @@
 func (r *rewriter) Visit(node *ast.Node) {
 	switch n := (*node).(type) {
 	case *ast.IdentifierNode:
-		if r.written && !slices.ContainsFunc(r.c.schema, func(f Field) bool { return f.Name == n.Value }) && n.Value != "duration" {
+		if r.firstPass && !slices.ContainsFunc(r.compiler.schema, func(f Field) bool { return f.Name == n.Value }) && n.Value != "duration" {
 			r.refuse(n, "unknown field %s", n.Value)
 		}
 	case *ast.BuiltinNode:
-		r.call(node, n.Name, n.Arguments)
+		r.rewriteCall(node, n.Name, n.Arguments)
 	case *ast.MemberNode:
 		base, ok := n.Node.(*ast.IdentifierNode)
 		if !ok || base.Value != "param" {
 			return
 		}
 		name, ok := n.Property.(*ast.StringNode)
-		if !ok || len(name.Value) > mostName {
+		if !ok || len(name.Value) > maxNameBytes {
 			r.refuse(n, "param takes the name of a parameter, as in param[\"HTTP_X_CENTRE\"]")
 			return
 		}
-		slot := &ast.MemberNode{Node: &ast.IdentifierNode{Value: "slots_"}, Property: &ast.IntegerNode{Value: r.c.slot(name.Value)}}
+		slot := &ast.MemberNode{Node: &ast.IdentifierNode{Value: "slots_"}, Property: &ast.IntegerNode{Value: r.compiler.slot(name.Value)}}
 		ast.Patch(node, &ast.MemberNode{Node: slot, Property: &ast.IntegerNode{Value: 0}})
 	case *ast.BinaryNode:
 		switch n.Operator {
@@ -167,11 +167,11 @@
 				return
 			}
 			name, ok := n.Left.(*ast.StringNode)
-			if !ok || len(name.Value) > mostName {
+			if !ok || len(name.Value) > maxNameBytes {
 				r.refuse(n, "what is looked for in param must be a constant name")
 				return
 			}
-			var has ast.Node = &ast.MemberNode{Node: &ast.IdentifierNode{Value: "has_"}, Property: &ast.IntegerNode{Value: r.c.slot(name.Value)}}
+			var has ast.Node = &ast.MemberNode{Node: &ast.IdentifierNode{Value: "has_"}, Property: &ast.IntegerNode{Value: r.compiler.slot(name.Value)}}
 			if n.Operator == "not in" {
 				has = &ast.UnaryNode{Operator: "not", Node: has}
 			}
@@ -198,13 +198,13 @@
 			ast.Patch(node, moved)
 			r.Visit(node)
 		case *ast.IdentifierNode:
-			r.call(node, f.Value, n.Arguments)
+			r.rewriteCall(node, f.Value, n.Arguments)
 		}
 	}
 }
 
 // call turns the call of a function into a constant.
-func (r *rewriter) call(node *ast.Node, name string, args []ast.Node) {
+func (r *rewriter) rewriteCall(node *ast.Node, name string, args []ast.Node) {
 	arg, ok := (*ast.StringNode)(nil), false
 	if len(args) == 1 {
 		arg, ok = args[0].(*ast.StringNode)
@@ -230,8 +230,8 @@
 	if err != nil {
 		return fmt.Errorf("regular expression: %w", err)
 	}
-	if len(p.Inst) > maxRegexp {
-		return fmt.Errorf("regular expression: %d instructions are over %d", len(p.Inst), maxRegexp)
+	if len(p.Inst) > maxRegexpInstructions {
+		return fmt.Errorf("regular expression: %d instructions are over %d", len(p.Inst), maxRegexpInstructions)
 	}
 	if _, err := regexp.Compile(source); err != nil {
 		return fmt.Errorf("regular expression: %w", err)
@@ -240,7 +240,7 @@
 }
 
 // figures are what an expression may cost, and how long a text it may yield.
-type figures struct{ cost, long int }
+type estimate struct{ cost, maxBytes int }
 
 // estimator estimates the worst of an expression from the schema's bounds. Whatever it does not know is refused, so
 // that there are no loops, no calls and no texts without a bound.
@@ -249,16 +249,16 @@
 	nodes  int
 }
 
-func (e *estimator) estimate(node ast.Node, depth int) (f figures, refusal *Refusal) {
+func (e *estimator) estimate(node ast.Node, depth int) (f estimate, refusal *Refusal) {
 	if e.nodes++; e.nodes > maxNodes || depth > maxNesting {
-		return f, refuse(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
+		return f, refusalAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
 	}
-	all := func(nodes ...ast.Node) (fs []figures, sum int) {
+	all := func(nodes ...ast.Node) (fs []estimate, sum int) {
 		for _, n := range nodes {
 			if refusal != nil {
-				return make([]figures, len(nodes)), 0
+				return make([]estimate, len(nodes)), 0
 			}
-			var one figures
+			var one estimate
 			one, refusal = e.estimate(n, depth+1)
 			fs = append(fs, one)
 			sum += one.cost
@@ -267,84 +267,84 @@
 	}
 	switch n := node.(type) {
 	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.ConstantNode:
-		return figures{1, 0}, nil
+		return estimate{1, 0}, nil
 	case *ast.StringNode:
-		return figures{1, len(n.Value)}, nil
+		return estimate{1, len(n.Value)}, nil
 	case *ast.IdentifierNode:
 		i := slices.IndexFunc(e.schema, func(f Field) bool { return f.Name == n.Value })
 		if i < 0 || n.Value == "param" {
-			return f, refuse(n, "no field %q that could stand here", n.Value)
+			return f, refusalAt(n, "no field %q that could stand here", n.Value)
 		}
-		return figures{1, e.schema[i].Most}, nil
+		return estimate{1, e.schema[i].Most}, nil
 	case *ast.MemberNode: // only what the rewriter has put there
 		if base, ok := n.Node.(*ast.IdentifierNode); ok && base.Value == "has_" {
-			return figures{3, 0}, nil
+			return estimate{3, 0}, nil
 		}
 		if inner, ok := n.Node.(*ast.MemberNode); ok {
 			if base, ok := inner.Node.(*ast.IdentifierNode); ok && base.Value == "slots_" {
-				return figures{6, mostValue}, nil
+				return estimate{6, maxValueBytes}, nil
 			}
 		}
-		return f, refuse(n, "only param has parts that can be read")
+		return f, refusalAt(n, "only param has parts that can be read")
 	case *ast.UnaryNode:
 		_, sum := all(n.Node)
-		return figures{1 + sum, 0}, refusal
+		return estimate{1 + sum, 0}, refusal
 	case *ast.ConditionalNode:
 		fs, sum := all(n.Cond, n.Exp1, n.Exp2)
 		if refusal != nil {
 			return f, refusal
 		}
-		return figures{1 + sum, max(fs[1].long, fs[2].long)}, nil
+		return estimate{1 + sum, max(fs[1].maxBytes, fs[2].maxBytes)}, nil
 	case *ast.ArrayNode:
 		for _, m := range n.Nodes {
 			switch m.(type) {
 			case *ast.StringNode, *ast.IntegerNode:
 			default:
-				return f, refuse(m, "a list holds constants alone")
+				return f, refusalAt(m, "a list holds constants alone")
 			}
 		}
 		fs, _ := all(n.Nodes...)
 		long := 0
 		for _, one := range fs {
-			long = max(long, one.long)
+			long = max(long, one.maxBytes)
 		}
-		return figures{len(n.Nodes), long}, refusal
+		return estimate{len(n.Nodes), long}, refusal
 	case *ast.BinaryNode:
 		fs, sum := all(n.Left, n.Right)
 		if refusal != nil {
 			return f, refusal
 		}
-		a, b := fs[0].long, fs[1].long
+		a, b := fs[0].maxBytes, fs[1].maxBytes
 		switch n.Operator {
 		case "&&", "and", "||", "or":
-			return figures{1 + sum, 0}, nil
+			return estimate{1 + sum, 0}, nil
 		case "==", "!=", "<", "<=", ">", ">=":
-			return figures{1 + sum + min(a, b)/16, 0}, nil
+			return estimate{1 + sum + min(a, b)/16, 0}, nil
 		case "startsWith", "endsWith":
-			return figures{2 + sum + min(a, b)/16, 0}, nil
+			return estimate{2 + sum + min(a, b)/16, 0}, nil
 		case "contains":
-			return figures{2 + sum + a/2, 0}, nil
+			return estimate{2 + sum + a/2, 0}, nil
 		case "matches":
 			c, ok := n.Right.(*ast.StringNode)
 			if !ok {
-				return f, refuse(n, "a regular expression must be a constant")
+				return f, refusalAt(n, "a regular expression must be a constant")
 			}
 			// Linear in the text and, at the worst, in the expression.
-			return figures{20 + sum + a*(1+len(c.Value)/8), 0}, nil
+			return estimate{20 + sum + a*(1+len(c.Value)/8), 0}, nil
 		case "in", "not in":
 			if _, ok := n.Right.(*ast.ArrayNode); !ok {
-				return f, refuse(n, "%s takes a list of constants, or param", n.Operator)
+				return f, refusalAt(n, "%s takes a list of constants, or param", n.Operator)
 			}
-			return figures{4 + sum + a/16, 0}, nil
+			return estimate{4 + sum + a/16, 0}, nil
 		case "+":
-			if a+b > maxText {
-				return f, refuse(n, "a text of up to %d bytes is over %d", a+b, maxText)
+			if a+b > maxTextBytes {
+				return f, refusalAt(n, "a text of up to %d bytes is over %d", a+b, maxTextBytes)
 			}
-			return figures{4 + sum + (a+b)/8, a + b}, nil
+			return estimate{4 + sum + (a+b)/8, a + b}, nil
 		case "-", "*", "/", "%":
-			return figures{2 + sum, 0}, nil
+			return estimate{2 + sum, 0}, nil
 		}
-		return f, refuse(n, "no operator %q here", n.Operator)
+		return f, refusalAt(n, "no operator %q here", n.Operator)
 	}
-	return f, refuse(node, "this has no place in a rule: no loops, calls, variables or slices")
+	return f, refusalAt(node, "this has no place in a rule: no loops, calls, variables or slices")
 }
--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -8,37 +8,37 @@
 )
 
 // literals is what a field must be, one of, for an expression to hold.
-type literals struct {
-	field  string // class, handler, path or method
-	equal  []string
-	prefix []string
+type requirement struct {
+	field    string // class, handler, path or method
+	values   []string
+	prefixes []string
 }
 
-var indexed = []string{"class", "handler", "path", "method"}
+var indexedFields = []string{"class", "handler", "path", "method"}
 
 // needs finds what must hold for an expression to be true, as far as the index can use it.
-func needs(node ast.Node) []literals {
+func requirementsOf(node ast.Node) []requirement {
 	n, ok := node.(*ast.BinaryNode)
 	if !ok {
 		return nil
 	}
 	name := func(n ast.Node) string {
-		if id, ok := n.(*ast.IdentifierNode); ok && slices.Contains(indexed, id.Value) {
+		if id, ok := n.(*ast.IdentifierNode); ok && slices.Contains(indexedFields, id.Value) {
 			return id.Value
 		}
 		return ""
 	}
 	switch n.Operator {
 	case "&&", "and":
-		return append(needs(n.Left), needs(n.Right)...)
+		return append(requirementsOf(n.Left), requirementsOf(n.Right)...)
 	case "||", "or":
 		// Both sides must need something of one field: then one of the two is needed.
-		for _, a := range needs(n.Left) {
-			for _, b := range needs(n.Right) {
+		for _, a := range requirementsOf(n.Left) {
+			for _, b := range requirementsOf(n.Right) {
 				if a.field == b.field {
-					return []literals{{
-						a.field, append(slices.Clone(a.equal), b.equal...),
-						append(slices.Clone(a.prefix), b.prefix...),
+					return []requirement{{
+						a.field, append(slices.Clone(a.values), b.values...),
+						append(slices.Clone(a.prefixes), b.prefixes...),
 					}}
 				}
 			}
@@ -46,74 +46,74 @@
 	case "==":
 		for _, p := range [][2]ast.Node{{n.Left, n.Right}, {n.Right, n.Left}} {
 			if s, ok := p[1].(*ast.StringNode); ok && name(p[0]) != "" {
-				return []literals{{name(p[0]), []string{s.Value}, nil}}
+				return []requirement{{name(p[0]), []string{s.Value}, nil}}
 			}
 		}
 	case "startsWith":
 		if s, ok := n.Right.(*ast.StringNode); ok && name(n.Left) != "" {
-			return []literals{{name(n.Left), nil, []string{s.Value}}}
+			return []requirement{{name(n.Left), nil, []string{s.Value}}}
 		}
 	case "in":
 		list, ok := n.Right.(*ast.ArrayNode)
 		if !ok || name(n.Left) == "" {
 			return nil
 		}
-		l := literals{field: name(n.Left)}
+		l := requirement{field: name(n.Left)}
 		for _, m := range list.Nodes {
 			s, ok := m.(*ast.StringNode)
 			if !ok {
 				return nil
 			}
-			l.equal = append(l.equal, s.Value)
+			l.values = append(l.values, s.Value)
 		}
-		return []literals{l}
+		return []requirement{l}
 	}
 	return nil
 }
 
 // index finds the few rules that can hold for a request, by what they need of one field each.
-type index struct {
-	fields map[string]*fieldIndex
-	always []int // rules that need nothing the index knows
+type ruleIndex struct {
+	fields    map[string]*fieldIndex
+	unindexed []int // rules that need nothing the index knows
 }
 
 type fieldIndex struct {
-	equal   map[string][]int
-	prefix  map[string][]int
-	lengths []int // of the prefixes, each once
+	byValue       map[string][]int
+	byPrefix      map[string][]int
+	prefixLengths []int // of the prefixes, each once
 }
 
-func newIndex(rules []*rule) *index {
-	x := &index{fields: map[string]*fieldIndex{}}
+func newRuleIndex(rules []*compiledRule) *ruleIndex {
+	x := &ruleIndex{fields: map[string]*fieldIndex{}}
 	for i, r := range rules {
-		l, ok := best(r.when.needs)
+		l, ok := mostSelective(r.when.requirements)
 		if !ok {
-			x.always = append(x.always, i)
+			x.unindexed = append(x.unindexed, i)
 			continue
 		}
 		f := x.fields[l.field]
 		if f == nil {
-			f = &fieldIndex{equal: map[string][]int{}, prefix: map[string][]int{}}
+			f = &fieldIndex{byValue: map[string][]int{}, byPrefix: map[string][]int{}}
 			x.fields[l.field] = f
 		}
-		for _, s := range uniq(l.equal) {
-			f.equal[s] = append(f.equal[s], i)
+		for _, s := range sortedUnique(l.values) {
+			f.byValue[s] = append(f.byValue[s], i)
 		}
-		for _, s := range uniq(l.prefix) {
-			f.prefix[s] = append(f.prefix[s], i)
+		for _, s := range sortedUnique(l.prefixes) {
+			f.byPrefix[s] = append(f.byPrefix[s], i)
 		}
 	}
 	for _, f := range x.fields {
 		lengths := map[int]bool{}
-		for s := range f.prefix {
+		for s := range f.byPrefix {
 			lengths[len(s)] = true
 		}
-		f.lengths = slices.Sorted(maps.Keys(lengths))
+		f.prefixLengths = slices.Sorted(maps.Keys(lengths))
 	}
 	return x
 }
 
-func uniq(list []string) []string {
+func sortedUnique(list []string) []string {
 	list = slices.Clone(list)
 	slices.Sort(list)
 	return slices.Compact(list)
@@ -121,15 +121,15 @@
 
 // best is the need that tells requests apart best: equality before prefixes, few literals before many, long
 // prefixes before short ones.
-func best(list []literals) (b literals, ok bool) {
-	rank := func(l literals) int {
+func mostSelective(list []requirement) (b requirement, ok bool) {
+	rank := func(l requirement) int {
 		short := 0
-		for _, p := range l.prefix {
+		for _, p := range l.prefixes {
 			if len(p) < 4 {
 				short++
 			}
 		}
-		return len(l.equal) + 4*len(l.prefix) + 1000*short
+		return len(l.values) + 4*len(l.prefixes) + 1000*short
 	}
 	for _, l := range list {
 		if !ok || rank(l) < rank(b) {
@@ -140,8 +140,8 @@
 }
 
 // candidates is the rules that can hold, in order, each once.
-func (x *index) candidates(e *env, list []int) []int {
-	list = append(list[:0], x.always...)
+func (x *ruleIndex) candidates(e *environment, list []int) []int {
+	list = append(list[:0], x.unindexed...)
 	for field, f := range x.fields {
 		value := ""
 		switch field {
@@ -154,12 +154,12 @@
 		case "method":
 			value = e.Method
 		}
-		list = append(list, f.equal[value]...)
-		for _, n := range f.lengths {
+		list = append(list, f.byValue[value]...)
+		for _, n := range f.prefixLengths {
 			if n > len(value) {
 				break
 			}
-			list = append(list, f.prefix[value[:n]]...)
+			list = append(list, f.byPrefix[value[:n]]...)
 		}
 	}
 	slices.Sort(list)
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -16,9 +16,11 @@
 
 var classes = []Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
 
-func src(s string) Text { return Text{Place{"f", 1, 1}, s} }
+func expression(s string) Text { return Text{Place{"f", 1, 1}, s} }
 
-func one(when string) Rule { return Rule{Place: Place{"f", 1, 1}, Name: "r", When: src(when)} }
+func ruleWhen(when string) Rule {
+	return Rule{Place: Place{"f", 1, 1}, Name: "r", When: expression(when)}
+}
 
 func load(t testing.TB, rules ...Rule) *Table {
 	t.Helper()
@@ -30,7 +32,7 @@
 }
 
 // ask is a request with these parameters.
-func ask(t *Table, params map[string]string, change ...func(*Request)) *Request {
+func newRequest(t *Table, params map[string]string, change ...func(*Request)) *Request {
 	q := &Request{
 		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
 		OnceKey: "k1", Budget: time.Second, Body: 10, Memory: 512, Lanes: 2, Local: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
@@ -72,8 +74,8 @@
 		{`(keyed ? "a" : "b") + handler == "a7f3a9c21e0b4d655"`, true, false},
 		{`share >= 0 && share < 1000`, true, false},
 	} {
-		table := load(t, one(c.when))
-		got := table.Match(ask(table, params))
+		table := load(t, ruleWhen(c.when))
+		got := table.Match(newRequest(table, params))
 		if matched, failed := len(got.Rules) == 1, len(got.Failed) == 1; matched != c.want || failed != c.failed {
 			t.Errorf("%s: matched %v, failed %v", c.when, matched, got.Failed)
 		}
@@ -125,7 +127,7 @@
 		`"`:       "",
 		``:        "ok", // no condition
 	} {
-		table, faults := Load([]Rule{one(when)}, classes)
+		table, faults := Load([]Rule{ruleWhen(when)}, classes)
 		if want == "ok" {
 			if table == nil {
 				t.Errorf("%q is refused: %v", when, faults)
@@ -139,10 +141,10 @@
 			t.Errorf("%.60q: %v, want one with %q", when, faults, want)
 		}
 	}
-	r := one(`handler == "a" && nope == 1`)
+	r := ruleWhen(`handler == "a" && nope == 1`)
 	r.Class, r.Key = Text{Place{"f", 2, 9}, "certificada"}, Text{Place{"f", 3, 9}, `lanes`}
 	r.Labels = []Label{{"centre", Text{Place{"f", 4, 16}, `param["A"] + 1`}}}
-	_, faults := Load([]Rule{r, one("true")}, classes)
+	_, faults := Load([]Rule{r, ruleWhen("true")}, classes)
 	var got []string
 	for _, f := range faults {
 		got = append(got, fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Directive))
@@ -155,12 +157,12 @@
 // Each of class, key, route and a label is given by the first rule that matches and gives it; stop ends the table.
 func TestFirstMatch(t *testing.T) {
 	table := load(t,
-		Rule{Name: "a", When: src(`class == "consulta"`), Key: src(`handler + ":" + param["C"]`), Labels: []Label{{"c", src(`param["C"]`)}}},
-		Rule{Name: "b", When: src(`handler.startsWith("7f")`), Class: src("certificado"), Route: src("slow-lane"), Labels: []Label{{"c", src(`"other"`)}, {"d", src(`"x"`)}}},
-		Rule{Name: "c", When: src(`path == "/rpc/consulta"`), Class: src(`"registro-horas"`), Key: src(`"k"`), Stop: true},
-		Rule{Name: "d", Route: src(`"never"`)},
+		Rule{Name: "a", When: expression(`class == "consulta"`), Key: expression(`handler + ":" + param["C"]`), Labels: []Label{{"c", expression(`param["C"]`)}}},
+		Rule{Name: "b", When: expression(`handler.startsWith("7f")`), Class: expression("certificado"), Route: expression("slow-lane"), Labels: []Label{{"c", expression(`"other"`)}, {"d", expression(`"x"`)}}},
+		Rule{Name: "c", When: expression(`path == "/rpc/consulta"`), Class: expression(`"registro-horas"`), Key: expression(`"k"`), Stop: true},
+		Rule{Name: "d", Route: expression(`"never"`)},
 	)
-	got := table.Match(ask(table, map[string]string{"C": "z4"}))
+	got := table.Match(newRequest(table, map[string]string{"C": "z4"}))
 	want := Result{
 		Class: "certificado", Key: "7f3a9c21e0b4d655:z4", Route: "slow-lane", Labels: map[string]string{"c": "z4", "d": "x"},
 		Rules: []string{"a", "b", "c"}, Cost: got.Cost,
@@ -169,7 +171,7 @@
 		t.Error(d)
 	}
 	// With a parameter missing, a rule that reads it matches not at all.
-	got = table.Match(ask(table, nil))
+	got = table.Match(newRequest(table, nil))
 	if got.Key != "k" || got.Labels["c"] != "other" || !slices.Equal(got.Rules, []string{"b", "c"}) || len(got.Failed) != 1 {
 		t.Errorf("%+v", got)
 	}
@@ -182,11 +184,11 @@
 
 func TestWarnings(t *testing.T) {
 	_, faults := Load([]Rule{
-		{Name: "a", When: src(`class == "x" && class == "y"`)},
-		{Name: "b", When: src(`lanes == 1`), Stop: true},
-		{Name: "c", When: src(`lanes == 1`)},
+		{Name: "a", When: expression(`class == "x" && class == "y"`)},
+		{Name: "b", When: expression(`lanes == 1`), Stop: true},
+		{Name: "c", When: expression(`lanes == 1`)},
 		{Name: "d", Stop: true},
-		{Name: "e", When: src(`lanes == 2`)},
+		{Name: "e", When: expression(`lanes == 2`)},
 	}, classes)
 	var got []string
 	for _, f := range faults {
@@ -211,9 +213,9 @@
 		var rules []Rule
 		for i := range rapid.IntRange(1, 5).Draw(t, "rules") {
 			to := rapid.SampledFrom(names).Draw(t, "to")
-			r := Rule{Name: fmt.Sprint(i), Class: src(to)}
+			r := Rule{Name: fmt.Sprint(i), Class: expression(to)}
 			if rapid.Bool().Draw(t, "computed") {
-				r.Class = src(`keyed ? "` + to + `" : param["CLASS"]`)
+				r.Class = expression(`keyed ? "` + to + `" : param["CLASS"]`)
 			}
 			rules = append(rules, r)
 		}
@@ -221,7 +223,7 @@
 		if table == nil {
 			t.Fatal(faults)
 		}
-		q := ask(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(t, "param")})
+		q := newRequest(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(t, "param")})
 		q.Class = rapid.SampledFrom(append(names, "")).Draw(t, "asked")
 		if rapid.Bool().Draw(t, "keyless") {
 			q.OnceKey = ""
@@ -240,7 +242,7 @@
 }
 
 // drawn makes a condition of a kind that the index knows, or not.
-func drawn(t *rapid.T, depth int) string {
+func randomCondition(t *rapid.T, depth int) string {
 	lit := func() string { return rapid.SampledFrom([]string{"", "a", "ab", "abc", "b", "bc"}).Draw(t, "literal") }
 	field := rapid.SampledFrom([]string{"class", "handler", "path", "method"}).Draw(t, "field")
 	n := 6
@@ -259,9 +261,9 @@
 	case 4:
 		return fmt.Sprintf(`param["P"] == %q`, lit())
 	case 5:
-		return "(" + drawn(t, depth+1) + ") && (" + drawn(t, depth+1) + ")"
+		return "(" + randomCondition(t, depth+1) + ") && (" + randomCondition(t, depth+1) + ")"
 	default:
-		return "(" + drawn(t, depth+1) + ") || (" + drawn(t, depth+1) + ")"
+		return "(" + randomCondition(t, depth+1) + ") || (" + randomCondition(t, depth+1) + ")"
 	}
 }
 
@@ -270,9 +272,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
 		for i := range rapid.IntRange(0, 12).Draw(t, "rules") {
-			r := Rule{Name: fmt.Sprint(i), When: src(drawn(t, 0)), Stop: rapid.IntRange(0, 4).Draw(t, "stop") == 0}
+			r := Rule{Name: fmt.Sprint(i), When: expression(randomCondition(t, 0)), Stop: rapid.IntRange(0, 4).Draw(t, "stop") == 0}
 			if rapid.Bool().Draw(t, "keyed") {
-				r.Key = src(fmt.Sprintf(`"k%d" + param["Q"]`, i))
+				r.Key = expression(fmt.Sprintf(`"k%d" + param["Q"]`, i))
 			}
 			rules = append(rules, r)
 		}
@@ -281,7 +283,7 @@
 		if indexed == nil {
 			t.Skip(faults)
 		}
-		plain.plain = true
+		plain.unindexed = true
 		texts := []string{"", "a", "ab", "abc", "abcd", "b", "bcd", "c"}
 		for range 8 {
 			params := map[string]string{}
@@ -290,7 +292,7 @@
 					params[p] = rapid.SampledFrom(texts).Draw(t, p)
 				}
 			}
-			q := ask(indexed, params)
+			q := newRequest(indexed, params)
 			for _, f := range []*string{&q.Class, &q.Handler, &q.Path, &q.Method} {
 				*f = rapid.SampledFrom(texts).Draw(t, "text")
 			}
@@ -316,7 +318,7 @@
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		began := time.Now()
-		table, faults := Load([]Rule{one(s)}, classes)
+		table, faults := Load([]Rule{ruleWhen(s)}, classes)
 		if d := time.Since(began); d > 5*time.Second { // 50 ms is the aim; a busy machine must not fail this
 			t.Errorf("loading took %v", d)
 		}
@@ -326,18 +328,18 @@
 			}
 			return
 		}
-		if got := table.Match(ask(table, map[string]string{"A": strings.Repeat("x", 256)})); got.Cost > table.Limit() {
+		if got := table.Match(newRequest(table, map[string]string{"A": strings.Repeat("x", 256)})); got.Cost > table.Limit() {
 			t.Errorf("cost %d over the limit of %d", got.Cost, table.Limit())
 		}
 	})
 }
 
 // Many is a table of n rules that tell requests apart by handler.
-func many(n int) (rules []Rule) {
+func handlerRules(n int) (rules []Rule) {
 	for i := range n {
 		rules = append(rules, Rule{
-			Name: fmt.Sprint(i), When: src(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
-			Key: src(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: src("lane"), Stop: true,
+			Name: fmt.Sprint(i), When: expression(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
+			Key: expression(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: expression("lane"), Stop: true,
 		})
 	}
 	return rules
@@ -345,10 +347,10 @@
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
-		table := load(b, many(n)...)
+		table := load(b, handlerRules(n)...)
 		for name, q := range map[string]*Request{
-			"plain":   ask(table, map[string]string{"HTTP_X_CENTRE": "zona4"}, func(q *Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
-			"hostile": ask(table, map[string]string{"HTTP_X_CENTRE": strings.Repeat("zon", 85)}, func(q *Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
+			"plain":   newRequest(table, map[string]string{"HTTP_X_CENTRE": "zona4"}, func(q *Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
+			"hostile": newRequest(table, map[string]string{"HTTP_X_CENTRE": strings.Repeat("zon", 85)}, func(q *Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
 		} {
 			b.Run(fmt.Sprintf("rules=%d/%s", n, name), func(b *testing.B) {
 				b.ReportAllocs()
@@ -373,9 +375,9 @@
 
 // The meter ends a request at its limit, with what was decided until then.
 func TestMeter(t *testing.T) {
-	table := load(t, Rule{Name: "a", Key: src(`"a"`)}, Rule{Name: "b", Route: src("b")}, Rule{Name: "c", Route: src("c")})
-	table.limit = table.rules[0].cost + table.rules[1].cost - 1 // as if the estimate had been too low
-	got := table.Match(ask(table, nil))
+	table := load(t, Rule{Name: "a", Key: expression(`"a"`)}, Rule{Name: "b", Route: expression("b")}, Rule{Name: "c", Route: expression("c")})
+	table.costLimit = table.rules[0].maxCost + table.rules[1].maxCost - 1 // as if the estimate had been too low
+	got := table.Match(newRequest(table, nil))
 	if got.Key != "a" || got.Route != "" || len(got.Failed) != 1 || table.Counts()[1].Failed != 1 || table.Counts()[2].Tried != 0 {
 		t.Errorf("%+v, %+v", got, table.Counts())
 	}
@@ -383,10 +385,10 @@
 
 // A split sends each key the same way every time, and the told part of all keys.
 func TestSplit(t *testing.T) {
-	table := load(t, Rule{Name: "r", Route: src("old"), Splits: []Split{{Route: "trial", Part: 100}, {Route: "other", Part: 250}}})
+	table := load(t, Rule{Name: "r", Route: expression("old"), Splits: []Split{{Route: "trial", Part: 100}, {Route: "other", Part: 250}}})
 	routes := map[string]int{}
 	for i := range 10000 {
-		q := ask(table, nil, func(q *Request) { q.OnceKey = fmt.Sprint(i) })
+		q := newRequest(table, nil, func(q *Request) { q.OnceKey = fmt.Sprint(i) })
 		route := table.Match(q).Route
 		if again := table.Match(q).Route; again != route {
 			t.Fatalf("key %d went to %s and %s", i, route, again)
--- a/internal/rules/match/predicate.go
+++ b/internal/rules/match/predicate.go
@@ -7,12 +7,12 @@
 )
 
 // Predicate is a condition over something else than a request, loaded under the same bounds.
-type Predicate struct{ code *code }
+type Predicate struct{ code *compiledExpr }
 
 // NewPredicate loads a condition over the fields of a schema, which are those of env, a pointer to a struct.
 func NewPredicate(schema []Field, env any, source string) (*Predicate, *Refusal) {
 	c := &compiler{schema: schema, env: env}
-	loaded, refusal := c.compile(source, truth)
+	loaded, refusal := c.compile(source, boolResult)
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/internal/rules/match/schema.go
+++ b/internal/rules/match/schema.go
@@ -21,26 +21,26 @@
 
 // The longest texts that expressions see. A request with a longer one is seen without it: the field is missing.
 const (
-	mostClass  = 64
-	mostFn     = 16
-	mostPath   = 256
-	mostMethod = 16
-	mostName   = 64
-	mostValue  = 256
-	mostClient = 45
+	maxClassBytes      = 64
+	maxFunctionIDBytes = 16
+	maxPathBytes       = 256
+	maxMethodBytes     = 16
+	maxNameBytes       = 64
+	maxValueBytes      = 256
+	maxClientBytes     = 45
 )
 
 // Schema is every field, in the order of the operators' page.
 var Schema = []Field{
-	{"class", "text", mostClass, "the class that the client asks for; empty if it names none"},
-	{"handler", "text", mostFn, "the function"},
-	{"path", "text", mostPath, "the whole path, as in /rpc/consulta"},
-	{"method", "text", mostMethod, "REQUEST_METHOD; empty if not told"},
-	{"param", "texts by name", mostValue, `further parameters: param["HTTP_X_CENTRE"]. "HTTP_X_CENTRE" in param tells whether there is one; reading one that is missing is a fault`},
+	{"class", "text", maxClassBytes, "the class that the client asks for; empty if it names none"},
+	{"handler", "text", maxFunctionIDBytes, "the function"},
+	{"path", "text", maxPathBytes, "the whole path, as in /rpc/consulta"},
+	{"method", "text", maxMethodBytes, "REQUEST_METHOD; empty if not told"},
+	{"param", "texts by name", maxValueBytes, `further parameters: param["HTTP_X_CENTRE"]. "HTTP_X_CENTRE" in param tells whether there is one; reading one that is missing is a fault`},
 	{"budget", "duration", 0, `how long the client waits, as in duration("500ms")`},
 	{"body", "number", 0, "bytes of the body, as far as CONTENT_LENGTH tells; 0 if it doesn't"},
 	{"keyed", "truth", 0, "whether there is an idempotency key"},
-	{"client", "text", mostClient, "the client's IP address"},
+	{"client", "text", maxClientBytes, "the client's IP address"},
 	{"memory_mb", "number", 0, "memory of a loaded copy; 0 if not told"},
 	{"lanes", "number", 0, "requests that a copy runs at a time; 0 if not told"},
 	{"hour", "number", 0, "local time: 0 to 23"},
@@ -63,7 +63,7 @@
 }
 
 // env is a Request as expressions read it. The names that end in _ are what param[...] is turned into.
-type env struct {
+type environment struct {
 	Class    string            `expr:"class"`
 	Handler  string            `expr:"handler"`
 	Path     string            `expr:"path"`
@@ -83,7 +83,7 @@
 	Has      []bool            `expr:"has_"`
 }
 
-func capped(s string, most int) string {
+func textWithin(s string, most int) string {
 	if len(s) > most {
 		return ""
 	}
@@ -91,7 +91,7 @@
 }
 
 // share is a stable number from 0 to 999 for a key.
-func share(key string) int {
+func stableShare(key string) int {
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	x := h.Sum64()
@@ -99,17 +99,17 @@
 	return int((x ^ x>>27) % 1000)
 }
 
-func (t *Table) env(q *Request) *env {
-	e := &t.scratch
-	*e = env{
-		Class: capped(q.Class, mostClass), Handler: capped(q.Handler, mostFn), Path: capped(q.Path, mostPath),
-		Method: capped(q.Method, mostMethod), Budget: q.Budget, Body: q.Body, Keyed: q.OnceKey != "",
-		Client: capped(q.Client, mostClient), MemoryMB: q.Memory, Lanes: q.Lanes, Hour: q.Local.Hour(),
-		Minute: q.Local.Minute(), Weekday: int(q.Local.Weekday()), Share: share(cmp.Or(q.OnceKey, q.ID)), Slots: e.Slots, Has: e.Has,
+func (t *Table) fillEnvironment(q *Request) *environment {
+	e := &t.env
+	*e = environment{
+		Class: textWithin(q.Class, maxClassBytes), Handler: textWithin(q.Handler, maxFunctionIDBytes), Path: textWithin(q.Path, maxPathBytes),
+		Method: textWithin(q.Method, maxMethodBytes), Budget: q.Budget, Body: q.Body, Keyed: q.OnceKey != "",
+		Client: textWithin(q.Client, maxClientBytes), MemoryMB: q.Memory, Lanes: q.Lanes, Hour: q.Local.Hour(),
+		Minute: q.Local.Minute(), Weekday: int(q.Local.Weekday()), Share: stableShare(cmp.Or(q.OnceKey, q.ID)), Slots: e.Slots, Has: e.Has,
 	}
 	for i := range e.Slots {
 		e.Slots[i], e.Has[i] = nil, false
-		if i < len(q.Params) && len(q.Params[i]) > 0 && len(q.Params[i][0]) <= mostValue {
+		if i < len(q.Params) && len(q.Params[i]) > 0 && len(q.Params[i][0]) <= maxValueBytes {
 			e.Slots[i], e.Has[i] = q.Params[i], true
 		}
 	}
--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -85,31 +85,31 @@
 	Cost    uint64 `json:"cost"` // estimated, of what was evaluated
 }
 
-var errMeter = errors.New("the limit of a request's cost is reached")
+var errCostLimit = errors.New("the limit of a request's cost is reached")
 
 // memoryBudget is how many values an expression may put together, by the library's own count.
-const memoryBudget = 4 * maxText
+const evaluationMemoryBudget = 4 * maxTextBytes
 
-type rule struct {
+type compiledRule struct {
 	Rule
-	when, class, key, route *code
-	constant                string // the class, where it is one
-	labels                  []*code
-	cost                    int
-	count                   Count
+	when, class, key, route *compiledExpr
+	constantClass           string // the class, where it is one
+	labels                  []*compiledExpr
+	maxCost                 int
+	counts                  Count
 }
 
 // Table is rules that were loaded. It is not safe for concurrent use.
 type Table struct {
-	rules   []*rule
-	classes map[string]Class
-	index   *index
-	slots   []string
-	limit   int // the worst that a request can cost
-	scratch env
-	list    []int
-	machine vm.VM
-	plain   bool // without the index, for tests and measurements
+	rules      []*compiledRule
+	classes    map[string]Class
+	index      *ruleIndex
+	slots      []string
+	costLimit  int // the worst that a request can cost
+	env        environment
+	candidates []int
+	machine    vm.VM
+	unindexed  bool // without the index, for tests and measurements
 }
 
 // Load loads rules for a site's classes; nil where they are not known, and then no name of one is checked. It reports everything wrong with them at once; with a fault that is no
@@ -129,10 +129,10 @@
 		fault(rules[MaxRules].Place, "match", "%d rules are over %d", len(rules), MaxRules)
 		return nil, faults
 	}
-	c := &compiler{schema: Schema, env: &env{}}
+	c := &compiler{schema: Schema, env: &environment{}}
 	for _, in := range rules {
-		r := &rule{Rule: in, count: Count{Rule: in.Name}}
-		load := func(directive string, x Text, want kind) *code {
+		r := &compiledRule{Rule: in, counts: Count{Rule: in.Name}}
+		load := func(directive string, x Text, want resultKind) *compiledExpr {
 			if x.Source == "" {
 				return nil
 			}
@@ -143,30 +143,30 @@
 				fault(at, directive, "%s", refusal.Reason)
 				return nil
 			}
-			r.cost += code.cost
+			r.maxCost += code.cost
 			return code
 		}
 		when := in.When
 		if when.Source == "" {
 			when.Source = "true"
 		}
-		r.when = load("when", when, truth)
+		r.when = load("when", when, boolResult)
 		if in.Class.Source != "" {
 			// A plain word is the name of a class; anything else an expression that yields one.
-			if name := in.Class.Source; plainWord(name) {
+			if name := in.Class.Source; isPlainName(name) {
 				if _, ok := t.classes[name]; !ok && classes != nil {
 					fault(in.Class.Place, "class", "no class %q is among the site's%s", name, classNames(classes))
 				}
-				r.constant = name
+				r.constantClass = name
 			} else {
-				r.class = load("class", in.Class, text)
+				r.class = load("class", in.Class, textResult)
 			}
 		}
-		r.key = load("key", in.Key, text)
-		if plainWord(in.Route.Source) {
+		r.key = load("key", in.Key, textResult)
+		if isPlainName(in.Route.Source) {
 			in.Route.Source = `"` + in.Route.Source + `"`
 		}
-		r.route = load("route", in.Route, text)
+		r.route = load("route", in.Route, textResult)
 		parts := 0
 		for _, s := range in.Splits {
 			if parts += s.Part; parts > 1000 {
@@ -174,28 +174,28 @@
 			}
 		}
 		for _, l := range in.Labels {
-			r.labels = append(r.labels, load("label", l.Value, text))
+			r.labels = append(r.labels, load("label", l.Value, textResult))
 		}
 		t.rules = append(t.rules, r)
 	}
 	if bad > 0 {
 		return nil, faults
 	}
-	t.index = newIndex(t.rules)
+	t.index = newRuleIndex(t.rules)
 	// What one request can meet: all rules without a need, and of the others those that share what they need.
-	worst, at := t.path()
+	worst, at := t.worstCost()
 	if worst > MaxPath {
 		fault(at, "match", "the rules that one request can meet cost up to %d, at most %d is allowed", worst, MaxPath)
 		return nil, faults
 	}
-	t.limit = worst
-	t.machine.MemoryBudget = memoryBudget
+	t.costLimit = worst
+	t.machine.MemoryBudget = evaluationMemoryBudget
 	t.slots = c.slots
-	t.scratch.Slots, t.scratch.Has = make([][]string, len(c.slots)), make([]bool, len(c.slots))
+	t.env.Slots, t.env.Has = make([][]string, len(c.slots)), make([]bool, len(c.slots))
 	return t, append(faults, t.warnings()...)
 }
 
-func plainWord(s string) bool {
+func isPlainName(s string) bool {
 	for _, c := range []byte(s) {
 		if (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' && c != '_' {
 			return false
@@ -213,23 +213,23 @@
 }
 
 // path is the worst cost of the rules that one request can meet, and the last of them.
-func (t *Table) path() (worst int, at Place) {
+func (t *Table) worstCost() (worst int, at Place) {
 	sum := func(list []int) (n int) {
 		for _, i := range list {
-			n += t.rules[i].cost
+			n += t.rules[i].maxCost
 		}
 		return n
 	}
-	worst = sum(t.index.always)
+	worst = sum(t.index.unindexed)
 	for _, f := range t.index.fields {
 		most := 0
-		for _, list := range f.equal {
+		for _, list := range f.byValue {
 			most = max(most, sum(list))
 		}
 		worst += most
 		// A text may have one prefix of each length.
 		byLength := map[int]int{}
-		for p, list := range f.prefix {
+		for p, list := range f.byPrefix {
 			byLength[len(p)] = max(byLength[len(p)], sum(list))
 		}
 		for _, n := range byLength {
@@ -257,10 +257,10 @@
 		if other, ok := seen[r.When.Source]; ok && r.When.Source != "" {
 			warn("can never match: %s has the same condition, and stops", other)
 		}
-		for i, a := range r.when.needs {
-			for _, b := range r.when.needs[i+1:] {
-				if a.field == b.field && len(a.prefix)+len(b.prefix) == 0 &&
-					!slices.ContainsFunc(a.equal, func(s string) bool { return slices.Contains(b.equal, s) }) {
+		for i, a := range r.when.requirements {
+			for _, b := range r.when.requirements[i+1:] {
+				if a.field == b.field && len(a.prefixes)+len(b.prefixes) == 0 &&
+					!slices.ContainsFunc(a.values, func(s string) bool { return slices.Contains(b.values, s) }) {
 					warn("contradicts itself: %s can't be both", a.field)
 				}
 			}
@@ -281,7 +281,7 @@
 func (t *Table) Slots() []string { return t.slots }
 
 // Limit is the worst that a request can cost.
-func (t *Table) Limit() int { return t.limit }
+func (t *Table) Limit() int { return t.costLimit }
 
 // Len is the number of rules.
 func (t *Table) Len() int { return len(t.rules) }
@@ -290,7 +290,7 @@
 func (t *Table) Counts() []Count {
 	list := make([]Count, len(t.rules))
 	for i, r := range t.rules {
-		list[i] = r.count
+		list[i] = r.counts
 	}
 	return list
 }
@@ -298,28 +298,28 @@
 // Match evaluates the rules for a request. Class, key, route and each label are given by the first rule that matches
 // and gives one. A rule whose evaluation fails does not match.
 func (t *Table) Match(q *Request) (out Result) {
-	e := t.env(q)
-	if t.plain {
-		t.list = t.list[:0]
+	e := t.fillEnvironment(q)
+	if t.unindexed {
+		t.candidates = t.candidates[:0]
 		for i := range t.rules {
-			t.list = append(t.list, i)
+			t.candidates = append(t.candidates, i)
 		}
 	} else {
-		t.list = t.index.candidates(e, t.list)
+		t.candidates = t.index.candidates(e, t.candidates)
 	}
-	for _, i := range t.list {
+	for _, i := range t.candidates {
 		r := t.rules[i]
-		r.count.Tried++
+		r.counts.Tried++
 		// The meter: whatever an estimate may have missed, a request is evaluated no further than its limit. What is
 		// left does not match.
-		if !t.plain && out.Cost+r.cost > t.limit {
-			r.count.Failed++
-			out.Failed = append(out.Failed, r.Name+": "+errMeter.Error())
+		if !t.unindexed && out.Cost+r.maxCost > t.costLimit {
+			r.counts.Failed++
+			out.Failed = append(out.Failed, r.Name+": "+errCostLimit.Error())
 			break
 		}
-		r.count.Cost += uint64(r.when.cost)
+		r.counts.Cost += uint64(r.when.cost)
 		out.Cost += r.when.cost
-		v, err := t.run(r.when, e)
+		v, err := t.evaluate(r.when, e)
 		if err == nil && v != true {
 			continue
 		}
@@ -327,11 +327,11 @@
 			err = t.apply(r, e, q, &out)
 		}
 		if err != nil {
-			r.count.Failed++
+			r.counts.Failed++
 			out.Failed = append(out.Failed, r.Name+": "+err.Error())
 			continue
 		}
-		r.count.Matched++
+		r.counts.Matched++
 		out.Rules = append(out.Rules, r.Name)
 		if r.Stop {
 			break
@@ -340,7 +340,7 @@
 	return out
 }
 
-func (t *Table) run(c *code, e *env) (v any, err error) {
+func (t *Table) evaluate(c *compiledExpr, e *environment) (v any, err error) {
 	// The library reports what goes wrong as an error; a fault of its own must not end the scheduler either.
 	defer func() {
 		if p := recover(); p != nil {
@@ -351,12 +351,12 @@
 }
 
 // apply takes in what follows from a rule, all of it or, with an error, nothing.
-func (t *Table) apply(r *rule, e *env, q *Request, out *Result) error {
+func (t *Table) apply(r *compiledRule, e *environment, q *Request, out *Result) error {
 	next := *out
-	value := func(c *code, most int) (string, error) {
+	value := func(c *compiledExpr, most int) (string, error) {
 		out.Cost += c.cost
-		r.count.Cost += uint64(c.cost)
-		v, err := t.run(c, e)
+		r.counts.Cost += uint64(c.cost)
+		v, err := t.evaluate(c, e)
 		if err != nil {
 			return "", err
 		}
@@ -366,21 +366,21 @@
 		}
 		return s, nil
 	}
-	if next.Class == "" && (r.constant != "" || r.class != nil) {
-		name, err := r.constant, error(nil)
+	if next.Class == "" && (r.constantClass != "" || r.class != nil) {
+		name, err := r.constantClass, error(nil)
 		if r.class != nil {
-			name, err = value(r.class, mostClass)
+			name, err = value(r.class, maxClassBytes)
 		}
 		if err != nil {
 			return err
 		}
-		if err := t.may(q, name); err != nil {
+		if err := t.checkClassChange(q, name); err != nil {
 			return err
 		}
 		next.Class = name
 	}
 	if next.Key == "" && r.key != nil {
-		s, err := value(r.key, maxText)
+		s, err := value(r.key, maxTextBytes)
 		if err != nil {
 			return err
 		}
@@ -395,7 +395,7 @@
 		}
 	}
 	if next.Route == "" && r.route != nil {
-		s, err := value(r.route, mostName)
+		s, err := value(r.route, maxNameBytes)
 		if err != nil {
 			return err
 		}
@@ -406,7 +406,7 @@
 		if _, ok := next.Labels[l.Name]; ok {
 			continue
 		}
-		s, err := value(r.labels[i], mostValue)
+		s, err := value(r.labels[i], maxValueBytes)
 		if err != nil {
 			return err
 		}
@@ -428,7 +428,7 @@
 
 // may reports whether a rule may move a request to a class: one that is at least as strict about repeats as the one
 // that its client named, and a keyed one only with a key.
-func (t *Table) may(q *Request, name string) error {
+func (t *Table) checkClassChange(q *Request, name string) error {
 	to, ok := t.classes[name]
 	if !ok {
 		return fmt.Errorf("no class %.40q", name)
