--- a/internal/rules/match/compile.go
+++ b/internal/rules/match/compile.go
@@ -7,8 +7,6 @@
 	"regexp"
 	"regexp/syntax"
 	"slices"
-	"strings"
-	"time"
 
 	"github.com/expr-lang/expr"
 	"github.com/expr-lang/expr/ast"
@@ -17,35 +15,55 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Bounds of what is loaded.
+// The limits of what is loaded.
 const (
-	MaxRules              = 10000
-	maxSourceBytes        = 2048 // bytes of an expression
-	maxNodes              = 256
-	maxNesting            = 24
-	maxParams             = 64   // different parameters that all rules read
-	maxTextBytes          = 1024 // bytes that an expression may yield or put together
-	maxRegexpInstructions = 200  // instructions of a regular expression
-	// MaxCost is the worst cost that an expression may have, in units. A unit is about what comparing two numbers
+	// MaxRules is the largest number of rules in a table.
+	MaxRules = 10000
+	// MaxCost is the largest worst-case cost of an expression, in units. A unit is about what comparing two numbers
 	// takes.
 	MaxCost = 2000
-	// MaxPath is the worst cost of all rules that one request may meet.
+	// MaxPath is the largest worst-case cost of all rules that one request may meet, in units.
 	MaxPath = 200000
+
+	maxSourceBytes        = 2048
+	maxNodes              = 256
+	maxNesting            = 24
+	maxParams             = 64   // different parameters that all rules read
+	maxTextBytes          = 1024 // longest text that an expression may yield or concatenate
+	maxRegexpInstructions = 200
+	// nodesPerSourceNode bounds how many nodes the rewritten expression may have for each one allowed in the source.
+	nodesPerSourceNode = 4
 )
 
-// A Refusal says what is wrong with an expression, and at which byte of it, from 0.
+// Refusal is the error of an expression that cannot be loaded.
 type Refusal struct {
-	At     int
+	At     int // byte of the expression, from 0
 	Reason string
 }
 
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
-func refusalAt(n ast.Node, format string, args ...any) *Refusal {
-	return &Refusal{n.Location().From, fmt.Sprintf(format, args...)}
+// refusalAt returns a Refusal at the position of a node.
+func refusalAt(node ast.Node, format string, args ...any) *Refusal {
+	return &Refusal{At: node.Location().From, Reason: fmt.Sprintf(format, args...)}
+}
+
+// refusalOf returns a Refusal of the expression as a whole.
+func refusalOf(format string, args ...any) *Refusal {
+	return &Refusal{Reason: fmt.Sprintf(format, args...)}
 }
 
-// kind is the type that an expression must yield.
+// libraryRefusal returns the Refusal for an error of the expression library.
+func libraryRefusal(err error) *Refusal {
+	var positioned *file.Error
+	if errors.As(err, &positioned) {
+		return &Refusal{At: positioned.From, Reason: positioned.Message}
+	}
+	return &Refusal{Reason: err.Error()}
+}
+
+// resultKind is the type that an expression must yield.
 type resultKind int
 
 const (
@@ -53,20 +71,29 @@
 	textResult
 )
 
-// code is an expression that was loaded.
+// option returns the compiler option that demands the type.
+func (k resultKind) option() expr.Option {
+	if k == textResult {
+		return expr.AsKind(reflect.String)
+	}
+	return expr.AsBool()
+}
+
+// compiledExpr is an expression that was loaded.
 type compiledExpr struct {
 	program      *vm.Program
-	cost         int
-	requirements []requirement // each of which must hold for a truth
+	cost         int           // worst case, in units
+	requirements []requirement // all of which must hold for the expression to be true
 }
 
 // compiler loads the expressions of one table.
 type compiler struct {
-	schema []Field
-	env    any      // a value of the type that expressions are evaluated against
-	slots  []string // parameters, by slot
+	schema      []Field
+	environment any      // a value of the type that expressions are evaluated against
+	slots       []string // parameters that are read, by slot
 }
 
+// slot returns the slot of a parameter, a new one if it is not read yet.
 func (c *compiler) slot(name string) int {
 	i := slices.Index(c.slots, name)
 	if i < 0 {
@@ -76,275 +103,62 @@
 	return i
 }
 
-// compile loads an expression.
+// hasField reports whether the schema declares a field.
+func (c *compiler) hasField(name string) bool {
+	return slices.ContainsFunc(c.schema, func(f Field) bool { return f.Name == name })
+}
+
+// compile loads an expression: it parses and rewrites it, estimates its worst-case cost, and compiles it.
 func (c *compiler) compile(source string, want resultKind) (*compiledExpr, *Refusal) {
 	if len(source) > maxSourceBytes {
-		return nil, &Refusal{0, fmt.Sprintf("%d bytes are over %d", len(source), maxSourceBytes)}
+		return nil, refusalOf("%d bytes are over %d", len(source), maxSourceBytes)
 	}
 	tree, err := parser.Parse(source)
 	if err != nil {
 		return nil, libraryRefusal(err)
 	}
-	before := len(c.slots)
-	rw := &rewriter{compiler: c, firstPass: true}
-	ast.Walk(&tree.Node, rw)
-	if rw.refusal != nil {
-		return nil, rw.refusal
+	slotsBefore := len(c.slots)
+	checked := &rewriter{compiler: c, firstPass: true}
+	ast.Walk(&tree.Node, checked)
+	if checked.refusal != nil {
+		return nil, checked.refusal
 	}
 	if len(c.slots) > maxParams {
-		c.slots = c.slots[:before]
-		return nil, &Refusal{0, fmt.Sprintf("over %d different parameters are read", maxParams)}
+		c.slots = c.slots[:slotsBefore]
+		return nil, refusalOf("over %d different parameters are read", maxParams)
 	}
-	e := estimator{schema: c.schema}
-	f, refusal := e.estimate(tree.Node, 0)
+	costs := estimator{schema: c.schema}
+	worst, refusal := costs.estimate(tree.Node, 0)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if f.cost > MaxCost {
-		return nil, &Refusal{0, fmt.Sprintf("its worst cost is %d, at most %d is allowed", f.cost, MaxCost)}
+	if worst.cost > MaxCost {
+		return nil, refusalOf("its worst cost is %d, at most %d is allowed", worst.cost, MaxCost)
 	}
-	as := expr.AsBool()
-	if want == textResult {
-		as = expr.AsKind(reflect.String)
-	}
-	again := &rewriter{compiler: c}
-	program, err := expr.Compile(source, expr.Env(c.env), as, expr.DisableAllBuiltins(), expr.Patch(again), expr.MaxNodes(4*maxNodes))
+	// The library parses the source anew, so the same rewriting is applied once more.
+	program, err := expr.Compile(source, expr.Env(c.environment), want.option(), expr.DisableAllBuiltins(),
+		expr.Patch(&rewriter{compiler: c}), expr.MaxNodes(nodesPerSourceNode*maxNodes))
 	if err != nil {
 		return nil, libraryRefusal(err)
 	}
-	return &compiledExpr{program: program, cost: f.cost, requirements: requirementsOf(tree.Node)}, nil
-}
-
-// failed is the refusal that an error of the library stands for.
-func libraryRefusal(err error) *Refusal {
-	var at *file.Error
-	if errors.As(err, &at) {
-		return &Refusal{at.From, at.Message}
-	}
-	return &Refusal{0, err.Error()}
-}
-
-// rewriter turns what operators write into what is evaluated: handler.startsWith("a") into an operator, param["A"]
-// into a slot, durations and regular expressions into constants.
-type rewriter struct {
-	compiler  *compiler
-	firstPass bool // the tree is as it was written, not yet turned into anything
-	refusal   *Refusal
-}
-
-func (r *rewriter) refuse(n ast.Node, format string, args ...any) {
-	if r.refusal == nil {
-		r.refusal = refusalAt(n, format, args...)
-	}
-}
-
-// Visit is called for each node, the innermost first.
-func (r *rewriter) Visit(node *ast.Node) {
-	switch n := (*node).(type) {
-	case *ast.IdentifierNode:
-		if r.firstPass && !slices.ContainsFunc(r.compiler.schema, func(f Field) bool { return f.Name == n.Value }) && n.Value != "duration" {
-			r.refuse(n, "unknown field %s", n.Value)
-		}
-	case *ast.BuiltinNode:
-		r.rewriteCall(node, n.Name, n.Arguments)
-	case *ast.MemberNode:
-		base, ok := n.Node.(*ast.IdentifierNode)
-		if !ok || base.Value != "param" {
-			return
-		}
-		name, ok := n.Property.(*ast.StringNode)
-		if !ok || len(name.Value) > maxNameBytes {
-			r.refuse(n, "param takes the name of a parameter, as in param[\"HTTP_X_CENTRE\"]")
-			return
-		}
-		slot := &ast.MemberNode{Node: &ast.IdentifierNode{Value: "slots_"}, Property: &ast.IntegerNode{Value: r.compiler.slot(name.Value)}}
-		ast.Patch(node, &ast.MemberNode{Node: slot, Property: &ast.IntegerNode{Value: 0}})
-	case *ast.BinaryNode:
-		switch n.Operator {
-		case "in", "not in":
-			base, ok := n.Right.(*ast.IdentifierNode)
-			if !ok || base.Value != "param" {
-				return
-			}
-			name, ok := n.Left.(*ast.StringNode)
-			if !ok || len(name.Value) > maxNameBytes {
-				r.refuse(n, "what is looked for in param must be a constant name")
-				return
-			}
-			var has ast.Node = &ast.MemberNode{Node: &ast.IdentifierNode{Value: "has_"}, Property: &ast.IntegerNode{Value: r.compiler.slot(name.Value)}}
-			if n.Operator == "not in" {
-				has = &ast.UnaryNode{Operator: "not", Node: has}
-			}
-			ast.Patch(node, has)
-		case "matches":
-			if c, ok := n.Right.(*ast.StringNode); ok {
-				if err := checkRegexp(c.Value); err != nil {
-					r.refuse(c, "%v", err)
-				}
-			}
-		}
-	case *ast.CallNode:
-		switch f := n.Callee.(type) {
-		case *ast.MemberNode:
-			name, ok := f.Property.(*ast.StringNode)
-			operators := []string{"startsWith", "endsWith", "contains", "matches"}
-			if !ok || !slices.Contains(operators, name.Value) || len(n.Arguments) != 1 {
-				r.refuse(n, "no such function: there are %s, and duration(...)", strings.Join(operators, ", "))
-				return
-			}
-			op := &ast.BinaryNode{Operator: name.Value, Left: f.Node, Right: n.Arguments[0]}
-			op.SetLocation(n.Location())
-			var moved ast.Node = op
-			ast.Patch(node, moved)
-			r.Visit(node)
-		case *ast.IdentifierNode:
-			r.rewriteCall(node, f.Value, n.Arguments)
-		}
-	}
-}
-
-// call turns the call of a function into a constant.
-func (r *rewriter) rewriteCall(node *ast.Node, name string, args []ast.Node) {
-	arg, ok := (*ast.StringNode)(nil), false
-	if len(args) == 1 {
-		arg, ok = args[0].(*ast.StringNode)
-	}
-	if name != "duration" || !ok {
-		r.refuse(*node, "no such function: the only one is duration, of a constant as in duration(\"500ms\")")
-		return
-	}
-	d, err := time.ParseDuration(arg.Value)
-	if err != nil {
-		r.refuse(arg, "%q is no duration", arg.Value)
-		return
-	}
-	ast.Patch(node, &ast.ConstantNode{Value: d})
+	return &compiledExpr{program: program, cost: worst.cost, requirements: requirementsOf(tree.Node)}, nil
 }
 
+// checkRegexp reports a regular expression that is invalid or compiles to too many instructions.
 func checkRegexp(source string) error {
-	re, err := syntax.Parse(source, syntax.Perl)
+	parsed, err := syntax.Parse(source, syntax.Perl)
 	if err != nil {
 		return fmt.Errorf("regular expression: %w", err)
 	}
-	p, err := syntax.Compile(re.Simplify())
+	program, err := syntax.Compile(parsed.Simplify())
 	if err != nil {
 		return fmt.Errorf("regular expression: %w", err)
 	}
-	if len(p.Inst) > maxRegexpInstructions {
-		return fmt.Errorf("regular expression: %d instructions are over %d", len(p.Inst), maxRegexpInstructions)
+	if len(program.Inst) > maxRegexpInstructions {
+		return fmt.Errorf("regular expression: %d instructions are over %d", len(program.Inst), maxRegexpInstructions)
 	}
 	if _, err := regexp.Compile(source); err != nil {
 		return fmt.Errorf("regular expression: %w", err)
 	}
 	return nil
 }
-
-// figures are what an expression may cost, and how long a text it may yield.
-type estimate struct{ cost, maxBytes int }
-
-// estimator estimates the worst of an expression from the schema's bounds. Whatever it does not know is refused, so
-// that there are no loops, no calls and no texts without a bound.
-type estimator struct {
-	schema []Field
-	nodes  int
-}
-
-func (e *estimator) estimate(node ast.Node, depth int) (f estimate, refusal *Refusal) {
-	if e.nodes++; e.nodes > maxNodes || depth > maxNesting {
-		return f, refusalAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
-	}
-	all := func(nodes ...ast.Node) (fs []estimate, sum int) {
-		for _, n := range nodes {
-			if refusal != nil {
-				return make([]estimate, len(nodes)), 0
-			}
-			var one estimate
-			one, refusal = e.estimate(n, depth+1)
-			fs = append(fs, one)
-			sum += one.cost
-		}
-		return fs, sum
-	}
-	switch n := node.(type) {
-	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.ConstantNode:
-		return estimate{1, 0}, nil
-	case *ast.StringNode:
-		return estimate{1, len(n.Value)}, nil
-	case *ast.IdentifierNode:
-		i := slices.IndexFunc(e.schema, func(f Field) bool { return f.Name == n.Value })
-		if i < 0 || n.Value == "param" {
-			return f, refusalAt(n, "no field %q that could stand here", n.Value)
-		}
-		return estimate{1, e.schema[i].Most}, nil
-	case *ast.MemberNode: // only what the rewriter has put there
-		if base, ok := n.Node.(*ast.IdentifierNode); ok && base.Value == "has_" {
-			return estimate{3, 0}, nil
-		}
-		if inner, ok := n.Node.(*ast.MemberNode); ok {
-			if base, ok := inner.Node.(*ast.IdentifierNode); ok && base.Value == "slots_" {
-				return estimate{6, maxValueBytes}, nil
-			}
-		}
-		return f, refusalAt(n, "only param has parts that can be read")
-	case *ast.UnaryNode:
-		_, sum := all(n.Node)
-		return estimate{1 + sum, 0}, refusal
-	case *ast.ConditionalNode:
-		fs, sum := all(n.Cond, n.Exp1, n.Exp2)
-		if refusal != nil {
-			return f, refusal
-		}
-		return estimate{1 + sum, max(fs[1].maxBytes, fs[2].maxBytes)}, nil
-	case *ast.ArrayNode:
-		for _, m := range n.Nodes {
-			switch m.(type) {
-			case *ast.StringNode, *ast.IntegerNode:
-			default:
-				return f, refusalAt(m, "a list holds constants alone")
-			}
-		}
-		fs, _ := all(n.Nodes...)
-		long := 0
-		for _, one := range fs {
-			long = max(long, one.maxBytes)
-		}
-		return estimate{len(n.Nodes), long}, refusal
-	case *ast.BinaryNode:
-		fs, sum := all(n.Left, n.Right)
-		if refusal != nil {
-			return f, refusal
-		}
-		a, b := fs[0].maxBytes, fs[1].maxBytes
-		switch n.Operator {
-		case "&&", "and", "||", "or":
-			return estimate{1 + sum, 0}, nil
-		case "==", "!=", "<", "<=", ">", ">=":
-			return estimate{1 + sum + min(a, b)/16, 0}, nil
-		case "startsWith", "endsWith":
-			return estimate{2 + sum + min(a, b)/16, 0}, nil
-		case "contains":
-			return estimate{2 + sum + a/2, 0}, nil
-		case "matches":
-			c, ok := n.Right.(*ast.StringNode)
-			if !ok {
-				return f, refusalAt(n, "a regular expression must be a constant")
-			}
-			// Linear in the text and, at the worst, in the expression.
-			return estimate{20 + sum + a*(1+len(c.Value)/8), 0}, nil
-		case "in", "not in":
-			if _, ok := n.Right.(*ast.ArrayNode); !ok {
-				return f, refusalAt(n, "%s takes a list of constants, or param", n.Operator)
-			}
-			return estimate{4 + sum + a/16, 0}, nil
-		case "+":
-			if a+b > maxTextBytes {
-				return f, refusalAt(n, "a text of up to %d bytes is over %d", a+b, maxTextBytes)
-			}
-			return estimate{4 + sum + (a+b)/8, a + b}, nil
-		case "-", "*", "/", "%":
-			return estimate{2 + sum, 0}, nil
-		}
-		return f, refusalAt(n, "no operator %q here", n.Operator)
-	}
-	return f, refusalAt(node, "this has no place in a rule: no loops, calls, variables or slices")
-}
--- /dev/null
+++ b/internal/rules/match/estimate.go
@@ -0,0 +1,173 @@
+package match
+
+import (
+	"slices"
+
+	"github.com/expr-lang/expr/ast"
+)
+
+// The costs of operations, in units, without those of their operands. Where the time depends on the length of texts,
+// so many bytes of their longest form add one unit.
+const (
+	constantCost   = 1
+	fieldCost      = 1
+	hasParamCost   = 3
+	readParamCost  = 6
+	unaryCost      = 1
+	branchCost     = 1
+	logicCost      = 1
+	compareCost    = 1
+	affixCost      = 2 // startsWith and endsWith
+	containsCost   = 2
+	arithmeticCost = 2
+	listCost       = 4 // in and not in
+	concatCost     = 4
+	regexpCost     = 20
+
+	compareBytesPerUnit  = 16
+	listBytesPerUnit     = 16
+	concatBytesPerUnit   = 8
+	containsBytesPerUnit = 2
+	// A regular expression is linear in the text and, at the worst, in the pattern: each byte of the text costs one
+	// unit, and another one for so many bytes of the pattern.
+	patternBytesPerUnit = 8
+)
+
+// estimate is the worst case of an expression.
+type estimate struct {
+	cost     int // in units
+	maxBytes int // longest text that it yields; 0 if it yields none
+}
+
+// estimator estimates the worst case of an expression from the bounds in the schema. It refuses whatever it does not
+// know, so that there are no loops, no calls and no texts without a bound.
+type estimator struct {
+	schema []Field
+	nodes  int // so far
+}
+
+// estimate estimates a node at a level of nesting.
+func (e *estimator) estimate(node ast.Node, depth int) (estimate, *Refusal) {
+	e.nodes++
+	if e.nodes > maxNodes || depth > maxNesting {
+		return estimate{}, refusalAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
+	}
+	switch operation := node.(type) {
+	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.ConstantNode:
+		return estimate{cost: constantCost}, nil
+	case *ast.StringNode:
+		return estimate{cost: constantCost, maxBytes: len(operation.Value)}, nil
+	case *ast.IdentifierNode:
+		return e.field(operation)
+	case *ast.MemberNode:
+		return parameterAccess(operation)
+	case *ast.UnaryNode:
+		operand, refusal := e.estimate(operation.Node, depth+1)
+		return estimate{cost: unaryCost + operand.cost}, refusal
+	case *ast.ConditionalNode:
+		return e.conditional(operation, depth)
+	case *ast.ArrayNode:
+		return e.list(operation, depth)
+	case *ast.BinaryNode:
+		return e.binary(operation, depth)
+	}
+	return estimate{}, refusalAt(node, "this has no place in a rule: no loops, calls, variables or slices")
+}
+
+// operands estimates the operands of a node and sums up their costs.
+func (e *estimator) operands(depth int, nodes ...ast.Node) (each []estimate, cost int, refusal *Refusal) {
+	for _, node := range nodes {
+		operand, refusal := e.estimate(node, depth+1)
+		if refusal != nil {
+			return nil, 0, refusal
+		}
+		each = append(each, operand)
+		cost += operand.cost
+	}
+	return each, cost, nil
+}
+
+func (e *estimator) field(identifier *ast.IdentifierNode) (estimate, *Refusal) {
+	i := slices.IndexFunc(e.schema, func(f Field) bool { return f.Name == identifier.Value })
+	if i < 0 || identifier.Value == paramName {
+		return estimate{}, refusalAt(identifier, "no field %q that could stand here", identifier.Value)
+	}
+	return estimate{cost: fieldCost, maxBytes: e.schema[i].Most}, nil
+}
+
+// parameterAccess estimates the two forms that the rewriter makes of param, and refuses all others.
+func parameterAccess(member *ast.MemberNode) (estimate, *Refusal) {
+	if isIdentifier(member.Node, hasName) {
+		return estimate{cost: hasParamCost}, nil
+	}
+	if values, ok := member.Node.(*ast.MemberNode); ok && isIdentifier(values.Node, slotsName) {
+		return estimate{cost: readParamCost, maxBytes: maxValueBytes}, nil
+	}
+	return estimate{}, refusalAt(member, "only param has parts that can be read")
+}
+
+func (e *estimator) conditional(node *ast.ConditionalNode, depth int) (estimate, *Refusal) {
+	operands, cost, refusal := e.operands(depth, node.Cond, node.Exp1, node.Exp2)
+	if refusal != nil {
+		return estimate{}, refusal
+	}
+	return estimate{cost: branchCost + cost, maxBytes: max(operands[1].maxBytes, operands[2].maxBytes)}, nil
+}
+
+// list estimates a list of constants: one unit an element.
+func (e *estimator) list(array *ast.ArrayNode, depth int) (estimate, *Refusal) {
+	for _, element := range array.Nodes {
+		switch element.(type) {
+		case *ast.StringNode, *ast.IntegerNode:
+		default:
+			return estimate{}, refusalAt(element, "a list holds constants alone")
+		}
+	}
+	elements, _, refusal := e.operands(depth, array.Nodes...)
+	if refusal != nil {
+		return estimate{}, refusal
+	}
+	longest := 0
+	for _, element := range elements {
+		longest = max(longest, element.maxBytes)
+	}
+	return estimate{cost: len(array.Nodes), maxBytes: longest}, nil
+}
+
+func (e *estimator) binary(node *ast.BinaryNode, depth int) (estimate, *Refusal) {
+	operands, cost, refusal := e.operands(depth, node.Left, node.Right)
+	if refusal != nil {
+		return estimate{}, refusal
+	}
+	left := operands[0].maxBytes
+	right := operands[1].maxBytes
+	switch node.Operator {
+	case "&&", "and", "||", "or":
+		return estimate{cost: logicCost + cost}, nil
+	case "==", "!=", "<", "<=", ">", ">=":
+		return estimate{cost: compareCost + cost + min(left, right)/compareBytesPerUnit}, nil
+	case "startsWith", "endsWith":
+		return estimate{cost: affixCost + cost + min(left, right)/compareBytesPerUnit}, nil
+	case "contains":
+		return estimate{cost: containsCost + cost + left/containsBytesPerUnit}, nil
+	case "matches":
+		pattern, ok := node.Right.(*ast.StringNode)
+		if !ok {
+			return estimate{}, refusalAt(node, "a regular expression must be a constant")
+		}
+		return estimate{cost: regexpCost + cost + left*(1+len(pattern.Value)/patternBytesPerUnit)}, nil
+	case "in", "not in":
+		if _, ok := node.Right.(*ast.ArrayNode); !ok {
+			return estimate{}, refusalAt(node, "%s takes a list of constants, or param", node.Operator)
+		}
+		return estimate{cost: listCost + cost + left/listBytesPerUnit}, nil
+	case "+":
+		if left+right > maxTextBytes {
+			return estimate{}, refusalAt(node, "a text of up to %d bytes is over %d", left+right, maxTextBytes)
+		}
+		return estimate{cost: concatCost + cost + (left+right)/concatBytesPerUnit, maxBytes: left + right}, nil
+	case "-", "*", "/", "%":
+		return estimate{cost: arithmeticCost + cost}, nil
+	}
+	return estimate{}, refusalAt(node, "no operator %q here", node.Operator)
+}
--- /dev/null
+++ b/internal/rules/match/evaluate.go
@@ -0,0 +1,177 @@
+package match
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+
+	"github.com/expr-lang/expr/vm"
+)
+
+// evaluationMemoryBudget is how many values an expression may build, by the library's own count.
+const evaluationMemoryBudget = 4 * maxTextBytes
+
+// errCostLimit is the failure of a rule that would take a request over the table's limit.
+var errCostLimit = errors.New("the limit of a request's cost is reached")
+
+// evaluate runs an expression. The library reports failures as errors; a panic, which would be a fault of its own,
+// becomes one too, since it must not end the scheduler.
+func (x *compiledExpr) evaluate(machine *vm.VM, env any) (value any, err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			value = nil
+			err = fmt.Errorf("evaluation: %v", p)
+		}
+	}()
+	return machine.Run(x.program, env)
+}
+
+// evaluation is the state of one request's way through the table.
+type evaluation struct {
+	table   *Table
+	request *Request
+	result  Result
+}
+
+// evaluateRule evaluates the condition of a rule and applies the rule if it holds. It reports whether the rule
+// matched; one whose evaluation fails does not.
+func (e *evaluation) evaluateRule(candidate *compiledRule) bool {
+	candidate.counts.Cost += uint64(candidate.when.cost)
+	e.result.Cost += candidate.when.cost
+	value, err := candidate.when.evaluate(&e.table.machine, &e.table.env)
+	if err == nil && value != true {
+		return false
+	}
+	if err == nil {
+		err = e.apply(candidate)
+	}
+	if err != nil {
+		e.fail(candidate, err)
+		return false
+	}
+	candidate.counts.Matched++
+	e.result.Rules = append(e.result.Rules, candidate.Name)
+	return true
+}
+
+func (e *evaluation) fail(r *compiledRule, err error) {
+	r.counts.Failed++
+	e.result.Failed = append(e.result.Failed, r.Name+": "+err.Error())
+}
+
+// apply adds the consequences of a rule to the result: all of them or, with an error, only their cost.
+func (e *evaluation) apply(r *compiledRule) error {
+	next := e.result
+	if err := e.applyClass(r, &next); err != nil {
+		return err
+	}
+	if err := e.applyKey(r, &next); err != nil {
+		return err
+	}
+	if err := e.applyRoute(r, &next); err != nil {
+		return err
+	}
+	if err := e.applyLabels(r, &next); err != nil {
+		return err
+	}
+	next.Cost = e.result.Cost
+	e.result = next
+	return nil
+}
+
+// evaluateText evaluates an expression that yields a text of 1 to maxBytes bytes, and adds its cost to the result.
+func (e *evaluation) evaluateText(r *compiledRule, expression *compiledExpr, maxBytes int) (string, error) {
+	e.result.Cost += expression.cost
+	r.counts.Cost += uint64(expression.cost)
+	value, err := expression.evaluate(&e.table.machine, &e.table.env)
+	if err != nil {
+		return "", err
+	}
+	text, _ := value.(string)
+	if text == "" || len(text) > maxBytes {
+		return "", fmt.Errorf("a value of %d bytes, 1 to %d are allowed", len(text), maxBytes)
+	}
+	return text, nil
+}
+
+func (e *evaluation) applyClass(r *compiledRule, next *Result) error {
+	if next.Class != "" || r.constantClass == "" && r.class == nil {
+		return nil
+	}
+	name := r.constantClass
+	if r.class != nil {
+		computed, err := e.evaluateText(r, r.class, maxClassBytes)
+		if err != nil {
+			return err
+		}
+		name = computed
+	}
+	if err := e.table.checkClassChange(e.request, name); err != nil {
+		return err
+	}
+	next.Class = name
+	return nil
+}
+
+func (e *evaluation) applyKey(r *compiledRule, next *Result) error {
+	if next.Key != "" || r.key == nil {
+		return nil
+	}
+	key, err := e.evaluateText(r, r.key, maxTextBytes)
+	if err != nil {
+		return err
+	}
+	next.Key = key
+	return nil
+}
+
+// applyRoute takes the route of the split that the request's share falls into, or else that of the rule.
+func (e *evaluation) applyRoute(r *compiledRule, next *Result) error {
+	if next.Route != "" {
+		return nil
+	}
+	next.Route = r.splitRoute(e.table.env.Share)
+	if next.Route != "" || r.route == nil {
+		return nil
+	}
+	route, err := e.evaluateText(r, r.route, maxNameBytes)
+	if err != nil {
+		return err
+	}
+	next.Route = route
+	return nil
+}
+
+// splitRoute returns the route of the split that a share falls into, "" if there is none.
+func (r *compiledRule) splitRoute(share int) string {
+	rest := share
+	for _, split := range r.Splits {
+		rest -= split.Part
+		if rest < 0 {
+			return split.Route
+		}
+	}
+	return ""
+}
+
+func (e *evaluation) applyLabels(r *compiledRule, next *Result) error {
+	var labels map[string]string // a copy: the result keeps its own if a later label fails
+	for i, label := range r.Labels {
+		if _, given := next.Labels[label.Name]; given {
+			continue
+		}
+		value, err := e.evaluateText(r, r.labels[i], maxValueBytes)
+		if err != nil {
+			return err
+		}
+		if labels == nil {
+			labels = map[string]string{}
+			maps.Copy(labels, next.Labels)
+		}
+		labels[label.Name] = value
+	}
+	if labels != nil {
+		next.Labels = labels
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/rules/match/helpers_test.go
@@ -0,0 +1,88 @@
+package match
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"calicohill/routing"
+
+	"pgregory.net/rapid"
+)
+
+// classes are those of the site in all tests, from the least to the most strict about retries.
+var classes = []Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
+
+// expression returns an expression in the first line of a file.
+func expression(s string) Text { return Text{Place{"f", 1, 1}, s} }
+
+// ruleWhen returns a rule with nothing but a condition.
+func ruleWhen(when string) Rule {
+	return Rule{Place: Place{"f", 1, 1}, Name: "r", When: expression(when)}
+}
+
+// load loads rules that must have no faults but warnings.
+func load(t testing.TB, rules ...Rule) *Table {
+	t.Helper()
+	table, faults := Load(rules, classes)
+	if table == nil {
+		t.Fatal(faults)
+	}
+	return table
+}
+
+// newRequest returns a request with these parameters, changed by the functions in turn.
+func newRequest(t *Table, params map[string]string, change ...func(*Request)) *Request {
+	request := &Request{
+		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
+		OnceKey: "k1", Budget: time.Second, Body: 10, Memory: 512, Lanes: 2, Local: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
+	}
+	for _, name := range t.Slots() {
+		var v []string
+		if s, ok := params[name]; ok {
+			v = []string{s}
+		}
+		request.Params = append(request.Params, v)
+	}
+	for _, apply := range change {
+		apply(request)
+	}
+	return request
+}
+
+// randomCondition draws a condition, of a kind that the index knows or of another.
+func randomCondition(rt *rapid.T, depth int) string {
+	lit := func() string { return rapid.SampledFrom([]string{"", "a", "ab", "abc", "b", "bc"}).Draw(rt, "literal") }
+	field := rapid.SampledFrom([]string{"class", "handler", "path", "method"}).Draw(rt, "field")
+	n := 6
+	if depth > 2 {
+		n = 4
+	}
+	switch rapid.IntRange(0, n).Draw(rt, "form") {
+	case 0:
+		return fmt.Sprintf(`%s == %q`, field, lit())
+	case 1:
+		return fmt.Sprintf(`%s.startsWith(%q)`, field, lit())
+	case 2:
+		return fmt.Sprintf(`%s in [%q, %q]`, field, lit(), lit())
+	case 3:
+		return fmt.Sprintf(`%s != %q`, field, lit())
+	case 4:
+		return fmt.Sprintf(`param["P"] == %q`, lit())
+	case 5:
+		return "(" + randomCondition(rt, depth+1) + ") && (" + randomCondition(rt, depth+1) + ")"
+	default:
+		return "(" + randomCondition(rt, depth+1) + ") || (" + randomCondition(rt, depth+1) + ")"
+	}
+}
+
+// handlerRules returns n rules, each for one function.
+func handlerRules(n int) (rules []Rule) {
+	for i := range n {
+		rules = append(rules, Rule{
+			Name: fmt.Sprint(i), When: expression(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
+			Key: expression(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: expression("lane"), Stop: true,
+		})
+	}
+	return rules
+}
--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -3,114 +3,64 @@
 import (
 	"maps"
 	"slices"
-
-	"github.com/expr-lang/expr/ast"
 )
 
-// literals is what a field must be, one of, for an expression to hold.
-type requirement struct {
-	field    string // class, handler, path or method
-	values   []string
-	prefixes []string
-}
-
-var indexedFields = []string{"class", "handler", "path", "method"}
-
-// needs finds what must hold for an expression to be true, as far as the index can use it.
-func requirementsOf(node ast.Node) []requirement {
-	n, ok := node.(*ast.BinaryNode)
-	if !ok {
-		return nil
-	}
-	name := func(n ast.Node) string {
-		if id, ok := n.(*ast.IdentifierNode); ok && slices.Contains(indexedFields, id.Value) {
-			return id.Value
-		}
-		return ""
-	}
-	switch n.Operator {
-	case "&&", "and":
-		return append(requirementsOf(n.Left), requirementsOf(n.Right)...)
-	case "||", "or":
-		// Both sides must need something of one field: then one of the two is needed.
-		for _, a := range requirementsOf(n.Left) {
-			for _, b := range requirementsOf(n.Right) {
-				if a.field == b.field {
-					return []requirement{{
-						a.field, append(slices.Clone(a.values), b.values...),
-						append(slices.Clone(a.prefixes), b.prefixes...),
-					}}
-				}
-			}
-		}
-	case "==":
-		for _, p := range [][2]ast.Node{{n.Left, n.Right}, {n.Right, n.Left}} {
-			if s, ok := p[1].(*ast.StringNode); ok && name(p[0]) != "" {
-				return []requirement{{name(p[0]), []string{s.Value}, nil}}
-			}
-		}
-	case "startsWith":
-		if s, ok := n.Right.(*ast.StringNode); ok && name(n.Left) != "" {
-			return []requirement{{name(n.Left), nil, []string{s.Value}}}
-		}
-	case "in":
-		list, ok := n.Right.(*ast.ArrayNode)
-		if !ok || name(n.Left) == "" {
-			return nil
-		}
-		l := requirement{field: name(n.Left)}
-		for _, m := range list.Nodes {
-			s, ok := m.(*ast.StringNode)
-			if !ok {
-				return nil
-			}
-			l.values = append(l.values, s.Value)
-		}
-		return []requirement{l}
-	}
-	return nil
-}
+// How mostSelective ranks requirements.
+const (
+	minSelectivePrefixBytes = 4    // shorter prefixes hold for many requests
+	prefixRank              = 4    // of a prefix, where that of a value is 1
+	shortPrefixRank         = 1000 // is added for a short one
+)
 
-// index finds the few rules that can hold for a request, by what they need of one field each.
+// ruleIndex finds the few rules that can match a request, by one requirement of each rule.
 type ruleIndex struct {
 	fields    map[string]*fieldIndex
-	unindexed []int // rules that need nothing the index knows
+	unindexed []int // rules without a requirement
 }
 
+// fieldIndex finds rules by the value of one field.
 type fieldIndex struct {
 	byValue       map[string][]int
 	byPrefix      map[string][]int
-	prefixLengths []int // of the prefixes, each once
+	prefixLengths []int // ascending, each once
 }
 
 func newRuleIndex(rules []*compiledRule) *ruleIndex {
-	x := &ruleIndex{fields: map[string]*fieldIndex{}}
+	index := &ruleIndex{fields: map[string]*fieldIndex{}}
 	for i, r := range rules {
-		l, ok := mostSelective(r.when.requirements)
+		required, ok := mostSelective(r.when.requirements)
 		if !ok {
-			x.unindexed = append(x.unindexed, i)
+			index.unindexed = append(index.unindexed, i)
 			continue
 		}
-		f := x.fields[l.field]
-		if f == nil {
-			f = &fieldIndex{byValue: map[string][]int{}, byPrefix: map[string][]int{}}
-			x.fields[l.field] = f
-		}
-		for _, s := range sortedUnique(l.values) {
-			f.byValue[s] = append(f.byValue[s], i)
-		}
-		for _, s := range sortedUnique(l.prefixes) {
-			f.byPrefix[s] = append(f.byPrefix[s], i)
-		}
+		index.field(required.field).add(required, i)
 	}
-	for _, f := range x.fields {
+	for _, field := range index.fields {
 		lengths := map[int]bool{}
-		for s := range f.byPrefix {
-			lengths[len(s)] = true
+		for prefix := range field.byPrefix {
+			lengths[len(prefix)] = true
 		}
-		f.prefixLengths = slices.Sorted(maps.Keys(lengths))
+		field.prefixLengths = slices.Sorted(maps.Keys(lengths))
+	}
+	return index
+}
+
+// field returns the index of a field, a new one if there is none yet.
+func (x *ruleIndex) field(name string) *fieldIndex {
+	if x.fields[name] == nil {
+		x.fields[name] = &fieldIndex{byValue: map[string][]int{}, byPrefix: map[string][]int{}}
+	}
+	return x.fields[name]
+}
+
+// add adds a rule by its number.
+func (f *fieldIndex) add(required requirement, rule int) {
+	for _, value := range sortedUnique(required.values) {
+		f.byValue[value] = append(f.byValue[value], rule)
+	}
+	for _, prefix := range sortedUnique(required.prefixes) {
+		f.byPrefix[prefix] = append(f.byPrefix[prefix], rule)
 	}
-	return x
 }
 
 func sortedUnique(list []string) []string {
@@ -119,49 +69,79 @@
 	return slices.Compact(list)
 }
 
-// best is the need that tells requests apart best: equality before prefixes, few literals before many, long
+// mostSelective returns the requirement that fewest requests meet: values rank before prefixes, few before many, long
 // prefixes before short ones.
-func mostSelective(list []requirement) (b requirement, ok bool) {
-	rank := func(l requirement) int {
-		short := 0
-		for _, p := range l.prefixes {
-			if len(p) < 4 {
-				short++
-			}
+func mostSelective(requirements []requirement) (best requirement, ok bool) {
+	for _, required := range requirements {
+		if !ok || required.rank() < best.rank() {
+			best = required
+			ok = true
 		}
-		return len(l.values) + 4*len(l.prefixes) + 1000*short
 	}
-	for _, l := range list {
-		if !ok || rank(l) < rank(b) {
-			b, ok = l, true
+	return best, ok
+}
+
+// rank is the lower the more selective the requirement is.
+func (r requirement) rank() int {
+	shortPrefixes := 0
+	for _, prefix := range r.prefixes {
+		if len(prefix) < minSelectivePrefixBytes {
+			shortPrefixes++
 		}
 	}
-	return b, ok
+	return len(r.values) + prefixRank*len(r.prefixes) + shortPrefixRank*shortPrefixes
 }
 
-// candidates is the rules that can hold, in order, each once.
-func (x *ruleIndex) candidates(e *environment, list []int) []int {
+// candidates returns the numbers of the rules that can match, in order, each once. It reuses the list.
+func (x *ruleIndex) candidates(env *environment, list []int) []int {
 	list = append(list[:0], x.unindexed...)
-	for field, f := range x.fields {
-		value := ""
-		switch field {
-		case "class":
-			value = e.Class
-		case "handler":
-			value = e.Handler
-		case "path":
-			value = e.Path
-		case "method":
-			value = e.Method
-		}
-		list = append(list, f.byValue[value]...)
-		for _, n := range f.prefixLengths {
-			if n > len(value) {
-				break
-			}
-			list = append(list, f.byPrefix[value[:n]]...)
-		}
+	for name, field := range x.fields {
+		list = field.appendCandidates(list, env.indexedField(name))
 	}
 	slices.Sort(list)
 	return slices.Compact(list)
 }
+
+func (f *fieldIndex) appendCandidates(list []int, value string) []int {
+	list = append(list, f.byValue[value]...)
+	for _, length := range f.prefixLengths {
+		if length > len(value) {
+			break
+		}
+		list = append(list, f.byPrefix[value[:length]]...)
+	}
+	return list
+}
+
+// worstCost is the largest cost of the rules that one request can meet: all those without a requirement, and of the
+// others those that one value of each field can satisfy.
+func (x *ruleIndex) worstCost(rules []*compiledRule) int {
+	costOf := func(list []int) int {
+		cost := 0
+		for _, i := range list {
+			cost += rules[i].maxCost
+		}
+		return cost
+	}
+	worst := costOf(x.unindexed)
+	for _, field := range x.fields {
+		worst += field.worstCost(costOf)
+	}
+	return worst
+}
+
+func (f *fieldIndex) worstCost(costOf func([]int) int) int {
+	worst := 0
+	for _, list := range f.byValue {
+		worst = max(worst, costOf(list))
+	}
+	// A value has at most one of the prefixes of each length.
+	worstByLength := map[int]int{}
+	for prefix, list := range f.byPrefix {
+		worstByLength[len(prefix)] = max(worstByLength[len(prefix)], costOf(list))
+	}
+	for _, cost := range worstByLength {
+		worst += cost
+	}
+	return worst
+}
--- /dev/null
+++ b/internal/rules/match/load_test.go
@@ -0,0 +1,138 @@
+package match
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// What has no bound or is invalid is refused at load: all faults in one pass, each with its position.
+func TestRefused(t *testing.T) {
+	deep := strings.Repeat("(", 200) + "true" + strings.Repeat(")", 200)
+	not := strings.Repeat("!", 60) + "true"
+	wide := strings.TrimSuffix(strings.Repeat("lanes == 1 || ", 120), " || ")
+	for when, want := range map[string]string{
+		`handlr == "a"`:               "unknown",
+		`handler == 1`:                "mismatched",
+		`handler`:                     "expected bool",
+		`filter([1], # > 0) == [1]`:   "",
+		`all(1..1000000000, true)`:    "",
+		`len(1..1000000000) > 1`:      "",
+		`repeat("a", 1000000) == ""`:  "no such function",
+		`let x = 1; x == 1`:           "",
+		`path[1:3] == "rp"`:           "no place in a rule",
+		`param == nil`:                "",
+		`param[handler] == "a"`:       "name of a parameter",
+		`handler in param`:            "constant name",
+		`path.matches(handler)`:       "must be a constant",
+		`path.matches("(")`:           "regular expression",
+		`path.matches("(a{30}){30}")`: "regular expression",
+		`path.matches("` + strings.Repeat("a?", 250) + `")`: "instructions are over",
+		`path + path + path + path + path == ""`:            "is over 1024",
+		`duration("soon") > budget`:                         "no duration",
+		`duration(path) > budget`:                           "constant",
+		`slots_[0][0] == "a"`:                               "unknown field slots_",
+		`has_[0]`:                                           "",
+		`path ?? "a" == "b"`:                                "",
+		`$env == nil`:                                       "",
+		`env["x"] == 1`:                                     "",
+		`handler.foo() == 1`:                                "no such function",
+		`now() > 1`:                                         "no such function",
+		`2 ** 100 > 1`:                                      "no operator",
+		deep:                                                "",
+		not:                                                 "nested",
+		wide:                                                "too long",
+		strings.Repeat(" ", 3000) + "true":                  "bytes are over",
+		`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst cost",
+		`path ==`: "",
+		`"`:       "",
+		``:        "ok", // no condition
+	} {
+		table, faults := Load([]Rule{ruleWhen(when)}, classes)
+		if want == "ok" {
+			if table == nil {
+				t.Errorf("%q is refused: %v", when, faults)
+			}
+			continue
+		}
+		if when == deep && table != nil {
+			continue // brackets leave nothing behind once they are read
+		}
+		if table != nil || len(faults) != 1 || !strings.Contains(faults[0].Reason, want) || faults[0].Column < 1 {
+			t.Errorf("%.60q: %v, want one with %q", when, faults, want)
+		}
+	}
+	r := ruleWhen(`handler == "a" && nope == 1`)
+	r.Class, r.Key = Text{Place{"f", 2, 9}, "certificada"}, Text{Place{"f", 3, 9}, `lanes`}
+	r.Labels = []Label{{"centre", Text{Place{"f", 4, 16}, `param["A"] + 1`}}}
+	_, faults := Load([]Rule{r, ruleWhen("true")}, classes)
+	var got []string
+	for _, f := range faults {
+		got = append(got, fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Directive))
+	}
+	if d := cmp.Diff([]string{"1:19 when", "2:9 class", "3:9 key", "4:27 label"}, got); d != "" {
+		t.Errorf("%s\n%v", d, faults)
+	}
+}
+
+func TestWarnings(t *testing.T) {
+	_, faults := Load([]Rule{
+		{Name: "a", When: expression(`class == "x" && class == "y"`)},
+		{Name: "b", When: expression(`lanes == 1`), Stop: true},
+		{Name: "c", When: expression(`lanes == 1`)},
+		{Name: "d", Stop: true},
+		{Name: "e", When: expression(`lanes == 2`)},
+	}, classes)
+	var got []string
+	for _, f := range faults {
+		if !f.Warning {
+			t.Errorf("a fault: %v", f)
+		}
+		got = append(got, f.Directive)
+	}
+	if d := cmp.Diff([]string{"match a", "match c", "match e"}, got); d != "" {
+		t.Error(d)
+	}
+}
+
+// FuzzLoad loads any text as a condition: loading is quick and never panics, and what is accepted runs within its
+// estimated cost.
+func FuzzLoad(f *testing.F) {
+	for _, s := range []string{
+		`handler.startsWith("a") && "A" in param`, `param["A"] + path in ["x"]`, `path.matches("a+b")`,
+		`budget > duration("1s") ? keyed : !keyed`, `1 + 2 * lanes % 3 == hour`, `a.b.c()`, `((((`,
+	} {
+		f.Add(s)
+	}
+	f.Fuzz(func(t *testing.T, s string) {
+		began := time.Now()
+		table, faults := Load([]Rule{ruleWhen(s)}, classes)
+		if d := time.Since(began); d > 5*time.Second { // 50 ms is the aim; a busy machine must not fail this
+			t.Errorf("loading took %v", d)
+		}
+		if table == nil {
+			if len(faults) == 0 || faults[0].Column < 1 {
+				t.Errorf("refused without a place: %v", faults)
+			}
+			return
+		}
+		if got := table.Match(newRequest(table, map[string]string{"A": strings.Repeat("x", 256)})); got.Cost > table.Limit() {
+			t.Errorf("cost %d over the limit of %d", got.Cost, table.Limit())
+		}
+	})
+}
+
+// The operators' page has the schema as it is declared.
+func TestPage(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/operators/matching.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(string(page), Fields()) {
+		t.Errorf("docs/operators/matching.md lacks the schema:\n%s", Fields())
+	}
+}
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"os"
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"calicohill/routing"
 
@@ -14,45 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-var classes = []Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
-
-func expression(s string) Text { return Text{Place{"f", 1, 1}, s} }
-
-func ruleWhen(when string) Rule {
-	return Rule{Place: Place{"f", 1, 1}, Name: "r", When: expression(when)}
-}
-
-func load(t testing.TB, rules ...Rule) *Table {
-	t.Helper()
-	table, faults := Load(rules, classes)
-	if table == nil {
-		t.Fatal(faults)
-	}
-	return table
-}
-
-// ask is a request with these parameters.
-func newRequest(t *Table, params map[string]string, change ...func(*Request)) *Request {
-	q := &Request{
-		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
-		OnceKey: "k1", Budget: time.Second, Body: 10, Memory: 512, Lanes: 2, Local: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
-	}
-	for _, name := range t.Slots() {
-		var v []string
-		if s, ok := params[name]; ok {
-			v = []string{s}
-		}
-		q.Params = append(q.Params, v)
-	}
-	for _, c := range change {
-		c(q)
-	}
-	return q
-}
-
 func TestConditions(t *testing.T) {
 	params := map[string]string{"HTTP_X_CENTRE": "zona4", "EMPTY": ""}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		when   string
 		want   bool
 		failed bool
@@ -74,87 +36,18 @@
 		{`(keyed ? "a" : "b") + handler == "a7f3a9c21e0b4d655"`, true, false},
 		{`share >= 0 && share < 1000`, true, false},
 	} {
-		table := load(t, ruleWhen(c.when))
+		table := load(t, ruleWhen(tt.when))
 		got := table.Match(newRequest(table, params))
-		if matched, failed := len(got.Rules) == 1, len(got.Failed) == 1; matched != c.want || failed != c.failed {
-			t.Errorf("%s: matched %v, failed %v", c.when, matched, got.Failed)
+		if matched, failed := len(got.Rules) == 1, len(got.Failed) == 1; matched != tt.want || failed != tt.failed {
+			t.Errorf("%s: matched %v, failed %v", tt.when, matched, got.Failed)
 		}
 		if got.Cost > table.Limit() {
-			t.Errorf("%s: cost %d over the limit of %d", c.when, got.Cost, table.Limit())
+			t.Errorf("%s: cost %d over the limit of %d", tt.when, got.Cost, table.Limit())
 		}
 	}
 }
 
-// What can't be bounded or makes no sense is refused at load, all in one pass, each with its place.
-func TestRefused(t *testing.T) {
-	deep := strings.Repeat("(", 200) + "true" + strings.Repeat(")", 200)
-	not := strings.Repeat("!", 60) + "true"
-	wide := strings.TrimSuffix(strings.Repeat("lanes == 1 || ", 120), " || ")
-	for when, want := range map[string]string{
-		`handlr == "a"`:               "unknown",
-		`handler == 1`:                "mismatched",
-		`handler`:                     "expected bool",
-		`filter([1], # > 0) == [1]`:   "",
-		`all(1..1000000000, true)`:    "",
-		`len(1..1000000000) > 1`:      "",
-		`repeat("a", 1000000) == ""`:  "no such function",
-		`let x = 1; x == 1`:           "",
-		`path[1:3] == "rp"`:           "no place in a rule",
-		`param == nil`:                "",
-		`param[handler] == "a"`:       "name of a parameter",
-		`handler in param`:            "constant name",
-		`path.matches(handler)`:       "must be a constant",
-		`path.matches("(")`:           "regular expression",
-		`path.matches("(a{30}){30}")`: "regular expression",
-		`path.matches("` + strings.Repeat("a?", 250) + `")`: "instructions are over",
-		`path + path + path + path + path == ""`:            "is over 1024",
-		`duration("soon") > budget`:                         "no duration",
-		`duration(path) > budget`:                           "constant",
-		`slots_[0][0] == "a"`:                               "unknown field slots_",
-		`has_[0]`:                                           "",
-		`path ?? "a" == "b"`:                                "",
-		`$env == nil`:                                       "",
-		`env["x"] == 1`:                                     "",
-		`handler.foo() == 1`:                                "no such function",
-		`now() > 1`:                                         "no such function",
-		`2 ** 100 > 1`:                                      "no operator",
-		deep:                                                "",
-		not:                                                 "nested",
-		wide:                                                "too long",
-		strings.Repeat(" ", 3000) + "true":                  "bytes are over",
-		`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst cost",
-		`path ==`: "",
-		`"`:       "",
-		``:        "ok", // no condition
-	} {
-		table, faults := Load([]Rule{ruleWhen(when)}, classes)
-		if want == "ok" {
-			if table == nil {
-				t.Errorf("%q is refused: %v", when, faults)
-			}
-			continue
-		}
-		if when == deep && table != nil {
-			continue // brackets leave nothing behind once they are read
-		}
-		if table != nil || len(faults) != 1 || !strings.Contains(faults[0].Reason, want) || faults[0].Column < 1 {
-			t.Errorf("%.60q: %v, want one with %q", when, faults, want)
-		}
-	}
-	r := ruleWhen(`handler == "a" && nope == 1`)
-	r.Class, r.Key = Text{Place{"f", 2, 9}, "certificada"}, Text{Place{"f", 3, 9}, `lanes`}
-	r.Labels = []Label{{"centre", Text{Place{"f", 4, 16}, `param["A"] + 1`}}}
-	_, faults := Load([]Rule{r, ruleWhen("true")}, classes)
-	var got []string
-	for _, f := range faults {
-		got = append(got, fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Directive))
-	}
-	if d := cmp.Diff([]string{"1:19 when", "2:9 class", "3:9 key", "4:27 label"}, got); d != "" {
-		t.Errorf("%s\n%v", d, faults)
-	}
-}
-
-// Each of class, key, route and a label is given by the first rule that matches and gives it; stop ends the table.
+// Class, key, route and each label are given by the first rule that matches and gives one; stop ends the evaluation.
 func TestFirstMatch(t *testing.T) {
 	table := load(t,
 		Rule{Name: "a", When: expression(`class == "consulta"`), Key: expression(`handler + ":" + param["C"]`), Labels: []Label{{"c", expression(`param["C"]`)}}},
@@ -182,50 +75,31 @@
 	}
 }
 
-func TestWarnings(t *testing.T) {
-	_, faults := Load([]Rule{
-		{Name: "a", When: expression(`class == "x" && class == "y"`)},
-		{Name: "b", When: expression(`lanes == 1`), Stop: true},
-		{Name: "c", When: expression(`lanes == 1`)},
-		{Name: "d", Stop: true},
-		{Name: "e", When: expression(`lanes == 2`)},
-	}, classes)
-	var got []string
-	for _, f := range faults {
-		if !f.Warning {
-			t.Errorf("a fault: %v", f)
-		}
-		got = append(got, f.Directive)
-	}
-	if d := cmp.Diff([]string{"match a", "match c", "match e"}, got); d != "" {
-		t.Error(d)
-	}
-}
-
-// No rule makes a request less strict about repeats, whatever it yields, nor keyed without a key.
+// Whatever a rule yields, no request moves to a class that is less strict about retries, nor to one by idempotency
+// key without a key.
 func TestSafety(t *testing.T) {
 	strict := map[string]routing.Idempotency{}
 	for _, c := range classes {
 		strict[c.Name] = c.Effect
 	}
-	rapid.Check(t, func(t *rapid.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"consulta", "registro-horas", "certificado"}
 		var rules []Rule
-		for i := range rapid.IntRange(1, 5).Draw(t, "rules") {
-			to := rapid.SampledFrom(names).Draw(t, "to")
+		for i := range rapid.IntRange(1, 5).Draw(rt, "rules") {
+			to := rapid.SampledFrom(names).Draw(rt, "to")
 			r := Rule{Name: fmt.Sprint(i), Class: expression(to)}
-			if rapid.Bool().Draw(t, "computed") {
+			if rapid.Bool().Draw(rt, "computed") {
 				r.Class = expression(`keyed ? "` + to + `" : param["CLASS"]`)
 			}
 			rules = append(rules, r)
 		}
 		table, faults := Load(rules, classes)
 		if table == nil {
-			t.Fatal(faults)
+			rt.Fatal(faults)
 		}
-		q := newRequest(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(t, "param")})
-		q.Class = rapid.SampledFrom(append(names, "")).Draw(t, "asked")
-		if rapid.Bool().Draw(t, "keyless") {
+		q := newRequest(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(rt, "param")})
+		q.Class = rapid.SampledFrom(append(names, "")).Draw(rt, "asked")
+		if rapid.Bool().Draw(rt, "keyless") {
 			q.OnceKey = ""
 		}
 		got := table.Match(q)
@@ -233,47 +107,21 @@
 			return
 		}
 		if _, known := strict[got.Class]; !known || q.Class != "" && strict[got.Class] < strict[q.Class] {
-			t.Fatalf("asked for %q, got %q", q.Class, got.Class)
+			rt.Fatalf("asked for %q, got %q", q.Class, got.Class)
 		}
 		if strict[got.Class] == routing.IdempotentByKey && q.OnceKey == "" {
-			t.Fatalf("%q without a key", got.Class)
+			rt.Fatalf("%q without a key", got.Class)
 		}
 	})
 }
 
-// drawn makes a condition of a kind that the index knows, or not.
-func randomCondition(t *rapid.T, depth int) string {
-	lit := func() string { return rapid.SampledFrom([]string{"", "a", "ab", "abc", "b", "bc"}).Draw(t, "literal") }
-	field := rapid.SampledFrom([]string{"class", "handler", "path", "method"}).Draw(t, "field")
-	n := 6
-	if depth > 2 {
-		n = 4
-	}
-	switch rapid.IntRange(0, n).Draw(t, "form") {
-	case 0:
-		return fmt.Sprintf(`%s == %q`, field, lit())
-	case 1:
-		return fmt.Sprintf(`%s.startsWith(%q)`, field, lit())
-	case 2:
-		return fmt.Sprintf(`%s in [%q, %q]`, field, lit(), lit())
-	case 3:
-		return fmt.Sprintf(`%s != %q`, field, lit())
-	case 4:
-		return fmt.Sprintf(`param["P"] == %q`, lit())
-	case 5:
-		return "(" + randomCondition(t, depth+1) + ") && (" + randomCondition(t, depth+1) + ")"
-	default:
-		return "(" + randomCondition(t, depth+1) + ") || (" + randomCondition(t, depth+1) + ")"
-	}
-}
-
-// The indexed table gives what the plain one gives, for any rules and requests.
+// A table with its index gives the results of one that evaluates all rules, for any rules and requests.
 func TestIndexedAsPlain(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		var rules []Rule
-		for i := range rapid.IntRange(0, 12).Draw(t, "rules") {
-			r := Rule{Name: fmt.Sprint(i), When: expression(randomCondition(t, 0)), Stop: rapid.IntRange(0, 4).Draw(t, "stop") == 0}
-			if rapid.Bool().Draw(t, "keyed") {
+		for i := range rapid.IntRange(0, 12).Draw(rt, "rules") {
+			r := Rule{Name: fmt.Sprint(i), When: expression(randomCondition(rt, 0)), Stop: rapid.IntRange(0, 4).Draw(rt, "stop") == 0}
+			if rapid.Bool().Draw(rt, "keyed") {
 				r.Key = expression(fmt.Sprintf(`"k%d" + param["Q"]`, i))
 			}
 			rules = append(rules, r)
@@ -281,70 +129,33 @@
 		indexed, faults := Load(rules, classes)
 		plain, _ := Load(rules, classes)
 		if indexed == nil {
-			t.Skip(faults)
+			rt.Skip(faults)
 		}
 		plain.unindexed = true
 		texts := []string{"", "a", "ab", "abc", "abcd", "b", "bcd", "c"}
 		for range 8 {
 			params := map[string]string{}
 			for _, p := range []string{"P", "Q"} {
-				if rapid.Bool().Draw(t, "has") {
-					params[p] = rapid.SampledFrom(texts).Draw(t, p)
+				if rapid.Bool().Draw(rt, "has") {
+					params[p] = rapid.SampledFrom(texts).Draw(rt, p)
 				}
 			}
 			q := newRequest(indexed, params)
 			for _, f := range []*string{&q.Class, &q.Handler, &q.Path, &q.Method} {
-				*f = rapid.SampledFrom(texts).Draw(t, "text")
+				*f = rapid.SampledFrom(texts).Draw(rt, "text")
 			}
 			a, b := indexed.Match(q), plain.Match(q)
 			if a.Cost > indexed.Limit() {
-				t.Fatalf("cost %d over the limit of %d", a.Cost, indexed.Limit())
+				rt.Fatalf("cost %d over the limit of %d", a.Cost, indexed.Limit())
 			}
-			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // the plain one also evaluates what can't hold
+			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // the plain one also evaluates what can'rt hold
 			if d := cmp.Diff(b, a); d != "" {
-				t.Fatal(d)
+				rt.Fatal(d)
 			}
 		}
 	})
 }
 
-// FuzzLoad loads any text as a condition: it ends soon, never panics, and what is accepted runs within its estimate.
-func FuzzLoad(f *testing.F) {
-	for _, s := range []string{
-		`handler.startsWith("a") && "A" in param`, `param["A"] + path in ["x"]`, `path.matches("a+b")`,
-		`budget > duration("1s") ? keyed : !keyed`, `1 + 2 * lanes % 3 == hour`, `a.b.c()`, `((((`,
-	} {
-		f.Add(s)
-	}
-	f.Fuzz(func(t *testing.T, s string) {
-		began := time.Now()
-		table, faults := Load([]Rule{ruleWhen(s)}, classes)
-		if d := time.Since(began); d > 5*time.Second { // 50 ms is the aim; a busy machine must not fail this
-			t.Errorf("loading took %v", d)
-		}
-		if table == nil {
-			if len(faults) == 0 || faults[0].Column < 1 {
-				t.Errorf("refused without a place: %v", faults)
-			}
-			return
-		}
-		if got := table.Match(newRequest(table, map[string]string{"A": strings.Repeat("x", 256)})); got.Cost > table.Limit() {
-			t.Errorf("cost %d over the limit of %d", got.Cost, table.Limit())
-		}
-	})
-}
-
-// Many is a table of n rules that tell requests apart by handler.
-func handlerRules(n int) (rules []Rule) {
-	for i := range n {
-		rules = append(rules, Rule{
-			Name: fmt.Sprint(i), When: expression(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
-			Key: expression(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: expression("lane"), Stop: true,
-		})
-	}
-	return rules
-}
-
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
 		table := load(b, handlerRules(n)...)
@@ -362,18 +173,7 @@
 	}
 }
 
-// The operators' page has the schema as it is declared.
-func TestPage(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/operators/matching.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !strings.Contains(string(page), Fields()) {
-		t.Errorf("docs/operators/matching.md lacks the schema:\n%s", Fields())
-	}
-}
-
-// The meter ends a request at its limit, with what was decided until then.
+// The evaluation ends at the cost limit, with what was decided until then.
 func TestMeter(t *testing.T) {
 	table := load(t, Rule{Name: "a", Key: expression(`"a"`)}, Rule{Name: "b", Route: expression("b")}, Rule{Name: "c", Route: expression("c")})
 	table.costLimit = table.rules[0].maxCost + table.rules[1].maxCost - 1 // as if the estimate had been too low
@@ -383,7 +183,7 @@
 	}
 }
 
-// A split sends each key the same way every time, and the told part of all keys.
+// A split sends each key to the same route every time, and the given part of all keys to each route.
 func TestSplit(t *testing.T) {
 	table := load(t, Rule{Name: "r", Route: expression("old"), Splits: []Split{{Route: "trial", Part: 100}, {Route: "other", Part: 250}}})
 	routes := map[string]int{}
--- a/internal/rules/match/page.go
+++ b/internal/rules/match/page.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// Fields is the schema as a table in Markdown.
+// Fields returns the schema as a table in Markdown, as the operators' page has it.
 func Fields() string {
-	var b strings.Builder
-	b.WriteString("| field | type | at most | meaning |\n| --- | --- | --- | --- |\n")
-	for _, f := range Schema {
-		most := "-"
-		if f.Most > 0 {
-			most = fmt.Sprintf("%d bytes", f.Most)
+	var page strings.Builder
+	page.WriteString("| field | type | at most | meaning |\n| --- | --- | --- | --- |\n")
+	for _, field := range Schema {
+		limit := "-"
+		if field.Most > 0 {
+			limit = fmt.Sprintf("%d bytes", field.Most)
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Name, f.Type, most, strings.ReplaceAll(f.Help, "|", `\|`))
+		help := strings.ReplaceAll(field.Help, "|", `\|`)
+		fmt.Fprintf(&page, "| `%s` | %s | %s | %s |\n", field.Name, field.Type, limit, help)
 	}
-	return b.String()
+	return page.String()
 }
--- a/internal/rules/match/predicate.go
+++ b/internal/rules/match/predicate.go
@@ -1,31 +1,23 @@
 package match
 
-import (
-	"fmt"
+import "github.com/expr-lang/expr/vm"
 
-	"github.com/expr-lang/expr/vm"
-)
+// Predicate is a condition over something else than a request, loaded within the same limits.
+type Predicate struct{ condition *compiledExpr }
 
-// Predicate is a condition over something else than a request, loaded under the same bounds.
-type Predicate struct{ code *compiledExpr }
-
-// NewPredicate loads a condition over the fields of a schema, which are those of env, a pointer to a struct.
+// NewPredicate loads a condition over the fields of a schema. env is a pointer to the struct that has these fields,
+// each with its name in an expr tag.
 func NewPredicate(schema []Field, env any, source string) (*Predicate, *Refusal) {
-	c := &compiler{schema: schema, env: env}
-	loaded, refusal := c.compile(source, boolResult)
+	c := &compiler{schema: schema, environment: env}
+	condition, refusal := c.compile(source, boolResult)
 	if refusal != nil {
 		return nil, refusal
 	}
-	return &Predicate{loaded}, nil
+	return &Predicate{condition: condition}, nil
 }
 
-// Holds evaluates the condition. One that fails does not hold.
+// Holds evaluates the condition. One whose evaluation fails does not hold.
 func (p *Predicate) Holds(env any) (holds bool, err error) {
-	defer func() {
-		if r := recover(); r != nil {
-			holds, err = false, fmt.Errorf("evaluation: %v", r)
-		}
-	}()
-	v, err := vm.Run(p.code.program, env)
-	return v == true, err
+	value, err := p.condition.evaluate(&vm.VM{}, env)
+	return value == true, err
 }
--- /dev/null
+++ b/internal/rules/match/rule.go
@@ -0,0 +1,85 @@
+package match
+
+import (
+	"fmt"
+
+	"calicohill/routing"
+)
+
+// Place is a position in an operator's file.
+type Place struct {
+	File   string
+	Line   int // from 1
+	Column int // from 1, in bytes
+}
+
+// Text is an expression and its position.
+type Text struct {
+	Place
+	Source string
+}
+
+// Rule is a rule as the operator wrote it. A Text with an empty Source was left out.
+type Rule struct {
+	Place
+	Name   string
+	When   Text // the condition; left out, it always holds
+	Class  Text
+	Key    Text // affinity key
+	Route  Text
+	Labels []Label
+	Splits []Split // in order; the rest of the requests goes to Route
+	Stop   bool    // no further rule is evaluated if this one matches
+}
+
+// Split sends a fraction of a rule's requests to a route. All requests under one idempotency key go the same way.
+type Split struct {
+	Place
+	Route string
+	Part  int // of 1,000
+}
+
+// Label is a label that a rule gives to a request.
+type Label struct {
+	Name  string
+	Value Text
+}
+
+// Class is a class of requests, as the site declares it.
+type Class struct {
+	Name   string
+	Effect routing.Idempotency
+}
+
+// Fault is an error in a rule or, as a warning, a likely one.
+type Fault struct {
+	Place
+	Directive string
+	Reason    string
+	Warning   bool
+}
+
+// Error returns the position, the directive and the reason on one line.
+func (f Fault) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Directive, f.Reason)
+}
+
+// Result is the outcome of all rules for a request. A string is empty where no rule gives one.
+type Result struct {
+	Class  string
+	Key    string // affinity key
+	Route  string
+	Labels map[string]string
+	Rules  []string // that matched, in order
+	Cost   int      // estimated, of the expressions that were evaluated
+	Failed []string // rules whose evaluation failed, each with the reason
+}
+
+// Count holds the counters of one rule since it was loaded.
+type Count struct {
+	Rule    string `json:"rule"`
+	Tried   uint64 `json:"tried"`
+	Matched uint64 `json:"matched"`
+	Failed  uint64 `json:"failed"`
+	Cost    uint64 `json:"cost"` // estimated, of the expressions that were evaluated
+}
--- a/internal/rules/match/schema.go
+++ b/internal/rules/match/schema.go
@@ -1,25 +1,21 @@
 // Package match decides a request's class, affinity key, route and labels by rules that operators write.
 //
-// A rule is a condition and what follows from it, in a small typed language (expr-lang/expr, cut down). All is
-// decided at load: types, the fields that exist, the worst cost of each expression and of the whole table. What
+// A rule is a condition and its consequences, in a small typed language (a subset of expr-lang/expr). Everything is
+// checked at load: types, the fields that exist, the worst-case cost of each expression and of the whole table. What
 // passes has no loops and runs within its cost, whatever a request holds. Nothing here does I/O or reads a clock.
 package match
 
-import (
-	"cmp"
-	"hash/fnv"
-	"time"
-)
+import "time"
 
-// Field declares one field of a request that expressions may read.
+// Field declares one field that expressions may read.
 type Field struct {
 	Name string
-	Type string // as operators read it
+	Type string // as the operators' page has it
 	Most int    // longest text, in bytes; 0 where it is no text
 	Help string
 }
 
-// The longest texts that expressions see. A request with a longer one is seen without it: the field is missing.
+// The longest texts that expressions see, in bytes. A longer one is treated as missing.
 const (
 	maxClassBytes      = 64
 	maxFunctionIDBytes = 16
@@ -51,67 +47,18 @@
 
 // Request is what expressions see of a request.
 type Request struct {
-	Class, Handler, Path, Method, Client, OnceKey string
-	ID                                            string
-	Budget                                        time.Duration
-	Body                                          int
-	Memory                                        float64
-	Lanes                                         int
-	Local                                         time.Time
+	Class   string
+	Handler string // id of the function
+	Path    string
+	Method  string
+	Client  string // IP address
+	OnceKey string // idempotency key
+	ID      string
+	Budget  time.Duration // how long the client waits
+	Body    int           // bytes
+	Memory  float64       // of a loaded instance, in MB; 0 if unknown
+	Lanes   int           // requests that an instance runs at a time; 0 if unknown
+	Local   time.Time     // local time of the site
 	// Params is by slot: see Table.Slots. A nil element is a parameter that is missing.
 	Params [][]string
 }
-
-// env is a Request as expressions read it. The names that end in _ are what param[...] is turned into.
-type environment struct {
-	Class    string            `expr:"class"`
-	Handler  string            `expr:"handler"`
-	Path     string            `expr:"path"`
-	Method   string            `expr:"method"`
-	Budget   time.Duration     `expr:"budget"`
-	Body     int               `expr:"body"`
-	Keyed    bool              `expr:"keyed"`
-	Client   string            `expr:"client"`
-	MemoryMB float64           `expr:"memory_mb"`
-	Lanes    int               `expr:"lanes"`
-	Hour     int               `expr:"hour"`
-	Minute   int               `expr:"minute"`
-	Weekday  int               `expr:"weekday"`
-	Share    int               `expr:"share"`
-	Param    map[string]string `expr:"param"` // declared for its type; always turned into a slot
-	Slots    [][]string        `expr:"slots_"`
-	Has      []bool            `expr:"has_"`
-}
-
-func textWithin(s string, most int) string {
-	if len(s) > most {
-		return ""
-	}
-	return s
-}
-
-// share is a stable number from 0 to 999 for a key.
-func stableShare(key string) int {
-	h := fnv.New64a()
-	h.Write([]byte(key))
-	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	return int((x ^ x>>27) % 1000)
-}
-
-func (t *Table) fillEnvironment(q *Request) *environment {
-	e := &t.env
-	*e = environment{
-		Class: textWithin(q.Class, maxClassBytes), Handler: textWithin(q.Handler, maxFunctionIDBytes), Path: textWithin(q.Path, maxPathBytes),
-		Method: textWithin(q.Method, maxMethodBytes), Budget: q.Budget, Body: q.Body, Keyed: q.OnceKey != "",
-		Client: textWithin(q.Client, maxClientBytes), MemoryMB: q.Memory, Lanes: q.Lanes, Hour: q.Local.Hour(),
-		Minute: q.Local.Minute(), Weekday: int(q.Local.Weekday()), Share: stableShare(cmp.Or(q.OnceKey, q.ID)), Slots: e.Slots, Has: e.Has,
-	}
-	for i := range e.Slots {
-		e.Slots[i], e.Has[i] = nil, false
-		if i < len(q.Params) && len(q.Params[i]) > 0 && len(q.Params[i][0]) <= maxValueBytes {
-			e.Slots[i], e.Has[i] = q.Params[i], true
-		}
-	}
-	return e
-}
