--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -3,165 +3,145 @@
 import (
 	"maps"
 	"slices"
-
-	"github.com/expr-lang/expr/ast"
 )
 
-// literals is what a field must be, one of, for an expression to hold.
-type literals struct {
-	field  string // class, handler, path or method
-	equal  []string
-	prefix []string
-}
-
-var indexed = []string{"class", "handler", "path", "method"}
-
-// needs finds what must hold for an expression to be true, as far as the index can use it.
-func needs(node ast.Node) []literals {
-	n, ok := node.(*ast.BinaryNode)
-	if !ok {
-		return nil
-	}
-	name := func(n ast.Node) string {
-		if id, ok := n.(*ast.IdentifierNode); ok && slices.Contains(indexed, id.Value) {
-			return id.Value
-		}
-		return ""
-	}
-	switch n.Operator {
-	case "&&", "and":
-		return append(needs(n.Left), needs(n.Right)...)
-	case "||", "or":
-		// Both sides must need something of one field: then one of the two is needed.
-		for _, a := range needs(n.Left) {
-			for _, b := range needs(n.Right) {
-				if a.field == b.field {
-					return []literals{{
-						a.field, append(slices.Clone(a.equal), b.equal...),
-						append(slices.Clone(a.prefix), b.prefix...),
-					}}
-				}
-			}
-		}
-	case "==":
-		for _, p := range [][2]ast.Node{{n.Left, n.Right}, {n.Right, n.Left}} {
-			if s, ok := p[1].(*ast.StringNode); ok && name(p[0]) != "" {
-				return []literals{{name(p[0]), []string{s.Value}, nil}}
-			}
-		}
-	case "startsWith":
-		if s, ok := n.Right.(*ast.StringNode); ok && name(n.Left) != "" {
-			return []literals{{name(n.Left), nil, []string{s.Value}}}
-		}
-	case "in":
-		list, ok := n.Right.(*ast.ArrayNode)
-		if !ok || name(n.Left) == "" {
-			return nil
-		}
-		l := literals{field: name(n.Left)}
-		for _, m := range list.Nodes {
-			s, ok := m.(*ast.StringNode)
-			if !ok {
-				return nil
-			}
-			l.equal = append(l.equal, s.Value)
-		}
-		return []literals{l}
-	}
-	return nil
-}
+// How mostSelective ranks requirements.
+const (
+	minSelectivePrefixBytes = 4    // shorter prefixes hold for many requests
+	prefixRank              = 4    // of a prefix, where that of a value is 1
+	shortPrefixRank         = 1000 // is added for a short one
+)
 
-// index finds the few rules that can hold for a request, by what they need of one field each.
-type index struct {
-	fields map[string]*fieldIndex
-	always []int // rules that need nothing the index knows
+// ruleIndex finds the few rules that can match a request, by one requirement of each rule.
+type ruleIndex struct {
+	fields    map[string]*fieldIndex
+	unindexed []int // rules without a requirement
 }
 
+// fieldIndex finds rules by the value of one field.
 type fieldIndex struct {
-	equal   map[string][]int
-	prefix  map[string][]int
-	lengths []int // of the prefixes, each once
+	byValue       map[string][]int
+	byPrefix      map[string][]int
+	prefixLengths []int // ascending, each once
 }
 
-func newIndex(rules []*rule) *index {
-	x := &index{fields: map[string]*fieldIndex{}}
+func newRuleIndex(rules []*compiledRule) *ruleIndex {
+	index := &ruleIndex{fields: map[string]*fieldIndex{}}
 	for i, r := range rules {
-		l, ok := best(r.when.needs)
+		required, ok := mostSelective(r.when.requirements)
 		if !ok {
-			x.always = append(x.always, i)
+			index.unindexed = append(index.unindexed, i)
 			continue
 		}
-		f := x.fields[l.field]
-		if f == nil {
-			f = &fieldIndex{equal: map[string][]int{}, prefix: map[string][]int{}}
-			x.fields[l.field] = f
-		}
-		for _, s := range uniq(l.equal) {
-			f.equal[s] = append(f.equal[s], i)
-		}
-		for _, s := range uniq(l.prefix) {
-			f.prefix[s] = append(f.prefix[s], i)
-		}
+		index.field(required.field).add(required, i)
 	}
-	for _, f := range x.fields {
+	for _, field := range index.fields {
 		lengths := map[int]bool{}
-		for s := range f.prefix {
-			lengths[len(s)] = true
+		for prefix := range field.byPrefix {
+			lengths[len(prefix)] = true
 		}
-		f.lengths = slices.Sorted(maps.Keys(lengths))
+		field.prefixLengths = slices.Sorted(maps.Keys(lengths))
 	}
-	return x
+	return index
 }
 
-func uniq(list []string) []string {
+// field returns the index of a field, a new one if there is none yet.
+func (x *ruleIndex) field(name string) *fieldIndex {
+	if x.fields[name] == nil {
+		x.fields[name] = &fieldIndex{byValue: map[string][]int{}, byPrefix: map[string][]int{}}
+	}
+	return x.fields[name]
+}
+
+// add adds a rule by its number.
+func (f *fieldIndex) add(required requirement, rule int) {
+	for _, value := range sortedUnique(required.values) {
+		f.byValue[value] = append(f.byValue[value], rule)
+	}
+	for _, prefix := range sortedUnique(required.prefixes) {
+		f.byPrefix[prefix] = append(f.byPrefix[prefix], rule)
+	}
+}
+
+func sortedUnique(list []string) []string {
 	list = slices.Clone(list)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// best is the need that tells requests apart best: equality before prefixes, few literals before many, long
+// mostSelective returns the requirement that fewest requests meet: values rank before prefixes, few before many, long
 // prefixes before short ones.
-func best(list []literals) (b literals, ok bool) {
-	rank := func(l literals) int {
-		short := 0
-		for _, p := range l.prefix {
-			if len(p) < 4 {
-				short++
-			}
+func mostSelective(requirements []requirement) (best requirement, ok bool) {
+	for _, required := range requirements {
+		if !ok || required.rank() < best.rank() {
+			best = required
+			ok = true
 		}
-		return len(l.equal) + 4*len(l.prefix) + 1000*short
 	}
-	for _, l := range list {
-		if !ok || rank(l) < rank(b) {
-			b, ok = l, true
+	return best, ok
+}
+
+// rank is the lower the more selective the requirement is.
+func (r requirement) rank() int {
+	shortPrefixes := 0
+	for _, prefix := range r.prefixes {
+		if len(prefix) < minSelectivePrefixBytes {
+			shortPrefixes++
 		}
 	}
-	return b, ok
+	return len(r.values) + prefixRank*len(r.prefixes) + shortPrefixRank*shortPrefixes
 }
 
-// candidates is the rules that can hold, in order, each once.
-func (x *index) candidates(e *env, list []int) []int {
-	list = append(list[:0], x.always...)
-	for field, f := range x.fields {
-		value := ""
-		switch field {
-		case "class":
-			value = e.Class
-		case "handler":
-			value = e.Handler
-		case "path":
-			value = e.Path
-		case "method":
-			value = e.Method
-		}
-		list = append(list, f.equal[value]...)
-		for _, n := range f.lengths {
-			if n > len(value) {
-				break
-			}
-			list = append(list, f.prefix[value[:n]]...)
-		}
+// candidates returns the numbers of the rules that can match, in order, each once. It reuses the list.
+func (x *ruleIndex) candidates(env *environment, list []int) []int {
+	list = append(list[:0], x.unindexed...)
+	for name, field := range x.fields {
+		list = field.appendCandidates(list, env.indexedField(name))
 	}
 	slices.Sort(list)
 	return slices.Compact(list)
 }
+
+func (f *fieldIndex) appendCandidates(list []int, value string) []int {
+	list = append(list, f.byValue[value]...)
+	for _, length := range f.prefixLengths {
+		if length > len(value) {
+			break
+		}
+		list = append(list, f.byPrefix[value[:length]]...)
+	}
+	return list
+}
+
+// worstCost is the largest cost of the rules that one request can meet: all those without a requirement, and of the
+// others those that one value of each field can satisfy.
+func (x *ruleIndex) worstCost(rules []*compiledRule) int {
+	costOf := func(list []int) int {
+		cost := 0
+		for _, i := range list {
+			cost += rules[i].maxCost
+		}
+		return cost
+	}
+	worst := costOf(x.unindexed)
+	for _, field := range x.fields {
+		worst += field.worstCost(costOf)
+	}
+	return worst
+}
+
+func (f *fieldIndex) worstCost(costOf func([]int) int) int {
+	worst := 0
+	for _, list := range f.byValue {
+		worst = max(worst, costOf(list))
+	}
+	// A value has at most one of the prefixes of each length.
+	worstByLength := map[int]int{}
+	for prefix, list := range f.byPrefix {
+		worstByLength[len(prefix)] = max(worstByLength[len(prefix)], costOf(list))
+	}
+	for _, cost := range worstByLength {
+		worst += cost
+	}
+	return worst
+}
