--- /dev/null
+++ b/internal/rules/pools/load.go
@@ -0,0 +1,80 @@
+package pools
+
+import (
+	"fmt"
+	"slices"
+
+	"calicohill/internal/rules/match"
+	"calicohill/routing"
+)
+
+const maxPools = 256
+
+// The directives that faults name.
+const (
+	poolDirective    = "pool"
+	workersDirective = "workers"
+)
+
+// loader builds a Core and collects the faults of the definitions.
+type loader struct {
+	core       *Core
+	poolByName map[string]*pool
+	faults     []match.Fault
+}
+
+// Load compiles the definitions of pools and routes. It returns either a Core or all faults of the definitions.
+func Load(pools []Pool, routes []Route) (*Core, []match.Fault) {
+	loading := loader{
+		core: &Core{
+			routes:  map[string]*route{},
+			serving: map[string]bool{},
+			faults:  map[string]faultRecord{},
+		},
+		poolByName: map[string]*pool{},
+	}
+	if len(pools) > maxPools {
+		loading.addFault(pools[maxPools].Place, poolDirective, "%d pools are over %d", len(pools), maxPools)
+		return nil, loading.faults
+	}
+	for _, definition := range pools {
+		loading.addPool(definition)
+	}
+	for _, definition := range routes {
+		loading.addRoute(definition)
+	}
+	if len(loading.faults) > 0 {
+		return nil, loading.faults
+	}
+	return loading.core, nil
+}
+
+func (l *loader) addFault(place match.Place, directive, format string, args ...any) {
+	l.faults = append(l.faults, match.Fault{Place: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+}
+
+func (l *loader) addPool(definition Pool) {
+	condition, refusal := match.NewPredicate(Schema, &Attributes{}, definition.Workers.Source)
+	if refusal != nil {
+		place := definition.Workers.Place
+		place.Column += refusal.At
+		l.addFault(place, workersDirective, "%s", refusal.Reason)
+	}
+	p := &pool{condition: condition, members: map[string]bool{}}
+	l.poolByName[definition.Name] = p
+	l.core.pools = append(l.core.pools, p)
+}
+
+func (l *loader) addRoute(definition Route) {
+	r := &route{levels: make([]routing.Pool, max(1, len(definition.Pools)))}
+	for _, name := range definition.Pools {
+		p := l.poolByName[name.Source]
+		if p == nil {
+			l.addFault(name.Place, poolDirective, "no pool %q is defined", name.Source)
+		} else if i := slices.Index(r.pools, p); i >= 0 {
+			l.addFault(name.Place, poolDirective, "%q is pool %d of route %s already", name.Source, i+1, definition.Name)
+		}
+		r.pools = append(r.pools, p)
+	}
+	l.core.routes[definition.Name] = r
+}
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -18,8 +18,8 @@
 	return match.Text{Place: match.Place{File: "f", Line: 1, Column: 1}, Source: s}
 }
 
-func load(t interface{ Fatal(...any) }) *Core {
-	c, faults := Load([]Pool{
+func load(tb interface{ Fatal(...any) }) *Core {
+	core, faults := Load([]Pool{
 		{Name: "fast", Workers: text(`model == "std" && zone in ["a", "b"]`)},
 		{Name: "slow", Workers: text(`id.startsWith("s")`)},
 		{Name: "rest", Workers: text(`group != 7`)},
@@ -27,17 +27,20 @@
 		{Name: "lane", Pools: []match.Text{text("fast"), text("slow")}},
 		{Name: "any", Pools: []match.Text{text("rest")}},
 	})
-	if c == nil {
-		t.Fatal(faults)
+	if core == nil {
+		tb.Fatal(faults)
 	}
-	return c
+	return core
 }
 
-func live(c *Core, route string) string {
-	return strings.Join(slices.Sorted(maps.Keys(c.Route(route).Workers)), " ")
+// names lists the workers of a live set.
+func names(set *routing.Pool) string {
+	return strings.Join(slices.Sorted(maps.Keys(set.Workers)), " ")
 }
 
-var both = []Attributes{
+func live(core *Core, route string) string { return names(core.Route(route)) }
+
+var allWorkers = []Attributes{
 	{"f1", "std", "a", 1, "serving"},
 	{"f2", "std", "b", 7, "serving"},
 	{"x", "std", "c", 1, "serving"},
@@ -46,37 +49,40 @@
 }
 
 func TestFallback(t *testing.T) {
-	c, now := load(t), time.Hour
+	core := load(t)
+	now := time.Hour
 	step := func(want string, events ...Event) {
 		t.Helper()
 		now += time.Millisecond
-		before := live(c, "lane")
-		changed := c.Step(now, events)
-		if got := live(c, "lane"); got != want || changed != (got != before) && !changed {
+		before := live(core, "lane")
+		changed := core.Step(now, events)
+		if got := live(core, "lane"); got != want || changed != (got != before) && !changed {
 			t.Errorf("live %q, want %q; changed %v", got, want, changed)
 		}
 	}
-	drain := slices.Clone(both)
+	drain := slices.Clone(allWorkers)
 	drain[0].State = "draining"
-	step("f1 f2", EndpointsChanged{both})
-	step("f1 f2", FaultObserved{"f1", routing.Unresponsive})                                            // one proof is none
-	step("f1 f2", FaultObserved{"f1", routing.Unresponsive}, FaultObserved{"f2", routing.Unresponsive}) // the other is left
-	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})                                       // all ill: the next pool helps out, trials go on
+	step("f1 f2", EndpointsChanged{allWorkers})
+	step("f1 f2", FaultObserved{"f1", routing.Unresponsive})                                            // one missing response proves nothing
+	step("f1 f2", FaultObserved{"f1", routing.Unresponsive}, FaultObserved{"f2", routing.Unresponsive}) // f2 is left
+	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})                                       // all unhealthy: the next pool joins, probes go on
 	step("f1 f2", FaultObserved{"f2", routing.Healthy})
 	step("f1 f2", EndpointsChanged{drain})
 	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})
-	step("s1 s2", EndpointsChanged{both[2:]}) // the pool has emptied
-	step("f1 f2", EndpointsChanged{both})
-	if got := live(c, "any"); got != "f1 s1 s2 x" {
+	step("s1 s2", EndpointsChanged{allWorkers[2:]}) // the pool has emptied
+	step("f1 f2", EndpointsChanged{allWorkers})
+	if got := live(core, "any"); got != "f1 s1 s2 x" {
 		t.Errorf("any: %q", got)
 	}
-	if next := c.Route("lane").Fallback; next == nil || strings.Join(slices.Sorted(maps.Keys(next.Workers)), " ") != "s1 s2" || next.Fallback != nil {
-		t.Errorf("what stands in: %+v", next)
+	fallback := core.Route("lane").Fallback
+	if fallback == nil || names(fallback) != "s1 s2" || fallback.Fallback != nil {
+		t.Errorf("fallback: %+v", fallback)
 	}
-	if step("f1 f2", FaultObserved{"s1", routing.Unreachable}, FaultObserved{"s2", routing.Unreachable}); c.Route("lane").Fallback != nil {
-		t.Error("a pool of ill workers stands in")
+	step("f1 f2", FaultObserved{"s1", routing.Unreachable}, FaultObserved{"s2", routing.Unreachable})
+	if core.Route("lane").Fallback != nil {
+		t.Error("a pool of unhealthy workers is the fallback")
 	}
-	if c.Route("none") != nil {
+	if core.Route("none") != nil {
 		t.Error("a route without pools has a live set")
 	}
 }
@@ -93,42 +99,45 @@
 	}
 }
 
-// A live set never leaves the route's pools, and is only empty of usable workers where all of them are.
+// A live set never leaves the route's pools, and has no healthy worker only if none of the route's workers is healthy.
 func TestProperties(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		c, now := load(t), time.Hour
-		for range rapid.IntRange(1, 40).Draw(t, "moves") {
-			now += time.Duration(rapid.IntRange(0, 20000).Draw(t, "wait")) * time.Millisecond
-			switch rapid.IntRange(0, 2).Draw(t, "move") {
-			case 0:
-				var list []Attributes
-				for _, w := range both {
-					if rapid.Bool().Draw(t, "there") {
-						w.State = rapid.SampledFrom([]string{"serving", "draining"}).Draw(t, "state")
-						list = append(list, w)
-					}
-				}
-				c.Step(now, []Event{EndpointsChanged{list}})
-			default:
-				id := both[rapid.IntRange(0, len(both)-1).Draw(t, "worker")].ID
-				c.Step(now, []Event{FaultObserved{id, routing.Fault(rapid.IntRange(0, 4).Draw(t, "trouble"))}})
-			}
-			set, some, any := c.Route("lane").Workers, false, false
+	rapid.Check(t, func(rt *rapid.T) {
+		core := load(rt)
+		now := time.Hour
+		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
+			now += time.Duration(rapid.IntRange(0, 20000).Draw(rt, "wait")) * time.Millisecond
+			core.Step(now, []Event{drawEvent(rt)})
+			set := core.Route("lane").Workers
+			liveHealthy := false
 			for id := range set {
 				if id == "x" {
-					t.Fatal("a worker of no pool of the route is live")
+					rt.Fatal("a worker of no pool of the route is live")
 				}
-				some = some || c.usable(id)
+				liveHealthy = liveHealthy || core.isHealthy(id)
 			}
-			for _, id := range []string{"f1", "f2", "s1", "s2"} {
-				any = any || c.usable(id)
+			anyHealthy := slices.ContainsFunc([]string{"f1", "f2", "s1", "s2"}, core.isHealthy)
+			if anyHealthy && !liveHealthy {
+				rt.Fatal(fmt.Sprint("a worker is healthy, and not in the live set: ", set))
 			}
-			if any && !some {
-				t.Fatal(fmt.Sprint("somebody is usable, and not in the live set: ", set))
-			}
-			if len(c.ill) > len(both) {
-				t.Fatal("more is held ill than is listed")
+			if len(core.faults) > len(allWorkers) {
+				rt.Fatal("faults of more workers are remembered than are listed")
 			}
 		}
 	})
 }
+
+// drawEvent draws a list of some of the workers in any state, or, twice as often, a fault of one of them.
+func drawEvent(rt *rapid.T) Event {
+	if rapid.IntRange(0, 2).Draw(rt, "event") > 0 {
+		id := allWorkers[rapid.IntRange(0, len(allWorkers)-1).Draw(rt, "worker")].ID
+		return FaultObserved{id, routing.Fault(rapid.IntRange(0, 4).Draw(rt, "fault"))}
+	}
+	var list []Attributes
+	for _, worker := range allWorkers {
+		if rapid.Bool().Draw(rt, "listed") {
+			worker.State = rapid.SampledFrom([]string{"serving", "draining"}).Draw(rt, "state")
+			list = append(list, worker)
+		}
+	}
+	return EndpointsChanged{list}
+}
