--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -8,10 +8,8 @@
 // The types of arguments.
 const (
 	Word     Type = iota // letters, digits, '-', '_' and '.'; 64 bytes at most
-	Text                 // anything, quoted where it holds blanks or '#'
 	Choice               // one of the words that Arg.Words lists
 	Duration             // a number and a unit: us, ms, s, m, h or d
-	Size                 // a number and a unit: B, KiB, MiB or GiB
 	Count                // a whole number
 	Share                // a number followed by %
 	Address              // host:port, the host an IP address
@@ -19,7 +17,7 @@
 	Expr                 // the rest of the line, an expression
 )
 
-var typeNames = [...]string{"word", "text", "choice", "duration", "size", "count", "share", "address", "path", "expression"}
+var typeNames = [...]string{"word", "choice", "duration", "count", "share", "address", "path", "expression"}
 
 func (t Type) String() string { return typeNames[t] }
 
@@ -28,7 +26,7 @@
 	Name        string
 	Type        Type
 	Words       []string // of a Choice
-	Least, Most float64  // of a Duration in seconds, a Size in bytes, a Count, or a Share in per cent
+	Least, Most float64  // of a Duration in seconds, a Count, or a Share in per cent
 	Optional    bool     // may be left out; only the last can be
 }
 
@@ -234,15 +232,12 @@
 	return Directive{}, false
 }
 
-// units of a Duration and of a Size, the larger first.
-var (
-	durationUnits = []unit{{"d", 86400}, {"h", 3600}, {"m", 60}, {"ms", 1e-3}, {"us", 1e-6}, {"s", 1}}
-	sizeUnits     = []unit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
-)
+// durationUnits are the units of a Duration in seconds.
+var durationUnits = []unit{{"d", 86400}, {"h", 3600}, {"m", 60}, {"ms", 1e-3}, {"us", 1e-6}, {"s", 1}}
 
 type unit struct {
 	name string
-	in   float64 // seconds or bytes
+	in   float64
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -2,7 +2,7 @@
 //
 // The file is made of lines. A section begins with its name at the margin; the directives that belong to it
 // follow, indented, a line each, as a name and arguments. '#' begins a comment, "..." holds what has blanks, with
-// \" and \\ inside. A line "include FILE" at the margin reads another file in its place. The table in table.go
+// \" and \\ inside. A line "include FILE" at the margin reads another file in its place. The table in directives.go
 // declares all sections and directives.
 //
 // Reading reports every fault of all files at once, and a file with a fault yields no settings at all.
@@ -69,7 +69,7 @@
 type value struct {
 	column int
 	text   string
-	number float64 // of a Duration in seconds, a Size in bytes, a Count, or a Share as a part of 1
+	number float64 // of a Duration in seconds, a Count, or a Share as a part of 1
 }
 
 // File is a file that was read, with those that it includes.
@@ -431,20 +431,19 @@
 			return v, bad
 		}
 		v.text = beside(file, w.text)
-	case Duration, Size, Count, Share:
+	case Duration, Count, Share:
 		return a.number(v, bad)
 	case Expr:
 		if len(w.text) > maxExpr {
 			return v, fmt.Errorf("%d bytes are over the %d that an expression may have", len(w.text), maxExpr)
 		}
-	case Text:
 	}
 	return v, nil
 }
 
 func (a Arg) number(v value, bad error) (value, error) {
 	text, factor := v.text, 1.0
-	units := map[Type][]unit{Duration: durationUnits, Size: sizeUnits, Share: {{"%", 1}}}[a.Type]
+	units := map[Type][]unit{Duration: durationUnits, Share: {{"%", 1}}}[a.Type]
 	for _, u := range units {
 		if rest, ok := strings.CutSuffix(text, u.name); ok {
 			text, factor = rest, u.in
@@ -453,7 +452,7 @@
 		}
 	}
 	x, err := strconv.ParseFloat(text, 64)
-	whole := a.Type != Count && a.Type != Size || x == math.Trunc(x)
+	whole := a.Type != Count || x == math.Trunc(x)
 	// ParseFloat takes exponents, signs and names of numbers; people who write settings mean none of these.
 	if err != nil || len(units) > 0 || !whole || strings.Trim(text, "0123456789.") != "" {
 		return v, bad
@@ -474,8 +473,6 @@
 		return "one of " + strings.Join(a.Words, ", ")
 	case Duration:
 		return fmt.Sprintf("a time from %s to %s, as in 300ms", seconds(a.Least), seconds(a.Most))
-	case Size:
-		return fmt.Sprintf("a size from %.0fB to %.0fB, as in 64KiB", a.Least, a.Most)
 	case Count:
 		return fmt.Sprintf("a whole number from %.0f to %.0f", a.Least, a.Most)
 	case Share:
@@ -486,10 +483,8 @@
 		return "the name of a file"
 	case Expr:
 		return fmt.Sprintf("an expression of up to %d bytes, to the end of the line", maxExpr)
-	case Word:
+	default: // Word
 		return "letters, digits, '-', '_' and '.', 64 at most"
-	default:
-		return "any text"
 	}
 }
 
@@ -541,7 +536,7 @@
 	return ""
 }
 
-// Number is the figure that a directive gives: a Duration in seconds, a Size in bytes, a Count, or a Share as a
+// Number is the figure that a directive gives: a Duration in seconds, a Count, or a Share as a
 // part of 1.
 func (f *File) Number(section, name string) (x float64, given bool) {
 	if e := f.entries(section, name); len(e) > 0 {
