--- /dev/null
+++ b/internal/config/operatorfile/argument.go
@@ -0,0 +1,178 @@
+package operatorfile
+
+import (
+	"fmt"
+	"math"
+	"net/netip"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	maxIdentifierBytes = 64
+	maxExpressionBytes = 2048
+	perCent            = 100
+)
+
+// value is the parsed argument of a directive.
+type value struct {
+	column int
+	text   string
+	number float64 // of a Duration in seconds, a Count, or a Percentage as a fraction of 1
+}
+
+// unit is a unit of measurement, as a suffix of a number.
+type unit struct {
+	suffix string
+	factor float64
+}
+
+// durationUnits are the units of a Duration in seconds. A unit that is a suffix of others stands after them.
+var durationUnits = []unit{{"d", 86400}, {"h", 3600}, {"m", 60}, {"ms", 1e-3}, {"us", 1e-6}, {"s", 1}}
+
+// percentageUnits are the units of a Percentage.
+var percentageUnits = []unit{{"%", 1}}
+
+// seconds converts a number of seconds into a time.Duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// parse checks and converts an argument. file is the one that the argument appears in.
+func (a Arg) parse(tok token, file string) (value, error) {
+	parsed := value{column: tok.column, text: tok.text}
+	switch a.Type {
+	case Identifier:
+		if !isIdentifier(tok.text) {
+			return value{}, a.mismatch(tok)
+		}
+	case Choice:
+		if !slices.Contains(a.Choices, tok.text) {
+			return value{}, fmt.Errorf("%q is none of %s%s", tok.text, strings.Join(a.Choices, ", "), suggestion(tok.text, a.Choices))
+		}
+	case Address:
+		if _, err := netip.ParseAddrPort(tok.text); err != nil {
+			return value{}, a.mismatch(tok)
+		}
+	case Path:
+		if tok.text == "" {
+			return value{}, a.mismatch(tok)
+		}
+		parsed.text = resolvePath(file, tok.text)
+	case Duration, Count, Percentage:
+		number, err := a.parseNumber(tok)
+		parsed.number = number
+		return parsed, err
+	case Expr:
+		if len(tok.text) > maxExpressionBytes {
+			return value{}, fmt.Errorf("%d bytes are over the %d that an expression may have", len(tok.text), maxExpressionBytes)
+		}
+	}
+	return parsed, nil
+}
+
+// mismatch returns the error for an argument that is not of its type.
+func (a Arg) mismatch(tok token) error {
+	return fmt.Errorf("%q is no %s: %s", tok.text, a.Type, a.describe())
+}
+
+// isIdentifier reports whether a text is a Identifier.
+func isIdentifier(text string) bool {
+	return text != "" && len(text) <= maxIdentifierBytes && !strings.ContainsFunc(text, func(r rune) bool { return !isIdentifierRune(r) })
+}
+
+func isIdentifierRune(r rune) bool {
+	switch {
+	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
+		return true
+	default:
+		return strings.ContainsRune("-_.", r)
+	}
+}
+
+// parseNumber converts a Duration to seconds, a Count, or a Percentage to a fraction of 1.
+func (a Arg) parseNumber(tok token) (float64, error) {
+	digits, factor, ok := a.cutUnit(tok.text)
+	number, err := strconv.ParseFloat(digits, 64)
+	if !ok || err != nil {
+		return 0, a.mismatch(tok)
+	}
+	// ParseFloat takes exponents, signs and names of numbers; people who write settings mean none of these.
+	if strings.Trim(digits, "0123456789.") != "" {
+		return 0, a.mismatch(tok)
+	}
+	if a.Type == Count && number != math.Trunc(number) {
+		return 0, a.mismatch(tok)
+	}
+	number *= factor
+	if number < a.Min || number > a.Max {
+		return 0, fmt.Errorf("%s is out of range: %s", tok.text, a.describe())
+	}
+	if a.Type == Percentage {
+		number /= perCent
+	}
+	return number, nil
+}
+
+// cutUnit splits the unit off a number and returns the unit's factor. It returns false if a unit is needed and missing.
+func (a Arg) cutUnit(text string) (digits string, factor float64, ok bool) {
+	var units []unit
+	switch a.Type {
+	case Duration:
+		units = durationUnits
+	case Percentage:
+		units = percentageUnits
+	default:
+		return text, 1, true
+	}
+	for _, candidate := range units {
+		if digits, ok := strings.CutSuffix(text, candidate.suffix); ok {
+			return digits, candidate.factor, true
+		}
+	}
+	return text, 1, false
+}
+
+// resolvePath resolves the name of a file relative to the directory of the file that names it.
+func resolvePath(namedIn, name string) string {
+	if filepath.IsAbs(name) {
+		return name
+	}
+	return filepath.Join(filepath.Dir(namedIn), name)
+}
+
+// describe tells the operator what an argument must be.
+func (a Arg) describe() string {
+	switch a.Type {
+	case Choice:
+		return "one of " + strings.Join(a.Choices, ", ")
+	case Duration:
+		return fmt.Sprintf("a time from %s to %s, as in 300ms", seconds(a.Min), seconds(a.Max))
+	case Count:
+		return fmt.Sprintf("a whole number from %.0f to %.0f", a.Min, a.Max)
+	case Percentage:
+		return fmt.Sprintf("a share from %.0f%% to %.0f%%", a.Min, a.Max)
+	case Address:
+		return "an IP address and a port, as in 127.0.0.1:7946"
+	case Path:
+		return "the name of a file"
+	case Expr:
+		return fmt.Sprintf("an expression of up to %d bytes, to the end of the line", maxExpressionBytes)
+	default: // Identifier
+		return fmt.Sprintf("letters, digits, '-', '_' and '.', %d at most", maxIdentifierBytes)
+	}
+}
+
+// usage shows the operator a directive with its arguments.
+func (d Directive) usage() string {
+	words := []string{d.Name}
+	for _, arg := range d.Args {
+		if arg.Optional {
+			words = append(words, "["+arg.Name+"]")
+		} else {
+			words = append(words, arg.Name)
+		}
+	}
+	return strings.Join(words, " ")
+}
--- a/internal/config/operatorfile/documentation.go
+++ b/internal/config/operatorfile/documentation.go
@@ -2,11 +2,15 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// Example is the commented example: every section and directive with its default. Sections that switch something
-// on are commented out whole, so that the file as it stands changes nothing.
+// directiveIndent is the indentation of directives in the example.
+const directiveIndent = "    "
+
+// Example returns the commented example: every section and directive with its default. Sections that switch something on
+// are commented out completely, so that the example as it is changes nothing.
 func Example() string {
 	var b strings.Builder
 	b.WriteString("# The operator's file of calicohill: settings of this installation that are not the platform's.\n" +
@@ -15,100 +19,104 @@
 		"#\n" +
 		"# Sections begin at the margin, directives are indented. '#' begins a comment, \"...\" holds blanks.\n" +
 		"# include FILE, at the margin, reads another file in its place. Check a file with `calicohill check FILE`.\n")
-	for _, s := range Sections {
-		fmt.Fprintf(&b, "\n%s", comment(s.Help, ""))
-		margin := ""
-		if needsChoice(s.Name) || s.Named != "" {
-			margin = "#"
-		}
-		fmt.Fprintf(&b, "%s%s\n", margin, s.title())
-		for _, d := range Directives {
-			if d.Section != s.Name {
-				continue
-			}
-			fmt.Fprintf(&b, "\n%s", comment(d.Help+"\n"+d.about(), "    "))
-			if d.Default != "" {
-				fmt.Fprintf(&b, "%s    %s %s\n", margin, d.Name, d.Default)
-			} else {
-				b.WriteString(strings.TrimRight(fmt.Sprintf("#    %s %s", d.Name, d.Example), " ") + "\n")
-			}
-		}
+	for _, section := range Sections {
+		writeExampleSection(&b, section)
 	}
 	return b.String()
 }
 
-func (s Section) title() string { return strings.TrimSpace(s.Name + " " + s.Named) }
-
-// needsChoice reports whether a section has directives that nobody can choose for the operator.
-func needsChoice(section string) bool {
-	for _, d := range Directives {
-		if d.Section == section && d.Required {
-			return true
+func writeExampleSection(b *strings.Builder, section Section) {
+	margin := ""
+	if hasRequired(section.Name) || section.Named != "" {
+		margin = "#"
+	}
+	fmt.Fprintf(b, "\n%s%s%s\n", comment(section.Help, ""), margin, section.title())
+	for _, directive := range directivesOf(section.Name) {
+		fmt.Fprintf(b, "\n%s", comment(directive.Help+"\n"+directive.about(), directiveIndent))
+		if directive.Default != "" {
+			fmt.Fprintf(b, "%s%s%s %s\n", margin, directiveIndent, directive.Name, directive.Default)
+		} else {
+			line := fmt.Sprintf("#%s%s %s", directiveIndent, directive.Name, directive.Example)
+			b.WriteString(strings.TrimRight(line, " ") + "\n")
 		}
 	}
-	return false
 }
 
+// title returns the heading of a section.
+func (s Section) title() string { return strings.TrimSpace(s.Name + " " + s.Named) }
+
+// hasRequired reports whether a section has directives that only the operator can give.
+func hasRequired(section string) bool {
+	return slices.ContainsFunc(directivesOf(section), func(d Directive) bool { return d.Required })
+}
+
+// comment turns a text into comment lines.
 func comment(text, indent string) string {
 	return indent + "# " + strings.ReplaceAll(text, "\n", "\n"+indent+"# ") + "\n"
 }
 
-// about says what a directive takes and when a change of it holds.
+// about describes the arguments of a directive and when a change of it takes effect.
 func (d Directive) about() string {
-	var parts []string
-	for _, a := range d.Args {
-		s := a.Name + ": " + a.describe()
-		if a.Optional {
-			s += ", or nothing"
+	var clauses []string
+	for _, arg := range d.Args {
+		clause := arg.summary()
+		if arg.Optional {
+			clause += ", or nothing"
 		}
-		parts = append(parts, s)
+		clauses = append(clauses, clause)
 	}
 	if d.Required {
-		parts = append(parts, "needed")
+		clauses = append(clauses, "needed")
 	}
 	if d.Repeated {
-		parts = append(parts, "may stand more than once")
+		clauses = append(clauses, "may stand more than once")
 	}
 	if d.Reload {
-		parts = append(parts, "taken up on reload")
+		clauses = append(clauses, "taken up on reload")
 	} else {
-		parts = append(parts, "taken up on restart")
+		clauses = append(clauses, "taken up on restart")
 	}
-	return strings.Join(parts, "; ") + "."
+	return strings.Join(clauses, "; ") + "."
 }
 
-// Page is the operators' page of the file, in Markdown.
+// summary returns an argument's name and what it must be.
+func (a Arg) summary() string { return a.Name + ": " + a.describe() }
+
+// Page returns the operators' page of the file in Markdown.
 func Page() string {
-	var b strings.Builder
-	b.WriteString("# The operator's file\n\n" +
+	var page strings.Builder
+	page.WriteString("# The operator's file\n\n" +
 		"Written by `calicohill check --page` from the table of directives; a test holds it to that. The rules of the\n" +
 		"form stand at the top of [deploy/calicohill.conf](../../deploy/calicohill.conf).\n\n" +
 		"`calicohill check FILE` reports every fault as `FILE:LINE:COLUMN: directive: reason` and ends with 1 if there\n" +
 		"is one. On SIGHUP the file is read again whole; with a fault in it all stays as it was, with a log line for\n" +
 		"each fault.\n")
-	for _, s := range Sections {
-		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n| directive | default | reload | meaning |\n| --- | --- | --- | --- |\n", s.title(), s.Help)
-		for _, d := range Directives {
-			if d.Section != s.Name {
-				continue
-			}
-			reload := "no"
-			if d.Reload {
-				reload = "yes"
-			}
-			value := "-"
-			if d.Default != "" {
-				value = "`" + d.Default + "`"
-			} else if d.Required {
-				value = "needed"
-			}
-			var args []string
-			for _, a := range d.Args {
-				args = append(args, a.Name+": "+a.describe())
-			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s %s. |\n", d.usage(), value, reload,
-				strings.ReplaceAll(d.Help, "\n", " "), strings.Join(args, "; "))
+	for _, section := range Sections {
+		fmt.Fprintf(&page, "\n## %s\n\n%s\n\n", section.title(), section.Help)
+		page.WriteString("| directive | default | reload | meaning |\n| --- | --- | --- | --- |\n")
+		for _, directive := range directivesOf(section.Name) {
+			page.WriteString(directive.pageRow())
 		}
 	}
-	return b.String()
+	return page.String()
+}
+
+// pageRow returns a directive's row in the table of its section.
+func (d Directive) pageRow() string {
+	reload := "no"
+	if d.Reload {
+		reload = "yes"
+	}
+	defaultValue := "-"
+	if d.Default != "" {
+		defaultValue = "`" + d.Default + "`"
+	} else if d.Required {
+		defaultValue = "needed"
+	}
+	var args []string
+	for _, arg := range d.Args {
+		args = append(args, arg.summary())
+	}
+	help := strings.ReplaceAll(d.Help, "\n", " ")
+	return fmt.Sprintf("| `%s` | %s | %s | %s %s. |\n", d.usage(), defaultValue, reload, help, strings.Join(args, "; "))
 }
--- /dev/null
+++ b/internal/config/operatorfile/errors.go
@@ -0,0 +1,69 @@
+package operatorfile
+
+import (
+	"fmt"
+	"strings"
+
+	"calicohill/internal/rules/match"
+
+	"github.com/agnivade/levenshtein"
+)
+
+const (
+	// maxErrors is how many errors are reported; a file of another format would yield thousands.
+	maxErrors = 100
+	// maxSuggestionDistance is the edit distance up to which a known word is suggested for an unknown one.
+	maxSuggestionDistance = 2
+)
+
+// ParseError is one error in an operator's file. Line and Column count from 1, and are 0 where the file as a whole is
+// meant. Directive is "" where the error is not in a directive.
+type ParseError struct {
+	match.Place
+	Directive string
+	Reason    string
+}
+
+// Error returns the position, the directive if there is one, and the reason.
+func (e ParseError) Error() string {
+	if e.Directive == "" {
+		return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Reason)
+	}
+	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Reason)
+}
+
+// Faults is all the errors in an operator's file, in the order in which they were found. It is the error of Read and
+// Compile.
+type Faults []ParseError
+
+// Error returns the errors, a line each.
+func (f Faults) Error() string {
+	lines := make([]string, len(f))
+	for i, parseError := range f {
+		lines[i] = parseError.Error()
+	}
+	return strings.Join(lines, "\n")
+}
+
+// add appends an error, unless there are maxErrors already.
+func (f *Faults) add(place match.Place, directive, format string, args ...any) {
+	if len(*f) < maxErrors {
+		*f = append(*f, ParseError{Place: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+	}
+}
+
+// suggestion returns the end of a message that suggests the most similar of the known words, or "" if none is similar.
+func suggestion(unknown string, known []string) string {
+	best := ""
+	bestDistance := maxSuggestionDistance + 1
+	for _, candidate := range known {
+		if distance := levenshtein.ComputeDistance(unknown, candidate); distance < bestDistance {
+			best = candidate
+			bestDistance = distance
+		}
+	}
+	if best == "" {
+		return ""
+	}
+	return fmt.Sprintf(": is %q meant?", best)
+}
--- /dev/null
+++ b/internal/config/operatorfile/gossip.go
@@ -0,0 +1,102 @@
+package operatorfile
+
+import (
+	"errors"
+	"io/fs"
+	"net/netip"
+	"os"
+)
+
+// maxKeyMode is the most permissive mode of a key file: only its owner may read it.
+const maxKeyMode fs.FileMode = 0o600
+
+// unsetLiars is Gossip.Liars where the file does not give it.
+const unsetLiars = -1
+
+// gossip returns the section gossip, or nil if it is missing.
+func (r *settingsReader) gossip() *Gossip {
+	if !r.document.has(sectionGossip) {
+		return nil
+	}
+	file := r.document
+	leaveOut, _ := file.number(sectionGossip, "leave-out")
+	gossip := &Gossip{
+		Listen:       parseAddress(file.text(sectionGossip, "listen")),
+		Fleet:        file.text(sectionGossip, "fleet"),
+		Key:          file.text(sectionGossip, "key"),
+		Authorities:  file.texts(sectionGossip, "authority"),
+		Revoked:      file.text(sectionGossip, "revoked"),
+		ProbeEvery:   file.duration(sectionGossip, "probe-every"),
+		ProbeTimeout: file.duration(sectionGossip, "probe-timeout"),
+		SuspectFor:   file.duration(sectionGossip, "suspect-for"),
+		Messages:     r.gossipCount("messages", 0),
+		Checks:       r.gossipCount("checks", 0),
+		ClockSkew:    file.duration(sectionGossip, "clock-skew"),
+		Overlap:      file.duration(sectionGossip, "overlap"),
+		Liars:        r.gossipCount("liars", unsetLiars),
+		LeaveOut:     leaveOut,
+		ForgetAfter:  file.duration(sectionGossip, "forget-after"),
+	}
+	gossip.Advertise = gossip.Listen
+	if advertise := file.text(sectionGossip, "advertise"); advertise != "" {
+		gossip.Advertise = parseAddress(advertise)
+	}
+	for _, seed := range file.texts(sectionGossip, "seed") {
+		gossip.Seeds = append(gossip.Seeds, parseAddress(seed))
+	}
+	r.checkGossip(gossip)
+	return gossip
+}
+
+// gossipCount returns a Count of the section gossip, or a fallback where it is not given and has no default.
+func (r *settingsReader) gossipCount(directive string, fallback int) int {
+	if number, given := r.document.number(sectionGossip, directive); given {
+		return int(number)
+	}
+	return fallback
+}
+
+// checkGossip reports what no directive shows by itself: conflicts between directives, and files that can't be used.
+func (r *settingsReader) checkGossip(gossip *Gossip) {
+	if gossip.ProbeTimeout >= gossip.ProbeEvery {
+		r.addGossipError("probe-timeout", "must be under probe-every")
+	}
+	if address := gossip.Advertise.Addr(); address.IsUnspecified() {
+		r.addGossipError("advertise", "peers can't reach %s: name an address of this machine", address)
+	}
+	for _, directive := range []string{"key", "authority", "revoked"} {
+		for _, e := range r.document.written(unnamed(sectionGossip), directive) {
+			r.checkGossipFile(e)
+		}
+	}
+}
+
+// checkGossipFile checks that a file exists and that a key is readable by its owner alone.
+func (r *settingsReader) checkGossipFile(e entry) {
+	path := e.values[0].text
+	info, err := os.Stat(path)
+	switch {
+	case err != nil:
+		r.errors.add(e.place, e.directive, "%v", errors.Unwrap(err))
+	case !info.Mode().IsRegular():
+		r.errors.add(e.place, e.directive, "%s is not a file", path)
+	case e.directive == "key" && info.Mode().Perm()&^maxKeyMode != 0:
+		r.errors.add(e.place, e.directive, "mode %04o lets others read it: 0600 is needed", info.Mode().Perm())
+	}
+}
+
+// addGossipError adds an error at a directive, or, where its default is in effect, at the section.
+func (r *settingsReader) addGossipError(directive, format string, args ...any) {
+	key := unnamed(sectionGossip)
+	place := r.document.sections[key].place
+	if written := r.document.written(key, directive); len(written) > 0 {
+		place = written[0].place
+	}
+	r.errors.add(place, directive, format, args...)
+}
+
+// parseAddress converts an Address, which was checked when the file was parsed.
+func parseAddress(text string) netip.AddrPort {
+	address, _ := netip.ParseAddrPort(text)
+	return address
+}
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// files writes files into a folder of their own; names ending in .key get the mode that keys need.
+// files writes files into a directory of their own and returns it; names ending in .key get the mode that keys need.
 func files(t *testing.T, texts map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -27,7 +27,7 @@
 	return dir
 }
 
-const whole = `log
+const completeFile = `log
     format json   # for the collector
     level  warning
     level  debug gossip
@@ -38,7 +38,7 @@
 	"\tseed 127.0.0.1:7947\r\n\tseed [::1]:7948\r\n\tprobe-every 500ms\r\n\tleave-out 12.5%\r\n\tliars 2\r\n"
 
 func TestRead(t *testing.T) {
-	dir := files(t, map[string]string{"a.conf": whole, "peers.conf": peers, "n1.key": "", "fleet.crt": ""})
+	dir := files(t, map[string]string{"a.conf": completeFile, "peers.conf": peers, "n1.key": "", "fleet.crt": ""})
 	got, err := Read(filepath.Join(dir, "a.conf"))
 	if err != nil {
 		t.Fatal(err)
@@ -46,20 +46,33 @@
 	want := &Settings{
 		Log: Log{JSON: true, Level: "warning", Parts: map[string]string{"gossip": "debug"}},
 		Gossip: &Gossip{
-			Listen: address("127.0.0.1:7946"), Advertise: address("127.0.0.1:7946"), Fleet: "gt-registros",
+			Listen: parseAddress("127.0.0.1:7946"), Advertise: parseAddress("127.0.0.1:7946"), Fleet: "gt-registros",
 			Key: filepath.Join(dir, "n1.key"), Authorities: []string{filepath.Join(dir, "fleet.crt")},
 			ProbeEvery: 500 * time.Millisecond, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
 			Messages: 20, Checks: 400, ClockSkew: 5 * time.Second, Overlap: 10 * time.Minute, Liars: 2,
 			LeaveOut: 0.125, ForgetAfter: 10 * time.Second,
 		},
 	}
-	want.Gossip.Seeds = append(want.Gossip.Seeds, address("127.0.0.1:7947"), address("[::1]:7948"))
+	want.Gossip.Seeds = append(want.Gossip.Seeds, parseAddress("127.0.0.1:7947"), parseAddress("[::1]:7948"))
 	if d := cmp.Diff(want, got, cmp.Comparer(func(a, b interface{ String() string }) bool { return a.String() == b.String() })); d != "" {
 		t.Error(d)
 	}
 }
 
-// Every fault of a file is told of in one pass, with its place.
+// checkFaults reads a file and compares its errors, with the names of files relative to dir.
+func checkFaults(t *testing.T, dir, file string, want ...string) {
+	t.Helper()
+	_, err := Read(filepath.Join(dir, file))
+	var faults Faults
+	if !errors.As(err, &faults) {
+		t.Fatalf("%s: error %v", file, err)
+	}
+	if d := cmp.Diff(want, strings.Split(strings.ReplaceAll(faults.Error(), dir+"/", ""), "\n")); d != "" {
+		t.Error(d)
+	}
+}
+
+// Every error of a file is reported in one pass, with its place.
 func TestFaults(t *testing.T) {
 	dir := files(t, map[string]string{"a.conf": `    format text
 log
@@ -84,18 +97,7 @@
 log
 `, "open.key": "", "b.conf": "gossip\n  listen 127.0.0.1:1\n  fleet f\n  key open.key\n  authority f.crt\n" +
 		"  probe-every 200ms\n  advertise 0.0.0.0:1\n"})
-	check := func(file string, want ...string) {
-		t.Helper()
-		_, err := Read(filepath.Join(dir, file))
-		var faults Faults
-		if !errors.As(err, &faults) {
-			t.Fatalf("%s: error %v", file, err)
-		}
-		if d := cmp.Diff(want, strings.Split(strings.ReplaceAll(faults.Error(), dir+"/", ""), "\n")); d != "" {
-			t.Error(d)
-		}
-	}
-	check("a.conf",
+	checkFaults(t, dir, "a.conf",
 		`a.conf:1:5: format: stands in no section`,
 		`a.conf:3:5: formt: section log has no such directive: is "format" meant?`,
 		`a.conf:4:11: level: "loud" is none of debug, info, warning, error`,
@@ -116,15 +118,15 @@
 	if err := os.Chmod(filepath.Join(dir, "open.key"), 0o640); err != nil {
 		t.Fatal(err)
 	}
-	check("b.conf",
+	checkFaults(t, dir, "b.conf",
 		`b.conf:1:1: probe-timeout: must be under probe-every`,
 		`b.conf:7:3: advertise: peers can't reach 0.0.0.0: name an address of this machine`,
 		`b.conf:4:3: key: mode 0640 lets others read it: 0600 is needed`,
 		`b.conf:5:3: authority: no such file or directory`)
 }
 
-// The example and the page that are in the repository are those that the table makes, and the example changes
-// nothing.
+// The example and the page in the repository are those generated from the directives, and the example changes no
+// setting.
 func TestWrittenFromTheTable(t *testing.T) {
 	for file, want := range map[string]string{
 		"../../../deploy/calicohill.conf":     Example(),
@@ -145,24 +147,24 @@
 	if d := cmp.Diff(None(), got); d != "" {
 		t.Errorf("the example changes something: %s", d)
 	}
-	for _, d := range Directives {
-		for _, text := range []string{d.Default, d.Example} {
+	for _, directive := range Directives {
+		for _, text := range []string{directive.Default, directive.Example} {
 			if text == "" {
 				continue
 			}
-			if len(d.Args) > 1 && !d.Args[1].Optional {
+			if len(directive.Args) > 1 && !directive.Args[1].Optional {
 				text, _, _ = strings.Cut(text, " ")
 			}
-			if _, err := d.Args[0].read(word{text: text}, ""); err != nil {
-				t.Errorf("%s: default or example: %v", d.Name, err)
+			if _, err := directive.Args[0].parse(token{text: text}, ""); err != nil {
+				t.Errorf("%s: default or example: %v", directive.Name, err)
 			}
 		}
 	}
 }
 
-// FuzzParse reads any bytes: faults have places, and what is accepted is accepted again.
+// FuzzParse reads any bytes: every error is a Faults whose members have a place and a reason.
 func FuzzParse(f *testing.F) {
-	f.Add(whole)
+	f.Add(completeFile)
 	f.Add(peers)
 	f.Add("log\n level \"a\\\"b\" # c\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -170,7 +172,7 @@
 		if err := os.WriteFile(file, []byte(strings.ReplaceAll(text, "include", "log")), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := Parse(file)
+		_, err := parse(file)
 		var faults Faults
 		if err != nil && !errors.As(err, &faults) {
 			t.Fatalf("error %v", err)
