--- /dev/null
+++ b/internal/config/operatorfile/parser.go
@@ -0,0 +1,282 @@
+// Package operatorfile reads the operator's file: settings of this installation that are not the platform's.
+//
+// The file is made of lines. A section begins with its heading at the margin; its directives follow, indented, one a
+// line, each with a name and arguments. '#' begins a comment, and "..." quotes a word with blanks, with \" and \\
+// inside. A line "include FILE" at the margin reads another file in its place. directives.go declares all sections and
+// directives, which also yield the commented example and the operators' page.
+//
+// Reading reports every error of all files at once, and a file with an error yields no settings at all.
+package operatorfile
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+
+	"calicohill/internal/rules/match"
+)
+
+const (
+	maxFileBytes    = 1 << 20
+	maxIncludeDepth = 16
+	maxFiles        = 64 // read in all, the first included
+)
+
+// includeDirective is the directive at the margin that reads another file.
+const includeDirective = "include"
+
+// parser reads a file and those that it includes into a document, and collects their errors.
+type parser struct {
+	document  *document
+	errors    Faults
+	filesRead int
+}
+
+// parse reads a file and those that it includes. The error is Faults and covers all of them.
+func parse(path string) (*document, error) {
+	p := parser{document: newDocument()}
+	p.parseFile(path, match.Place{File: path}, "", nil)
+	p.checkRequired()
+	if len(p.errors) > 0 {
+		return nil, p.errors
+	}
+	return p.document, nil
+}
+
+// parseFile reads a file. place and directive are those that name it, and ancestors the files that include it, the
+// outermost first.
+func (p *parser) parseFile(path string, place match.Place, directive string, ancestors []string) {
+	if slices.Contains(ancestors, path) {
+		p.errors.add(place, directive, "%s includes itself", path)
+		return
+	}
+	p.filesRead++
+	if len(ancestors) >= maxIncludeDepth || p.filesRead > maxFiles {
+		p.errors.add(place, directive, "too many files are included")
+		return
+	}
+	text, err := readFile(path)
+	if err != nil {
+		p.errors.add(place, directive, "%v", err)
+		return
+	}
+	fp := fileParser{parser: p, path: path, ancestors: ancestors}
+	number := 0
+	for line := range strings.SplitSeq(text, "\n") {
+		number++
+		fp.parseLine(strings.TrimSuffix(line, "\r"), match.Place{File: path, Line: number})
+	}
+}
+
+// readFile reads a regular file of at most maxFileBytes.
+func readFile(path string) (string, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return "", err
+	}
+	if !info.Mode().IsRegular() {
+		return "", errors.New("not a file")
+	}
+	if info.Size() > maxFileBytes {
+		return "", fmt.Errorf("%d bytes are over the %d that are read", info.Size(), maxFileBytes)
+	}
+	text, err := os.ReadFile(path)
+	return string(text), err
+}
+
+// checkRequired reports sections that lack a required directive, unless an error in such a directive is reported
+// already.
+func (p *parser) checkRequired() {
+	byHeading := func(a, b sectionKey) int { return strings.Compare(a.String(), b.String()) }
+	keys := slices.SortedFunc(maps.Keys(p.document.sections), byHeading)
+	for _, directive := range Directives {
+		if !directive.Required {
+			continue
+		}
+		for _, key := range keys {
+			if key.kind != directive.Section || len(p.document.written(key, directive.Name)) > 0 || p.hasErrorIn(directive.Name) {
+				continue
+			}
+			p.errors.add(p.document.sections[key].place, directive.Name, "section %s needs it: %s", key, directive.usage())
+		}
+	}
+}
+
+// hasErrorIn reports whether an error in a directive of this name is reported already.
+func (p *parser) hasErrorIn(directive string) bool {
+	return slices.ContainsFunc(p.errors, func(e ParseError) bool { return e.Directive == directive })
+}
+
+// fileParser reads the lines of one file.
+type fileParser struct {
+	*parser
+	path      string
+	ancestors []string
+
+	// current is the section that directives belong to. It is the zero key before the first heading.
+	current sectionKey
+	// skipping is set after a faulty heading, which is reported: the directives below it belong to no section.
+	skipping bool
+}
+
+// parseLine reads a line. place has its file and number, the column is set here.
+func (p *fileParser) parseLine(line string, place match.Place) {
+	tokens, err := splitLine(p.current.kind, line)
+	var lexical *lexicalError
+	if errors.As(err, &lexical) {
+		place.Column = lexical.column
+		p.errors.add(place, "", "%s", lexical.reason)
+		return
+	}
+	if len(tokens) == 0 {
+		return
+	}
+	place.Column = tokens[0].column
+	switch {
+	case tokens[0].column > 1:
+		p.parseDirective(tokens, place)
+	case tokens[0].text == includeDirective:
+		p.parseInclude(tokens, place)
+	default:
+		p.parseHeading(tokens, place)
+	}
+}
+
+// parseInclude reads the file that an include line names.
+func (p *fileParser) parseInclude(tokens []token, place match.Place) {
+	if len(tokens) != 2 {
+		p.errors.add(place, includeDirective, "takes the name of a file")
+		return
+	}
+	ancestors := append(slices.Clone(p.ancestors), p.path)
+	p.parseFile(resolvePath(p.path, tokens[1].text), place, includeDirective, ancestors)
+}
+
+// parseHeading reads the heading of a section, which becomes the current one.
+func (p *fileParser) parseHeading(tokens []token, place match.Place) {
+	kind := tokens[0].text
+	declared, known := lookupSection(kind)
+	p.current = sectionKey{}
+	p.skipping = true
+	switch {
+	case !known:
+		names := []string{includeDirective}
+		for _, s := range Sections {
+			names = append(names, s.Name)
+		}
+		p.errors.add(place, "", "no section has the name %q%s; directives are indented", kind, suggestion(kind, names))
+	case declared.Named == "":
+		p.beginUnnamed(kind, tokens, place)
+	case len(tokens) != 2:
+		p.errors.add(place, "", "section %s needs a name: %s %s", kind, kind, declared.Named)
+	default:
+		p.beginNamed(kind, tokens[1], place)
+	}
+}
+
+// beginUnnamed begins a section that has no name of its own and may appear once. It becomes the current section even
+// with an error in its heading.
+func (p *fileParser) beginUnnamed(kind string, tokens []token, place match.Place) {
+	key := unnamed(kind)
+	before := p.document.sections[key]
+	switch {
+	case len(tokens) > 1:
+		place.Column = tokens[1].column
+		p.errors.add(place, "", "section %s takes no arguments", kind)
+	case before != nil:
+		p.errors.add(place, "", "section %s began in %s:%d already", kind, before.place.File, before.place.Line)
+	}
+	p.begin(key, place)
+}
+
+// beginNamed begins a section with a name of its own, which must differ from those of its kind before it.
+func (p *fileParser) beginNamed(kind string, name token, place match.Place) {
+	if _, err := (Arg{Type: Identifier}).parse(name, place.File); err != nil {
+		place.Column = name.column
+		p.errors.add(place, "", "section %s: %v", kind, err)
+		return
+	}
+	key := sectionKey{kind: kind, name: name.text}
+	if before := p.document.sections[key]; before != nil {
+		p.errors.add(place, "", "section %s began in %s:%d already", key, before.place.File, before.place.Line)
+	} else {
+		p.document.names[kind] = append(p.document.names[kind], name.text)
+	}
+	p.begin(key, place)
+}
+
+// begin makes a section the current one.
+func (p *fileParser) begin(key sectionKey, place match.Place) {
+	p.current = key
+	p.skipping = false
+	if s := p.document.sections[key]; s != nil {
+		s.place = place
+		return
+	}
+	p.document.sections[key] = &section{place: place, entries: map[string][]entry{}}
+}
+
+// parseDirective reads a directive of the current section.
+func (p *fileParser) parseDirective(tokens []token, place match.Place) {
+	name := tokens[0].text
+	if p.skipping {
+		return // the heading is reported already
+	}
+	if p.current == (sectionKey{}) {
+		p.errors.add(place, name, "stands in no section")
+		return
+	}
+	directive, ok := Lookup(p.current.kind, name)
+	if !ok {
+		p.reportUnknownDirective(name, place)
+		return
+	}
+	entries := p.document.sections[p.current].entries
+	if before := entries[name]; len(before) > 0 && !directive.Repeated {
+		p.errors.add(place, name, "stands twice, first in %s:%d", before[0].place.File, before[0].place.Line)
+		return
+	}
+	values, ok := p.parseArguments(directive, tokens[1:], place)
+	if ok {
+		entries[name] = append(entries[name], entry{place: place, directive: name, values: values})
+	}
+}
+
+func (p *fileParser) reportUnknownDirective(name string, place match.Place) {
+	var known []string
+	for _, directive := range directivesOf(p.current.kind) {
+		known = append(known, directive.Name)
+	}
+	p.errors.add(place, name, "section %s has no such directive%s", p.current.kind, suggestion(name, known))
+}
+
+// parseArguments reads the arguments of a directive and reports whether they are correct.
+func (p *fileParser) parseArguments(directive Directive, tokens []token, place match.Place) ([]value, bool) {
+	var values []value
+	for i, arg := range directive.Args {
+		if i >= len(tokens) {
+			if !arg.Optional {
+				p.errors.add(place, directive.Name, "%s is missing: %s", arg.Name, arg.describe())
+				return nil, false
+			}
+			break
+		}
+		parsed, err := arg.parse(tokens[i], place.File)
+		if err != nil {
+			place.Column = tokens[i].column
+			p.errors.add(place, directive.Name, "%v", err)
+			return nil, false
+		}
+		values = append(values, parsed)
+	}
+	if len(tokens) > len(directive.Args) {
+		extra := tokens[len(directive.Args)]
+		place.Column = extra.column
+		p.errors.add(place, directive.Name, "%q is too much: it takes %s", extra.text, directive.usage())
+		return nil, false
+	}
+	return values, true
+}
