--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter lets the bench drive calicohill: it hosts one Router for each instance that the wire names and
-// translates between the wire's lines and the Router's events and actions.
+// Command simadapter connects routers to the simulator: it hosts one router for each instance that the simulator names,
+// passes the events of a batch to them, and replies with their actions. It reads standard input and writes standard
+// output until the input ends, and exits with 1 after an error, which it prints.
 package main
 
 import (
@@ -19,92 +20,106 @@
 	}
 }
 
-// turn is what one instance is told in a batch.
-type turn struct {
-	instance int
-	start    *simwire.PowerOn
-	stopped  bool
-	events   []routing.Event
-}
-
-// turns groups the items of a batch by instance, in the order of first appearance. Events that came before
-// a stop or a start in the same batch belong to a life that is over, and are dropped with it.
-func turns(items []simwire.Item) []*turn {
-	var list []*turn
-	byInstance := map[int]*turn{}
-	for _, it := range items {
-		t := byInstance[it.Instance]
-		if t == nil {
-			t = &turn{instance: it.Instance}
-			byInstance[it.Instance] = t
-			list = append(list, t)
-		}
-		switch {
-		case it.Stop:
-			*t = turn{instance: it.Instance, stopped: true}
-		case it.PowerOn != nil:
-			*t = turn{instance: it.Instance, start: it.PowerOn}
-		default:
-			t.events = append(t.events, it.Event)
-		}
-	}
-	return list
-}
-
+// run replies to all batches of an input. The error is about malformed input or a failed write.
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := simwire.NewDecoder(in), simwire.NewEncoder(out)
+	decoder := simwire.NewDecoder(in)
+	encoder := simwire.NewEncoder(out)
 	routers := map[int]*routing.Router{}
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
-		for _, t := range turns(batch.Items) {
-			actions, err := play(routers, t, batch)
-			if err == nil && len(actions) == 0 {
-				continue
-			}
-			enc.Instance(t.instance)
-			if err != nil {
-				enc.InstanceFailed(err.Error())
-				continue
-			}
-			for _, a := range actions {
-				if err := enc.Action(a); err != nil {
-					return err
-				}
+		for _, step := range stepsOf(batch) {
+			actions, err := step.run(routers, batch)
+			if err := reply(encoder, step.instance, actions, err); err != nil {
+				return err
 			}
 		}
-		if err := enc.Flush(batch.Number); err != nil {
+		if err := encoder.Flush(batch.Number); err != nil {
+			return err
+		}
+	}
+}
+
+// reply writes the actions of an instance, or that it has failed; nothing if it has neither.
+func reply(encoder *simwire.Encoder, instance int, actions []routing.Action, failure error) error {
+	if failure != nil {
+		encoder.Instance(instance)
+		encoder.InstanceFailed(failure.Error())
+		return nil
+	}
+	if len(actions) == 0 {
+		return nil
+	}
+	encoder.Instance(instance)
+	for _, action := range actions {
+		if err := encoder.Action(action); err != nil {
 			return err
 		}
 	}
+	return nil
 }
 
-// play hands an instance its events. A panic in the decisions comes back as an error.
-func play(routers map[int]*routing.Router, t *turn, b *simwire.Batch) (actions []routing.Action, err error) {
+// instanceStep is what happens to one instance in a batch.
+type instanceStep struct {
+	instance int
+	start    *simwire.InstanceStart // nil unless the router is created anew
+	stopped  bool
+	events   []routing.Event // after a start
+}
+
+// stepsOf groups the items of a batch by instance, in the order in which the instances first appear. Events before a
+// stop or a start in the same batch are dropped: they are for a router that no longer exists.
+func stepsOf(batch *simwire.Batch) []*instanceStep {
+	var steps []*instanceStep
+	byInstance := map[int]*instanceStep{}
+	for _, item := range batch.Items {
+		step := byInstance[item.Instance]
+		if step == nil {
+			step = &instanceStep{instance: item.Instance}
+			byInstance[item.Instance] = step
+			steps = append(steps, step)
+		}
+		switch {
+		case item.Stop:
+			*step = instanceStep{instance: item.Instance, stopped: true}
+		case item.Start != nil:
+			*step = instanceStep{instance: item.Instance, start: item.Start}
+		default:
+			step.events = append(step.events, item.Event)
+		}
+	}
+	return steps
+}
+
+// run creates or removes the instance's router, and passes it the events. A panic of the router is returned as an error,
+// so that it ends no other instance.
+func (s *instanceStep) run(routers map[int]*routing.Router, batch *simwire.Batch) (actions []routing.Action, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("panic: %v", p)
+		if reason := recover(); reason != nil {
+			err = fmt.Errorf("panic: %v", reason)
 		}
 	}()
-	if t.stopped || t.start != nil {
-		delete(routers, t.instance)
+	if s.stopped || s.start != nil {
+		delete(routers, s.instance)
 	}
-	if t.start != nil {
-		if routers[t.instance], err = routing.New(t.start.Settings, t.start.Seed); err != nil {
-			delete(routers, t.instance)
+	if s.start != nil {
+		router, err := routing.New(s.start.Settings, s.start.Seed)
+		if err != nil {
 			return nil, err
 		}
+		routers[s.instance] = router
 	}
-	r := routers[t.instance]
-	if r == nil {
-		if len(t.events) > 0 {
-			return nil, fmt.Errorf("events for instance %d, which is not running", t.instance)
-		}
+	router := routers[s.instance]
+	if router == nil && len(s.events) > 0 {
+		return nil, fmt.Errorf("events for instance %d, which is not running", s.instance)
+	}
+	if router == nil {
 		return nil, nil
 	}
-	return r.Step(b.Now, t.events), nil
+	return router.Step(batch.Now, s.events), nil
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestMalformedInput(t *testing.T) {
-	for _, c := range []struct{ name, in, want string }{
+	for _, tt := range []struct{ name, in, want string }{
 		{"not a round", "hello\n", `line 1: message "hello"`},
 		{"no instance", "round\t1\t1\nexpired\tt/a\n", `line 2: message "expired"`},
 		{"unknown message", "round\t1\t1\ntarget_instance\t0\nnews\n", `line 3: message "news": unknown`},
@@ -38,10 +38,10 @@
 		{"cut short", "round\t1\t1\ntarget_instance\t0\n", "input ended inside a batch"},
 		{"half a line", "round\t1", "line without an end"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			err := run(strings.NewReader(c.in), &bytes.Buffer{})
-			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want an error with %q", err, c.want)
+		t.Run(tt.name, func(t *testing.T) {
+			err := run(strings.NewReader(tt.in), &bytes.Buffer{})
+			if err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("got %v, want an error with %q", err, tt.want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/simwire/decoder.go
@@ -0,0 +1,141 @@
+package simwire
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"strconv"
+	"strings"
+)
+
+// bufferSize is the size of the decoder's and the encoder's buffer, in bytes.
+const bufferSize = 1 << 16
+
+// The messages that frame a batch.
+const (
+	messageRound          = "round"
+	messageTargetInstance = "target_instance"
+	messageFlush          = "flush"
+)
+
+var (
+	errNoFlush        = errors.New("input ended inside a batch; expected flush")
+	errNoInstance     = errors.New("event before any target_instance")
+	errNoLineEnd      = errors.New("line without an end")
+	errUnknownMessage = errors.New("unknown message")
+)
+
+// Decoder reads batches.
+type Decoder struct {
+	reader *bufio.Reader
+	line   int // number of the line that was read last
+}
+
+// NewDecoder returns a Decoder that reads from r.
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: bufio.NewReaderSize(r, bufferSize)} }
+
+// Next returns the next batch. It returns io.EOF when the input ends between batches, and a SyntaxError for a line that
+// is malformed.
+func (d *Decoder) Next() (*Batch, error) {
+	batch, err := d.readRound()
+	if err != nil {
+		return nil, err
+	}
+	instance := 0
+	hasInstance := false
+	for {
+		text, err := d.readLine()
+		if errors.Is(err, io.EOF) {
+			return nil, d.syntaxError(messageRound, errNoFlush)
+		}
+		if err != nil {
+			return nil, err
+		}
+		line := splitLine(text)
+		switch {
+		case line.name == messageFlush:
+			if err := line.end(); err != nil {
+				return nil, d.syntaxError(line.name, err)
+			}
+			return batch, nil
+		case line.name == messageTargetInstance:
+			instance = line.integer()
+			hasInstance = true
+			if err := line.end(); err != nil {
+				return nil, d.syntaxError(line.name, err)
+			}
+		case !hasInstance:
+			return nil, d.syntaxError(line.name, errNoInstance)
+		default:
+			item, err := d.readItem(line)
+			if err != nil {
+				return nil, d.syntaxError(line.name, err)
+			}
+			item.Instance = instance
+			batch.Items = append(batch.Items, item)
+		}
+	}
+}
+
+// readRound reads the first line of a batch.
+func (d *Decoder) readRound() (*Batch, error) {
+	line, err := d.readLine()
+	if err != nil {
+		return nil, err
+	}
+	f := splitLine(line)
+	if f.name != messageRound {
+		f.fail("expected round")
+	}
+	batch := &Batch{}
+	batch.Now = f.millis()
+	batch.Number = f.text()
+	if _, err := strconv.ParseUint(batch.Number, 10, 64); err != nil {
+		f.fail("batch number: " + err.Error())
+	}
+	if err := f.end(); err != nil {
+		return nil, d.syntaxError(f.name, err)
+	}
+	return batch, nil
+}
+
+// readItem returns the item that begins with a line. Only an endpoint list has further lines.
+func (d *Decoder) readItem(line *fields) (Item, error) {
+	switch line.name {
+	case "power_on":
+		return parseInstanceStart(line)
+	case "shutdown":
+		return Item{Stop: true}, line.end()
+	case "view":
+		return d.readWorkerList(line)
+	}
+	parse, ok := eventParsers[line.name]
+	if !ok {
+		return Item{}, errUnknownMessage
+	}
+	event := parse(line)
+	return Item{Event: event}, line.end()
+}
+
+// readLine returns the next line without its end, and io.EOF at the end of the input.
+func (d *Decoder) readLine() (string, error) {
+	line, err := d.reader.ReadString('\n')
+	if errors.Is(err, io.EOF) && line != "" {
+		d.line++
+		return "", d.syntaxError(splitLine(line).name, errNoLineEnd)
+	}
+	if err != nil {
+		return "", err
+	}
+	d.line++
+	return strings.TrimSuffix(line, "\n"), nil
+}
+
+// syntaxError returns an error about the line that was read last, or err itself if it names a line.
+func (d *Decoder) syntaxError(message string, err error) error {
+	var syntax *SyntaxError
+	if errors.As(err, &syntax) {
+		return err
+	}
+	return &SyntaxError{Line: d.line, Message: message, Err: err}
+}
--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,175 @@
+package simwire
+
+import (
+	"encoding/hex"
+	"fmt"
+
+	"calicohill/internal/config/deployment"
+	"calicohill/routing"
+)
+
+// unknownCount is the value of a count that the simulator did not tell.
+const unknownCount = -1
+
+// eventParsers has the parser of each message that is an event on one line.
+var eventParsers = map[string]func(*fields) routing.Event{
+	"call":       parseRequest,
+	"first":      parseStreamStarted,
+	"outcome":    parseAttemptEnded,
+	"expired":    parseClientCanceled,
+	"reminder":   parseTimerFired,
+	"sampled":    parseProbeEnded,
+	"brought_up": parseLoadEnded,
+	"datagram":   parsePeerMessage,
+}
+
+// parseInstanceStart reads a seed, and the settings in JSON, which take the rest of the line.
+func parseInstanceStart(f *fields) (Item, error) {
+	seed := f.unsigned()
+	text := f.rest()
+	if f.err != nil {
+		return Item{}, f.err
+	}
+	settings, err := deployment.Parse([]byte(text))
+	return Item{Start: &InstanceStart{Seed: seed, Settings: settings.Settings}}, err
+}
+
+// retryFlag is set in the flags of a request that its client has marked as a retry.
+const retryFlag = 2
+
+func parseRequest(f *fields) routing.Event {
+	var request routing.Request
+	request.ID = f.text()
+	request.Class = f.integer()
+	request.Tenant = f.optionalInteger()
+	request.Function = f.text()
+	request.TimeLeft = f.millis()
+	request.ExpectedWork = f.optionalMillis()
+	request.MemoryMB = f.optionalNumber(0)
+	request.Concurrency = f.optionalInteger()
+	request.LoadTime = f.optionalMillis()
+	request.MarkedRetry = f.optionalInteger()&retryFlag != 0
+	return request
+}
+
+func parseStreamStarted(f *fields) routing.Event {
+	var event routing.StreamStarted
+	event.ID = f.text()
+	event.Attempt = f.integer()
+	event.Worker = f.text()
+	event.Latency = f.millis()
+	return event
+}
+
+// startInfoRadix separates the two values in what an answer tells about its function: the remainder is the start type,
+// the quotient the number of other requests for the function at the worker.
+const startInfoRadix = 8
+
+func parseAttemptEnded(f *fields) routing.Event {
+	event := routing.AttemptEnded{InFlightForFunction: unknownCount}
+	event.ID = f.text()
+	event.RequestAnswered = f.boolean()
+	startInfo := f.optionalInteger()
+	event.Latency = f.optionalMillis()
+	event.Worker = f.text()
+	event.Attempt = f.integer()
+	event.Outcome = f.outcome()
+	event.Report = f.loadReport()
+	if startInfo < 0 {
+		f.fail("info: negative")
+	}
+	if startType := routing.StartType(startInfo % startInfoRadix); startType <= routing.LoadFailed {
+		event.StartType = startType
+	}
+	if event.Outcome == routing.Served || event.Outcome == routing.Shed {
+		event.InFlightForFunction = startInfo / startInfoRadix
+	}
+	return event
+}
+
+func parseClientCanceled(f *fields) routing.Event { return routing.ClientCanceled{ID: f.text()} }
+
+func parseTimerFired(f *fields) routing.Event { return routing.TimerFired{Token: f.unsigned()} }
+
+func parseProbeEnded(f *fields) routing.Event {
+	var event routing.ProbeEnded
+	event.Outcome = f.outcome()
+	event.Worker = f.text()
+	event.Latency = f.optionalMillis()
+	event.Report = f.loadReport()
+	return event
+}
+
+func parseLoadEnded(f *fields) routing.Event {
+	var event routing.LoadEnded
+	event.Worker = f.text()
+	event.Latency = f.optionalMillis()
+	event.Instances = f.optionalInteger()
+	event.Function = f.text()
+	event.Outcome = f.outcome()
+	return event
+}
+
+func parsePeerMessage(f *fields) routing.Event {
+	event := routing.PeerMessage{From: f.integer()}
+	text := f.text()
+	if text == absent {
+		return event
+	}
+	data, err := hex.DecodeString(text)
+	if err != nil {
+		f.fail("bytes: " + err.Error())
+	}
+	event.Data = data
+	return event
+}
+
+// readWorkerList reads the head of an endpoint list, and the entries on the lines after it.
+func (d *Decoder) readWorkerList(head *fields) (Item, error) {
+	kind := head.integer()
+	head.integer() // the list's version
+	count := head.integer()
+	if kind < 0 || kind > int(routing.ListFailed) {
+		head.fail(fmt.Sprintf("form %d: expected 0 to 3", kind))
+	}
+	if count < 0 {
+		head.fail("records: negative")
+	}
+	if err := head.end(); err != nil {
+		return Item{}, err
+	}
+	list := routing.WorkerList{Kind: routing.ListKind(kind)}
+	for range count {
+		line, err := d.readLine()
+		if err != nil {
+			return Item{}, fmt.Errorf("list cut short: %w", err)
+		}
+		entry := splitLine(line)
+		worker := parseWorker(entry)
+		if err := entry.end(); err != nil {
+			return Item{}, d.syntaxError(entry.name, err)
+		}
+		list.Workers = append(list.Workers, worker)
+	}
+	return Item{Event: list}, nil
+}
+
+// parseWorker reads an entry of an endpoint list.
+func parseWorker(entry *fields) routing.Worker {
+	if entry.name != "m" {
+		entry.fail("expected a list entry m")
+	}
+	var worker routing.Worker
+	worker.Weight = entry.optionalNumber(1)
+	state := entry.integer()
+	worker.ID = entry.text()
+	worker.Kind = entry.optionalInteger()
+	worker.Zone = entry.optionalInteger()
+	worker.Cell = entry.optionalInteger()
+	worker.State = routing.WorkerState(state)
+	worker.Started = entry.optionalMillis()
+	if state < 0 || state > int(routing.Draining) {
+		entry.fail(fmt.Sprintf("readiness %d: expected 0 to 2", state))
+	}
+	return worker
+}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -12,16 +12,16 @@
 	"calicohill/routing"
 )
 
-const ms = time.Millisecond
+const millisecond = time.Millisecond
 
 func TestDecode(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		line string
 		want routing.Event
 	}{
 		{"call\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3", routing.Request{
 			ID: "t/a", Function: "m-f",
-			TimeLeft: 240*ms + 500*time.Microsecond, MemoryMB: 384, Concurrency: 2, LoadTime: 900 * ms, MarkedRetry: true,
+			TimeLeft: 240*millisecond + 500*time.Microsecond, MemoryMB: 384, Concurrency: 2, LoadTime: 900 * millisecond, MarkedRetry: true,
 		}},
 		{"first\tt/a\t1\tworker-x\t9.25", routing.StreamStarted{
 			ID: "t/a", Attempt: 1, Worker: "worker-x",
@@ -37,59 +37,59 @@
 		},
 		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", routing.AttemptEnded{
 			ID: "t/a", Attempt: 2,
-			StartType: routing.LoadFailed, InFlightForFunction: -1, Latency: 18 * ms, Worker: "worker-x",
+			StartType: routing.LoadFailed, InFlightForFunction: -1, Latency: 18 * millisecond, Worker: "worker-x",
 			Outcome: routing.NotLoaded,
 		}},
 		{"expired\tt/a", routing.ClientCanceled{ID: "t/a"}},
 		{"reminder\t9223372036854775808", routing.TimerFired{Token: 1 << 63}},
 		{"sampled\tdelivered\tworker-x\t1.5\t-", routing.ProbeEnded{Worker: "worker-x", Latency: 1500 * time.Microsecond}},
 		{"brought_up\tworker-x\t640\t1\tm-f\tshed", routing.LoadEnded{
-			Worker: "worker-x", Latency: 640 * ms,
+			Worker: "worker-x", Latency: 640 * millisecond,
 			Instances: 1, Function: "m-f", Outcome: routing.Shed,
 		}},
 		{"datagram\t2\t6869", routing.PeerMessage{From: 2, Data: []byte("hi")}},
 		{
 			"view\t0\t3\t2\nm\t1.5\t1\tworker-x\t1\t2\t3\t6100\nm\t1\t0\tworker-y\t0\t0\t0\t-",
 			routing.WorkerList{Workers: []routing.Worker{
-				{ID: "worker-x", State: routing.Ready, Weight: 1.5, Kind: 1, Zone: 2, Cell: 3, Started: 6100 * ms},
+				{ID: "worker-x", State: routing.Ready, Weight: 1.5, Kind: 1, Zone: 2, Cell: 3, Started: 6100 * millisecond},
 				{ID: "worker-y", State: routing.Gone, Weight: 1},
 			}},
 		},
 	} {
-		d := NewDecoder(strings.NewReader("round\t5\t1\ntarget_instance\t3\n" + c.line + "\nflush\n"))
-		b, err := d.Next()
+		decoder := NewDecoder(strings.NewReader("round\t5\t1\ntarget_instance\t3\n" + tt.line + "\nflush\n"))
+		batch, err := decoder.Next()
 		if err != nil {
-			t.Errorf("%q: %v", c.line, err)
+			t.Errorf("%q: %v", tt.line, err)
 			continue
 		}
-		if len(b.Items) != 1 || b.Items[0].Instance != 3 || !reflect.DeepEqual(b.Items[0].Event, c.want) {
-			t.Errorf("%q: got %+v, want %+v", c.line, b.Items, c.want)
+		if len(batch.Items) != 1 || batch.Items[0].Instance != 3 || !reflect.DeepEqual(batch.Items[0].Event, tt.want) {
+			t.Errorf("%q: got %+v, want %+v", tt.line, batch.Items, tt.want)
 		}
 	}
 }
 
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
-	e := NewEncoder(&out)
-	e.Instance(3)
-	for _, a := range []routing.Action{
-		routing.Send{ID: "t/a", Worker: "w", Timeout: 80*ms + 500*time.Microsecond},
+	encoder := NewEncoder(&out)
+	encoder.Instance(3)
+	for _, action := range []routing.Action{
+		routing.Send{ID: "t/a", Worker: "w", Timeout: 80*millisecond + 500*time.Microsecond},
 		routing.Cancel{ID: "t/a", Attempt: 1},
-		routing.Reject{ID: "t/a", RetryAfter: 250 * ms},
+		routing.Reject{ID: "t/a", RetryAfter: 250 * millisecond},
 		routing.Fail{ID: "t/a"},
-		routing.SetTimer{After: 500 * ms, Token: 77},
+		routing.SetTimer{After: 500 * millisecond, Token: 77},
 		routing.Probe{Worker: "w"},
 		routing.Load{Worker: "w", Function: "f", Instances: 2},
 		routing.Unload{Worker: "w", Function: "f"},
 		routing.Subscribe{On: true},
 		routing.FetchList{},
 	} {
-		if err := e.Action(a); err != nil {
+		if err := encoder.Action(action); err != nil {
 			t.Fatal(err)
 		}
 	}
-	e.InstanceFailed("a\tb\nc")
-	if err := e.Flush("12"); err != nil {
+	encoder.InstanceFailed("a\tb\nc")
+	if err := encoder.Flush("12"); err != nil {
 		t.Fatal(err)
 	}
 	want := "instance\t3\ntry\tt/a\t80.5\tw\nrecall\tt/a\t1\nsay_no\tt/a\t250\nsurrender\tt/a\narm\t500\t77\n" +
@@ -105,26 +105,26 @@
 	f.Add("round\t5\t1\ntarget_instance\t3\noutcome\tt/a\t1\t-\t18.5\tw\t0\tdelivered\tx0:1,y:-\nflush\n")
 	f.Add("round\t5\t1\ntarget_instance\t3\npower_on\t5\t{\"classes\":[{\"effect\":\"read_like\"}]}\nflush\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		d := NewDecoder(strings.NewReader(text))
+		decoder := NewDecoder(strings.NewReader(text))
 		for {
-			b, err := d.Next()
-			if errors.Is(err, io.EOF) && b == nil {
-				var s *SyntaxError
-				if errors.As(err, &s) && s.Line == 0 {
+			batch, err := decoder.Next()
+			if errors.Is(err, io.EOF) && batch == nil {
+				var syntax *SyntaxError
+				if errors.As(err, &syntax) && syntax.Line == 0 {
 					t.Fatalf("error without a line: %v", err)
 				}
 				return
 			}
 			if err != nil {
-				var s *SyntaxError
-				if !errors.As(err, &s) || s.Line == 0 {
+				var syntax *SyntaxError
+				if !errors.As(err, &syntax) || syntax.Line == 0 {
 					t.Fatalf("error without a line: %v", err)
 				}
 				return
 			}
-			for _, it := range b.Items {
-				if (it.PowerOn != nil) == (it.Event != nil) && !it.Stop {
-					t.Fatalf("item %+v is not exactly one thing", it)
+			for _, item := range batch.Items {
+				if (item.Start != nil) == (item.Event != nil) && !item.Stop {
+					t.Fatalf("item %+v is not exactly one of start, stop and event", item)
 				}
 			}
 		}
