--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -46,7 +46,7 @@
 					fmt.Fprintln(out, err)
 					bad++
 				} else {
-					classes = siteClasses(&cfg.Deployment)
+					classes = ruleClasses(&cfg.Deployment)
 				}
 			}
 			for _, file := range args {
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -21,7 +21,7 @@
 			"  calicohill key issue n1 --authority fleet.key --out n1.key\n" +
 			"  calicohill key show n1.key\n" +
 			"  calicohill key revoke n1.key --authority fleet.key --list fleet.revoked",
-		Args: none,
+		Args: noArguments,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return usageError{errors.New("key takes one of authority, issue, show, revoke; see calicohill key --help")}
 		},
--- a/cmd/calicohill/main.go
+++ b/cmd/calicohill/main.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// none refuses arguments.
-func none(cmd *cobra.Command, args []string) error {
+// noArguments rejects arguments.
+func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s: unknown command or argument %q; see %s --help", cmd.CommandPath(), args[0], cmd.CommandPath())}
 	}
@@ -76,7 +76,7 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print what this program was built from", Args: none,
+		Use: "version", Short: "Print what this program was built from", Args: noArguments,
 		Run: func(cmd *cobra.Command, _ []string) {
 			version, goVersion, revision := "unknown", "unknown", ""
 			if b, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -55,7 +55,7 @@
 				if err != nil {
 					return err
 				}
-				classes = siteClasses(&cfg.Deployment)
+				classes = ruleClasses(&cfg.Deployment)
 			}
 			set, err := operatorfile.Read(args[0])
 			if err != nil {
--- /dev/null
+++ b/cmd/calicohill/scheduler.go
@@ -0,0 +1,206 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"sync/atomic"
+	"time"
+
+	"calicohill/internal/config"
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/discovery"
+	"calicohill/internal/discovery/pollplan"
+	"calicohill/internal/dispatch"
+	"calicohill/internal/fleet/transport"
+	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/nodeagent"
+	"calicohill/internal/rules/match"
+	"calicohill/internal/rules/pools"
+	"calicohill/internal/runtime/bufferpool"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/internal/runtime/logging"
+	"calicohill/internal/snapshot/snapshotfile"
+	"calicohill/routing"
+
+	"github.com/sirupsen/logrus"
+)
+
+const (
+	// stallThresholdFraction is the fraction of the drain grace that a stall may last without the endpoint list counting
+	// as stale: the wait until the next poll and an unnoticed stall have to end within the grace together.
+	stallThresholdFraction = 0.3
+	// minStallThreshold is the shortest pause that counts as a stall, however short the drain grace is.
+	minStallThreshold = 20 * time.Millisecond
+)
+
+// scheduler is a running scheduler: its configuration and the parts that it is assembled from. All but the loggers,
+// statusFile and peers is used on the event loop only, once that runs.
+type scheduler struct {
+	sources  configSources
+	platform *config.Config         // as read at the start
+	operator *operatorfile.Settings // as read at the start
+	loggers  *logging.Loggers
+	log      *logrus.Entry
+
+	loop       *eventloop.Loop
+	dispatcher *dispatch.Dispatcher
+	server     *fastcgi.Server
+	watcher    *discovery.Watcher
+	peers      *transport.Node // nil without gossip
+
+	restoredState *routing.LearnedState  // from the snapshot; nil if there is none
+	statusFile    atomic.Pointer[string] // path that rule counts are written to; "" for none; changed by reloads
+	draining      bool
+}
+
+// newScheduler reads the configuration and assembles a scheduler from it. Nothing is served before its loop runs.
+func newScheduler(sources configSources) (*scheduler, error) {
+	platform, operator, err := sources.read()
+	if err != nil {
+		return nil, err
+	}
+	loggers, err := logging.New(os.Stderr, operator.Log)
+	if err != nil {
+		return nil, err
+	}
+	sched := &scheduler{
+		sources:  sources,
+		platform: platform,
+		operator: operator,
+		loggers:  loggers,
+		log:      loggers.Part("scheduler"),
+	}
+	sched.statusFile.Store(&operator.Log.Status)
+	rules, routes, warnings, err := operator.Compile(ruleClasses(&platform.Deployment))
+	if err != nil {
+		return nil, err
+	}
+	for _, warning := range warnings {
+		loggers.Part("rules").WithError(warning).Warn("rule of no use")
+	}
+	// Faults are reported to peers and to routes. Routes may be added by a reload, so that an operator's file is enough.
+	platform.Deployment.FaultReporting = sources.operatorFile != ""
+	router, err := routing.New(platform.Deployment.Settings, platform.Seed)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	sched.assemble(router, rules, routes)
+	if err := sched.openPeers(); err != nil {
+		return nil, err
+	}
+	if err := sched.openWatcher(); err != nil {
+		return nil, err
+	}
+	return sched, nil
+}
+
+// assemble sets the limits of the process, and connects the event loop, the dispatcher, the node agents and the server.
+func (s *scheduler) assemble(router *routing.Router, rules *match.Table, routes *pools.Core) {
+	limits := resourceLimitsOf(s.platform)
+	runtime.GOMAXPROCS(1) // the machine has one core
+	debug.SetMemoryLimit(limits.processMemory)
+
+	deployment := &s.platform.Deployment
+	s.loop = eventloop.New()
+	s.loop.Logger = s.log
+	s.loop.StallThreshold = stallThreshold(deployment.DrainGrace)
+
+	buffers := bufferpool.NewPool(limits.requestBuffers)
+	s.dispatcher = dispatch.New(s.loop, router, buffers, deployment.MaxOpenRequests)
+	agents := nodeagent.New(s.loop, s.dispatcher, nodeagent.Options{
+		Classes:        deployment.ClassNames,
+		PipelineDepth:  deployment.PipelineDepth,
+		Schedulers:     deployment.Schedulers,
+		IdleCloseAfter: deployment.IdleCloseAfter,
+		ConnectTimeout: deployment.ConnectTimeout,
+		MaxConns:       limits.workerConns,
+		MaxDescriptors: limits.workerDescriptors,
+		MaxAnswerBytes: limits.answerBytes,
+	}, s.loggers.Part("agent"))
+	s.dispatcher.SetWorkers(agents)
+	s.server = fastcgi.New(s.loop, s.dispatcher, buffers, deployment, limits.clientConns, limits.unsentBytes,
+		s.loggers.Part("clients"), s.loggers.Part("rules"))
+	s.useRules(rules, routes)
+}
+
+// useRules has the rules of an operator's file decide on requests from now on.
+func (s *scheduler) useRules(rules *match.Table, routes *pools.Core) {
+	s.server.Use(fastcgi.NewRules(rules))
+	if routes.Len() == 0 {
+		routes = nil
+	}
+	s.dispatcher.SetRoutes(routes)
+}
+
+// stallThreshold returns how long the loop may do nothing, though something is due, until that counts as a stall.
+func stallThreshold(drainGrace time.Duration) time.Duration {
+	fraction := time.Duration(stallThresholdFraction * float64(drainGrace))
+	return min(eventloop.MaxStallThreshold, max(minStallThreshold, fraction))
+}
+
+// openPeers opens the gossip with other schedulers, if the operator's file has it.
+func (s *scheduler) openPeers() error {
+	if s.operator.Gossip == nil {
+		return nil
+	}
+	applyReports := func(reports routing.PeerReports) {
+		s.loop.Post(func() { s.dispatcher.ApplyPeerReports(reports) })
+	}
+	peers, err := transport.Open(*s.operator.Gossip, applyReports, s.loggers.Part("gossip"))
+	if err != nil {
+		return err
+	}
+	s.peers = peers
+	s.dispatcher.SetFaultObserver(peers.FaultObserved)
+	return nil
+}
+
+// openWatcher creates the watcher of the endpoint list.
+func (s *scheduler) openWatcher() error {
+	deployment := &s.platform.Deployment
+	polling := pollplan.New(deployment.Schedulers, deployment.DrainGrace, s.platform.Seed)
+	watcher, err := discovery.New(s.loop, s.platform.DiscoveryAddress, s.platform.KnownEndpoints, deployment.Zones,
+		deployment.WorkerKinds, polling, s.updateEndpoints, s.loggers.Part("bulletin"))
+	if err != nil {
+		return fmt.Errorf("configuration %s: %w", s.sources.platformFile, err)
+	}
+	s.watcher = watcher
+	return nil
+}
+
+// updateEndpoints passes a change of the endpoint list to the dispatcher, and the workers in the list to the peers.
+func (s *scheduler) updateEndpoints(list dispatch.EndpointList) {
+	s.dispatcher.UpdateEndpoints(list)
+	if s.peers != nil {
+		s.peers.EndpointsChanged(s.dispatcher.WorkerIDs())
+	}
+}
+
+// restoreSnapshot restores the endpoint list and the learned state of an earlier run if the operator's file names a
+// snapshot, and has both saved from now on. A snapshot that can't be used is set aside, and the start goes on without.
+func (s *scheduler) restoreSnapshot() {
+	state := s.operator.State
+	if state == nil {
+		return
+	}
+	log := s.loggers.Part("bulletin")
+	record, err := snapshotfile.Read(state.Snapshot, state.Fleet, s.loop.Now(), state.MaxAge)
+	newer := false // than the list in the platform's file
+	if err == nil && record.EventNumber > 0 {
+		newer, err = s.watcher.Restore(record.Endpoints)
+	}
+	switch {
+	case err != nil:
+		log.WithError(err).Warn("snapshot set aside")
+	case record.EventNumber > 0:
+		s.restoredState = &record.State
+		log.WithFields(logrus.Fields{
+			"event": record.EventNumber, "newer": newer, "functions": len(record.State.Functions),
+			"age": (s.loop.Now() - record.CreatedAt).Round(time.Second),
+		}).Info("snapshot taken up")
+	}
+	file := snapshotfile.New(s.loop, state.Snapshot, state.Fleet, s.watcher.Snapshot, s.dispatcher.LearnedState, log)
+	s.watcher.OnChange = file.Changed
+}
--- /dev/null
+++ b/cmd/calicohill/shutdown.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"os"
+	"time"
+
+	"calicohill/internal/dispatch"
+	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
+	"calicohill/routing"
+)
+
+const (
+	// drainDelay is how long after SIGTERM new requests still arrive, until the platform has redirected all clients.
+	drainDelay = 700 * time.Millisecond
+	// partialRequestTimeout is how much longer the scheduler waits for the rest of a request that has begun to arrive.
+	partialRequestTimeout = time.Second
+	// minKillDelay is how long after drainDelay the platform kills the process at the soonest, or the longest deadline
+	// of a class if that is shorter.
+	minKillDelay = 3 * time.Second
+	// killMargin is how long before that open requests get their final answer: after the kill nobody could answer them.
+	killMargin = 200 * time.Millisecond
+	// idleCheckInterval is the time between two checks whether everything is answered. A scheduler is only idle when
+	// nothing was received from clients for as long: what arrived on their connections during a stall is read later, one
+	// connection after the other.
+	idleCheckInterval = 50 * time.Millisecond
+	// maxPartialChecks is partialRequestTimeout in checks. Checks are counted rather than time, since after a stall all
+	// that arrived meanwhile has still to be read.
+	maxPartialChecks = int(partialRequestTimeout / idleCheckInterval)
+	// flushTimeout is how long after the last answer was written clients may take to read it.
+	flushTimeout = 3 * time.Second
+)
+
+// drain begins the graceful shutdown. Further signals change nothing.
+func (s *scheduler) drain(received os.Signal) {
+	if s.draining {
+		return
+	}
+	s.draining = true
+	s.log.WithField("signal", received.String()).Info("draining")
+	drainer := &drainer{
+		loop: s.loop, dispatcher: s.dispatcher, server: s.server,
+		closeAfter: closeAfter(s.platform.Deployment.Classes),
+	}
+	drainer.start()
+}
+
+// closeAfter returns how long after drainDelay requests that are still open get a final answer.
+func closeAfter(classes []routing.Class) time.Duration {
+	longestDeadline := time.Duration(0)
+	for _, class := range classes {
+		longestDeadline = max(longestDeadline, class.Deadline)
+	}
+	return max(min(longestDeadline, minKillDelay)-killMargin, 0)
+}
+
+// drainer ends a scheduler gracefully: it stops the loop once requests have ceased to arrive, all are answered, and the
+// answers are sent. Requests that are open for too long are answered without having been served. It runs on the loop.
+type drainer struct {
+	loop       *eventloop.Loop
+	dispatcher *dispatch.Dispatcher
+	server     *fastcgi.Server
+	closeAfter time.Duration
+
+	timer    deadline.Timer
+	started  time.Duration
+	lastBusy time.Duration // when a check last found a request that was open or arriving
+	checks   int
+}
+
+// start has the first check made when the platform has redirected all clients.
+func (d *drainer) start() {
+	d.started = d.loop.Now()
+	d.lastBusy = d.started
+	d.timer.Fire = d.check
+	d.loop.SetDeadline(&d.timer, d.started+drainDelay)
+}
+
+// check stops the loop if nothing is left to do, and otherwise has itself called again.
+func (d *drainer) check() {
+	now := d.loop.Now()
+	d.checks++
+	open := d.dispatcher.OpenRequests() > 0
+	if open || d.requestsArriving(now) && d.checks < maxPartialChecks {
+		d.lastBusy = now
+	}
+	if open && now-d.started >= drainDelay+d.closeAfter {
+		d.dispatcher.Shutdown()
+	}
+	flushing := d.server.Unsent() > 0 && now-d.lastBusy < flushTimeout
+	if d.lastBusy == now || flushing {
+		d.loop.SetDeadline(&d.timer, now+idleCheckInterval)
+		return
+	}
+	go d.stop()
+}
+
+// requestsArriving reports whether a request is partly read, or clients have sent something since the last check.
+func (d *drainer) requestsArriving(now time.Duration) bool {
+	return d.server.Streams() > 0 || now-d.server.Heard() < idleCheckInterval
+}
+
+// stop ends the loop. It must not be called on it, since it waits for its end.
+func (d *drainer) stop() {
+	_ = d.loop.Stop() // fails only if the loop is ending already
+}
--- /dev/null
+++ b/cmd/calicohill/sources.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"calicohill/internal/config"
+	"calicohill/internal/config/deployment"
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/discovery"
+	"calicohill/internal/rules/match"
+	"calicohill/routing"
+
+	"github.com/spf13/cobra"
+)
+
+// configSources is where a scheduler's configuration comes from. A flag takes precedence over its environment variable,
+// and both over the platform's file.
+type configSources struct {
+	platformFile string
+	name         string // of the scheduler; "" if the platform's file has it
+	listen       string // host:port for clients; "" if the platform's file has it
+	operatorFile string // "" if there is none
+}
+
+// addFlags defines the flags of the sources; their defaults are the environment variables.
+func (s *configSources) addFlags(cmd *cobra.Command) {
+	flags := cmd.Flags()
+	flags.StringVar(&s.platformFile, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` of the platform (ROUTER_CONFIG)")
+	flags.StringVar(&s.name, "name", os.Getenv("ROUTER_NAME"), "`NAME` of this scheduler (ROUTER_NAME)")
+	flags.StringVar(&s.listen, "listen", os.Getenv("ROUTER_LISTEN"), "`ADDRESS` for clients (ROUTER_LISTEN)")
+	flags.StringVar(&s.operatorFile, "operator", os.Getenv("CALICOHILL_OPERATOR"), "operator's `FILE` (CALICOHILL_OPERATOR)")
+}
+
+// read reads and checks the platform's file and the operator's file. Without an operator's file its settings have their
+// defaults. A start and a reload reject the same files: a reload must not accept what the next start fails with, although
+// it takes only a part of the platform's file into use.
+func (s *configSources) read() (*config.Config, *operatorfile.Settings, error) {
+	if s.platformFile == "" {
+		return nil, nil, errors.New("no configuration: set ROUTER_CONFIG or --config")
+	}
+	platform, err := config.Read(s.platformFile, s.name, s.listen)
+	if err != nil {
+		return nil, nil, err
+	}
+	if _, err := routing.New(platform.Deployment.Settings, platform.Seed); err != nil {
+		return nil, nil, fmt.Errorf("configuration %s: settings: %w", s.platformFile, err)
+	}
+	zones, workerKinds := platform.Deployment.Zones, platform.Deployment.WorkerKinds
+	if err := discovery.ValidateKnown(platform.KnownEndpoints, zones, workerKinds); err != nil {
+		return nil, nil, fmt.Errorf("configuration %s: %w", s.platformFile, err)
+	}
+	if s.operatorFile == "" {
+		return platform, operatorfile.None(), nil
+	}
+	operator, err := operatorfile.Read(s.operatorFile)
+	return platform, operator, err
+}
+
+// ruleClasses returns the request classes in the form that rules are compiled with.
+func ruleClasses(settings *deployment.Settings) []match.Class {
+	classes := make([]match.Class, len(settings.Classes))
+	for i, class := range settings.Classes {
+		classes[i] = match.Class{Name: settings.ClassNames[i], Effect: class.Idempotency}
+	}
+	return classes
+}
--- /dev/null
+++ b/cmd/calicohill/status.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"encoding/json"
+	"time"
+
+	"calicohill/internal/rules/match"
+
+	"github.com/sirupsen/logrus"
+)
+
+// ruleStatus is the content of the status file.
+type ruleStatus struct {
+	At    time.Time     `json:"at"` // UTC
+	Rules []match.Count `json:"rules"`
+}
+
+// reportStatus logs the counts of each rule, and writes them to the status file if the operator's file names one. The
+// counts are taken on the loop, and written on another goroutine since the loop must not wait for a disk.
+func (s *scheduler) reportStatus() {
+	s.loop.Post(func() {
+		counts := s.server.Rules().Counts()
+		go reportRules(s.loggers.Part("rules"), counts, *s.statusFile.Load())
+	})
+}
+
+// reportRules logs counts and writes them to a file, if its path is not empty.
+func reportRules(log *logrus.Entry, counts []match.Count, path string) {
+	if path != "" {
+		status := ruleStatus{At: time.Now().UTC(), Rules: counts}
+		if err := writeStatus(path, status); err != nil {
+			log.WithError(err).Error("status not written")
+		}
+	}
+	for _, count := range counts {
+		log.WithFields(logrus.Fields{
+			"rule": count.Rule, "tried": count.Tried, "matched": count.Matched, "failed": count.Failed, "cost": count.Cost,
+		}).Info("rule so far")
+	}
+}
+
+// writeStatus replaces the status file.
+func writeStatus(path string, status ruleStatus) error {
+	text, err := json.Marshal(status)
+	if err != nil {
+		return err
+	}
+	return replaceFile(path, append(text, '\n'))
+}
