--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -19,49 +19,92 @@
 	"github.com/spf13/cobra"
 )
 
-// caller is what the call command was told.
+const (
+	maxConcurrentCalls = 32
+	minCallBudget      = time.Millisecond
+	// answerMargin is how much longer than a request's budget its answer is waited for: the scheduler may use all of it.
+	answerMargin = time.Second
+	// connectRetryInterval is the pause between attempts to reach a scheduler that is not up yet.
+	connectRetryInterval = 20 * time.Millisecond
+	healthCheckTimeout   = time.Second
+
+	requestIDBytes      = 8
+	idempotencyKeyBytes = 16
+
+	// printedPrecision is what times are rounded to.
+	printedPrecision = 10 * time.Microsecond
+)
+
+// The words of fastcgi.Reply.Verdict that are counted, and one for requests without an answer.
+const (
+	verdictServed     = "served"
+	verdictRefused    = "refused"
+	verdictFailed     = "failed"
+	verdictUnanswered = "unanswered"
+)
+
+// caller has the options of the call command.
 type caller struct {
-	to, function, onceKey, body, spec string
-	budget, wait                      time.Duration
-	count, at                         int
+	address        string // of the scheduler, host:port
+	function       string
+	idempotencyKey string // of all requests; "" for a random one for each
+	body           string // "-" for standard input
+	spec           string // figures of the function, such as its memory
+	budget         time.Duration
+	wait           time.Duration // for the scheduler to be up; 0 to try once
+	count          int
+	concurrency    int
 }
 
 func callCommand() *cobra.Command {
-	var c caller
+	var options caller
 	cmd := &cobra.Command{
 		Use: "call CLASS", Short: "Call a function through a running scheduler",
 		Long: "Call sends requests of a class over FastCGI and prints what was answered. A body of - is read from\n" +
 			"standard input. It ends with 1 unless every request was served.",
 		Example: "  calicohill call consulta --to 127.0.0.1:5050 --body hello\n" +
 			"  calicohill call registro-horas --count 1000 --at-a-time 16",
-		Args: exactly("CLASS"),
+		Args: exactArguments("CLASS"),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return c.run(cmd.Context(), args[0], cmd.OutOrStdout())
+			return options.run(cmd.Context(), args[0], cmd.OutOrStdout())
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&c.to, "to", "127.0.0.1:5050", "`ADDRESS` of the scheduler")
-	f.StringVar(&c.function, "function", "7f3a9c21e0b4d655", "the function, 16 `HEX` digits")
-	f.StringVar(&c.onceKey, "key", "", "idempotency `KEY` of all requests; a new one for each if not set")
-	f.StringVar(&c.spec, "spec", "memory_mb:512;lanes:2", "further `FIGURES`")
-	f.StringVar(&c.body, "body", "", "`TEXT` of the body")
-	f.DurationVar(&c.budget, "budget", 2*time.Second, "how long to wait for an answer")
-	f.DurationVar(&c.wait, "wait", 0, "how long to wait for the scheduler to be up")
-	f.IntVar(&c.count, "count", 1, "how many requests")
-	f.IntVar(&c.at, "at-a-time", 1, "how many of them at a time, 32 at most")
+	flags := cmd.Flags()
+	flags.StringVar(&options.address, "to", "127.0.0.1:5050", "`ADDRESS` of the scheduler")
+	flags.StringVar(&options.function, "function", "7f3a9c21e0b4d655", "the function, 16 `HEX` digits")
+	flags.StringVar(&options.idempotencyKey, "key", "", "idempotency `KEY` of all requests; a new one for each if not set")
+	flags.StringVar(&options.spec, "spec", "memory_mb:512;lanes:2", "further `FIGURES`")
+	flags.StringVar(&options.body, "body", "", "`TEXT` of the body")
+	flags.DurationVar(&options.budget, "budget", 2*time.Second, "how long to wait for an answer")
+	flags.DurationVar(&options.wait, "wait", 0, "how long to wait for the scheduler to be up")
+	flags.IntVar(&options.count, "count", 1, "how many requests")
+	flags.IntVar(&options.concurrency, "at-a-time", 1, "how many of them at a time, 32 at most")
 	return cmd
 }
 
+// callResult is what became of one request.
+type callResult struct {
+	reply fastcgi.Reply
+	took  time.Duration
+	err   error // why there is no reply
+}
+
+// verdict returns how the request ended, in one word.
+func (r *callResult) verdict() string {
+	if r.err != nil {
+		return verdictUnanswered
+	}
+	return r.reply.Verdict()
+}
+
+// run sends the requests and prints their results. The error says how many were not served, or why none was sent.
 func (c *caller) run(ctx context.Context, class string, out io.Writer) error {
-	if c.count < 1 || c.at < 1 || c.at > 32 || c.budget < time.Millisecond {
+	if !c.valid() {
 		return usageError{errors.New("call: count and at-a-time must be 1 at least, at-a-time 32 at most, budget 1ms at least")}
 	}
-	body := []byte(c.body)
-	if c.body == "-" {
-		var err error
-		if body, err = io.ReadAll(os.Stdin); err != nil {
-			return fmt.Errorf("standard input: %w", err)
-		}
+	body, err := c.readBody()
+	if err != nil {
+		return err
 	}
 	if ctx == nil {
 		ctx = context.Background()
@@ -70,33 +113,56 @@
 	if err != nil {
 		return err
 	}
-	defer client.Close()
+	defer closeClient(client)
 
-	type result struct {
-		reply fastcgi.Reply
-		took  time.Duration
-		err   error
+	started := time.Now()
+	results := c.callAll(ctx, client, class, body)
+	took := time.Since(started)
+	if c.count == 1 {
+		if err := printResult(out, &results[0]); err != nil {
+			return err
+		}
+	} else {
+		printSummary(out, results, took)
+	}
+	notServed := 0
+	for i := range results {
+		if results[i].verdict() != verdictServed {
+			notServed++
+		}
+	}
+	if notServed > 0 {
+		return fmt.Errorf("%d of %d requests were not served", notServed, c.count)
+	}
+	return nil
+}
+
+// valid reports whether the options are within their bounds.
+func (c *caller) valid() bool {
+	return c.count >= 1 && c.concurrency >= 1 && c.concurrency <= maxConcurrentCalls && c.budget >= minCallBudget
+}
+
+// readBody returns the body of the requests.
+func (c *caller) readBody() ([]byte, error) {
+	if c.body != "-" {
+		return []byte(c.body), nil
+	}
+	body, err := io.ReadAll(os.Stdin)
+	if err != nil {
+		return nil, fmt.Errorf("standard input: %w", err)
 	}
-	results := make([]result, c.count)
+	return body, nil
+}
+
+// callAll sends all requests, as many at a time as the options say, and returns their results in order.
+func (c *caller) callAll(ctx context.Context, client *fastcgi.Client, class string, body []byte) []callResult {
+	results := make([]callResult, c.count)
 	next := make(chan int)
 	var wg sync.WaitGroup
-	began := time.Now()
-	for range min(c.at, c.count) {
+	for range min(c.concurrency, c.count) {
 		wg.Go(func() {
 			for i := range next {
-				sent := time.Now()
-				q := fastcgi.Request{
-					Path: "/rpc/" + class, ID: randomHex(8), Function: c.function,
-					OnceKey: c.onceKey, Budget: c.budget, Spec: c.spec, Body: body,
-				}
-				if q.OnceKey == "" {
-					q.OnceKey = randomHex(16)
-				}
-				// A little more than the scheduler has: its answer may come with the last of the time.
-				ctx, cancel := context.WithTimeout(ctx, c.budget+time.Second)
-				r, err := client.Do(ctx, q)
-				cancel()
-				results[i] = result{r, time.Since(sent), err}
+				results[i] = c.call(ctx, client, class, body)
 			}
 		})
 	}
@@ -105,62 +171,72 @@
 	}
 	close(next)
 	wg.Wait()
-	whole := time.Since(began)
-
-	verdicts, times := map[string]int{}, []time.Duration(nil)
-	for _, r := range results {
-		if r.err != nil {
-			verdicts["unanswered"]++
-		} else {
-			verdicts[r.reply.Verdict()]++
-			times = append(times, r.took)
-		}
+	return results
+}
+
+// call sends one request and waits for its answer.
+func (c *caller) call(ctx context.Context, client *fastcgi.Client, class string, body []byte) callResult {
+	started := time.Now()
+	request := fastcgi.Request{
+		Path: "/rpc/" + class, ID: randomHex(requestIDBytes), Function: c.function,
+		OnceKey: c.idempotencyKey, Budget: c.budget, Spec: c.spec, Body: body,
 	}
-	if c.count == 1 {
-		if results[0].err != nil {
-			return fmt.Errorf("no answer: %w", results[0].err)
-		}
-		r := results[0].reply
-		fmt.Fprintf(out, "%s, status %d, %v", r.Verdict(), r.Status, results[0].took.Round(10*time.Microsecond))
-		if r.RetryAfter > 0 {
-			fmt.Fprintf(out, ", come back after %v", r.RetryAfter)
-		}
-		fmt.Fprintf(out, ", %d bytes\n", len(r.Body))
-		if len(r.Body) > 0 {
-			fmt.Fprintf(out, "%s\n", bytes.TrimRight(r.Body, "\n"))
-		}
-	} else {
-		slices.Sort(times)
-		fmt.Fprintf(out, "%d requests in %v: %d served, %d refused, %d failed, %d unanswered\n", c.count,
-			whole.Round(time.Millisecond), verdicts["served"], verdicts["refused"], verdicts["failed"], verdicts["unanswered"])
-		if n := len(times); n > 0 {
-			fmt.Fprintf(out, "answered after %v (half), %v (99%%), %v (last)\n", times[n/2].Round(10*time.Microsecond),
-				times[n*99/100].Round(10*time.Microsecond), times[n-1].Round(10*time.Microsecond))
-		}
+	if request.OnceKey == "" {
+		request.OnceKey = randomHex(idempotencyKeyBytes)
+	}
+	ctx, cancel := context.WithTimeout(ctx, c.budget+answerMargin)
+	defer cancel()
+	reply, err := client.Do(ctx, request)
+	return callResult{reply: reply, took: time.Since(started), err: err}
+}
+
+// printResult prints the reply to the only request; the error says why there is none.
+func printResult(out io.Writer, result *callResult) error {
+	if result.err != nil {
+		return fmt.Errorf("no answer: %w", result.err)
+	}
+	reply := result.reply
+	fmt.Fprintf(out, "%s, status %d, %v", reply.Verdict(), reply.Status, result.took.Round(printedPrecision))
+	if reply.RetryAfter > 0 {
+		fmt.Fprintf(out, ", come back after %v", reply.RetryAfter)
 	}
-	if n := c.count - verdicts["served"]; n > 0 {
-		return fmt.Errorf("%d of %d requests were not served", n, c.count)
+	fmt.Fprintf(out, ", %d bytes\n", len(reply.Body))
+	if len(reply.Body) > 0 {
+		fmt.Fprintf(out, "%s\n", bytes.TrimRight(reply.Body, "\n"))
 	}
 	return nil
 }
 
-// connect connects to a scheduler that serves, and waits for one as long as it was told to.
+// printSummary prints how many requests ended in which way, and the latencies of those that were answered.
+func printSummary(out io.Writer, results []callResult, took time.Duration) {
+	verdicts := map[string]int{}
+	var latencies []time.Duration
+	for i := range results {
+		verdicts[results[i].verdict()]++
+		if results[i].err == nil {
+			latencies = append(latencies, results[i].took)
+		}
+	}
+	fmt.Fprintf(out, "%d requests in %v: %d served, %d refused, %d failed, %d unanswered\n", len(results),
+		took.Round(time.Millisecond), verdicts[verdictServed], verdicts[verdictRefused], verdicts[verdictFailed],
+		verdicts[verdictUnanswered])
+	slices.Sort(latencies)
+	if n := len(latencies); n > 0 {
+		fmt.Fprintf(out, "answered after %v (half), %v (99%%), %v (last)\n", latencies[n/2].Round(printedPrecision),
+			latencies[n*99/100].Round(printedPrecision), latencies[n-1].Round(printedPrecision))
+	}
+}
+
+// connect connects to the scheduler. With an option to wait it retries for so long, until the scheduler's health check
+// says that it serves.
 func (c *caller) connect(ctx context.Context) (*fastcgi.Client, error) {
-	for end := time.Now().Add(c.wait); ; time.Sleep(20 * time.Millisecond) {
-		client, err := fastcgi.Dial(ctx, c.to)
+	for end := time.Now().Add(c.wait); ; time.Sleep(connectRetryInterval) {
+		client, err := fastcgi.Dial(ctx, c.address)
+		if err == nil && c.wait != 0 {
+			err = c.checkHealth(ctx, client)
+		}
 		if err == nil {
-			if c.wait == 0 {
-				return client, nil
-			}
-			health, stop := context.WithTimeout(ctx, time.Second)
-			var r fastcgi.Reply
-			r, err = client.Do(health, fastcgi.Request{Path: "/health", Budget: time.Second})
-			stop()
-			if err == nil && r.Verdict() == "served" {
-				return client, nil
-			}
-			client.Close()
-			err = cmp.Or(err, fmt.Errorf("the scheduler at %s is not ready", c.to))
+			return client, nil
 		}
 		if time.Now().After(end) {
 			return nil, err
@@ -168,8 +244,26 @@
 	}
 }
 
+// checkHealth returns an error, and closes the connection, if the scheduler does not serve yet.
+func (c *caller) checkHealth(ctx context.Context, client *fastcgi.Client) error {
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
+	defer cancel()
+	reply, err := client.Do(ctx, fastcgi.Request{Path: "/health", Budget: healthCheckTimeout})
+	if err == nil && reply.Verdict() == verdictServed {
+		return nil
+	}
+	closeClient(client)
+	return cmp.Or(err, fmt.Errorf("the scheduler at %s is not ready", c.address))
+}
+
+// closeClient closes a connection that is not used any more, when nothing is left to do about an error.
+func closeClient(client *fastcgi.Client) {
+	_ = client.Close()
+}
+
+// randomHex returns random bytes as hexadecimal digits.
 func randomHex(bytes int) string {
-	b := make([]byte, bytes)
-	rand.Read(b) // which never fails
-	return hex.EncodeToString(b)
+	random := make([]byte, bytes)
+	rand.Read(random) // never fails
+	return hex.EncodeToString(random)
 }
--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"strings"
 
 	"calicohill/internal/config"
@@ -12,9 +13,15 @@
 	"github.com/spf13/cobra"
 )
 
+// checkOptions has the options of the check command.
+type checkOptions struct {
+	platformFile string // "" if only operator's files are checked
+	example      bool   // print the example instead
+	page         bool   // print the operators' page instead
+}
+
 func checkCommand() *cobra.Command {
-	var platform string
-	var example, page bool
+	var options checkOptions
 	cmd := &cobra.Command{
 		Use: "check FILE...", Short: "Check operator's files, and the platform's configuration",
 		Long: "Check reads operator's files as a scheduler would, and tells of every fault as\n" +
@@ -23,54 +30,71 @@
 			"  calicohill check --config example/config.json deploy/calicohill.conf\n" +
 			"  calicohill check --example >calicohill.conf",
 		Args: func(_ *cobra.Command, args []string) error {
-			if len(args) == 0 && platform == "" && !example && !page {
+			if len(args) == 0 && options.platformFile == "" && !options.example && !options.page {
 				return usageError{errors.New("check takes the names of files, or --config")}
 			}
 			return nil
 		},
-		RunE: func(cmd *cobra.Command, args []string) error {
-			out := cmd.OutOrStdout()
-			if example {
-				fmt.Fprint(out, operatorfile.Example())
-				return nil
-			}
-			if page {
-				fmt.Fprint(out, operatorfile.Page())
-				return nil
-			}
-			bad := 0
-			var classes []match.Class // not known without the platform's file
-			if platform != "" {
-				// A file holds no name or address where the environment tells them.
-				if cfg, err := config.Read(platform, "", ""); err != nil {
-					fmt.Fprintln(out, err)
-					bad++
-				} else {
-					classes = ruleClasses(&cfg.Deployment)
-				}
-			}
-			for _, file := range args {
-				set, err := operatorfile.Read(file)
-				if err == nil {
-					var warnings operatorfile.Faults
-					if _, _, warnings, err = set.Compile(classes); len(warnings) > 0 {
-						fmt.Fprintf(out, "warning: %s\n", strings.ReplaceAll(warnings.Error(), "\n", "\nwarning: "))
-					}
-				}
-				if err != nil {
-					fmt.Fprintln(out, err)
-					bad++
-				}
-			}
-			if bad > 0 {
-				return fmt.Errorf("%d of the files checked can't be used", bad)
-			}
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, args []string) error { return options.run(cmd.OutOrStdout(), args) },
 	}
-	f := cmd.Flags()
-	f.StringVar(&platform, "config", "", "the platform's `FILE` to check too")
-	f.BoolVar(&example, "example", false, "print the commented example of an operator's file")
-	f.BoolVar(&page, "page", false, "print the operators' page of the file, in Markdown")
+	flags := cmd.Flags()
+	flags.StringVar(&options.platformFile, "config", "", "the platform's `FILE` to check too")
+	flags.BoolVar(&options.example, "example", false, "print the commented example of an operator's file")
+	flags.BoolVar(&options.page, "page", false, "print the operators' page of the file, in Markdown")
 	return cmd
 }
+
+// run checks all files, or prints what the options ask for instead. The error says how many files are invalid.
+func (o *checkOptions) run(out io.Writer, operatorFiles []string) error {
+	if o.example {
+		fmt.Fprint(out, operatorfile.Example())
+		return nil
+	}
+	if o.page {
+		fmt.Fprint(out, operatorfile.Page())
+		return nil
+	}
+	invalid := 0
+	var classes []match.Class // without the platform's file they are unknown, and not checked
+	if o.platformFile != "" {
+		platformClasses, err := readClasses(o.platformFile)
+		if err != nil {
+			fmt.Fprintln(out, err)
+			invalid++
+		}
+		classes = platformClasses
+	}
+	for _, file := range operatorFiles {
+		if err := checkOperatorFile(out, file, classes); err != nil {
+			fmt.Fprintln(out, err)
+			invalid++
+		}
+	}
+	if invalid > 0 {
+		return fmt.Errorf("%d of the files checked can't be used", invalid)
+	}
+	return nil
+}
+
+// checkOperatorFile prints the warnings of an operator's file. The error has its faults.
+func checkOperatorFile(out io.Writer, file string, classes []match.Class) error {
+	settings, err := operatorfile.Read(file)
+	if err != nil {
+		return err
+	}
+	_, _, warnings, err := settings.Compile(classes)
+	if len(warnings) > 0 {
+		fmt.Fprintf(out, "warning: %s\n", strings.ReplaceAll(warnings.Error(), "\n", "\nwarning: "))
+	}
+	return err
+}
+
+// readClasses returns the request classes in the platform's file. The file is invalid if it has no listen address: the
+// commands do not take one from the environment.
+func readClasses(platformFile string) ([]match.Class, error) {
+	platform, err := config.Read(platformFile, "", "")
+	if err != nil {
+		return nil, err
+	}
+	return ruleClasses(&platform.Deployment), nil
+}
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"crypto/x509"
 	"errors"
 	"fmt"
+	"io"
 	"math/big"
 	"os"
 	"time"
@@ -12,7 +14,15 @@
 	"github.com/spf13/cobra"
 )
 
-const day = 24 * time.Hour
+const (
+	day = 24 * time.Hour
+
+	keySuffix         = ".key"
+	certificateSuffix = ".crt"
+
+	defaultAuthorityDays = 3650
+	defaultMemberDays    = 365
+)
 
 func keyCommand() *cobra.Command {
 	cmd := &cobra.Command{
@@ -34,28 +44,34 @@
 	var out string
 	var days int
 	cmd := &cobra.Command{
-		Use: "authority FLEET", Short: "Make the key that signs the members of a fleet", Args: exactly("FLEET"),
+		Use: "authority FLEET", Short: "Make the key that signs the members of a fleet", Args: exactArguments("FLEET"),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := pki.NewAuthority(args[0], time.Now(), time.Duration(days)*day)
-			if err != nil {
-				return err
-			}
-			if err := pki.WriteFile(out+".key", a.Key, a.Cert); err != nil {
-				return err
-			}
-			if err := os.WriteFile(out+".crt", pki.EncodeCert(a.Cert), 0o644); err != nil {
-				return err
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s.key signs for fleet %s until %s; name %s.crt as authority\n", out, args[0],
-				a.Cert.NotAfter.Format(time.DateOnly), out)
-			return nil
+			return createAuthority(cmd.OutOrStdout(), args[0], out, time.Duration(days)*day)
 		},
 	}
 	cmd.Flags().StringVar(&out, "out", "fleet", "`NAME` of the files, without .key and .crt")
-	cmd.Flags().IntVar(&days, "days", 3650, "how long it is good")
+	cmd.Flags().IntVar(&days, "days", defaultAuthorityDays, "how long it is good")
 	return cmd
 }
 
+// createAuthority writes the key and the certificate of a new authority to files of a name.
+func createAuthority(out io.Writer, fleet, name string, validity time.Duration) error {
+	authority, err := pki.NewAuthority(fleet, time.Now(), validity)
+	if err != nil {
+		return err
+	}
+	if err := pki.WriteFile(name+keySuffix, authority.Key, authority.Cert); err != nil {
+		return err
+	}
+	if err := os.WriteFile(name+certificateSuffix, pki.EncodeCert(authority.Cert), publicFileMode); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s.key signs for fleet %s until %s; name %s.crt as authority\n", name, fleet,
+		authority.Cert.NotAfter.Format(time.DateOnly), name)
+	return nil
+}
+
+// readAuthority reads the authority that the flag --authority names.
 func readAuthority(path string) (*pki.Authority, error) {
 	if path == "" {
 		return nil, usageError{errors.New("--authority is needed")}
@@ -71,65 +87,79 @@
 }
 
 func issueCommand() *cobra.Command {
-	var from, out string
+	var authorityFile, out string
 	var days int
 	cmd := &cobra.Command{
-		Use: "issue NAME", Short: "Make the key and certificate of one scheduler", Args: exactly("NAME"),
+		Use: "issue NAME", Short: "Make the key and certificate of one scheduler", Args: exactArguments("NAME"),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := readAuthority(from)
-			if err != nil {
-				return err
-			}
-			m, err := a.Issue(args[0], time.Now(), time.Duration(days)*day)
-			if err != nil {
-				return err
-			}
+			name := args[0]
 			if out == "" {
-				out = args[0] + ".key"
-			}
-			if err := pki.WriteFile(out, m.Key, m.Cert); err != nil {
-				return err
+				out = name + keySuffix
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is %s of fleet %s until %s\n", out, args[0], a.Fleet(),
-				m.Cert.NotAfter.Format(time.DateOnly))
-			return nil
+			return issueMember(cmd.OutOrStdout(), authorityFile, name, out, time.Duration(days)*day)
 		},
 	}
-	cmd.Flags().StringVar(&from, "authority", "", "`FILE` with the authority's key")
+	cmd.Flags().StringVar(&authorityFile, "authority", "", "`FILE` with the authority's key")
 	cmd.Flags().StringVar(&out, "out", "", "`FILE` to write; NAME.key if not set")
-	cmd.Flags().IntVar(&days, "days", 365, "how long it is good")
+	cmd.Flags().IntVar(&days, "days", defaultMemberDays, "how long it is good")
 	return cmd
 }
 
+// issueMember writes the key and the certificate of a new member to a file.
+func issueMember(out io.Writer, authorityFile, name, file string, validity time.Duration) error {
+	authority, err := readAuthority(authorityFile)
+	if err != nil {
+		return err
+	}
+	member, err := authority.Issue(name, time.Now(), validity)
+	if err != nil {
+		return err
+	}
+	if err := pki.WriteFile(file, member.Key, member.Cert); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s is %s of fleet %s until %s\n", file, name, authority.Fleet(),
+		member.Cert.NotAfter.Format(time.DateOnly))
+	return nil
+}
+
 func showCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "show FILE", Short: "Print what a file of key says", Args: exactly("FILE"),
+		Use: "show FILE", Short: "Print what a file of key says", Args: exactArguments("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
 			if list, err := pki.ReadList(args[0], false); err == nil {
-				fmt.Fprintf(out, "list of revoked certificates, number %v, of %s\n", list.Number, list.ThisUpdate.Format(time.RFC3339))
-				for _, e := range list.RevokedCertificateEntries {
-					fmt.Fprintf(out, "  %x since %s\n", e.SerialNumber, e.RevocationTime.Format(time.RFC3339))
-				}
+				showRevocationList(out, list)
 				return nil
 			}
-			c, err := pki.ReadCert(args[0])
+			cert, err := pki.ReadCert(args[0])
 			if err != nil {
 				return err
 			}
-			kind := "member " + c.Subject.CommonName
-			if c.IsCA {
-				kind = "authority"
-			}
-			fmt.Fprintf(out, "%s of fleet %v, number %x, good from %s to %s, %d bytes\n", kind, c.Subject.Organization,
-				c.SerialNumber, c.NotBefore.Format(time.RFC3339), c.NotAfter.Format(time.RFC3339), len(c.Raw))
+			showCertificate(out, cert)
 			return nil
 		},
 	}
 }
 
+func showRevocationList(out io.Writer, list *x509.RevocationList) {
+	fmt.Fprintf(out, "list of revoked certificates, number %v, of %s\n", list.Number, list.ThisUpdate.Format(time.RFC3339))
+	for _, entry := range list.RevokedCertificateEntries {
+		fmt.Fprintf(out, "  %x since %s\n", entry.SerialNumber, entry.RevocationTime.Format(time.RFC3339))
+	}
+}
+
+func showCertificate(out io.Writer, cert *x509.Certificate) {
+	kind := "member " + cert.Subject.CommonName
+	if cert.IsCA {
+		kind = "authority"
+	}
+	fmt.Fprintf(out, "%s of fleet %v, number %x, good from %s to %s, %d bytes\n", kind, cert.Subject.Organization,
+		cert.SerialNumber, cert.NotBefore.Format(time.RFC3339), cert.NotAfter.Format(time.RFC3339), len(cert.Raw))
+}
+
 func revokeCommand() *cobra.Command {
-	var from, path string
+	var authorityFile, listFile string
 	cmd := &cobra.Command{
 		Use: "revoke FILE|NUMBER...", Short: "Take certificates back: add them to the list of revoked ones",
 		Args: func(_ *cobra.Command, args []string) error {
@@ -139,54 +169,55 @@
 			return nil
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := readAuthority(from)
-			if err != nil {
-				return err
-			}
-			before, err := pki.ReadList(path, true)
-			if err != nil {
-				return err
-			}
-			if before != nil && before.CheckSignatureFrom(a.Cert) != nil {
-				return fmt.Errorf("%s is the list of another authority", path)
-			}
-			var numbers []*big.Int
-			for _, arg := range args {
-				n, err := certificateNumber(arg)
-				if err != nil {
-					return err
-				}
-				numbers = append(numbers, n)
-			}
-			list, err := a.Revoke(before, time.Now(), numbers...)
-			if err != nil {
-				return err
-			}
-			// A scheduler that reads it meanwhile must see one list or the other.
-			if err := os.WriteFile(path+".new", pki.EncodeList(list), 0o644); err != nil {
-				return err
-			}
-			if err := os.Rename(path+".new", path); err != nil {
-				return err
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s holds %d certificates; bring it to all members and send them SIGHUP\n", path,
-				len(list.RevokedCertificateEntries))
-			return nil
+			return revoke(cmd.OutOrStdout(), authorityFile, listFile, args)
 		},
 	}
-	cmd.Flags().StringVar(&from, "authority", "", "`FILE` with the authority's key")
-	cmd.Flags().StringVar(&path, "list", "fleet.revoked", "`FILE` with the list")
+	cmd.Flags().StringVar(&authorityFile, "authority", "", "`FILE` with the authority's key")
+	cmd.Flags().StringVar(&listFile, "list", "fleet.revoked", "`FILE` with the list")
 	return cmd
 }
 
-// certificateNumber is the number of the certificate in a file, or the hexadecimal number itself.
+// revoke adds certificates to the revocation list in a file, and creates the file if there is none.
+func revoke(out io.Writer, authorityFile, listFile string, certificates []string) error {
+	authority, err := readAuthority(authorityFile)
+	if err != nil {
+		return err
+	}
+	previous, err := pki.ReadList(listFile, true)
+	if err != nil {
+		return err
+	}
+	if previous != nil && previous.CheckSignatureFrom(authority.Cert) != nil {
+		return fmt.Errorf("%s is the list of another authority", listFile)
+	}
+	var numbers []*big.Int
+	for _, certificate := range certificates {
+		number, err := certificateNumber(certificate)
+		if err != nil {
+			return err
+		}
+		numbers = append(numbers, number)
+	}
+	list, err := authority.Revoke(previous, time.Now(), numbers...)
+	if err != nil {
+		return err
+	}
+	if err := replaceFile(listFile, pki.EncodeList(list)); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s holds %d certificates; bring it to all members and send them SIGHUP\n", listFile,
+		len(list.RevokedCertificateEntries))
+	return nil
+}
+
+// certificateNumber returns the number of the certificate in a file, or the number itself if it is given in hexadecimal.
 func certificateNumber(arg string) (*big.Int, error) {
-	c, err := pki.ReadCert(arg)
+	cert, err := pki.ReadCert(arg)
 	if err == nil {
-		return c.SerialNumber, nil
+		return cert.SerialNumber, nil
 	}
-	if n, ok := new(big.Int).SetString(arg, 16); ok && n.Sign() > 0 {
-		return n, nil
+	if number, ok := new(big.Int).SetString(arg, 16); ok && number.Sign() > 0 {
+		return number, nil
 	}
 	return nil, err
 }
--- a/cmd/calicohill/main.go
+++ b/cmd/calicohill/main.go
@@ -1,6 +1,6 @@
-// Command calicohill is the scheduler: it takes requests from clients, has the decision module decide where
-// each goes, and passes them on to the node agents that the bulletin lists. Further commands check settings and
-// call a scheduler that runs.
+// Command calicohill is the scheduler: it receives requests from clients over FastCGI, has package routing decide which
+// worker each is sent to, and forwards it to that worker's node agent. The workers come from the endpoint list service.
+// Further commands check and try out configuration, manage the keys of a fleet, and call a running scheduler.
 package main
 
 import (
@@ -16,15 +16,15 @@
 // Exit codes.
 const (
 	exitFailure = 1
-	exitUsage   = 2 // the command line makes no sense
+	exitUsage   = 2 // the command line is invalid
 )
 
-// usageError is an error of the command line.
+// usageError is an error in the command line; the program exits with exitUsage.
 type usageError struct{ error }
 
 func main() {
 	root := rootCommand()
-	root.SetArgs(long(os.Args[1:]))
+	root.SetArgs(doubleDashes(os.Args[1:]))
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "calicohill:", err)
 		if errors.As(err, &usageError{}) {
@@ -43,17 +43,19 @@
 	return root
 }
 
-// long lets the flags that the program had before it had commands keep their one dash.
-func long(args []string) []string {
-	out := make([]string, len(args))
-	for i, a := range args {
-		out[i] = a
-		name, _, _ := strings.Cut(a, "=")
-		if name == "-config" || name == "-name" || name == "-listen" {
-			out[i] = "-" + a
+// doubleDashes returns arguments with the flags of the program's first version, which had no commands, in today's form:
+// it took them after one dash.
+func doubleDashes(args []string) []string {
+	converted := make([]string, len(args))
+	for i, arg := range args {
+		converted[i] = arg
+		name, _, _ := strings.Cut(arg, "=")
+		switch name {
+		case "-config", "-name", "-listen":
+			converted[i] = "-" + arg
 		}
 	}
-	return out
+	return converted
 }
 
 // noArguments rejects arguments.
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// exactly refuses any other number of arguments.
-func exactly(names ...string) cobra.PositionalArgs {
+// exactArguments rejects any other number of arguments than that of names, by which the error calls them.
+func exactArguments(names ...string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != len(names) {
 			return usageError{fmt.Errorf("%s takes %s", cmd.CommandPath(), strings.Join(names, " "))}
@@ -77,17 +79,21 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "Print what this program was built from", Args: noArguments,
-		Run: func(cmd *cobra.Command, _ []string) {
-			version, goVersion, revision := "unknown", "unknown", ""
-			if b, ok := debug.ReadBuildInfo(); ok {
-				version, goVersion = b.Main.Version, b.GoVersion
-				for _, s := range b.Settings {
-					if s.Key == "vcs.revision" {
-						revision = " " + s.Value
-					}
-				}
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "calicohill %s%s %s\n", version, revision, goVersion)
-		},
+		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "calicohill", buildVersion()) },
 	}
 }
+
+// buildVersion returns the version of the module, the commit, if the build recorded one, and the version of Go.
+func buildVersion() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown unknown"
+	}
+	revision := ""
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			revision = " " + setting.Value
+		}
+	}
+	return info.Main.Version + revision + " " + info.GoVersion
+}
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -1,27 +1,22 @@
 package main
 
 import (
-	"bufio"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"slices"
-	"strconv"
 	"strings"
 	"text/tabwriter"
-	"time"
 
-	"calicohill/internal/config"
 	"calicohill/internal/config/operatorfile"
 	"calicohill/internal/rules/match"
 
 	"github.com/spf13/cobra"
 )
 
-// matched is what the rules make of one request, as it is printed.
-type matched struct {
+// matchResult is what the rules make of one request, as it is printed.
+type matchResult struct {
 	Class  string            `json:"class"`
 	Key    string            `json:"key"`
 	Route  string            `json:"route"`
@@ -32,9 +27,16 @@
 	Error  string            `json:"error"`
 }
 
+// matchOptions has the options of the match command.
+type matchOptions struct {
+	platformFile string // "" if the classes are unknown
+	request      string // the only request, as NAME=VALUE,...
+	requestsFile string // with a JSON object a line; "-" for standard input
+	asJSON       bool
+}
+
 func matchCommand() *cobra.Command {
-	var platform, request, requests string
-	var asJSON bool
+	var options matchOptions
 	cmd := &cobra.Command{
 		Use: "match FILE", Short: "Tell what the rules of an operator's file make of requests",
 		Long: "Match evaluates the rules of a file for one request, or for each line of a file of JSON objects. Fields of a\n" +
@@ -43,153 +45,113 @@
 		Example: "  calicohill match calicohill.conf --request class=consulta,handler=7f3a9c21e0b4d655,HTTP_X_CENTRE=zona4\n" +
 			"  calicohill match calicohill.conf --config config.json --requests requests.jsonl --json",
 		Args: func(cmd *cobra.Command, args []string) error {
-			if (request == "") == (requests == "") {
+			if (options.request == "") == (options.requestsFile == "") {
 				return usageError{errors.New("match takes either --request or --requests")}
 			}
-			return exactly("FILE")(cmd, args)
+			return exactArguments("FILE")(cmd, args)
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var classes []match.Class
-			if platform != "" {
-				cfg, err := config.Read(platform, "", "")
-				if err != nil {
-					return err
-				}
-				classes = ruleClasses(&cfg.Deployment)
-			}
-			set, err := operatorfile.Read(args[0])
-			if err != nil {
-				return err
-			}
-			table, _, warnings, err := set.Compile(classes)
-			if err != nil {
-				return err
-			}
-			for _, w := range warnings {
-				fmt.Fprintln(cmd.ErrOrStderr(), "warning:", w)
-			}
-			asked, err := readRequests(request, requests)
-			if err != nil {
-				return err
-			}
-			var all []matched
-			for _, fields := range asked {
-				q, err := requestOf(fields, table.Slots())
-				if err != nil {
-					return err
-				}
-				got := table.Match(q)
-				all = append(all, matched{
-					got.Class, got.Key, got.Route, got.Labels, got.Rules, got.Cost, table.Limit(),
-					strings.Join(got.Failed, "; "),
-				})
-			}
-			return printMatched(cmd.OutOrStdout(), all, asJSON)
+			return options.run(cmd.OutOrStdout(), cmd.ErrOrStderr(), args[0])
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&platform, "config", "", "the platform's `FILE`, for the classes of the site")
-	f.StringVar(&request, "request", "", "one request: `NAME=VALUE,...`")
-	f.StringVar(&requests, "requests", "", "`FILE` with a JSON object a line; - for standard input")
-	f.BoolVar(&asJSON, "json", false, "print a JSON object a line")
+	flags := cmd.Flags()
+	flags.StringVar(&options.platformFile, "config", "", "the platform's `FILE`, for the classes of the site")
+	flags.StringVar(&options.request, "request", "", "one request: `NAME=VALUE,...`")
+	flags.StringVar(&options.requestsFile, "requests", "", "`FILE` with a JSON object a line; - for standard input")
+	flags.BoolVar(&options.asJSON, "json", false, "print a JSON object a line")
 	return cmd
 }
 
-func readRequests(one, file string) (list []map[string]string, err error) {
-	if one != "" {
-		fields := map[string]string{}
-		for part := range strings.SplitSeq(one, ",") {
-			name, value, ok := strings.Cut(part, "=")
-			if !ok || name == "" {
-				return nil, usageError{fmt.Errorf("request: %q is no NAME=VALUE", part)}
-			}
-			fields[name] = value
+// run prints what the rules of an operator's file make of the requests.
+func (o *matchOptions) run(out, warningsOut io.Writer, operatorFile string) error {
+	var classes []match.Class
+	if o.platformFile != "" {
+		var err error
+		if classes, err = readClasses(o.platformFile); err != nil {
+			return err
 		}
-		return []map[string]string{fields}, nil
 	}
-	in := io.Reader(os.Stdin)
-	if file != "-" {
-		f, err := os.Open(file)
-		if err != nil {
-			return nil, err
-		}
-		defer f.Close()
-		in = f
+	settings, err := operatorfile.Read(operatorFile)
+	if err != nil {
+		return err
 	}
-	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, 1<<20)
-	for n := 1; lines.Scan(); n++ {
-		if strings.TrimSpace(lines.Text()) == "" {
-			continue
-		}
-		fields := map[string]string{}
-		if err := json.Unmarshal(lines.Bytes(), &fields); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", file, n, err)
-		}
-		list = append(list, fields)
+	table, _, warnings, err := settings.Compile(classes)
+	if err != nil {
+		return err
 	}
-	return list, lines.Err()
-}
-
-// requestOf makes a request of fields by name.
-func requestOf(fields map[string]string, slots []string) (*match.Request, error) {
-	q := &match.Request{
-		Class: fields["class"], Handler: fields["handler"], Path: fields["path"], Method: fields["method"],
-		Client: fields["client"], OnceKey: fields["once_key"], ID: fields["id"], Local: time.Now(),
+	for _, warning := range warnings {
+		fmt.Fprintln(warningsOut, "warning:", warning)
 	}
-	if q.Path == "" && q.Class != "" {
-		q.Path = "/rpc/" + q.Class
+	requests, err := o.readRequests()
+	if err != nil {
+		return err
 	}
-	var errs []error
-	parse := func(name string, into func(string) error) {
-		if text, ok := fields[name]; ok {
-			if err := into(text); err != nil {
-				errs = append(errs, fmt.Errorf("%s: %w", name, err))
-			}
-		}
+	results, err := matchRequests(table, requests)
+	if err != nil {
+		return err
+	}
+	if o.asJSON {
+		return printJSON(out, results)
 	}
-	parse("budget", func(s string) (err error) { q.Budget, err = time.ParseDuration(s); return err })
-	parse("body", func(s string) (err error) { q.Body, err = strconv.Atoi(s); return err })
-	parse("lanes", func(s string) (err error) { q.Lanes, err = strconv.Atoi(s); return err })
-	parse("memory_mb", func(s string) (err error) { q.Memory, err = strconv.ParseFloat(s, 64); return err })
-	parse("time", func(s string) (err error) { q.Local, err = time.Parse(time.DateTime, s); return err })
-	for _, name := range slots {
-		var v []string
-		if s, ok := fields[name]; ok {
-			v = []string{s}
+	return printTable(out, results)
+}
+
+// matchRequests evaluates the rules for each request.
+func matchRequests(table *match.Table, requests []requestFields) ([]matchResult, error) {
+	var results []matchResult
+	for _, fields := range requests {
+		request, err := fields.request(table.Slots())
+		if err != nil {
+			return nil, err
 		}
-		q.Params = append(q.Params, v)
+		outcome := table.Match(request)
+		results = append(results, matchResult{
+			Class:  outcome.Class,
+			Key:    outcome.Key,
+			Route:  outcome.Route,
+			Labels: outcome.Labels,
+			Rules:  outcome.Rules,
+			Cost:   outcome.Cost,
+			Limit:  table.Limit(),
+			Error:  strings.Join(outcome.Failed, "; "),
+		})
 	}
-	return q, errors.Join(errs...)
+	return results, nil
 }
 
-func printMatched(out io.Writer, all []matched, asJSON bool) error {
-	if asJSON {
-		e := json.NewEncoder(out)
-		for _, m := range all {
-			if err := e.Encode(m); err != nil {
-				return err
-			}
+// printJSON prints a JSON object a line.
+func printJSON(out io.Writer, results []matchResult) error {
+	encoder := json.NewEncoder(out)
+	for _, result := range results {
+		if err := encoder.Encode(result); err != nil {
+			return err
 		}
-		return nil
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "class\tkey\troute\tlabels\trules\tcost\tlimit\terror")
-	for _, m := range all {
+	return nil
+}
+
+// printTable prints a line for each result, with aligned columns under a heading.
+func printTable(out io.Writer, results []matchResult) error {
+	const columnGap = 2
+	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	fmt.Fprintln(table, "class\tkey\troute\tlabels\trules\tcost\tlimit\terror")
+	for _, result := range results {
 		var labels []string
-		for k, v := range m.Labels {
-			labels = append(labels, k+"="+v)
+		for name, value := range result.Labels {
+			labels = append(labels, name+"="+value)
 		}
 		slices.Sort(labels)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", dash(m.Class), dash(m.Key), dash(m.Route),
-			dash(strings.Join(labels, ",")), dash(strings.Join(m.Rules, ",")), m.Cost, m.Limit, dash(m.Error))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", orDash(result.Class), orDash(result.Key), orDash(result.Route),
+			orDash(strings.Join(labels, ",")), orDash(strings.Join(result.Rules, ",")), result.Cost, result.Limit,
+			orDash(result.Error))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func dash(s string) string {
-	if s == "" {
+// orDash returns a text, or a dash in place of an empty one, so that each column of a line has a value.
+func orDash(text string) string {
+	if text == "" {
 		return "-"
 	}
-	return s
+	return text
 }
