--- /dev/null
+++ b/internal/fleet/gossip/codec.go
@@ -0,0 +1,131 @@
+package gossip
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// ErrMalformed is returned for a datagram that does not hold a valid message.
+var ErrMalformed = errors.New("gossip: malformed")
+
+var (
+	errAddress     = errors.New("gossip: not an address")
+	errOutOfBounds = fmt.Errorf("%w: out of bounds", ErrMalformed)
+)
+
+// The lengths of an encoded address, in bytes: an IP address and a port.
+const (
+	portBytes     = 2
+	ipv4AddrBytes = 4 + portBytes
+	ipv6AddrBytes = 16 + portBytes
+)
+
+// MarshalBinary encodes an address as 4 or 16 bytes and the port, and an invalid address as no bytes.
+func (a Addr) MarshalBinary() ([]byte, error) {
+	if !a.IsValid() {
+		return []byte{}, nil
+	}
+	return binary.BigEndian.AppendUint16(a.Addr().AsSlice(), a.Port()), nil
+}
+
+// UnmarshalBinary decodes what MarshalBinary encoded.
+func (a *Addr) UnmarshalBinary(encoded []byte) error {
+	if len(encoded) == 0 {
+		*a = Addr{}
+		return nil
+	}
+	if len(encoded) != ipv4AddrBytes && len(encoded) != ipv6AddrBytes {
+		return errAddress
+	}
+	portAt := len(encoded) - portBytes
+	ip, _ := netip.AddrFromSlice(encoded[:portAt])
+	a.AddrPort = netip.AddrPortFrom(ip.Unmap(), binary.BigEndian.Uint16(encoded[portAt:]))
+	return nil
+}
+
+// The codec: definite lengths, no tags, bounded arrays and nesting. The bounds of a message are checked after decoding.
+var (
+	encoder = newEncoder()
+	decoder = newDecoder()
+)
+
+func newEncoder() cbor.EncMode {
+	mode, err := cbor.CoreDetEncOptions().EncMode()
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}
+
+func newDecoder() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels:   6,
+		MaxArrayElements:  maxItems,
+		MaxMapPairs:       16,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+		UTF8:              cbor.UTF8RejectInvalid,
+	}.DecMode()
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}
+
+func encode(message *Message) ([]byte, error) { return encoder.Marshal(message) }
+
+// decode decodes a message and checks its bounds.
+func decode(body []byte) (*Message, error) {
+	var message Message
+	if err := decoder.Unmarshal(body, &message); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	if !message.withinBounds() {
+		return nil, errOutOfBounds
+	}
+	return &message, nil
+}
+
+// withinBounds reports whether a decoded message keeps the bounds of all its parts.
+func (m *Message) withinBounds() bool {
+	if m.Kind < Ping || m.Kind > lastKind || len(m.Target) > maxNameBytes || len(m.Cert) > maxCertBytes {
+		return false
+	}
+	return allWithin(m.Records, (*Record).withinBounds) &&
+		allWithin(m.Claims, (*Claim).withinBounds) &&
+		allWithin(m.Statements, (*Statement).withinBounds) &&
+		allWithin(m.Summaries, (*Claim).withinBounds) &&
+		allWithin(m.Want, func(name *string) bool { return validName(*name) })
+}
+
+// allWithin reports whether there are no more than maxItems items and each is valid.
+func allWithin[Item any](items []Item, valid func(*Item) bool) bool {
+	if len(items) > maxItems {
+		return false
+	}
+	for i := range items {
+		if !valid(&items[i]) {
+			return false
+		}
+	}
+	return true
+}
+
+func (r *Record) withinBounds() bool {
+	return validName(r.Name) && r.Addr.IsValid() && len(r.Sig) <= signatureBytes
+}
+
+func (c *Claim) withinBounds() bool { return validName(c.Name) && c.State <= Left }
+
+func (s *Statement) withinBounds() bool {
+	return validName(s.Name) && len(s.Body) <= maxStatementBytes && len(s.Cert) <= maxCertBytes &&
+		len(s.Sig) <= signatureBytes
+}
+
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
--- a/internal/fleet/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -153,7 +153,7 @@
 	c.acquaint(a, b)
 	old := c.seal(a, "b", noon, Message{Kind: Gossip, Claims: []Claim{{Name: "z", State: Dead}}})
 	again := c.guardOf(b.own, 300)
-	again.secret = []byte("another")
+	again.cookieSecret = []byte("another")
 	if o, err := again.Open(time.Hour, noon, testAddr, old); err == nil && o.Trusted {
 		t.Error("a message to an earlier life is trusted")
 	}
--- /dev/null
+++ b/internal/fleet/gossip/limits.go
@@ -0,0 +1,56 @@
+package gossip
+
+import "calicohill/internal/stats/ratelimit"
+
+// Shares of Config.Messages, as the rate per second and the burst of a token bucket.
+const (
+	sendRateShare    = 0.6 // the rate and the burst of all messages together are the most that any second sees
+	sendBurstShare   = 0.4
+	gossipRateShare  = 0.2 // gossip takes a part only, so that pings and acks always find some budget
+	gossipBurstShare = 0.3
+	answerShare      = 0.3 // acks and other answers to all members together
+	noticeShare      = 0.1 // notices to suspects, see notifySuspect
+)
+
+// Limits per member, in messages per second and messages at once.
+const (
+	claimRate        = 1.0 // claims that are applied
+	claimBurst       = 4.0
+	answerRate       = 1.0 // requests that are answered
+	answerBurst      = 4.0
+	strangersAllowed = 3.0 // senders that are not members are answered as often as this many members
+)
+
+// budgets limits what a Core sends, by purpose.
+type budgets struct {
+	send      ratelimit.TokenBucket // all messages
+	gossip    ratelimit.TokenBucket
+	notices   ratelimit.TokenBucket
+	answers   ratelimit.TokenBucket // to all members together
+	strangers ratelimit.TokenBucket // answers to senders that are not members
+}
+
+// takeShare takes one message from a bucket that holds a share of Config.Messages.
+func (c *Core) takeShare(bucket *ratelimit.TokenBucket, rateShare, burstShare float64) bool {
+	limit := float64(c.config.Messages)
+	return bucket.Take(c.now, 1, rateShare*limit, burstShare*limit)
+}
+
+// mayGossip takes one message from the budget of gossip.
+func (c *Core) mayGossip() bool {
+	return c.takeShare(&c.budgets.gossip, gossipRateShare, gossipBurstShare)
+}
+
+// mayAnswer takes one answer from the budget of a sender, which is nil for one that is not a member, and one from the
+// budget of all. Without these limits a member that sends requests all the time would use up what this member's own
+// pings and its answers to others need.
+func (c *Core) mayAnswer(from *member) bool {
+	bucket := &c.budgets.strangers
+	allowance := strangersAllowed
+	if from != nil {
+		bucket = &from.answerBudget
+		allowance = 1
+	}
+	return bucket.Take(c.now, 1, allowance*answerRate, allowance*answerBurst) &&
+		c.takeShare(&c.budgets.answers, answerShare, answerShare)
+}
--- /dev/null
+++ b/internal/fleet/gossip/open.go
@@ -0,0 +1,273 @@
+package gossip
+
+import (
+	"bytes"
+	"crypto/subtle"
+	"crypto/x509"
+	"net/netip"
+	"time"
+
+	"calicohill/internal/stats/ratelimit"
+)
+
+// Shares of GuardConfig.Checks, which each have a budget of their own. So neither forged addresses nor one member can
+// use up what the members need that have shown a cookie.
+const (
+	peerCheckShare    = 0.2  // for each member that shows a cookie
+	knownCheckShare   = 0.25 // for all datagrams without one from addresses of members and seeds
+	unknownCheckShare = 0.1  // for all others
+)
+
+const (
+	// maxTransitTime is how old a datagram may be, in addition to the clock skew.
+	maxTransitTime = 2 * time.Second
+	// maxStatementAge is how old a statement may be, in addition to the clock skew.
+	maxStatementAge = 10 * maxTransitTime
+)
+
+// Opened is an authenticated datagram.
+type Opened struct {
+	From  string
+	Epoch int64 // when its sender started, Unix milliseconds
+	*Message
+	Trusted bool // the sender has received a message of this member since both started, so it is not a replay
+	// Equivocators are the members that have signed two different statements with one sequence number.
+	Equivocators []string
+}
+
+// checkBudget is the budget of signature checks of a datagram's apparent sender.
+type checkBudget struct {
+	guard  *Guard
+	bucket *ratelimit.TokenBucket
+	rate   float64 // per second; also the burst
+	now    time.Duration
+}
+
+// checkBudgetFor returns the budget for a datagram. The sender is trusted if it shows a valid cookie; else only the
+// address, which may be forged, ranks it.
+func (g *Guard) checkBudgetFor(sender *peer, trusted bool, from netip.AddrPort, now time.Duration) checkBudget {
+	bucket := &g.unknownBudget
+	share := unknownCheckShare
+	switch {
+	case trusted:
+		bucket = &sender.checkBudget
+		share = peerCheckShare
+	case g.knownAddrs[from]:
+		bucket = &g.knownBudget
+		share = knownCheckShare
+	}
+	return checkBudget{guard: g, bucket: bucket, rate: max(share*g.checksPerSecond, 1), now: now}
+}
+
+// spend takes one check, from the sender's budget and from that of all senders.
+func (b checkBudget) spend() bool {
+	total := b.guard.checksPerSecond
+	return b.bucket.Take(b.now, 1, b.rate, b.rate) && b.guard.totalBudget.Take(b.now, 1, total, total)
+}
+
+// Open authenticates a datagram. Cheap checks come first, and no signature is verified unless the budget of the
+// apparent sender allows it. Its records and statements are filtered: those that remain are new and signed by their
+// author, but records of members whose certificate is not known remain without a signature.
+func (g *Guard) Open(now time.Duration, wall time.Time, from netip.AddrPort, datagram []byte) (*Opened, error) {
+	head, sig, body, err := parseHeader(datagram)
+	if err != nil {
+		return nil, err
+	}
+	if head.to != "" && head.to != g.own.Name() {
+		return nil, ErrNotForUs
+	}
+	sender := g.peers[head.from]
+	if sender != nil && sender.replayed(&head) {
+		return nil, ErrReplayed
+	}
+	trusted := sender != nil && g.showsCookie(&head)
+	checks := g.checkBudgetFor(sender, trusted, from, now)
+	if !checks.spend() {
+		return nil, ErrBudget
+	}
+	message, err := decode(body)
+	if err != nil {
+		return nil, err
+	}
+	cert, err := g.senderCert(head.from, sender, message.Cert, wall, checks)
+	if err != nil {
+		return nil, err
+	}
+	if !g.verifySignature(cert, head.signed(g.fleet, body), sig) {
+		return nil, ErrSignature
+	}
+	if !g.isRecent(message.At, wall, maxTransitTime) {
+		return nil, ErrClock
+	}
+	if head.from == g.own.Name() && head.epoch == g.epoch {
+		return nil, ErrReplayed // this member's own, sent back
+	}
+	if sender == nil {
+		sender = g.addPeer(head.from, now)
+	}
+	sender.update(&head, trusted, message.Cookie)
+	sender.cert = cert
+	sender.lastSeen = now
+	opened := &Opened{From: head.from, Epoch: head.epoch, Message: message, Trusted: trusted}
+	g.filterRecords(opened, checks)
+	g.filterStatements(opened, wall, checks)
+	return opened, nil
+}
+
+// showsCookie reports whether a datagram shows the cookie that this member has handed to its sender.
+func (g *Guard) showsCookie(h *header) bool {
+	want := g.cookieFor(h.from)
+	return subtle.ConstantTimeCompare(want[:], h.cookie[:]) == 1
+}
+
+// isRecent reports whether a time in Unix milliseconds by another member's clock is at most maxAge from now.
+func (g *Guard) isRecent(unixMilli int64, wall time.Time, maxAge time.Duration) bool {
+	return wall.Sub(time.UnixMilli(unixMilli)).Abs() <= g.clockSkew+maxAge
+}
+
+// senderCert returns the currently valid certificate of a datagram's sender: the one that is known, or one that the
+// datagram carries.
+func (g *Guard) senderCert(
+	name string, sender *peer, carried []byte, wall time.Time, checks checkBudget,
+) (*x509.Certificate, error) {
+	var cert *x509.Certificate
+	if sender != nil {
+		cert = sender.cert
+	}
+	if len(carried) > 0 && (cert == nil || !bytes.Equal(cert.Raw, carried)) {
+		if !checks.spend() {
+			return nil, ErrBudget
+		}
+		var err error
+		if cert, err = g.verifyCert(carried, name, wall); err != nil {
+			return nil, err
+		}
+	}
+	if cert == nil {
+		return nil, ErrUnknown
+	}
+	if err := g.trust.Current(cert, wall); err != nil {
+		return nil, err
+	}
+	return cert, nil
+}
+
+// update applies the header and the cookie of an authenticated datagram.
+func (p *peer) update(h *header, trusted bool, cookie Cookie) {
+	if h.epoch > p.epoch {
+		p.startEpoch(h.epoch)
+	}
+	p.cookieSeen = p.cookieSeen || trusted
+	p.markSeen(h.seq)
+	if cookie != (Cookie{}) {
+		p.cookie = cookie
+	}
+}
+
+// filterRecords keeps the records that are new and signed by their author. Those of members whose certificate is not
+// known are kept without their signature: they only tell where a member may be found.
+func (g *Guard) filterRecords(opened *Opened, checks checkBudget) {
+	kept := opened.Records[:0]
+	for _, record := range opened.Records {
+		author := g.peers[record.Name]
+		switch {
+		case record.Name == g.own.Name():
+			if !g.acceptOwnRecord(&record, checks) {
+				continue
+			}
+		case author == nil || author.cert == nil:
+			record.Sig = nil
+		case !g.acceptRecord(author, &record, checks):
+			continue
+		}
+		kept = append(kept, record)
+	}
+	opened.Records = kept
+}
+
+// acceptOwnRecord reports whether a record shows that another member with this member's name and key started later.
+func (g *Guard) acceptOwnRecord(record *Record, checks checkBudget) bool {
+	return record.Epoch > g.epoch && checks.spend() &&
+		g.verifySignature(g.own.Cert, record.signed(g.fleet), record.Sig)
+}
+
+// acceptRecord reports whether a record of a known member is new and signed by it, and notes it as the latest.
+func (g *Guard) acceptRecord(author *peer, record *Record, checks checkBudget) bool {
+	if !record.supersedes(author.recordEpoch, author.recordIncarnation, author.recordGone) || !checks.spend() {
+		return false
+	}
+	if !g.verifySignature(author.cert, record.signed(g.fleet), record.Sig) {
+		return false
+	}
+	author.recordEpoch = record.Epoch
+	author.recordIncarnation = record.Incarnation
+	author.recordGone = record.Gone
+	return true
+}
+
+// filterStatements keeps the statements that are new and signed by their author, and notes equivocators.
+func (g *Guard) filterStatements(opened *Opened, wall time.Time, checks checkBudget) {
+	kept := opened.Statements[:0]
+	for _, statement := range opened.Statements {
+		author := g.authenticateStatement(&statement, wall, checks)
+		if author == nil {
+			continue
+		}
+		if statement.sameNumber(&author.lastStatement) {
+			// Ed25519 signs the same text in the same way, and the signatures differ: these are two texts.
+			opened.Equivocators = append(opened.Equivocators, statement.Name)
+			continue
+		}
+		author.lastStatement = statement
+		kept = append(kept, statement)
+	}
+	opened.Statements = kept
+}
+
+// authenticateStatement returns the author of a statement that is not older than its latest, nor the same, and carries
+// its signature. It returns nil for others.
+func (g *Guard) authenticateStatement(statement *Statement, wall time.Time, checks checkBudget) *peer {
+	if statement.Name == g.own.Name() || !g.isRecent(statement.At, wall, maxStatementAge) {
+		return nil
+	}
+	author := g.peers[statement.Name]
+	if author != nil && !mayBeNew(statement, &author.lastStatement) {
+		return nil
+	}
+	cert := g.statementCert(author, statement, wall, checks)
+	if cert == nil || g.trust.Current(cert, wall) != nil || !checks.spend() {
+		return nil
+	}
+	if !g.verifySignature(cert, statement.signed(g.fleet), statement.Sig) {
+		return nil
+	}
+	if author == nil {
+		author = g.addPeer(statement.Name, 0)
+		author.cert = cert
+	}
+	return author
+}
+
+// mayBeNew reports whether a statement is newer than the latest of its author, or has its number but another signature.
+func mayBeNew(statement, latest *Statement) bool {
+	if statement.sameNumber(latest) {
+		return !bytes.Equal(statement.Sig, latest.Sig)
+	}
+	return statement.supersedes(latest)
+}
+
+// statementCert returns the known certificate of a statement's author, or the one that the statement carries. It
+// returns nil if there is none that is valid, or the budget does not allow to verify it.
+func (g *Guard) statementCert(author *peer, statement *Statement, wall time.Time, checks checkBudget) *x509.Certificate {
+	if author != nil && author.cert != nil {
+		return author.cert
+	}
+	if !checks.spend() {
+		return nil
+	}
+	cert, err := g.verifyCert(statement.Cert, statement.Name, wall)
+	if err != nil {
+		return nil
+	}
+	return cert
+}
