--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -106,7 +106,7 @@
 // transmit sends a message, with broadcasts piggybacked, and reports whether the budget allowed it. The name is empty
 // where only the address is known.
 func (c *Core) transmit(name string, addr netip.AddrPort, message *Message) bool {
-	if !c.takeShare(&c.budgets.send, sendRateShare, sendBurstShare) {
+	if !c.takeFraction(&c.budgets.send, sendRateFraction, sendBurstFraction) {
 		return false
 	}
 	c.piggyback(name, message)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -156,14 +156,16 @@
 	})
 }
 
-// goldenStep is one datagram of a dialogue: who sends it to whom, in what file it is, and its message.
+// goldenStep is one datagram of a dialogue: its sender, its receiver, its file and its message.
 type goldenStep struct {
-	file, from, to string
-	message        Message
+	file    string
+	from    string
+	to      string // empty if only the address is known
+	message Message
 }
 
 // goldenDialogue returns a datagram of each kind, all fields of a message among them.
-func goldenDialogue(a, b, c *Guard) []goldenStep {
+func goldenDialogue(guardA, guardB, guardC *Guard) []goldenStep {
 	newRecord := func(g *Guard, name string, inc uint32, gone bool) Record {
 		r := Record{Name: name, Addr: Addr{goldenAddrs[name]}, Epoch: goldenEpochs[name], Incarnation: inc, Gone: gone}
 		g.SignRecord(&r)
@@ -178,56 +180,56 @@
 	return []goldenStep{
 		{"ping.datagram", "a", "", Message{
 			Kind: Ping, Nonce: 0x0123_4567_89ab_cdef, Summaries: claims,
-			Records: []Record{newRecord(a, "a", 1, false)},
+			Records: []Record{newRecord(guardA, "a", 1, false)},
 		}},
 		{"ack.datagram", "b", "a", Message{
 			Kind: Ack, Nonce: 0x0123_4567_89ab_cdef, Want: []string{"c", "förr"},
-			Records: []Record{newRecord(b, "b", 23, false)},
+			Records: []Record{newRecord(guardB, "b", 23, false)},
 		}},
 		{"ask.datagram", "a", "b", Message{Kind: IndirectPing, Nonce: 7, Target: "c", Claims: claims}},
 		{"nack.datagram", "b", "a", Message{Kind: Nack, Nonce: 7}},
 		{"gossip.datagram", "a", "b", Message{
 			Kind: Gossip, Claims: claims[1:2],
-			Records:    []Record{newRecord(a, "a", 2, true)},
-			Statements: []Statement{c.State(300, goldenNow, []byte("\x81\x85\x63w-1\x01\x19\x04\xb0\x00\x07"))},
+			Records:    []Record{newRecord(guardA, "a", 2, true)},
+			Statements: []Statement{guardC.State(300, goldenNow, []byte("\x81\x85\x63w-1\x01\x19\x04\xb0\x00\x07"))},
 		}},
 		{"empty-gossip.datagram", "b", "a", Message{Kind: Gossip}},
 	}
 }
 
 // Each datagram is sealed as the golden bytes, and the golden bytes are opened as its message.
-// The first two show no cookie: a ping to an address brings none, so the answer cannot show one.
+// The first two show no cookie: a ping to an address carries none, so the answer cannot show one.
 func TestGoldenDatagrams(t *testing.T) {
 	guards := map[string]*Guard{}
 	for _, name := range goldenNames {
 		guards[name] = goldenGuard(t, name)
 	}
 	kinds := map[Kind]bool{}
-	for i, s := range goldenDialogue(guards["a"], guards["b"], guards["c"]) {
+	for i, step := range goldenDialogue(guards["a"], guards["b"], guards["c"]) {
 		wall := goldenNow.Add(time.Duration(i) * 10 * time.Millisecond)
-		want := s.message // Seal fills in At, Cookie and Cert
-		sealed, err := guards[s.from].Seal(s.to, uint32(i), wall, &want)
+		want := step.message // Seal fills in At, Cookie and Cert
+		sealed, err := guards[step.from].Seal(step.to, uint32(i), wall, &want)
 		if err != nil {
-			t.Fatalf("%s: %v", s.file, err)
+			t.Fatalf("%s: %v", step.file, err)
 		}
-		compareGolden(t, s.file, sealed)
-		receiver := map[string]string{"a": "b", "b": "a"}[s.from]
-		opened, err := guards[receiver].Open(goldenUptime, wall, goldenAddrs[s.from], readGolden(t, s.file))
+		compareGolden(t, step.file, sealed)
+		receiver := map[string]string{"a": "b", "b": "a"}[step.from]
+		opened, err := guards[receiver].Open(goldenUptime, wall, goldenAddrs[step.from], readGolden(t, step.file))
 		if err != nil {
-			t.Fatalf("%s: %v", s.file, err)
+			t.Fatalf("%s: %v", step.file, err)
 		}
-		if opened.From != s.from || opened.Epoch != goldenEpochs[s.from] || opened.Trusted != (i > 1) || len(opened.Equivocators) > 0 {
-			t.Errorf("%s: from %q, started %d, trusted %t, contradicting %v", s.file, opened.From, opened.Epoch,
+		if opened.From != step.from || opened.Epoch != goldenEpochs[step.from] || opened.Trusted != (i > 1) || len(opened.Equivocators) > 0 {
+			t.Errorf("%s: from %q, started %d, trusted %t, contradicting %v", step.file, opened.From, opened.Epoch,
 				opened.Trusted, opened.Equivocators)
 		}
 		if !reflect.DeepEqual(opened.Message, &want) {
-			t.Errorf("%s: read as\n%+v\nwant\n%+v", s.file, opened.Message, &want)
+			t.Errorf("%s: read as\n%+v\nwant\n%+v", step.file, opened.Message, &want)
 		}
-		if want.At != wall.UnixMilli() || !reflect.DeepEqual(want.Records, s.message.Records) ||
-			!reflect.DeepEqual(want.Statements, s.message.Statements) {
-			t.Errorf("%s: sealed as %+v", s.file, want)
+		if want.At != wall.UnixMilli() || !reflect.DeepEqual(want.Records, step.message.Records) ||
+			!reflect.DeepEqual(want.Statements, step.message.Statements) {
+			t.Errorf("%s: sealed as %+v", step.file, want)
 		}
-		kinds[s.message.Kind] = true
+		kinds[step.message.Kind] = true
 	}
 	for k := Ping; k <= lastKind; k++ {
 		if !kinds[k] {
@@ -257,13 +259,13 @@
 	}
 }
 
-// The error texts of golden datagrams that do not count.
+// The error texts of golden datagrams that are dropped.
 func TestGoldenErrors(t *testing.T) {
 	whole := readGolden(t, "ping.datagram")
 	forged, otherVersion := bytes.Clone(whole), bytes.Clone(whole)
 	forged[fixedHeaderBytes+3] ^= 1 // the first byte of the signature, behind the names "a" and ""
 	otherVersion[1]++
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name, receiver string
 		datagram       []byte
 		wall           time.Time
@@ -285,9 +287,9 @@
 			"the certificate does not hold now: it is good from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC",
 		},
 	} {
-		_, err := goldenGuard(t, c.receiver).Open(goldenUptime, c.wall, goldenAddrs["a"], c.datagram)
-		if err == nil || err.Error() != c.want || !errors.Is(err, c.err) {
-			t.Errorf("%s: error %v, want %s", c.name, err, c.want)
+		_, err := goldenGuard(t, tt.receiver).Open(goldenUptime, tt.wall, goldenAddrs["a"], tt.datagram)
+		if err == nil || err.Error() != tt.want || !errors.Is(err, tt.err) {
+			t.Errorf("%s: error %v, want %s", tt.name, err, tt.want)
 		}
 	}
 }
@@ -312,80 +314,101 @@
 	return n
 }
 
-// Three members with fixed keys and seeds send the golden datagrams, in the golden order, and tell the golden changes:
-// they meet, one makes a statement, one is cut off for a while and comes back, and one leaves.
+// The timetable of TestGoldenExchange, since the start of the members.
+const (
+	exchangeTick    = 10 * time.Millisecond
+	exchangeStart   = 100 * time.Millisecond // by then the budgets of signature checks allow some
+	exchangeEnd     = 16 * time.Second
+	statementAt     = time.Second // a makes a statement
+	partitionStart  = 4 * time.Second
+	partitionEnd    = 9 * time.Second // until then c is cut off
+	leaveAt         = 14 * time.Second
+	partitionedNode = "c"
+)
+
+// goldenExchange records what its members send and report.
+type goldenExchange struct {
+	byAddr map[netip.AddrPort]*goldenNode
+	lines  bytes.Buffer
+	kinds  map[Kind]int
+}
+
+// step steps a member with what has arrived for it, and performs its actions.
+func (x *goldenExchange) step(t *testing.T, now time.Duration, node *goldenNode) {
+	t.Helper()
+	events := node.arrived
+	node.arrived = nil
+	if now == statementAt && node.name == "a" {
+		events = append(events, Say{node.guard.State(1, goldenNow.Add(now), []byte("statement"))})
+	}
+	if now == leaveAt && node.name == "c" {
+		events = append(events, Leave{})
+	}
+	if len(events) == 0 && node.core.Next() > now {
+		return
+	}
+	for _, action := range node.core.Step(now, events) {
+		switch action := action.(type) {
+		case Transmit:
+			x.transmit(t, now, node, action)
+		case MemberChanged:
+			m := action.Member
+			fmt.Fprintf(&x.lines, "%v %s holds %s of %d.%d to be state %d\n", now, node.name, m.Name, m.Epoch, m.Incarnation, m.State)
+		case StatementReceived:
+			fmt.Fprintf(&x.lines, "%v %s hears %s say %q\n", now, node.name, action.Statement.Name, action.Statement.Body)
+		case MemberForgotten:
+			fmt.Fprintf(&x.lines, "%v %s forgets %s\n", now, node.name, action.Name)
+		case NameConflict:
+			t.Errorf("%s has a name conflict", node.name)
+		}
+	}
+}
+
+// transmit seals a message and, unless the partition is in the way, opens it at its receiver.
+func (x *goldenExchange) transmit(t *testing.T, now time.Duration, sender *goldenNode, action Transmit) {
+	t.Helper()
+	wall := goldenNow.Add(now)
+	datagram, err := sender.guard.Seal(action.To, action.Inc, wall, action.Message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	x.kinds[action.Message.Kind]++
+	fmt.Fprintf(&x.lines, "%v %s to %q at %v kind %d length %d sha256 %x\n", now, sender.name, action.To, action.Addr,
+		action.Message.Kind, len(datagram), sha256.Sum256(datagram))
+	receiver := x.byAddr[action.Addr]
+	partitioned := now >= partitionStart && now < partitionEnd
+	if partitioned && (sender.name == partitionedNode || receiver.name == partitionedNode) {
+		return
+	}
+	opened, err := receiver.guard.Open(now, wall, goldenAddrs[sender.name], datagram)
+	if err != nil {
+		fmt.Fprintf(&x.lines, "%v %s drops: %v\n", now, receiver.name, err)
+		return
+	}
+	receiver.arrived = append(receiver.arrived, Received{
+		From: opened.From, Addr: goldenAddrs[sender.name],
+		Epoch: opened.Epoch, Message: opened.Message, Trusted: opened.Trusted,
+	})
+}
+
+// Three members with fixed keys and seeds send the golden datagrams and report the golden changes, in the golden order:
+// they join, one makes a statement, one is partitioned for a while and comes back, and one leaves.
 func TestGoldenExchange(t *testing.T) {
-	const (
-		tick     = 10 * time.Millisecond
-		start    = 100 * time.Millisecond // by then the budgets of checks allow some
-		end      = 16 * time.Second
-		said     = time.Second
-		cutOff   = 4 * time.Second
-		cutUntil = 9 * time.Second
-		left     = 14 * time.Second
-	)
+	exchange := &goldenExchange{byAddr: map[netip.AddrPort]*goldenNode{}, kinds: map[Kind]int{}}
 	var nodes []*goldenNode
-	byAddr := map[netip.AddrPort]*goldenNode{}
 	for i, name := range goldenNames {
-		n := newGoldenNode(t, name, uint64(i)+1)
-		nodes, byAddr[goldenAddrs[name]] = append(nodes, n), n
-	}
-	var lines bytes.Buffer
-	kinds := map[Kind]int{}
-	for now := start; now < end; now += tick {
-		wall := goldenNow.Add(now)
-		for _, n := range nodes {
-			events := n.arrived
-			n.arrived = nil
-			if now == said && n.name == "a" {
-				events = append(events, Say{n.guard.State(1, wall, []byte("statement"))})
-			}
-			if now == left && n.name == "c" {
-				events = append(events, Leave{})
-			}
-			if len(events) == 0 && n.core.Next() > now {
-				continue
-			}
-			for _, action := range n.core.Step(now, events) {
-				switch action := action.(type) {
-				case Transmit:
-					datagram, err := n.guard.Seal(action.To, action.Inc, wall, action.Message)
-					if err != nil {
-						t.Fatal(err)
-					}
-					kinds[action.Message.Kind]++
-					fmt.Fprintf(&lines, "%v %s to %q at %v kind %d length %d sha256 %x\n", now, n.name, action.To, action.Addr,
-						action.Message.Kind, len(datagram), sha256.Sum256(datagram))
-					receiver := byAddr[action.Addr]
-					cut := now >= cutOff && now < cutUntil && (n.name == "c" || receiver.name == "c")
-					if cut {
-						continue
-					}
-					opened, err := receiver.guard.Open(now, wall, goldenAddrs[n.name], datagram)
-					if err != nil {
-						fmt.Fprintf(&lines, "%v %s drops: %v\n", now, receiver.name, err)
-						continue
-					}
-					receiver.arrived = append(receiver.arrived, Received{
-						From: opened.From, Addr: goldenAddrs[n.name],
-						Epoch: opened.Epoch, Message: opened.Message, Trusted: opened.Trusted,
-					})
-				case MemberChanged:
-					m := action.Member
-					fmt.Fprintf(&lines, "%v %s holds %s of %d.%d to be state %d\n", now, n.name, m.Name, m.Epoch, m.Incarnation, m.State)
-				case StatementReceived:
-					fmt.Fprintf(&lines, "%v %s hears %s say %q\n", now, n.name, action.Statement.Name, action.Statement.Body)
-				case MemberForgotten:
-					fmt.Fprintf(&lines, "%v %s forgets %s\n", now, n.name, action.Name)
-				case NameConflict:
-					t.Errorf("%s is usurped", n.name)
-				}
-			}
+		node := newGoldenNode(t, name, uint64(i)+1)
+		nodes = append(nodes, node)
+		exchange.byAddr[goldenAddrs[name]] = node
+	}
+	for now := exchangeStart; now < exchangeEnd; now += exchangeTick {
+		for _, node := range nodes {
+			exchange.step(t, now, node)
 		}
 	}
-	compareGolden(t, "exchange.txt", lines.Bytes())
+	compareGolden(t, "exchange.txt", exchange.lines.Bytes())
 	for k := Ping; k <= lastKind; k++ {
-		if kinds[k] == 0 {
+		if exchange.kinds[k] == 0 {
 			t.Errorf("no datagram of kind %d in the exchange", k)
 		}
 	}
--- a/internal/fleet/gossip/header.go
+++ b/internal/fleet/gossip/header.go
@@ -42,29 +42,29 @@
 
 // parseHeader decodes the header of a datagram and returns the signature and the message after it, which are not
 // copied. Its error is ErrMalformed.
-func parseHeader(datagram []byte) (h header, sig, body []byte, err error) {
+func parseHeader(datagram []byte) (parsed header, sig, body []byte, err error) {
 	const minBytes = fixedHeaderBytes + 2 + signatureBytes // with two empty names
 	if len(datagram) < minBytes || len(datagram) > MaxDatagram || datagram[0] != magic || datagram[1] != formatVersion {
-		return h, nil, nil, ErrMalformed
+		return parsed, nil, nil, ErrMalformed
 	}
 	rest := datagram[versionBytes:]
-	copy(h.cookie[:], rest)
+	copy(parsed.cookie[:], rest)
 	rest = rest[cookieBytes:]
-	h.epoch = int64(binary.BigEndian.Uint64(rest))
+	parsed.epoch = int64(binary.BigEndian.Uint64(rest))
 	rest = rest[epochBytes:]
-	h.incarnation = binary.BigEndian.Uint32(rest)
+	parsed.incarnation = binary.BigEndian.Uint32(rest)
 	rest = rest[incarnationBytes:]
-	h.seq = binary.BigEndian.Uint64(rest)
+	parsed.seq = binary.BigEndian.Uint64(rest)
 	rest = rest[seqBytes:]
-	for _, name := range []*string{&h.from, &h.to} {
+	for _, name := range []*string{&parsed.from, &parsed.to} {
 		if *name, rest, err = parseName(rest); err != nil {
-			return h, nil, nil, err
+			return parsed, nil, nil, err
 		}
 	}
-	if h.from == "" || len(rest) < signatureBytes {
-		return h, nil, nil, ErrMalformed
+	if parsed.from == "" || len(rest) < signatureBytes {
+		return parsed, nil, nil, ErrMalformed
 	}
-	return h, rest[:signatureBytes], rest[signatureBytes:], nil
+	return parsed, rest[:signatureBytes], rest[signatureBytes:], nil
 }
 
 // parseName decodes what appendName appended and returns what is after it.
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -2,14 +2,14 @@
 
 import "calicohill/internal/stats/ratelimit"
 
-// Shares of Config.Messages, as the rate per second and the burst of a token bucket.
+// Fractions of Config.Messages, as the rate per second and the burst of a token bucket.
 const (
-	sendRateShare    = 0.6 // the rate and the burst of all messages together are the most that any second sees
-	sendBurstShare   = 0.4
-	gossipRateShare  = 0.2 // gossip takes a part only, so that pings and acks always find some budget
-	gossipBurstShare = 0.3
-	answerShare      = 0.3 // acks and other answers to all members together
-	noticeShare      = 0.1 // notices to suspects, see notifySuspect
+	sendRateFraction    = 0.6 // the rate and the burst of all messages together are the most that any second sees
+	sendBurstFraction   = 0.4
+	gossipRateFraction  = 0.2 // gossip takes a part only, so that pings and acks always find some budget
+	gossipBurstFraction = 0.3
+	answerFraction      = 0.3 // acks and other answers to all members together
+	noticeFraction      = 0.1 // notices to suspects, see notifySuspect
 )
 
 // Limits per member, in messages per second and messages at once.
@@ -30,15 +30,15 @@
 	strangers ratelimit.TokenBucket // answers to senders that are not members
 }
 
-// takeShare takes one message from a bucket that holds a share of Config.Messages.
-func (c *Core) takeShare(bucket *ratelimit.TokenBucket, rateShare, burstShare float64) bool {
+// takeFraction takes one message from a bucket that holds a fraction of Config.Messages.
+func (c *Core) takeFraction(bucket *ratelimit.TokenBucket, rateFraction, burstFraction float64) bool {
 	limit := float64(c.config.Messages)
-	return bucket.Take(c.now, 1, rateShare*limit, burstShare*limit)
+	return bucket.Take(c.now, 1, rateFraction*limit, burstFraction*limit)
 }
 
 // mayGossip takes one message from the budget of gossip.
 func (c *Core) mayGossip() bool {
-	return c.takeShare(&c.budgets.gossip, gossipRateShare, gossipBurstShare)
+	return c.takeFraction(&c.budgets.gossip, gossipRateFraction, gossipBurstFraction)
 }
 
 // mayAnswer takes one answer from the budget of a sender, which is nil for one that is not a member, and one from the
@@ -52,5 +52,5 @@
 		allowance = 1
 	}
 	return bucket.Take(c.now, 1, allowance*answerRate, allowance*answerBurst) &&
-		c.takeShare(&c.budgets.answers, answerShare, answerShare)
+		c.takeFraction(&c.budgets.answers, answerFraction, answerFraction)
 }
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -10,12 +10,12 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Shares of GuardConfig.Checks, which each have a budget of their own. So neither forged addresses nor one member can
+// Fractions of GuardConfig.Checks, which each have a budget of their own. So neither forged addresses nor one member can
 // use up what the members need that have shown a cookie.
 const (
-	peerCheckShare    = 0.2  // for each member that shows a cookie
-	knownCheckShare   = 0.25 // for all datagrams without one from addresses of members and seeds
-	unknownCheckShare = 0.1  // for all others
+	peerCheckFraction    = 0.2  // for each member that shows a cookie
+	knownCheckFraction   = 0.25 // for all datagrams without one from addresses of members and seeds
+	unknownCheckFraction = 0.1  // for all others
 )
 
 const (
@@ -47,16 +47,16 @@
 // address, which may be forged, ranks it.
 func (g *Guard) checkBudgetFor(sender *peer, trusted bool, from netip.AddrPort, now time.Duration) checkBudget {
 	bucket := &g.unknownBudget
-	share := unknownCheckShare
+	fraction := unknownCheckFraction
 	switch {
 	case trusted:
 		bucket = &sender.checkBudget
-		share = peerCheckShare
+		fraction = peerCheckFraction
 	case g.knownAddrs[from]:
 		bucket = &g.knownBudget
-		share = knownCheckShare
+		fraction = knownCheckFraction
 	}
-	return checkBudget{guard: g, bucket: bucket, rate: max(share*g.checksPerSecond, 1), now: now}
+	return checkBudget{guard: g, bucket: bucket, rate: max(fraction*g.checksPerSecond, 1), now: now}
 }
 
 // spend takes one check, from the sender's budget and from that of all senders.
@@ -165,9 +165,9 @@
 }
 
 // filterRecords keeps the records that are new and signed by their author. Those of members whose certificate is not
-// known are kept without their signature: they only tell where a member may be found.
+// known are accepted without their signature: they only tell where a member may be found.
 func (g *Guard) filterRecords(opened *Opened, checks checkBudget) {
-	kept := opened.Records[:0]
+	accepted := opened.Records[:0]
 	for _, record := range opened.Records {
 		author := g.peers[record.Name]
 		switch {
@@ -180,9 +180,9 @@
 		case !g.acceptRecord(author, &record, checks):
 			continue
 		}
-		kept = append(kept, record)
+		accepted = append(accepted, record)
 	}
-	opened.Records = kept
+	opened.Records = accepted
 }
 
 // acceptOwnRecord reports whether a record shows that another member with this member's name and key started later.
@@ -207,7 +207,7 @@
 
 // filterStatements keeps the statements that are new and signed by their author, and notes equivocators.
 func (g *Guard) filterStatements(opened *Opened, wall time.Time, checks checkBudget) {
-	kept := opened.Statements[:0]
+	accepted := opened.Statements[:0]
 	for _, statement := range opened.Statements {
 		author := g.authenticateStatement(&statement, wall, checks)
 		if author == nil {
@@ -219,9 +219,9 @@
 			continue
 		}
 		author.lastStatement = statement
-		kept = append(kept, statement)
+		accepted = append(accepted, statement)
 	}
-	opened.Statements = kept
+	opened.Statements = accepted
 }
 
 // authenticateStatement returns the author of a statement that is not older than its latest, nor the same, and carries
--- a/internal/fleet/gossip/signing.go
+++ b/internal/fleet/gossip/signing.go
@@ -9,12 +9,12 @@
 	domainStatement = "calicohill gossip 1 statement\x00"
 )
 
-// signedPrefix begins a signed text: each part after its length, so that no two lists of parts give the same text.
-func signedPrefix(domain string, parts ...string) []byte {
+// signedPrefix begins a signed text: each field after its length, so that no two lists of fields give the same text.
+func signedPrefix(domain string, fields ...string) []byte {
 	text := []byte(domain)
-	for _, part := range parts {
-		text = binary.BigEndian.AppendUint16(text, uint16(len(part)))
-		text = append(text, part...)
+	for _, field := range fields {
+		text = binary.BigEndian.AppendUint16(text, uint16(len(field)))
+		text = append(text, field...)
 	}
 	return text
 }
--- a/internal/fleet/gossip/suspicion.go
+++ b/internal/fleet/gossip/suspicion.go
@@ -98,7 +98,7 @@
 // past this member, and the claim may not have reached the suspect.
 func (c *Core) notifySuspect(m *member, elapsed, timeout time.Duration) {
 	due := timeout * time.Duration(m.suspicionNotices+1) / (maxSuspicionNotices + 1)
-	if elapsed < due || !c.takeShare(&c.budgets.notices, noticeShare, noticeShare) {
+	if elapsed < due || !c.takeFraction(&c.budgets.notices, noticeFraction, noticeFraction) {
 		return
 	}
 	m.suspicionNotices++
