--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -23,53 +23,53 @@
 )
 
 const (
-	readsASlice = 1000                   // datagrams read in a slice of time; what is over that the system drops
-	slice       = 100 * time.Millisecond // 10,000 a second cost some hundredths of a core, and no more
-	waiting     = 256                    // datagrams, and calls, that wait to be taken in
-	maxMembers  = 4096
-	readBuffer  = 256 << 10
-	batch       = 64 // datagrams taken in before the cores are stepped
+	maxReadsPerSlice  = 1000                   // datagrams read in a slice of time; what is over that the system drops
+	readSlice         = 100 * time.Millisecond // 10,000 a second cost some hundredths of a core, and no more
+	queueLength       = 256                    // datagrams, and calls, that wait to be taken in
+	maxMembers        = 4096
+	socketBufferBytes = 256 << 10
+	maxBatch          = 64 // datagrams taken in before the cores are stepped
 )
 
 // Node is this scheduler's place among its peers.
 type Node struct {
-	set   operatorfile.Gossip
-	log   *logrus.Entry
-	thin  logging.RateLimited
-	hold  func(routing.PeerReports)
-	conn  *net.UDPConn
-	own   *pki.Member
-	trust *pki.Trust
-	guard *gossip.Guard
-	core  *gossip.Core
-	words *faultreport.Core
+	settings       operatorfile.Gossip
+	log            *logrus.Entry
+	rateLimitedLog logging.RateLimited
+	onPeerReports  func(routing.PeerReports)
+	conn           *net.UDPConn
+	own            *pki.Member
+	trust          *pki.Trust
+	guard          *gossip.Guard
+	core           *gossip.Core
+	faultReports   *faultreport.Core
 
-	base  time.Time
-	epoch int64
-	seq   uint64 // of statements
-	held  map[string]routing.PeerVerdict
+	start        time.Time
+	epoch        int64
+	statementSeq uint64 // of statements
+	verdicts     map[string]routing.PeerVerdict
 
-	in    chan datagram
-	calls chan func()
-	quit  chan struct{}
-	done  chan struct{}
+	datagrams chan datagram
+	calls     chan func()
+	quit      chan struct{}
+	done      chan struct{}
 
-	events []faultreport.Event
-	list   atomic.Pointer[[]string] // of workers, not taken in yet
+	faultEvents []faultreport.Event
+	endpoints   atomic.Pointer[[]string] // of workers, not taken in yet
 
-	sent, bytes, peak int // messages and bytes so far, and the most messages of a second
-	times             []time.Duration
+	messagesSent, bytesSent, peakRate int // messages and bytes so far, and the most messages of a second
+	sendTimes                         []time.Duration
 }
 
 type datagram struct {
-	from netip.AddrPort
-	b    []byte
+	from    netip.AddrPort
+	content []byte
 }
 
 // Open reads the keys, binds the socket and returns a Node that does nothing until Run. hold is called from its
 // goroutine with what peers hold of workers, and must not wait for it.
 func Open(set operatorfile.Gossip, hold func(routing.PeerReports), log *logrus.Entry) (*Node, error) {
-	own, trust, err := keys(set)
+	own, trust, err := readKeys(set)
 	if err != nil {
 		return nil, err
 	}
@@ -81,12 +81,12 @@
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	// An error leaves the system's size, which will do.
-	_ = conn.SetReadBuffer(readBuffer)
+	_ = conn.SetReadBuffer(socketBufferBytes)
 	base := time.Now()
 	n := &Node{
-		set: set, log: log, thin: logging.RateLimited{Log: log}, hold: hold, conn: conn, own: own, trust: trust, base: base,
-		epoch: base.UnixMilli(), held: map[string]routing.PeerVerdict{}, in: make(chan datagram, waiting),
-		calls: make(chan func(), waiting), quit: make(chan struct{}), done: make(chan struct{}),
+		settings: set, log: log, rateLimitedLog: logging.RateLimited{Log: log}, onPeerReports: hold, conn: conn, own: own, trust: trust, start: base,
+		epoch: base.UnixMilli(), verdicts: map[string]routing.PeerVerdict{}, datagrams: make(chan datagram, queueLength),
+		calls: make(chan func(), queueLength), quit: make(chan struct{}), done: make(chan struct{}),
 	}
 	secret := make([]byte, 32)
 	rand.Read(secret) // which never fails
@@ -99,16 +99,16 @@
 		ProbeEvery: set.ProbeEvery, ProbeTimeout: set.ProbeTimeout, SuspectFor: set.SuspectFor, Messages: set.Messages,
 		MaxMembers: maxMembers, Seed: uint64(n.epoch), Sign: n.guard.SignRecord,
 	})
-	n.words = faultreport.New(worth(set))
+	n.faultReports = faultreport.New(faultReportConfig(set))
 	return n, nil
 }
 
-func worth(set operatorfile.Gossip) faultreport.Config {
+func faultReportConfig(set operatorfile.Gossip) faultreport.Config {
 	return faultreport.Config{Liars: set.Liars, LeaveOut: set.LeaveOut, ForgetAfter: set.ForgetAfter}
 }
 
 // keys reads the files that settings name.
-func keys(set operatorfile.Gossip) (*pki.Member, *pki.Trust, error) {
+func readKeys(set operatorfile.Gossip) (*pki.Member, *pki.Trust, error) {
 	key, cert, err := pki.ReadKey(set.Key)
 	if err != nil {
 		return nil, nil, fmt.Errorf("gossip: %w", err)
@@ -140,13 +140,13 @@
 }
 
 // Now is the time that the cores are told: Unix time at the start, and the monotonic clock from then on.
-func (n *Node) now() time.Duration { return time.Duration(n.base.UnixNano()) + time.Since(n.base) }
+func (n *Node) now() time.Duration { return time.Duration(n.start.UnixNano()) + time.Since(n.start) }
 
 // Run starts the Node.
 func (n *Node) Run() {
-	go n.read()
+	go n.receive()
 	go n.run()
-	n.log.WithFields(logrus.Fields{"name": n.own.Name(), "listen": n.set.Listen.String(), "fleet": n.set.Fleet}).
+	n.log.WithFields(logrus.Fields{"name": n.own.Name(), "listen": n.settings.Listen.String(), "fleet": n.settings.Fleet}).
 		Info("gossip started")
 }
 
@@ -157,7 +157,7 @@
 }
 
 // call has something done by the Node, or not at all if too much waits: the request loop must not.
-func (n *Node) call(f func()) bool {
+func (n *Node) post(f func()) bool {
 	select {
 	case n.calls <- f:
 		return true
@@ -168,15 +168,15 @@
 
 // FaultObserved takes in what this scheduler finds of a worker. It never waits.
 func (n *Node) FaultObserved(o routing.ReportFault) {
-	n.call(func() {
-		n.events = append(n.events, faultreport.FaultObserved{Worker: o.Worker, Fault: o.Fault, At: o.ObservedAt})
+	n.post(func() {
+		n.faultEvents = append(n.faultEvents, faultreport.FaultObserved{Worker: o.Worker, Fault: o.Fault, At: o.ObservedAt})
 	})
 }
 
 // EndpointsChanged takes in which workers the list names. It never waits.
 func (n *Node) EndpointsChanged(workers []string) {
-	n.list.Store(&workers)
-	n.call(func() {}) // with so much waiting that this is not taken in, the next step is near anyway
+	n.endpoints.Store(&workers)
+	n.post(func() {}) // with so much waiting that this is not taken in, the next step is near anyway
 }
 
 // ErrBusy is the error of a Prepared reload that was not taken in.
@@ -184,19 +184,19 @@
 
 // Prepare reads what new settings name and returns what takes them up; until that is called nothing changes.
 func (n *Node) Prepare(set operatorfile.Gossip) (apply func() error, err error) {
-	own, trust, err := keys(set)
+	own, trust, err := readKeys(set)
 	if err != nil {
 		return nil, err
 	}
 	if err := trust.Current(own.Cert, time.Now()); err != nil {
 		return nil, fmt.Errorf("gossip: key %s: %w", set.Key, err)
 	}
-	if own.Name() != n.own.Name() || set.Fleet != n.set.Fleet {
-		return nil, fmt.Errorf("gossip: %s of fleet %s can't become %s of fleet %s without a restart", n.own.Name(), n.set.Fleet,
+	if own.Name() != n.own.Name() || set.Fleet != n.settings.Fleet {
+		return nil, fmt.Errorf("gossip: %s of fleet %s can't become %s of fleet %s without a restart", n.own.Name(), n.settings.Fleet,
 			own.Name(), set.Fleet)
 	}
 	return func() error {
-		if !n.call(func() { n.reload(set, own, trust) }) {
+		if !n.post(func() { n.reload(set, own, trust) }) {
 			return ErrBusy
 		}
 		return nil
@@ -211,14 +211,14 @@
 		n.log.WithField("peer", name).Warn("peer no longer counts: its certificate does not")
 		events = append(events, gossip.RemoveMember{Name: name})
 	}
-	n.set.Seeds, n.set.Overlap = set.Seeds, set.Overlap
-	n.events = append(n.events, faultreport.Configure{Config: worth(set)})
+	n.settings.Seeds, n.settings.Overlap = set.Seeds, set.Overlap
+	n.faultEvents = append(n.faultEvents, faultreport.Configure{Config: faultReportConfig(set)})
 	n.step(events)
 	n.log.Info("gossip settings taken up")
 }
 
 // read reads datagrams until the socket is closed.
-func (n *Node) read() {
+func (n *Node) receive() {
 	buf := make([]byte, gossip.MaxDatagram+1)
 	count, from := 0, time.Now()
 	for {
@@ -229,18 +229,18 @@
 		if err != nil || size == 0 || size > gossip.MaxDatagram {
 			continue
 		}
-		if count++; count >= readsASlice {
-			if rest := slice - time.Since(from); rest > 0 {
+		if count++; count >= maxReadsPerSlice {
+			if rest := readSlice - time.Since(from); rest > 0 {
 				time.Sleep(rest)
 			}
 			count, from = 0, time.Now()
-		} else if time.Since(from) >= slice {
+		} else if time.Since(from) >= readSlice {
 			count, from = 0, time.Now()
 		}
 		b := make([]byte, size)
 		copy(b, buf)
 		select {
-		case n.in <- datagram{netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()), b}:
+		case n.datagrams <- datagram{netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()), b}:
 		default: // as if the network had lost it
 		}
 	}
@@ -254,12 +254,12 @@
 	for {
 		var events []gossip.Event
 		select {
-		case d := <-n.in:
-			events = n.open(events, d)
-			for range batch {
+		case d := <-n.datagrams:
+			events = n.openDatagram(events, d)
+			for range maxBatch {
 				select {
-				case d := <-n.in:
-					events = n.open(events, d)
+				case d := <-n.datagrams:
+					events = n.openDatagram(events, d)
 					continue
 				default:
 				}
@@ -271,25 +271,25 @@
 		case <-n.quit:
 			n.step([]gossip.Event{gossip.Leave{}})
 			n.log.WithFields(logrus.Fields{
-				"seconds": time.Since(n.base).Seconds(), "sent": n.sent, "bytes": n.bytes,
-				"peak": n.peak, "checks": n.guard.SignaturesChecked, "members": n.core.NumMembers(),
+				"seconds": time.Since(n.start).Seconds(), "sent": n.messagesSent, "bytes": n.bytesSent,
+				"peak": n.peakRate, "checks": n.guard.SignaturesChecked, "members": n.core.NumMembers(),
 			}).Info("gossip ended")
 			return
 		}
 		n.step(events)
-		timer.Reset(max(min(n.core.Next(), n.words.Next())-n.now(), time.Millisecond))
+		timer.Reset(max(min(n.core.Next(), n.faultReports.Next())-n.now(), time.Millisecond))
 	}
 }
 
 // open adds the event that a datagram is, if it may be read.
-func (n *Node) open(events []gossip.Event, d datagram) []gossip.Event {
-	o, err := n.guard.Open(n.now(), time.Now(), d.from, d.b)
+func (n *Node) openDatagram(events []gossip.Event, d datagram) []gossip.Event {
+	o, err := n.guard.Open(n.now(), time.Now(), d.from, d.content)
 	if err != nil {
-		n.thin.Warn(n.now(), "gossip datagram dropped", fmt.Errorf("from %s: %w", d.from, err))
+		n.rateLimitedLog.Warn(n.now(), "gossip datagram dropped", fmt.Errorf("from %s: %w", d.from, err))
 		return events
 	}
 	for _, name := range o.Equivocators {
-		n.events = append(n.events, faultreport.Lied{From: name})
+		n.faultEvents = append(n.faultEvents, faultreport.Lied{From: name})
 	}
 	return append(events, gossip.Received{From: o.From, Addr: d.from, Epoch: o.Epoch, Message: o.Message, Trusted: o.Trusted})
 }
@@ -297,8 +297,8 @@
 // step steps both cores until neither has anything for the other.
 func (n *Node) step(events []gossip.Event) {
 	now := n.now()
-	if l := n.list.Swap(nil); l != nil {
-		n.events = append(n.events, faultreport.EndpointsChanged{Workers: *l})
+	if l := n.endpoints.Swap(nil); l != nil {
+		n.faultEvents = append(n.faultEvents, faultreport.EndpointsChanged{Workers: *l})
 	}
 	for {
 		members := false
@@ -313,33 +313,33 @@
 			case gossip.MemberForgotten:
 				n.guard.Forget(a.Name)
 			case gossip.StatementReceived:
-				n.events = append(n.events, faultreport.Heard{From: a.Statement.Name, Body: a.Statement.Body})
+				n.faultEvents = append(n.faultEvents, faultreport.Heard{From: a.Statement.Name, Body: a.Statement.Body})
 			case gossip.NameConflict:
 				n.log.WithField("name", n.own.Name()).Error("another scheduler has this one's name: this one says no more")
 			}
 		}
 		if members {
-			n.meet()
+			n.membershipChanged()
 		}
 		events = nil
-		own := n.events
-		n.events = nil
-		for _, a := range n.words.Step(now, own) {
+		own := n.faultEvents
+		n.faultEvents = nil
+		for _, a := range n.faultReports.Step(now, own) {
 			switch a := a.(type) {
 			case faultreport.Say:
 				if body, err := faultreport.Encode(a.Accusations); err != nil {
-					n.thin.Warn(now, "statement not made", err)
+					n.rateLimitedLog.Warn(now, "statement not made", err)
 				} else {
-					n.seq++
-					events = append(events, gossip.Say{Statement: n.guard.State(n.seq, time.Now(), body)})
+					n.statementSeq++
+					events = append(events, gossip.Say{Statement: n.guard.State(n.statementSeq, time.Now(), body)})
 				}
 			case faultreport.Hold:
-				n.tell(a.PeerReports)
+				n.publishPeerReports(a.PeerReports)
 			case faultreport.Discredited:
 				n.log.WithFields(logrus.Fields{"peer": a.From, "why": a.Why}).Warn("peer not heard for a while")
 			}
 		}
-		if len(events) == 0 && len(n.events) == 0 {
+		if len(events) == 0 && len(n.faultEvents) == 0 {
 			return
 		}
 	}
@@ -351,22 +351,22 @@
 		_, err = n.conn.WriteToUDPAddrPort(b, t.Addr)
 	}
 	if err != nil {
-		n.thin.Warn(n.now(), "gossip datagram not sent", err)
+		n.rateLimitedLog.Warn(n.now(), "gossip datagram not sent", err)
 		return
 	}
-	n.sent++
-	n.bytes += len(b)
+	n.messagesSent++
+	n.bytesSent += len(b)
 	now := n.now()
-	n.times = append(n.times, now)
-	for now-n.times[0] >= time.Second {
-		n.times = n.times[1:]
+	n.sendTimes = append(n.sendTimes, now)
+	for now-n.sendTimes[0] >= time.Second {
+		n.sendTimes = n.sendTimes[1:]
 	}
-	n.peak = max(n.peak, len(n.times))
+	n.peakRate = max(n.peakRate, len(n.sendTimes))
 }
 
 // meet passes on who is there.
-func (n *Node) meet() {
-	addrs, names := append([]netip.AddrPort(nil), n.set.Seeds...), []string(nil)
+func (n *Node) membershipChanged() {
+	addrs, names := append([]netip.AddrPort(nil), n.settings.Seeds...), []string(nil)
 	for _, m := range n.core.Members() {
 		addrs = append(addrs, m.Addr.AddrPort)
 		if m.State <= gossip.Suspect && n.guard.Certified(m.Name) {
@@ -374,21 +374,21 @@
 		}
 	}
 	n.guard.SetKnownAddresses(addrs)
-	n.events = append(n.events, faultreport.Members{Names: names})
+	n.faultEvents = append(n.faultEvents, faultreport.Members{Names: names})
 }
 
 // tell passes on what peers hold, and logs who is left out for it and no more.
-func (n *Node) tell(h routing.PeerReports) {
+func (n *Node) publishPeerReports(h routing.PeerReports) {
 	for w, word := range h.Verdicts {
-		if word == routing.Confirmed && n.held[w] != routing.Confirmed {
-			n.log.WithFields(logrus.Fields{"worker": w, "accusers": n.words.Need()}).Warn("worker ill on the word of peers")
+		if word == routing.Confirmed && n.verdicts[w] != routing.Confirmed {
+			n.log.WithFields(logrus.Fields{"worker": w, "accusers": n.faultReports.Need()}).Warn("worker ill on the word of peers")
 		}
 	}
-	for w, word := range n.held {
+	for w, word := range n.verdicts {
 		if word == routing.Confirmed && h.Verdicts[w] != routing.Confirmed {
 			n.log.WithField("worker", w).Info("worker no longer ill on the word of peers")
 		}
 	}
-	n.held = h.Verdicts
-	n.hold(h)
+	n.verdicts = h.Verdicts
+	n.onPeerReports(h)
 }
