--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -20,7 +20,7 @@
 
 // addCandidate notes where a member may be found whose record is not signed, unless it is a member already.
 func (c *Core) addCandidate(known *member, record Record) {
-	if known != nil && known.Epoch >= record.Epoch && known.State.inFleet() {
+	if known != nil && known.Epoch >= record.Epoch && known.State.InFleet() {
 		return
 	}
 	if !record.Gone && len(c.candidates) < maxCandidates {
@@ -59,7 +59,7 @@
 func (c *Core) unreachedSeeds() []netip.AddrPort {
 	reached := map[netip.AddrPort]bool{c.config.Addr: true}
 	for _, m := range c.members {
-		if m.State.inFleet() {
+		if m.State.InFleet() {
 			reached[m.Addr.AddrPort] = true
 		}
 	}
@@ -127,11 +127,11 @@
 		case summary.Name == c.config.Name:
 		case m == nil:
 			// The record of a member that is gone would make it look alive.
-			if summary.State.inFleet() && len(ack.Want) < maxRequested {
+			if summary.State.InFleet() && len(ack.Want) < maxRequested {
 				ack.Want = append(ack.Want, summary.Name)
 				packer.free -= wantSize(summary.Name)
 			}
-		case m.newerThan(summary) && (m.State.inFleet() || m.Gone):
+		case m.newerThan(summary) && (m.State.InFleet() || m.Gone):
 			packer.add(&m.Record)
 		}
 	}
@@ -160,7 +160,7 @@
 			packer.free -= c.self.size()
 			continue
 		}
-		if m := c.members[name]; m != nil && m.State.inFleet() {
+		if m := c.members[name]; m != nil && m.State.InFleet() {
 			packer.add(&m.Record)
 		}
 	}
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -90,7 +90,7 @@
 
 // sendGossip sends queued broadcasts to random members in messages of their own.
 func (c *Core) sendGossip(fanout int) {
-	for _, m := range c.randomMembers(fanout, func(m *member) bool { return m.State.inFleet() }) {
+	for _, m := range c.randomMembers(fanout, func(m *member) bool { return m.State.InFleet() }) {
 		if len(c.broadcasts) == 0 || !c.mayGossip() {
 			return
 		}
--- a/internal/fleet/gossip/member.go
+++ b/internal/fleet/gossip/member.go
@@ -22,8 +22,8 @@
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// inFleet reports whether a member of this state still counts as one of the fleet.
-func (s State) inFleet() bool { return s <= Suspect }
+// InFleet reports whether a member of this state still counts as one of the fleet.
+func (s State) InFleet() bool { return s <= Suspect }
 
 // deadRetention is how long a dead or departed member is remembered, so that stale records do not bring it back.
 const deadRetention = 60 * time.Second
@@ -71,7 +71,7 @@
 func (c *Core) NumMembers() int {
 	count := 1
 	for _, m := range c.members {
-		if m.State.inFleet() {
+		if m.State.InFleet() {
 			count++
 		}
 	}
@@ -144,7 +144,7 @@
 	var oldest *member
 	for _, name := range c.probeOrder {
 		m := c.members[name]
-		if !m.State.inFleet() && (oldest == nil || m.StateSince < oldest.StateSince) {
+		if !m.State.InFleet() && (oldest == nil || m.StateSince < oldest.StateSince) {
 			oldest = m
 		}
 	}
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -41,7 +41,7 @@
 		}
 		m := c.members[c.probeOrder[c.probeIndex]]
 		c.probeIndex++
-		if !m.State.inFleet() {
+		if !m.State.InFleet() {
 			continue
 		}
 		var summaries []Claim
--- a/internal/fleet/gossip/suspicion.go
+++ b/internal/fleet/gossip/suspicion.go
@@ -88,7 +88,7 @@
 			c.broadcastClaim(m)
 		case m.State == Suspect:
 			c.notifySuspect(m, elapsed, timeout)
-		case !m.State.inFleet() && elapsed >= deadRetention:
+		case !m.State.InFleet() && elapsed >= deadRetention:
 			c.forgetMember(name)
 		}
 	}
--- a/internal/testbed/gossipsim/sim.go
+++ b/internal/testbed/gossipsim/sim.go
@@ -25,7 +25,7 @@
 	Bytes int
 	// Window is the most messages that it sent in any second so far.
 	Window int
-	times  []time.Duration
+	meter  gossip.RateMeter
 	inbox  []gossip.Event // while it is paused
 	wake   time.Duration
 }
@@ -75,7 +75,8 @@
 	}
 	node.Epoch = max(node.Epoch+1, n.Now.Milliseconds())
 	c.Epoch = node.Epoch
-	node.Core, node.Paused, node.inbox, node.times = gossip.New(c), false, nil, nil // budgets start anew too
+	node.Core, node.Paused, node.inbox = gossip.New(c), false, nil
+	node.meter = gossip.RateMeter{} // budgets start anew too
 	n.step(node, nil)
 }
 
@@ -150,7 +151,8 @@
 		switch a := a.(type) {
 		case gossip.Transmit:
 			node.Sent++
-			node.count(n.Now)
+			node.meter.Record(n.Now)
+			node.Window = max(node.Window, node.meter.Peak())
 			n.deliver(node, a)
 		case gossip.StatementReceived:
 			if n.Heard != nil {
@@ -186,15 +188,6 @@
 	}})
 }
 
-// count keeps the most messages of any second.
-func (node *Node) count(now time.Duration) {
-	node.times = append(node.times, now)
-	for now-node.times[0] >= time.Second {
-		node.times = node.times[1:]
-	}
-	node.Window = max(node.Window, len(node.times))
-}
-
 func (n *Net) push(e *event) {
 	n.seq++
 	e.seq = n.seq
