--- a/internal/fleet/quota/checker_test.go
+++ b/internal/fleet/quota/checker_test.go
@@ -9,198 +9,264 @@
 	"time"
 )
 
-// world is three members of whom all may have six units in use, in every state that some course of events leads to. True
-// time goes by in ticks; a clock that is slow moves on by 2 s in one, a fast one by 4 s, which is as told: Drift is a third.
+// The fleet that the checker explores: three members that may have six units in use together.
+const (
+	checkedMembers  = 3
+	totalUnits      = 6
+	demandedUnits   = 4 // of a member that has any demand
+	checkedDrift    = 1.0 / 3
+	checkedDuration = 6 * time.Second // of a lease
+)
+
+// How far a clock moves on in a tick of true time; slow and fast are at the bounds of checkedDrift.
+const (
+	slow  = 2 * time.Second
+	exact = 3 * time.Second
+	fast  = 4 * time.Second
+)
+
+var clockRateSets = [][]time.Duration{{slow, fast, fast}, {fast, slow, slow}, {slow, slow, fast}, {exact, exact, exact}}
+
+// fleetState is a state of the fleet that a history of events leads to.
 type fleetState struct {
 	members    []*Core
 	clocks     []time.Duration
 	clockRates []time.Duration
 	stopped    []bool
-	inTransit  []sentStatement // that may yet arrive, however often and in whatever order
-	history    []string
+	inTransit  []sentStatement // may still arrive, any number of times and in any order
+	history    []string        // events so far
 }
 
+// sentStatement is a statement with the index of the member that sent it.
 type sentStatement struct {
 	from int
 	StatementReceived
 }
 
-const (
-	third         = 1.0 / 3
-	totalUnits    = 6
-	demandedUnits = 4 // of a member that needs any
-)
-
-func (w *fleetState) config(i int, epoch int64) Config {
+func checkedConfig(member int, epoch int64) Config {
 	return Config{
-		Self: fmt.Sprint("n", i), Epoch: epoch, FleetSize: 3, Budgets: []Budget{{"b", totalUnits, 0}}, LeaseDuration: 6 * time.Second,
-		MaxClockDrift: third,
+		Self:          fmt.Sprint("n", member),
+		Epoch:         epoch,
+		FleetSize:     checkedMembers,
+		Budgets:       []Budget{{"b", totalUnits, 0}},
+		LeaseDuration: checkedDuration,
+		MaxClockDrift: checkedDrift,
 	}
 }
 
+// newFleetState returns a fleet that has been running for an hour.
 func newFleetState(rates ...time.Duration) *fleetState {
-	w := &fleetState{clockRates: rates, clocks: make([]time.Duration, 3), stopped: make([]bool, 3)}
-	for i := range 3 {
-		c, err := New(w.config(i, 1))
+	state := &fleetState{
+		clockRates: rates,
+		clocks:     make([]time.Duration, checkedMembers),
+		stopped:    make([]bool, checkedMembers),
+	}
+	for i := range checkedMembers {
+		core, err := New(checkedConfig(i, 1))
 		if err != nil {
 			panic(err)
 		}
-		w.members = append(w.members, c)
-		w.step(i)
-		w.clocks[i] += time.Hour
-		w.step(i)
+		state.members = append(state.members, core)
+		state.step(i)
+		state.clocks[i] += time.Hour
+		state.step(i)
 	}
-	w.inTransit = nil
-	return w
+	state.inTransit = nil
+	return state
 }
 
-// step steps a member and puts what it says into the pool.
-func (w *fleetState) step(i int, events ...Event) {
-	for _, a := range w.members[i].Step(w.clocks[i], events) {
-		if s, ok := a.(Broadcast); ok && len(s.Requests)+len(s.Leases) > 0 {
-			s.Requests, s.Leases = slices.Clone(s.Requests), slices.Clone(s.Leases)
-			w.inTransit = append(w.inTransit, sentStatement{i, StatementReceived{w.members[i].config.Self, w.members[i].config.Epoch, s.Statement}})
+// step steps a member and puts what it broadcasts in transit.
+func (s *fleetState) step(member int, events ...Event) {
+	core := s.members[member]
+	for _, action := range core.Step(s.clocks[member], events) {
+		broadcast, ok := action.(Broadcast)
+		if !ok || len(broadcast.Requests)+len(broadcast.Leases) == 0 {
+			continue
 		}
+		statement := broadcast.Statement
+		statement.Requests = slices.Clone(statement.Requests)
+		statement.Leases = slices.Clone(statement.Leases)
+		received := StatementReceived{From: core.config.Self, Epoch: core.config.Epoch, Statement: statement}
+		s.inTransit = append(s.inTransit, sentStatement{member, received})
 	}
 }
 
-func (w *fleetState) clone() *fleetState {
-	n := &fleetState{
-		clocks: slices.Clone(w.clocks), clockRates: w.clockRates, stopped: slices.Clone(w.stopped), inTransit: slices.Clone(w.inTransit),
-		history: slices.Clone(w.history),
+func (s *fleetState) clone() *fleetState {
+	copied := &fleetState{
+		clocks:     slices.Clone(s.clocks),
+		clockRates: s.clockRates,
+		stopped:    slices.Clone(s.stopped),
+		inTransit:  slices.Clone(s.inTransit),
+		history:    slices.Clone(s.history),
 	}
-	for _, c := range w.members {
-		d := *c
-		d.requestTimes, d.distrusted, d.budgets = slices.Clone(c.requestTimes), maps.Clone(c.distrusted), nil
-		for _, b := range c.budgets {
-			e := *b
-			e.granted, e.borrowed, e.answered = slices.Clone(b.granted), slices.Clone(b.borrowed), maps.Clone(b.answered)
-			d.budgets = append(d.budgets, &e)
-		}
-		n.members = append(n.members, &d)
+	for _, core := range s.members {
+		copied.members = append(copied.members, cloneCore(core))
 	}
-	return n
+	return copied
 }
 
-// key names a state, with times as they are seen from its clocks.
-func (w *fleetState) key() string {
-	var s strings.Builder
-	for i, c := range w.members {
-		b, now := c.budgets[0], w.clocks[i]
-		fmt.Fprint(&s, w.stopped[i], c.config.Epoch, min(now-c.startedAt, time.Minute), b.demand, b.limit, b.requestedUnits, b.requestNumber, b.nextRequestAt-now, c.requestNumber, c.firstRequestNumber, "|")
-		for _, at := range c.requestTimes {
-			fmt.Fprint(&s, now-at, ",")
+func cloneCore(core *Core) *Core {
+	copied := *core
+	copied.requests.times = slices.Clone(core.requests.times)
+	copied.distrusted = maps.Clone(core.distrusted)
+	copied.accounts = nil
+	for _, account := range core.accounts {
+		copiedAccount := *account
+		copiedAccount.granted = slices.Clone(account.granted)
+		copiedAccount.borrowed = slices.Clone(account.borrowed)
+		copiedAccount.answered = maps.Clone(account.answered)
+		copied.accounts = append(copied.accounts, &copiedAccount)
+	}
+	return &copied
+}
+
+// key identifies a state. Times are relative to the member's clock, so that states that differ in age alone are one.
+func (s *fleetState) key() string {
+	var key strings.Builder
+	for i, core := range s.members {
+		account := core.accounts[0]
+		now := s.clocks[i]
+		age := min(now-core.startedAt, time.Minute)
+		fmt.Fprint(&key, s.stopped[i], core.config.Epoch, age, account.demand, account.limit)
+		fmt.Fprint(&key, "|", account.requestedUnits, account.requestNumber, account.nextRequestAt-now)
+		fmt.Fprint(&key, "|", core.requests.latest, core.requests.first, "|")
+		for _, at := range core.requests.times {
+			fmt.Fprint(&key, now-at, ",")
 		}
-		for _, l := range b.granted {
-			fmt.Fprint(&s, l.Lease, l.expiresAt-now, ";")
+		for _, lease := range account.granted {
+			fmt.Fprint(&key, lease.Lease, lease.expiresAt-now, ";")
 		}
-		for _, l := range b.borrowed {
-			fmt.Fprint(&s, l.lender, l.lenderEpoch, l.request, l.units, l.expiresAt-now, ";")
+		for _, lease := range account.borrowed {
+			fmt.Fprint(&key, lease.lender, lease.lenderEpoch, lease.request, lease.units, lease.expiresAt-now, ";")
 		}
-		fmt.Fprint(&s, b.answered, "/")
+		fmt.Fprint(&key, account.answered, "/")
 	}
-	pool := make([]string, 0, len(w.inTransit))
-	for _, m := range w.inTransit {
-		pool = append(pool, fmt.Sprint(m.from, m.Epoch, m.Requests, m.Leases))
+	statements := make([]string, 0, len(s.inTransit))
+	for _, sent := range s.inTransit {
+		statements = append(statements, fmt.Sprint(sent.from, sent.Epoch, sent.Requests, sent.Leases))
 	}
-	slices.Sort(pool)
-	fmt.Fprint(&s, slices.Compact(pool))
-	return s.String()
+	slices.Sort(statements)
+	fmt.Fprint(&key, slices.Compact(statements))
+	return key.String()
 }
 
-// used is what all members that run may have in use at this moment, if each asks its books as it has to.
-func (w *fleetState) usableUnits() (n int64) {
-	for i, c := range w.members {
-		if !w.stopped[i] {
-			n += c.usableUnits(c.budgets[0])
+// usableUnits is the sum of what all running members may have in use now, if each asks its accounts first as it has to.
+func (s *fleetState) usableUnits() int64 {
+	var units int64
+	for i, core := range s.members {
+		if !s.stopped[i] {
+			units += core.usableUnits(core.accounts[0])
 		}
 	}
-	return n
+	return units
 }
 
-// next is every world that one event leads to.
-func (w *fleetState) successors() (list []*fleetState) {
-	add := func(what string, do func(*fleetState)) {
-		n := w.clone()
-		do(n)
-		n.history = append(n.history, what)
-		list = append(list, n)
-	}
-	add("tick", func(n *fleetState) {
-		for i := range n.members {
-			if n.clocks[i] += n.clockRates[i]; !n.stopped[i] {
-				n.step(i)
-			}
+// after returns the state that one more event leads to.
+func (s *fleetState) after(event string, apply func(*fleetState)) *fleetState {
+	next := s.clone()
+	apply(next)
+	next.history = append(next.history, event)
+	return next
+}
+
+// tick lets one tick of true time go by.
+func (s *fleetState) tick() {
+	for i := range s.members {
+		s.clocks[i] += s.clockRates[i]
+		if !s.stopped[i] {
+			s.step(i)
 		}
-	})
-	for i, c := range w.members {
-		name := c.config.Self
-		if w.stopped[i] {
-			add(name+" goes on", func(n *fleetState) { n.stopped[i] = false; n.step(i) })
+	}
+}
+
+// restart starts a member anew, without any records.
+func (s *fleetState) restart(member int) {
+	fresh, err := New(checkedConfig(member, s.members[member].config.Epoch+1))
+	if err != nil {
+		panic(err)
+	}
+	s.members[member] = fresh
+	s.step(member)
+}
+
+// successors returns every state that one event leads to.
+func (s *fleetState) successors() []*fleetState {
+	list := []*fleetState{s.after("tick", (*fleetState).tick)}
+	for i, core := range s.members {
+		name := core.config.Self
+		if s.stopped[i] {
+			list = append(list, s.after(name+" resumes", func(next *fleetState) {
+				next.stopped[i] = false
+				next.step(i)
+			}))
 			continue
 		}
-		if c.budgets[0].demand == 0 {
-			add(name+" needs", func(n *fleetState) { n.step(i, DemandChanged{"b", demandedUnits}) })
-		} else {
-			add(name+" needs nothing", func(n *fleetState) { n.step(i, DemandChanged{"b", 0}) })
+		demand := DemandChanged{"b", 0}
+		if core.accounts[0].demand == 0 {
+			demand.Units = demandedUnits
 		}
-		add(name+" stops", func(n *fleetState) { n.stopped[i] = true })
-		add(name+" starts anew", func(n *fleetState) {
-			fresh, err := New(n.config(i, c.config.Epoch+1))
-			if err != nil {
-				panic(err)
-			}
-			n.members[i] = fresh
-			n.step(i)
+		list = append(list,
+			s.after(fmt.Sprint(name, " demands ", demand.Units), func(next *fleetState) { next.step(i, demand) }),
+			s.after(name+" stops", func(next *fleetState) { next.stopped[i] = true }),
+			s.after(name+" restarts", func(next *fleetState) { next.restart(i) }),
+		)
+		list = append(list, s.deliveries(i)...)
+	}
+	return list
+}
+
+// deliveries returns every state in which a member has received one more of the statements in transit.
+func (s *fleetState) deliveries(member int) []*fleetState {
+	var list []*fleetState
+	for i, sent := range s.inTransit {
+		isDuplicate := slices.ContainsFunc(s.inTransit[:i], func(other sentStatement) bool {
+			return other.from == sent.from && other.Epoch == sent.Epoch && equalStatements(other.Statement, sent.Statement)
 		})
-		for k, m := range w.inTransit {
-			if m.from != i && !slices.ContainsFunc(w.inTransit[:k], func(o sentStatement) bool {
-				return o.from == m.from && o.Epoch == m.Epoch && equalStatements(o.Statement, m.Statement)
-			}) {
-				add(fmt.Sprint(name, " hears ", m.From, m.Requests, m.Leases), func(n *fleetState) { n.step(i, m.StatementReceived) })
-			}
+		if sent.from == member || isDuplicate {
+			continue
 		}
+		event := fmt.Sprint(s.members[member].config.Self, " receives ", sent.From, sent.Requests, sent.Leases)
+		list = append(list, s.after(event, func(next *fleetState) { next.step(member, sent.StatementReceived) }))
 	}
 	return list
 }
 
-// explore looks at every state that so many events lead to, and returns the first course that breaks the budget.
-func explore(depth int, rates ...time.Duration) (course []string, states int) {
+// explore visits every state that up to depth events lead to, breadth first. It returns the first history that exceeds
+// the budget, nil if there is none, and the number of states that were visited.
+func explore(depth int, rates ...time.Duration) (violation []string, states int) {
 	seen := map[string]bool{}
-	front := []*fleetState{newFleetState(rates...)}
+	frontier := []*fleetState{newFleetState(rates...)}
 	for range depth {
 		var next []*fleetState
-		for _, w := range front {
-			for _, n := range w.successors() {
-				if k := n.key(); !seen[k] {
-					seen[k] = true
-					if n.usableUnits() > totalUnits {
-						return n.history, len(seen)
-					}
-					next = append(next, n)
+		for _, state := range frontier {
+			for _, successor := range state.successors() {
+				key := successor.key()
+				if seen[key] {
+					continue
 				}
+				seen[key] = true
+				if successor.usableUnits() > totalUnits {
+					return successor.history, len(seen)
+				}
+				next = append(next, successor)
 			}
 		}
-		front = next
+		frontier = next
 	}
 	return nil, len(seen)
 }
 
-const slow, exact, fast = 2 * time.Second, 3 * time.Second, 4 * time.Second
-
-var clockRateSets = [][]time.Duration{{slow, fast, fast}, {fast, slow, slow}, {slow, slow, fast}, {exact, exact, exact}}
-
-// Whatever order of events, no course of a few breaks the budget; what was told of clocks is used up in all of them.
+// No history of up to maxDepth events exceeds the budget, with clocks at the bounds of the configured drift.
 func TestEveryCourse(t *testing.T) {
-	for _, r := range clockRateSets {
-		t.Run(fmt.Sprint(r), func(t *testing.T) {
+	for _, rates := range clockRateSets {
+		t.Run(fmt.Sprint(rates), func(t *testing.T) {
 			t.Parallel()
-			began := time.Now()
-			course, states := explore(maxDepth, r...)
-			if course != nil {
-				t.Errorf("over the whole after:\n%s", strings.Join(course, "\n"))
+			start := time.Now()
+			violation, states := explore(maxDepth, rates...)
+			if violation != nil {
+				t.Errorf("budget exceeded after:\n%s", strings.Join(violation, "\n"))
 			}
-			t.Logf("%d states in %v", states, time.Since(began).Round(time.Millisecond))
+			t.Logf("%d states in %v", states, time.Since(start).Round(time.Millisecond))
 		})
 	}
 }
--- a/internal/fleet/quota/depth_test.go
+++ b/internal/fleet/quota/depth_test.go
@@ -2,4 +2,4 @@
 
 package quota
 
-const maxDepth = 6 // events of a course that the checker looks at
+const maxDepth = 6 // events of a history that the checker explores
--- a/internal/fleet/quota/seeded_test.go
+++ b/internal/fleet/quota/seeded_test.go
@@ -5,23 +5,34 @@
 import (
 	"strings"
 	"testing"
+	"time"
 )
 
-// The checker finds each fault that is built in on purpose.
+// The checker finds each seeded fault.
 func TestFaultsAreFound(t *testing.T) {
 	defer func() { seeded = noFault }()
 	for seeded = ignoresPreviousStart; seeded <= usesLentUnits; seeded++ {
 		found := false
-		for _, r := range clockRateSets {
-			for n := 1; n <= maxDepth && !found; n++ {
-				if course, states := explore(n, r...); course != nil {
-					found = true
-					t.Logf("fault %d after %d states, clocks %v: %s", seeded, states, r, strings.Join(course, "; "))
-				}
+		for _, rates := range clockRateSets {
+			if found {
+				break
 			}
+			found = findsFault(t, rates)
 		}
 		if !found {
 			t.Errorf("fault %d is not found", seeded)
 		}
 	}
 }
+
+// findsFault reports whether a history of up to maxDepth events exceeds the budget, with these clocks.
+func findsFault(t *testing.T, rates []time.Duration) bool {
+	t.Helper()
+	for depth := 1; depth <= maxDepth; depth++ {
+		if violation, states := explore(depth, rates...); violation != nil {
+			t.Logf("fault %d after %d states, clocks %v: %s", seeded, states, rates, strings.Join(violation, "; "))
+			return true
+		}
+	}
+	return false
+}
