--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -12,12 +12,12 @@
 
 // The kinds of blocks in files.
 const (
-	blockKey  = "PRIVATE KEY"
-	blockCert = "CERTIFICATE"
-	blockList = "X509 CRL"
+	pemPrivateKey     = "PRIVATE KEY"
+	pemCertificate    = "CERTIFICATE"
+	pemRevocationList = "X509 CRL"
 )
 
-const maxFile = 1 << 20
+const maxFileBytes = 1 << 20
 
 // WriteFile writes a key with its certificate to a new file of mode 0600. A file that is there is left alone.
 func WriteFile(path string, key ed25519.PrivateKey, cert *x509.Certificate) error {
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	text := append(pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: der}), EncodeCert(cert)...)
+	text := append(pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der}), EncodeCert(cert)...)
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
@@ -36,12 +36,12 @@
 
 // EncodeCert is a certificate as it stands in a file.
 func EncodeCert(cert *x509.Certificate) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: blockCert, Bytes: cert.Raw})
+	return pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: cert.Raw})
 }
 
 // EncodeList is a list of revoked certificates as it stands in a file.
 func EncodeList(list *x509.RevocationList) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: blockList, Bytes: list.Raw})
+	return pem.EncodeToMemory(&pem.Block{Type: pemRevocationList, Bytes: list.Raw})
 }
 
 // ReadKey reads the file that WriteFile wrote. One that others may read or write is refused.
@@ -53,7 +53,7 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return nil, nil, fmt.Errorf("%s: mode %04o lets others at the key: 0600 is needed", path, info.Mode().Perm())
 	}
-	blocks, err := read(path)
+	blocks, err := readPEMFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -61,7 +61,7 @@
 	var cert *x509.Certificate
 	for _, b := range blocks {
 		switch b.Type {
-		case blockKey:
+		case pemPrivateKey:
 			any, err := x509.ParsePKCS8PrivateKey(b.Bytes)
 			if err != nil {
 				return nil, nil, fmt.Errorf("%s: %w", path, err)
@@ -70,7 +70,7 @@
 			if key, ok = any.(ed25519.PrivateKey); !ok {
 				return nil, nil, fmt.Errorf("%s: the key is not of Ed25519", path)
 			}
-		case blockCert:
+		case pemCertificate:
 			if cert, err = x509.ParseCertificate(b.Bytes); err != nil {
 				return nil, nil, fmt.Errorf("%s: %w", path, err)
 			}
@@ -87,12 +87,12 @@
 
 // ReadCert reads the first certificate of a file.
 func ReadCert(path string) (*x509.Certificate, error) {
-	blocks, err := read(path)
+	blocks, err := readPEMFile(path)
 	if err != nil {
 		return nil, err
 	}
 	for _, b := range blocks {
-		if b.Type == blockCert {
+		if b.Type == pemCertificate {
 			c, err := x509.ParseCertificate(b.Bytes)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", path, err)
@@ -105,14 +105,14 @@
 
 // ReadList reads a list of revoked certificates; nil if there is no such file and missing may be.
 func ReadList(path string, missing bool) (*x509.RevocationList, error) {
-	blocks, err := read(path)
+	blocks, err := readPEMFile(path)
 	if missing && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(blocks) != 1 || blocks[0].Type != blockList {
+	if len(blocks) != 1 || blocks[0].Type != pemRevocationList {
 		return nil, fmt.Errorf("%s: not a list of revoked certificates", path)
 	}
 	l, err := x509.ParseRevocationList(blocks[0].Bytes)
@@ -122,13 +122,13 @@
 	return l, nil
 }
 
-func read(path string) ([]*pem.Block, error) {
+func readPEMFile(path string) ([]*pem.Block, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > maxFile {
-		return nil, fmt.Errorf("%s: not a file of up to %d bytes", path, maxFile)
+	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: not a file of up to %d bytes", path, maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/pki/fleetkey.go
+++ b/internal/fleet/pki/fleetkey.go
@@ -55,9 +55,11 @@
 // Name is the member's name.
 func (m *Member) Name() string { return m.Cert.Subject.CommonName }
 
-func serial() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 63)) }
+func newSerialNumber() (*big.Int, error) {
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 63))
+}
 
-func create(template, parent *x509.Certificate, public ed25519.PublicKey, signer ed25519.PrivateKey) (*x509.Certificate, error) {
+func signCertificate(template, parent *x509.Certificate, public ed25519.PublicKey, signer ed25519.PrivateKey) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, public, signer)
 	if err != nil {
 		return nil, fmt.Errorf("certificate: %w", err)
@@ -74,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	number, err := serial()
+	number, err := newSerialNumber()
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +85,7 @@
 		NotBefore: now, NotAfter: now.Add(good), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
 	}
-	cert, err := create(template, template, public, private)
+	cert, err := signCertificate(template, template, public, private)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	number, err := serial()
+	number, err := newSerialNumber()
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +113,7 @@
 		Subject:  pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
 		KeyUsage: x509.KeyUsageDigitalSignature,
 	}
-	cert, err := create(template, a.Cert, public, a.Key)
+	cert, err := signCertificate(template, a.Cert, public, a.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -140,13 +142,13 @@
 type Trust struct {
 	Fleet   string
 	Skew    time.Duration // how far clocks may be apart
-	roots   []root
+	roots   []trustedRoot
 	revoked map[string]bool // serial numbers, with the key of their authority
 }
 
-type root struct {
-	cert  *x509.Certificate
-	until time.Time // it is no longer named, and counts until then; zero means for good
+type trustedRoot struct {
+	cert         *x509.Certificate
+	trustedUntil time.Time // it is no longer named, and counts until then; zero means for good
 }
 
 // NewTrust returns the trust in authorities and their lists. A list that none of them signed, and an authority of
@@ -157,7 +159,7 @@
 		if !a.IsCA || fleetOf(a) != fleet || a.PublicKeyAlgorithm != x509.Ed25519 {
 			return nil, fmt.Errorf("authority: %w: %q, not %q, or no authority", ErrWrongFleet, fleetOf(a), fleet)
 		}
-		t.roots = append(t.roots, root{cert: a})
+		t.roots = append(t.roots, trustedRoot{cert: a})
 	}
 	for _, l := range lists {
 		i := slices.IndexFunc(authorities, func(a *x509.Certificate) bool { return l.CheckSignatureFrom(a) == nil })
@@ -165,13 +167,13 @@
 			return nil, fmt.Errorf("list of revoked certificates: %w", ErrUnknownAuthority)
 		}
 		for _, e := range l.RevokedCertificateEntries {
-			t.revoked[revokedKey(authorities[i], e.SerialNumber)] = true
+			t.revoked[revocationKey(authorities[i], e.SerialNumber)] = true
 		}
 	}
 	return t, nil
 }
 
-func revokedKey(authority *x509.Certificate, serial *big.Int) string {
+func revocationKey(authority *x509.Certificate, serial *big.Int) string {
 	return string(authority.RawSubjectPublicKeyInfo) + serial.String()
 }
 
@@ -186,12 +188,12 @@
 		next.revoked[k] = true
 	}
 	for _, old := range before.roots {
-		named := slices.ContainsFunc(t.roots, func(r root) bool { return r.cert.Equal(old.cert) })
-		if named || !old.until.IsZero() && now.After(old.until) {
+		named := slices.ContainsFunc(t.roots, func(r trustedRoot) bool { return r.cert.Equal(old.cert) })
+		if named || !old.trustedUntil.IsZero() && now.After(old.trustedUntil) {
 			continue
 		}
-		if old.until.IsZero() {
-			old.until = now.Add(overlap)
+		if old.trustedUntil.IsZero() {
+			old.trustedUntil = now.Add(overlap)
 		}
 		next.roots = append(next.roots, old)
 	}
@@ -209,13 +211,15 @@
 		len(c.UnhandledCriticalExtensions) > 0 || c.KeyUsage&x509.KeyUsageDigitalSignature == 0 {
 		return nil, ErrNotAMember
 	}
-	return c, t.current(c, now, true)
+	return c, t.checkCurrent(c, now, true)
 }
 
 // Current reports whether a certificate that Verify has passed still counts.
-func (t *Trust) Current(c *x509.Certificate, now time.Time) error { return t.current(c, now, false) }
+func (t *Trust) Current(c *x509.Certificate, now time.Time) error {
+	return t.checkCurrent(c, now, false)
+}
 
-func (t *Trust) current(c *x509.Certificate, now time.Time, check bool) error {
+func (t *Trust) checkCurrent(c *x509.Certificate, now time.Time, check bool) error {
 	if fleetOf(c) != t.Fleet {
 		return fmt.Errorf("%w: %q", ErrWrongFleet, fleetOf(c))
 	}
@@ -224,13 +228,13 @@
 	}
 	for _, r := range t.roots {
 		if !bytes.Equal(c.RawIssuer, r.cert.RawSubject) || !bytes.Equal(c.AuthorityKeyId, r.cert.SubjectKeyId) ||
-			!r.until.IsZero() && now.After(r.until) || now.Add(-t.Skew).After(r.cert.NotAfter) {
+			!r.trustedUntil.IsZero() && now.After(r.trustedUntil) || now.Add(-t.Skew).After(r.cert.NotAfter) {
 			continue
 		}
 		if check && c.CheckSignatureFrom(r.cert) != nil {
 			continue
 		}
-		if t.revoked[revokedKey(r.cert, c.SerialNumber)] {
+		if t.revoked[revocationKey(r.cert, c.SerialNumber)] {
 			return fmt.Errorf("%w: %s, number %v", ErrRevoked, c.Subject.CommonName, c.SerialNumber)
 		}
 		return nil
