--- /dev/null
+++ b/internal/fleet/pki/authority.go
@@ -0,0 +1,160 @@
+// Package pki is the public-key infrastructure of a fleet of schedulers: an authority signs a certificate for each
+// member (X.509 with Ed25519 keys, RFC 5280 and 8410) and a revocation list of those that it withdraws. The
+// organization of a certificate is the fleet, its common name the member.
+//
+// Only the functions that read and write files do I/O, and nothing reads a clock: the caller passes the time.
+package pki
+
+import (
+	"crypto/ed25519"
+	"crypto/rand"
+	"crypto/x509"
+	"crypto/x509/pkix"
+	"fmt"
+	"math/big"
+	"slices"
+	"time"
+)
+
+// MaxName is the longest name of a member or a fleet, in bytes.
+const MaxName = 64
+
+const (
+	serialNumberBits = 63
+
+	// Revocation lists are brought out by hand and hold until the next one.
+	revocationListYears = 100
+)
+
+// ValidName reports whether a member or a fleet may have this name: 1 to MaxName letters, digits, '-', '_' and '.'.
+func ValidName(name string) bool {
+	for _, c := range []byte(name) {
+		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		isDigit := c >= '0' && c <= '9'
+		if !isLetter && !isDigit && c != '-' && c != '_' && c != '.' {
+			return false
+		}
+	}
+	return name != "" && len(name) <= MaxName
+}
+
+// Authority is the certificate authority of a fleet.
+type Authority struct {
+	Cert *x509.Certificate // self-signed
+	Key  ed25519.PrivateKey
+}
+
+// Member is a member of a fleet with its own private key.
+type Member struct {
+	Cert *x509.Certificate
+	Key  ed25519.PrivateKey
+}
+
+// Name is the member's name.
+func (m *Member) Name() string { return m.Cert.Subject.CommonName }
+
+// NewAuthority makes a key and a self-signed certificate for the authority of a fleet, valid from now on. The fleet
+// must have a ValidName.
+func NewAuthority(fleet string, now time.Time, validity time.Duration) (*Authority, error) {
+	if !ValidName(fleet) {
+		return nil, fmt.Errorf("fleet %q: letters, digits, '-', '_' and '.' are allowed, %d at most", fleet, MaxName)
+	}
+	public, private, err := ed25519.GenerateKey(rand.Reader)
+	if err != nil {
+		return nil, err
+	}
+	number, err := newSerialNumber()
+	if err != nil {
+		return nil, err
+	}
+	template := &x509.Certificate{
+		SerialNumber:          number,
+		Subject:               pkix.Name{Organization: []string{fleet}},
+		NotBefore:             now,
+		NotAfter:              now.Add(validity),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		MaxPathLenZero:        true,
+		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	}
+	cert, err := signCertificate(template, template, public, private)
+	if err != nil {
+		return nil, err
+	}
+	return &Authority{Cert: cert, Key: private}, nil
+}
+
+// Fleet is the fleet that the authority signs for.
+func (a *Authority) Fleet() string { return fleetOf(a.Cert) }
+
+// Issue makes a member's key and certificate, valid from now on. The member must have a ValidName.
+func (a *Authority) Issue(name string, now time.Time, validity time.Duration) (*Member, error) {
+	if !ValidName(name) {
+		return nil, fmt.Errorf("name %q: letters, digits, '-', '_' and '.' are allowed, %d at most", name, MaxName)
+	}
+	public, private, err := ed25519.GenerateKey(rand.Reader)
+	if err != nil {
+		return nil, err
+	}
+	number, err := newSerialNumber()
+	if err != nil {
+		return nil, err
+	}
+	template := &x509.Certificate{
+		SerialNumber: number,
+		Subject:      pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
+		NotBefore:    now,
+		NotAfter:     now.Add(validity),
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+	}
+	cert, err := signCertificate(template, a.Cert, public, a.Key)
+	if err != nil {
+		return nil, err
+	}
+	return &Member{Cert: cert, Key: private}, nil
+}
+
+// Revoke makes a revocation list: the entries of the previous list, nil if there is none, and more serial numbers.
+func (a *Authority) Revoke(previous *x509.RevocationList, now time.Time, more ...*big.Int) (*x509.RevocationList, error) {
+	list := &x509.RevocationList{
+		Number:     big.NewInt(1),
+		ThisUpdate: now,
+		NextUpdate: now.AddDate(revocationListYears, 0, 0),
+	}
+	if previous != nil {
+		list.RevokedCertificateEntries = slices.Clone(previous.RevokedCertificateEntries)
+		list.Number = new(big.Int).Add(previous.Number, big.NewInt(1))
+	}
+	for _, number := range more {
+		entry := x509.RevocationListEntry{SerialNumber: number, RevocationTime: now}
+		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries, entry)
+	}
+	der, err := x509.CreateRevocationList(rand.Reader, list, a.Cert, a.Key)
+	if err != nil {
+		return nil, fmt.Errorf("list of revoked certificates: %w", err)
+	}
+	return x509.ParseRevocationList(der)
+}
+
+func newSerialNumber() (*big.Int, error) {
+	limit := new(big.Int).Lsh(big.NewInt(1), serialNumberBits)
+	return rand.Int(rand.Reader, limit)
+}
+
+func signCertificate(
+	template, parent *x509.Certificate, public ed25519.PublicKey, signer ed25519.PrivateKey,
+) (*x509.Certificate, error) {
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, public, signer)
+	if err != nil {
+		return nil, fmt.Errorf("certificate: %w", err)
+	}
+	return x509.ParseCertificate(der)
+}
+
+// fleetOf is the fleet of a certificate, empty if it doesn't name exactly one.
+func fleetOf(cert *x509.Certificate) string {
+	if len(cert.Subject.Organization) != 1 {
+		return ""
+	}
+	return cert.Subject.Organization[0]
+}
--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -10,118 +10,156 @@
 	"os"
 )
 
-// The kinds of blocks in files.
+// The types of PEM blocks in files.
 const (
 	pemPrivateKey     = "PRIVATE KEY"
 	pemCertificate    = "CERTIFICATE"
 	pemRevocationList = "X509 CRL"
 )
 
-const maxFileBytes = 1 << 20
+const (
+	maxFileBytes = 1 << 20
+
+	keyFileMode     fs.FileMode = 0o600
+	otherUsersPerms fs.FileMode = 0o077 // of group and others; a key file must have none of them
+)
+
+// Errors of the content of a file, found behind its path.
+var (
+	errNotEd25519    = errors.New("the key is not of Ed25519")
+	errIncomplete    = errors.New("a key and its certificate are needed")
+	errNotCertOfKey  = errors.New("the certificate is not that of the key")
+	errNoCertificate = errors.New("no certificate in it")
+	errNotList       = errors.New("not a list of revoked certificates")
+)
 
-// WriteFile writes a key with its certificate to a new file of mode 0600. A file that is there is left alone.
+// WriteFile writes a private key with its certificate to a new file of mode 0600. An existing file is left as it is,
+// and the error is fs.ErrExist.
 func WriteFile(path string, key ed25519.PrivateKey, cert *x509.Certificate) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
 	}
-	text := append(pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der}), EncodeCert(cert)...)
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	content := pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der})
+	content = append(content, EncodeCert(cert)...)
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
-	return errors.Join(err, f.Close())
+	_, err = file.Write(content)
+	return errors.Join(err, file.Close())
 }
 
-// EncodeCert is a certificate as it stands in a file.
+// EncodeCert returns the PEM encoding of a certificate.
 func EncodeCert(cert *x509.Certificate) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: cert.Raw})
 }
 
-// EncodeList is a list of revoked certificates as it stands in a file.
+// EncodeList returns the PEM encoding of a revocation list.
 func EncodeList(list *x509.RevocationList) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: pemRevocationList, Bytes: list.Raw})
 }
 
-// ReadKey reads the file that WriteFile wrote. One that others may read or write is refused.
+// ReadKey reads a file that WriteFile wrote. It is an error if group or others have any permission for it, or if the
+// key and the certificate don't belong together. Errors name the path.
 func ReadKey(path string) (ed25519.PrivateKey, *x509.Certificate, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	if info.Mode().Perm()&0o077 != 0 {
-		return nil, nil, fmt.Errorf("%s: mode %04o lets others at the key: 0600 is needed", path, info.Mode().Perm())
+	if mode := info.Mode().Perm(); mode&otherUsersPerms != 0 {
+		return nil, nil, fmt.Errorf("%s: mode %04o lets others at the key: 0600 is needed", path, mode)
 	}
 	blocks, err := readPEMFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
+	key, cert, err := parseKeyBlocks(blocks)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return key, cert, nil
+}
+
+// parseKeyBlocks returns the private key and the certificate in the blocks of a key file. If there are several of one
+// type the last counts.
+func parseKeyBlocks(blocks []*pem.Block) (ed25519.PrivateKey, *x509.Certificate, error) {
 	var key ed25519.PrivateKey
 	var cert *x509.Certificate
-	for _, b := range blocks {
-		switch b.Type {
+	for _, block := range blocks {
+		var err error
+		switch block.Type {
 		case pemPrivateKey:
-			any, err := x509.ParsePKCS8PrivateKey(b.Bytes)
-			if err != nil {
-				return nil, nil, fmt.Errorf("%s: %w", path, err)
-			}
-			var ok bool
-			if key, ok = any.(ed25519.PrivateKey); !ok {
-				return nil, nil, fmt.Errorf("%s: the key is not of Ed25519", path)
-			}
+			key, err = parsePrivateKey(block.Bytes)
 		case pemCertificate:
-			if cert, err = x509.ParseCertificate(b.Bytes); err != nil {
-				return nil, nil, fmt.Errorf("%s: %w", path, err)
-			}
+			cert, err = x509.ParseCertificate(block.Bytes)
+		}
+		if err != nil {
+			return nil, nil, err
 		}
 	}
 	if key == nil || cert == nil {
-		return nil, nil, fmt.Errorf("%s: a key and its certificate are needed", path)
+		return nil, nil, errIncomplete
 	}
-	if public, ok := cert.PublicKey.(ed25519.PublicKey); !ok || !public.Equal(key.Public()) {
-		return nil, nil, fmt.Errorf("%s: the certificate is not that of the key", path)
+	public, ok := cert.PublicKey.(ed25519.PublicKey)
+	if !ok || !public.Equal(key.Public()) {
+		return nil, nil, errNotCertOfKey
 	}
 	return key, cert, nil
 }
 
-// ReadCert reads the first certificate of a file.
+func parsePrivateKey(der []byte) (ed25519.PrivateKey, error) {
+	parsed, err := x509.ParsePKCS8PrivateKey(der)
+	if err != nil {
+		return nil, err
+	}
+	key, ok := parsed.(ed25519.PrivateKey)
+	if !ok {
+		return nil, errNotEd25519
+	}
+	return key, nil
+}
+
+// ReadCert reads the first certificate in a file. Errors name the path.
 func ReadCert(path string) (*x509.Certificate, error) {
 	blocks, err := readPEMFile(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, b := range blocks {
-		if b.Type == pemCertificate {
-			c, err := x509.ParseCertificate(b.Bytes)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", path, err)
-			}
-			return c, nil
+	for _, block := range blocks {
+		if block.Type != pemCertificate {
+			continue
+		}
+		cert, err := x509.ParseCertificate(block.Bytes)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
 		}
+		return cert, nil
 	}
-	return nil, fmt.Errorf("%s: no certificate in it", path)
+	return nil, fmt.Errorf("%s: %w", path, errNoCertificate)
 }
 
-// ReadList reads a list of revoked certificates; nil if there is no such file and missing may be.
-func ReadList(path string, missing bool) (*x509.RevocationList, error) {
+// ReadList reads a file with a revocation list. If there is no such file it returns nil without an error where the
+// list is optional. Errors name the path.
+func ReadList(path string, optional bool) (*x509.RevocationList, error) {
 	blocks, err := readPEMFile(path)
-	if missing && errors.Is(err, fs.ErrNotExist) {
+	if optional && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	if len(blocks) != 1 || blocks[0].Type != pemRevocationList {
-		return nil, fmt.Errorf("%s: not a list of revoked certificates", path)
+		return nil, fmt.Errorf("%s: %w", path, errNotList)
 	}
-	l, err := x509.ParseRevocationList(blocks[0].Bytes)
+	list, err := x509.ParseRevocationList(blocks[0].Bytes)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return l, nil
+	return list, nil
 }
 
+// readPEMFile returns the PEM blocks of a regular file of up to maxFileBytes.
 func readPEMFile(path string) ([]*pem.Block, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -130,13 +168,13 @@
 	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
 		return nil, fmt.Errorf("%s: not a file of up to %d bytes", path, maxFileBytes)
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	var blocks []*pem.Block
-	for b, rest := pem.Decode(text); b != nil; b, rest = pem.Decode(rest) {
-		blocks = append(blocks, b)
+	for block, rest := pem.Decode(content); block != nil; block, rest = pem.Decode(rest) {
+		blocks = append(blocks, block)
 	}
 	return blocks, nil
 }
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -258,7 +258,7 @@
 	authority := readAuthority(t)
 	_, revoked := readKeyFile(t, revokedFile)
 	first, second := readListFile(t, firstListFile), readListFile(t, secondListFile)
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		list    *x509.RevocationList
 		number  int64
@@ -268,19 +268,19 @@
 		{firstListFile, first, 1, goldenNow, []*big.Int{goldenNumber}},
 		{secondListFile, second, 2, goldenRevoked, []*big.Int{goldenNumber, revoked.SerialNumber}},
 	} {
-		if c.list.Number.Cmp(big.NewInt(c.number)) != 0 || !c.list.ThisUpdate.Equal(c.at) ||
-			!c.list.NextUpdate.Equal(c.at.AddDate(100, 0, 0)) {
-			t.Errorf("%s: number %v of %v until %v", c.name, c.list.Number, c.list.ThisUpdate, c.list.NextUpdate)
+		if tt.list.Number.Cmp(big.NewInt(tt.number)) != 0 || !tt.list.ThisUpdate.Equal(tt.at) ||
+			!tt.list.NextUpdate.Equal(tt.at.AddDate(100, 0, 0)) {
+			t.Errorf("%s: number %v of %v until %v", tt.name, tt.list.Number, tt.list.ThisUpdate, tt.list.NextUpdate)
 		}
 		var entries []*big.Int
-		for _, e := range c.list.RevokedCertificateEntries {
+		for _, e := range tt.list.RevokedCertificateEntries {
 			entries = append(entries, e.SerialNumber)
 		}
-		if !reflect.DeepEqual(entries, c.entries) {
-			t.Errorf("%s: entries %v, want %v", c.name, entries, c.entries)
+		if !reflect.DeepEqual(entries, tt.entries) {
+			t.Errorf("%s: entries %v, want %v", tt.name, entries, tt.entries)
 		}
-		if got, want := EncodeList(c.list), readGolden(t, c.name); !bytes.Equal(got, want) {
-			t.Errorf("%s: written as\n%s\nwant\n%s", c.name, got, want)
+		if got, want := EncodeList(tt.list), readGolden(t, tt.name); !bytes.Equal(got, want) {
+			t.Errorf("%s: written as\n%s\nwant\n%s", tt.name, got, want)
 		}
 	}
 	madeFirst, err := authority.Revoke(nil, goldenNow, goldenNumber)
@@ -316,7 +316,7 @@
 	other := &Trust{Fleet: "other"}
 	forged := bytes.Clone(member.Raw)
 	forged[len(forged)-1] ^= 1
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		trust *Trust
 		der   []byte
@@ -345,8 +345,8 @@
 			"not the certificate of a member: x509: malformed certificate",
 		},
 	} {
-		if _, err := c.trust.Verify(c.der, c.now); err == nil || err.Error() != c.want || !errors.Is(err, c.err) {
-			t.Errorf("%s: error %v, want %s", c.name, err, c.want)
+		if _, err := tt.trust.Verify(tt.der, tt.now); err == nil || err.Error() != tt.want || !errors.Is(err, tt.err) {
+			t.Errorf("%s: error %v, want %s", tt.name, err, tt.want)
 		}
 	}
 	_, err = NewTrust("other", goldenSkew, []*x509.Certificate{authority.Cert}, nil)
@@ -369,7 +369,7 @@
 	readKey := func(path string) error { _, _, err := ReadKey(path); return err }
 	readCert := func(path string) error { _, err := ReadCert(path); return err }
 	readList := func(path string) error { _, err := ReadList(path, true); return err }
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		read    func(string) error
 		content []byte
@@ -391,16 +391,16 @@
 		{"empty list", readList, nil, "not a list of revoked certificates"},
 		{"broken list", readList, broken("X509 CRL"), "x509: malformed crl"},
 	} {
-		path := writePrivate(t, c.content)
-		err := c.read(path)
+		path := writePrivate(t, tt.content)
+		err := tt.read(path)
 		if err == nil {
-			t.Errorf("%s: read, want an error", c.name)
+			t.Errorf("%s: read, want an error", tt.name)
 			continue
 		}
 		// Behind a text that ends so, the standard library says more, which may change with its version.
-		exact := !strings.HasSuffix(c.want, ": ")
-		if want := path + ": " + c.want; !strings.HasPrefix(err.Error(), want) || exact && err.Error() != want {
-			t.Errorf("%s: error %v, want %s", c.name, err, want)
+		exact := !strings.HasSuffix(tt.want, ": ")
+		if want := path + ": " + tt.want; !strings.HasPrefix(err.Error(), want) || exact && err.Error() != want {
+			t.Errorf("%s: error %v, want %s", tt.name, err, want)
 		}
 	}
 	path := writePrivate(t, member)
--- /dev/null
+++ b/internal/fleet/pki/trust.go
@@ -0,0 +1,144 @@
+package pki
+
+import (
+	"bytes"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"maps"
+	"math/big"
+	"slices"
+	"time"
+)
+
+// Errors of Trust.Verify and Trust.Current, wrapped with details. NewTrust wraps ErrWrongFleet and ErrUnknownAuthority.
+var (
+	ErrUnknownAuthority = errors.New("no authority of the fleet signed the certificate")
+	ErrExpired          = errors.New("the certificate does not hold now")
+	ErrRevoked          = errors.New("the certificate was revoked")
+	ErrWrongFleet       = errors.New("the certificate is of another fleet")
+	ErrNotAMember       = errors.New("not the certificate of a member")
+)
+
+// Trust decides which certificates are accepted. The zero Trust accepts none.
+type Trust struct {
+	Fleet   string
+	Skew    time.Duration // how far clocks may be apart
+	roots   []trustedRoot
+	revoked map[string]bool // by revocationKey
+}
+
+// trustedRoot is the certificate of an authority.
+type trustedRoot struct {
+	cert         *x509.Certificate
+	trustedUntil time.Time // when the overlap ends of an authority that is no longer configured; zero for one that is
+}
+
+// isTrusted reports whether the authority is configured or within its overlap.
+func (r trustedRoot) isTrusted(now time.Time) bool {
+	return r.trustedUntil.IsZero() || !now.After(r.trustedUntil)
+}
+
+// issued reports whether a certificate names this authority as its issuer. The signature isn't checked.
+func (r trustedRoot) issued(cert *x509.Certificate) bool {
+	return bytes.Equal(cert.RawIssuer, r.cert.RawSubject) && bytes.Equal(cert.AuthorityKeyId, r.cert.SubjectKeyId)
+}
+
+// NewTrust returns the trust in authorities and their revocation lists. It is an error if none of the authorities
+// signed a list, or if one is not an authority of this fleet.
+func NewTrust(
+	fleet string, skew time.Duration, authorities []*x509.Certificate, lists []*x509.RevocationList,
+) (*Trust, error) {
+	trust := &Trust{Fleet: fleet, Skew: skew, revoked: map[string]bool{}}
+	for _, authority := range authorities {
+		if !authority.IsCA || fleetOf(authority) != fleet || authority.PublicKeyAlgorithm != x509.Ed25519 {
+			return nil, fmt.Errorf("authority: %w: %q, not %q, or no authority", ErrWrongFleet, fleetOf(authority), fleet)
+		}
+		trust.roots = append(trust.roots, trustedRoot{cert: authority})
+	}
+	for _, list := range lists {
+		signer := slices.IndexFunc(authorities, func(authority *x509.Certificate) bool {
+			return list.CheckSignatureFrom(authority) == nil
+		})
+		if signer < 0 {
+			return nil, fmt.Errorf("list of revoked certificates: %w", ErrUnknownAuthority)
+		}
+		for _, entry := range list.RevokedCertificateEntries {
+			trust.revoked[revocationKey(authorities[signer], entry.SerialNumber)] = true
+		}
+	}
+	return trust, nil
+}
+
+// revocationKey identifies a certificate by the public key of its authority and its serial number.
+func revocationKey(authority *x509.Certificate, serial *big.Int) string {
+	return string(authority.RawSubjectPublicKeyInfo) + serial.String()
+}
+
+// After returns this trust merged with the one before a reload: authorities that are no longer configured are trusted
+// for the overlap more, and what was revoked before stays revoked.
+func (t *Trust) After(before *Trust, now time.Time, overlap time.Duration) *Trust {
+	merged := &Trust{Fleet: t.Fleet, Skew: t.Skew, roots: slices.Clone(t.roots), revoked: map[string]bool{}}
+	maps.Copy(merged.revoked, t.revoked)
+	maps.Copy(merged.revoked, before.revoked)
+	for _, old := range before.roots {
+		isConfigured := slices.ContainsFunc(t.roots, func(r trustedRoot) bool { return r.cert.Equal(old.cert) })
+		if isConfigured || !old.isTrusted(now) {
+			continue
+		}
+		if old.trustedUntil.IsZero() {
+			old.trustedUntil = now.Add(overlap)
+		}
+		merged.roots = append(merged.roots, old)
+	}
+	return merged
+}
+
+// Verify parses the DER encoding of a member's certificate and checks that it is accepted now. It costs a signature
+// check for each authority that the certificate may be of; Current costs none.
+func (t *Trust) Verify(der []byte, now time.Time) (*x509.Certificate, error) {
+	cert, err := x509.ParseCertificate(der)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrNotAMember, err)
+	}
+	if !isMemberCertificate(cert) {
+		return nil, ErrNotAMember
+	}
+	return cert, t.check(cert, now, true)
+}
+
+// isMemberCertificate reports whether the fields of a certificate are those of a member's.
+func isMemberCertificate(cert *x509.Certificate) bool {
+	canSign := cert.KeyUsage&x509.KeyUsageDigitalSignature != 0
+	isKnownForm := cert.PublicKeyAlgorithm == x509.Ed25519 && len(cert.UnhandledCriticalExtensions) == 0
+	return !cert.IsCA && canSign && isKnownForm && ValidName(cert.Subject.CommonName)
+}
+
+// Current checks that a certificate that Verify has accepted is still accepted.
+func (t *Trust) Current(cert *x509.Certificate, now time.Time) error {
+	return t.check(cert, now, false)
+}
+
+// check checks the fleet, validity, issuer and revocation of a certificate, and its signature on request.
+func (t *Trust) check(cert *x509.Certificate, now time.Time, checkSignature bool) error {
+	if fleetOf(cert) != t.Fleet {
+		return fmt.Errorf("%w: %q", ErrWrongFleet, fleetOf(cert))
+	}
+	if now.Add(t.Skew).Before(cert.NotBefore) || now.Add(-t.Skew).After(cert.NotAfter) {
+		return fmt.Errorf("%w: it is good from %v to %v", ErrExpired, cert.NotBefore, cert.NotAfter)
+	}
+	for _, root := range t.roots {
+		isExpired := now.Add(-t.Skew).After(root.cert.NotAfter)
+		if !root.issued(cert) || !root.isTrusted(now) || isExpired {
+			continue
+		}
+		if checkSignature && cert.CheckSignatureFrom(root.cert) != nil {
+			continue
+		}
+		if t.revoked[revocationKey(root.cert, cert.SerialNumber)] {
+			return fmt.Errorf("%w: %s, number %v", ErrRevoked, cert.Subject.CommonName, cert.SerialNumber)
+		}
+		return nil
+	}
+	return ErrUnknownAuthority
+}
