--- a/internal/fleet/pki/authority.go
+++ b/internal/fleet/pki/authority.go
@@ -59,16 +59,7 @@
 	if !ValidName(fleet) {
 		return nil, fmt.Errorf("fleet %q: letters, digits, '-', '_' and '.' are allowed, %d at most", fleet, MaxName)
 	}
-	public, private, err := ed25519.GenerateKey(rand.Reader)
-	if err != nil {
-		return nil, err
-	}
-	number, err := newSerialNumber()
-	if err != nil {
-		return nil, err
-	}
 	template := &x509.Certificate{
-		SerialNumber:          number,
 		Subject:               pkix.Name{Organization: []string{fleet}},
 		NotBefore:             now,
 		NotAfter:              now.Add(validity),
@@ -77,11 +68,11 @@
 		MaxPathLenZero:        true,
 		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
 	}
-	cert, err := signCertificate(template, template, public, private)
+	cert, key, err := newCertificate(template, nil)
 	if err != nil {
 		return nil, err
 	}
-	return &Authority{Cert: cert, Key: private}, nil
+	return &Authority{Cert: cert, Key: key}, nil
 }
 
 // Fleet is the fleet that the authority signs for.
@@ -92,26 +83,17 @@
 	if !ValidName(name) {
 		return nil, fmt.Errorf("name %q: letters, digits, '-', '_' and '.' are allowed, %d at most", name, MaxName)
 	}
-	public, private, err := ed25519.GenerateKey(rand.Reader)
-	if err != nil {
-		return nil, err
-	}
-	number, err := newSerialNumber()
-	if err != nil {
-		return nil, err
-	}
 	template := &x509.Certificate{
-		SerialNumber: number,
-		Subject:      pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
-		NotBefore:    now,
-		NotAfter:     now.Add(validity),
-		KeyUsage:     x509.KeyUsageDigitalSignature,
+		Subject:   pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
+		NotBefore: now,
+		NotAfter:  now.Add(validity),
+		KeyUsage:  x509.KeyUsageDigitalSignature,
 	}
-	cert, err := signCertificate(template, a.Cert, public, a.Key)
+	cert, key, err := newCertificate(template, a)
 	if err != nil {
 		return nil, err
 	}
-	return &Member{Cert: cert, Key: private}, nil
+	return &Member{Cert: cert, Key: key}, nil
 }
 
 // Revoke makes a revocation list: the entries of the previous list, nil if there is none, and more serial numbers.
@@ -136,19 +118,30 @@
 	return x509.ParseRevocationList(der)
 }
 
-func newSerialNumber() (*big.Int, error) {
+// newCertificate makes a key and a certificate for it after the template, with a random serial number. The certificate is
+// signed by the issuer, or by its own key if there is none.
+func newCertificate(template *x509.Certificate, issuer *Authority) (*x509.Certificate, ed25519.PrivateKey, error) {
+	public, private, err := ed25519.GenerateKey(rand.Reader)
+	if err != nil {
+		return nil, nil, err
+	}
 	limit := new(big.Int).Lsh(big.NewInt(1), serialNumberBits)
-	return rand.Int(rand.Reader, limit)
-}
-
-func signCertificate(
-	template, parent *x509.Certificate, public ed25519.PublicKey, signer ed25519.PrivateKey,
-) (*x509.Certificate, error) {
-	der, err := x509.CreateCertificate(rand.Reader, template, parent, public, signer)
+	template.SerialNumber, err = rand.Int(rand.Reader, limit)
+	if err != nil {
+		return nil, nil, err
+	}
+	if issuer == nil {
+		issuer = &Authority{Cert: template, Key: private}
+	}
+	der, err := x509.CreateCertificate(rand.Reader, template, issuer.Cert, public, issuer.Key)
+	if err != nil {
+		return nil, nil, fmt.Errorf("certificate: %w", err)
+	}
+	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, fmt.Errorf("certificate: %w", err)
+		return nil, nil, err
 	}
-	return x509.ParseCertificate(der)
+	return cert, private, nil
 }
 
 // fleetOf is the fleet of a certificate, empty if it doesn't name exactly one.
