--- /dev/null
+++ b/cmd/testbed/coldstart.go
@@ -0,0 +1,129 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+
+	"calicohill/internal/testbed"
+
+	"github.com/spf13/cobra"
+)
+
+// coldstartOptions is what the flags of coldstart say.
+type coldstartOptions struct {
+	experiment testbed.ColdDay
+	scenario   string // a name, or a file
+	virtual    bool
+	asJSON     bool
+	plotPath   string
+}
+
+// virtualColdStart is the report of coldstart in virtual time.
+type virtualColdStart struct {
+	List    []testbed.VirtualPollResult       `json:"list_service"`
+	Workers map[string]testbed.VirtualMetrics `json:"workers"` // by experiment
+}
+
+// coldstartCommand is the command coldstart.
+func coldstartCommand() *cobra.Command {
+	options := &coldstartOptions{}
+	names := slices.Sorted(maps.Keys(testbed.ColdStartScenarios))
+	cmd := &cobra.Command{
+		Use: "coldstart", Short: "Many schedulers at once before a list service and workers that have trouble",
+		Long: "Many schedulers at once before a list service and workers that have trouble.\n\n" +
+			"A scenario is one of " + strings.Join(names, ", ") + ", or a file with a script of the same form.",
+		Example: "  bin/testbed coldstart --instances 300 --workers 60 --scenario crowded --baseline ../earlier/bin/calicohill --json\n" +
+			"  bin/testbed coldstart --virtual --instances 5000 --json",
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := options.validate(); err != nil {
+				return err
+			}
+			if options.virtual {
+				return options.runVirtual(cmd)
+			}
+			return options.run(cmd)
+		},
+	}
+	options.addFlags(cmd)
+	return cmd
+}
+
+// addFlags adds the flags to the command.
+func (o *coldstartOptions) addFlags(cmd *cobra.Command) {
+	experiment := &o.experiment
+	flags := cmd.Flags()
+	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
+	flags.StringVar(&experiment.Baseline, "baseline", "", "an earlier build that plays the same first")
+	flags.IntVar(&experiment.Instances, "instances", 24, "schedulers")
+	flags.IntVar(&experiment.Of, "of", 0, "how many schedulers they are told that there are; those that there are if not set")
+	flags.IntVar(&experiment.Workers, "workers", 14, "stand-in workers")
+	flags.StringVar(&o.scenario, "scenario", "well", "a name, or a `FILE`")
+	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
+	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
+	flags.StringVar(&experiment.Body, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
+	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their list and what they learned over a restart")
+	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' parts of the load are: scheduler i has one in 1 + skew x i")
+	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
+	flags.BoolVar(&o.virtual, "virtual", false, "the cores that ask and the Routers alone, in virtual time")
+	flags.StringVar(&o.plotPath, "plot", "", "`FILE`, .svg or .png, for a plot of asks and connections over time")
+	flags.BoolVar(&o.asJSON, "json", false, "print one JSON object in a line")
+}
+
+// validate returns an error where the experiment makes no sense.
+func (o *coldstartOptions) validate() error {
+	experiment := o.experiment
+	if experiment.Instances < 1 || experiment.Workers < 1 || experiment.Seconds < 1 || experiment.Rate <= 0 {
+		return errors.New("at least 1 instance, 1 worker, 1 second and a rate are needed")
+	}
+	return nil
+}
+
+// parseScenario returns the scenario of that name, or that of a file.
+func parseScenario(nameOrPath string) (testbed.Scenario, error) {
+	text, ok := testbed.ColdStartScenarios[nameOrPath]
+	if !ok {
+		file, err := os.ReadFile(nameOrPath)
+		if err != nil {
+			return nil, fmt.Errorf("scenario: %w", err)
+		}
+		text = string(file)
+	}
+	return testbed.ParseScenario(text)
+}
+
+// run runs the experiment with real schedulers.
+func (o *coldstartOptions) run(cmd *cobra.Command) error {
+	var err error
+	if o.experiment.Scenario, err = parseScenario(o.scenario); err != nil {
+		return err
+	}
+	if err := setScheduler(&o.experiment.Program); err != nil {
+		return err
+	}
+	o.experiment.Say = reportTo(cmd)
+	result, err := o.experiment.Run(cmd.Context())
+	if err != nil {
+		return err
+	}
+	if o.plotPath != "" {
+		if err := result.Plot(o.plotPath); err != nil {
+			return err
+		}
+	}
+	return show(cmd.OutOrStdout(), o.asJSON, result)
+}
+
+// runVirtual runs the simulations of the planners and the Routers.
+func (o *coldstartOptions) runVirtual(cmd *cobra.Command) error {
+	workers, err := testbed.SimulateWorkers(o.experiment.Instances, o.experiment.Workers, o.experiment.Seed)
+	if err != nil {
+		return err
+	}
+	polls := testbed.SimulatePolls([]int{o.experiment.Instances}, o.experiment.Seed)
+	return show(cmd.OutOrStdout(), o.asJSON, virtualColdStart{List: polls, Workers: workers})
+}
--- /dev/null
+++ b/cmd/testbed/gossip.go
@@ -0,0 +1,91 @@
+package main
+
+import (
+	"errors"
+
+	"calicohill/internal/testbed"
+
+	"github.com/spf13/cobra"
+)
+
+// gossipOptions is what the flags of gossip say.
+type gossipOptions struct {
+	experiment testbed.GossipExperiment
+	virtual    bool
+	asJSON     bool
+	plotPath   string
+}
+
+// gossipCommand is the command gossip.
+func gossipCommand() *cobra.Command {
+	options := &gossipOptions{}
+	cmd := &cobra.Command{
+		Use: "gossip", Short: "Shared suspicions: some workers fall silent, with and without liars, shared and alone",
+		Example: "  bin/testbed gossip --instances 12 --hostile 1 --workers 40 --seconds 20 --json\n" +
+			"  bin/testbed gossip --virtual --instances 1000 --plot gossip.svg --json",
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := options.validate(); err != nil {
+				return err
+			}
+			if options.virtual {
+				return options.runVirtual(cmd)
+			}
+			return options.run(cmd)
+		},
+	}
+	experiment := &options.experiment
+	flags := cmd.Flags()
+	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
+	flags.IntVar(&experiment.Instances, "instances", 12, "schedulers; with --virtual the most of them")
+	flags.IntVar(&experiment.Hostile, "hostile", 1, "members more that lie")
+	flags.IntVar(&experiment.Workers, "workers", 40, "stand-in workers")
+	flags.IntVar(&experiment.Silent, "silent", 0, "workers that fall silent; one in twelve if not set")
+	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
+	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
+	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
+	flags.BoolVar(&experiment.MeasureFlood, "flood", true, "measure a flood of forged datagrams too")
+	flags.BoolVar(&options.virtual, "virtual", false, "only the membership, in virtual time, from 12 instances up")
+	flags.StringVar(&options.plotPath, "plot", "", "with --virtual: `FILE`, .svg or .png, for a plot")
+	flags.BoolVar(&options.asJSON, "json", false, "print one JSON object in a line")
+	return cmd
+}
+
+// validate returns an error where the experiment makes no sense.
+func (o *gossipOptions) validate() error {
+	experiment := o.experiment
+	if experiment.Instances < 2 || experiment.Workers < 4 || experiment.Seconds < 1 || experiment.Hostile < 0 || experiment.Rate <= 0 {
+		return errors.New("at least 2 instances, 4 workers, 1 second and a rate are needed")
+	}
+	return nil
+}
+
+// run runs the experiment with real schedulers.
+func (o *gossipOptions) run(cmd *cobra.Command) error {
+	if err := setScheduler(&o.experiment.Program); err != nil {
+		return err
+	}
+	o.experiment.Say = reportTo(cmd)
+	result, err := o.experiment.Run(cmd.Context())
+	if err != nil {
+		return err
+	}
+	return show(cmd.OutOrStdout(), o.asJSON, result)
+}
+
+// runVirtual runs fleets of growing size in virtual time.
+func (o *gossipOptions) runVirtual(cmd *cobra.Command) error {
+	sizes := []int{}
+	for _, size := range []int{12, 40, 120, 400, 1000, 4000} {
+		if size < o.experiment.Instances {
+			sizes = append(sizes, size)
+		}
+	}
+	result := testbed.SimulateGossip(append(sizes, o.experiment.Instances), o.experiment.Seed)
+	if o.plotPath != "" {
+		if err := testbed.PlotVirtualGossip(result, o.plotPath); err != nil {
+			return err
+		}
+	}
+	return show(cmd.OutOrStdout(), o.asJSON, result)
+}
--- /dev/null
+++ b/cmd/testbed/match.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"errors"
+
+	"calicohill/internal/testbed"
+
+	"github.com/spf13/cobra"
+)
+
+// matchCommand is the command match.
+func matchCommand() *cobra.Command {
+	var experiment testbed.MatchExperiment
+	var asJSON bool
+	cmd := &cobra.Command{
+		Use: "match", Short: "What rules cost: an evaluation by itself, and requests through a scheduler",
+		Example: "  bin/testbed match --rules 1000 --rate 1900 --hostile --json",
+		Args:    cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if experiment.Rules < 1 || experiment.Rules > 10000 || experiment.Rate <= 0 || experiment.Seconds < 1 {
+				return errors.New("1 to 10000 rules, a rate and 1 second are needed")
+			}
+			if err := setScheduler(&experiment.Program); err != nil {
+				return err
+			}
+			experiment.Say = reportTo(cmd)
+			result, err := experiment.Run(cmd.Context())
+			if err != nil {
+				return err
+			}
+			return show(cmd.OutOrStdout(), asJSON, result)
+		},
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
+	flags.IntVar(&experiment.Rules, "rules", 1000, "rules in the operator's file")
+	flags.Float64Var(&experiment.Rate, "rate", 190, "requests a second")
+	flags.BoolVar(&experiment.Hostile, "hostile", false, "the longest legal texts, many parameters, near misses of prefixes")
+	flags.Float64Var(&experiment.Seconds, "seconds", 8, "how long each run lasts")
+	flags.Uint64Var(&experiment.Seed, "seed", 1, "of the load")
+	flags.BoolVar(&asJSON, "json", false, "print one JSON object in a line")
+	return cmd
+}
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -24,40 +24,44 @@
 	for _, tt := range []struct {
 		name  string
 		bound int
-		do    func(*testbed.Asks)
+		do    func(*testbed.PollSimulation)
 	}{
-		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.Asks) {
-			fleet.Set(testbed.Refuse)
+		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+			fleet.SetFault(testbed.ListRefusing)
 			fleet.Run(8 * time.Second)
-			fleet.Set(testbed.Well)
+			fleet.SetFault(testbed.ListHealthy)
 		}},
-		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.Asks) {
-			fleet.Set(testbed.Busy)
+		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+			fleet.SetFault(testbed.ListOverloaded)
 			fleet.Run(8 * time.Second)
-			fleet.Set(testbed.Well)
+			fleet.SetFault(testbed.ListHealthy)
 		}},
 		// Answered all at once, they have to ask again within the second that a drain allows.
-		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.Asks) {
-			fleet.Set(testbed.Silent)
+		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.PollSimulation) {
+			fleet.SetFault(testbed.ListUnresponsive)
 			fleet.Run(8 * time.Second)
-			fleet.Set(testbed.Well)
+			fleet.SetFault(testbed.ListHealthy)
+		}},
+		{"broken", 2 * evenPeak, (*testbed.PollSimulation).BreakConnections},
+		{"broken twice", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+			fleet.BreakConnections()
+			fleet.Run(time.Second)
+			fleet.BreakConnections()
 		}},
-		{"broken", 2 * evenPeak, (*testbed.Asks).Break},
-		{"broken twice", 2 * evenPeak, func(fleet *testbed.Asks) { fleet.Break(); fleet.Run(time.Second); fleet.Break() }},
 	} {
 		for seed := range uint64(5) {
-			fleet := testbed.NewAsks(fleetSize, time.Second, seed, true)
+			fleet := testbed.NewPollSimulation(fleetSize, time.Second, seed, true)
 			fleet.Run(10 * time.Second)
-			if got := testbed.Peak(fleet.Polls, 0); got > 2*fleetSize/10 {
+			if got := testbed.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
 				t.Errorf("start, seed %d: %d asks within 100 ms", seed, got)
 			}
 			at := fleet.Now
 			tt.do(fleet)
 			fleet.Run(30 * time.Second)
-			if got := testbed.Peak(fleet.Polls, at); got > tt.bound {
+			if got := testbed.PeakPer100ms(fleet.Polls, at); got > tt.bound {
 				t.Errorf("%s, seed %d: %d asks within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
-			if got := testbed.Peak(fleet.Dials, at); got > 2*evenPeak {
+			if got := testbed.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
 				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
 		}
@@ -69,14 +73,14 @@
 func TestWellToldInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
-			fleet := testbed.NewAsks(300, grace, seed, true)
+			fleet := testbed.NewPollSimulation(300, grace, seed, true)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 20 {
-				fleet.Tell()
+				fleet.Publish()
 				fleet.Run(grace * 8 / 10)
-				for i, node := range fleet.Nodes {
-					if node.Knows != fleet.Desk.Number {
-						t.Fatalf("seed %d: scheduler %d does not know event %d after %v", seed, i, fleet.Desk.Number, grace*8/10)
+				for i, node := range fleet.Schedulers {
+					if node.LastEvent != fleet.Queue.LastEvent {
+						t.Fatalf("seed %d: scheduler %d does not know event %d after %v", seed, i, fleet.Queue.LastEvent, grace*8/10)
 					}
 				}
 				fleet.Run(time.Duration(rng.IntN(3000)) * time.Millisecond)
@@ -87,15 +91,15 @@
 
 // An event answers all polls at once. Those that come back for more are spread, and soon nobody is in step.
 func TestNotInStepAfterNews(t *testing.T) {
-	fleet := testbed.NewAsks(fleetSize, time.Second, 1, true)
+	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.Run(10 * time.Second)
-	fleet.Tell()
+	fleet.Publish()
 	at := fleet.Now
 	fleet.Run(10 * time.Second)
-	if got := testbed.Peak(fleet.Polls, at); got > 2*fleetSize/10 {
+	if got := testbed.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
 		t.Errorf("%d of %d ask within 100 ms after an event", got, fleetSize)
 	}
-	if got := testbed.Peak(fleet.Polls, at+time.Second); got > 2*evenPeak {
+	if got := testbed.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
 		t.Errorf("%d ask within 100 ms a second after an event, even are %d", got, evenPeak)
 	}
 }
@@ -103,24 +107,24 @@
 // A service that answers a tenth of what the fleet asks in its 2 s lists all in 1.3 times the time that takes it at
 // best, and nobody asks much oftener than the 7 s of the protocol demand.
 func TestCrowded(t *testing.T) {
-	fleet := testbed.NewAsks(fleetSize, time.Second, 1, true)
-	fleet.Set(testbed.Crowded)
-	fleet.Desk.Rate = fleetSize / 20.
-	fleet.Desk.Number = 2
+	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
+	fleet.SetFault(testbed.ListRateLimited)
+	fleet.Queue.AnswersPerSecond = fleetSize / 20.
+	fleet.Queue.LastEvent = 2
 	limit := 20 * time.Second
 	began := fleet.Now
 	fleet.Run(limit * 13 / 10)
 	asked, needed := 0, 0
-	for i, node := range fleet.Nodes {
-		if node.Knows < 2 {
+	for i, node := range fleet.Schedulers {
+		if node.LastEvent < 2 {
 			t.Errorf("scheduler %d has no list after 1.3 times the least time", i)
 		}
 		for _, at := range node.Polls {
-			if at < node.Told {
+			if at < node.UpdatedAt {
 				asked++
 			}
 		}
-		needed += 1 + int((node.Told-began)/(7*time.Second))
+		needed += 1 + int((node.UpdatedAt-began)/(7*time.Second))
 	}
 	if asked*10 > needed*12 {
 		t.Errorf("asked %d times until all were listed, the protocol's times need %d", asked, needed)
@@ -129,15 +133,15 @@
 
 // Alone before a well service a scheduler asks as soon as it can: at the start, after each answer, after a break.
 func TestAlone(t *testing.T) {
-	fleet := testbed.NewAsks(1, time.Second, 1, true)
+	fleet := testbed.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
 	fleet.Run(time.Second)
-	fleet.Tell()
+	fleet.Publish()
 	fleet.Run(time.Second)
-	fleet.Break()
+	fleet.BreakConnections()
 	fleet.Run(time.Second)
 	var got []time.Duration
-	for _, at := range fleet.Nodes[0].Polls {
+	for _, at := range fleet.Schedulers[0].Polls {
 		got = append(got, (at - start).Round(time.Millisecond))
 	}
 	for i, want := range []time.Duration{1, 1002, 2013} { // milliseconds: a dial takes 1, an answer too
@@ -201,30 +205,30 @@
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
-		fleet := testbed.NewAsks(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
+		fleet := testbed.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(rt, "do"); do {
 			case "break":
-				fleet.Break()
+				fleet.BreakConnections()
 			case "tell":
-				fleet.Tell()
+				fleet.Publish()
 			case "run":
 			default:
-				fleet.Set(testbed.Mood(do))
+				fleet.SetFault(testbed.ListFault(do))
 			}
 			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
-			if fleet.Desk.Open() > 2*schedulers {
-				rt.Fatalf("%d asks open of %d schedulers", fleet.Desk.Open(), schedulers)
+			if fleet.Queue.Len() > 2*schedulers {
+				rt.Fatalf("%d asks open of %d schedulers", fleet.Queue.Len(), schedulers)
 			}
 		}
 		// What it has to say after trouble is known 7 s later at the latest, and what it says when well at once.
-		fleet.Set(testbed.Well)
+		fleet.SetFault(testbed.ListHealthy)
 		fleet.Run(7 * time.Second)
-		fleet.Tell()
+		fleet.Publish()
 		fleet.Run(2 * time.Second)
-		for i, node := range fleet.Nodes {
-			if node.Knows != fleet.Desk.Number {
-				rt.Fatalf("scheduler %d knows event %d of %d", i, node.Knows, fleet.Desk.Number)
+		for i, node := range fleet.Schedulers {
+			if node.LastEvent != fleet.Queue.LastEvent {
+				rt.Fatalf("scheduler %d knows event %d of %d", i, node.LastEvent, fleet.Queue.LastEvent)
 			}
 			for k := range max(len(node.Polls)-60, 0) {
 				if node.Polls[k+60]-node.Polls[k] < time.Second {
--- /dev/null
+++ b/internal/testbed/coldstartmetrics.go
@@ -0,0 +1,178 @@
+package testbed
+
+import (
+	"fmt"
+	"time"
+)
+
+// ColdStartMetrics is what a ColdDay measured with one build. Times are in milliseconds, shares parts of 1.
+type ColdStartMetrics struct {
+	PollsPeak          int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
+	PollsEven          float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
+	PollsSent          int      `json:"polls_sent"`                // until each had the last event
+	PollsNeeded        int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
+	ConnectsPeak       int      `json:"connects_peak_100ms"`       // at the list service
+	Connects           int      `json:"connects"`                  // there, over the whole run
+	Bytes              int      `json:"list_bytes"`                // of lists, over the whole run
+	AllListed          float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
+	Limit              float64  `json:"limit_ms"`                  // what the service's capacity allows at best
+	AgentConnects      int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
+	Handshakes         float64  `json:"handshakes_per_scheduler"`
+	Workers            float64  `json:"workers_per_scheduler"` // that it sent anything
+	Homes              float64  `json:"homes_per_scheduler"`   // preferred workers of the functions that it was asked for: what it has to meet
+	Loads              int      `json:"loads"`
+	Crashed            int      `json:"workers_pushed_over"`
+	ColdMost           float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
+	RefusedConnections int      `json:"agent_connects_refused"` // over what the workers accept
+	Served             float64  `json:"served_share"`
+	Asked              int      `json:"asked"`
+	Lost               int      `json:"lost"` // without any response
+	RulesBroken        []string `json:"rules_broken"`
+	Late               float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
+
+	pollTimes         []time.Duration
+	agentConnectTimes []time.Duration
+}
+
+// summary is the metrics in a sentence.
+func (m *ColdStartMetrics) summary() string {
+	return fmt.Sprintf("served %.4f of %d, at most %d asks and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
+		m.Served, m.Asked, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
+}
+
+// setLoad fills in what became of the load.
+func (m *ColdStartMetrics) setLoad(load LoadResult) {
+	m.Served = load.ServedShare()
+	m.Asked = load.Offered
+	m.Lost = load.Lost
+}
+
+// collect fills in what reached the list service and the workers.
+func (m *ColdStartMetrics) collect(fleet *Fleet, began, lastStep time.Time) {
+	m.collectPolls(fleet, began, lastStep)
+	connects := offsets(fleet.List.AcceptedAt(), began)
+	m.ConnectsPeak = PeakPer100ms(connects, 0)
+	m.Connects = len(connects)
+	m.collectWorkers(fleet, began)
+}
+
+// collectPolls fills in what reached the list service, and when each scheduler had the last event.
+func (m *ColdStartMetrics) collectPolls(fleet *Fleet, began, lastStep time.Time) {
+	schedulers := len(fleet.Instances)
+	polls := fleet.List.Polls()
+	listedAt := listedTimes(polls, len(fleet.List.PublishedAt()), lastStep)
+	for _, poll := range polls {
+		m.pollTimes = append(m.pollTimes, poll.At.Sub(began))
+		m.Bytes += poll.Bytes
+		at, ok := listedAt[poll.Scheduler]
+		if poll.At.After(lastStep) && (!ok || !poll.At.After(at)) {
+			m.PollsSent++
+		}
+	}
+	for _, at := range listedAt {
+		m.AllListed = max(m.AllListed, float64(at.Sub(lastStep).Milliseconds()))
+		m.PollsNeeded += 1 + int(at.Sub(lastStep)/maxPollDuration)
+	}
+	if len(listedAt) < schedulers {
+		m.AllListed = -1
+	}
+	m.PollsPeak = PeakPer100ms(m.pollTimes, 0)
+	m.PollsEven = float64(schedulers) / tenthsPerPoll
+	m.Limit = pollPeriod * 1000
+	if rate := fleet.List.answersPerSecond(); rate > 0 {
+		m.Limit = float64(schedulers) / rate * 1000
+	}
+}
+
+// listedTimes is when each scheduler first had the last event, or showed by a poll that it had it, after the last step of
+// the scenario.
+func listedTimes(polls []Poll, lastEvent int, lastStep time.Time) map[string]time.Time {
+	listedAt := map[string]time.Time{}
+	for _, poll := range polls {
+		at := poll.AnsweredAt
+		switch {
+		case poll.After == lastEvent && (at.IsZero() || at.After(lastStep)):
+			at = poll.At
+			if at.Before(lastStep) { // it waits
+				at = lastStep
+			}
+		case poll.LastEvent != lastEvent:
+			continue
+		}
+		earlier, ok := listedAt[poll.Scheduler]
+		if !at.Before(lastStep) && (!ok || at.Before(earlier)) {
+			listedAt[poll.Scheduler] = at
+		}
+	}
+	return listedAt
+}
+
+// collectWorkers fills in what reached the workers.
+func (m *ColdStartMetrics) collectWorkers(fleet *Fleet, began time.Time) {
+	handshakes := 0
+	pairs := 0 // of a scheduler and a worker that it sent anything
+	for _, worker := range fleet.Workers {
+		connects := offsets(worker.AcceptedAt(), began)
+		m.agentConnectTimes = append(m.agentConnectTimes, connects...)
+		m.AgentConnects = max(m.AgentConnects, PeakPer100ms(connects, 0))
+		handshakes += len(connects)
+		if !worker.CrashedAt().IsZero() {
+			m.Crashed++
+		}
+		refused, peakLoadShare := worker.overload()
+		m.RefusedConnections += refused
+		m.ColdMost = max(m.ColdMost, peakLoadShare)
+		schedulers := map[string]bool{}
+		for _, arrival := range worker.Arrivals() {
+			schedulers[arrival.From] = true
+			if arrival.Load {
+				m.Loads++
+			}
+		}
+		pairs += len(schedulers)
+	}
+	starts := 0
+	for _, instance := range fleet.Instances {
+		starts += instance.Count(logSchedulerStarted)
+	}
+	schedulers := float64(len(fleet.Instances))
+	m.Handshakes = float64(handshakes) / float64(max(starts, 1))
+	m.Homes = float64(countPreferredPairs(fleet.Workers)) / schedulers
+	m.Workers = float64(pairs) / schedulers
+}
+
+// countPreferredPairs counts the pairs of a scheduler and a worker that follow from the preferred workers which all
+// schedulers share: the scheduler was asked for a function that most of all calls of it went to the worker for.
+func countPreferredPairs(workers []*Worker) int {
+	calls := map[string]map[string]int{}
+	preferred := map[string]string{}
+	for _, worker := range workers {
+		for _, arrival := range worker.Arrivals() {
+			function := arrival.Function
+			if calls[function] == nil {
+				calls[function] = map[string]int{}
+			}
+			calls[function][worker.ID]++
+			best := preferred[function]
+			if best == "" || calls[function][worker.ID] > calls[function][best] {
+				preferred[function] = worker.ID
+			}
+		}
+	}
+	pairs := map[linkKey]bool{}
+	for _, worker := range workers {
+		for _, arrival := range worker.Arrivals() {
+			pairs[linkKey{scheduler: arrival.From, worker: preferred[arrival.Function]}] = true
+		}
+	}
+	return len(pairs)
+}
+
+// offsets is how long after another time each of some times was.
+func offsets(times []time.Time, from time.Time) []time.Duration {
+	var list []time.Duration
+	for _, at := range times {
+		list = append(list, at.Sub(from))
+	}
+	return list
+}
--- a/internal/testbed/free_test.go
+++ b/internal/testbed/fleet_test.go
@@ -10,7 +10,7 @@
 	f := &Fleet{}
 	seen := map[string]bool{}
 	for range 1000 {
-		addr, err := f.free("udp")
+		addr, err := f.freeAddress("udp")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -26,15 +26,15 @@
 func TestRefusesAndComesBack(t *testing.T) {
 	s := NewListService()
 	defer s.Close()
-	addr, err := s.Door("n0")
+	addr, err := s.Address("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Set(Refuse, 0); err != nil {
+	if err := s.SetFault(ListRefusing, 0); err != nil {
 		t.Fatal(err)
 	}
 	_, port, _ := net.SplitHostPort(addr)
-	host, _, _ := net.SplitHostPort(ends)
+	host, _, _ := net.SplitHostPort(linkListenAddress)
 	for _, h := range []string{host, "127.0.0.1"} {
 		l, err := net.Listen("tcp", net.JoinHostPort(h, port))
 		if err != nil {
@@ -42,7 +42,7 @@
 		}
 		defer l.Close()
 	}
-	if err := s.Set(Well, 0); err != nil {
+	if err := s.SetFault(ListHealthy, 0); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"os"
@@ -9,34 +10,45 @@
 	"time"
 )
 
-// GossipDay is a day on which some workers fall silent, as a fleet that shares its suspicions and one that does not
-// meet it.
-type GossipDay struct {
-	Program   string
-	Env       []string
-	Instances int
-	Hostile   int // members more that lie: they accuse all workers, and later a few that are well
-	Workers   int
-	Silent    int // workers that fall silent together; 0 means one in twelve, at least 1
-	Seconds   float64
-	Rate      float64 // requests a second, of all
-	Seed      uint64
-	Floods    bool // measure a flood too
-	Say       func(string)
+const (
+	// maxMessagesPerSecond is the default of the operator's file for gossip.
+	maxMessagesPerSecond = 20
+	// reportLifetime is how long after a worker's recovery peers' reports of its fault may last.
+	reportLifetime = 10 * time.Second
+	// gossipSkew is how uneven the schedulers' parts of the load are, so that some learn of a fault late by themselves.
+	gossipSkew = 0.3
+	// floodRate is the forged datagrams a second of a flood.
+	floodRate = 5000
+)
+
+// GossipExperiment has some workers become unresponsive, and compares a fleet that gossips its fault reports with one that
+// does not.
+type GossipExperiment struct {
+	Program      string
+	Env          []string
+	Instances    int
+	Hostile      int // further members that lie: they accuse all workers, and later a few that are healthy
+	Workers      int
+	Silent       int // workers that become unresponsive together; 0 means one in twelve, at least 1
+	Seconds      float64
+	Rate         float64 // requests a second, of all
+	Seed         uint64
+	MeasureFlood bool // measure a flood of forged datagrams too
+	Say          func(string)
 }
 
-// GossipResult is what a GossipDay gave. Times are in milliseconds, shares parts of 1.
+// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares parts of 1.
 type GossipResult struct {
 	Instances      int     `json:"instances"`
 	Workers        int     `json:"workers"`
 	Hostile        int     `json:"hostile"`
 	Seconds        float64 `json:"seconds"`
-	Messages       float64 `json:"messages_per_second"` // sent by the worst instance, over the day
+	Messages       float64 `json:"messages_per_second"` // sent by the worst instance, over the run
 	Peak           float64 `json:"messages_peak"`       // the most of any second and instance
 	Limit          int     `json:"messages_limit"`      // of any second
 	Bytes          float64 `json:"bytes_per_second"`    // sent by the worst instance
-	LeftOutByLiar  float64 `json:"left_out_by_liar"`    // worker-seconds: workers that were well, held ill, by instances
-	Served         float64 `json:"served_share"`        // with the liars
+	LeftOutByLiar  float64 `json:"left_out_by_liar"`    // worker-seconds: healthy workers that were ejected, by instances
+	Served         float64 `json:"served_share"`        // with the byzantine members
 	ServedHonest   float64 `json:"served_share_without_liar"`
 	ServedAlone    float64 `json:"served_share_alone"`
 	Lost           int     `json:"lost_to_silent"`
@@ -50,305 +62,220 @@
 	UnheardOfLiars int     `json:"instances_that_unheard_liars"`
 }
 
-// course is what one run of a day gave.
-type course struct {
-	tally           Tally
-	lost            int
-	notice          float64
-	messages, bytes float64
-	peak            float64
-	leftOut         float64
-	unheard         int
-	cpu, calm       float64
-	grown           int
-}
-
-const messagesLimit = 20 // the default of the operator's file
-
-// Run plays the day: shared with liars, shared without, and alone.
-func (d GossipDay) Run(ctx context.Context) (GossipResult, error) {
-	r := GossipResult{Instances: d.Instances, Workers: d.Workers, Hostile: d.Hostile, Seconds: d.Seconds, Limit: messagesLimit}
-	if d.Silent == 0 {
-		d.Silent = max(1, d.Workers/12)
+// Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
+func (e GossipExperiment) Run(ctx context.Context) (GossipResult, error) {
+	result := GossipResult{
+		Instances: e.Instances,
+		Workers:   e.Workers,
+		Hostile:   e.Hostile,
+		Seconds:   e.Seconds,
+		Limit:     maxMessagesPerSecond,
 	}
+	e.Silent = cmp.Or(e.Silent, max(1, e.Workers/12))
 	for _, run := range []struct {
-		name    string
-		sharing bool
-		hostile int
-		keep    func(course)
+		name      string
+		sharing   bool
+		byzantine int
+		keep      func(*GossipResult, gossipMetrics)
 	}{
-		{"alone", false, 0, func(c course) { r.ServedAlone, r.LostAlone, r.NoticeAlone = c.tally.Share(), c.lost, c.notice }},
-		{"shared", true, 0, func(c course) {
-			r.ServedHonest, r.LostHonest = c.tally.Share(), c.lost
-			r.Messages, r.Bytes, r.Peak, r.Notice = c.messages, c.bytes, c.peak, c.notice
-		}},
-		{"shared, with liars", true, d.Hostile, func(c course) {
-			r.Served, r.Lost, r.LeftOutByLiar, r.UnheardOfLiars = c.tally.Share(), c.lost, c.leftOut, c.unheard
-			r.Messages, r.Bytes, r.Peak = max(r.Messages, c.messages), max(r.Bytes, c.bytes), max(r.Peak, c.peak)
-			r.Notice = c.notice
-		}},
+		{"alone", false, 0, (*GossipResult).setAlone},
+		{"shared", true, 0, (*GossipResult).setHonest},
+		{"shared, with liars", true, e.Hostile, (*GossipResult).setByzantine},
 	} {
-		c, err := d.course(ctx, run.sharing, run.hostile)
+		metrics, err := e.runOnce(ctx, run.sharing, run.byzantine)
 		if err != nil {
-			return r, fmt.Errorf("%s: %w", run.name, err)
+			return result, fmt.Errorf("%s: %w", run.name, err)
 		}
-		run.keep(c)
-		d.Say(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
-			run.name, c.tally.Share(), c.tally.Asked, c.lost, c.notice, c.messages))
+		run.keep(&result, metrics)
+		e.Say(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
+			run.name, metrics.load.ServedShare(), metrics.load.Offered, metrics.lost, metrics.noticeMillis, metrics.messages))
 	}
-	if d.Floods {
-		c, err := d.flood(ctx)
+	if e.MeasureFlood {
+		flood, err := e.measureFlood(ctx)
 		if err != nil {
-			return r, fmt.Errorf("flood: %w", err)
+			return result, fmt.Errorf("flood: %w", err)
 		}
-		r.CPU, r.CPUFlooded, r.MemoryFlooded = c.calm, c.cpu, c.grown
+		result.CPU = flood.idleCPU
+		result.CPUFlooded = flood.floodCPU
+		result.MemoryFlooded = flood.grownKB
 	}
-	return r, nil
+	return result, nil
+}
+
+// setAlone keeps what the fleet without gossip gave.
+func (r *GossipResult) setAlone(metrics gossipMetrics) {
+	r.ServedAlone = metrics.load.ServedShare()
+	r.LostAlone = metrics.lost
+	r.NoticeAlone = metrics.noticeMillis
+}
+
+// setHonest keeps what the fleet with gossip and without byzantine members gave.
+func (r *GossipResult) setHonest(metrics gossipMetrics) {
+	r.ServedHonest = metrics.load.ServedShare()
+	r.LostHonest = metrics.lost
+	r.setTraffic(metrics)
+}
+
+// setByzantine keeps what the fleet with byzantine members gave.
+func (r *GossipResult) setByzantine(metrics gossipMetrics) {
+	r.Served = metrics.load.ServedShare()
+	r.Lost = metrics.lost
+	r.LeftOutByLiar = metrics.wronglyEjected
+	r.UnheardOfLiars = metrics.ignoredPeers
+	r.setTraffic(metrics)
+}
+
+// setTraffic keeps the worst traffic of all runs with gossip, and how soon the last of them noticed the fault.
+func (r *GossipResult) setTraffic(metrics gossipMetrics) {
+	r.Messages = max(r.Messages, metrics.messages)
+	r.Bytes = max(r.Bytes, metrics.bytes)
+	r.Peak = max(r.Peak, metrics.peak)
+	r.Notice = metrics.noticeMillis
 }
 
-// fleet prepares and starts the schedulers of a day. The caller closes it and removes its folder.
-func (d GossipDay) fleet(ctx context.Context, sharing bool) (*Fleet, error) {
+// fleet prepares and starts the schedulers of a run. The caller closes it and removes its folder.
+func (e GossipExperiment) fleet(ctx context.Context, sharing bool) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-lab-")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Program: d.Program, Env: d.Env, Dir: dir, Sharing: sharing}
-	err = f.Prepare(d.Instances, d.Workers)
-	for _, in := range f.Instances {
-		if err == nil {
-			err = in.Start()
-		}
-	}
-	if err == nil {
-		err = f.Wait(ctx, 20*time.Second)
-	}
-	if err == nil && sharing {
-		err = f.Joined(ctx, d.Instances, 30*time.Second)
-	}
-	if err != nil {
-		f.end()
+	fleet := &Fleet{Program: e.Program, Env: e.Env, Dir: dir, Sharing: sharing}
+	if err := e.start(ctx, fleet); err != nil {
+		fleet.closeAndRemove()
 		return nil, err
 	}
-	return f, nil
-}
-
-func (f *Fleet) end() {
-	f.Close()
-	_ = os.RemoveAll(f.Dir) // what can't be removed is left for the system to clean
+	return fleet, nil
 }
 
-// Joined waits until each instance has said of members-1 others that they are there.
-func (f *Fleet) Joined(ctx context.Context, members int, within time.Duration) error {
-	for end := time.Now().Add(within); ; {
-		missing := ""
-		for _, in := range f.Instances {
-			if n := len(in.Peers()); n < members-1 {
-				missing = fmt.Sprintf("%s knows %d of %d others", in.Name, n, members-1)
-			}
-		}
-		if missing == "" {
-			return nil
-		}
-		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("the members do not find one another: %s\n%s", missing, f.Instances[0].Log)
-		}
-		time.Sleep(50 * time.Millisecond)
+// start prepares and starts a fleet, and waits until it serves and its members know one another.
+func (e GossipExperiment) start(ctx context.Context, fleet *Fleet) error {
+	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
+		return err
 	}
-}
-
-// Peers is the members that an instance's log says are there.
-func (in *Instance) Peers() map[string]bool {
-	there := map[string]bool{}
-	for _, l := range in.Log.Latest() {
-		switch l.Text("msg") {
-		case "peer alive", "peer suspect":
-			there[l.Text("peer")] = true
-		case "peer dead", "peer left", "peer no longer counts: its certificate does not":
-			delete(there, l.Text("peer"))
+	for _, instance := range fleet.Instances {
+		if err := instance.Start(); err != nil {
+			return err
 		}
 	}
-	return there
-}
-
-// Count counts the lines of a message in an instance's log.
-func (in *Instance) Count(msg string) (n int) {
-	for _, l := range in.Log.Lines() {
-		if l.Text("msg") == msg {
-			n++
-		}
+	if err := fleet.Wait(ctx, schedulerStartWithin); err != nil {
+		return err
+	}
+	if !fleet.Sharing {
+		return nil
 	}
-	return n
+	return fleet.Joined(ctx, e.Instances, fleetJoinWithin)
 }
 
-func (d GossipDay) course(ctx context.Context, sharing bool, hostile int) (c course, err error) {
-	f, err := d.fleet(ctx, sharing)
+// runOnce runs the experiment with one fleet.
+func (e GossipExperiment) runOnce(ctx context.Context, sharing bool, byzantine int) (gossipMetrics, error) {
+	fleet, err := e.fleet(ctx, sharing)
 	if err != nil {
-		return c, err
+		return gossipMetrics{}, err
 	}
-	defer f.end()
-	whole := time.Duration(d.Seconds * float64(time.Second))
-	day, cancel := context.WithTimeout(ctx, whole)
+	defer fleet.closeAndRemove()
+	duration := time.Duration(e.Seconds * float64(time.Second))
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
-	var liars []*Hostile
-	for i := range hostile {
-		h, err := f.NewHostile(fmt.Sprintf("liar%d", i))
-		if err != nil {
-			return c, err
-		}
-		defer h.Close()
-		liars = append(liars, h)
-	}
-	// The silent ones are chosen by the seed, and fall silent at two tenths of the day, for half of it.
-	var silent []*Worker
-	for i := range d.Silent {
-		silent = append(silent, f.Workers[(int(d.Seed)*7+i*5)%len(f.Workers)])
-	}
-	var well []string
-	for _, w := range f.Workers {
-		if !slices.Contains(silent, w) {
-			well = append(well, w.ID)
-		}
+	run := newGossipRun(fleet, e.unresponsive(fleet))
+	closeLiars, err := run.addLiars(ctx, byzantine, duration)
+	defer closeLiars()
+	if err != nil {
+		return gossipMetrics{}, err
 	}
-	var from, till time.Time
-	schedule := make(chan struct{})
+	faultEnded := make(chan struct{})
 	go func() {
-		defer close(schedule)
-		if !sleep(day, whole/5) {
-			return
-		}
-		from = time.Now()
-		for _, w := range silent {
-			w.Set(Mute)
-		}
-		if !sleep(day, whole/2) {
-			return
-		}
-		till = time.Now()
-		for _, w := range silent {
-			w.Set(Sound)
-		}
+		defer close(faultEnded)
+		run.playFault(ctx, duration)
 	}()
-	for _, h := range liars {
-		var all []string
-		for _, w := range f.Workers {
-			all = append(all, w.ID)
-		}
-		// A part of the day each: all workers, then a few that are well and the same for all liars, to collude.
-		h.Accuse(all)
-		go func() {
-			if sleep(day, whole/4) {
-				h.Accuse(well[:min(len(well), max(2, len(f.Workers)/8))])
-			}
-		}()
-	}
-	c.tally = f.Offer(day, Load{Rate: d.Rate, Functions: 3 * d.Workers / 2, Skew: 0.3, Seed: d.Seed})
-	<-schedule
-	var notices []float64
-	for _, w := range silent {
-		last := from
-		for _, a := range w.Arrivals() {
-			if a.Fault == Mute {
-				c.lost++
-				last = a.At
-			}
-		}
-		notices = append(notices, float64(last.Sub(from).Milliseconds()))
-	}
-	slices.Sort(notices)
-	c.notice = notices[len(notices)/2]
-	if err := f.Stop(); err != nil {
-		return c, err
+	load := fleet.Offer(ctx, Load{Rate: e.Rate, Functions: functionsFor(e.Workers), Skew: gossipSkew, Seed: e.Seed})
+	<-faultEnded
+	metrics := gossipMetrics{load: load}
+	metrics.countArrivals(run)
+	if err := fleet.Stop(); err != nil {
+		return metrics, err
 	}
-	for _, in := range f.Instances {
-		ill := map[string]time.Time{}
-		end := time.Now()
-		sick := func(w string, a, b time.Time) float64 {
-			return honestly(slices.Contains(well, w), a, b, from, till)
-		}
-		for _, l := range in.Log.Lines() {
-			w := l.Text("worker")
-			switch l.Text("msg") {
-			case "worker ill on the word of peers":
-				ill[w] = l.Time()
-			case "worker no longer ill on the word of peers":
-				c.leftOut += sick(w, ill[w], l.Time())
-				delete(ill, w)
-			case "peer not heard for a while":
-				c.unheard++
-			case "gossip ended":
-				c.messages = max(c.messages, l.Number("sent")/l.Number("seconds"))
-				c.bytes = max(c.bytes, l.Number("bytes")/l.Number("seconds"))
-				c.peak = max(c.peak, l.Number("peak"))
-			}
-		}
-		for w, at := range ill {
-			c.leftOut += sick(w, at, end)
-		}
-	}
-	return c, nil
+	metrics.readLogs(run)
+	return metrics, nil
 }
 
-// forgetting is how long the word on a worker may outlast its silence.
-const forgetting = 10 * time.Second
-
-// honestly is for how many seconds a worker was held ill that was not: one that was well all day, or one that was
-// silent, before its silence or after the time that word of it may last.
-func honestly(well bool, a, b, from, till time.Time) float64 {
-	if well {
-		return b.Sub(a).Seconds()
+// unresponsive is the workers that become unresponsive, chosen by the seed.
+func (e GossipExperiment) unresponsive(fleet *Fleet) []*Worker {
+	var chosen []*Worker
+	for i := range e.Silent {
+		chosen = append(chosen, fleet.Workers[(int(e.Seed)*7+i*5)%len(fleet.Workers)])
 	}
-	wrong := 0.0
-	if a.Before(from) {
-		wrong += from.Sub(a).Seconds()
-	}
-	if late := till.Add(forgetting); b.After(late) {
-		wrong += b.Sub(late).Seconds()
-	}
-	return wrong
+	return chosen
+}
+
+// floodMetrics is what a flood of forged datagrams cost one instance.
+type floodMetrics struct {
+	idleCPU  float64 // share of a core without the flood
+	floodCPU float64 // share of a core more with it
+	grownKB  int     // memory, during the second half of the flood
 }
 
-// flood measures what a flood of forged datagrams costs one of the instances, beside the same time without it.
-func (d GossipDay) flood(ctx context.Context) (c course, err error) {
-	f, err := d.fleet(ctx, true)
+// measureFlood measures what a flood costs one of the instances, beside the same time without it.
+func (e GossipExperiment) measureFlood(ctx context.Context) (floodMetrics, error) {
+	fleet, err := e.fleet(ctx, true)
 	if err != nil {
-		return c, err
+		return floodMetrics{}, err
 	}
-	defer f.end()
-	in := f.Instances[0]
-	lasts := time.Duration(max(d.Seconds/4, 2) * float64(time.Second))
-	measure := func() float64 {
-		before, at := in.CPU(), time.Now()
-		sleep(ctx, lasts)
-		return (in.CPU() - before).Seconds() / time.Since(at).Seconds()
+	defer fleet.closeAndRemove()
+	target := fleet.Instances[0]
+	duration := time.Duration(max(e.Seconds/4, 2) * float64(time.Second))
+	measureCPU := func() float64 {
+		before := target.CPU()
+		began := time.Now()
+		sleep(ctx, duration)
+		return (target.CPU() - before).Seconds() / time.Since(began).Seconds()
 	}
-	calm := measure()
-	stop, ended := make(chan struct{}), make(chan error, 1)
-	go func() { ended <- Flood(in.Gossip, 5000, stop) }()
-	flooded := measure()
-	held := in.Memory()
-	flooded = (flooded + measure()) / 2
-	grown := in.Memory() - held
+	idle := measureCPU()
+	stop := make(chan struct{})
+	ended := make(chan error, 1)
+	go func() { ended <- Flood(target.Gossip, floodRate, stop) }()
+	flooded := measureCPU()
+	memory := target.Memory()
+	flooded = (flooded + measureCPU()) / 2
+	metrics := floodMetrics{idleCPU: idle, floodCPU: flooded - idle, grownKB: target.Memory() - memory}
 	close(stop)
 	if err := <-ended; err != nil {
-		return c, err
+		return metrics, err
 	}
-	c.cpu, c.calm, c.grown = flooded-calm, calm, grown
-	d.Say(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, calm, c.grown))
-	for _, o := range f.Instances {
-		for _, l := range o.Log.Lines() {
-			if l.Text("msg") == "peer dead" {
-				return c, fmt.Errorf("%s took %s for dead during the flood", o.Name, l.Text("peer"))
+	e.Say(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
+	return metrics, fleet.nobodyDead()
+}
+
+// nobodyDead returns an error if an instance took another for dead.
+func (f *Fleet) nobodyDead() error {
+	for _, instance := range f.Instances {
+		for _, line := range instance.Log.Lines() {
+			if line.Text("msg") == logPeerDead {
+				return fmt.Errorf("%s took %s for dead during the flood", instance.Name, line.Text("peer"))
 			}
 		}
 	}
-	return c, nil
+	return nil
 }
 
-// Beside is the scheduler that stands beside the running program.
-func Beside() (string, error) {
+// SchedulerBeside is the path of the scheduler beside the running program.
+func SchedulerBeside() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
 	return filepath.Join(filepath.Dir(self), "calicohill"), nil
 }
+
+// workerIDs is the IDs of workers.
+func workerIDs(workers []*Worker) []string {
+	var ids []string
+	for _, worker := range workers {
+		ids = append(ids, worker.ID)
+	}
+	return ids
+}
+
+// without is the workers that are not among others.
+func without(workers, others []*Worker) []*Worker {
+	return slices.DeleteFunc(slices.Clone(workers), func(worker *Worker) bool { return slices.Contains(others, worker) })
+}
--- /dev/null
+++ b/internal/testbed/gossiprun.go
@@ -0,0 +1,153 @@
+package testbed
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// gossipRun is a run of a GossipExperiment with one fleet.
+type gossipRun struct {
+	fleet        *Fleet
+	unresponsive []*Worker // for a while
+	healthy      []string  // IDs of the others
+	faultFrom    time.Time
+	faultUntil   time.Time
+}
+
+// newGossipRun returns a run in which these workers become unresponsive.
+func newGossipRun(fleet *Fleet, unresponsive []*Worker) *gossipRun {
+	return &gossipRun{
+		fleet:        fleet,
+		unresponsive: unresponsive,
+		healthy:      workerIDs(without(fleet.Workers, unresponsive)),
+	}
+}
+
+// playFault has workers be unresponsive from two tenths of the run on, for half of it.
+func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
+	if !sleep(ctx, duration/5) {
+		return
+	}
+	r.faultFrom = time.Now()
+	r.setFault(Mute)
+	if !sleep(ctx, duration/2) {
+		return
+	}
+	r.faultUntil = time.Now()
+	r.setFault(Sound)
+}
+
+// setFault gives the workers of the run a fault, or none.
+func (r *gossipRun) setFault(fault WorkerFault) {
+	for _, worker := range r.unresponsive {
+		worker.Set(fault)
+	}
+}
+
+// addLiars has byzantine members join. For the first quarter of the run they accuse all workers, then a few that are
+// healthy and the same for all liars, to collude. closeLiars ends those that have joined, also where there is an error.
+func (r *gossipRun) addLiars(ctx context.Context, count int, duration time.Duration) (closeLiars func(), err error) {
+	var liars []*ByzantineMember
+	closeLiars = func() {
+		for _, liar := range slices.Backward(liars) {
+			liar.Close()
+		}
+	}
+	for i := range count {
+		liar, err := r.fleet.NewHostile(fmt.Sprintf("liar%d", i))
+		if err != nil {
+			return closeLiars, err
+		}
+		liars = append(liars, liar)
+	}
+	all := workerIDs(r.fleet.Workers)
+	few := r.healthy[:min(len(r.healthy), max(2, len(all)/8))]
+	for _, liar := range liars {
+		liar.Accuse(all)
+		go func() {
+			if sleep(ctx, duration/4) {
+				liar.Accuse(few)
+			}
+		}()
+	}
+	return closeLiars, nil
+}
+
+// gossipMetrics is what a run gave.
+type gossipMetrics struct {
+	load           LoadResult
+	lost           int     // requests to unresponsive workers
+	noticeMillis   float64 // until the last request to an unresponsive worker, the median over these workers
+	messages       float64 // a second, sent by the worst instance
+	bytes          float64 // a second, sent by the worst instance
+	peak           float64 // messages, the most of any second and instance
+	wronglyEjected float64 // worker-seconds, by instances
+	ignoredPeers   int     // times that an instance stopped to believe a peer
+}
+
+// countArrivals counts the requests that went to unresponsive workers.
+func (m *gossipMetrics) countArrivals(run *gossipRun) {
+	var notices []float64
+	for _, worker := range run.unresponsive {
+		last := run.faultFrom
+		for _, arrival := range worker.Arrivals() {
+			if arrival.Fault == Mute {
+				m.lost++
+				last = arrival.At
+			}
+		}
+		notices = append(notices, float64(last.Sub(run.faultFrom).Milliseconds()))
+	}
+	slices.Sort(notices)
+	m.noticeMillis = notices[len(notices)/2]
+}
+
+// readLogs fills in what the schedulers' logs say.
+func (m *gossipMetrics) readLogs(run *gossipRun) {
+	for _, instance := range run.fleet.Instances {
+		m.readLog(run, instance.Log.Lines(), time.Now())
+	}
+}
+
+// readLog fills in what one scheduler's log says, which ended at a time.
+func (m *gossipMetrics) readLog(run *gossipRun, lines []Line, end time.Time) {
+	ejectedAt := map[string]time.Time{}
+	for _, line := range lines {
+		worker := line.Text("worker")
+		switch line.Text("msg") {
+		case logWorkerEjected:
+			ejectedAt[worker] = line.Time()
+		case logWorkerReadmitted:
+			m.wronglyEjected += run.wrongSeconds(worker, ejectedAt[worker], line.Time())
+			delete(ejectedAt, worker)
+		case logPeerIgnored:
+			m.ignoredPeers++
+		case logGossipEnded:
+			seconds := line.Number("seconds")
+			m.messages = max(m.messages, line.Number("sent")/seconds)
+			m.bytes = max(m.bytes, line.Number("bytes")/seconds)
+			m.peak = max(m.peak, line.Number("peak"))
+		}
+	}
+	for worker, at := range ejectedAt {
+		m.wronglyEjected += run.wrongSeconds(worker, at, end)
+	}
+}
+
+// wrongSeconds is for how many seconds of an ejection the worker was healthy: all of them for one that had no fault; for
+// another those before its fault, and those after the time that reports of it may last.
+func (r *gossipRun) wrongSeconds(worker string, from, until time.Time) float64 {
+	if slices.Contains(r.healthy, worker) {
+		return until.Sub(from).Seconds()
+	}
+	wrong := 0.0
+	if from.Before(r.faultFrom) {
+		wrong += r.faultFrom.Sub(from).Seconds()
+	}
+	if expired := r.faultUntil.Add(reportLifetime); until.After(expired) {
+		wrong += until.Sub(expired).Seconds()
+	}
+	return wrong
+}
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -11,281 +11,278 @@
 	"time"
 )
 
-// Way is what a link does to what goes over it. The zero Way does nothing.
-type Way struct {
-	Delay, Spread time.Duration // each way: Delay, and up to Spread more
-	Rate          float64       // bytes a second each way; 0 means no bound
-	Loss, Double  float64       // shares of datagrams; those that Spread delays come out of order
-	There, Back   bool          // cut in that direction, without a sign
-	Hang          bool          // takes new connections and passes nothing on
+// LinkCondition is what a link does to what goes over it. The zero value does nothing.
+type LinkCondition struct {
+	Delay          time.Duration // each way
+	Jitter         time.Duration // each way, up to so much more than Delay
+	BytesPerSecond float64       // each way; 0 means no bound
+	Loss           float64       // share of the datagrams that are lost
+	Duplicate      float64       // share of the datagrams that come twice; those that Jitter delays come out of order
+	CutForward     bool          // drops what goes there, without a sign
+	CutBackward    bool          // drops what comes back, without a sign
+	Hang           bool          // accepts new connections and passes nothing on
 }
 
-// Link is a way from one peer to another over TCP, on loopback.
-type Link struct {
-	Addr, to string
-	mu       sync.Mutex
-	line     Way
-	changed  chan struct{} // closed at each change of line
-	l        *net.TCPListener
-	conns    map[*net.TCPConn]bool
-	filling  []net.Conn // that keep the queue of connections full while it is cut
-	closed   bool
-	held     []held
-	parked   chan struct{} // nobody accepts any more
-	resume   chan struct{}
+// stopsForward reports whether nothing is passed on in the forward direction.
+func (c LinkCondition) stopsForward() bool { return c.CutForward || c.Hang }
+
+// stopsBackward reports whether nothing is passed on in the backward direction.
+func (c LinkCondition) stopsBackward() bool { return c.CutBackward || c.Hang }
+
+// delay is how long so many bytes are under way.
+func (c LinkCondition) delay(bytes int) time.Duration {
+	delay := c.Delay
+	if c.Jitter > 0 {
+		delay += rand.N(c.Jitter)
+	}
+	if c.BytesPerSecond > 0 {
+		delay += time.Duration(float64(bytes) / c.BytesPerSecond * float64(time.Second))
+	}
+	return delay
 }
 
-// held is bytes that were on their way for long.
-type held struct{ sent, came time.Time }
+// minRecordedDelay is from which delay on a link records what it delays.
+const minRecordedDelay = 20 * time.Millisecond
 
-// noted is how long that is.
-const noted = 20 * time.Millisecond
+// linkListenAddress is where links are reached: an address of loopback from which nothing connects.
+const linkListenAddress = "127.0.1.1:0"
 
-// sent is when what came at a time was sent.
-func (k *Link) sent(came time.Time) time.Time {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	at := came
-	for _, h := range k.held {
-		if d := came.Sub(h.came); d >= 0 && d < 5*noted && h.sent.Before(at) {
-			at = h.sent
-		}
-	}
-	return at
+const (
+	linkBacklog       = 1024 // of new connections while the link is not cut
+	maxBacklogFillers = 8    // connections that fill the backlog of 0 while it is
+	backlogFullAfter  = 200 * time.Millisecond
+)
+
+// Link is a way from one peer to another over TCP, on loopback.
+type Link struct {
+	Addr string
+
+	target      string
+	mu          sync.Mutex
+	condition   LinkCondition
+	changed     chan struct{} // closed at each change of condition
+	listener    *net.TCPListener
+	connections map[*net.TCPConn]bool
+	// backlogFillers keep the queue of new connections full while the link is cut.
+	backlogFillers []net.Conn
+	closed         bool
+	delayed        []delayedSegment
+	acceptPaused   chan struct{} // the accepting goroutine says that it waits for acceptResumed
+	acceptResumed  chan struct{}
 }
 
-// ends is where links are reached: an address of loopback from which nothing connects.
-const ends = "127.0.1.1:0"
+// delayedSegment is bytes that were under way for minRecordedDelay or longer.
+type delayedSegment struct {
+	sentAt    time.Time
+	arrivedAt time.Time
+}
 
 // NewLink opens a link to an address.
-func NewLink(to string) (*Link, error) {
-	l, err := net.Listen("tcp", ends)
+func NewLink(target string) (*Link, error) {
+	listener, err := net.Listen("tcp", linkListenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	k := &Link{
-		Addr: l.Addr().String(), to: to, l: l.(*net.TCPListener), changed: make(chan struct{}), conns: map[*net.TCPConn]bool{},
-		parked: make(chan struct{}), resume: make(chan struct{}),
+	link := &Link{
+		Addr:          listener.Addr().String(),
+		target:        target,
+		listener:      listener.(*net.TCPListener),
+		changed:       make(chan struct{}),
+		connections:   map[*net.TCPConn]bool{},
+		acceptPaused:  make(chan struct{}),
+		acceptResumed: make(chan struct{}),
 	}
-	go k.accept()
-	return k, nil
+	go link.accept()
+	return link, nil
+}
+
+// sentAt is when what arrived at a time was sent.
+func (l *Link) sentAt(arrivedAt time.Time) time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	earliest := arrivedAt
+	for _, segment := range l.delayed {
+		since := arrivedAt.Sub(segment.arrivedAt)
+		if since >= 0 && since < 5*minRecordedDelay && segment.sentAt.Before(earliest) {
+			earliest = segment.sentAt
+		}
+	}
+	return earliest
 }
 
 // Set changes what the link does from now on.
-func (k *Link) Set(line Way) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	was := k.line
-	k.line = line
-	defer close(k.changed) // once all is changed
-	k.changed = make(chan struct{})
-	if was.There == line.There || k.closed {
+func (l *Link) Set(condition LinkCondition) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	wasCut := l.condition.CutForward
+	l.condition = condition
+	defer close(l.changed) // once all is changed
+	l.changed = make(chan struct{})
+	switch {
+	case wasCut == condition.CutForward || l.closed:
 		return nil
+	case condition.CutForward:
+		return l.blockNewConnections()
+	default:
+		return l.admitNewConnections()
 	}
-	if !line.There {
-		for _, c := range k.filling {
-			c.Close()
-		}
-		k.filling = nil
-		err := errors.Join(k.queue(1024), k.l.SetDeadline(time.Time{}))
-		k.resume <- struct{}{}
-		return err
-	}
-	// Nobody accepts and the queue of new connections is full: the system drops the next without a sign.
-	if err := k.l.SetDeadline(time.Now()); err != nil {
+}
+
+// blockNewConnections stops accepting and fills the queue of new connections: the system drops the next without a sign.
+func (l *Link) blockNewConnections() error {
+	if err := l.listener.SetDeadline(time.Now()); err != nil {
 		return err
 	}
-	<-k.parked
-	if err := k.queue(0); err != nil {
+	<-l.acceptPaused
+	if err := l.setBacklog(0); err != nil {
 		return err
 	}
-	for range 8 {
-		c, err := net.DialTimeout("tcp", k.Addr, 200*time.Millisecond)
+	for range maxBacklogFillers {
+		conn, err := net.DialTimeout("tcp", l.Addr, backlogFullAfter)
 		if err != nil {
 			return nil
 		}
-		k.filling = append(k.filling, c)
+		l.backlogFillers = append(l.backlogFillers, conn)
+	}
+	return fmt.Errorf("link %s: connections still come up", l.Addr)
+}
+
+// admitNewConnections undoes blockNewConnections.
+func (l *Link) admitNewConnections() error {
+	for _, conn := range l.backlogFillers {
+		conn.Close()
 	}
-	return fmt.Errorf("link %s: connections still come up", k.Addr)
+	l.backlogFillers = nil
+	err := errors.Join(l.setBacklog(linkBacklog), l.listener.SetDeadline(time.Time{}))
+	l.acceptResumed <- struct{}{}
+	return err
 }
 
-func (k *Link) queue(n int) error {
-	raw, err := k.l.SyscallConn()
+// setBacklog sets how many new connections may wait to be accepted.
+func (l *Link) setBacklog(connections int) error {
+	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var failed error
-	err = raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), n) })
+	err = raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), connections) })
 	return errors.Join(err, failed)
 }
 
 // Reset resets all connections, in the middle of what goes over them.
-func (k *Link) Reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for c := range k.conns {
-		_ = c.SetLinger(0)
-		c.Close()
+func (l *Link) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.connections {
+		reset(conn)
 	}
 }
 
+// reset closes a connection with a reset instead of in order.
+func reset(conn *net.TCPConn) {
+	_ = conn.SetLinger(0) // fails only where the connection is gone already
+	_ = conn.Close()
+}
+
 // Close ends the link.
-func (k *Link) Close() {
-	k.mu.Lock()
-	k.closed = true
-	k.l.Close()
-	if k.line.There {
-		k.resume <- struct{}{}
+func (l *Link) Close() {
+	l.mu.Lock()
+	l.closed = true
+	_ = l.listener.Close() // nothing is left to do about an error
+	if l.condition.CutForward {
+		l.acceptResumed <- struct{}{}
 	}
-	k.mu.Unlock()
-	k.Reset()
-	_ = k.Set(Way{})
+	l.mu.Unlock()
+	l.Reset()
+	_ = l.Set(LinkCondition{}) // sets goroutines free that wait; of a closed link it returns nil
 }
 
-func (k *Link) accept() {
+// accept accepts connections until the link is closed. It pauses while the link is cut.
+func (l *Link) accept() {
 	for {
-		c, err := k.l.AcceptTCP()
+		conn, err := l.listener.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			k.parked <- struct{}{}
-			<-k.resume
+			l.acceptPaused <- struct{}{}
+			<-l.acceptResumed
 			continue
 		}
 		if err != nil {
 			return
 		}
-		go func() {
-			defer k.keep(c)()
-			far, err := net.Dial("tcp", k.to)
-			if err != nil {
-				_ = c.SetLinger(0) // as one that is refused, a moment late
-				return
-			}
-			f := far.(*net.TCPConn)
-			defer k.keep(f)()
-			ended := make(chan bool, 2)
-			go func() { k.pump(c, f, func(l Way) bool { return l.There || l.Hang }); ended <- true }()
-			go func() { k.pump(f, c, func(l Way) bool { return l.Back || l.Hang }); ended <- true }()
-			<-ended
-		}()
+		go l.connect(conn)
 	}
 }
 
-// keep notes a connection, and returns what closes it and forgets it.
-func (k *Link) keep(c *net.TCPConn) (drop func()) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.conns[c] = true
+// connect connects to the target and passes on both ways until either end closes.
+func (l *Link) connect(conn *net.TCPConn) {
+	defer l.track(conn)()
+	dialed, err := net.Dial("tcp", l.target)
+	if err != nil {
+		_ = conn.SetLinger(0) // as one that is refused, a moment late
+		return
+	}
+	target := dialed.(*net.TCPConn)
+	defer l.track(target)()
+	ended := make(chan bool, 2)
+	go func() {
+		l.forward(conn, target, LinkCondition.stopsForward)
+		ended <- true
+	}()
+	go func() {
+		l.forward(target, conn, LinkCondition.stopsBackward)
+		ended <- true
+	}()
+	<-ended
+}
+
+// track notes a connection, and returns what closes and forgets it.
+func (l *Link) track(conn *net.TCPConn) (release func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.connections[conn] = true
 	return func() {
-		c.Close()
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		delete(k.conns, c)
+		_ = conn.Close() // it may be closed already
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		delete(l.connections, conn)
 	}
 }
 
-func (k *Link) now() (Way, <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.line, k.changed
+// current is the condition now, and what is closed when it changes.
+func (l *Link) current() (LinkCondition, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.condition, l.changed
 }
 
-// pump passes on what comes, in order, as the line has it.
-func (k *Link) pump(from, to net.Conn, stays func(Way) bool) {
-	buf := make([]byte, 16<<10)
+// forward passes on what comes, in order and under the link's condition, until either end closes.
+func (l *Link) forward(from, target net.Conn, stopped func(LinkCondition) bool) {
+	buffer := make([]byte, 16<<10)
 	for {
-		n, err := from.Read(buf)
+		size, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		read := time.Now()
-		line, changed := k.now()
-		for stays(line) {
+		readAt := time.Now()
+		condition, changed := l.current()
+		for stopped(condition) {
 			<-changed
-			line, changed = k.now()
-		}
-		wait := line.Delay
-		if line.Spread > 0 {
-			wait += rand.N(line.Spread)
-		}
-		if line.Rate > 0 {
-			wait += time.Duration(float64(n) / line.Rate * float64(time.Second))
-		}
-		time.Sleep(wait)
-		if came := time.Now(); came.Sub(read) > noted {
-			k.mu.Lock()
-			k.held = append(k.held, held{read, came})
-			k.mu.Unlock()
+			condition, changed = l.current()
 		}
-		if _, err := to.Write(buf[:n]); err != nil {
+		time.Sleep(condition.delay(size))
+		l.recordDelay(readAt, time.Now())
+		if _, err := target.Write(buffer[:size]); err != nil {
 			return
 		}
 	}
 }
 
-// Hub is the way among schedulers over UDP: each has an address there under which the others reach it.
-type Hub struct {
-	mu    sync.Mutex
-	ways  map[string]*net.UDPConn // by the member's own address
-	lines func(from, to string) Way
-}
-
-// NewHub opens a hub for members at these addresses. lines tells what is between two of them.
-func NewHub(members []string, lines func(from, to string) Way) (*Hub, error) {
-	h := &Hub{ways: map[string]*net.UDPConn{}, lines: lines}
-	for _, m := range members {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 1, 1)})
-		if err != nil {
-			h.Close()
-			return nil, fmt.Errorf("hub: %w", err)
-		}
-		h.ways[m] = c
-	}
-	for m, c := range h.ways {
-		go h.serve(m, c)
-	}
-	return h, nil
-}
-
-// Addr is where the others reach a member.
-func (h *Hub) Addr(member string) string { return h.ways[member].LocalAddr().String() }
-
-func (h *Hub) serve(to string, c *net.UDPConn) {
-	far, err := net.ResolveUDPAddr("udp", to)
-	if err != nil {
+// recordDelay keeps that bytes were under way, if they were for long.
+func (l *Link) recordDelay(sentAt, arrivedAt time.Time) {
+	if arrivedAt.Sub(sentAt) <= minRecordedDelay {
 		return
 	}
-	buf := make([]byte, 64<<10)
-	for {
-		n, from, err := c.ReadFromUDP(buf)
-		if err != nil {
-			return
-		}
-		back := h.ways[from.String()] // as whom the receiver sees it
-		if back == nil {
-			continue
-		}
-		h.mu.Lock()
-		line := h.lines(from.String(), to)
-		h.mu.Unlock()
-		for copies := 1; copies > 0; copies-- {
-			if rand.Float64() < line.Double {
-				copies++
-			}
-			if line.There || rand.Float64() < line.Loss {
-				continue
-			}
-			b, wait := append([]byte(nil), buf[:n]...), line.Delay
-			if line.Spread > 0 {
-				wait += rand.N(line.Spread)
-			}
-			time.AfterFunc(wait, func() { _, _ = back.WriteToUDP(b, far) }) // lost if it can't be sent
-		}
-	}
-}
-
-// Close ends the hub.
-func (h *Hub) Close() {
-	for _, c := range h.ways {
-		c.Close()
-	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.delayed = append(l.delayed, delayedSegment{sentAt: sentAt, arrivedAt: arrivedAt})
 }
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -42,7 +42,7 @@
 	if _, err := c.Write([]byte("a")); err != nil || echo(time.Minute) != nil {
 		t.Fatalf("a link that is whole carries nothing: %v", err)
 	}
-	if err := k.Set(Way{There: true, Back: true}); err != nil {
+	if err := k.Set(LinkCondition{CutForward: true, CutBackward: true}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Write([]byte("b")); err != nil {
@@ -55,7 +55,7 @@
 		c.Close()
 		t.Error("a connection comes up over a cut link")
 	}
-	if err := k.Set(Way{}); err != nil {
+	if err := k.Set(LinkCondition{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := echo(time.Minute); err != nil {
@@ -78,8 +78,8 @@
 		return c
 	}
 	a, b := socket(), socket()
-	line := Way{}
-	h, err := NewHub([]string{a.LocalAddr().String(), b.LocalAddr().String()}, func(string, string) Way { return line })
+	line := LinkCondition{}
+	h, err := NewHub([]string{a.LocalAddr().String(), b.LocalAddr().String()}, func(string, string) LinkCondition { return line })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,9 +87,9 @@
 	to, _ := net.ResolveUDPAddr("udp", h.Addr(b.LocalAddr().String()))
 	buf := make([]byte, 8)
 	for _, c := range []struct {
-		line Way
+		line LinkCondition
 		want string
-	}{{Way{}, "1"}, {Way{There: true}, ""}, {Way{Loss: 1}, ""}, {Way{Delay: time.Millisecond}, "4"}} {
+	}{{LinkCondition{}, "1"}, {LinkCondition{CutForward: true}, ""}, {LinkCondition{Loss: 1}, ""}, {LinkCondition{Delay: time.Millisecond}, "4"}} {
 		h.mu.Lock()
 		line = c.line
 		h.mu.Unlock()
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/listservice.go
@@ -14,110 +14,123 @@
 	"time"
 )
 
-// ListService is the stand-in list service on loopback. Each scheduler has a door of its own to it, an address that
-// nobody else is told, so that it is known who asks.
+// settledAfter is how long after the list service's last fault an event counts as told to all.
+const settledAfter = 2 * time.Second
+
+// ListService is the stand-in list service on loopback. Each scheduler has a listener of its own to it, an address that
+// nobody else is told, so that it is known who polls.
 type ListService struct {
-	mu      sync.Mutex
-	desk    Desk
-	began   time.Time
-	timer   *time.Timer
-	doors   map[string]*door
-	events  []func(door string) string
-	told    []time.Time // when each event was
-	polls   []Poll
-	accepts []time.Time
-	closed  bool
-	host    string // with port 0
+	host string // where it listens, with port 0
 
-	troubled time.Time // when its mood last changed, or its connections broke
+	mu          sync.Mutex
+	queue       PollQueue
+	startedAt   time.Time // before its start: times of the queue count from here
+	answerTimer *time.Timer
+	listeners   map[string]*schedulerListener // by scheduler
+	events      []func(scheduler string) string
+	publishedAt []time.Time // by event
+	polls       []Poll
+	acceptedAt  []time.Time
+	lastFaultAt time.Time // when its fault last changed, or its connections were broken
+	closed      bool
 }
 
-// Poll is an ask that came whole.
+// Poll is a poll that came.
 type Poll struct {
-	From     string
-	At       time.Time
-	Answered time.Time // zero if it never was
-	After    int
-	Number   int // of the last event that the answer held
-	Bytes    int
+	Scheduler  string
+	At         time.Time
+	AnsweredAt time.Time // zero if it never was
+	After      int       // number of the last event that the scheduler had
+	LastEvent  int       // number of the last event in the response
+	Bytes      int       // of the response's body
 }
 
-type door struct {
-	name, addr string
-	l          net.Listener
-	conns      map[net.Conn]bool
+// schedulerListener is the address at which one scheduler polls.
+type schedulerListener struct {
+	scheduler   string
+	addr        string
+	listener    net.Listener // nil while the service refuses
+	connections map[net.Conn]bool
 }
 
-// services counts the list services of this process. Each has a host of its own, from which nothing connects and where
-// nobody else listens, so that a door that was closed finds its port free when it opens again.
-var services atomic.Uint32
+// listServices counts the list services of this process. Each has a host of its own, from which nothing connects and where
+// nobody else listens, so that a listener that was closed finds its port free when it opens again.
+var listServices atomic.Uint32
 
 // NewListService starts a list service without events.
 func NewListService() *ListService {
-	s := &ListService{
-		desk: Desk{Mood: Well}, began: time.Now().Add(-time.Hour), doors: map[string]*door{},
-		troubled: time.Now(), host: fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+services.Add(1)%250),
+	service := &ListService{
+		host:        fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+listServices.Add(1)%250),
+		queue:       PollQueue{Fault: ListHealthy},
+		startedAt:   time.Now().Add(-time.Hour),
+		listeners:   map[string]*schedulerListener{},
+		lastFaultAt: time.Now(),
 	}
-	s.timer = time.AfterFunc(time.Hour, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.answer()
+	service.answerTimer = time.AfterFunc(time.Hour, func() {
+		service.mu.Lock()
+		defer service.mu.Unlock()
+		service.answer()
 	})
-	return s
+	return service
 }
 
-// Door is the address at which one of the schedulers asks.
-func (s *ListService) Door(name string) (string, error) {
+// Address is the address at which a scheduler polls.
+func (s *ListService) Address(scheduler string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if d := s.doors[name]; d != nil {
-		return d.addr, nil
+	if own := s.listeners[scheduler]; own != nil {
+		return own.addr, nil
 	}
-	d := &door{name: name, addr: s.host, conns: map[net.Conn]bool{}}
-	if err := s.open(d); err != nil {
+	own := &schedulerListener{scheduler: scheduler, addr: s.host, connections: map[net.Conn]bool{}}
+	if err := s.listen(own); err != nil {
 		return "", err
 	}
-	s.doors[name] = d
-	return d.addr, nil
+	s.listeners[scheduler] = own
+	return own.addr, nil
 }
 
-func (s *ListService) open(d *door) error {
-	l, err := net.Listen("tcp", d.addr)
+// listen opens a scheduler's listener, at the address that it had before if it had one.
+func (s *ListService) listen(own *schedulerListener) error {
+	listener, err := net.Listen("tcp", own.addr)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	d.l, d.addr = l, l.Addr().String()
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			d.conns[c] = true
-			s.accepts = append(s.accepts, time.Now())
-			s.mu.Unlock()
-			go s.serve(d, c)
-		}
-	}()
+	own.listener = listener
+	own.addr = listener.Addr().String()
+	go s.accept(own, listener)
 	return nil
 }
 
-// Set gives the service a mood; rate is the answers a second while Crowded.
-func (s *ListService) Set(m Mood, rate float64) error {
+// accept accepts connections until the listener is closed.
+func (s *ListService) accept(own *schedulerListener, listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		own.connections[conn] = true
+		s.acceptedAt = append(s.acceptedAt, time.Now())
+		s.mu.Unlock()
+		go s.serve(own, conn)
+	}
+}
+
+// SetFault gives the service a fault, or none; answersPerSecond, if not 0, bounds it while ListRateLimited.
+func (s *ListService) SetFault(fault ListFault, answersPerSecond float64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubled = time.Now()
-	if s.desk.Mood = m; rate > 0 {
-		s.desk.Rate = rate
+	s.lastFaultAt = time.Now()
+	s.queue.Fault = fault
+	if answersPerSecond > 0 {
+		s.queue.AnswersPerSecond = answersPerSecond
 	}
-	for _, d := range s.doors {
-		if m == Refuse && d.l != nil {
-			d.l.Close()
-			d.l = nil
-			d.breakOff()
-		} else if m != Refuse && d.l == nil {
-			if err := s.open(d); err != nil {
+	for _, own := range s.listeners {
+		switch {
+		case fault == ListRefusing:
+			own.refuse()
+		case own.listener == nil:
+			if err := s.listen(own); err != nil {
 				return err
 			}
 		}
@@ -126,138 +139,176 @@
 	return nil
 }
 
-// Break breaks all connections.
-func (s *ListService) Break() {
+// BreakConnections breaks all connections.
+func (s *ListService) BreakConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubled = time.Now()
-	for _, d := range s.doors {
-		d.breakOff()
+	s.lastFaultAt = time.Now()
+	for _, own := range s.listeners {
+		own.closeConnections()
+	}
+}
+
+// refuse closes the listener and its connections, if they are open.
+func (l *schedulerListener) refuse() {
+	if l.listener != nil {
+		l.listener.Close()
+		l.listener = nil
+		l.closeConnections()
 	}
 }
 
-func (d *door) breakOff() {
-	for c := range d.conns {
-		c.Close()
-		delete(d.conns, c)
+// closeConnections closes all connections.
+func (l *schedulerListener) closeConnections() {
+	for conn := range l.connections {
+		conn.Close()
+		delete(l.connections, conn)
 	}
 }
 
-// Tell has the service tell one event more. event gives it, by its number, as it is told at a door.
-func (s *ListService) Tell(event func(no int, door string) string) {
+// Publish has the service publish one more event. event returns its JSON, by its number, as the scheduler is told it.
+func (s *ListService) Publish(event func(number int, scheduler string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	no := len(s.events) + 1
-	s.events = append(s.events, func(door string) string { return event(no, door) })
-	s.told = append(s.told, time.Now())
-	s.desk.Number = len(s.events)
+	number := len(s.events) + 1
+	s.events = append(s.events, func(scheduler string) string { return event(number, scheduler) })
+	s.publishedAt = append(s.publishedAt, time.Now())
+	s.queue.LastEvent = len(s.events)
 	s.answer()
 }
 
-// Feed is the first events, as an answer at a door holds them; all with a number below 0.
-func (s *ListService) Feed(door string, first int) string {
+// Feed is the first events in the form of a response to a scheduler; all with a number below 0.
+func (s *ListService) Feed(scheduler string, first int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if first < 0 {
 		first = len(s.events)
 	}
-	return s.feed(door, 0, first)
+	return s.feedText(scheduler, 0, first)
 }
 
-func (s *ListService) feed(door string, after, last int) string {
+// feedText is the events after one up to another, as the body of a response.
+func (s *ListService) feedText(scheduler string, after, last int) string {
 	var items []string
-	for _, e := range s.events[min(after, last):last] {
-		items = append(items, e(door))
+	for _, event := range s.events[min(after, last):last] {
+		items = append(items, event(scheduler))
 	}
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(items, ","))
 }
 
-// counts is from when on what is told now counts as told to all: at once while the service is well, 2 s after its
-// troubles end where it is not; the zero time if they have not.
-func (s *ListService) counts(at time.Time) time.Time {
+// effectiveAt is from when on what was published at a time counts as told to all: at once where the service is healthy,
+// settledAfter the end of its fault where it is not; the zero time if that has not ended.
+func (s *ListService) effectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.desk.Mood != Well {
+	if s.queue.Fault != ListHealthy {
 		return time.Time{}
 	}
-	if at.Sub(s.troubled) < 2*time.Second {
-		return s.troubled.Add(2 * time.Second)
+	if publishedAt.Sub(s.lastFaultAt) < settledAfter {
+		return s.lastFaultAt.Add(settledAfter)
 	}
-	return at
+	return publishedAt
 }
 
-// Polls is the asks so far.
+// answersPerSecond is the last bound on responses; 0 if it never had one.
+func (s *ListService) answersPerSecond() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.queue.AnswersPerSecond
+}
+
+// Polls is the polls so far.
 func (s *ListService) Polls() []Poll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Poll(nil), s.polls...)
 }
 
-// Accepts is when connections came up.
-func (s *ListService) Accepts() []time.Time {
+// AcceptedAt is when connections came up.
+func (s *ListService) AcceptedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.accepts...)
+	return append([]time.Time(nil), s.acceptedAt...)
 }
 
-// Told is when each event was told.
-func (s *ListService) Told() []time.Time {
+// PublishedAt is when each event was published.
+func (s *ListService) PublishedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.told...)
+	return append([]time.Time(nil), s.publishedAt...)
 }
 
+// answer answers the polls that are due. The caller holds the lock.
 func (s *ListService) answer() {
-	now := time.Since(s.began)
-	due, next := s.desk.Due(now)
-	for _, q := range due {
-		q.Answer()
+	now := time.Since(s.startedAt)
+	due, next := s.queue.Due(now)
+	for _, poll := range due {
+		poll.Answer()
 	}
 	if next > 0 && !s.closed {
-		s.timer.Reset(next - now)
+		s.answerTimer.Reset(next - now)
 	}
 }
 
-func (s *ListService) serve(d *door, c net.Conn) {
-	var q *Inquiry
+// serve reads polls from a connection until it is closed.
+func (s *ListService) serve(own *schedulerListener, conn net.Conn) {
+	var pending *PendingPoll
 	defer func() {
-		c.Close()
+		conn.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(d.conns, c)
-		if q != nil {
-			s.desk.Drop(q)
+		delete(own.connections, conn)
+		if pending != nil {
+			s.queue.Remove(pending)
 		}
 	}()
-	for r := bufio.NewReader(c); ; {
-		req, err := http.ReadRequest(r)
+	for reader := bufio.NewReader(conn); ; {
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		after, _ := strconv.Atoi(req.URL.Query().Get("after"))
-		wait, _ := strconv.Atoi(req.URL.Query().Get("patience"))
-		s.mu.Lock()
-		n := len(s.polls)
-		s.polls = append(s.polls, Poll{From: d.name, At: time.Now(), After: after})
-		q = &Inquiry{After: after, Till: time.Since(s.began) + time.Duration(wait)*time.Millisecond, Answer: func() {
-			s.polls[n].Answered = time.Now()
-			text := s.feed(d.name, after, len(s.events))
-			s.polls[n].Bytes = len(text)
-			head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
-			switch {
-			case s.desk.Mood == Busy:
-				head, text = "HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", ""
-			case s.desk.Mood == Torn && after < s.desk.Number:
-				go func() { io.WriteString(c, head+text[:len(text)/2]); c.Close() }()
-				return
-			default:
-				s.polls[n].Number = s.desk.Number
-			}
-			go io.WriteString(c, head+text) // an error ends the reading too
-		}}
-		s.desk.Take(q)
-		s.answer()
-		s.mu.Unlock()
+		pending = s.addPoll(own.scheduler, conn, request)
+	}
+}
+
+// addPoll adds a poll to the queue. Parameters that can't be parsed count as 0.
+func (s *ListService) addPoll(scheduler string, conn net.Conn, request *http.Request) *PendingPoll {
+	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
+	waitMillis, _ := strconv.Atoi(request.URL.Query().Get("patience"))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	index := len(s.polls)
+	s.polls = append(s.polls, Poll{Scheduler: scheduler, At: time.Now(), After: after})
+	pending := &PendingPoll{
+		After:    after,
+		Deadline: time.Since(s.startedAt) + time.Duration(waitMillis)*time.Millisecond,
+		Answer:   func() { s.respond(index, conn) },
+	}
+	s.queue.Add(pending)
+	s.answer()
+	return pending
+}
+
+// respond answers a poll, or does what the fault makes of that. The caller holds the lock.
+func (s *ListService) respond(index int, conn net.Conn) {
+	poll := &s.polls[index]
+	poll.AnsweredAt = time.Now()
+	body := s.feedText(poll.Scheduler, poll.After, len(s.events))
+	poll.Bytes = len(body)
+	header := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
+	// A failed write is seen by the connection's reader.
+	switch {
+	case s.queue.Fault == ListOverloaded:
+		header = "HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
+		go func() { _, _ = io.WriteString(conn, header) }()
+	case s.queue.Fault == ListTruncating && poll.After < s.queue.LastEvent:
+		go func() {
+			_, _ = io.WriteString(conn, header+body[:len(body)/2])
+			conn.Close()
+		}()
+	default:
+		poll.LastEvent = s.queue.LastEvent
+		go func() { _, _ = io.WriteString(conn, header+body) }()
 	}
 }
 
@@ -266,11 +317,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.timer.Stop()
-	for _, d := range s.doors {
-		if d.l != nil {
-			d.l.Close()
+	s.answerTimer.Stop()
+	for _, own := range s.listeners {
+		if own.listener != nil {
+			own.listener.Close()
 		}
-		d.breakOff()
+		own.closeConnections()
 	}
 }
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -11,216 +11,169 @@
 	"calicohill/internal/frontend/fastcgi"
 )
 
-// Load is what a front offers.
+// requestTimeout is the time that a client gives a request.
+const requestTimeout = 2 * time.Second
+
+// Load is what a front offers to the schedulers.
 type Load struct {
 	Rate      float64 // requests a second, of all instances together
-	Functions int
-	Skew      float64 // the instances' parts: instance i gets a part that falls with i; 0 means equal ones
+	Functions int     // how many are called
+	Skew      float64 // how uneven the instances' parts are: instance i gets 1 part in 1 + Skew x i; 0 means equal ones
 	Seed      uint64
-	Change    func(*fastcgi.Request) // what is made of each request before it goes; nil for nothing
+	Modify    func(*fastcgi.Request) // changes each request before it goes; nil for none
 }
 
-// Tally counts what became of requests.
-type Tally struct {
-	Asked, Served, Refused, Failed, Lost int             // Lost: no answer at all
-	NotTaken                             int             // no connection came up, or the front had taken it out
-	Hurt                                 int             // no answer of a process that was killed or stopped meanwhile
-	Times                                []time.Duration // of those that were answered
-	Over                                 time.Duration   // the most by which an answer came after its client's time
+// LoadResult counts what became of requests.
+type LoadResult struct {
+	Offered       int
+	Served        int
+	Rejected      int
+	Failed        int
+	Lost          int             // without any response
+	NotAccepted   int             // no connection came up, or the front had taken the instance out of rotation; not Offered
+	Interrupted   int             // without a response of a process that was killed or stopped meanwhile
+	ResponseTimes []time.Duration // of those that were answered
+	MaxOverrun    time.Duration   // the most by which a response came after requestTimeout
 }
 
-// Share is the share served.
-func (t Tally) Share() float64 {
-	if t.Asked == 0 {
+// ServedShare is the share of the requests that were served.
+func (r LoadResult) ServedShare() float64 {
+	if r.Offered == 0 {
 		return 0
 	}
-	return float64(t.Served) / float64(t.Asked)
+	return float64(r.Served) / float64(r.Offered)
 }
 
-// classes and how often each is asked for, as in docs: two in five read, as many file hours, the rest certify.
+// count counts the end of a request. interrupted reports that the process was killed or stopped meanwhile.
+func (r *LoadResult) count(reply fastcgi.Reply, err error, took time.Duration, interrupted bool) {
+	if errors.Is(err, errNotAccepted) {
+		r.NotAccepted++
+		return
+	}
+	r.Offered++
+	if err == nil {
+		r.ResponseTimes = append(r.ResponseTimes, took)
+		if !interrupted {
+			r.MaxOverrun = max(r.MaxOverrun, took-requestTimeout)
+		}
+	}
+	switch {
+	case err != nil && interrupted:
+		r.Interrupted++
+	case err != nil:
+		r.Lost++
+	case reply.Verdict() == "served":
+		r.Served++
+	case reply.Verdict() == "refused":
+		r.Rejected++
+	default:
+		r.Failed++
+	}
+}
+
+// classes are the request classes and their shares of the load, as in docs: two in five read, as many file hours, the rest
+// certify.
 var classes = []struct {
 	name  string
 	share float64
-}{{"consulta", 0.39}, {"registro-horas", 0.35}, {"certificado", 0.26}}
+}{
+	{"consulta", 0.39},
+	{"registro-horas", 0.35},
+	{"certificado", 0.26},
+}
 
 // pickClass is the number of the class that a draw from 0 to 1 falls on.
-func pickClass(x float64) int {
-	for i, c := range classes {
-		if x < c.share {
+func pickClass(draw float64) int {
+	for i, class := range classes {
+		if draw < class.share {
 			return i
 		}
-		x -= c.share
+		draw -= class.share
 	}
 	return len(classes) - 1
 }
 
-// part is how much of the load an instance gets, beside the first one's 1.
-func (l Load) part(i int) float64 { return 1 / (1 + l.Skew*float64(i)) }
-
-// Wait waits until all instances serve.
-func (f *Fleet) Wait(ctx context.Context, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
-	defer cancel()
-	for _, in := range f.Instances {
-		if err := in.healthy(ctx); err != nil {
-			return fmt.Errorf("scheduler %s does not come up: %w\n%s", in.Name, err, in.Log)
-		}
-	}
-	return nil
+// newFunctionDistribution draws functions by Zipf's law: few of them are called often.
+func newFunctionDistribution(rng *rand.Rand, functions int) *rand.Zipf {
+	const (
+		exponent = 1.3
+		offset   = 4
+	)
+	return rand.NewZipf(rng, exponent, offset, uint64(functions-1))
 }
 
-// healthy waits until an instance answers as the front asks it to before it takes it in.
-func (in *Instance) healthy(ctx context.Context) error {
-	for {
-		c, err := fastcgi.Dial(ctx, in.Addr)
-		if err == nil {
-			var r fastcgi.Reply
-			r, err = c.Do(ctx, fastcgi.Request{Path: "/health", Budget: time.Second})
-			c.Close()
-			if err == nil && r.Verdict() == "served" {
-				return nil
-			}
-		}
-		if !sleep(ctx, 20*time.Millisecond) {
-			return errors.Join(ctx.Err(), err)
-		}
-	}
-}
+// functionName draws the name of a function.
+func functionName(zipf *rand.Zipf) string { return fmt.Sprintf("%016x", zipf.Uint64()+1) }
 
-// Offer offers load to the instances until the context ends, and tells what became of it.
-func (f *Fleet) Offer(ctx context.Context, l Load) Tally {
-	var mu sync.Mutex
-	var all Tally
-	var wg sync.WaitGroup
+// weight is how much of the load an instance gets, relative to the first one's 1.
+func (l Load) weight(instance int) float64 { return 1 / (1 + l.Skew*float64(instance)) }
+
+// Offer offers load to the instances until the context ends, and counts what became of it.
+func (f *Fleet) Offer(ctx context.Context, load Load) LoadResult {
 	total := 0.0
 	for i := range f.Instances {
-		total += l.part(i)
+		total += load.weight(i)
 	}
-	for i, in := range f.Instances {
+	var mu sync.Mutex // guards result
+	var result LoadResult
+	var wg sync.WaitGroup
+	for i, instance := range f.Instances {
+		front := newFront(f, instance, func(reply fastcgi.Reply, err error, took time.Duration) {
+			mu.Lock()
+			defer mu.Unlock()
+			result.count(reply, err, took, instance.disruptedSince(time.Now().Add(-took-closeRaceWindow)))
+		})
+		clients := client{load: load, instance: instance, index: i, rate: load.Rate * load.weight(i) / total}
 		wg.Go(func() {
-			rng := rand.New(rand.NewPCG(l.Seed, uint64(i)))
-			zipf := rand.NewZipf(rng, 1.3, 4, uint64(l.Functions-1))
-			rate := l.Rate * l.part(i) / total
-			if in.healthy(ctx) != nil {
+			if instance.waitHealthy(ctx) != nil {
 				return
 			}
-			f.front(ctx, in, func(fire func(fastcgi.Request)) {
-				start, due := time.Now(), 0.0
-				for n := 0; ; n++ {
-					due += rng.ExpFloat64() / rate
-					if !sleep(ctx, time.Until(start.Add(time.Duration(due*float64(time.Second))))) {
-						return
-					}
-					class := classes[pickClass(rng.Float64())].name
-					q := fastcgi.Request{
-						Path: "/rpc/" + class, ID: fmt.Sprintf("%04x%012x", i, rng.Uint64()&(1<<48-1)),
-						Function: fmt.Sprintf("%016x", zipf.Uint64()+1), OnceKey: fmt.Sprintf("%04x%016x", i, rng.Uint64()),
-						Budget: budget, Spec: "memory_mb:512;lanes:4", Body: []byte(in.Name + " asks"),
-					}
-					if l.Change != nil {
-						l.Change(&q)
-					}
-					fire(q)
-				}
-			}, func(r fastcgi.Reply, err error, took time.Duration) {
-				mu.Lock()
-				defer mu.Unlock()
-				if errors.Is(err, errNotTaken) {
-					all.NotTaken++
-					return
-				}
-				all.Asked++
-				if err == nil {
-					all.Times = append(all.Times, took)
-					if in.hurt.Load() < time.Now().Add(-took-crossing).UnixNano() {
-						all.Over = max(all.Over, took-budget)
-					}
-				}
-				switch {
-				case err != nil && in.hurt.Load() >= time.Now().Add(-took-crossing).UnixNano():
-					all.Hurt++
-				case err != nil:
-					all.Lost++
-				case r.Verdict() == "served":
-					all.Served++
-				case r.Verdict() == "refused":
-					all.Refused++
-				default:
-					all.Failed++
-				}
-			})
+			defer front.close()
+			clients.run(ctx, front)
 		})
 	}
 	wg.Wait()
-	return all
+	return result
 }
 
-const (
-	budget   = 2 * time.Second       // of a request
-	crossing = 50 * time.Millisecond // how soon a request that met a close is sent again, and later on a machine that is late
-	patience = 8 * time.Second       // how long after its time an answer is waited for, before it counts as lost
-)
-
-var errNotTaken = errors.New("not taken")
+// client is the clients of one instance.
+type client struct {
+	load     Load
+	instance *Instance
+	index    int     // the instance's
+	rate     float64 // requests a second
+}
 
-// front sends what offer fires to an instance, over as many connections as that takes.
-func (f *Fleet) front(ctx context.Context, in *Instance, offer func(func(fastcgi.Request)), told func(fastcgi.Reply, error, time.Duration)) {
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var idle []*fastcgi.Client
-	var born int32 // of the process that they lead to
-	defer func() {
-		wg.Wait()
-		for _, c := range idle {
-			c.Close()
-		}
-	}()
-	offer(func(q fastcgi.Request) {
-		if in.away.Load() {
-			told(fastcgi.Reply{}, errNotTaken, 0)
+// run sends requests until the context ends.
+func (c client) run(ctx context.Context, front *front) {
+	rng := rand.New(rand.NewPCG(c.load.Seed, uint64(c.index)))
+	zipf := newFunctionDistribution(rng, c.load.Functions)
+	start := time.Now()
+	due := 0.0 // seconds from the start
+	for {
+		due += rng.ExpFloat64() / c.rate
+		if !sleep(ctx, time.Until(start.Add(time.Duration(due*float64(time.Second))))) {
 			return
 		}
-		wg.Go(func() {
-			mu.Lock()
-			var c *fastcgi.Client
-			if now := in.born.Load(); now != born {
-				for _, c := range idle {
-					c.Close()
-				}
-				idle, born = nil, now
-			}
-			if n := len(idle); n > 0 {
-				c, idle = idle[n-1], idle[:n-1]
-			}
-			mu.Unlock()
-			// Requests that are under way when the day ends are still answered.
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), q.Budget+patience)
-			defer cancel()
-			var err error
-			reused := c != nil
-			if c == nil {
-				if c, err = fastcgi.Dial(ctx, in.Addr); err != nil {
-					told(fastcgi.Reply{}, fmt.Errorf("%w: %w", errNotTaken, err), 0)
-					return
-				}
-			}
-			sent := time.Now()
-			r, err := c.Do(ctx, q)
-			if err != nil && reused && time.Since(sent) < crossing+2*time.Duration(f.late.Load()) && in.hurt.Load() < sent.Add(-time.Second).UnixNano() {
-				c.Close() // the scheduler closed it just then: sent again, once, on a new one
-				if c, err = fastcgi.Dial(ctx, in.Addr); err != nil {
-					told(fastcgi.Reply{}, fmt.Errorf("%w: %w", errNotTaken, err), 0)
-					return
-				}
-				r, err = c.Do(ctx, q)
-			}
-			if told(r, err, time.Since(sent)); err != nil {
-				c.Close()
-				return
-			}
-			mu.Lock()
-			idle = append(idle, c)
-			mu.Unlock()
-		})
-	})
+		front.send(ctx, c.request(rng, zipf))
+	}
+}
+
+// request draws a request.
+func (c client) request(rng *rand.Rand, zipf *rand.Zipf) fastcgi.Request {
+	const idBits = 48
+	class := classes[pickClass(rng.Float64())].name
+	request := fastcgi.Request{
+		Path:     "/rpc/" + class,
+		ID:       fmt.Sprintf("%04x%012x", c.index, rng.Uint64()&(1<<idBits-1)),
+		Function: functionName(zipf),
+		OnceKey:  fmt.Sprintf("%04x%016x", c.index, rng.Uint64()),
+		Budget:   requestTimeout,
+		Spec:     "memory_mb:512;lanes:4",
+		Body:     []byte(c.instance.Name + " asks"),
+	}
+	if c.load.Modify != nil {
+		c.load.Modify(&request)
+	}
+	return request
 }
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -13,8 +13,20 @@
 	"calicohill/routing"
 )
 
-// MatchDay measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
-type MatchDay struct {
+const (
+	plainOperatorFile   = "log\n  format json\n"
+	matchWorkers        = 14
+	matchFunctions      = 14
+	matchWarmUp         = 2 * time.Second
+	maxLabelPadding     = 252 // bytes after "zona" in the longest legal value
+	maxPathPadding      = 251
+	hostileParameters   = 40 // near misses of a parameter's name
+	matchParameter      = "HTTP_X_CENTRE"
+	matchParameterValue = "zona4"
+)
+
+// MatchExperiment measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
+type MatchExperiment struct {
 	Program string
 	Env     []string
 	Rules   int
@@ -25,7 +37,7 @@
 	Say     func(string)
 }
 
-// MatchResult is what a MatchDay gave.
+// MatchResult is what a MatchExperiment measured.
 type MatchResult struct {
 	Rules        int         `json:"rules"`
 	Rate         float64     `json:"rate"`
@@ -53,146 +65,204 @@
 	Load       float64 `json:"load_ms"`
 }
 
-// rulesText is n rules that tell requests apart by function, as an operator's file has them, and two that are tried
-// for every request.
-func rulesText(n int) string {
-	var b strings.Builder
-	b.WriteString("log\n  format json\n")
-	for i := range max(n-2, 0) {
-		fmt.Fprintf(&b, "match f%d\n  when handler == \"%016x\" && param[\"HTTP_X_CENTRE\"].startsWith(\"zona\")\n"+
+// operatorFileWithRules is an operator's file with rules that tell requests apart by function, and two that are tried for
+// every request.
+func operatorFileWithRules(rules int) string {
+	var file strings.Builder
+	file.WriteString(plainOperatorFile)
+	for i := range max(rules-2, 0) {
+		fmt.Fprintf(&file, "match f%d\n  when handler == \"%016x\" && param[\"HTTP_X_CENTRE\"].startsWith(\"zona\")\n"+
 			"  key handler + \":\" + param[\"HTTP_X_CENTRE\"]\n  route lane\n", i, i+1)
 	}
-	b.WriteString("match wide\n  when path.startsWith(\"/rpc/\") && \"HTTP_X_CENTRE\" in param\n  label centre param[\"HTTP_X_CENTRE\"]\n")
-	if n > 1 {
-		b.WriteString("match late\n  when hour >= 0 && lanes > 64\n  route late\n")
+	file.WriteString("match wide\n  when path.startsWith(\"/rpc/\") && \"HTTP_X_CENTRE\" in param\n  label centre param[\"HTTP_X_CENTRE\"]\n")
+	if rules > 1 {
+		file.WriteString("match late\n  when hour >= 0 && lanes > 64\n  route late\n")
 	}
-	return b.String()
+	return file.String()
 }
 
-func rulesOf(n int) (rules []match.Rule) {
-	text := func(s string) match.Text { return match.Text{Source: s} }
-	for i := range max(n-2, 0) {
+// generateRules is the rules of operatorFileWithRules.
+func generateRules(count int) []match.Rule {
+	text := func(source string) match.Text { return match.Text{Source: source} }
+	var rules []match.Rule
+	for i := range max(count-2, 0) {
 		rules = append(rules, match.Rule{
-			Name: fmt.Sprint(i), Route: text("lane"), Key: text(`handler + ":" + param["HTTP_X_CENTRE"]`),
-			When: text(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i+1)),
+			Name:  fmt.Sprint(i),
+			Route: text("lane"),
+			Key:   text(`handler + ":" + param["HTTP_X_CENTRE"]`),
+			When:  text(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i+1)),
 		})
 	}
 	rules = append(rules, match.Rule{
-		Name: "wide", When: text(`path.startsWith("/rpc/") && "HTTP_X_CENTRE" in param`),
+		Name:   "wide",
+		When:   text(`path.startsWith("/rpc/") && "HTTP_X_CENTRE" in param`),
 		Labels: []match.Label{{Name: "centre", Value: text(`param["HTTP_X_CENTRE"]`)}},
 	})
-	if n > 1 {
+	if count > 1 {
 		rules = append(rules, match.Rule{Name: "late", When: text(`hour >= 0 && lanes > 64`), Route: text("late")})
 	}
 	return rules
 }
 
-// evaluations is how long n evaluations took, in order of length, by the median and the 99th of a hundred.
-func evaluations(t *match.Table, q *match.Request) (p50, p99 float64) {
-	const batch, batches = 50, 400 // a batch is timed as one: a clock is slower than an evaluation
+// timeEvaluations is how long an evaluation takes in nanoseconds: the median and the 99th percentile.
+func timeEvaluations(table *match.Table, request *match.Request) (p50, p99 float64) {
+	const (
+		batchSize = 50 // timed as one: a clock is slower than an evaluation
+		batches   = 400
+	)
 	times := make([]float64, batches)
 	for i := range times {
 		began := time.Now()
-		for range batch {
-			t.Match(q)
+		for range batchSize {
+			table.Match(request)
 		}
-		times[i] = float64(time.Since(began).Nanoseconds()) / batch
+		times[i] = float64(time.Since(began).Nanoseconds()) / batchSize
 	}
 	slices.Sort(times)
 	return times[batches/2], times[batches*99/100]
 }
 
-// Run measures.
-func (d MatchDay) Run(ctx context.Context) (MatchResult, error) {
-	r := MatchResult{Rules: d.Rules, Rate: d.Rate, Hostile: d.Hostile}
-	classes := []match.Class{{Name: "consulta", Effect: routing.Idempotent}}
+// Run runs the experiment.
+func (e MatchExperiment) Run(ctx context.Context) (MatchResult, error) {
+	result := MatchResult{Rules: e.Rules, Rate: e.Rate, Hostile: e.Hostile}
 	medians := map[int]float64{}
-	for _, n := range []int{1, 10, 100, 1000, 10000} {
-		began := time.Now()
-		t, faults := match.Load(rulesOf(n), classes)
-		if t == nil {
-			return r, fmt.Errorf("rules: %v", faults)
-		}
-		s := MatchSize{Rules: n, Load: float64(time.Since(began).Microseconds()) / 1000}
-		plain := &match.Request{
-			Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", n/2+1),
-			OnceKey: "k", Budget: time.Second, Lanes: 2, Local: time.Now(), Params: [][]string{{"zona4"}},
+	for _, rules := range []int{1, 10, 100, 1000, 10000} {
+		size, err := measureEvaluations(rules)
+		if err != nil {
+			return result, err
 		}
-		hostile := *plain
-		hostile.Path, hostile.Method = "/rpc/"+strings.Repeat("r", 251), strings.Repeat("M", 16)
-		hostile.Params = [][]string{{"zona" + strings.Repeat("z", 252)}}
-		s.Plain, s.PlainP99 = evaluations(t, plain)
-		s.Hostile, s.HostileP99 = evaluations(t, &hostile)
-		medians[n] = s.Plain
-		r.Sizes = append(r.Sizes, s)
-		if n <= d.Rules {
-			r.HostileRatio = s.HostileP99 / s.Plain
+		medians[rules] = size.Plain
+		result.Sizes = append(result.Sizes, size)
+		if rules <= e.Rules {
+			result.HostileRatio = size.HostileP99 / size.Plain
 		}
 	}
-	r.Flatness = medians[1000] / medians[10]
-	with, err := d.through(ctx, rulesText(d.Rules))
+	result.Flatness = medians[1000] / medians[10]
+	with, err := e.measureLoad(ctx, operatorFileWithRules(e.Rules))
 	if err != nil {
-		return r, fmt.Errorf("with rules: %w", err)
+		return result, fmt.Errorf("with rules: %w", err)
 	}
-	plain, err := d.through(ctx, "log\n  format json\n")
+	result.Served = with.servedShare
+	result.P99 = with.p99Millis
+	result.CPU = with.cpuMicros
+	result.Memory = with.memoryKB
+	plain, err := e.measureLoad(ctx, plainOperatorFile)
 	if err != nil {
-		return r, fmt.Errorf("without rules: %w", err)
+		return result, fmt.Errorf("without rules: %w", err)
+	}
+	result.ServedPlain = plain.servedShare
+	result.P99Plain = plain.p99Millis
+	result.CPUPlain = plain.cpuMicros
+	result.MemoryPlain = plain.memoryKB
+	return result, nil
+}
+
+// measureEvaluations measures evaluations by themselves.
+func measureEvaluations(rules int) (MatchSize, error) {
+	classes := []match.Class{{Name: "consulta", Effect: routing.Idempotent}}
+	began := time.Now()
+	table, faults := match.Load(generateRules(rules), classes)
+	if table == nil {
+		return MatchSize{}, fmt.Errorf("rules: %v", faults)
 	}
-	r.Served, r.P99, r.CPU, r.Memory = with.served, with.p99, with.cpu, with.memory
-	r.ServedPlain, r.P99Plain, r.CPUPlain, r.MemoryPlain = plain.served, plain.p99, plain.cpu, plain.memory
-	return r, nil
+	size := MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
+	plain := &match.Request{
+		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
+		OnceKey: "k", Budget: time.Second, Lanes: 2, Local: time.Now(), Params: [][]string{{matchParameterValue}},
+	}
+	hostile := *plain
+	hostile.Path = "/rpc/" + strings.Repeat("r", maxPathPadding)
+	hostile.Method = strings.Repeat("M", 16)
+	hostile.Params = [][]string{{longestParameterValue()}}
+	size.Plain, size.PlainP99 = timeEvaluations(table, plain)
+	size.Hostile, size.HostileP99 = timeEvaluations(table, &hostile)
+	return size, nil
 }
 
-type passage struct {
-	served, p99, cpu float64
-	memory           int
+// longestParameterValue is the longest legal value that the rules' prefix matches.
+func longestParameterValue() string { return "zona" + strings.Repeat("z", maxLabelPadding) }
+
+// loadMeasurement is what became of a load.
+type loadMeasurement struct {
+	servedShare float64
+	p99Millis   float64
+	cpuMicros   float64 // of processor time a request
+	memoryKB    int
 }
 
-// through offers a scheduler with an operator's file a load, and tells what became of it.
-func (d MatchDay) through(ctx context.Context, operator string) (p passage, err error) {
+// measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
+func (e MatchExperiment) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
+	fleet, err := e.fleet(ctx, operatorFile)
+	if err != nil {
+		return loadMeasurement{}, err
+	}
+	defer fleet.closeAndRemove()
+	load := e.load()
+	offerFor := func(duration time.Duration) LoadResult {
+		ctx, cancel := context.WithTimeout(ctx, duration)
+		defer cancel()
+		return fleet.Offer(ctx, load)
+	}
+	offerFor(matchWarmUp)
+	scheduler := fleet.Instances[0]
+	cpuBefore := scheduler.CPU()
+	result := offerFor(time.Duration(e.Seconds * float64(time.Second)))
+	measured := loadMeasurement{
+		servedShare: result.ServedShare(),
+		memoryKB:    scheduler.Memory(),
+		cpuMicros:   float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
+	}
+	slices.Sort(result.ResponseTimes)
+	if count := len(result.ResponseTimes); count > 0 {
+		measured.p99Millis = float64(result.ResponseTimes[count*99/100].Microseconds()) / 1000
+	}
+	e.Say(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
+		measured.servedShare, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
+	return measured, scheduler.Stop()
+}
+
+// fleet starts a scheduler with an operator's file. The caller closes it and removes its folder.
+func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-lab-")
 	if err != nil {
-		return p, err
+		return nil, err
 	}
-	f := &Fleet{Program: d.Program, Env: d.Env, Dir: dir}
-	defer f.end()
-	if err := f.Prepare(1, 14); err != nil {
-		return p, err
+	fleet := &Fleet{Program: e.Program, Env: e.Env, Dir: dir}
+	if err := startOne(ctx, fleet, operatorFile); err != nil {
+		fleet.closeAndRemove()
+		return nil, err
 	}
-	in := f.Instances[0]
-	if err := in.Rewrite(operator); err != nil {
-		return p, err
+	return fleet, nil
+}
+
+// startOne prepares a fleet with one scheduler, and waits until it serves.
+func startOne(ctx context.Context, fleet *Fleet, operatorFile string) error {
+	if err := fleet.Prepare(1, matchWorkers); err != nil {
+		return err
 	}
-	if err := in.Start(); err != nil {
-		return p, err
+	scheduler := fleet.Instances[0]
+	if err := scheduler.Rewrite(operatorFile); err != nil {
+		return err
 	}
-	if err := f.Wait(ctx, 20*time.Second); err != nil {
-		return p, err
+	if err := scheduler.Start(); err != nil {
+		return err
 	}
-	value, more := "zona4", 0
-	if d.Hostile {
-		value, more = "zona"+strings.Repeat("z", 252), 40
+	return fleet.Wait(ctx, schedulerStartWithin)
+}
+
+// load is the load, whose requests carry the parameter that the rules look at.
+func (e MatchExperiment) load() Load {
+	value := matchParameterValue
+	nearMisses := 0
+	if e.Hostile {
+		value = longestParameterValue()
+		nearMisses = hostileParameters
 	}
-	load := Load{Rate: d.Rate, Functions: 14, Seed: d.Seed, Change: func(q *fastcgi.Request) {
-		q.Params = append(q.Params, [2]string{"HTTP_X_CENTRE", value})
-		for i := range more {
-			q.Params = append(q.Params, [2]string{fmt.Sprintf("HTTP_X_CENTR%d", i), value[:100]})
+	addParameters := func(request *fastcgi.Request) {
+		request.Params = append(request.Params, [2]string{matchParameter, value})
+		for i := range nearMisses {
+			request.Params = append(request.Params, [2]string{fmt.Sprintf("HTTP_X_CENTR%d", i), value[:100]})
 		}
-	}}
-	warm, cancel := context.WithTimeout(ctx, 2*time.Second)
-	f.Offer(warm, load)
-	cancel()
-	before := in.CPU()
-	day, cancel := context.WithTimeout(ctx, time.Duration(d.Seconds*float64(time.Second)))
-	defer cancel()
-	tally := f.Offer(day, load)
-	p.served, p.memory = tally.Share(), in.Memory()
-	p.cpu = float64((in.CPU() - before).Microseconds()) / float64(max(tally.Asked, 1))
-	slices.Sort(tally.Times)
-	if n := len(tally.Times); n > 0 {
-		p.p99 = float64(tally.Times[n*99/100].Microseconds()) / 1000
-	}
-	d.Say(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operator), p.served,
-		tally.Asked, p.p99, p.cpu, p.memory))
-	return p, in.Stop()
+	}
+	return Load{Rate: e.Rate, Functions: matchFunctions, Seed: e.Seed, Modify: addParameters}
 }
--- a/internal/testbed/plot.go
+++ b/internal/testbed/plot.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"slices"
+	"time"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -9,33 +11,80 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// PlotVirtual draws cost and speed against the size of a fleet. The ending of the file's name, .svg or .png, says
-// how.
-func PlotVirtual(r VirtualResult, path string) error {
-	p := plot.New()
-	p.Title.Text = "Gossip in virtual time"
-	p.X.Label.Text = "instances"
-	p.Y.Label.Text = "messages a second an instance; seconds until 99% know"
-	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	p.Y.Min = 0
-	p.Legend.Top, p.Legend.Left = true, true
+// plotHeight is the height of all plots.
+const plotHeight = 11 * vg.Centimeter
+
+// histogramBin is the resolution of plots over time.
+const histogramBin = 100 * time.Millisecond
+
+// PlotVirtualGossip draws cost and speed against the size of a fleet. The ending of the file's name, .svg or .png, says
+// in which format.
+func PlotVirtualGossip(result VirtualGossipResult, path string) error {
+	chart := plot.New()
+	chart.Title.Text = "Gossip in virtual time"
+	chart.X.Label.Text = "instances"
+	chart.Y.Label.Text = "messages a second an instance; seconds until 99% know"
+	chart.X.Scale = plot.LogScale{}
+	chart.X.Tick.Marker = plot.LogTicks{Prec: -1}
+	chart.Y.Min = 0
+	chart.Legend.Top = true
+	chart.Legend.Left = true
 	var lines []any
-	for _, l := range []struct {
-		name string
-		of   func(VirtualSize) float64
+	for _, line := range []struct {
+		name  string
+		value func(VirtualGossipSize) float64
 	}{
-		{"messages a second", func(v VirtualSize) float64 { return v.Messages }},
-		{"seconds to know a death", func(v VirtualSize) float64 { return v.Death / 1000 }},
-		{"seconds to know a statement", func(v VirtualSize) float64 { return v.Statement / 1000 }},
+		{"messages a second", func(size VirtualGossipSize) float64 { return size.Messages }},
+		{"seconds to know a death", func(size VirtualGossipSize) float64 { return size.Death / 1000 }},
+		{"seconds to know a statement", func(size VirtualGossipSize) float64 { return size.Statement / 1000 }},
 	} {
 		var points plotter.XYs
-		for _, v := range r.Sizes {
-			points = append(points, plotter.XY{X: float64(v.Instances), Y: l.of(v)})
+		for _, size := range result.Sizes {
+			points = append(points, plotter.XY{X: float64(size.Instances), Y: line.value(size)})
 		}
-		lines = append(lines, l.name, points)
+		lines = append(lines, line.name, points)
+	}
+	if err := plotutil.AddLinePoints(chart, lines...); err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	return chart.Save(16*vg.Centimeter, plotHeight, path)
+}
+
+// Plot draws polls at the list service and connections at the workers over time, of both builds. The ending of the file's
+// name, .svg or .png, says in which format.
+func (r ColdStartResult) Plot(path string) error {
+	chart := plot.New()
+	chart.Title.Text = "Asks and connections"
+	chart.X.Label.Text = "seconds"
+	chart.Y.Label.Text = "in 100 ms"
+	chart.Legend.Top = true
+	var lines []any
+	add := func(build string, metrics ColdStartMetrics) {
+		lines = append(lines,
+			build+": asks", histogram(metrics.pollTimes),
+			build+": connections to workers", histogram(metrics.agentConnectTimes))
+	}
+	add("program", r.Program)
+	if r.Baseline != nil {
+		add("baseline", *r.Baseline)
 	}
-	if err := plotutil.AddLinePoints(p, lines...); err != nil {
+	if err := plotutil.AddLines(chart, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	return p.Save(16*vg.Centimeter, 11*vg.Centimeter, path)
+	return chart.Save(20*vg.Centimeter, plotHeight, path)
+}
+
+// histogram counts times by histogramBin, against seconds.
+func histogram(times []time.Duration) plotter.XYs {
+	if len(times) == 0 {
+		return plotter.XYs{{}}
+	}
+	points := make(plotter.XYs, slices.Max(times)/histogramBin+1)
+	for i := range points {
+		points[i].X = float64(i) / 10
+	}
+	for _, at := range times {
+		points[max(at, 0)/histogramBin].Y++
+	}
+	return points
 }
--- /dev/null
+++ b/internal/testbed/pollexperiment.go
@@ -0,0 +1,100 @@
+package testbed
+
+import "time"
+
+// The course of the poll simulations.
+const (
+	simulatedWarmUp     = 10 * time.Second // before the fault
+	simulatedFault      = 8 * time.Second
+	simulatedRecovery   = 20 * time.Second // after it
+	rateLimitedDuration = 40 * time.Second
+)
+
+const (
+	// tenthsPerPoll is how many tenths of a second the protocol's 2 s have, in which each scheduler polls once.
+	tenthsPerPoll = 20
+	// maxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
+	maxPollDuration = 7 * time.Second
+)
+
+// VirtualPollResult is what a fleet of one size asks of a list service in virtual time.
+type VirtualPollResult struct {
+	Schedulers      int            `json:"schedulers"`
+	EvenPeak        float64        `json:"polls_even_100ms"`
+	Peaks           map[string]int `json:"polls_peak_100ms"`      // by fault
+	AllListedMillis float64        `json:"crowded_all_listed_ms"` // -1 where some scheduler never had the list
+	LimitMillis     float64        `json:"crowded_limit_ms"`      // what the service's capacity allows at best
+	Sent            int            `json:"crowded_polls_sent"`
+	Needed          int            `json:"crowded_polls_needed"`
+}
+
+// SimulatePolls plays the faults of a list service with fleets of these sizes.
+func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
+	withFault := func(fault ListFault) func(*PollSimulation) {
+		return func(sim *PollSimulation) {
+			sim.SetFault(fault)
+			sim.Run(simulatedFault)
+			sim.SetFault(ListHealthy)
+		}
+	}
+	disturbances := map[string]func(*PollSimulation){
+		"refused 8 s": withFault(ListRefusing),
+		"503 for 8 s": withFault(ListOverloaded),
+		"silent 8 s":  withFault(ListUnresponsive),
+		"broken":      (*PollSimulation).BreakConnections,
+		"event":       (*PollSimulation).Publish,
+	}
+	var results []VirtualPollResult
+	for _, size := range sizes {
+		result := simulateRateLimited(size, seed)
+		start := NewPollSimulation(size, time.Second, seed, true)
+		start.Run(simulatedWarmUp)
+		result.Peaks["start"] = PeakPer100ms(start.Polls, 0)
+		for name, disturb := range disturbances {
+			sim := NewPollSimulation(size, time.Second, seed, true)
+			sim.Run(simulatedWarmUp)
+			from := sim.Now
+			disturb(sim)
+			sim.Run(simulatedRecovery)
+			result.Peaks[name] = PeakPer100ms(sim.Polls, from)
+		}
+		results = append(results, result)
+	}
+	return results
+}
+
+// simulateRateLimited plays a start before a service that answers a tenth of what the fleet polls in its 2 s, and has an
+// update for all.
+func simulateRateLimited(size int, seed uint64) VirtualPollResult {
+	result := VirtualPollResult{
+		Schedulers:  size,
+		EvenPeak:    float64(size) / tenthsPerPoll,
+		Peaks:       map[string]int{},
+		LimitMillis: 20000, // all answered at a twentieth of the fleet a second
+	}
+	sim := NewPollSimulation(size, time.Second, seed, true)
+	sim.SetFault(ListRateLimited)
+	sim.Queue.AnswersPerSecond = float64(size) / 20
+	sim.Queue.LastEvent = 2
+	began := sim.Now
+	sim.Run(rateLimitedDuration)
+	allListed := time.Duration(0)
+	for _, scheduler := range sim.Schedulers {
+		if scheduler.LastEvent < 2 {
+			result.Sent = 0
+			result.Needed = 0
+			result.AllListedMillis = -1
+			return result
+		}
+		for _, at := range scheduler.Polls {
+			if at < scheduler.UpdatedAt {
+				result.Sent++
+			}
+		}
+		took := scheduler.UpdatedAt - began
+		result.Needed += 1 + int(took/maxPollDuration)
+		allListed = max(allListed, took)
+	}
+	result.AllListedMillis = float64(allListed.Milliseconds())
+	return result
+}
--- /dev/null
+++ b/internal/testbed/pollsim.go
@@ -0,0 +1,214 @@
+package testbed
+
+import (
+	"slices"
+	"time"
+
+	"calicohill/internal/discovery/pollplan"
+	"calicohill/internal/runtime/deadline"
+)
+
+// networkDelay is how long a message takes in virtual time.
+const networkDelay = time.Millisecond
+
+// overloadRetryAfter is the Retry-After of a list service that is overloaded.
+const overloadRetryAfter = 2 * time.Second
+
+// PollSimulation is a fleet of schedulers before a list service, in virtual time: the planners that decide when to poll,
+// and nothing else of a scheduler.
+type PollSimulation struct {
+	Now        time.Duration
+	Queue      PollQueue
+	Schedulers []*VirtualPoller
+	Dials      []time.Duration // when connections came up
+	Polls      []time.Duration // when polls reached the service
+
+	timers      deadline.Queue
+	answerTimer deadline.Timer
+}
+
+// VirtualPoller is one scheduler of a PollSimulation.
+type VirtualPoller struct {
+	LastEvent int             // number of its last event
+	UpdatedAt time.Duration   // when it had that
+	Polls     []time.Duration // when it sent its polls
+
+	planner     *pollplan.Planner
+	simulation  *PollSimulation
+	timer       deadline.Timer
+	connections map[int]*PendingPoll // by the planner's number; nil where no poll is in flight
+}
+
+// NewPollSimulation returns a fleet that starts at one o'clock and has to obey drains within the grace. With listed set
+// each scheduler knows the first event.
+func NewPollSimulation(schedulers int, drainGrace time.Duration, seed uint64, listed bool) *PollSimulation {
+	sim := &PollSimulation{Now: time.Hour, Queue: PollQueue{Fault: ListHealthy, LastEvent: 1}}
+	sim.answerTimer.Fire = sim.answer
+	for i := range schedulers {
+		scheduler := &VirtualPoller{
+			simulation:  sim,
+			planner:     pollplan.New(schedulers, drainGrace, seed<<20+uint64(i)),
+			connections: map[int]*PendingPoll{},
+		}
+		scheduler.timer.Fire = func() { scheduler.step() }
+		sim.Schedulers = append(sim.Schedulers, scheduler)
+		if listed {
+			scheduler.LastEvent = 1
+		}
+		sim.After(0, func() { scheduler.step(pollplan.Started{HasEndpoints: listed}) })
+	}
+	return sim
+}
+
+// After calls a function after a delay.
+func (s *PollSimulation) After(delay time.Duration, call func()) {
+	s.timers.Set(&deadline.Timer{Fire: call}, s.Now+delay)
+}
+
+// Run lets time pass.
+func (s *PollSimulation) Run(duration time.Duration) {
+	for end := s.Now + duration; ; {
+		at, ok := s.timers.Next()
+		if !ok || at > end {
+			s.Now = end
+			return
+		}
+		s.Now = max(s.Now, at)
+		s.timers.PopDue(s.Now).Fire()
+	}
+}
+
+// SetFault gives the list service a fault, or none.
+func (s *PollSimulation) SetFault(fault ListFault) {
+	s.Queue.Fault = fault
+	if fault == ListRefusing {
+		s.BreakConnections()
+	}
+	s.answer()
+}
+
+// BreakConnections breaks all connections.
+func (s *PollSimulation) BreakConnections() {
+	s.Queue.RemoveAll()
+	for _, scheduler := range s.Schedulers {
+		for conn := range scheduler.connections {
+			delete(scheduler.connections, conn)
+			s.After(networkDelay, func() { scheduler.step(pollplan.Failed{Conn: conn}) })
+		}
+	}
+}
+
+// Publish has the service publish one more event.
+func (s *PollSimulation) Publish() {
+	s.Queue.LastEvent++
+	s.answer()
+}
+
+// answer answers the polls that are due.
+func (s *PollSimulation) answer() {
+	due, next := s.Queue.Due(s.Now)
+	for _, poll := range due {
+		poll.Answer()
+	}
+	if next > 0 {
+		s.timers.Set(&s.answerTimer, next)
+	}
+}
+
+// receive brings a scheduler a response with the events up to one, or what the service's fault makes of it.
+func (p *VirtualPoller) receive(conn, lastEvent int) {
+	fault := p.simulation.Queue.Fault
+	p.simulation.After(networkDelay, func() {
+		if _, open := p.connections[conn]; !open {
+			return
+		}
+		hasUpdates := lastEvent > p.LastEvent
+		switch {
+		case fault == ListOverloaded:
+			delete(p.connections, conn)
+			p.step(pollplan.Failed{Conn: conn, RetryAfter: overloadRetryAfter})
+		case fault == ListTruncating && hasUpdates:
+			delete(p.connections, conn)
+			p.step(pollplan.Failed{Conn: conn})
+		default:
+			if hasUpdates {
+				p.LastEvent = lastEvent
+				p.UpdatedAt = p.simulation.Now
+			}
+			p.step(pollplan.Answered{Conn: conn, HasUpdates: hasUpdates})
+		}
+	})
+}
+
+// step passes events to the planner, carries out its actions and sets the timer for the next.
+func (p *VirtualPoller) step(events ...pollplan.Event) {
+	sim := p.simulation
+	for _, action := range slices.Clone(p.planner.Step(sim.Now, events...)) {
+		switch action := action.(type) {
+		case pollplan.Dial:
+			sim.After(networkDelay, func() { p.connect(action) })
+		case pollplan.Poll:
+			p.poll(action)
+		case pollplan.Close:
+			if poll := p.connections[action.Conn]; poll != nil {
+				sim.Queue.Remove(poll)
+			}
+			delete(p.connections, action.Conn)
+		}
+	}
+	if at, ok := p.planner.Next(); ok {
+		sim.timers.Set(&p.timer, at)
+	} else {
+		sim.timers.Remove(&p.timer)
+	}
+}
+
+// connect has a connection come up, or fail.
+func (p *VirtualPoller) connect(dial pollplan.Dial) {
+	sim := p.simulation
+	if sim.Queue.Fault == ListRefusing {
+		p.step(pollplan.Failed{Conn: dial.Conn})
+		return
+	}
+	sim.Dials = append(sim.Dials, sim.Now)
+	p.connections[dial.Conn] = nil
+	p.step(pollplan.Connected(dial))
+}
+
+// poll sends a poll.
+func (p *VirtualPoller) poll(action pollplan.Poll) {
+	sim := p.simulation
+	p.Polls = append(p.Polls, sim.Now)
+	poll := &PendingPoll{
+		After:    p.LastEvent,
+		Deadline: sim.Now + networkDelay + action.Timeout,
+		Answer: func() {
+			p.connections[action.Conn] = nil
+			p.receive(action.Conn, sim.Queue.LastEvent)
+		},
+	}
+	p.connections[action.Conn] = poll
+	sim.After(networkDelay, func() {
+		if p.connections[action.Conn] == poll {
+			sim.Polls = append(sim.Polls, sim.Now)
+			sim.Queue.Add(poll)
+			sim.answer()
+		}
+	})
+}
+
+// PeakPer100ms is the most of these times within a tenth of a second, which begins no sooner than from.
+func PeakPer100ms(times []time.Duration, from time.Duration) int {
+	times = slices.Sorted(slices.Values(times))
+	peak := 0
+	first := 0
+	for i, at := range times {
+		for at-times[first] >= 100*time.Millisecond {
+			first++
+		}
+		if times[first] >= from {
+			peak = max(peak, i-first+1)
+		}
+	}
+	return peak
+}
--- /dev/null
+++ b/internal/testbed/schedulerlog.go
@@ -0,0 +1,71 @@
+package testbed
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// Messages of a scheduler's log that the testbed looks for.
+const (
+	logSchedulerStarted = "scheduler started"
+	logPeerAlive        = "peer alive"
+	logPeerSuspect      = "peer suspect"
+	logPeerDead         = "peer dead"
+	logPeerLeft         = "peer left"
+	logPeerUncertified  = "peer no longer counts: its certificate does not"
+	logPeerIgnored      = "peer not heard for a while"
+	logWorkerEjected    = "worker ill on the word of peers"
+	logWorkerReadmitted = "worker no longer ill on the word of peers"
+	logGossipEnded      = "gossip ended"
+)
+
+const (
+	joinCheckInterval    = 50 * time.Millisecond
+	schedulerStartWithin = 20 * time.Second
+	fleetJoinWithin      = 30 * time.Second
+)
+
+// Peers is the members that are there by the log of the latest process of an instance.
+func (in *Instance) Peers() map[string]bool {
+	peers := map[string]bool{}
+	for _, line := range in.Log.Latest() {
+		switch line.Text("msg") {
+		case logPeerAlive, logPeerSuspect:
+			peers[line.Text("peer")] = true
+		case logPeerDead, logPeerLeft, logPeerUncertified:
+			delete(peers, line.Text("peer"))
+		}
+	}
+	return peers
+}
+
+// Count counts the lines of a message in the log of an instance.
+func (in *Instance) Count(message string) int {
+	count := 0
+	for _, line := range in.Log.Lines() {
+		if line.Text("msg") == message {
+			count++
+		}
+	}
+	return count
+}
+
+// Joined waits until each instance has logged of members-1 others that they are there.
+func (f *Fleet) Joined(ctx context.Context, members int, within time.Duration) error {
+	for end := time.Now().Add(within); ; {
+		missing := ""
+		for _, instance := range f.Instances {
+			if known := len(instance.Peers()); known < members-1 {
+				missing = fmt.Sprintf("%s knows %d of %d others", instance.Name, known, members-1)
+			}
+		}
+		if missing == "" {
+			return nil
+		}
+		if time.Now().After(end) || ctx.Err() != nil {
+			return fmt.Errorf("the members do not find one another: %s\n%s", missing, f.Instances[0].Log)
+		}
+		time.Sleep(joinCheckInterval)
+	}
+}
--- /dev/null
+++ b/internal/testbed/steps.go
@@ -0,0 +1,336 @@
+package testbed
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"syscall"
+	"time"
+)
+
+// scenarioStream is the second word of the random generator's seed: it sets these draws apart from those of the load.
+const scenarioStream = 7
+
+// pollPeriod is the time in which each scheduler of a healthy fleet polls once, in seconds.
+const pollPeriod = 2
+
+// workerFaults is the faults of workers by their words in scenarios.
+var workerFaults = map[string]WorkerFault{
+	"sound":   Sound,
+	"mute":    Mute,
+	"stalls":  WorkerSlow,
+	"fails":   WorkerFailing,
+	"refuses": WorkerRefusing,
+}
+
+// linkConditions is what links can be made to do, by the words of scenarios.
+var linkConditions = map[string]LinkCondition{
+	"whole":     {},
+	"cut":       {CutForward: true, CutBackward: true},
+	"cut-there": {CutForward: true},
+	"cut-back":  {CutBackward: true},
+	"lossy":     {Loss: 0.33, Duplicate: 0.1, Jitter: 50 * time.Millisecond},
+	"hang":      {Hang: true},
+	"slow":      {BytesPerSecond: 4000},
+	"far":       {Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond},
+}
+
+// resetLink is the word for resetting a link's connections once.
+const resetLink = "reset"
+
+// stepRun is a step that is executed on a fleet.
+type stepRun struct {
+	Step
+	fleet      *Fleet
+	schedulers []int // all instances in the order in which shares take them
+	workers    []int // the same of workers
+}
+
+// stepVerbs is what the verbs do.
+var stepVerbs = map[string]func(stepRun) error{
+	"start":   func(r stepRun) error { return r.eachInstance((*Instance).startIfStopped) },
+	"kill":    stepRun.kill,
+	"stop":    func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
+	"cont":    func(r stepRun) error { return r.signal(syscall.SIGCONT) },
+	"term":    stepRun.terminate,
+	"roll":    stepRun.rollingRestart,
+	"list":    stepRun.setListFault,
+	"break":   stepRun.breakList,
+	"tell":    stepRun.repeatEvent,
+	"drain":   stepRun.drain,
+	"replace": stepRun.replace,
+	"boot":    stepRun.restartWorkers,
+	"jam":     stepRun.jam,
+	"workers": stepRun.setWorkerFault,
+	"link":    stepRun.setLinks,
+	"talk":    stepRun.setPartition,
+	"known":   stepRun.setKnownEvents,
+}
+
+// execute carries out a step.
+func (f *Fleet) execute(step Step, seed uint64) error {
+	do, ok := stepVerbs[step.Verb]
+	if !ok {
+		return step.invalid()
+	}
+	rng := rand.New(rand.NewPCG(seed, scenarioStream))
+	run := stepRun{Step: step, fleet: f}
+	run.schedulers = rng.Perm(len(f.Instances))
+	run.workers = rng.Perm(len(f.Workers))
+	return do(run)
+}
+
+// someInstances is the instances that the share at an argument means.
+func (r stepRun) someInstances(argument int) ([]*Instance, error) {
+	count, err := r.count(argument, len(r.fleet.Instances))
+	if err != nil {
+		return nil, err
+	}
+	var instances []*Instance
+	for _, i := range r.schedulers[:count] {
+		instances = append(instances, r.fleet.Instances[i])
+	}
+	return instances, nil
+}
+
+// someWorkers is the workers that the share at an argument means.
+func (r stepRun) someWorkers(argument int) ([]*Worker, error) {
+	count, err := r.count(argument, len(r.fleet.Workers))
+	if err != nil {
+		return nil, err
+	}
+	var workers []*Worker
+	for _, i := range r.workers[:count] {
+		workers = append(workers, r.fleet.Workers[i])
+	}
+	return workers, nil
+}
+
+// eachInstance does something to the instances of the first argument, until it fails.
+func (r stepRun) eachInstance(do func(*Instance) error) error {
+	instances, err := r.someInstances(0)
+	if err != nil {
+		return err
+	}
+	for _, instance := range instances {
+		if err := do(instance); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (r stepRun) kill() error {
+	return r.eachInstance(func(in *Instance) error {
+		in.Kill()
+		return nil
+	})
+}
+
+func (r stepRun) signal(signal syscall.Signal) error {
+	return r.eachInstance(func(in *Instance) error { return in.Signal(signal) })
+}
+
+// terminate has instances shut down, and does not wait for it.
+func (r stepRun) terminate() error {
+	return r.eachInstance(func(in *Instance) error {
+		go func() { _ = in.Stop() }() // one that does not end in order is noticed by the checks
+		return nil
+	})
+}
+
+// rollingRestart restarts all instances, a share of them at a time.
+func (r stepRun) rollingRestart() error {
+	batch, err := r.count(0, len(r.fleet.Instances))
+	if err != nil || len(r.Args) < 2 || batch == 0 {
+		return r.invalid()
+	}
+	pause, err := r.duration(1)
+	if err != nil {
+		return err
+	}
+	for from := 0; from < len(r.schedulers); from += batch {
+		for _, i := range r.schedulers[from:min(from+batch, len(r.schedulers))] {
+			instance := r.fleet.Instances[i]
+			r.fleet.restarts.Go(func() {
+				if err := instance.Stop(); err == nil {
+					_ = instance.Start() // one that does not start is noticed by the checks
+				}
+			})
+		}
+		time.Sleep(pause)
+	}
+	r.fleet.restarts.Wait()
+	return nil
+}
+
+// setListFault gives the list service a fault, or none.
+func (r stepRun) setListFault() error {
+	fault, err := r.argument(0)
+	if err != nil {
+		return err
+	}
+	answersPerSecond := 0.0
+	if len(r.Args) > 1 {
+		share, err := strconv.ParseFloat(r.Args[1], 64)
+		if err != nil || share <= 0 {
+			return r.invalid()
+		}
+		answersPerSecond = share * float64(len(r.fleet.Instances)) / pollPeriod
+	}
+	return r.fleet.List.SetFault(ListFault(fault), answersPerSecond)
+}
+
+func (r stepRun) breakList() error {
+	r.fleet.List.BreakConnections()
+	return nil
+}
+
+// repeatEvent publishes an event that says again what the list has, of the first worker that stays.
+func (r stepRun) repeatEvent() error {
+	for _, worker := range r.fleet.Workers {
+		if _, leaves := r.fleet.departures[worker]; !leaves {
+			r.fleet.Publish(false, []*Worker{worker}, "SERVING")
+			break
+		}
+	}
+	return nil
+}
+
+func (r stepRun) drain() error {
+	workers, err := r.someWorkers(0)
+	if err != nil {
+		return err
+	}
+	r.fleet.Publish(false, workers, "DRAINING")
+	return nil
+}
+
+// replace deletes workers from the list and lists as many new ones.
+func (r stepRun) replace() error {
+	gone, err := r.someWorkers(0)
+	if err != nil {
+		return err
+	}
+	startedAt := time.Time{}
+	if len(r.Args) > 1 && r.Args[1] == "cold" {
+		startedAt = time.Now()
+	}
+	r.fleet.Publish(false, gone, "DELETED")
+	var added []*Worker
+	for _, worker := range gone {
+		replacement, err := r.fleet.startWorker(worker.ID+"x", startedAt)
+		if err != nil {
+			return err
+		}
+		added = append(added, replacement)
+	}
+	r.fleet.Workers = append(r.fleet.Workers, added...)
+	r.fleet.Publish(false, added, "SERVING")
+	return nil
+}
+
+// restartWorkers has workers start anew at their address.
+func (r stepRun) restartWorkers() error {
+	workers, err := r.someWorkers(0)
+	if err != nil {
+		return err
+	}
+	for _, worker := range workers {
+		worker.restart()
+	}
+	r.fleet.Publish(false, workers, "SERVING")
+	return nil
+}
+
+// jam has the store serve nothing for a while.
+func (r stepRun) jam() error {
+	if len(r.Args) != 1 {
+		return r.invalid()
+	}
+	duration, err := r.duration(0)
+	if err != nil {
+		return err
+	}
+	r.fleet.Store.Jam(duration)
+	return nil
+}
+
+// setWorkerFault gives workers a fault, or none.
+func (r stepRun) setWorkerFault() error {
+	workers, err := r.someWorkers(1)
+	if err != nil {
+		return err
+	}
+	for _, worker := range workers {
+		worker.Set(workerFaults[r.Args[0]])
+	}
+	return nil
+}
+
+// setPartition changes the links between some schedulers and the others.
+func (r stepRun) setPartition() error {
+	instances, err := r.someInstances(1)
+	if err != nil {
+		return errors.Join(err, r.invalid())
+	}
+	condition, ok := linkConditions[r.Args[0]]
+	if !ok || r.fleet.hub == nil {
+		return r.invalid()
+	}
+	r.fleet.mu.Lock()
+	defer r.fleet.mu.Unlock()
+	r.fleet.partitionCondition = condition
+	r.fleet.partitioned = map[string]bool{}
+	for _, instance := range instances {
+		r.fleet.partitioned[instance.Gossip] = true
+	}
+	return nil
+}
+
+// setLinks changes the links between some schedulers and some workers, or resets their connections.
+func (r stepRun) setLinks() error {
+	instances, err := r.someInstances(1)
+	if err != nil {
+		return err
+	}
+	workers, err := r.someWorkers(2)
+	if err != nil {
+		return errors.Join(err, r.invalid())
+	}
+	condition, ok := linkConditions[r.Args[0]]
+	if !ok && r.Args[0] != resetLink || !r.fleet.LinkedWorkers {
+		return r.invalid()
+	}
+	var errs error
+	for _, instance := range instances {
+		for _, worker := range workers {
+			r.fleet.workerAddress(instance.Name, worker) // which opens the link
+			link := r.fleet.linkTo(instance.Name, worker.ID)
+			if link == nil {
+				return fmt.Errorf("no link from %s to %s", instance.Name, worker.ID)
+			}
+			if ok {
+				errs = errors.Join(errs, link.Set(condition))
+			} else {
+				link.Reset()
+			}
+		}
+	}
+	return errs
+}
+
+// setKnownEvents writes the schedulers' files anew, with other events in them.
+func (r stepRun) setKnownEvents() error {
+	if len(r.Args) != 1 {
+		return r.invalid()
+	}
+	r.fleet.KnownEvents = r.Args[0]
+	for _, instance := range r.fleet.Instances {
+		if err := instance.configure(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/virtualfleet.go
@@ -0,0 +1,228 @@
+package testbed
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"calicohill/internal/config/deployment"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/routing"
+)
+
+// VirtualExperiment is schedulers before workers in virtual time: the Routers, and nothing else of a scheduler.
+type VirtualExperiment struct {
+	Schedulers     int
+	Workers        int
+	Profile        string  // of the workers, by name
+	ColdWorkers    bool    // they start with the experiment, without functions loaded and warming up
+	KilledShare    float64 // of the schedulers, which lose what they learned at half time
+	RestartedShare float64 // of the workers, which start anew then, without functions loaded and warming up
+	Rate           float64 // as a Load's
+	Skew           float64 // as a Load's
+	Seconds        int
+	Seed           uint64
+}
+
+// VirtualMetrics is what a VirtualExperiment measured.
+type VirtualMetrics struct {
+	Schedulers     int       `json:"schedulers"`
+	Workers        int       `json:"workers"`
+	ServedShare    float64   `json:"served_share"`
+	ServedBySecond []float64 `json:"served_share_by_second"`
+	Rejected       int       `json:"refused"`
+	Handshakes     float64   `json:"handshakes_per_scheduler"`
+	ConnectsPeak   int       `json:"agent_connects_peak_100ms"` // at the worker that saw the most
+	Loads          int       `json:"loads"`
+	Crashed        int       `json:"workers_pushed_over"` // overloaded while they were warming up
+}
+
+// virtualFleet is the state of a VirtualExperiment that runs.
+type virtualFleet struct {
+	VirtualExperiment
+
+	now        time.Duration
+	startedAt  time.Duration
+	timers     deadline.Queue
+	profile    WorkerProfile
+	settings   routing.Settings
+	list       routing.WorkerList
+	workers    map[string]*virtualWorker
+	schedulers []*virtualScheduler
+
+	metrics VirtualMetrics
+	offered []int // requests by second of their arrival
+	served  []int // of these
+	failed  error // of a scheduler that did not start again
+}
+
+// Run runs the experiment. An error is one of the settings.
+func (e VirtualExperiment) Run() (VirtualMetrics, error) {
+	fleet := &virtualFleet{
+		VirtualExperiment: e,
+		now:               time.Hour,
+		startedAt:         time.Hour,
+		profile:           WorkerProfiles[e.Profile],
+		list:              routing.WorkerList{Kind: routing.ListFull},
+		workers:           map[string]*virtualWorker{},
+		metrics:           VirtualMetrics{Schedulers: e.Schedulers, Workers: e.Workers},
+		offered:           make([]int, e.Seconds+1),
+		served:            make([]int, e.Seconds+1),
+	}
+	fleet.addWorkers()
+	if err := fleet.addSchedulers(); err != nil {
+		return fleet.metrics, err
+	}
+	fleet.schedule(fleet.duration()/2, fleet.restartWorkers)
+	fleet.play()
+	fleet.collect()
+	return fleet.metrics, fleet.failed
+}
+
+// duration is how long the experiment lasts.
+func (f *virtualFleet) duration() time.Duration { return time.Duration(f.Seconds) * time.Second }
+
+// addWorkers starts the workers.
+func (f *virtualFleet) addWorkers() {
+	for i := range f.Workers {
+		worker := newVirtualWorker(f.profile)
+		if f.ColdWorkers {
+			worker.startedAt = f.now
+		}
+		id := fmt.Sprintf("w%03d", i)
+		f.workers[id] = worker
+		f.list.Workers = append(f.list.Workers, routing.Worker{
+			ID:      id,
+			State:   routing.Ready,
+			Weight:  1,
+			Started: worker.startedAt,
+		})
+	}
+}
+
+// addSchedulers starts the schedulers and their clients.
+func (f *virtualFleet) addSchedulers() error {
+	site, err := deployment.Parse(fmt.Appendf(nil, platformSettings, f.Schedulers, 0))
+	if err != nil {
+		return err
+	}
+	f.settings = site.Settings
+	load := Load{Skew: f.Skew}
+	total := 0.0
+	for i := range f.Schedulers {
+		total += load.weight(i)
+	}
+	for i := range f.Schedulers {
+		scheduler := &virtualScheduler{virtualFleet: f, index: i}
+		f.schedulers = append(f.schedulers, scheduler)
+		if err := scheduler.start(); err != nil {
+			return err
+		}
+		if float64(i) < f.KilledShare*float64(f.Schedulers) {
+			f.schedule(f.duration()/2, func() { f.failed = errors.Join(f.failed, scheduler.start()) })
+		}
+		rng := rand.New(rand.NewPCG(f.Seed, uint64(i)))
+		scheduler.offerLoad(rng, f.Rate*load.weight(i)/total, functionsFor(f.Workers))
+	}
+	return nil
+}
+
+// functionsFor is how many functions the clients of so many workers call.
+func functionsFor(workers int) int { return 3 * workers / 2 }
+
+// restartWorkers has some workers start anew, and tells the schedulers.
+func (f *virtualFleet) restartWorkers() {
+	restarted := int(f.RestartedShare * float64(f.Workers))
+	for i := range f.list.Workers[:restarted] {
+		listed := &f.list.Workers[i]
+		listed.Started = f.now
+		worker := newVirtualWorker(f.profile)
+		worker.startedAt = f.now
+		worker.connectedAt = f.workers[listed.ID].connectedAt
+		f.workers[listed.ID] = worker
+	}
+	for _, scheduler := range f.schedulers {
+		scheduler.step(f.list)
+	}
+}
+
+// play fires the timers until the end of the experiment.
+func (f *virtualFleet) play() {
+	end := f.startedAt + f.duration()
+	for at, ok := f.timers.Next(); ok && at <= end; at, ok = f.timers.Next() {
+		f.now = at
+		f.timers.PopDue(at).Fire()
+	}
+}
+
+// collect sums up what was measured.
+func (f *virtualFleet) collect() {
+	offered, served := 0, 0
+	for second := range f.Seconds {
+		offered += f.offered[second]
+		served += f.served[second]
+		share := float64(f.served[second]) / max(float64(f.offered[second]), 1)
+		f.metrics.ServedBySecond = append(f.metrics.ServedBySecond, share)
+	}
+	f.metrics.ServedShare = float64(served) / max(float64(offered), 1)
+	handshakes := 0
+	for _, worker := range f.workers {
+		handshakes += len(worker.connectedAt)
+		f.metrics.ConnectsPeak = max(f.metrics.ConnectsPeak, PeakPer100ms(worker.connectedAt, 0))
+		if worker.crashed {
+			f.metrics.Crashed++
+		}
+	}
+	f.metrics.Handshakes = float64(handshakes) / float64(f.Schedulers)
+}
+
+// schedule calls a function after a delay.
+func (f *virtualFleet) schedule(delay time.Duration, call func()) {
+	f.timers.Set(&deadline.Timer{Fire: call}, f.now+delay)
+}
+
+// secondOf is the second of the experiment that a time is in.
+func (f *virtualFleet) secondOf(at time.Duration) int {
+	return min(int((at-f.startedAt)/time.Second), len(f.offered)-1)
+}
+
+// SimulateWorkers plays starts of fleets in virtual time: workers that are warm, and that are warming up, with schedulers
+// that learned nothing yet, and with seven in ten of them killed at half time. Workers grow in number with the load.
+func SimulateWorkers(schedulers, workers int, seed uint64) (map[string]VirtualMetrics, error) {
+	const (
+		seconds       = 16
+		ratePerWorker = 8 // requests a second: a third of what a worker can do
+	)
+	experiments := map[string]VirtualExperiment{
+		"warm":         {},
+		"cold":         {ColdWorkers: true},
+		"killed":       {KilledShare: 0.7},
+		"cold, uneven": {ColdWorkers: true, Skew: 3},
+		"reborn":       {RestartedShare: 0.6},
+	}
+	var mu sync.Mutex // guards all and failed
+	all := map[string]VirtualMetrics{}
+	var failed error
+	var wg sync.WaitGroup
+	for name, experiment := range experiments {
+		experiment.Schedulers = schedulers
+		experiment.Workers = workers
+		experiment.Profile = "small"
+		experiment.Seconds = seconds
+		experiment.Seed = seed
+		experiment.Rate = ratePerWorker * float64(workers)
+		wg.Go(func() {
+			metrics, err := experiment.Run()
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				failed = errors.Join(failed, fmt.Errorf("%s: %w", name, err))
+			}
+			all[name] = metrics
+		})
+	}
+	wg.Wait()
+	return all, failed
+}
--- /dev/null
+++ b/internal/testbed/virtualgossip.go
@@ -0,0 +1,152 @@
+package testbed
+
+import (
+	"math"
+	"runtime"
+	"slices"
+	"time"
+
+	"calicohill/internal/fleet/gossip"
+	"calicohill/internal/testbed/gossipsim"
+)
+
+// The course of a gossip simulation.
+const (
+	maxVirtualMembers = 8192
+	deathCount        = 5 // several deaths at once: when one is noticed depends on whose turn it is to be probed
+	idleDuration      = 30 * time.Second
+	deathDuration     = 15 * time.Second
+	statementDuration = 5 * time.Second
+	knownShare        = 0.99 // of the members that have to know of something
+)
+
+// VirtualGossipResult is what fleets of growing size cost in virtual time.
+type VirtualGossipResult struct {
+	Sizes          []VirtualGossipSize `json:"sizes"`
+	MessagesGrowth float64             `json:"messages_largest_over_smallest"` // messages a second an instance, the largest fleet's over the smallest's
+	Wall           float64             `json:"wall_seconds"`
+}
+
+// VirtualGossipSize is what a fleet of one size cost.
+type VirtualGossipSize struct {
+	Instances int     `json:"instances"`
+	Messages  float64 `json:"messages_per_second"` // sent by an instance, the mean
+	Worst     int     `json:"messages_peak"`       // the most of any second and instance
+	Bytes     float64 `json:"bytes_per_second"`
+	Death     float64 `json:"death_known_ms"`     // from a death until 99% of the others hold the member suspect, the median of five
+	Statement float64 `json:"statement_known_ms"` // from a statement until 99% have it
+	HeapKB    float64 `json:"heap_kb_per_instance"`
+}
+
+// SimulateGossip plays fleets of these sizes: half a minute of nothing, then some deaths, then a statement.
+func SimulateGossip(sizes []int, seed uint64) VirtualGossipResult {
+	began := time.Now()
+	var result VirtualGossipResult
+	for _, size := range sizes {
+		result.Sizes = append(result.Sizes, simulateGossip(size, seed))
+	}
+	if last := len(result.Sizes) - 1; last > 0 {
+		result.MessagesGrowth = result.Sizes[last].Messages / result.Sizes[0].Messages
+	}
+	result.Wall = time.Since(began).Seconds()
+	return result
+}
+
+// simulateGossip plays a fleet of one size.
+func simulateGossip(instances int, seed uint64) VirtualGossipSize {
+	size := VirtualGossipSize{Instances: instances}
+	before := heapBytes()
+	net := gossipsim.New(instances, seed, gossip.Config{
+		ProbeEvery:   time.Second,
+		ProbeTimeout: 300 * time.Millisecond,
+		SuspectFor:   5 * time.Second,
+		Messages:     maxMessagesPerSecond,
+		MaxMembers:   maxVirtualMembers,
+	})
+	for _, node := range net.Nodes {
+		net.Start(node)
+	}
+	net.Meet()
+	net.Run(idleDuration)
+	size.HeapKB = float64(heapBytes()-before) / 1024 / float64(instances)
+	for _, node := range net.Nodes {
+		size.Messages += float64(node.Sent) / float64(instances) / idleDuration.Seconds()
+		size.Bytes += float64(node.Bytes) / float64(instances) / idleDuration.Seconds()
+		size.Worst = max(size.Worst, node.Window)
+	}
+	size.Death = measureDeaths(net)
+	size.Statement = measureStatement(net)
+	return size
+}
+
+// heapBytes is the memory that live objects take.
+func heapBytes() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// firstKnown is when each node first knew of something, by its name.
+type firstKnown map[string]time.Duration
+
+// note notes that a node knows now.
+func (k firstKnown) note(net *gossipsim.Net, node *gossipsim.Node) {
+	if _, ok := k[node.Name]; !ok {
+		k[node.Name] = net.Now
+	}
+}
+
+// millisUntilKnown is how long after a time knownShare of so many nodes knew, in milliseconds; infinite where they didn't.
+func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
+	needed := int(math.Ceil(knownShare * float64(nodes)))
+	if len(k) < needed {
+		return math.Inf(1)
+	}
+	var times []time.Duration
+	for _, at := range k {
+		times = append(times, at-since)
+	}
+	slices.Sort(times)
+	return float64(times[needed-1].Milliseconds())
+}
+
+// measureDeaths kills some nodes and returns the median time until the others suspect one, in milliseconds.
+func measureDeaths(net *gossipsim.Net) float64 {
+	survivors := len(net.Nodes) - deathCount
+	knownByDead := map[string]firstKnown{}
+	for _, node := range net.Nodes[survivors:] {
+		knownByDead[node.Name] = firstKnown{}
+		net.Kill(node)
+	}
+	net.Changed = func(node *gossipsim.Node, member gossip.Member) {
+		known := knownByDead[member.Name]
+		if known != nil && member.State != gossip.Alive {
+			known.note(net, node)
+		}
+	}
+	killedAt := net.Now
+	net.Run(deathDuration)
+	net.Changed = nil
+	var millis []float64
+	for _, known := range knownByDead {
+		millis = append(millis, known.millisUntilKnown(survivors, killedAt))
+	}
+	slices.Sort(millis)
+	return millis[deathCount/2]
+}
+
+// measureStatement has a node make a statement and returns the time until the others have it, in milliseconds.
+func measureStatement(net *gossipsim.Net) float64 {
+	known := firstKnown{}
+	net.Heard = func(node *gossipsim.Node, _ gossip.Statement) { known.note(net, node) }
+	speaker := net.Nodes[0]
+	net.Tell(speaker, gossip.Say{Statement: gossip.Statement{
+		Name: speaker.Name, Epoch: 1, Seq: 1,
+		Body: make([]byte, 100), Cert: make([]byte, 340), Sig: make([]byte, 64),
+	}})
+	saidAt := net.Now
+	net.Run(statementDuration)
+	listeners := len(net.Nodes) - deathCount - 1
+	return known.millisUntilKnown(listeners, saidAt)
+}
--- /dev/null
+++ b/internal/testbed/virtualscheduler.go
@@ -0,0 +1,147 @@
+package testbed
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"calicohill/routing"
+)
+
+// virtualScheduler is a scheduler in virtual time.
+type virtualScheduler struct {
+	*virtualFleet
+	index       int
+	incarnation int // counts its starts
+	router      *routing.Router
+	inFlight    map[string]*virtualRequest // by the request's ID
+}
+
+// virtualRequest is a request that is not answered yet.
+type virtualRequest struct {
+	function        string
+	arrivedAt       time.Duration
+	attemptInFlight []bool // by the attempt's number
+}
+
+// start starts the scheduler, or starts it anew without what it learned.
+func (s *virtualScheduler) start() error {
+	seed := s.Seed<<20 + uint64(s.index)<<1 + uint64(s.incarnation)
+	router, err := routing.New(s.settings, seed)
+	if err != nil {
+		return err
+	}
+	s.incarnation++
+	s.router = router
+	s.inFlight = map[string]*virtualRequest{}
+	s.step(s.list)
+	return nil
+}
+
+// offerLoad has clients send requests to the scheduler for as long as the experiment lasts.
+func (s *virtualScheduler) offerLoad(rng *rand.Rand, rate float64, functions int) {
+	zipf := newFunctionDistribution(rng, functions)
+	pause := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
+	number := 0
+	var next func()
+	next = func() {
+		number++
+		class := pickClass(rng.Float64())
+		function := functionName(zipf)
+		id := fmt.Sprintf("%d-%d", s.index, number)
+		s.inFlight[id] = &virtualRequest{function: function, arrivedAt: s.now}
+		s.offered[s.secondOf(s.now)]++
+		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: requestTimeout, Concurrency: 4})
+		s.schedule(pause(), next)
+	}
+	s.schedule(pause(), next)
+}
+
+// step passes events to the Router and carries out its actions.
+func (s *virtualScheduler) step(events ...routing.Event) {
+	for _, action := range s.router.Step(s.now, events) {
+		s.do(action)
+	}
+}
+
+// do carries out an action of the Router.
+func (s *virtualScheduler) do(action routing.Action) {
+	switch action := action.(type) {
+	case routing.SetTimer:
+		wait := action.After
+		if len(s.inFlight) == 0 { // there is nothing that the timer could find
+			wait *= 10
+		}
+		s.whileRunning(wait, func() { s.step(routing.TimerFired{Token: action.Token}) })
+	case routing.Reject:
+		s.metrics.Rejected++
+		delete(s.inFlight, action.ID)
+	case routing.Fail:
+		delete(s.inFlight, action.ID)
+	case routing.Cancel:
+		s.whileRunning(0, func() {
+			s.attemptEnded(action.ID, action.Attempt, routing.AttemptEnded{Outcome: routing.Canceled})
+		})
+	case routing.Send:
+		s.send(action)
+	}
+}
+
+// whileRunning calls a function after a delay, unless the scheduler was started anew meanwhile.
+func (s *virtualScheduler) whileRunning(delay time.Duration, call func()) {
+	incarnation := s.incarnation
+	s.schedule(delay, func() {
+		if s.incarnation == incarnation {
+			call()
+		}
+	})
+}
+
+// send sends an attempt to its worker.
+func (s *virtualScheduler) send(action routing.Send) {
+	request := s.inFlight[action.ID]
+	attempt := len(request.attemptInFlight)
+	request.attemptInFlight = append(request.attemptInFlight, true)
+	worker := s.workers[action.Worker]
+	latency, inFlight, ok := worker.serve(s, request.function)
+	result := routing.AttemptEnded{
+		Worker:              action.Worker,
+		Outcome:             routing.Served,
+		RequestAnswered:     true,
+		Latency:             latency,
+		InFlightForFunction: inFlight,
+	}
+	endsAfter := latency
+	switch {
+	case !ok:
+		result.Outcome = routing.ConnectFailed
+		result.RequestAnswered = false
+		endsAfter = 2 * networkDelay
+	case latency > action.Timeout:
+		result.Outcome = routing.TimedOut
+		result.RequestAnswered = false
+		endsAfter = action.Timeout
+	}
+	s.whileRunning(endsAfter, func() {
+		if result.Outcome == routing.Served {
+			result.Report = worker.report(s.now)
+		}
+		s.attemptEnded(action.ID, attempt, result)
+	})
+}
+
+// attemptEnded tells the Router how an attempt ended, once.
+func (s *virtualScheduler) attemptEnded(id string, attempt int, result routing.AttemptEnded) {
+	request := s.inFlight[id]
+	if request == nil || !request.attemptInFlight[attempt] {
+		return
+	}
+	request.attemptInFlight[attempt] = false
+	if result.RequestAnswered {
+		s.served[s.secondOf(request.arrivedAt)]++
+		delete(s.inFlight, id)
+	}
+	result.ID = id
+	result.Attempt = attempt
+	s.step(result)
+}
--- /dev/null
+++ b/internal/testbed/virtualworker.go
@@ -0,0 +1,104 @@
+package testbed
+
+import (
+	"slices"
+	"time"
+
+	"calicohill/routing"
+)
+
+// idleConnectionLifetime is how long a scheduler keeps an idle connection, with the settings of the testbed.
+const idleConnectionLifetime = 12750 * time.Millisecond
+
+// virtualWorker is a worker in virtual time.
+type virtualWorker struct {
+	startedAt   time.Duration // 0 for one that is warm
+	crashed     bool
+	loadedAt    map[string]time.Duration   // when each function is loaded
+	slotFreeAt  []time.Duration            // when each slot, of as many requests at a time, is free
+	doneAt      map[string][]time.Duration // by function, when its requests are done
+	received    []time.Duration            // requests of the last crashWindow
+	lastUsed    map[int]time.Duration      // by scheduler, when its connection was last used
+	connectedAt []time.Duration
+}
+
+// newVirtualWorker returns a warm worker without functions loaded.
+func newVirtualWorker(profile WorkerProfile) *virtualWorker {
+	return &virtualWorker{
+		loadedAt:   map[string]time.Duration{},
+		slotFreeAt: make([]time.Duration, profile.Concurrency),
+		doneAt:     map[string][]time.Duration{},
+		lastUsed:   map[int]time.Duration{},
+	}
+}
+
+// report is the load report: the share of the slots that are busy.
+func (w *virtualWorker) report(now time.Duration) *routing.LoadReport {
+	busy := 0.0
+	for _, freeAt := range w.slotFreeAt {
+		if freeAt > now {
+			busy++
+		}
+	}
+	return &routing.LoadReport{
+		Utilization:        busy / float64(len(w.slotFreeAt)),
+		InFlight:           -1,
+		QueueLength:        -1,
+		MemoryHeldFraction: -1,
+		LoadsInProgress:    -1,
+	}
+}
+
+// serve runs a function for a scheduler. It returns how long the response takes and how many requests for the function
+// were in flight before; false if the worker has crashed.
+func (w *virtualWorker) serve(scheduler *virtualScheduler, function string) (latency time.Duration, inFlight int, ok bool) {
+	now := scheduler.now
+	w.connect(scheduler.index, now)
+	age := w.age(now)
+	w.received = append(w.received, now)
+	for now-w.received[0] > crashWindow {
+		w.received = w.received[1:]
+	}
+	w.crashed = w.crashed || float64(len(w.received)) > scheduler.profile.maxRequests(age)
+	loadedAt, loaded := w.loadedAt[function]
+	if !loaded {
+		scheduler.metrics.Loads++
+		loadedAt = now + scheduler.profile.LoadTime
+		w.loadedAt[function] = loadedAt
+	}
+	slot := w.nextSlot()
+	serviceTime := time.Duration(float64(scheduler.profile.ServiceTime) / capacityShare(age))
+	done := max(now, loadedAt, w.slotFreeAt[slot]) + serviceTime
+	w.slotFreeAt[slot] = done
+	unfinished := slices.DeleteFunc(w.doneAt[function], func(at time.Duration) bool { return at <= now })
+	w.doneAt[function] = append(unfinished, done)
+	return done - now + 2*networkDelay, len(unfinished), !w.crashed
+}
+
+// connect notes that a scheduler uses its connection, a new one where the last was idle for too long.
+func (w *virtualWorker) connect(scheduler int, now time.Duration) {
+	last, ok := w.lastUsed[scheduler]
+	if !ok || now-last > idleConnectionLifetime {
+		w.connectedAt = append(w.connectedAt, now)
+	}
+	w.lastUsed[scheduler] = now
+}
+
+// age is how long ago the worker started; the whole warm-up for one that is warm.
+func (w *virtualWorker) age(now time.Duration) time.Duration {
+	if w.startedAt == 0 {
+		return warmUpTime
+	}
+	return now - w.startedAt
+}
+
+// nextSlot is the first slot to be free.
+func (w *virtualWorker) nextSlot() int {
+	first := 0
+	for i, freeAt := range w.slotFreeAt {
+		if freeAt < w.slotFreeAt[first] {
+			first = i
+		}
+	}
+	return first
+}
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -1,180 +1,195 @@
-// Package testbed is the laboratory: stand-ins of what a scheduler speaks to, faults by schedule, and whole fleets of
-// real scheduler processes on loopback. It measures; nothing of it runs in service.
 package testbed
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"fmt"
-	"io"
-	"math"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 )
 
-// Fault is what is wrong with a stand-in worker.
-type Fault int
+// WorkerFault is what is wrong with a stand-in worker.
+type WorkerFault int
 
-// The faults.
+// The faults of workers.
 const (
-	Sound   Fault = iota
-	Mute          // takes requests and answers none
-	Stalls        // answers half a second late
-	Fails         // answers errors
-	Refuses       // closes every connection at once
+	Sound          WorkerFault = iota // none
+	Mute                              // takes requests and answers none
+	WorkerSlow                        // answers half a second late
+	WorkerFailing                     // answers errors
+	WorkerRefusing                    // closes every connection at once
 )
 
-// Body is what a stand-in worker has.
-type Body struct {
-	Lanes int           // requests at a time
-	Work  time.Duration // that one takes
-	Load  time.Duration // that a load takes where the store is well
-	Conns int           // connections that it bears; it resets more. 0 means any number
-	Shake time.Duration // of a lane, for a new connection
-}
-
-// Bodies is what workers may have, by name.
-var Bodies = map[string]Body{
-	"roomy": {Lanes: 8, Work: 15 * time.Millisecond, Load: 60 * time.Millisecond},
-	"small": {Lanes: 2, Work: 80 * time.Millisecond, Load: 300 * time.Millisecond, Conns: 48, Shake: 2 * time.Millisecond},
-}
+// slowWorkerDelay is by how much a WorkerSlow answers later.
+const slowWorkerDelay = 500 * time.Millisecond
 
-// What a cold worker bears, as the settings of the laboratory tell it.
-const (
-	coldFor, coldShare, tipFor, tipMultiple = 17 * time.Second, 0.25, 2 * time.Second, 3
-)
+// storeConcurrency is how many functions the store serves at a time.
+const storeConcurrency = 12
 
-// Store is the handler store that all workers load from: a few fetches at a time, and none while it is jammed.
+// Store is the store that all workers load functions from: a few at a time, and none while it is jammed.
 type Store struct {
-	mu     sync.Mutex
-	till   time.Time
-	places chan struct{}
+	mu          sync.Mutex
+	jammedUntil time.Time
+	slots       chan struct{}
 }
 
-func newStore() *Store { return &Store{places: make(chan struct{}, 12)} }
+// newStore returns a healthy store.
+func newStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
 
-// Jam has the store serve nothing for a time.
-func (s *Store) Jam(d time.Duration) {
+// Jam has the store serve nothing for a while.
+func (s *Store) Jam(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.till = time.Now().Add(d)
+	s.jammedUntil = time.Now().Add(duration)
 }
 
-// fetch waits until what takes so long is loaded.
-func (s *Store) fetch(takes time.Duration) {
-	s.places <- struct{}{}
-	defer func() { <-s.places }()
+// fetch waits until a function is loaded, which takes so long once it is its turn.
+func (s *Store) fetch(loadTime time.Duration) {
+	s.slots <- struct{}{}
+	defer func() { <-s.slots }()
 	s.mu.Lock()
-	jam := time.Until(s.till)
+	jammedFor := time.Until(s.jammedUntil)
 	s.mu.Unlock()
-	time.Sleep(max(jam, 0) + takes)
+	time.Sleep(max(jammedFor, 0) + loadTime)
 }
 
-// Worker is a stand-in node agent. It holds functions loaded, runs a few requests at a time and has faults.
+// Worker is a stand-in node agent. It loads functions, runs a few requests at a time and has faults.
 type Worker struct {
-	ID, Addr string
-	body     Body
+	ID       string
+	Addr     string
+	profile  WorkerProfile
 	store    *Store
-	born     time.Time // of one that starts cold; zero for one that is warm
-	fell     time.Time // pushed over while it was cold
-	most     float64   // that it was sent while cold, as a share of what it bears
-	refused  int       // connections over what it bears
-	l        net.Listener
-	mu       sync.Mutex
-	fault    Fault
-	loaded   map[string]chan struct{} // closed once the function stands
-	arrivals []Arrival
-	accepts  []time.Time
-	conns    map[net.Conn]bool
-	lanes    chan struct{}
+	listener net.Listener
+	slots    chan struct{} // one for each request at a time
+
+	mu                 sync.Mutex
+	fault              WorkerFault
+	startedAt          time.Time                // zero for one that is warm
+	crashedAt          time.Time                // overloaded while it was warming up; zero if it was not
+	peakLoadShare      float64                  // the most that it was sent while warming up, as a share of what it survives
+	refusedConnections int                      // over MaxConnections
+	loaded             map[string]chan struct{} // closed once the function is loaded
+	arrivals           []Arrival
+	acceptedAt         []time.Time
+	connections        map[net.Conn]bool
 }
 
-// Arrival is a request as it came.
+// Arrival is a request as it came to a worker.
 type Arrival struct {
-	At        time.Time
-	From      string // what the body says of who sent it
-	Fault     Fault  // of the worker then
-	ID, Class string
-	Function  string
-	Load      bool // it began a load
+	At       time.Time
+	From     string      // the scheduler, as the body names it
+	Fault    WorkerFault // of the worker then
+	ID       string
+	Class    string
+	Function string
+	Load     bool // it made the worker load the function
 }
 
-// NewWorker starts a worker on loopback, a cold one if born is not zero.
-func NewWorker(id string, b Body, s *Store, born time.Time) (*Worker, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// NewWorker starts a worker on loopback, one that is warming up if startedAt is not zero.
+func NewWorker(id string, profile WorkerProfile, store *Store, startedAt time.Time) (*Worker, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in worker: %w", err)
 	}
-	w := &Worker{
-		ID: id, Addr: l.Addr().String(), body: b, store: s, born: born, l: l,
-		loaded: map[string]chan struct{}{}, conns: map[net.Conn]bool{}, lanes: make(chan struct{}, b.Lanes),
+	worker := &Worker{
+		ID:          id,
+		Addr:        listener.Addr().String(),
+		profile:     profile,
+		store:       store,
+		startedAt:   startedAt,
+		listener:    listener,
+		loaded:      map[string]chan struct{}{},
+		connections: map[net.Conn]bool{},
+		slots:       make(chan struct{}, profile.Concurrency),
 	}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			w.mu.Lock()
-			refuse := w.fault == Refuses || !w.fell.IsZero()
-			if b.Conns > 0 && len(w.conns) >= b.Conns {
-				w.refused++
-				refuse = true
-			}
-			w.accepts = append(w.accepts, time.Now())
-			w.conns[c] = true
-			w.mu.Unlock()
-			if refuse {
-				w.drop(c)
-				continue
-			}
-			go func() {
-				defer w.drop(c)
-				if b.Shake > 0 {
-					w.lanes <- struct{}{}
-					time.Sleep(b.Shake)
-					<-w.lanes
-				}
-				_ = w.serve(c) // the scheduler closes connections as it likes
-			}()
+	go worker.accept()
+	return worker, nil
+}
+
+// accept accepts connections until the worker is closed.
+func (w *Worker) accept() {
+	for {
+		conn, err := w.listener.Accept()
+		if err != nil {
+			return
+		}
+		if !w.admit(conn) {
+			w.closeConnection(conn)
+			continue
 		}
-	}()
-	return w, nil
+		go func() {
+			defer w.closeConnection(conn)
+			w.handshake()
+			_ = w.serve(conn) // the scheduler closes connections as it likes
+		}()
+	}
+}
+
+// admit notes a connection, and reports whether the worker takes it.
+func (w *Worker) admit(conn net.Conn) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	admitted := w.fault != WorkerRefusing && w.crashedAt.IsZero()
+	if w.profile.MaxConnections > 0 && len(w.connections) >= w.profile.MaxConnections {
+		w.refusedConnections++
+		admitted = false
+	}
+	w.acceptedAt = append(w.acceptedAt, time.Now())
+	w.connections[conn] = true
+	return admitted
+}
+
+// handshake occupies a slot for as long as a handshake takes.
+func (w *Worker) handshake() {
+	if w.profile.HandshakeTime > 0 {
+		w.slots <- struct{}{}
+		time.Sleep(w.profile.HandshakeTime)
+		<-w.slots
+	}
 }
 
-func (w *Worker) drop(c net.Conn) {
+// closeConnection closes and forgets a connection.
+func (w *Worker) closeConnection(conn net.Conn) {
 	w.mu.Lock()
-	delete(w.conns, c)
+	delete(w.connections, conn)
 	w.mu.Unlock()
-	c.Close()
+	conn.Close()
+}
+
+// closeConnections closes all connections. The caller holds the lock.
+func (w *Worker) closeConnections() {
+	for conn := range w.connections {
+		conn.Close()
+	}
 }
 
 // Close ends the worker.
 func (w *Worker) Close() {
-	w.l.Close()
+	w.listener.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for c := range w.conns {
-		c.Close()
-	}
+	w.closeConnections()
 }
 
 // Set gives the worker a fault, or none.
-func (w *Worker) Set(f Fault) {
+func (w *Worker) Set(fault WorkerFault) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.fault = fault
+}
+
+// currentFault is the fault now.
+func (w *Worker) currentFault() WorkerFault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fault = f
+	return w.fault
 }
 
-// Accepts is when connections came up.
-func (w *Worker) Accepts() []time.Time {
+// AcceptedAt is when connections came up.
+func (w *Worker) AcceptedAt() []time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]time.Time(nil), w.accepts...)
+	return append([]time.Time(nil), w.acceptedAt...)
 }
 
 // Arrivals is the requests so far.
@@ -184,167 +199,65 @@
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-var errCommand = errors.New("not a command")
-
-func (w *Worker) serve(c net.Conn) error {
-	var writing sync.Mutex
-	write := func(text string) {
-		writing.Lock()
-		defer writing.Unlock()
-		_, _ = io.WriteString(c, text) // an error ends the reading too
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	r := bufio.NewReader(c)
-	for {
-		line, err := r.ReadString('\n')
-		if err != nil {
-			return err
-		}
-		words := strings.Fields(line)
-		if len(words) < 2 {
-			return errCommand
-		}
-		switch words[0] {
-		case "halt":
-		case "stat", "ping":
-			if w.now() != Mute {
-				write(words[1] + " UP l=util:0.10 0\r\n\r\n")
-			}
-		case "go":
-			if len(words) != 4 {
-				return errCommand
-			}
-			size, err := strconv.Atoi(words[3])
-			if err != nil || size < 0 || size > 16<<10 {
-				return errCommand
-			}
-			body := make([]byte, size+2)
-			if _, err := io.ReadFull(r, body); err != nil {
-				return err
-			}
-			go w.run(ctx, words[1], words[2], string(body[:size]), write)
-		default:
-			return errCommand
-		}
-	}
-}
-
-func (w *Worker) now() Fault {
+// CrashedAt is when the worker was overloaded while it was warming up; zero if it was not.
+func (w *Worker) CrashedAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fault
+	return w.crashedAt
 }
 
-// run answers a request as the worker's fault has it.
-func (w *Worker) run(ctx context.Context, id, fields, body string, write func(string)) {
-	function, class := "", ""
-	for f := range strings.SplitSeq(fields, ",") {
-		switch name, v, _ := strings.Cut(f, "="); name {
-		case "asset":
-			function = v
-		case "sort":
-			class = v
-		}
-	}
+// overload is how many connections it refused, and the most that it was sent while warming up as a share of what it
+// survives.
+func (w *Worker) overload() (refusedConnections int, peakLoadShare float64) {
 	w.mu.Lock()
-	fault := w.fault
-	from, _, _ := strings.Cut(body, " ")
-	stands, known := w.loaded[function]
-	w.arrivals = append(w.arrivals, Arrival{time.Now(), from, fault, id, class, function, !known})
-	if !known {
-		stands = make(chan struct{})
-		w.loaded[function] = stands
-		go func() { w.store.fetch(w.body.Load); close(stands) }()
-	}
-	share := ripe(w.age(time.Now()))
-	if w.fell.IsZero() && w.pushed(time.Now()) {
-		w.fell = time.Now()
-		for c := range w.conns {
-			c.Close()
-		}
-	}
-	w.mu.Unlock()
-	switch fault {
-	case Mute:
-		return
-	case Fails:
-		write(id + " ERR - 0\r\n\r\n")
-		return
-	case Stalls:
-		sleep(ctx, 500*time.Millisecond)
-	}
-	select {
-	case <-stands:
-	case <-ctx.Done():
-		return
-	}
-	select {
-	case w.lanes <- struct{}{}:
-	case <-ctx.Done():
-		return
-	}
-	ok := sleep(ctx, time.Duration(float64(w.body.Work)/share))
-	<-w.lanes
-	if ok && w.now() != Mute {
-		write(fmt.Sprintf("%s OK depth=0,l=util:0.10 %d\r\n%s\r\n", id, len(body), body))
-	}
+	defer w.mu.Unlock()
+	return w.refusedConnections, w.peakLoadShare
 }
 
-// boot starts a worker anew: empty, cold, its connections gone.
-func (w *Worker) boot() {
+// restart starts the worker anew: without functions loaded, warming up, its connections closed.
+func (w *Worker) restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.born, w.fell, w.loaded = time.Now(), time.Time{}, map[string]chan struct{}{}
-	for c := range w.conns {
-		c.Close()
-	}
+	w.startedAt = time.Now()
+	w.crashedAt = time.Time{}
+	w.loaded = map[string]chan struct{}{}
+	w.closeConnections()
 }
 
-// ripe is the share of its capacity that a worker has so long after its start.
-func ripe(age time.Duration) float64 {
-	return min(1, coldShare+(1-coldShare)*age.Seconds()/coldFor.Seconds())
-}
+// age is how long ago the worker started; long ago for one that is warm. The caller holds the lock.
+func (w *Worker) age(now time.Time) time.Duration { return now.Sub(w.startedAt) }
 
-// bears is how many requests within tipFor a worker bears so long after its start: N + 2 x root of N + 2, N what a
-// multiple of its capacity then serves. One that is warm bears any number.
-func (b Body) bears(age time.Duration) float64 {
-	if age >= coldFor {
-		return math.Inf(1)
+// crashIfOverloaded has the worker crash if it was sent more since its start than it survives while warming up. The caller
+// holds the lock.
+func (w *Worker) crashIfOverloaded(now time.Time) {
+	if !w.crashedAt.IsZero() {
+		return
 	}
-	n := tipMultiple * ripe(age) * float64(b.Lanes) / b.Work.Seconds() * tipFor.Seconds()
-	return n + 2*math.Sqrt(n) + 2
-}
-
-// age is how long ago a worker started; long ago for one that is warm.
-func (w *Worker) age(now time.Time) time.Duration { return now.Sub(w.born) }
-
-// pushed reports whether a cold worker was sent more than it bears since it started.
-func (w *Worker) pushed(now time.Time) bool {
-	got := 0
-	for i := len(w.arrivals) - 1; i >= 0 && now.Sub(w.arrivals[i].At) <= tipFor && !w.arrivals[i].At.Before(w.born); i-- {
-		got++
+	received := 0
+	for i := len(w.arrivals) - 1; i >= 0; i-- {
+		at := w.arrivals[i].At
+		if now.Sub(at) > crashWindow || at.Before(w.startedAt) {
+			break
+		}
+		received++
+	}
+	share := float64(received) / w.profile.maxRequests(w.age(now))
+	w.peakLoadShare = max(w.peakLoadShare, share)
+	if share > 1 {
+		w.crashedAt = now
+		w.closeConnections()
 	}
-	share := float64(got) / w.body.bears(w.age(now))
-	w.most = max(w.most, share)
-	return share > 1
-}
-
-// Fell is when a worker was pushed over; zero if it was not.
-func (w *Worker) Fell() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.fell
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
+// sleep waits, and reports whether the context still lives.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
--- /dev/null
+++ b/internal/testbed/workerprofile.go
@@ -0,0 +1,54 @@
+package testbed
+
+import (
+	"math"
+	"time"
+)
+
+// WorkerProfile is what a stand-in worker can do.
+type WorkerProfile struct {
+	Concurrency    int           // requests at a time
+	ServiceTime    time.Duration // of one request
+	LoadTime       time.Duration // of loading a function where the store is healthy
+	MaxConnections int           // it resets more; 0 means any number
+	HandshakeTime  time.Duration // for which a new connection occupies a slot
+}
+
+// WorkerProfiles is the profiles by name.
+var WorkerProfiles = map[string]WorkerProfile{
+	"roomy": {
+		Concurrency: 8,
+		ServiceTime: 15 * time.Millisecond,
+		LoadTime:    60 * time.Millisecond,
+	},
+	"small": {
+		Concurrency:    2,
+		ServiceTime:    80 * time.Millisecond,
+		LoadTime:       300 * time.Millisecond,
+		MaxConnections: 48,
+		HandshakeTime:  2 * time.Millisecond,
+	},
+}
+
+// What a worker that is warming up can take, as the settings of the testbed say it.
+const (
+	warmUpTime        = 17 * time.Second
+	coldCapacityShare = 0.25 // of its capacity, when it starts
+	crashWindow       = 2 * time.Second
+	crashMultiple     = 3 // times what it can serve within crashWindow make it crash
+)
+
+// capacityShare is the share of its capacity that a worker has so long after its start. It grows linearly.
+func capacityShare(age time.Duration) float64 {
+	return min(1, coldCapacityShare+(1-coldCapacityShare)*age.Seconds()/warmUpTime.Seconds())
+}
+
+// maxRequests is how many requests within crashWindow a worker survives so long after its start: N + 2 x root of N + 2, N
+// being crashMultiple times what it can serve. One that is warm survives any number.
+func (p WorkerProfile) maxRequests(age time.Duration) float64 {
+	if age >= warmUpTime {
+		return math.Inf(1)
+	}
+	expected := crashMultiple * capacityShare(age) * float64(p.Concurrency) / p.ServiceTime.Seconds() * crashWindow.Seconds()
+	return expected + 2*math.Sqrt(expected) + 2
+}
