--- /dev/null
+++ b/internal/runtime/eventloop/event_loop_test.go
@@ -0,0 +1,192 @@
+package eventloop
+
+import (
+	"io"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"calicohill/internal/runtime/deadline"
+
+	"github.com/panjf2000/gnet/v2"
+	"github.com/sirupsen/logrus"
+)
+
+const testTimeout = 10 * time.Second
+
+// echo sends back what it receives.
+type echo struct{ closed chan error }
+
+func (echo) Opened(gnet.Conn) {}
+
+func (echo) Readable(c gnet.Conn) error {
+	received, err := c.Next(-1)
+	if err != nil {
+		return err
+	}
+	_, err = c.Write(received)
+	return err
+}
+
+func (e echo) Closed(_ gnet.Conn, err error) { e.closed <- err }
+
+// startLoop runs a loop on a free port of the loopback interface until the test ends and returns its address. Incoming
+// connections get the handler, and none is accepted if it is nil.
+func startLoop(t *testing.T, loop *Loop, handler ConnHandler) string {
+	t.Helper()
+	addr := freeAddr(t)
+	quiet := logrus.New()
+	quiet.SetOutput(io.Discard)
+	loop.Logger = quiet
+	loop.Accept = func(gnet.Conn) ConnHandler { return handler }
+	started := make(chan struct{})
+	loop.Started = func() { close(started) }
+	stopped := make(chan error, 1)
+	go func() { stopped <- loop.Run(addr) }()
+	t.Cleanup(func() {
+		if err := loop.Stop(); err != nil {
+			t.Errorf("Stop: %v", err)
+		}
+		if err := receive(t, stopped); err != nil {
+			t.Errorf("Run: %v", err)
+		}
+	})
+	receive(t, started)
+	return addr
+}
+
+// freeAddr returns an address of the loopback interface that nothing listens at.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// receive waits for a value, or for the channel to be closed.
+func receive[T any](t *testing.T, values <-chan T) T {
+	t.Helper()
+	select {
+	case value := <-values:
+		return value
+	case <-time.After(testTimeout):
+		t.Fatal("timed out")
+		panic("unreachable")
+	}
+}
+
+func TestTimersFireInOrder(t *testing.T) {
+	loop := New()
+	startLoop(t, loop, nil)
+	fired := make(chan string, 3)
+	loop.Post(func() {
+		start := loop.Now()
+		for _, timer := range []struct {
+			name  string
+			after time.Duration
+		}{
+			{"late", 30 * time.Millisecond},
+			{"early", 10 * time.Millisecond},
+			{"early, set second", 10 * time.Millisecond},
+		} {
+			due := start + timer.after
+			loop.SetDeadline(&deadline.Timer{Fire: func() {
+				if loop.Now() < due {
+					t.Errorf("%s fires before it is due", timer.name)
+				}
+				fired <- timer.name
+			}}, due)
+		}
+		stopped := &deadline.Timer{Fire: func() { fired <- "stopped" }}
+		loop.SetDeadline(stopped, start)
+		loop.ClearDeadline(stopped)
+	})
+	got := []string{receive(t, fired), receive(t, fired), receive(t, fired)}
+	if want := []string{"early", "early, set second", "late"}; !slices.Equal(got, want) {
+		t.Errorf("fired %q, want %q", got, want)
+	}
+}
+
+func TestPostKeepsOrder(t *testing.T) {
+	loop := New()
+	startLoop(t, loop, nil)
+	const calls = 100
+	var order []int
+	done := make(chan struct{})
+	for i := range calls {
+		loop.Post(func() { order = append(order, i) })
+	}
+	loop.Post(func() { close(done) })
+	receive(t, done)
+	if len(order) != calls || !slices.IsSorted(order) {
+		t.Errorf("called in the order %v", order)
+	}
+}
+
+func TestConnection(t *testing.T) {
+	handler := echo{closed: make(chan error, 1)}
+	addr := startLoop(t, New(), handler)
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Write([]byte("hello")); err != nil {
+		t.Fatal(err)
+	}
+	reply := make([]byte, len("hello"))
+	if _, err := io.ReadFull(conn, reply); err != nil || string(reply) != "hello" {
+		t.Errorf("read %q, error %v", reply, err)
+	}
+	conn.Close()
+	receive(t, handler.closed)
+}
+
+func TestRejectedConnection(t *testing.T) {
+	addr := startLoop(t, New(), nil)
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if n, err := conn.Read(make([]byte, 1)); n != 0 || err == nil {
+		t.Errorf("read %d bytes, error %v from a connection without a handler", n, err)
+	}
+}
+
+func TestFailedDial(t *testing.T) {
+	loop := New()
+	startLoop(t, loop, nil)
+	failed := make(chan error, 1)
+	handler := echo{closed: make(chan error, 1)}
+	loop.Dial(freeAddr(t), testTimeout, handler, func(err error) { failed <- err })
+	if err := receive(t, failed); err == nil {
+		t.Error("no error from an address that nothing listens at")
+	}
+}
+
+func TestStalled(t *testing.T) {
+	loop := New()
+	loop.StallThreshold = 20 * time.Millisecond
+	calls := make(chan string, 2)
+	loop.Stalled = func() { calls <- "stalled" }
+	startLoop(t, loop, nil)
+	loop.Post(func() {
+		loop.SetDeadline(&deadline.Timer{Fire: func() { calls <- "timer" }}, loop.Now()+time.Millisecond)
+	})
+	loop.Post(func() { time.Sleep(10 * loop.StallThreshold) })
+	got := []string{receive(t, calls), receive(t, calls)}
+	if want := []string{"stalled", "timer"}; !slices.Equal(got, want) {
+		t.Errorf("called %q, want %q", got, want)
+	}
+}
