--- a/internal/runtime/eventloop/event_loop_test.go
+++ b/internal/runtime/eventloop/event_loop_test.go
@@ -16,7 +16,7 @@
 const testTimeout = 10 * time.Second
 
 // echo sends back what it receives.
-type echo struct{ closed chan error }
+type echo struct{ closed chan struct{} }
 
 func (echo) Opened(gnet.Conn) {}
 
@@ -29,7 +29,7 @@
 	return err
 }
 
-func (e echo) Closed(_ gnet.Conn, err error) { e.closed <- err }
+func (e echo) Closed(gnet.Conn, error) { e.closed <- struct{}{} }
 
 // startLoop runs a loop on a free port of the loopback interface until the test ends and returns its address. Incoming
 // connections get the handler, and none is accepted if it is nil.
@@ -128,7 +128,7 @@
 }
 
 func TestConnection(t *testing.T) {
-	handler := echo{closed: make(chan error, 1)}
+	handler := echo{closed: make(chan struct{}, 1)}
 	addr := startLoop(t, New(), handler)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -168,7 +168,7 @@
 	loop := New()
 	startLoop(t, loop, nil)
 	failed := make(chan error, 1)
-	handler := echo{closed: make(chan error, 1)}
+	handler := echo{closed: make(chan struct{}, 1)}
 	loop.Dial(freeAddr(t), testTimeout, handler, func(err error) { failed <- err })
 	if err := receive(t, failed); err == nil {
 		t.Error("no error from an address that nothing listens at")
