--- a/cmd/simadapter/recording_test.go
+++ b/cmd/simadapter/recording_test.go
@@ -140,14 +140,14 @@
 
 // instance writes what one instance is told.
 func (s *instanceSchedule) instance(text *strings.Builder, i, number int) {
-	w := s.worlds[i]
+	world := s.worlds[i]
 	switch {
-	case w != nil && number < s.ends[i]:
-		if told := w.round(s.now); told != "" {
+	case world != nil && number < s.ends[i]:
+		if told := world.round(s.now); told != "" {
 			fmt.Fprintf(text, "target_instance\t%d\n%s", i, told)
 		}
-	case w != nil:
-		fmt.Fprintf(text, "target_instance\t%d\n%sshutdown\n", i, w.round(s.now))
+	case world != nil:
+		fmt.Fprintf(text, "target_instance\t%d\n%sshutdown\n", i, world.round(s.now))
 		s.worlds[i] = nil
 	case s.rng.IntN(20) == 0: // nothing runs there
 		fmt.Fprintf(text, "target_instance\t%d\nreminder\t1\n", i)
@@ -156,16 +156,16 @@
 	case s.rng.IntN(4) == 0:
 		duration := recordedRounds * recordedInstances / len(s.profiles)
 		seed := recordingSeed + uint64(s.next)
-		w = newSimulatedWorld(s.profiles[s.next%len(s.profiles)], seed, s.now)
+		world = newSimulatedWorld(s.profiles[s.next%len(s.profiles)], seed, s.now)
 		s.next++
-		s.worlds[i], s.ends[i] = w, number+duration
-		fmt.Fprintf(text, "target_instance\t%d\n%s", i, w.first(seed))
+		s.worlds[i], s.ends[i] = world, number+duration
+		fmt.Fprintf(text, "target_instance\t%d\n%s", i, world.first(seed))
 	}
 }
 
 // takeReply reads the reply to a round, records it and lets the worlds act on it.
 func (s *instanceSchedule) takeReply(replies *bufio.Reader, number int, recording *bytes.Buffer) error {
-	var w *simulatedWorld
+	var world *simulatedWorld
 	for {
 		line, err := replies.ReadString('\n')
 		if err != nil {
@@ -185,12 +185,12 @@
 			if _, err := fmt.Sscan(value, &i); err != nil || i < 0 || i >= len(s.worlds) {
 				return fmt.Errorf("reply %q", line)
 			}
-			w = s.worlds[i]
+			world = s.worlds[i]
 		default:
-			if w == nil {
+			if world == nil {
 				continue // a start that failed, or an event for what does not run
 			}
-			if err := w.apply(line); err != nil {
+			if err := world.apply(line); err != nil {
 				return err
 			}
 		}
@@ -272,44 +272,43 @@
 		"inflight", "inflight:x", "inflight:1,,", "t/1", "delivered", "Delivered", "2", " 1", "1 ", "\x00", "é", "abc",
 	}
 	lines := strings.Split(message, "\n")
-	n := rng.IntN(len(lines))
-	line := lines[n]
+	changed := rng.IntN(len(lines))
+	line := lines[changed]
 	values := strings.Split(line, "\t")
-	at := rng.IntN(len(values))
+	position := rng.IntN(len(values))
 	switch rng.IntN(6) {
 	case 0: // cut
-		lines[n] = strings.Join(values[:at], "\t")
+		lines[changed] = strings.Join(values[:position], "\t")
 	case 1: // one too few
-		lines[n] = strings.Join(append(append([]string{}, values[:at]...), values[at+1:]...), "\t")
+		lines[changed] = strings.Join(append(append([]string{}, values[:position]...), values[position+1:]...), "\t")
 	case 2: // one too many
-		lines[n] = line + "\t" + odd[rng.IntN(len(odd))]
+		lines[changed] = line + "\t" + odd[rng.IntN(len(odd))]
 	default:
-		if at == 0 && rng.IntN(4) > 0 {
-			at = len(values) - 1
+		if position == 0 && rng.IntN(4) > 0 {
+			position = len(values) - 1
 		}
 		if values[0] == "power_on" {
-			at = 1 // settings are altered one by one above
+			position = 1 // settings are altered one by one above
 		}
-		values[at] = odd[rng.IntN(len(odd))]
-		lines[n] = strings.Join(values, "\t")
+		values[position] = odd[rng.IntN(len(odd))]
+		lines[changed] = strings.Join(values, "\t")
 	}
 	if rng.IntN(12) == 0 { // a list that is cut short
-		lines = lines[:n+1]
+		lines = lines[:changed+1]
 	}
 	return strings.Join(lines, "\n")
 }
 
 func readRecording(name string) ([]byte, error) {
-	f, err := os.Open(name)
+	compressed, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	r, err := gzip.NewReader(f)
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(r)
+	return io.ReadAll(reader)
 }
 
 func writeRecording(name string, text []byte) error {
--- a/cmd/simadapter/recording_world_test.go
+++ b/cmd/simadapter/recording_world_test.go
@@ -200,24 +200,24 @@
 }
 
 func newSimulatedWorld(p siteProfile, seed uint64, now int64) *simulatedWorld {
-	w := &simulatedWorld{
+	world := &simulatedWorld{
 		profile: p, rng: rand.New(rand.NewPCG(seed, 2)), now: now,
 		requests: map[string]*simulatedRequest{}, surgePercent: 100,
 	}
 	for range p.workers {
-		worker := w.addWorker()
+		worker := world.addWorker()
 		if !p.startCold {
 			worker.startedMicros = 0
 		}
 	}
 	for i := range p.functions {
-		w.functions = append(w.functions, &simulatedFunction{
-			name: fmt.Sprintf("f-%d-%s", i, strconv.FormatUint(w.rng.Uint64()%46656, 36)), class: i % 6,
-			lanes: 1 + w.rng.IntN(4), memory: 100 * (1 + w.rng.IntN(6)), serviceMicros: 8000 + w.rng.Int64N(150000),
-			loadMicros: 80000 + w.rng.Int64N(900000), tellsLoadTime: w.rng.IntN(3) == 0,
+		world.functions = append(world.functions, &simulatedFunction{
+			name: fmt.Sprintf("f-%d-%s", i, strconv.FormatUint(world.rng.Uint64()%46656, 36)), class: i % 6,
+			lanes: 1 + world.rng.IntN(4), memory: 100 * (1 + world.rng.IntN(6)), serviceMicros: 8000 + world.rng.Int64N(150000),
+			loadMicros: 80000 + world.rng.Int64N(900000), tellsLoadTime: world.rng.IntN(3) == 0,
 		})
 	}
-	return w
+	return world
 }
 
 func (w *simulatedWorld) addWorker() *simulatedWorker {
@@ -350,14 +350,14 @@
 }
 
 // call begins a request, or repeats one for its client.
-func (w *simulatedWorld) call(f *simulatedFunction, flags int) string {
-	if f == nil { // the first functions are called most
-		f = w.functions[min(w.rng.IntN(len(w.functions)), w.rng.IntN(len(w.functions)))]
+func (w *simulatedWorld) call(function *simulatedFunction, flags int) string {
+	if function == nil { // the first functions are called most
+		function = w.functions[min(w.rng.IntN(len(w.functions)), w.rng.IntN(len(w.functions)))]
 	}
 	w.nextRequest++
-	q := &simulatedRequest{id: fmt.Sprintf("t/%d", w.nextRequest), function: f}
-	w.requests[q.id] = q
-	if w.recentIDs = append(w.recentIDs, q.id); len(w.recentIDs) > 40 {
+	request := &simulatedRequest{id: fmt.Sprintf("t/%d", w.nextRequest), function: function}
+	w.requests[request.id] = request
+	if w.recentIDs = append(w.recentIDs, request.id); len(w.recentIDs) > 40 {
 		w.recentIDs = w.recentIDs[1:]
 	}
 	tenant, work, load, memory, lanes := "-", "-", "-", "-", "-"
@@ -365,13 +365,13 @@
 		tenant = strconv.Itoa(w.rng.IntN(3))
 	}
 	if w.chance(300) {
-		work = millisText(f.serviceMicros)
+		work = millisText(function.serviceMicros)
 	}
-	if f.tellsLoadTime {
-		load = millisText(f.loadMicros)
+	if function.tellsLoadTime {
+		load = millisText(function.loadMicros)
 	}
 	if w.chance(900) {
-		memory, lanes = strconv.Itoa(f.memory), strconv.Itoa(f.lanes)
+		memory, lanes = strconv.Itoa(function.memory), strconv.Itoa(function.lanes)
 	}
 	left := 300000 + w.rng.Int64N(2500000)
 	if w.chance(30) {
@@ -382,13 +382,13 @@
 		patience = w.rng.Int64N(left)
 	}
 	w.schedule(patience, func() string {
-		if q.final {
+		if request.final {
 			return ""
 		}
-		q.final = true
-		return "expired\t" + q.id + "\n"
+		request.final = true
+		return "expired\t" + request.id + "\n"
 	})
-	return fmt.Sprintf("call\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", q.id, f.class, tenant, f.name, millisText(left), work,
+	return fmt.Sprintf("call\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", request.id, function.class, tenant, function.name, millisText(left), work,
 		memory, lanes, load, flags)
 }
 
@@ -533,28 +533,28 @@
 	if err != nil {
 		return err
 	}
-	q := w.requests[id]
-	if q == nil { // of a call that unexpectedEvent made up
-		q = &simulatedRequest{id: id, function: w.functions[0]}
-		w.requests[id] = q
+	request := w.requests[id]
+	if request == nil { // of a call that unexpectedEvent made up
+		request = &simulatedRequest{id: id, function: w.functions[0]}
+		w.requests[id] = request
 	}
 	worker := w.worker(workerID)
-	a, n, timeout := &simulatedAttempt{worker: worker}, len(q.attempts), int64(timeoutMillis*1000)
-	q.attempts = append(q.attempts, a)
+	attempt, number, timeout := &simulatedAttempt{worker: worker}, len(request.attempts), int64(timeoutMillis*1000)
+	request.attempts = append(request.attempts, attempt)
 	if worker == nil || worker.state == 0 {
-		w.scheduleEnd(q, a, n, 1000+w.rng.Int64N(5000), []string{"dial_failed", "unused"}[w.rng.IntN(2)], "-", timeout)
+		w.scheduleEnd(request, attempt, number, 1000+w.rng.Int64N(5000), []string{"dial_failed", "unused"}[w.rng.IntN(2)], "-", timeout)
 		return nil
 	}
-	f := q.function
-	warmth, took := 1, f.serviceMicros/2+w.rng.Int64N(f.serviceMicros)
+	function := request.function
+	warmth, took := 1, function.serviceMicros/2+w.rng.Int64N(function.serviceMicros)
 	took += took * int64(worker.inFlight) / 8
 	outcome := "delivered"
-	if !worker.loaded[f.name] {
+	if !worker.loaded[function.name] {
 		warmth = 2 + w.rng.IntN(2)
 		if w.profile.whenAbsent == "miss" {
 			outcome, took = "empty", 3000
 		} else {
-			took += f.loadMicros
+			took += function.loadMicros
 		}
 	}
 	cold := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.coldMs)*1000
@@ -598,13 +598,13 @@
 	if took >= timeout {
 		outcome, took = "expired", timeout
 	}
-	if outcome == "delivered" && f.class == 5 && w.chance(900) {
+	if outcome == "delivered" && function.class == 5 && w.chance(900) {
 		begins := took / 3
 		w.schedule(begins, func() string {
-			if a.ended {
+			if attempt.ended {
 				return ""
 			}
-			return fmt.Sprintf("first\t%s\t%d\t%s\t%s\n", q.id, n, worker.id, millisText(begins))
+			return fmt.Sprintf("first\t%s\t%d\t%s\t%s\n", request.id, number, worker.id, millisText(begins))
 		})
 	}
 	info := "-"
@@ -615,7 +615,7 @@
 		info = strconv.Itoa(warmth + 8*worker.inFlight)
 	}
 	worker.inFlight++
-	w.scheduleEnd(q, a, n, took, outcome, info, timeout)
+	w.scheduleEnd(request, attempt, number, took, outcome, info, timeout)
 	return nil
 }
 
@@ -632,33 +632,33 @@
 }
 
 // end tells how an attempt ended; it may be told twice.
-func (w *simulatedWorld) end(q *simulatedRequest, a *simulatedAttempt, n int, latency, outcome, info string) string {
-	a.ended = true
+func (w *simulatedWorld) end(request *simulatedRequest, attempt *simulatedAttempt, number int, latency, outcome, info string) string {
+	attempt.ended = true
 	id, report := "worker-lost", "-"
-	if a.worker != nil {
-		id = a.worker.id
-		a.worker.inFlight = max(0, a.worker.inFlight-1)
+	if attempt.worker != nil {
+		id = attempt.worker.id
+		attempt.worker.inFlight = max(0, attempt.worker.inFlight-1)
 		if outcome == "delivered" || outcome == "shed" || outcome == "app_error" {
-			report = w.report(a.worker)
+			report = w.report(attempt.worker)
 		}
 		if outcome == "delivered" {
-			a.worker.loaded[q.function.name] = true
+			attempt.worker.loaded[request.function.name] = true
 			if w.chance(15) { // something else needed its room
-				delete(a.worker.loaded, q.function.name)
+				delete(attempt.worker.loaded, request.function.name)
 			}
 		}
 	}
 	if outcome == "delivered" || outcome == "app_error" && w.chance(200) {
-		q.final = true
+		request.final = true
 	}
 	closed := 0
-	if q.final {
+	if request.final {
 		closed = 1
 	}
 	if w.chance(50) {
 		latency = "-"
 	}
-	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", q.id, closed, info, latency, id, n, outcome, report)
+	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, closed, info, latency, id, number, outcome, report)
 	if w.chance(4) {
 		line += line
 	}
