--- a/internal/fleet/quota/core_test.go
+++ b/internal/fleet/quota/core_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Settings of the members that TestWhole draws events for.
+// Settings of the members that TestTotalNeverExceeded draws events for.
 const (
 	drawnLease        = 4 * time.Second
 	longestDrawnHold  = 4 // seconds
@@ -91,7 +91,7 @@
 }
 
 // Whatever happens, no more than the total is in use, and members that receive nothing have their fixed quota back.
-func TestWhole(t *testing.T) {
+func TestTotalNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleetSize := rapid.IntRange(2, 7).Draw(rt, "members")
 		fleet := &simulatedFleet{tb: rt}
