--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRefusalOnArrival(t *testing.T) {
+func TestRejectsOnArrival(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	first := harness.send("first", "f") // nothing ahead: never refused
 	answer := attemptEnd(first, 0, Served)
@@ -22,7 +22,7 @@
 }
 
 // A function slower to load than its callers wait would be refused for ever if nobody's call began its load.
-func TestAHopelessCallStillBeginsALoad(t *testing.T) {
+func TestFirstRequestBeginsLoadDespiteDeadline(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(3)...)
 	s := harness.send("warm", "g")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
@@ -39,7 +39,7 @@
 }
 
 // With the same work ahead, a class with a short aim is treated like one with a long aim, or it would starve.
-func TestShortAimsDoNotStarve(t *testing.T) {
+func TestShortObjectivesDoNotStarve(t *testing.T) {
 	for _, tt := range []struct {
 		ahead   float64 // seconds of work ahead, for each lane
 		refused bool
@@ -65,7 +65,7 @@
 
 // What others have ahead shows in slow answers: part of the calls is refused on arrival, but never all, or
 // nothing would tell that the worker is well again. A scheduler of its own counts what it has out instead.
-func TestRefusalForTheWorkOfOthers(t *testing.T) {
+func TestRejectsForWorkOfPeers(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		change    func(*Settings)
@@ -94,7 +94,7 @@
 }
 
 // A tenant whose share at this scheduler is under one call a second still gets it.
-func TestSmallShareAdmits(t *testing.T) {
+func TestSmallQuotaAdmits(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) {
 		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
 	}), readyWorkers(1)...)
@@ -114,7 +114,7 @@
 }
 
 // On the word of others nobody is left out whom the rest could not do without.
-func TestKeepsWhoIsNeeded(t *testing.T) {
+func TestKeepsWorkersThatAreNeeded(t *testing.T) {
 	harness := harnessWithPeers(t, 4)
 	harness.wait(2 * time.Second)
 	for _, w := range harness.router.workerList {
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -7,7 +7,7 @@
 )
 
 // Rule 5: orders to load are rationed within every window, however many functions ask for one.
-func TestLoadRation(t *testing.T) {
+func TestLoadBudget(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
 	var calls, orders []time.Duration
 	for i := range 1200 {
@@ -44,7 +44,7 @@
 }
 
 // Where only orders bring a function in, it is ordered once and its calls wait for the answer.
-func TestOrdersWhatWorkersDoNotLoad(t *testing.T) {
+func TestOrdersLoadsWithoutLoadOnDemand(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
 	acts := append(harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), harness.wait(100*millisecond)...)
 	loads := actionsOf[Load](acts)
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -7,7 +7,7 @@
 )
 
 // Rule 3: nothing new to a worker that drains or is gone, from the moment it is told.
-func TestDrains(t *testing.T) {
+func TestNothingIsSentToDrainingWorkers(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Gone} {
 		harness := newHarness(t, settings(loadsAllowed), readyWorkers(3)...)
 		s := harness.send("a", "f")
@@ -36,7 +36,7 @@
 
 // After a stall nothing is sent until the list is known to be good again, or that takes too long; what cannot wait so
 // long is refused in time.
-func TestNothingIsSentByAnOldList(t *testing.T) {
+func TestStaleEndpointsHoldSends(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
 	if got := actionsOf[Send](append(harness.step(millisecond, newTestRequest("a", "f")), harness.wait(200*millisecond)...)); len(got) > 0 {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestNewStartIsEmpty(t *testing.T) {
+func TestRestartVoidsWarmInstances(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestSecondCopies(t *testing.T) {
+func TestHedging(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		change  []func(*Settings)
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -18,7 +18,7 @@
 }
 
 // After a restart calls go where copies stood, and what warm workers answer is known from the first call on.
-func TestRecall(t *testing.T) {
+func TestRestoreState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(6)...)
 	m := harness.router.LearnedState()
 	next := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
@@ -38,7 +38,7 @@
 
 // What no longer holds is passed over: copies of workers that started anew or are gone, or that rested for too long, and
 // all of it where something was learned already or the memory is of a time to come.
-func TestRecallOfNoUse(t *testing.T) {
+func TestRestoreIgnoresVoidState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
 	for _, tt := range []struct {
@@ -74,7 +74,7 @@
 }
 
 // Whatever stands in a memory, a Router that took it up goes on deciding, and what it remembers then is sound.
-func TestRecallAnything(t *testing.T) {
+func TestRestoreArbitraryState(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
 	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -8,7 +8,7 @@
 )
 
 // A worker that takes calls and answers none is left alone, and tried again with one call at a time.
-func TestSilentWorker(t *testing.T) {
+func TestEjectsUnresponsiveWorker(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestOneHeavyCallIsNoSilentWorker(t *testing.T) {
+func TestOneOverdueRequestDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
@@ -39,7 +39,7 @@
 }
 
 // A connection that does not come up says nothing of a worker that answered on another meanwhile.
-func TestOneConnectionThatNeverComesUp(t *testing.T) {
+func TestConnectFailureAfterAnswerDoesNotEject(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		harness := newHarness(t, settings(), readyWorker("w0", 0))
 		first := harness.send("a", "f")
@@ -56,7 +56,7 @@
 }
 
 // After a stall the timer may stand before the answers of the same batch: no worker is suspected for that.
-func TestStallRaisesNoSuspicion(t *testing.T) {
+func TestStallDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	one, two := harness.send("one", "f"), harness.send("two", "f")
 	acts := harness.step(2*time.Second, TimerFired{tickToken}, attemptEnd(one, 0, Served), attemptEnd(two, 0, Served))
@@ -89,7 +89,7 @@
 
 // On the word of enough others a worker gets nothing but trials, until it answers one; not while its own answers
 // are fresh, and not more of them than leaves the rest room.
-func TestLeavesOutOnTheWordOfOthers(t *testing.T) {
+func TestEjectsOnConfirmedReports(t *testing.T) {
 	harness := harnessWithPeers(t, 8)
 	harness.step(0, confirmedReports("w3"))
 	if harness.router.workers["w3"].ejected {
@@ -128,7 +128,7 @@
 }
 
 // One alone has only calls that must not be repeated go elsewhere, and not if all are accused.
-func TestOneAccuserAlone(t *testing.T) {
+func TestSingleReportDivertsNonIdempotent(t *testing.T) {
 	harness := harnessWithPeers(t, 4, nonIdempotent)
 	harness.wait(2 * time.Second)
 	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported}})
@@ -148,7 +148,7 @@
 }
 
 // What is seen is said: silence with its newest proof, its end, errors; without peers nothing is.
-func TestObserves(t *testing.T) {
+func TestReportsFaults(t *testing.T) {
 	for _, reporting := range []bool{true, false} {
 		harness := newHarness(t, settings(func(s *Settings) { s.FaultReporting = reporting }), readyWorkers(1)...)
 		s := harness.send("a", "f")
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestGoesWhereFoundWarm(t *testing.T) {
+func TestPrefersWarmInstance(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(8)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestSchedulersAgreeOnANewLoad(t *testing.T) {
+func TestSchedulersAgreeOnFirstLoad(t *testing.T) {
 	for i := range 10 {
 		f := fmt.Sprint("f", i)
 		one, two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...), newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
@@ -32,7 +32,7 @@
 }
 
 // A refused cold call pauses the worker for new loads, not at once trying the same one again.
-func TestPauseAfterTurningAway(t *testing.T) {
+func TestBacksOffAfterShed(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	s := harness.send("a", "f")
 	if acts := harness.step(millisecond, attemptEnd(s, 0, Shed)); len(actionsOf[Send](acts)) != 0 {
@@ -44,7 +44,7 @@
 }
 
 // A much called function is spread over several workers, the same ones at all schedulers; others keep to one.
-func TestHomesAreShared(t *testing.T) {
+func TestSchedulersAgreeOnPreferredWorkers(t *testing.T) {
 	var first []*worker
 	for seed := range uint64(3) {
 		r, err := New(settings(manySchedulers), seed)
@@ -79,7 +79,7 @@
 
 // A worker that all schedulers together press is left: by the more of its functions the more it is pressed, the same
 // ones first at every scheduler. Each scheduler alone once held on to its homes while a third of the workers idled.
-func TestPressedWorkerIsLeft(t *testing.T) {
+func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
 	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
 		w := harness.router.workers["w0"]
@@ -117,7 +117,7 @@
 
 // Requests of a pool stay in it, and go to the one that stands in where it has no room: by their estimate on arrival,
 // or when half their time has passed.
-func TestPoolSpills(t *testing.T) {
+func TestFallbackPool(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
 	first := &Pool{Workers: map[string]bool{"w0": true, "w1": true}, Fallback: second}
@@ -145,7 +145,7 @@
 }
 
 // Of two workers with nothing out, where many schedulers share them, the one that answered here lately is taken.
-func TestGoesWhereItWasMet(t *testing.T) {
+func TestPrefersWorkerThatAnsweredLately(t *testing.T) {
 	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -7,7 +7,7 @@
 
 // A refusal tells the client when to come back: when what is ahead will be done with, never later than clients
 // follow, and not at all where they are not told.
-func TestRefusalsAdvise(t *testing.T) {
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		honoured bool
@@ -38,7 +38,7 @@
 }
 
 // The ordinary path.
-func TestLeastDeadlineFirst(t *testing.T) {
+func TestEarliestDeadlineFirst(t *testing.T) {
 	harness := newHarness(t, settings())
 	late, soon := newTestRequest("late", "f"), newTestRequest("soon", "g")
 	soon.TimeLeft = 2 * time.Second
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+func TestRoutersShareNothing(t *testing.T) {
 	play1 := func(r *Router, i int) []Action {
 		return r.Step(time.Hour+time.Duration(i)*millisecond, []Event{newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%5))})
 	}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -8,7 +8,7 @@
 )
 
 // Rule 2: what may follow an attempt that did not serve.
-func TestRepeats(t *testing.T) {
+func TestRetriesByIdempotency(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	for _, tt := range []struct {
 		name    string
@@ -49,7 +49,7 @@
 
 func unchangedSettings(*Settings) {}
 
-func TestKeyedStaysInItsGroup(t *testing.T) {
+func TestKeyedRetryStaysInDeduplicationScope(t *testing.T) {
 	zones := map[string]int{}
 	for _, w := range readyWorkers(6) {
 		zones[w.ID] = w.Zone
@@ -65,7 +65,7 @@
 }
 
 // A stream that has started belongs to the client: nothing more is sent for it when it breaks.
-func TestStartedStreamIsNotRepeated(t *testing.T) {
+func TestStartedStreamIsNotRetried(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), readyWorkers(3)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, StreamStarted{ID: "a", Worker: s.Worker, Latency: 50 * millisecond})
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestStaleIDsArePassedOver(t *testing.T) {
+func TestUnknownIDsAreIgnored(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed), readyWorkers(2)...)
 	acts := harness.step(millisecond, attemptEnd(Send{ID: "none", Worker: "w0"}, 0, Served), ClientCanceled{"none"},
 		StreamStarted{ID: "none", Worker: "nobody"}, ProbeEnded{Worker: "nobody"}, TimerFired{Token: 99},
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -8,7 +8,7 @@
 )
 
 // Rule 4: a cold worker's budget holds in every window, with bursts, and falls with the schedulers' number.
-func TestColdBudget(t *testing.T) {
+func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
 	serve := func(d time.Duration) (cold []time.Duration) {
@@ -58,7 +58,7 @@
 
 // The budget holds for any window, not only for those that it is drawn for: what is saved till the end of one is not
 // followed by all of the next.
-func TestColdBudgetOfAnyWindow(t *testing.T) {
+func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
 	var cold []time.Duration
@@ -94,7 +94,7 @@
 }
 
 // Where nothing is told of a fall, a cold worker is called like any other.
-func TestNoColdBudget(t *testing.T) {
+func TestNoSlowStartBudgetWithoutOverload(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
 		"no time":     func(s *Settings) { s.OverloadDuration = 0 },
@@ -113,7 +113,7 @@
 }
 
 // Rule 4 with many schedulers: a share under one call must not be rounded up by each of them.
-func TestColdBudgetOfManySchedulers(t *testing.T) {
+func TestSlowStartBudgetOfManySchedulers(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
 		for seed := range schedulers {
