--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -8,7 +8,7 @@
 
 func TestRejectsOnArrival(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
-	first := harness.send("first", "f") // nothing ahead: never refused
+	first := harness.send("first", "f") // nothing ahead: never rejected
 	answer := attemptEnd(first, 0, Served)
 	answer.Latency = 900 * millisecond
 	harness.step(900*millisecond, answer)
@@ -17,11 +17,11 @@
 		refused += len(actionsOf[Reject](harness.step(0, newTestRequest(fmt.Sprint("r", i), "f"))))
 	}
 	if refused == 0 {
-		t.Error("nothing refused with a queue far longer than the deadline")
+		t.Error("nothing rejected with a queue far longer than the deadline")
 	}
 }
 
-// A function slower to load than its callers wait would be refused for ever if nobody's call began its load.
+// A function that loads more slowly than its clients wait would be rejected for ever if no request began its load.
 func TestFirstRequestBeginsLoadDespiteDeadline(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(3)...)
 	s := harness.send("warm", "g")
@@ -30,18 +30,18 @@
 	slow := newTestRequest("first", "f")
 	slow.TimeLeft, slow.LoadTime = 2500*millisecond, 5*time.Second
 	if acts := harness.step(millisecond, slow); len(actionsOf[Send](acts)) != 1 {
-		t.Errorf("first call: %v, want it sent", acts)
+		t.Errorf("first request: %v, want it sent", acts)
 	}
 	slow.ID = "second"
 	if acts := harness.step(millisecond, slow); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("second call, its load under way but too late: %v, want it refused", acts)
+		t.Errorf("second request, its load under way but too late: %v, want it rejected", acts)
 	}
 }
 
-// With the same work ahead, a class with a short aim is treated like one with a long aim, or it would starve.
+// With the same work ahead, a class with a short objective is treated like one with a long one, or it would starve.
 func TestShortObjectivesDoNotStarve(t *testing.T) {
 	for _, tt := range []struct {
-		ahead   float64 // seconds of work ahead, for each lane
+		ahead   float64 // seconds of work ahead, per unit of capacity
 		refused bool
 	}{{0.1, false}, {0.3, false}, {0.5, true}, {0.9, true}} {
 		for class := range 2 {
@@ -57,14 +57,14 @@
 			harness.router.inFlightWork = tt.ahead * harness.router.capacity
 			q.ID = "b"
 			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.refused {
-				t.Errorf("class %d with %v s ahead: refused %v, want %v", class, tt.ahead, got, tt.refused)
+				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.refused)
 			}
 		}
 	}
 }
 
-// What others have ahead shows in slow answers: part of the calls is refused on arrival, but never all, or
-// nothing would tell that the worker is well again. A scheduler of its own counts what it has out instead.
+// What peers have in flight shows in slow answers: part of the requests is rejected on arrival, but never all, or
+// nothing would show that the worker recovered. A single scheduler counts what it has in flight instead.
 func TestRejectsForWorkOfPeers(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -88,12 +88,12 @@
 			}
 		}
 		if refused > 0 != tt.some || refused > 190 != tt.all {
-			t.Errorf("%s: %d of 200 refused", tt.name, refused)
+			t.Errorf("%s: %d of 200 rejected", tt.name, refused)
 		}
 	}
 }
 
-// A tenant whose share at this scheduler is under one call a second still gets it.
+// A tenant whose quota at this scheduler is less than one request a second still gets it.
 func TestSmallQuotaAdmits(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) {
 		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
@@ -101,25 +101,25 @@
 	harness.now += time.Minute
 	harness.step(0)
 	if harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("the first call in a minute is past its share")
+		t.Error("the first request in a minute is over its quota")
 	}
 	if !harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("a second call at once is within a share of 0.2 a second")
+		t.Error("a second request at once is within a quota of 0.2 a second")
 	}
 	harness.now += 6 * time.Second
 	harness.step(0)
 	if harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("past its share after 6 s at 0.2 a second")
+		t.Error("over its quota after 6 s at 0.2 a second")
 	}
 }
 
-// On the word of others nobody is left out whom the rest could not do without.
+// Reports of peers eject no worker that the rest could not do without.
 func TestKeepsWorkersThatAreNeeded(t *testing.T) {
 	harness := harnessWithPeers(t, 4)
 	harness.wait(2 * time.Second)
 	for _, w := range harness.router.workerList {
 		w.concurrencyLimit = 2
-		w.inFlight = make([]*attempt, 1) // half of the lanes of each are taken
+		w.inFlight = make([]*attempt, 1) // half of the capacity of each is in use
 		defer func() { w.inFlight = nil }()
 	}
 	harness.router.now += time.Millisecond
@@ -127,7 +127,7 @@
 	harness.router.applyPeerReports(confirmedReports("w0", "w1", "w2", "w3"))
 	for _, w := range harness.router.workerList {
 		if w.ejected {
-			t.Errorf("%s is left out though half of all lanes are taken", w.ID)
+			t.Errorf("%s is ejected though half of all capacity is in use", w.ID)
 		}
 	}
 }
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Rule 5: orders to load are rationed within every window, however many functions ask for one.
+// Rule 5: the load budget holds in every window, however many functions need a load.
 func TestLoadBudget(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
 	var calls, orders []time.Duration
 	for i := range 1200 {
 		if i == 600 {
-			harness.now += 4 * time.Second // a lull: the window's edge then passes over a dense stretch of calls
+			harness.now += 4 * time.Second // a pause: the window's edge then passes over a dense stretch of requests
 		}
 		f := fmt.Sprint("f", i%40)
 		acts := harness.step(5*millisecond, newTestRequest(fmt.Sprint("r", i), f), TimerFired{tickToken})
@@ -32,7 +32,7 @@
 			}
 			return n
 		}
-		// A call may have come in up to a tick (here 2 ms) before the batch that told of it.
+		// A request may have arrived up to a tick (here 2 ms) before the batch that reported it.
 		got, most := in(orders, 5*time.Second), 2+0.01*in(calls, 5*time.Second-2*millisecond)
 		if got > most {
 			t.Fatalf("%v orders to load in the window, %v are allowed", got, most)
@@ -43,13 +43,13 @@
 	}
 }
 
-// Where only orders bring a function in, it is ordered once and its calls wait for the answer.
+// Where only orders load a function, there is one order and the requests wait for its answer.
 func TestOrdersLoadsWithoutLoadOnDemand(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
 	acts := append(harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), harness.wait(100*millisecond)...)
 	loads := actionsOf[Load](acts)
 	if len(loads) != 1 || len(actionsOf[Send](acts)) != 0 {
-		t.Fatalf("got %v, want one order and no call sent before its answer", acts)
+		t.Fatalf("got %v, want one order and no request sent before its answer", acts)
 	}
 	acts = harness.step(millisecond, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
 	for _, s := range actionsOf[Send](acts) {
@@ -58,6 +58,6 @@
 		}
 	}
 	if n := len(actionsOf[Send](acts)); n != 2 {
-		t.Errorf("%d calls sent once loaded, want 2", n)
+		t.Errorf("%d requests sent once loaded, want 2", n)
 	}
 }
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 3: nothing new to a worker that drains or is gone, from the moment it is told.
+// Rule 3: nothing new is sent to a worker from the moment it is listed as draining or gone.
 func TestNothingIsSentToDrainingWorkers(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Gone} {
 		harness := newHarness(t, settings(loadsAllowed), readyWorkers(3)...)
@@ -34,16 +34,16 @@
 	}
 }
 
-// After a stall nothing is sent until the list is known to be good again, or that takes too long; what cannot wait so
-// long is refused in time.
+// While the endpoint list may be stale nothing is sent, until it is known to be fresh or that takes too long; what
+// cannot wait so long is rejected in time.
 func TestStaleEndpointsHoldSends(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
 	if got := actionsOf[Send](append(harness.step(millisecond, newTestRequest("a", "f")), harness.wait(200*millisecond)...)); len(got) > 0 {
-		t.Fatalf("sent by a list that may be old: %v", got)
+		t.Fatalf("sent by a list that may be stale: %v", got)
 	}
 	if got := actionsOf[Send](harness.step(millisecond, EndpointsStale{})); len(got) != 1 {
-		t.Errorf("%d sends once the list is good, want 1", len(got))
+		t.Errorf("%d sends once the list is fresh, want 1", len(got))
 	}
 	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
 	short := newTestRequest("b", "f")
@@ -53,7 +53,7 @@
 		t.Errorf("sent after the bound on waiting: %v, want c alone", s)
 	}
 	if r := actionsOf[Reject](got); len(r) != 1 || r[0].ID != "b" {
-		t.Errorf("refused: %v, want b, whose time ran out", r)
+		t.Errorf("rejected: %v, want b, whose time ran out", r)
 	}
 }
 
@@ -67,11 +67,11 @@
 	}
 	harness.step(millisecond, WorkerList{Workers: []Worker{{ID: s.Worker, State: Ready, Started: harness.now}}})
 	if harness.router.isWarm(p) {
-		t.Error("still believed warm after a new start")
+		t.Error("still believed warm after a restart")
 	}
 }
 
-// Workers that are gone, and what was known of them, are forgotten in the end; one that is back is as good as new.
+// Workers that are gone, and what was known of them, are forgotten in the end; one that returns starts afresh.
 func TestGoneWorkersAreForgotten(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("stays", 0))
 	for i := range 50 {
@@ -83,7 +83,7 @@
 	harness.step(millisecond, WorkerList{Kind: ListChanges, Workers: []Worker{{ID: "w49", State: Gone}, readyWorker("stays", 0)}})
 	harness.wait(10 * time.Second)
 	if n, m, p := len(harness.router.workerList), len(harness.router.workers), len(harness.router.functions["f"].placements); n != 1 || m != 1 || p > 1 {
-		t.Errorf("%d and %d workers and %d pairs are kept, want those of one worker", n, m, p)
+		t.Errorf("%d and %d workers and %d placements are kept, want those of one worker", n, m, p)
 	}
 	if s := harness.send("last", "f"); s.Worker != "stays" {
 		t.Errorf("sent to %s", s.Worker)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -8,7 +8,7 @@
 
 const millisecond = time.Millisecond
 
-// settings returns settings with one safe class and plenty of everything.
+// settings returns settings with one idempotent class and plenty of everything.
 func settings(change ...func(*Settings)) Settings {
 	made := Settings{
 		Schedulers: 1, Tick: 2 * millisecond, MaxAttempts: 4, CancelAllowed: true, ProbeAllowed: true,
@@ -118,7 +118,7 @@
 
 func manySchedulers(s *Settings) { s.Schedulers = 80 }
 
-// warmUp has a bed answer calls of many functions, so that it knows what warm workers do.
+// warmUp answers requests of many functions, so that the Router knows the throughput of warm workers.
 func (b *testHarness) warmUp(calls int, gap time.Duration) {
 	for i := range calls {
 		acts := b.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -18,9 +18,9 @@
 			harness := newHarness(t, settings(tt.change...), readyWorkers(4)...)
 			harness.send("a", "f")
 			harness.send("b", "f")
-			acts := harness.wait(2800 * millisecond) // past a load's patience, with two calls unanswered
+			acts := harness.wait(2800 * millisecond) // until attempts that need a load are overdue, with two of them unanswered
 			if got := len(actionsOf[Send](acts)) > 0; got != tt.sends {
-				t.Errorf("second copies: %v, want %v", got, tt.sends)
+				t.Errorf("hedges: %v, want %v", got, tt.sends)
 			}
 			if got := len(actionsOf[Cancel](acts)) > 0; got != tt.cancels {
 				t.Errorf("cancels: %v, want %v", got, tt.cancels)
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -17,7 +17,8 @@
 	return harness
 }
 
-// After a restart calls go where copies stood, and what warm workers answer is known from the first call on.
+// After a restart requests go where instances were loaded, and the throughput of warm workers is known from the first
+// request on.
 func TestRestoreState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(6)...)
 	m := harness.router.LearnedState()
@@ -25,19 +26,19 @@
 	next.now = harness.now + time.Second
 	next.step(0, StateRestored{m})
 	if got, want := next.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
-		t.Errorf("a warm worker answers %v a second, as recalled; it was %v", got, want)
+		t.Errorf("a warm worker answers %v a second, as restored; it was %v", got, want)
 	}
 	for i := range 7 {
 		f := next.router.functions[fmt.Sprint("f", i)]
 		s := next.send(fmt.Sprint("r", i), f.name)
 		if p := f.placementAt(next.router.workers[s.Worker]); !next.router.isWarm(p) {
-			t.Errorf("%s went to %s, where no copy stood", f.name, s.Worker)
+			t.Errorf("%s went to %s, where no instance was loaded", f.name, s.Worker)
 		}
 	}
 }
 
-// What no longer holds is passed over: copies of workers that started anew or are gone, or that rested for too long, and
-// all of it where something was learned already or the memory is of a time to come.
+// What no longer holds is ignored: instances at workers that restarted or are gone, or that were idle for too long, and
+// all of it where something was learned already or the state was captured in the future.
 func TestRestoreIgnoresVoidState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
@@ -68,12 +69,12 @@
 			}
 		}
 		if knows != tt.knows {
-			t.Errorf("%s: copies are believed to stand: %v, want %v", tt.name, knows, tt.knows)
+			t.Errorf("%s: instances are believed loaded: %v, want %v", tt.name, knows, tt.knows)
 		}
 	}
 }
 
-// Whatever stands in a memory, a Router that took it up goes on deciding, and what it remembers then is sound.
+// Whatever a restored state holds, the Router goes on deciding, and the state that it exports then is plausible.
 func TestRestoreArbitraryState(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
 	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
@@ -109,7 +110,7 @@
 		}
 		again := harness.router.LearnedState()
 		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, harness.router.LearnedState()) {
-			rt.Fatalf("it remembers %+v", again)
+			rt.Fatalf("it exports %+v", again)
 		}
 	})
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A worker that takes calls and answers none is left alone, and tried again with one call at a time.
+// A worker that takes requests and answers none is ejected, and probed with one request at a time.
 func TestEjectsUnresponsiveWorker(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -16,14 +16,14 @@
 	harness.send("c", "f")
 	harness.wait(1500 * millisecond)
 	if w := harness.router.workers[s.Worker]; !w.ejected {
-		t.Fatal("two overdue calls and no answer: not suspect")
+		t.Fatal("two overdue requests and no answer: not ejected")
 	}
 	if d := harness.send("d", "f"); d.Worker == s.Worker {
-		t.Error("a suspect worker got another call at once")
+		t.Error("an ejected worker got another request at once")
 	}
 	harness.step(millisecond, attemptEnd(Send{ID: "b", Worker: s.Worker}, 0, Served))
 	if harness.router.workers[s.Worker].ejected {
-		t.Error("still suspect after an answer")
+		t.Error("still ejected after an answer")
 	}
 }
 
@@ -34,11 +34,11 @@
 	harness.send("heavy", "f")
 	harness.wait(1500 * millisecond)
 	if harness.router.workers[s.Worker].ejected {
-		t.Error("one overdue call made its worker suspect")
+		t.Error("one overdue request ejected its worker")
 	}
 }
 
-// A connection that does not come up says nothing of a worker that answered on another meanwhile.
+// A failed connection attempt says nothing of a worker that answered on another connection meanwhile.
 func TestConnectFailureAfterAnswerDoesNotEject(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		harness := newHarness(t, settings(), readyWorker("w0", 0))
@@ -50,21 +50,21 @@
 		harness.step(100*millisecond, attemptEnd(second, 0, ConnectFailed))
 		w := harness.router.workers["w0"]
 		if w.ejected == answered || (w.incarnation == 0) != answered {
-			t.Errorf("answered meanwhile %v: suspect %v, life %d", answered, w.ejected, w.incarnation)
+			t.Errorf("answered meanwhile %v: ejected %v, incarnation %d", answered, w.ejected, w.incarnation)
 		}
 	}
 }
 
-// After a stall the timer may stand before the answers of the same batch: no worker is suspected for that.
+// After a stall the timer may come before the answers of the same batch: no worker is ejected for that.
 func TestStallDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	one, two := harness.send("one", "f"), harness.send("two", "f")
 	acts := harness.step(2*time.Second, TimerFired{tickToken}, attemptEnd(one, 0, Served), attemptEnd(two, 0, Served))
 	if w := harness.router.workers[one.Worker]; w.ejected {
-		t.Error("suspect, though its answers came in the same batch")
+		t.Error("ejected, though its answers came in the same batch")
 	}
 	if got := actionsOf[Cancel](acts); len(got) > 0 {
-		t.Errorf("called off %v", got)
+		t.Errorf("canceled %v", got)
 	}
 }
 
@@ -87,31 +87,31 @@
 	return h
 }
 
-// On the word of enough others a worker gets nothing but trials, until it answers one; not while its own answers
-// are fresh, and not more of them than leaves the rest room.
+// A worker that enough peers report gets nothing but probes until it answers one; not while its own answers are
+// fresh, and no more workers than the rest can stand in for.
 func TestEjectsOnConfirmedReports(t *testing.T) {
 	harness := harnessWithPeers(t, 8)
 	harness.step(0, confirmedReports("w3"))
 	if harness.router.workers["w3"].ejected {
-		t.Error("left out though it has just answered")
+		t.Error("ejected though it has just answered")
 	}
 	harness.wait(2 * time.Second)
 	if acts := actionsOf[ReportFault](harness.step(0, confirmedReports("w3"))); len(acts) > 0 {
-		t.Errorf("what others say was passed on as seen here: %v", acts)
+		t.Errorf("reports of peers were passed on as observed here: %v", acts)
 	}
 	for i := range 40 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
 		if s.Worker == "w3" && harness.router.workers["w3"].probes == 0 {
-			t.Fatal("sent to a worker that is left out")
+			t.Fatal("sent to an ejected worker")
 		}
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if !harness.router.workers["w3"].ejected {
-		t.Error("not left out")
+		t.Error("not ejected")
 	}
 	harness.step(0, PeerReports{Cleared: []string{"w3"}})
 	if w := harness.router.workers["w3"]; harness.router.now < w.probationAt {
-		t.Error("not tried at once though another has had an answer")
+		t.Error("not probed at once though a peer has had an answer")
 	}
 	harness = harnessWithPeers(t, 8)
 	harness.wait(2 * time.Second)
@@ -123,11 +123,11 @@
 		}
 	}
 	if out == len(harness.router.workerList) {
-		t.Error("all workers are left out on the word of others")
+		t.Error("all workers are ejected on reports of peers")
 	}
 }
 
-// One alone has only calls that must not be repeated go elsewhere, and not if all are accused.
+// A single report only diverts requests that must not be repeated, and not if all workers are reported.
 func TestSingleReportDivertsNonIdempotent(t *testing.T) {
 	harness := harnessWithPeers(t, 4, nonIdempotent)
 	harness.wait(2 * time.Second)
@@ -135,19 +135,19 @@
 	for i := range 20 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
 		if s.Worker == "w0" {
-			t.Fatal("a call that must not be repeated went to a worker that one accuses")
+			t.Fatal("a request that must not be repeated went to a worker that one peer reports")
 		}
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if harness.router.workers["w0"].ejected {
-		t.Error("left out on the word of one")
+		t.Error("ejected on the report of one peer")
 	}
 	harness.wait(2 * time.Second)
 	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}})
 	harness.send("last", "f0")
 }
 
-// What is seen is said: silence with its newest proof, its end, errors; without peers nothing is.
+// Faults are reported: an unresponsive worker with the newest evidence, and its recovery; without peers nothing is.
 func TestReportsFaults(t *testing.T) {
 	for _, reporting := range []bool{true, false} {
 		harness := newHarness(t, settings(func(s *Settings) { s.FaultReporting = reporting }), readyWorkers(1)...)
@@ -161,7 +161,7 @@
 		seen = append(seen, actionsOf[ReportFault](harness.wait(time.Second))...)
 		back := harness.now
 		seen = append(seen, actionsOf[ReportFault](harness.step(0, attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
-		want := []ReportFault{{"w0", Unresponsive, sent}, {"w0", Healthy, back}} // both are overdue at the same look
+		want := []ReportFault{{"w0", Unresponsive, sent}, {"w0", Healthy, back}} // both are overdue in the same sweep
 		if !reporting {
 			want = nil
 		}
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -31,19 +31,19 @@
 	}
 }
 
-// A refused cold call pauses the worker for new loads, not at once trying the same one again.
+// After a request that needed a load was shed, the worker gets no new load for a while.
 func TestBacksOffAfterShed(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	s := harness.send("a", "f")
 	if acts := harness.step(millisecond, attemptEnd(s, 0, Shed)); len(actionsOf[Send](acts)) != 0 {
-		t.Errorf("sent back at once to a worker that turned it away: %v", acts)
+		t.Errorf("sent back at once to a worker that shed it: %v", acts)
 	}
 	if acts := harness.wait(2500 * millisecond); len(actionsOf[Send](acts)) == 0 {
-		t.Error("never tried again")
+		t.Error("never retried")
 	}
 }
 
-// A much called function is spread over several workers, the same ones at all schedulers; others keep to one.
+// A much called function is spread over several workers, the same ones at all schedulers; others prefer one.
 func TestSchedulersAgreeOnPreferredWorkers(t *testing.T) {
 	var first []*worker
 	for seed := range uint64(3) {
@@ -64,21 +64,22 @@
 		}
 		hot, rare := b.router.preferredWorkers(b.router.functions["hot"]), b.router.preferredWorkers(b.router.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
-			t.Fatalf("%d homes for half of all calls and %d for a rare function, want many and 1", len(hot), len(rare))
+			t.Fatalf("%d preferred workers for half of all requests and %d for a rare function, want many and 1", len(hot), len(rare))
 		}
 		if first == nil {
 			first = hot
 		}
 		for i := range min(len(hot), len(first)) {
 			if hot[i].ID != first[i].ID {
-				t.Errorf("home %d is %s at one scheduler and %s at another", i, hot[i].ID, first[i].ID)
+				t.Errorf("preferred worker %d is %s at one scheduler and %s at another", i, hot[i].ID, first[i].ID)
 			}
 		}
 	}
 }
 
-// A worker that all schedulers together press is left: by the more of its functions the more it is pressed, the same
-// ones first at every scheduler. Each scheduler alone once held on to its homes while a third of the workers idled.
+// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, the
+// same ones first at every scheduler. Each scheduler alone once held on to its preferred workers while a third of the
+// workers idled.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
 	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
@@ -111,12 +112,12 @@
 		}
 	}
 	if own := leaving(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
-		t.Errorf("%d functions leave a worker that is pressed by our own calls", len(own))
+		t.Errorf("%d functions leave a worker that is under pressure by our own requests", len(own))
 	}
 }
 
-// Requests of a pool stay in it, and go to the one that stands in where it has no room: by their estimate on arrival,
-// or when half their time has passed.
+// Requests of a pool stay in it, and go to its fallback where it has no capacity: by their estimate on arrival, or when
+// half their time has passed.
 func TestFallbackPool(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
@@ -144,7 +145,7 @@
 	}
 }
 
-// Of two workers with nothing out, where many schedulers share them, the one that answered here lately is taken.
+// Of two workers with nothing in flight that many schedulers share, the one that answered here lately is taken.
 func TestPrefersWorkerThatAnsweredLately(t *testing.T) {
 	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -155,10 +156,10 @@
 		other = harness.router.workerList[1]
 	}
 	if !harness.router.busier(other, met) || harness.router.busier(met, other) {
-		t.Error("a worker that was never met is taken before one that was")
+		t.Error("a worker that never answered is taken before one that did")
 	}
 	harness.wait(harness.router.settings.InstanceKeepAlive + time.Second)
 	if harness.router.relativeLoad(met) != harness.router.relativeLoad(other) {
-		t.Error("a worker counts as met for ever")
+		t.Error("an answer counts for ever")
 	}
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A refusal tells the client when to come back: when what is ahead will be done with, never later than clients
-// follow, and not at all where they are not told.
+// A rejection tells the client when to retry: when the work ahead will be done, never later than clients follow, and
+// not at all where they don't get to see it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		honoured bool
 		workers  int
-		outWork  float64 // seconds; one worker has 12 lanes
+		outWork  float64 // seconds; one worker has a capacity of 12
 		want     time.Duration
 	}{
 		{"no worker", true, 0, 0, 500 * millisecond},
@@ -31,13 +31,13 @@
 			harness.router.actions = nil
 			harness.router.rejectOrFail(q)
 			if got := actionsOf[Reject](harness.router.actions); len(got) != 1 || got[0].RetryAfter.Round(millisecond) != tt.want {
-				t.Errorf("got %v, want one refusal with %v", got, tt.want)
+				t.Errorf("got %v, want one rejection with %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// The ordinary path.
+// The queue is served earliest deadline first.
 func TestEarliestDeadlineFirst(t *testing.T) {
 	harness := newHarness(t, settings())
 	late, soon := newTestRequest("late", "f"), newTestRequest("soon", "g")
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -54,7 +54,7 @@
 			case Reject:
 				final = action.ID
 				if q := held[action.ID]; q != nil && (q.dirty || len(q.out) > 0) && deployed.Classes[0].Idempotency == NonIdempotent {
-					t.Fatalf("step %d: %s refused though it may have run", i, action.ID)
+					t.Fatalf("step %d: %s rejected though it may have run", i, action.ID)
 				}
 			}
 			if final != "" {
@@ -145,7 +145,7 @@
 	for i := range 200 {
 		want := play1(alone, i)
 		if got := play1(a, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("step %d: beside another instance %v, alone %v", i, got, want)
+			t.Fatalf("step %d: beside another Router %v, alone %v", i, got, want)
 		}
 		play1(b, 2*i)
 	}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Rule 2: what may follow an attempt that did not serve.
+// Rule 2: which retries may follow an attempt that did not serve.
 func TestRetriesByIdempotency(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	for _, tt := range []struct {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -62,13 +62,13 @@
 		harness.step(0, newTestRequest("a", "f"))
 		early, late := harness.wait(1400*millisecond), harness.wait(100*millisecond)
 		if n := len(actionsOf[Reject](early)); n != 0 {
-			t.Errorf("%d refusals long before half of the client's time", n)
+			t.Errorf("%d rejections long before half of the client's time", n)
 		}
 		if n := len(actionsOf[Reject](late)) + len(actionsOf[Fail](late)); n != 1 {
 			t.Errorf("%d final answers, want 1", n)
 		}
 	})
-	// Past half its time a refusal costs where nothing was ever sent: what a worker has seen is held on.
+	// Past half its time a rejection is expensive where nothing was ever sent: what a worker has seen stays queued.
 	t.Run("no room after a worker turned it away", func(t *testing.T) {
 		harness := newHarness(t, settings(), readyWorkers(1)...)
 		s := harness.send("a", "f")
@@ -76,14 +76,14 @@
 		gone.State = Gone
 		harness.step(millisecond, WorkerList{Workers: []Worker{gone}}, attemptEnd(s, 0, Shed))
 		if acts := harness.wait(1900 * millisecond); len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 0 {
-			t.Errorf("got %v at half of the client's time, want it held", acts)
+			t.Errorf("got %v at half of the client's time, want it queued", acts)
 		}
 	})
 	t.Run("time-out at the deadline", func(t *testing.T) {
 		harness := newHarness(t, settings(nonIdempotent), readyWorkers(3)...)
 		s := harness.send("a", "f")
 		if s.Timeout >= 3*time.Second {
-			t.Errorf("time-out %v reaches past the client's time", s.Timeout)
+			t.Errorf("timeout %v reaches past the client's time", s.Timeout)
 		}
 		acts := harness.step(s.Timeout, attemptEnd(s, 0, TimedOut))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) != 0 {
@@ -97,7 +97,7 @@
 		harness := newHarness(t, settings(), readyWorkers(3)...)
 		s := harness.send("a", "f")
 		if n := len(actionsOf[Cancel](harness.step(millisecond, ClientCanceled{"a"}))); n != 1 {
-			t.Errorf("%d attempts called off when the client left, want 1", n)
+			t.Errorf("%d attempts canceled when the client left, want 1", n)
 		}
 		acts := append(harness.step(millisecond, attemptEnd(s, 0, Shed)), harness.wait(4*time.Second)...)
 		if len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
@@ -112,12 +112,12 @@
 		StreamStarted{ID: "none", Worker: "nobody"}, ProbeEnded{Worker: "nobody"}, TimerFired{Token: 99},
 		LoadEnded{Worker: "nobody", Function: "f"}, PeerMessage{From: 3})
 	if len(acts) != 0 {
-		t.Errorf("acted on stale ids: %v", acts)
+		t.Errorf("acted on unknown ids: %v", acts)
 	}
 	s := harness.send("a", "f")
 	harness.step(millisecond, attemptEnd(s, 5, Shed), attemptEnd(s, -1, Shed))
 	harness.step(millisecond, attemptEnd(s, 0, Served), attemptEnd(s, 0, Served))
 	if n := len(harness.router.workers[s.Worker].inFlight); n != 0 {
-		t.Errorf("%d attempts counted as out after the only one ended twice", n)
+		t.Errorf("%d attempts counted as in flight after the only one ended twice", n)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Rule 4: a cold worker's budget holds in every window, with bursts, and falls with the schedulers' number.
+// Rule 4: the budget of a warming worker holds in every window, with bursts, and falls with the number of schedulers.
 func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
@@ -23,7 +23,7 @@
 		}
 		return cold
 	}
-	serve(5 * time.Second) // about 100 calls a second on one warm worker
+	serve(5 * time.Second) // about 100 requests a second on one warm worker
 	rate := float64(harness.router.throughputPerWeight)
 	harness.step(0, WorkerList{Workers: []Worker{
 		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
@@ -35,12 +35,11 @@
 }
 
 // checkSlowStartBudget checks that requests were sent to a warming worker, and in no second more than overload it: it
-// can do as much as a rate
-// when it is warm.
+// can do as much as rate, in requests a second, when it is warm.
 func checkSlowStartBudget(t *testing.T, cold []time.Duration, started time.Duration, rate float64) {
 	t.Helper()
 	if len(cold) == 0 {
-		t.Fatal("nothing was sent to the cold worker")
+		t.Fatal("nothing was sent to the warming worker")
 	}
 	for i, t0 := range cold {
 		in := 0
@@ -51,12 +50,12 @@
 		}
 		share := 0.25 + 0.75*(t0+time.Second-started).Seconds()/10
 		if limit := 2 * share * rate; float64(in) > limit {
-			t.Fatalf("%d sends in the second from %v, the worker tips over at %.0f", in, t0-started, limit)
+			t.Fatalf("%d sends in the second from %v, the worker is overloaded at %.0f", in, t0-started, limit)
 		}
 	}
 }
 
-// The budget holds for any window, not only for those that it is drawn for: what is saved till the end of one is not
+// The budget holds for any window, not only for those that it is drawn for: what is saved until the end of one is not
 // followed by all of the next.
 func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
@@ -75,13 +74,13 @@
 			harness.step(0, attemptEnd(s, 0, Served))
 		}
 	}
-	for range 500 { // about 100 calls a second on one warm worker
+	for range 500 { // about 100 requests a second on one warm worker
 		step(1)
 	}
 	rate := float64(harness.router.throughputPerWeight)
 	harness.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: harness.now}, {ID: "w0", State: Draining}}})
 	started := harness.now
-	for range 6 { // a few calls begin a window, most come around its end
+	for range 6 { // a few requests begin a window, most come around its end
 		step(1)
 		for harness.now < harness.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
 			step(0)
@@ -93,7 +92,7 @@
 	checkSlowStartBudget(t, cold, started, rate)
 }
 
-// Where nothing is told of a fall, a cold worker is called like any other.
+// Where nothing overloads a warming worker, it is sent requests like any other.
 func TestNoSlowStartBudgetWithoutOverload(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
@@ -105,14 +104,14 @@
 		for i := range 5 {
 			acts := harness.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
 			if len(actionsOf[Send](acts)) != 1 {
-				t.Fatalf("%s: call %d is not sent", name, i)
+				t.Fatalf("%s: request %d is not sent", name, i)
 			}
 			harness.step(0, attemptEnd(actionsOf[Send](acts)[0], 0, Served))
 		}
 	}
 }
 
-// Rule 4 with many schedulers: a share under one call must not be rounded up by each of them.
+// Rule 4 with many schedulers: a share of less than one request must not be rounded up by each of them.
 func TestSlowStartBudgetOfManySchedulers(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
@@ -126,7 +125,7 @@
 			b.warmUp(50, time.Second)
 			b.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: b.now}}})
 			budget += b.router.settings.OverloadMultiple * b.router.settings.SlowStartFraction * float64(b.router.throughputPerWeight) * b.router.settings.OverloadDuration.Seconds()
-			for i := range 10 { // one window, with far more calls than the worker may get
+			for i := range 10 { // one window, with far more requests than the worker may get
 				for k := range 10 { // new functions: a fifth of them have the new worker as their first
 					id := fmt.Sprint("c", i, "-", k)
 					for _, s := range actionsOf[Send](b.step(5*millisecond, newTestRequest(id, "n"+id))) {
@@ -139,10 +138,10 @@
 			}
 		}
 		if got, most := float64(total), budget+3*math.Sqrt(budget)+1; got > most {
-			t.Errorf("%d schedulers sent %v calls to a cold worker within a window, %v are allowed", schedulers, got, most)
+			t.Errorf("%d schedulers sent %v requests to a warming worker within a window, %v are allowed", schedulers, got, most)
 		}
 		if schedulers >= 80 && total == 0 {
-			t.Errorf("%d schedulers sent nothing at all to a cold worker", schedulers)
+			t.Errorf("%d schedulers sent nothing at all to a warming worker", schedulers)
 		}
 	}
 }
