--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -11,12 +11,26 @@
 // settings returns settings with one idempotent class and plenty of everything.
 func settings(change ...func(*Settings)) Settings {
 	made := Settings{
-		Schedulers: 1, Tick: 2 * millisecond, MaxAttempts: 4, CancelAllowed: true, ProbeAllowed: true,
-		AnswerSlack: 8 * millisecond, DrainGrace: 500 * millisecond, SlowStartFraction: 0.25, SlowStartDuration: 10 * time.Second,
-		OverloadMultiple: 2, OverloadDuration: time.Second, InstanceKeepAlive: 8 * time.Second, LoadOnDemand: true,
-		AnswersTellStartType: true, AnswersTellInFlight: true,
+		Schedulers:           1,
+		Tick:                 2 * millisecond,
+		MaxAttempts:          4,
+		CancelAllowed:        true,
+		ProbeAllowed:         true,
+		AnswerSlack:          8 * millisecond,
+		DrainGrace:           500 * millisecond,
+		SlowStartFraction:    0.25,
+		SlowStartDuration:    10 * time.Second,
+		OverloadMultiple:     2,
+		OverloadDuration:     time.Second,
+		InstanceKeepAlive:    8 * time.Second,
+		LoadOnDemand:         true,
+		AnswersTellStartType: true,
+		AnswersTellInFlight:  true,
 		Classes: []Class{{
-			LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateValue: 0.3,
+			LatencyObjective:    time.Second,
+			Deadline:            4 * time.Second,
+			PriorityWeight:      1,
+			LateValue:           0.3,
 			DeduplicationWindow: 2 * time.Second,
 		}},
 	}
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -12,6 +12,7 @@
 
 // learnedHarness is a harness whose Router has served calls of some functions.
 func learnedHarness(t *testing.T, workers ...Worker) *testHarness {
+	t.Helper()
 	harness := newHarness(t, settings(manySchedulers), workers...)
 	harness.warmUp(200, 10*millisecond)
 	return harness
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -8,105 +8,158 @@
 	"time"
 )
 
-// playRandomEvents feeds a Router random legal events and checks rules 1 and 2 and the drain rule on what it does.
+// randomPlay plays the clients and workers of a Router at random, and checks rules 1 and 2 and the drain rule on what it
+// does.
+type randomPlay struct {
+	t        *testing.T
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration
+	step     int
+	requests map[string]*playedRequest
+	order    []string // ids of the requests, oldest first
+	workers  []Worker
+	ready    map[string]bool // by worker
+}
+
+// playedRequest is a request as its client and the workers see it.
+type playedRequest struct {
+	end        time.Duration  // when the client gives up
+	inFlight   map[int]string // worker of each attempt without an end
+	attempts   int
+	mayHaveRun bool
+	answered   bool
+}
+
+// playRandomEvents feeds a Router random legal events and returns its actions, step by step.
 func playRandomEvents(t *testing.T, deployed Settings, seed uint64, steps int) [][]Action {
+	t.Helper()
 	router, err := New(deployed, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rng := rand.New(rand.NewPCG(seed, 1))
-	type state struct {
-		end   time.Duration
-		out   map[int]string
-		n     int
-		dirty bool
-		done  bool
+	play := &randomPlay{
+		t:        t,
+		settings: deployed,
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		now:      time.Hour,
+		requests: map[string]*playedRequest{},
+		workers:  readyWorkers(6),
+		ready:    map[string]bool{},
 	}
-	held, order := map[string]*state{}, []string{}
-	workers := readyWorkers(6)
-	ok := map[string]bool{}
-	for _, w := range workers {
-		ok[w.ID] = true
+	for _, w := range play.workers {
+		play.ready[w.ID] = true
 	}
-	now := time.Hour
-	events := []Event{WorkerList{Kind: ListCached, Workers: workers}}
+	events := []Event{WorkerList{Kind: ListCached, Workers: play.workers}}
 	var all [][]Action
-	for i := range steps {
-		acts := router.Step(now, events)
-		all = append(all, acts)
-		for _, action := range acts {
-			final := ""
-			switch action := action.(type) {
-			case Send:
-				q := held[action.ID]
-				if q == nil || q.done || now >= q.end || !ok[action.Worker] ||
-					len(q.out) > 0 && !deployed.HedgingAllowed || q.dirty && deployed.Classes[0].Idempotency == NonIdempotent {
-					t.Fatalf("step %d: %+v breaks a rule: %+v", i, action, q)
-				}
-				q.out[q.n] = action.Worker
-				q.n++
-			case Load:
-				if !ok[action.Worker] {
-					t.Fatalf("step %d: order to %s", i, action.Worker)
-				}
-			case Fail:
-				final = action.ID
-			case Reject:
-				final = action.ID
-				if q := held[action.ID]; q != nil && (q.dirty || len(q.out) > 0) && deployed.Classes[0].Idempotency == NonIdempotent {
-					t.Fatalf("step %d: %s rejected though it may have run", i, action.ID)
-				}
-			}
-			if final != "" {
-				if held[final] == nil || held[final].done {
-					t.Fatalf("step %d: second final answer for %s", i, final)
-				}
-				held[final].done = true
-			}
+	for play.step = range steps {
+		actions := router.Step(play.now, events)
+		all = append(all, actions)
+		for _, action := range actions {
+			play.check(action)
 		}
-		now += time.Duration(rng.IntN(8)+2) * millisecond
-		events = []Event{TimerFired{tickToken}}
-		for _, id := range order {
-			open := held[id]
-			if !open.done && now > open.end+deployed.AnswerSlack {
-				t.Fatalf("step %d: %s unanswered past its time", i, id)
-			}
-			for attempt := range open.n {
-				target, out := open.out[attempt]
-				if !out || now < open.end-5*millisecond && rng.IntN(12) > 0 {
-					continue
-				}
-				delete(open.out, attempt)
-				o := Outcome(rng.IntN(int(NotLoaded) + 1))
-				if now >= open.end-5*millisecond {
-					o = TimedOut
-				}
-				if o == Served {
-					open.done = true
-				} else if o != Shed && o != ConnectFailed && o != NotSent && o != NotLoaded {
-					open.dirty = true
-				}
-				events = append(events, AttemptEnded{
-					ID: id, Attempt: attempt, Worker: target, Outcome: o, RequestAnswered: open.done,
-					Latency: 30 * millisecond, StartType: StartType(rng.IntN(4)), InFlightForFunction: rng.IntN(3),
-				})
-			}
+		play.now += time.Duration(play.rng.IntN(8)+2) * millisecond
+		events = append([]Event{TimerFired{tickToken}}, play.attemptEnds()...)
+		events = append(events, play.newRequests()...)
+		events = append(events, play.workerChanges()...)
+	}
+	return all
+}
+
+// check fails the test if an action breaks a rule, and notes it otherwise.
+func (p *randomPlay) check(action Action) {
+	p.t.Helper()
+	nonIdempotent := p.settings.Classes[0].Idempotency == NonIdempotent
+	switch action := action.(type) {
+	case Send:
+		req := p.requests[action.ID]
+		if req == nil || req.answered || p.now >= req.end || !p.ready[action.Worker] ||
+			len(req.inFlight) > 0 && !p.settings.HedgingAllowed || req.mayHaveRun && nonIdempotent {
+			p.t.Fatalf("step %d: %+v breaks a rule: %+v", p.step, action, req)
 		}
-		if rng.IntN(3) == 0 {
-			q := newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", rng.IntN(9)))
-			q.TimeLeft = time.Duration(100+rng.IntN(900)) * millisecond
-			held[q.ID] = &state{end: now + q.TimeLeft, out: map[int]string{}}
-			order = append(order, q.ID)
-			events = append(events, q)
+		req.inFlight[req.attempts] = action.Worker
+		req.attempts++
+	case Load:
+		if !p.ready[action.Worker] {
+			p.t.Fatalf("step %d: order to %s", p.step, action.Worker)
 		}
-		if rng.IntN(100) == 0 {
-			w := workers[rng.IntN(len(workers))]
-			w.State = WorkerState(rng.IntN(3))
-			ok[w.ID] = w.State == Ready
-			events = append(events, WorkerList{Workers: []Worker{w}})
+	case Fail:
+		p.checkFinal(action.ID)
+	case Reject:
+		req := p.requests[action.ID]
+		if req != nil && (req.mayHaveRun || len(req.inFlight) > 0) && nonIdempotent {
+			p.t.Fatalf("step %d: %s rejected though it may have run", p.step, action.ID)
 		}
+		p.checkFinal(action.ID)
 	}
-	return all
+}
+
+// checkFinal fails the test if a request has its final answer already.
+func (p *randomPlay) checkFinal(id string) {
+	p.t.Helper()
+	if p.requests[id] == nil || p.requests[id].answered {
+		p.t.Fatalf("step %d: second final answer for %s", p.step, id)
+	}
+	p.requests[id].answered = true
+}
+
+// attemptEnds ends some of the attempts in flight, and fails the test if a request is unanswered past its time.
+func (p *randomPlay) attemptEnds() []Event {
+	p.t.Helper()
+	var events []Event
+	for _, id := range p.order {
+		req := p.requests[id]
+		if !req.answered && p.now > req.end+p.settings.AnswerSlack {
+			p.t.Fatalf("step %d: %s unanswered past its time", p.step, id)
+		}
+		for number := range req.attempts {
+			target, inFlight := req.inFlight[number]
+			expires := p.now >= req.end-5*millisecond
+			if !inFlight || !expires && p.rng.IntN(12) > 0 {
+				continue
+			}
+			delete(req.inFlight, number)
+			outcome := Outcome(p.rng.IntN(int(NotLoaded) + 1))
+			if expires {
+				outcome = TimedOut
+			}
+			switch outcome {
+			case Served:
+				req.answered = true
+			case Shed, ConnectFailed, NotSent, NotLoaded:
+			default:
+				req.mayHaveRun = true
+			}
+			events = append(events, AttemptEnded{
+				ID: id, Attempt: number, Worker: target, Outcome: outcome, RequestAnswered: req.answered,
+				Latency: 30 * millisecond, StartType: StartType(p.rng.IntN(4)), InFlightForFunction: p.rng.IntN(3),
+			})
+		}
+	}
+	return events
+}
+
+// newRequests makes a request in one step of three.
+func (p *randomPlay) newRequests() []Event {
+	if p.rng.IntN(3) != 0 {
+		return nil
+	}
+	req := newTestRequest(fmt.Sprint("r", p.step), fmt.Sprint("f", p.rng.IntN(9)))
+	req.TimeLeft = time.Duration(100+p.rng.IntN(900)) * millisecond
+	p.requests[req.ID] = &playedRequest{end: p.now + req.TimeLeft, inFlight: map[int]string{}}
+	p.order = append(p.order, req.ID)
+	return []Event{req}
+}
+
+// workerChanges changes the state of a worker in one step of a hundred.
+func (p *randomPlay) workerChanges() []Event {
+	if p.rng.IntN(100) != 0 {
+		return nil
+	}
+	changed := p.workers[p.rng.IntN(len(p.workers))]
+	changed.State = WorkerState(p.rng.IntN(3))
+	p.ready[changed.ID] = changed.State == Ready
+	return []Event{WorkerList{Workers: []Worker{changed}}}
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
