--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -8,15 +8,29 @@
 
 const millisecond = time.Millisecond
 
-// settings returns settings with one safe class and plenty of everything.
+// settings returns settings with one idempotent class and plenty of everything.
 func settings(change ...func(*Settings)) Settings {
 	made := Settings{
-		Schedulers: 1, Tick: 2 * millisecond, MaxAttempts: 4, CancelAllowed: true, ProbeAllowed: true,
-		AnswerSlack: 8 * millisecond, DrainGrace: 500 * millisecond, SlowStartFraction: 0.25, SlowStartDuration: 10 * time.Second,
-		OverloadMultiple: 2, OverloadDuration: time.Second, InstanceKeepAlive: 8 * time.Second, LoadOnDemand: true,
-		AnswersTellStartType: true, AnswersTellInFlight: true,
+		Schedulers:           1,
+		Tick:                 2 * millisecond,
+		MaxAttempts:          4,
+		CancelAllowed:        true,
+		ProbeAllowed:         true,
+		AnswerSlack:          8 * millisecond,
+		DrainGrace:           500 * millisecond,
+		SlowStartFraction:    0.25,
+		SlowStartDuration:    10 * time.Second,
+		OverloadMultiple:     2,
+		OverloadDuration:     time.Second,
+		InstanceKeepAlive:    8 * time.Second,
+		LoadOnDemand:         true,
+		AnswersTellStartType: true,
+		AnswersTellInFlight:  true,
 		Classes: []Class{{
-			LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateValue: 0.3,
+			LatencyObjective:    time.Second,
+			Deadline:            4 * time.Second,
+			PriorityWeight:      1,
+			LateValue:           0.3,
 			DeduplicationWindow: 2 * time.Second,
 		}},
 	}
@@ -118,7 +132,7 @@
 
 func manySchedulers(s *Settings) { s.Schedulers = 80 }
 
-// warmUp has a bed answer calls of many functions, so that it knows what warm workers do.
+// warmUp answers requests of many functions, so that the Router knows the throughput of warm workers.
 func (b *testHarness) warmUp(calls int, gap time.Duration) {
 	for i := range calls {
 		acts := b.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
