--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -94,8 +94,8 @@
 }
 
 const (
-	lineIll     = "worker ill on the word of peers"
-	lineUnheard = "peer not heard for a while"
+	lineIll     = "worker confirmed faulty by peers"
+	lineUnheard = "peer reports ignored for a while"
 )
 
 // callOf is a call of a class, with a body that says through whom it goes.
@@ -211,7 +211,7 @@
 	f.Workers[5].Set(testbed.Sound)
 	all(t, f, "the worker is taken back", func(in *testbed.Instance) bool {
 		n := in.Count(lineIll)
-		return n == 0 || in.Count("worker no longer ill on the word of peers") == n
+		return n == 0 || in.Count("worker no longer confirmed faulty by peers") == n
 	})
 	stop()
 
@@ -306,7 +306,7 @@
 	}
 	trusting := &testbed.Fleet{Instances: f.Instances[:3]}
 	all(t, trusting, "a revoked member is dropped", func(in *testbed.Instance) bool {
-		return says(in, "peer no longer counts: its certificate does not", "peer", "n3")
+		return says(in, "peer removed: its certificate is no longer valid", "peer", "n3")
 	})
 
 	// A new authority beside the old one, and a member that has a key of it.
@@ -320,7 +320,7 @@
 	for _, in := range f.Instances[:3] {
 		hup(in, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	all(t, trusting, "the new authority is taken up", func(in *testbed.Instance) bool { return in.Count("gossip settings taken up") == 2 })
+	all(t, trusting, "the new authority is taken up", func(in *testbed.Instance) bool { return in.Count("gossip settings reloaded") == 2 })
 	f.Instances[3].Kill()
 	if err := f.Instances[3].NewKey(next); err != nil {
 		t.Fatal(err)
@@ -352,7 +352,7 @@
 	}
 	t.Cleanup(twin.Kill)
 	all(t, &testbed.Fleet{Instances: f.Instances[1:2]}, "the earlier of two with one name falls silent", func(in *testbed.Instance) bool {
-		return in.Count("another scheduler has this one's name: this one says no more") == 1
+		return in.Count("name conflict: another scheduler with this name started later, gossip stopped") == 1
 	})
 }
 
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -202,12 +202,12 @@
 	removed := n.guard.UpdateTrust(own, n.trust, time.Now())
 	events := []gossip.Event{gossip.UpdateSeeds{Seeds: settings.Seeds}}
 	for _, name := range removed {
-		n.log.WithField("peer", name).Warn("peer no longer counts: its certificate does not")
+		n.log.WithField("peer", name).Warn("peer removed: its certificate is no longer valid")
 		events = append(events, gossip.RemoveMember{Name: name})
 	}
 	n.settings.Seeds = settings.Seeds
 	n.settings.Overlap = settings.Overlap
 	n.faultEvents = append(n.faultEvents, faultreport.Configure{Config: faultReportConfig(settings)})
 	n.step(events)
-	n.log.Info("gossip settings taken up")
+	n.log.Info("gossip settings reloaded")
 }
--- a/internal/fleet/transport/step.go
+++ b/internal/fleet/transport/step.go
@@ -86,7 +86,7 @@
 			n.faultEvents = append(n.faultEvents,
 				faultreport.Heard{From: action.Statement.Name, Body: action.Statement.Body})
 		case gossip.NameConflict:
-			n.log.WithField("name", n.own.Name()).Error("another scheduler has this one's name: this one says no more")
+			n.log.WithField("name", n.own.Name()).Error("name conflict: another scheduler with this name started later, gossip stopped")
 		}
 	}
 	if membersChanged {
@@ -105,7 +105,7 @@
 		case faultreport.Say:
 			body, err := faultreport.Encode(action.Accusations)
 			if err != nil {
-				n.rateLimitedLog.Warn(now, "statement not made", err)
+				n.rateLimitedLog.Warn(now, "statement not encoded", err)
 				continue
 			}
 			n.statementSeq++
@@ -113,7 +113,7 @@
 		case faultreport.Hold:
 			n.publishPeerReports(action.PeerReports)
 		case faultreport.Discredited:
-			n.log.WithFields(logrus.Fields{"peer": action.From, "why": action.Why}).Warn("peer not heard for a while")
+			n.log.WithFields(logrus.Fields{"peer": action.From, "why": action.Why}).Warn("peer reports ignored for a while")
 		}
 	}
 	return events
@@ -154,12 +154,12 @@
 	for worker, verdict := range reports.Verdicts {
 		if verdict == routing.Confirmed && n.verdicts[worker] != routing.Confirmed {
 			n.log.WithFields(logrus.Fields{"worker": worker, "accusers": n.faultReports.Need()}).
-				Warn("worker ill on the word of peers")
+				Warn("worker confirmed faulty by peers")
 		}
 	}
 	for worker, verdict := range n.verdicts {
 		if verdict == routing.Confirmed && reports.Verdicts[worker] != routing.Confirmed {
-			n.log.WithField("worker", worker).Info("worker no longer ill on the word of peers")
+			n.log.WithField("worker", worker).Info("worker no longer confirmed faulty by peers")
 		}
 	}
 	n.verdicts = reports.Verdicts
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -163,7 +163,7 @@
 		switch l.Text("msg") {
 		case "peer alive", "peer suspect":
 			there[l.Text("peer")] = true
-		case "peer dead", "peer left", "peer no longer counts: its certificate does not":
+		case "peer dead", "peer left", "peer removed: its certificate is no longer valid":
 			delete(there, l.Text("peer"))
 		}
 	}
@@ -268,12 +268,12 @@
 		for _, l := range in.Log.Lines() {
 			w := l.Text("worker")
 			switch l.Text("msg") {
-			case "worker ill on the word of peers":
+			case "worker confirmed faulty by peers":
 				ill[w] = l.Time()
-			case "worker no longer ill on the word of peers":
+			case "worker no longer confirmed faulty by peers":
 				c.leftOut += sick(w, ill[w], l.Time())
 				delete(ill, w)
-			case "peer not heard for a while":
+			case "peer reports ignored for a while":
 				c.unheard++
 			case "gossip ended":
 				c.messages = max(c.messages, l.Number("sent")/l.Number("seconds"))
