--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -11,25 +11,25 @@
 	"pgregory.net/rapid"
 )
 
-var base = gossip.Config{
+var testConfig = gossip.Config{
 	ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
 	Messages: 20, MaxMembers: 4096,
 }
 
 // fleet is n nodes that found one another by one seed.
-func fleet(t testing.TB, n int, seed uint64) *Net {
+func newConvergedFleet(t testing.TB, n int, seed uint64) *Network {
 	t.Helper()
-	net := New(n, seed, base)
+	net := New(n, seed, testConfig)
 	for _, node := range net.Nodes {
 		net.Start(node, net.Nodes[0])
 	}
 	net.Run(30 * time.Second)
-	agree(t, net)
+	checkAgreement(t, net)
 	return net
 }
 
 // odd is the first thing that two nodes that are up do not agree on, "" if they do.
-func odd(net *Net) string {
+func firstDisagreement(net *Network) string {
 	for _, a := range net.Nodes {
 		if a.Core == nil {
 			continue
@@ -48,29 +48,29 @@
 	return ""
 }
 
-func agree(t testing.TB, net *Net) {
+func checkAgreement(t testing.TB, net *Network) {
 	t.Helper()
-	if o := odd(net); o != "" {
+	if o := firstDisagreement(net); o != "" {
 		t.Errorf("no agreement: %s", o)
 	}
 }
 
-func bounded(t testing.TB, net *Net) {
+func checkRateLimit(t testing.TB, net *Network) {
 	t.Helper()
 	for _, n := range net.Nodes {
-		if n.Window > base.Messages {
-			t.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.Window, base.Messages)
+		if n.Window > testConfig.Messages {
+			t.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.Window, testConfig.Messages)
 		}
 	}
 }
 
 func TestJoinDieLeaveReturn(t *testing.T) {
-	net := fleet(t, 12, 1)
+	net := newConvergedFleet(t, 12, 1)
 	net.Kill(net.Nodes[3])
 	net.Tell(net.Nodes[4], gossip.Leave{})
 	net.Kill(net.Nodes[4])
 	net.Run(25 * time.Second)
-	agree(t, net)
+	checkAgreement(t, net)
 	for _, n := range net.Nodes {
 		if n.Core != nil && n.Core.NumMembers() != 10 {
 			t.Errorf("%s counts %d members, want 10", n.Name, n.Core.NumMembers())
@@ -79,13 +79,13 @@
 	net.Start(net.Nodes[3], net.Nodes[0]) // nothing is kept on disk: it comes back as new
 	net.Start(net.Nodes[4], net.Nodes[0])
 	net.Run(15 * time.Second)
-	agree(t, net)
-	bounded(t, net)
+	checkAgreement(t, net)
+	checkRateLimit(t, net)
 }
 
 // Half the instances are killed and are back at once, under their names.
 func TestHalfBackAtOnce(t *testing.T) {
-	net := fleet(t, 12, 2)
+	net := newConvergedFleet(t, 12, 2)
 	for _, n := range net.Nodes[:6] {
 		net.Kill(n)
 	}
@@ -93,7 +93,7 @@
 		net.Start(n, net.Nodes[11])
 	}
 	net.Run(20 * time.Second)
-	agree(t, net)
+	checkAgreement(t, net)
 	for _, n := range net.Nodes {
 		for _, m := range n.Core.Members() {
 			for _, o := range net.Nodes {
@@ -103,12 +103,12 @@
 			}
 		}
 	}
-	bounded(t, net)
+	checkRateLimit(t, net)
 }
 
 // One that is stopped and goes on accuses nobody who is well, and is taken back.
 func TestPaused(t *testing.T) {
-	net := fleet(t, 12, 3)
+	net := newConvergedFleet(t, 12, 3)
 	dead := 0
 	net.Changed = func(n *Node, m gossip.Member) {
 		if m.State == gossip.Dead && m.Name != "n5" {
@@ -119,7 +119,7 @@
 	net.Run(3 * time.Second)
 	net.Resume(net.Nodes[5])
 	net.Run(20 * time.Second)
-	agree(t, net)
+	checkAgreement(t, net)
 	if dead > 0 {
 		t.Errorf("%d findings that a member is dead which is not", dead)
 	}
@@ -129,7 +129,7 @@
 // before it takes it for dead.
 func TestWordThatPassesOneBy(t *testing.T) {
 	for seed := range uint64(20) {
-		net := fleet(t, 12, seed)
+		net := newConvergedFleet(t, 12, seed)
 		net.Corrupt = func(n *Node, m *gossip.Transmit) bool {
 			told := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool { return r.Name == "n5" && r.Incarnation > 1 })
 			return !(told && m.To == "n7" && n.Name != "n5")
@@ -143,30 +143,30 @@
 		net.Run(3 * time.Second)
 		net.Resume(net.Nodes[5])
 		net.Run(10 * time.Second)
-		agree(t, net)
+		checkAgreement(t, net)
 	}
 }
 
 func TestPartitionHeals(t *testing.T) {
-	net := fleet(t, 12, 4)
+	net := newConvergedFleet(t, 12, 4)
 	for _, n := range net.Nodes[:5] {
-		n.Side = 1
+		n.Partition = 1
 	}
 	net.Run(40 * time.Second)
 	if got := net.Nodes[0].Core.NumMembers(); got != 5 {
 		t.Errorf("the smaller side counts %d members, want 5", got)
 	}
 	for _, n := range net.Nodes {
-		n.Side = 0
+		n.Partition = 0
 	}
 	net.Run(40 * time.Second)
-	agree(t, net)
-	bounded(t, net)
+	checkAgreement(t, net)
+	checkRateLimit(t, net)
 }
 
 // One that claims all day that everybody is dead has nobody counted dead.
 func TestLiarAboutMembers(t *testing.T) {
-	net := fleet(t, 12, 5)
+	net := newConvergedFleet(t, 12, 5)
 	dead := 0
 	net.Changed = func(n *Node, m gossip.Member) {
 		if m.State >= gossip.Dead {
@@ -187,7 +187,7 @@
 		net.Run(100 * time.Millisecond)
 	}
 	net.Run(15 * time.Second)
-	agree(t, net)
+	checkAgreement(t, net)
 	if dead > 0 {
 		t.Errorf("%d findings that a member is dead which is not", dead)
 	}
@@ -195,7 +195,7 @@
 
 // The later of two with one name stays; the earlier falls silent.
 func TestUsurped(t *testing.T) {
-	net := fleet(t, 4, 6)
+	net := newConvergedFleet(t, 4, 6)
 	older := net.Nodes[2].Core
 	acts := older.Step(net.Now, []gossip.Event{gossip.Received{
 		From: "n2", Epoch: net.Nodes[2].Epoch + 1,
@@ -211,7 +211,7 @@
 
 // A statement reaches all, once each, and no more is sent than is allowed.
 func TestStatements(t *testing.T) {
-	net := fleet(t, 40, 7)
+	net := newConvergedFleet(t, 40, 7)
 	heard := map[string]int{}
 	net.Heard = func(n *Node, s gossip.Statement) { heard[n.Name+fmt.Sprint(s.Seq)]++ }
 	for seq := range uint64(10) {
@@ -236,13 +236,13 @@
 	if missed > 0 {
 		t.Errorf("%d of %d statements did not arrive", missed, 390)
 	}
-	bounded(t, net)
+	checkRateLimit(t, net)
 }
 
 // Whatever happens, what is sent is bounded, what is held too, and after the last fault all agree again.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		net := New(rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.Uint64().Draw(t, "seed"), base)
+		net := New(rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.Uint64().Draw(t, "seed"), testConfig)
 		net.Loss = rapid.Float64Range(0, 0.2).Draw(t, "loss")
 		for _, n := range net.Nodes {
 			net.Start(n, net.Nodes...)
@@ -260,7 +260,7 @@
 			case 3:
 				net.Resume(n)
 			case 4:
-				n.Side = 1 - n.Side
+				n.Partition = 1 - n.Partition
 			case 5:
 				net.Send(n, net.Nodes[0].Addr, &gossip.Message{
 					Kind:  gossip.Kind(rapid.IntRange(1, 5).Draw(t, "kind")),
@@ -272,17 +272,17 @@
 		}
 		net.Loss = 0
 		for _, n := range net.Nodes {
-			n.Side = 0
+			n.Partition = 0
 			if n.Paused {
 				net.Resume(n)
 			}
 		}
 		net.Run(90 * time.Second)
-		if o := odd(net); o != "" {
+		if o := firstDisagreement(net); o != "" {
 			t.Errorf("no agreement after the last fault: %s", o)
 		}
 		for _, n := range net.Nodes {
-			if n.Window > base.Messages {
+			if n.Window > testConfig.Messages {
 				t.Errorf("%s sent %d messages in a second", n.Name, n.Window)
 			}
 			if n.Core != nil && len(n.Core.Members()) > len(net.Nodes) {
@@ -295,7 +295,7 @@
 // Members that ask all the time, want records and tell of members that do not exist leave the others their answers:
 // nobody is taken for suspect, and no more is sent than is allowed.
 func TestAskedAllTheTime(t *testing.T) {
-	net := fleet(t, 12, 8)
+	net := newConvergedFleet(t, 12, 8)
 	dead := 0
 	net.Changed = func(n *Node, m gossip.Member) {
 		if m.State >= gossip.Suspect {
@@ -311,8 +311,8 @@
 		}
 		net.Run(10 * time.Millisecond)
 	}
-	if o := odd(net); o != "" || dead > 0 {
+	if o := firstDisagreement(net); o != "" || dead > 0 {
 		t.Errorf("%d findings that a member is suspect which is well; %s", dead, o)
 	}
-	bounded(t, net)
+	checkRateLimit(t, net)
 }
--- a/internal/testbed/gossipsim/sim.go
+++ b/internal/testbed/gossipsim/sim.go
@@ -14,24 +14,24 @@
 
 // Node is one member.
 type Node struct {
-	Name   string
-	Addr   netip.AddrPort
-	Core   *gossip.Core // nil while it is down
-	Epoch  int64
-	Paused bool
-	Side   int // those on different sides do not reach one another
+	Name      string
+	Addr      netip.AddrPort
+	Core      *gossip.Core // nil while it is down
+	Epoch     int64
+	Paused    bool
+	Partition int // those on different sides do not reach one another
 
 	Sent  int
 	Bytes int
 	// Window is the most messages that it sent in any second so far.
-	Window int
-	meter  gossip.RateMeter
-	inbox  []gossip.Event // while it is paused
-	wake   time.Duration
+	Window  int
+	meter   gossip.RateMeter
+	pending []gossip.Event // while it is paused
+	wakeAt  time.Duration
 }
 
-// Net is the network. The zero figures are no loss and no delay.
-type Net struct {
+// Network is the network. The zero figures are no loss and no delay.
+type Network struct {
 	Now   time.Duration
 	Nodes []*Node
 	Loss  float64
@@ -44,15 +44,15 @@
 
 	rng    *rand.Rand
 	byAddr map[netip.AddrPort]*Node
-	queue  queue
+	queue  eventQueue
 	seq    int
-	base   gossip.Config
+	config gossip.Config
 }
 
 // New returns a network of n nodes that are down. The configuration gives what all have in common.
-func New(n int, seed uint64, base gossip.Config) *Net {
-	net := &Net{
-		Now: time.Second, rng: rand.New(rand.NewPCG(seed, 2)), byAddr: map[netip.AddrPort]*Node{}, base: base,
+func New(n int, seed uint64, base gossip.Config) *Network {
+	net := &Network{
+		Now: time.Second, rng: rand.New(rand.NewPCG(seed, 2)), byAddr: map[netip.AddrPort]*Node{}, config: base,
 		Delay: 2 * time.Millisecond,
 	}
 	for i := range n {
@@ -67,21 +67,21 @@
 }
 
 // Start brings a node up with a new epoch and the given seeds.
-func (n *Net) Start(node *Node, seeds ...*Node) {
-	c := n.base
+func (n *Network) Start(node *Node, seeds ...*Node) {
+	c := n.config
 	c.Name, c.Addr, c.Seed = node.Name, node.Addr, n.rng.Uint64()
 	for _, s := range seeds {
 		c.Seeds = append(c.Seeds, s.Addr)
 	}
 	node.Epoch = max(node.Epoch+1, n.Now.Milliseconds())
 	c.Epoch = node.Epoch
-	node.Core, node.Paused, node.inbox = gossip.New(c), false, nil
+	node.Core, node.Paused, node.pending = gossip.New(c), false, nil
 	node.meter = gossip.RateMeter{} // budgets start anew too
 	n.step(node, nil)
 }
 
 // Meet makes all nodes that are up known to one another, as after a long time together.
-func (n *Net) Meet() {
+func (n *Network) Meet() {
 	for _, node := range n.Nodes {
 		var all []gossip.Record
 		for _, o := range n.Nodes {
@@ -96,28 +96,28 @@
 }
 
 // Kill takes a node down without a word.
-func (n *Net) Kill(node *Node) { node.Core = nil }
+func (n *Network) Kill(node *Node) { node.Core = nil }
 
 // Pause stops a node; what comes meanwhile waits for it.
-func (n *Net) Pause(node *Node) { node.Paused = true }
+func (n *Network) Pause(node *Node) { node.Paused = true }
 
 // Resume has a paused node go on.
-func (n *Net) Resume(node *Node) {
-	events := node.inbox
-	node.Paused, node.inbox = false, nil
+func (n *Network) Resume(node *Node) {
+	events := node.pending
+	node.Paused, node.pending = false, nil
 	n.step(node, events)
 }
 
 // Tell hands a node events.
-func (n *Net) Tell(node *Node, events ...gossip.Event) { n.step(node, events) }
+func (n *Network) Tell(node *Node, events ...gossip.Event) { n.step(node, events) }
 
 // Send puts a message on the network as if from a node.
-func (n *Net) Send(from *Node, to netip.AddrPort, m *gossip.Message) {
+func (n *Network) Send(from *Node, to netip.AddrPort, m *gossip.Message) {
 	n.deliver(from, gossip.Transmit{Addr: to, Message: m})
 }
 
 // Run lets time pass.
-func (n *Net) Run(d time.Duration) {
+func (n *Network) Run(d time.Duration) {
 	end := n.Now + d
 	for len(n.queue) > 0 && n.queue[0].at <= end {
 		e := heap.Pop(&n.queue).(*event)
@@ -127,14 +127,14 @@
 			continue
 		}
 		if e.message == nil {
-			if !node.Paused && node.wake == e.at {
+			if !node.Paused && node.wakeAt == e.at {
 				n.step(node, nil)
 			}
 			continue
 		}
 		if node.Paused {
-			if len(node.inbox) < 200 { // as much as a socket holds
-				node.inbox = append(node.inbox, *e.message)
+			if len(node.pending) < 200 { // as much as a socket holds
+				node.pending = append(node.pending, *e.message)
 			}
 			continue
 		}
@@ -143,7 +143,7 @@
 	n.Now = end
 }
 
-func (n *Net) step(node *Node, events []gossip.Event) {
+func (n *Network) step(node *Node, events []gossip.Event) {
 	if node.Core == nil || node.Paused {
 		return
 	}
@@ -165,17 +165,17 @@
 		}
 	}
 	if next := node.Core.Next(); next < 1<<62 {
-		node.wake = max(next, n.Now+time.Millisecond)
-		n.push(&event{at: node.wake, node: node, epoch: node.Epoch})
+		node.wakeAt = max(next, n.Now+time.Millisecond)
+		n.push(&event{at: node.wakeAt, node: node, epoch: node.Epoch})
 	}
 }
 
-func (n *Net) deliver(from *Node, t gossip.Transmit) {
+func (n *Network) deliver(from *Node, t gossip.Transmit) {
 	if n.Corrupt != nil && !n.Corrupt(from, &t) {
 		return
 	}
 	to := n.byAddr[t.Addr]
-	if to == nil || to.Side != from.Side || n.rng.Float64() < n.Loss {
+	if to == nil || to.Partition != from.Partition || n.rng.Float64() < n.Loss {
 		return
 	}
 	size := t.Message.Size()
@@ -188,7 +188,7 @@
 	}})
 }
 
-func (n *Net) push(e *event) {
+func (n *Network) push(e *event) {
 	n.seq++
 	e.seq = n.seq
 	heap.Push(&n.queue, e)
@@ -203,15 +203,15 @@
 	message *gossip.Received
 }
 
-type queue []*event
+type eventQueue []*event
 
-func (q queue) Len() int      { return len(q) }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int      { return len(q) }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q *queue) Push(x any) { *q = append(*q, x.(*event)) }
-func (q *queue) Pop() any {
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
