--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -130,7 +130,7 @@
 func TestWordThatPassesOneBy(t *testing.T) {
 	for seed := range uint64(20) {
 		net := newConvergedFleet(t, 12, seed)
-		net.Corrupt = func(n *Node, m *gossip.Transmit) bool {
+		net.Intercept = func(n *Node, m *gossip.Transmit) bool {
 			told := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool { return r.Name == "n5" && r.Incarnation > 1 })
 			return !(told && m.To == "n7" && n.Name != "n5")
 		}
