--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -16,7 +16,7 @@
 	Messages: 20, MaxMembers: 4096,
 }
 
-// fleet is n nodes that found one another by one seed.
+// newConvergedFleet returns a fleet of n nodes that joined by one seed and agree on the members.
 func newConvergedFleet(t testing.TB, n int, seed uint64) *Network {
 	t.Helper()
 	net := New(n, seed, testConfig)
@@ -28,33 +28,45 @@
 	return net
 }
 
-// odd is the first thing that two nodes that are up do not agree on, "" if they do.
+// firstDisagreement describes the first node that is up and does not know the state of another, or is empty.
 func firstDisagreement(net *Network) string {
-	for _, a := range net.Nodes {
-		if a.Core == nil {
+	for _, observer := range net.Nodes {
+		if observer.Core == nil {
 			continue
 		}
-		held := map[string]gossip.State{}
-		for _, m := range a.Core.Members() {
-			held[m.Name] = m.State
+		states := map[string]gossip.State{}
+		for _, m := range observer.Core.Members() {
+			states[m.Name] = m.State
 		}
-		for _, b := range net.Nodes {
-			state, known := held[b.Name]
-			if up := b.Core != nil; a != b && (up && (!known || state != gossip.Alive) || !up && known && state <= gossip.Suspect) {
-				return fmt.Sprintf("%s holds %s for %v (known %v), up %v", a.Name, b.Name, state, known, up)
+		for _, subject := range net.Nodes {
+			state, known := states[subject.Name]
+			if subject != observer && !isCorrect(subject, state, known) {
+				return fmt.Sprintf("%s holds %s for %v (known %v), up %v", observer.Name, subject.Name, state, known,
+					subject.Core != nil)
 			}
 		}
 	}
 	return ""
 }
 
+// isCorrect reports whether what a member knows of a node is right: one that is up is alive, one that is down has no
+// state that counts, or is not known.
+func isCorrect(subject *Node, state gossip.State, known bool) bool {
+	if subject.Core != nil {
+		return known && state == gossip.Alive
+	}
+	return !known || !state.InFleet()
+}
+
+// checkAgreement checks that all nodes that are up know the state of all others.
 func checkAgreement(t testing.TB, net *Network) {
 	t.Helper()
-	if o := firstDisagreement(net); o != "" {
-		t.Errorf("no agreement: %s", o)
+	if disagreement := firstDisagreement(net); disagreement != "" {
+		t.Errorf("no agreement: %s", disagreement)
 	}
 }
 
+// checkRateLimit checks that no node has ever sent more messages in a second than are allowed.
 func checkRateLimit(t testing.TB, net *Network) {
 	t.Helper()
 	for _, n := range net.Nodes {
@@ -71,20 +83,20 @@
 	net.Kill(net.Nodes[4])
 	net.Run(25 * time.Second)
 	checkAgreement(t, net)
-	for _, n := range net.Nodes {
-		if n.Core != nil && n.Core.NumMembers() != 10 {
-			t.Errorf("%s counts %d members, want 10", n.Name, n.Core.NumMembers())
+	for _, node := range net.Nodes {
+		if node.Core != nil && node.Core.NumMembers() != 10 {
+			t.Errorf("%s counts %d members, want 10", node.Name, node.Core.NumMembers())
 		}
 	}
-	net.Start(net.Nodes[3], net.Nodes[0]) // nothing is kept on disk: it comes back as new
+	net.Start(net.Nodes[3], net.Nodes[0]) // nothing is kept on disk: it restarts as a new member
 	net.Start(net.Nodes[4], net.Nodes[0])
 	net.Run(15 * time.Second)
 	checkAgreement(t, net)
 	checkRateLimit(t, net)
 }
 
-// Half the instances are killed and are back at once, under their names.
-func TestHalfBackAtOnce(t *testing.T) {
+// Half of the members crash and restart at once under their names.
+func TestHalfRestartAtOnce(t *testing.T) {
 	net := newConvergedFleet(t, 12, 2)
 	for _, n := range net.Nodes[:6] {
 		net.Kill(n)
@@ -98,7 +110,7 @@
 		for _, m := range n.Core.Members() {
 			for _, o := range net.Nodes {
 				if o.Name == m.Name && o.Epoch != m.Epoch {
-					t.Errorf("%s holds an earlier life of %s", n.Name, m.Name)
+					t.Errorf("%s holds an earlier epoch of %s", n.Name, m.Name)
 				}
 			}
 		}
@@ -106,13 +118,13 @@
 	checkRateLimit(t, net)
 }
 
-// One that is stopped and goes on accuses nobody who is well, and is taken back.
+// A member that is paused and resumed declares no healthy member dead, and is alive to the others again.
 func TestPaused(t *testing.T) {
 	net := newConvergedFleet(t, 12, 3)
-	dead := 0
+	falseDeaths := 0
 	net.Changed = func(n *Node, m gossip.Member) {
 		if m.State == gossip.Dead && m.Name != "n5" {
-			dead++
+			falseDeaths++
 		}
 	}
 	net.Pause(net.Nodes[5])
@@ -120,23 +132,25 @@
 	net.Resume(net.Nodes[5])
 	net.Run(20 * time.Second)
 	checkAgreement(t, net)
-	if dead > 0 {
-		t.Errorf("%d findings that a member is dead which is not", dead)
+	if falseDeaths > 0 {
+		t.Errorf("%d healthy members declared dead", falseDeaths)
 	}
 }
 
-// One that is stopped and goes on contradicts; its word, which all tell on, passes one member by. That one asks it
-// before it takes it for dead.
-func TestWordThatPassesOneBy(t *testing.T) {
+// A member that is paused and resumed refutes the suspicion, and gossip of the refutation never reaches one member. That
+// one notifies the suspect before it declares it dead.
+func TestRefutationMissesOneMember(t *testing.T) {
 	for seed := range uint64(20) {
 		net := newConvergedFleet(t, 12, seed)
 		net.Intercept = func(n *Node, m *gossip.Transmit) bool {
-			told := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool { return r.Name == "n5" && r.Incarnation > 1 })
-			return !(told && m.To == "n7" && n.Name != "n5")
+			carriesRefutation := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool {
+				return r.Name == "n5" && r.Incarnation > 1
+			})
+			return !carriesRefutation || m.To != "n7" || n.Name == "n5"
 		}
 		net.Changed = func(n *Node, m gossip.Member) {
 			if m.State == gossip.Dead {
-				t.Errorf("seed %d: %s takes %s for dead", seed, n.Name, m.Name)
+				t.Errorf("seed %d: %s declares %s dead", seed, n.Name, m.Name)
 			}
 		}
 		net.Pause(net.Nodes[5])
@@ -164,56 +178,56 @@
 	checkRateLimit(t, net)
 }
 
-// One that claims all day that everybody is dead has nobody counted dead.
-func TestLiarAboutMembers(t *testing.T) {
+// A byzantine member that keeps claiming that all others are dead has nobody declared dead.
+func TestFalseDeathClaims(t *testing.T) {
 	net := newConvergedFleet(t, 12, 5)
-	dead := 0
+	falseDeaths := 0
 	net.Changed = func(n *Node, m gossip.Member) {
 		if m.State >= gossip.Dead {
-			dead++
+			falseDeaths++
 		}
 	}
-	liar := net.Nodes[7]
+	byzantine := net.Nodes[7]
 	for range 300 {
 		for _, o := range net.Nodes {
 			var claims []gossip.Claim
-			for _, m := range liar.Core.Members() {
+			for _, m := range byzantine.Core.Members() {
 				claims = append(claims, gossip.Claim{Name: m.Name, Epoch: m.Epoch, Incarnation: m.Incarnation, State: gossip.Dead})
 			}
-			if o != liar {
-				net.Send(liar, o.Addr, &gossip.Message{Kind: gossip.Gossip, Claims: claims})
+			if o != byzantine {
+				net.Send(byzantine, o.Addr, &gossip.Message{Kind: gossip.Gossip, Claims: claims})
 			}
 		}
 		net.Run(100 * time.Millisecond)
 	}
 	net.Run(15 * time.Second)
 	checkAgreement(t, net)
-	if dead > 0 {
-		t.Errorf("%d findings that a member is dead which is not", dead)
+	if falseDeaths > 0 {
+		t.Errorf("%d healthy members declared dead", falseDeaths)
 	}
 }
 
-// The later of two with one name stays; the earlier falls silent.
-func TestUsurped(t *testing.T) {
+// Of two members with one name the later stays, and the earlier stops.
+func TestNameConflict(t *testing.T) {
 	net := newConvergedFleet(t, 4, 6)
-	older := net.Nodes[2].Core
-	acts := older.Step(net.Now, []gossip.Event{gossip.Received{
+	earlier := net.Nodes[2].Core
+	actions := earlier.Step(net.Now, []gossip.Event{gossip.Received{
 		From: "n2", Epoch: net.Nodes[2].Epoch + 1,
 		Message: &gossip.Message{Kind: gossip.Ping, Nonce: 1},
 	}})
-	if len(acts) != 1 || acts[0] != (gossip.NameConflict{Epoch: net.Nodes[2].Epoch + 1}) {
-		t.Errorf("actions %v", acts)
+	if len(actions) != 1 || actions[0] != (gossip.NameConflict{Epoch: net.Nodes[2].Epoch + 1}) {
+		t.Errorf("actions %v", actions)
 	}
-	if acts := older.Step(net.Now+10*time.Second, nil); len(acts) > 0 {
-		t.Errorf("it goes on: %v", acts)
+	if actions := earlier.Step(net.Now+10*time.Second, nil); len(actions) > 0 {
+		t.Errorf("it has not stopped: %v", actions)
 	}
 }
 
-// A statement reaches all, once each, and no more is sent than is allowed.
+// A statement is received once by every member, and the rate limit is kept.
 func TestStatements(t *testing.T) {
 	net := newConvergedFleet(t, 40, 7)
-	heard := map[string]int{}
-	net.Heard = func(n *Node, s gossip.Statement) { heard[n.Name+fmt.Sprint(s.Seq)]++ }
+	received := map[string]int{}
+	net.Heard = func(n *Node, s gossip.Statement) { received[n.Name+fmt.Sprint(s.Seq)]++ }
 	for seq := range uint64(10) {
 		net.Tell(net.Nodes[0], gossip.Say{Statement: gossip.Statement{
 			Name: "n0", Epoch: 1, Seq: seq + 1, Body: make([]byte, 400),
@@ -224,95 +238,101 @@
 	missed := 0
 	for _, n := range net.Nodes[1:] {
 		for seq := range 10 {
-			switch heard[n.Name+fmt.Sprint(seq+1)] {
+			switch received[n.Name+fmt.Sprint(seq+1)] {
 			case 0:
 				missed++
 			case 1:
 			default:
-				t.Errorf("%s heard statement %d more than once", n.Name, seq+1)
+				t.Errorf("%s received statement %d more than once", n.Name, seq+1)
 			}
 		}
 	}
 	if missed > 0 {
-		t.Errorf("%d of %d statements did not arrive", missed, 390)
+		t.Errorf("%d of %d statements were not received", missed, 390)
 	}
 	checkRateLimit(t, net)
 }
 
-// Whatever happens, what is sent is bounded, what is held too, and after the last fault all agree again.
+// injectFault injects a random fault at a node, or ends one.
+func injectFault(rt *rapid.T, net *Network, node *Node) {
+	switch rapid.IntRange(0, 5).Draw(rt, "fault") {
+	case 0:
+		net.Kill(node)
+	case 1:
+		net.Start(node, net.Nodes...)
+	case 2:
+		net.Pause(node)
+	case 3:
+		net.Resume(node)
+	case 4:
+		node.Partition = 1 - node.Partition
+	case 5:
+		net.Send(node, net.Nodes[0].Addr, &gossip.Message{
+			Kind:  gossip.Kind(rapid.IntRange(1, 5).Draw(rt, "kind")),
+			Nonce: 1, Target: "n1",
+			Claims: []gossip.Claim{{Name: "n1", Epoch: net.Nodes[1].Epoch, Incarnation: 1, State: gossip.Dead}},
+			Want:   []string{"n0", "gone"}, Summaries: []gossip.Claim{{Name: "who"}},
+		})
+	}
+}
+
+// Whatever faults occur, messages and members are bounded, and after the last fault all agree again.
 func TestProperties(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		net := New(rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.Uint64().Draw(t, "seed"), testConfig)
-		net.Loss = rapid.Float64Range(0, 0.2).Draw(t, "loss")
-		for _, n := range net.Nodes {
-			net.Start(n, net.Nodes...)
+	rapid.Check(t, func(rt *rapid.T) {
+		net := New(rapid.IntRange(3, 12).Draw(rt, "nodes"), rapid.Uint64().Draw(rt, "seed"), testConfig)
+		net.Loss = rapid.Float64Range(0, 0.2).Draw(rt, "loss")
+		for _, node := range net.Nodes {
+			net.Start(node, net.Nodes...)
 		}
 		net.Run(10 * time.Second)
-		for range rapid.IntRange(1, 12).Draw(t, "faults") {
-			n := net.Nodes[rapid.IntRange(0, len(net.Nodes)-1).Draw(t, "node")]
-			switch rapid.IntRange(0, 5).Draw(t, "fault") {
-			case 0:
-				net.Kill(n)
-			case 1:
-				net.Start(n, net.Nodes...)
-			case 2:
-				net.Pause(n)
-			case 3:
-				net.Resume(n)
-			case 4:
-				n.Partition = 1 - n.Partition
-			case 5:
-				net.Send(n, net.Nodes[0].Addr, &gossip.Message{
-					Kind:  gossip.Kind(rapid.IntRange(1, 5).Draw(t, "kind")),
-					Nonce: 1, Target: "n1", Claims: []gossip.Claim{{Name: "n1", Epoch: net.Nodes[1].Epoch, Incarnation: 1, State: gossip.Dead}},
-					Want: []string{"n0", "gone"}, Summaries: []gossip.Claim{{Name: "who"}},
-				})
-			}
-			net.Run(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
+		for range rapid.IntRange(1, 12).Draw(rt, "faults") {
+			node := net.Nodes[rapid.IntRange(0, len(net.Nodes)-1).Draw(rt, "node")]
+			injectFault(rt, net, node)
+			net.Run(time.Duration(rapid.IntRange(0, 8000).Draw(rt, "wait")) * time.Millisecond)
 		}
 		net.Loss = 0
-		for _, n := range net.Nodes {
-			n.Partition = 0
-			if n.Paused {
-				net.Resume(n)
+		for _, node := range net.Nodes {
+			node.Partition = 0
+			if node.Paused {
+				net.Resume(node)
 			}
 		}
 		net.Run(90 * time.Second)
-		if o := firstDisagreement(net); o != "" {
-			t.Errorf("no agreement after the last fault: %s", o)
+		if disagreement := firstDisagreement(net); disagreement != "" {
+			rt.Errorf("no agreement after the last fault: %s", disagreement)
 		}
-		for _, n := range net.Nodes {
-			if n.Window > testConfig.Messages {
-				t.Errorf("%s sent %d messages in a second", n.Name, n.Window)
+		for _, node := range net.Nodes {
+			if node.Window > testConfig.Messages {
+				rt.Errorf("%s sent %d messages in a second", node.Name, node.Window)
 			}
-			if n.Core != nil && len(n.Core.Members()) > len(net.Nodes) {
-				t.Errorf("%s holds %d members of %d", n.Name, len(n.Core.Members()), len(net.Nodes))
+			if node.Core != nil && len(node.Core.Members()) > len(net.Nodes) {
+				rt.Errorf("%s holds %d members of %d", node.Name, len(node.Core.Members()), len(net.Nodes))
 			}
 		}
 	})
 }
 
-// Members that ask all the time, want records and tell of members that do not exist leave the others their answers:
-// nobody is taken for suspect, and no more is sent than is allowed.
-func TestAskedAllTheTime(t *testing.T) {
+// Members that flood one with requests leave the others their answers: no healthy member is suspected, and the rate
+// limit is kept.
+func TestRequestFlood(t *testing.T) {
 	net := newConvergedFleet(t, 12, 8)
-	dead := 0
+	suspicions := 0
 	net.Changed = func(n *Node, m gossip.Member) {
 		if m.State >= gossip.Suspect {
-			dead++
+			suspicions++
 		}
 	}
 	victim := net.Nodes[0]
 	for i := range 2000 {
-		for _, liar := range net.Nodes[1:4] {
-			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.Ping, Nonce: uint64(i)})
-			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.IndirectPing, Nonce: uint64(i), Target: "n9"})
-			net.Send(liar, victim.Addr, &gossip.Message{Kind: gossip.Gossip, Want: []string{"n0", "n5", "n6"}})
+		for _, byzantine := range net.Nodes[1:4] {
+			net.Send(byzantine, victim.Addr, &gossip.Message{Kind: gossip.Ping, Nonce: uint64(i)})
+			net.Send(byzantine, victim.Addr, &gossip.Message{Kind: gossip.IndirectPing, Nonce: uint64(i), Target: "n9"})
+			net.Send(byzantine, victim.Addr, &gossip.Message{Kind: gossip.Gossip, Want: []string{"n0", "n5", "n6"}})
 		}
 		net.Run(10 * time.Millisecond)
 	}
-	if o := firstDisagreement(net); o != "" || dead > 0 {
-		t.Errorf("%d findings that a member is suspect which is well; %s", dead, o)
+	if disagreement := firstDisagreement(net); disagreement != "" || suspicions > 0 {
+		t.Errorf("%d healthy members suspected; %s", suspicions, disagreement)
 	}
 	checkRateLimit(t, net)
 }
