--- a/internal/testbed/schedulerlog.go
+++ b/internal/testbed/schedulerlog.go
@@ -13,10 +13,10 @@
 	logPeerSuspect      = "peer suspect"
 	logPeerDead         = "peer dead"
 	logPeerLeft         = "peer left"
-	logPeerUncertified  = "peer no longer counts: its certificate does not"
-	logPeerIgnored      = "peer not heard for a while"
-	logWorkerEjected    = "worker ill on the word of peers"
-	logWorkerReadmitted = "worker no longer ill on the word of peers"
+	logPeerUncertified  = "peer removed: its certificate is no longer valid"
+	logPeerIgnored      = "peer reports ignored for a while"
+	logWorkerEjected    = "worker confirmed faulty by peers"
+	logWorkerReadmitted = "worker no longer confirmed faulty by peers"
 	logGossipEnded      = "gossip ended"
 )
 
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -91,7 +91,7 @@
 type firstKnown map[string]time.Duration
 
 // note notes that a node knows now.
-func (k firstKnown) note(net *gossipsim.Net, node *gossipsim.Node) {
+func (k firstKnown) note(net *gossipsim.Network, node *gossipsim.Node) {
 	if _, ok := k[node.Name]; !ok {
 		k[node.Name] = net.Now
 	}
@@ -112,7 +112,7 @@
 }
 
 // measureDeaths kills some nodes and returns the median time until the others suspect one, in milliseconds.
-func measureDeaths(net *gossipsim.Net) float64 {
+func measureDeaths(net *gossipsim.Network) float64 {
 	survivors := len(net.Nodes) - deathCount
 	knownByDead := map[string]firstKnown{}
 	for _, node := range net.Nodes[survivors:] {
@@ -137,7 +137,7 @@
 }
 
 // measureStatement has a node make a statement and returns the time until the others have it, in milliseconds.
-func measureStatement(net *gossipsim.Net) float64 {
+func measureStatement(net *gossipsim.Network) float64 {
 	known := firstKnown{}
 	net.Heard = func(node *gossipsim.Node, _ gossip.Statement) { known.note(net, node) }
 	speaker := net.Nodes[0]
