--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -367,7 +367,7 @@
 	}
 }
 
-// draw draws a time from 0 to most, both included.
-func (p *Planner) draw(most time.Duration) time.Duration {
-	return time.Duration(p.rng.Int64N(int64(most) + 1))
+// draw draws a time from 0 to longest, both included.
+func (p *Planner) draw(longest time.Duration) time.Duration {
+	return time.Duration(p.rng.Int64N(int64(longest) + 1))
 }
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -7,10 +7,10 @@
 
 // Each scheduler of a fleet has ports of its own, also where the system names one again that was let go.
 func TestFreePorts(t *testing.T) {
-	f := &Fleet{}
+	fleet := &Fleet{}
 	seen := map[string]bool{}
 	for range 1000 {
-		addr, err := f.freeAddress("udp")
+		addr, err := fleet.freeAddress("udp")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -18,31 +18,31 @@
 			t.Fatalf("%s twice", addr)
 		}
 		seen[addr] = true
-		f.Instances = append(f.Instances, &Instance{Gossip: addr})
+		fleet.Instances = append(fleet.Instances, &Instance{Gossip: addr})
 	}
 }
 
 // A list service that refused comes back where it was, whoever was given its port elsewhere meanwhile.
 func TestRefusesAndComesBack(t *testing.T) {
-	s := NewListService()
-	defer s.Close()
-	addr, err := s.Address("n0")
+	service := NewListService()
+	defer service.Close()
+	addr, err := service.Address("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.SetFault(ListRefusing, 0); err != nil {
+	if err := service.SetFault(ListRefusing, 0); err != nil {
 		t.Fatal(err)
 	}
 	_, port, _ := net.SplitHostPort(addr)
 	host, _, _ := net.SplitHostPort(linkListenAddress)
-	for _, h := range []string{host, "127.0.0.1"} {
-		l, err := net.Listen("tcp", net.JoinHostPort(h, port))
+	for _, taken := range []string{host, "127.0.0.1"} {
+		listener, err := net.Listen("tcp", net.JoinHostPort(taken, port))
 		if err != nil {
 			continue // somebody has it there already, which is the same to this test
 		}
-		defer l.Close()
+		defer listener.Close()
 	}
-	if err := s.SetFault(ListHealthy, 0); err != nil {
+	if err := service.SetFault(ListHealthy, 0); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -41,7 +41,7 @@
 	configPath   string // the platform's file
 	operatorPath string // the operator's file
 	cmd          *exec.Cmd
-	exited       chan error // nil while no process runs
+	exited       chan processExit // nil while no process runs
 
 	outOfRotation atomic.Bool  // the front sends it nothing
 	disruptedAt   atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the greatest while it is stopped
@@ -49,6 +49,9 @@
 	startedAt     []time.Time  // guarded by Log.mu
 }
 
+// processExit is how a process ended.
+type processExit struct{ err error }
+
 // schedulerConfig is the platform's file of a scheduler.
 type schedulerConfig struct {
 	Bulletin string          `json:"bulletin"`
@@ -199,8 +202,8 @@
 			in.outOfRotation.Store(false)
 		}
 	}()
-	in.exited = make(chan error, 1)
-	go func(cmd *exec.Cmd, exited chan<- error) { exited <- cmd.Wait() }(in.cmd, in.exited)
+	in.exited = make(chan processExit, 1)
+	go func(cmd *exec.Cmd, exited chan<- processExit) { exited <- processExit{cmd.Wait()} }(in.cmd, in.exited)
 	return nil
 }
 
@@ -257,7 +260,7 @@
 	in.outOfRotation.Store(true)
 	in.disruptedAt.Store(time.Now().UnixNano())
 	_ = in.cmd.Process.Kill() // it may have ended
-	_ = <-in.exited // that it was killed
+	<-in.exited
 	in.exited = nil
 }
 
@@ -276,10 +279,10 @@
 		}
 	})
 	select {
-	case err := <-in.exited:
+	case exit := <-in.exited:
 		in.exited = nil
-		if err != nil {
-			return fmt.Errorf("scheduler %s ended with %w", in.Name, err)
+		if exit.err != nil {
+			return fmt.Errorf("scheduler %s ended with %w", in.Name, exit.err)
 		}
 		return nil
 	case <-time.After(stopTimeout):
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -89,34 +89,34 @@
 
 // checkDrain checks that a request for a worker that leaves was sent in time.
 func (h *history) checkDrain(worker *Worker, departure departure, arrival Arrival) {
-	toldAt := h.toldAt(departure, arrival)
-	if toldAt.IsZero() {
+	notifiedAt := h.notifiedAt(departure, arrival)
+	if notifiedAt.IsZero() {
 		return
 	}
 	sentAt := arrival.At
 	if link := h.fleet.linkTo(arrival.From, worker.ID); link != nil {
 		sentAt = link.sentAt(arrival.At)
 	}
-	if late := sentAt.Sub(toldAt.Add(drainGrace + h.slack)); late > 0 {
+	if late := sentAt.Sub(notifiedAt.Add(drainGrace + h.slack)); late > 0 {
 		h.violation("%s sent %s to %s %v too late after its drain", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
 	}
 }
 
-// toldAt is when the scheduler of a request counts as told of a departure: once it heard of it, and where the list service
-// was healthy in time even if it did not; the zero time if neither. A process that did not run then is told with its start.
-func (h *history) toldAt(departure departure, arrival Arrival) time.Time {
-	told := h.fleet.List.effectiveAt(departure.at)
-	heard := heardAt(h.polls[arrival.From], departure.event)
-	if !heard.IsZero() && (told.IsZero() || heard.Before(told)) {
-		told = heard
+// notifiedAt is when the scheduler of a request counts as notified of a departure: once it received it, and where the list service
+// was healthy in time even if it did not; the zero time if neither. A process that did not run then is notified with its start.
+func (h *history) notifiedAt(departure departure, arrival Arrival) time.Time {
+	notified := h.fleet.List.effectiveAt(departure.at)
+	received := receivedAt(h.polls[arrival.From], departure.event)
+	if !received.IsZero() && (notified.IsZero() || received.Before(notified)) {
+		notified = received
 	}
-	if told.IsZero() {
-		return told
+	if notified.IsZero() {
+		return notified
 	}
-	if start := h.fleet.processStart(arrival.From, arrival.At); start.After(told) {
-		told = start
+	if start := h.fleet.processStart(arrival.From, arrival.At); start.After(notified) {
+		notified = start
 	}
-	return told
+	return notified
 }
 
 // processStart is when the process of a scheduler that ran at a time had been started.
@@ -129,9 +129,9 @@
 	return time.Time{}
 }
 
-// heardAt is when a scheduler was given an event, by its polls: the last response with it before a poll that shows it
+// receivedAt is when a scheduler was given an event, by its polls: the last response with it before a poll that shows it
 // known. A response may go to a connection that was just given up.
-func heardAt(polls []Poll, event int) time.Time {
+func receivedAt(polls []Poll, event int) time.Time {
 	var at time.Time
 	for _, poll := range polls {
 		if poll.After >= event {
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -11,106 +11,118 @@
 
 // A cut link gives no sign: what was sent comes once it is whole again, and a new connection does not come up.
 func TestLinkCut(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer target.Close()
 	go func() {
 		for {
-			c, err := l.Accept()
+			accepted, err := target.Accept()
 			if err != nil {
 				return
 			}
-			go io.Copy(c, c)
+			go func() { _, _ = io.Copy(accepted, accepted) }() // until either end closes
 		}
 	}()
-	k, err := NewLink(l.Addr().String())
+	link, err := NewLink(target.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
-	c, err := net.Dial("tcp", k.Addr)
+	defer link.Close()
+	conn, err := net.Dial("tcp", link.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	echo := func(within time.Duration) error {
-		_ = c.SetReadDeadline(time.Now().Add(within))
-		_, err := c.Read(make([]byte, 1))
+		_ = conn.SetReadDeadline(time.Now().Add(within))
+		_, err := conn.Read(make([]byte, 1))
 		return err
 	}
-	if _, err := c.Write([]byte("a")); err != nil || echo(time.Minute) != nil {
+	if _, err := conn.Write([]byte("a")); err != nil || echo(time.Minute) != nil {
 		t.Fatalf("a link that is whole carries nothing: %v", err)
 	}
-	if err := k.Set(LinkCondition{CutForward: true, CutBackward: true}); err != nil {
+	if err := link.Set(LinkCondition{CutForward: true, CutBackward: true}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write([]byte("b")); err != nil {
+	if _, err := conn.Write([]byte("b")); err != nil {
 		t.Errorf("the sender notices the cut: %v", err)
 	}
 	if err := echo(50 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("over a cut link comes %v", err)
 	}
-	if c, err := net.DialTimeout("tcp", k.Addr, 50*time.Millisecond); err == nil {
-		c.Close()
+	if another, err := net.DialTimeout("tcp", link.Addr, 50*time.Millisecond); err == nil {
+		another.Close()
 		t.Error("a connection comes up over a cut link")
 	}
-	if err := k.Set(LinkCondition{}); err != nil {
+	if err := link.Set(LinkCondition{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := echo(time.Minute); err != nil {
 		t.Errorf("after the cut: %v", err)
 	}
-	k.Reset()
+	link.Reset()
 	if err := echo(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after a reset: %v", err)
 	}
 }
 
-// A hub drops, doubles and cuts as it is told, and the receiver sees the sender's address there.
+// A hub drops, delays and cuts as it is told, and the receiver sees the sender's address there.
 func TestHub(t *testing.T) {
-	socket := func() *net.UDPConn {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c
-	}
-	a, b := socket(), socket()
-	line := LinkCondition{}
-	h, err := NewHub([]string{a.LocalAddr().String(), b.LocalAddr().String()}, func(string, string) LinkCondition { return line })
+	sender := listenUDP(t)
+	receiver := listenUDP(t)
+	condition := LinkCondition{}
+	hub, err := NewHub(
+		[]string{sender.LocalAddr().String(), receiver.LocalAddr().String()},
+		func(string, string) LinkCondition { return condition },
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.Close()
-	to, _ := net.ResolveUDPAddr("udp", h.Addr(b.LocalAddr().String()))
+	defer hub.Close()
+	receiverAddr, _ := net.ResolveUDPAddr("udp", hub.Addr(receiver.LocalAddr().String()))
 	buf := make([]byte, 8)
-	for _, c := range []struct {
-		line LinkCondition
-		want string
-	}{{LinkCondition{}, "1"}, {LinkCondition{CutForward: true}, ""}, {LinkCondition{Loss: 1}, ""}, {LinkCondition{Delay: time.Millisecond}, "4"}} {
-		h.mu.Lock()
-		line = c.line
-		h.mu.Unlock()
-		n := byte('x')
-		if c.want != "" {
-			n = c.want[0]
+	for _, tt := range []struct {
+		condition LinkCondition
+		want      string
+	}{
+		{LinkCondition{}, "1"},
+		{LinkCondition{CutForward: true}, ""},
+		{LinkCondition{Loss: 1}, ""},
+		{LinkCondition{Delay: time.Millisecond}, "4"},
+	} {
+		hub.mu.Lock()
+		condition = tt.condition
+		hub.mu.Unlock()
+		payload := byte('x')
+		if tt.want != "" {
+			payload = tt.want[0]
 		}
-		if _, err := a.WriteToUDP([]byte{n}, to); err != nil {
+		if _, err := sender.WriteToUDP([]byte{payload}, receiverAddr); err != nil {
 			t.Fatal(err)
 		}
-		if c.want == "" {
-			_ = b.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-			if n, _, err := b.ReadFromUDP(buf); err == nil {
-				t.Errorf("%+v: %q comes", c.line, buf[:n])
+		if tt.want == "" {
+			_ = receiver.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
+			if size, _, err := receiver.ReadFromUDP(buf); err == nil {
+				t.Errorf("%+v: %q comes", tt.condition, buf[:size])
 			}
 			continue
 		}
-		_ = b.SetReadDeadline(time.Now().Add(time.Minute))
-		k, from, err := b.ReadFromUDP(buf)
-		if err != nil || string(buf[:k]) != c.want || from.String() != h.Addr(a.LocalAddr().String()) {
-			t.Errorf("%+v: %q from %v, %v", c.line, buf[:k], from, err)
+		_ = receiver.SetReadDeadline(time.Now().Add(time.Minute))
+		size, from, err := receiver.ReadFromUDP(buf)
+		if err != nil || string(buf[:size]) != tt.want || from.String() != hub.Addr(sender.LocalAddr().String()) {
+			t.Errorf("%+v: %q from %v, %v", tt.condition, buf[:size], from, err)
 		}
 	}
 }
+
+// listenUDP opens a socket on loopback for the length of the test.
+func listenUDP(t *testing.T) *net.UDPConn {
+	t.Helper()
+	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = socket.Close() })
+	return socket
+}
--- a/internal/testbed/virtualfleet_test.go
+++ b/internal/testbed/virtualfleet_test.go
@@ -8,11 +8,11 @@
 // Starts of fleets whose schedulers know nothing, in virtual time: what they assume until answers teach them serves from
 // the first seconds on, and pushes nobody over.
 func TestKnowsNothing(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		day   VirtualExperiment
-		from  int     // the second from which on
-		least float64 // so much is served in each second
+	for _, tt := range []struct {
+		name       string
+		experiment VirtualExperiment
+		from       int     // the second from which on
+		least      float64 // so much is served in each second
 	}{
 		// Nothing was sent to any worker for as long as all were cold.
 		{"all cold", VirtualExperiment{Schedulers: 24, Workers: 10, ColdWorkers: true, Rate: 80, Seconds: 14}, 7, 0.9},
@@ -25,19 +25,19 @@
 		{"warm, few met", VirtualExperiment{Schedulers: 400, Workers: 80, Rate: 800, Seconds: 13}, 10, 0.86},
 		{"four in five start anew", VirtualExperiment{Schedulers: 120, Workers: 24, RestartedShare: 0.8, Rate: 200, Seconds: 18}, 9, 0.7},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			c.day.Profile, c.day.Seed = "small", 1
-			r, err := c.day.Run()
+			tt.experiment.Profile, tt.experiment.Seed = "small", 1
+			metrics, err := tt.experiment.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Crashed > 0 {
-				t.Errorf("%d workers were pushed over", r.Crashed)
+			if metrics.Crashed > 0 {
+				t.Errorf("%d workers were pushed over", metrics.Crashed)
 			}
 			// What was asked in the last second may not be answered yet.
-			if worst := slices.Min(r.ServedBySecond[c.from : c.day.Seconds-1]); worst < c.least {
-				t.Errorf("%.2f served in the worst second, %.2f of all", worst, r.ServedShare)
+			if worst := slices.Min(metrics.ServedBySecond[tt.from : tt.experiment.Seconds-1]); worst < tt.least {
+				t.Errorf("%.2f served in the worst second, %.2f of all", worst, metrics.ServedShare)
 			}
 		})
 	}
