--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -57,7 +57,7 @@
 	Name        string
 	Addr        Addr
 	Epoch       int64  // when the member started by its own clock, Unix milliseconds
-	Incarnation uint32 `cbor:"Inc"` // incremented when the member refutes a suspicion
+	Incarnation uint32 // incremented when the member refutes a suspicion
 	Gone        bool   // the member leaves
 	Sig         []byte
 }
@@ -78,7 +78,7 @@
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Epoch       int64
-	Incarnation uint32 `cbor:"Inc"`
+	Incarnation uint32
 	State       State
 }
 
