--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		seconds float64
 		peak    int // asks within 100 ms; 0 where a start of all or an event is among the troubles
@@ -48,40 +48,40 @@
 		{"most boot cold during a release", 18, 0, "0s known full\n0s start 1\n5s boot 0.7\n5s roll 0.25 1s"},
 		{"half killed while most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7\n6s kill 0.5\n7s start 1"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			script, err := testbed.ParseScenario(c.script)
+			script, err := testbed.ParseScenario(tt.script)
 			if err != nil {
 				t.Fatal(err)
 			}
 			day := testbed.ColdDay{
-				Program: self, Env: []string{"CALICOHILL_AS_PROGRAM=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
-				Workers: 10, Scenario: script, Seconds: c.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
+				Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
+				Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
 			}
 			least := 0.0
-			switch cold := strings.Contains(c.script, "boot") || strings.Contains(c.script, "cold"); {
-			case cold && strings.HasPrefix(c.script, "0s boot"):
+			switch cold := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
+			case cold && strings.HasPrefix(tt.script, "0s boot"):
 				day.Body, day.Of, least = "small", 24, 0.3
 			case cold: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
 				day.Body, day.Of, day.Workers, day.Rate, least = "small", 24, 3, 300, 0.08
 			}
-			r, err := day.Run(context.Background())
+			result, err := day.Run(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Program.RulesBroken {
+			for _, b := range result.Program.RulesBroken {
 				t.Error(b)
 			}
-			if r.Program.Served < least {
-				t.Errorf("%.2f served by workers that start cold, want %.2f", r.Program.Served, least)
+			if result.Program.Served < least {
+				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, least)
 			}
-			t.Logf("a cold worker was sent %.2f of what it bears", r.Program.ColdMost)
-			if r.Program.AllListed < 0 {
+			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.ColdMost)
+			if result.Program.AllListed < 0 {
 				t.Error("some schedulers did not hear the list again")
 			}
 			// A machine that was late by so much may have brought together what was apart.
-			if most := c.peak * int(100+2*r.Program.Late) / 100; c.peak > 0 && r.Program.PollsPeak > most {
-				t.Errorf("%d of 24 asked within 100 ms", r.Program.PollsPeak)
+			if most := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > most {
+				t.Errorf("%d of 24 asked within 100 ms", result.Program.PollsPeak)
 			}
 		})
 	}
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -9,7 +9,7 @@
 )
 
 // command runs the program to its end and returns what it wrote and its exit code.
-func command(t *testing.T, args ...string) (string, int) {
+func runCommandLine(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	cmd, out := program(t, args...)
 	err := cmd.Run()
@@ -19,13 +19,16 @@
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
+// misspelt is a directive that the check has to suggest the right name for.
+const misspelt = "levle" //nolint:misspell // it is the fault that the test is about
+
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.conf")
-	if err := os.WriteFile(bad, []byte("log\n  levle info\n  format xml\n"), 0o600); err != nil {
+	if err := os.WriteFile(bad, []byte("log\n  "+misspelt+" info\n  format xml\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		args string
 		exit int
 		says string
@@ -38,7 +41,7 @@
 		{"frobnicate", 2, `unknown command or argument "frobnicate"`},
 		{"--frobnicate", 2, "unknown flag"},
 		{"check", 2, "takes the names of files"},
-		{"check " + bad, 1, bad + `:2:3: levle: section log has no such directive: is "level" meant?`},
+		{"check " + bad, 1, bad + `:2:3: ` + misspelt + `: section log has no such directive: is "level" meant?`},
 		{"check " + bad, 1, bad + `:3:10: format: "xml" is none of text, json`},
 		{"check --config ../../example/config.json ../../deploy/calicohill.conf", 0, ""},
 		{"check --config /dev/null", 1, "configuration /dev/null"},
@@ -49,21 +52,21 @@
 		{"call --help", 0, "calicohill call consulta --to"},
 		{"completion bash", 0, "bash completion"},
 	} {
-		out, exit := command(t, strings.Fields(c.args)...)
-		if exit != c.exit || !strings.Contains(out, c.says) {
-			t.Errorf("calicohill %s: exit code %d, want %d and %q in:\n%s", c.args, exit, c.exit, c.says, out)
+		out, exit := runCommandLine(t, strings.Fields(tt.args)...)
+		if exit != tt.exit || !strings.Contains(out, tt.says) {
+			t.Errorf("calicohill %s: exit code %d, want %d and %q in:\n%s", tt.args, exit, tt.exit, tt.says, out)
 		}
 	}
 }
 
 func TestCall(t *testing.T) {
-	s, _ := one(t, func(n int, g goLine) string {
-		if g.body == "lose" {
-			return answerLine(g.id, "ERR", "-", "")
+	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
+		if request.body == "lose" {
+			return answerLine(request.id, "ERR", "-", "")
 		}
-		return echo(n, g)
+		return echo(n, request)
 	})
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		args []string
 		exit int
 		says string
@@ -73,48 +76,48 @@
 		{[]string{"certificado", "--body", "lose"}, 1, "failed, status 502"},
 		{[]string{"nonsense"}, 1, "failed, status 400"},
 	} {
-		out, exit := command(t, append([]string{"call", "--to", s.addr}, c.args...)...)
-		if exit != c.exit || !strings.Contains(out, c.says) {
-			t.Errorf("call %v: exit code %d, want %d and %q in:\n%s", c.args, exit, c.exit, c.says, out)
+		out, exit := runCommandLine(t, append([]string{"call", "--to", sched.addr}, tt.args...)...)
+		if exit != tt.exit || !strings.Contains(out, tt.says) {
+			t.Errorf("call %v: exit code %d, want %d and %q in:\n%s", tt.args, exit, tt.exit, tt.says, out)
 		}
 	}
 }
 
 // A reload takes up the operator's file whole, or leaves all as it was with a line for each fault.
 func TestReloadOperatorsFile(t *testing.T) {
-	a := newAgent(t, echo)
-	s := newSite(t)
-	s.tell(true, "a SERVING "+a.addr)
-	s.operator = filepath.Join(t.TempDir(), "o.conf")
+	agent := newAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.operatorFile = filepath.Join(t.TempDir(), "o.conf")
 	write := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(s.operator, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(sched.operatorFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write("log\n  level info\n")
-	s.start()
+	sched.start()
 	reload := func(text, says string) {
 		t.Helper()
 		write(text)
-		if err := s.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		until(t, "the log says "+says, func() bool { return strings.Contains(s.log.String(), says) })
+		waitUntil(t, "the log says "+says, func() bool { return strings.Contains(sched.log.String(), says) })
 	}
 	reload("log\n  format xml\n  level loud\n", `:3:9: level:`)
-	if got := strings.Count(s.log.String(), "operator's file not read again: the old one stands"); got != 2 {
+	if got := strings.Count(sched.log.String(), "operator's file not read again: the old one stands"); got != 2 {
 		t.Errorf("%d lines for 2 faults", got)
 	}
 	reload("log\n  format json\n", `"msg":"configuration read again"`)
 	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // takes effect without a word
-	f := s.front()
-	f.send(call("consulta", "x"))
-	if got := f.read(); got.status != 200 {
+	client := sched.connect()
+	client.send(newCall("consulta", "x"))
+	if got := client.readAnswer(); got.status != 200 {
 		t.Errorf("status %d after reloads", got.status)
 	}
-	s.tell(false, "b SERVING "+a.addr)
-	until(t, "a part has its own level", func() bool { return strings.Contains(s.log.String(), `"part":"bulletin"`) })
+	sched.addEvent(false, "b SERVING "+agent.addr)
+	waitUntil(t, "a part has its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
 }
 
 func TestCheckedAtTheStart(t *testing.T) {
@@ -122,7 +125,7 @@
 	if err := os.WriteFile(bad, []byte("log\n  level loud\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, exit := command(t, "--config", "../../example/config.json", "--operator", bad)
+	out, exit := runCommandLine(t, "--config", "../../example/config.json", "--operator", bad)
 	if want := "calicohill: " + bad + ":2:9: level:"; exit != 1 || !strings.Contains(out, want) || strings.Count(out, "\n") != 1 {
 		t.Errorf("exit code %d and %q, want 1 and one line with %q", exit, out, want)
 	}
--- a/cmd/calicohill/confined_test.go
+++ b/cmd/calicohill/confined_test.go
@@ -14,7 +14,7 @@
 	const (
 		load  = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
 		equal = unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K
-		any   = unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K
+		anyOf = unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K
 		ret   = unix.BPF_RET | unix.BPF_K
 
 		number, firstArg = 0, 16 // places in what the filter is shown
@@ -34,7 +34,7 @@
 	}
 	add(equal, unix.SYS_CLONE, 0, 4) // without clone3 threads come by clone
 	add(load, firstArg, 0, 0)
-	add(any, unix.CLONE_THREAD, 1, 0)
+	add(anyOf, unix.CLONE_THREAD, 1, 0)
 	add(ret, refuse(unix.ENOSYS), 0, 0)
 	add(load, number, 0, 0)
 	add(equal, unix.SYS_SOCKET, 0, 3)
@@ -60,11 +60,11 @@
 // TestConfined guards against a scheduler that needs what the platform refuses: it once made a pair of Unix sockets
 // at its start, and ended there.
 func TestConfined(t *testing.T) {
-	t.Setenv("CALICOHILL_CONFINED", "1")
-	s, _ := one(t, echo)
-	f := s.front()
-	f.send(call("consulta", "body"))
-	if got := f.read(); got.body != "re:body" {
+	t.Setenv(confinedVariable, "1")
+	sched, _ := startWithAgent(t, echo)
+	client := sched.connect()
+	client.send(newCall("consulta", "body"))
+	if got := client.readAnswer(); got.body != "re:body" {
 		t.Errorf("answered status %d, body %q", got.status, got.body)
 	}
 }
--- a/cmd/calicohill/endings_test.go
+++ b/cmd/calicohill/endings_test.go
@@ -22,44 +22,44 @@
 // What ends while something is owed: each crossing is forced by what peers do, and in which order.
 
 // late is a site with one worker whose connections come up only after open, and long after they were asked for.
-func late(t *testing.T) (s *site, a *nodeAgent, open func()) {
+func startWithLateAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent, open func()) {
 	t.Helper()
-	a, open = newLateAgent(t, echo)
-	s = newSite(t)
-	s.settings = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}}
-	s.tell(true, "late SERVING "+a.addr)
-	return s.start(), a, open
+	agent, open = newLateAgent(t, echo)
+	sched = newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}}
+	sched.addEvent(true, "late SERVING "+agent.addr)
+	return sched.start(), agent, open
 }
 
 // A request whose client left while the connection for it was being made never reaches the worker, and one whose
 // client stayed does.
 func TestLeftWhileDialing(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
-		leave func(f *front, q request)
+		leave func(client *testClient, request clientRequest)
 	}{
-		{"cancels", func(f *front, q request) {
-			f.write(rec(2, q.id, 0, ""))
-			if got := f.read(); got.id != q.id {
-				f.t.Errorf("the end of request %d, want %d", got.id, q.id)
+		{"cancels", func(client *testClient, request clientRequest) {
+			client.write(encodeRecord(2, request.id, 0, ""))
+			if got := client.readAnswer(); got.id != request.id {
+				client.t.Errorf("the end of request %d, want %d", got.id, request.id)
 			}
 		}},
-		{"closes", func(f *front, _ request) { f.c.Close() }},
+		{"closes", func(client *testClient, _ clientRequest) { client.conn.Close() }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			s, a, open := late(t)
-			gone, stays := s.front(), s.front()
-			q := call("certificado", "gone")
-			gone.send(q)
-			stays.send(call("certificado", "stays"))
+			sched, agent, open := startWithLateAgent(t)
+			gone, stays := sched.connect(), sched.connect()
+			request := newCall("certificado", "gone")
+			gone.send(request)
+			stays.send(newCall("certificado", "stays"))
 			time.Sleep(100 * time.Millisecond) // both wait for the connection, which can't come up
-			c.leave(gone, q)
+			tt.leave(gone, request)
 			open()
-			if got := stays.read(); got.body != "re:stays" {
+			if got := stays.readAnswer(); got.body != "re:stays" {
 				t.Errorf("the client that stayed got status %d", got.status)
 			}
-			if had := a.had(); len(had) != 1 || had[0].body != "stays" {
+			if had := agent.received(); len(had) != 1 || had[0].body != "stays" {
 				t.Errorf("the worker had %v, want the request of the client that stayed alone", had)
 			}
 		})
@@ -68,23 +68,23 @@
 
 // A worker that begins to drain while the connection to it is being made gets nothing on it.
 func TestDrainsWhileDialing(t *testing.T) {
-	s, a, open := late(t)
-	b := newAgent(t, named("b"))
-	f := s.front()
-	f.send(call("certificado", "x"))
+	sched, agentA, open := startWithLateAgent(t)
+	agentB := newAgent(t, answerWith("b"))
+	client := sched.connect()
+	client.send(newCall("certificado", "x"))
 	time.Sleep(100 * time.Millisecond)
-	s.told(false, "late DRAINING "+a.addr, "b SERVING "+b.addr)
-	if got := f.read(); got.body != "b" {
+	sched.addEventAndWait(false, "late DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+	if got := client.readAnswer(); got.body != "b" {
 		t.Errorf("status %d, want it served by the other worker", got.status)
 	}
 	open()
-	until(t, "the connection is up", func() bool {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		return a.conns > 0
+	waitUntil(t, "the connection is up", func() bool {
+		agentA.mu.Lock()
+		defer agentA.mu.Unlock()
+		return agentA.conns > 0
 	})
-	serves(t, s, "b")
-	if had := a.had(); len(had) != 0 {
+	waitUntilServedBy(t, sched, "b")
+	if had := agentA.received(); len(had) != 0 {
 		t.Errorf("the worker that drains had %v", had)
 	}
 }
@@ -93,30 +93,30 @@
 // drop it.
 func TestRepeatWaitsTooLong(t *testing.T) {
 	breaks := make(chan struct{})
-	first := newAgent(t, func(int, goLine) string { <-breaks; return hangUp })
-	a, open := newLateAgent(t, echo)
-	s := newSite(t)
-	s.settings = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}, {`"memorySpanMs":2500`, `"memorySpanMs":600`}}
-	s.tell(true, "first SERVING "+first.addr)
-	f := s.start().front()
-	f.send(call("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
-	until(t, "the request is at the first worker", func() bool { return len(first.had()) == 1 })
-	s.told(false, "late SERVING "+a.addr)
+	first := newAgent(t, func(int, agentRequest) string { <-breaks; return resetConnection })
+	agent, open := newLateAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}, {`"memorySpanMs":2500`, `"memorySpanMs":600`}}
+	sched.addEvent(true, "first SERVING "+first.addr)
+	client := sched.start().connect()
+	client.send(newCall("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
+	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
+	sched.addEventAndWait(false, "late SERVING "+agent.addr)
 	close(breaks) // it may have run there: the repeat goes to the other
 	time.Sleep(100 * time.Millisecond)
 	open() // the connection comes up a second after it was asked for
-	if got := f.read(); got.status != 503 {
+	if got := client.readAnswer(); got.status != 503 {
 		t.Errorf("status %d, want a refusal", got.status)
 	}
-	until(t, "the connection is up", func() bool {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		return a.conns > 0
+	waitUntil(t, "the connection is up", func() bool {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		return agent.conns > 0
 	})
-	f.send(call("consulta", "next"))
-	f.read()
-	for _, g := range a.had() {
-		if g.body == "x" {
+	client.send(newCall("consulta", "next"))
+	client.readAnswer()
+	for _, request := range agent.received() {
+		if request.body == "x" {
 			t.Error("the repeat was sent after the workers had forgotten its key")
 		}
 	}
@@ -124,32 +124,32 @@
 
 // halfWritten is a site whose first client has answers of some MB coming and reads none of it, so that the system does
 // not take all of them. Few clients find room beside it.
-func halfWritten(t *testing.T, last func(*request)) (s *site, f *front, whole func()) {
+func startHalfWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, whole func()) {
 	t.Helper()
 	big := strings.Repeat("0123456789", 100_000)
-	a := newAgent(t, func(n int, g goLine) string {
-		if g.body == "big" {
-			return answerLine(g.id, "OK", "-", big)
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		if request.body == "big" {
+			return answerLine(request.id, "OK", "-", big)
 		}
-		return echo(n, g)
+		return echo(n, request)
 	})
-	s = newSite(t)
-	s.sockets = 90
-	s.tell(true, "a SERVING "+a.addr)
-	f = s.start().slowFront()
+	sched = newTestScheduler(t)
+	sched.maxSockets = 90
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	client = sched.start().connectSlowReader()
 	const count = 5
 	for id := uint16(1); id <= count; id++ {
-		q := call("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:8"})
-		if q.id = id; id == count && last != nil {
-			last(&q)
+		request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:8"})
+		if request.id = id; id == count && last != nil {
+			last(&request)
 		}
-		f.send(q)
+		client.send(request)
 	}
-	until(t, "all requests are at the worker", func() bool { return len(a.had()) == count })
-	return s, f, func() {
+	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) == count })
+	return sched, client, func() {
 		t.Helper()
 		for range count {
-			if got := f.read(); got.status != 200 || got.body != big {
+			if got := client.readAnswer(); got.status != 200 || got.body != big {
 				t.Fatalf("request %d got status %d and %d bytes, want %d", got.id, got.status, len(got.body), len(big))
 			}
 		}
@@ -158,41 +158,41 @@
 
 // Answers that are half written when the program is told to end go out whole, if their client takes its time too.
 func TestHalfWrittenAtTheEnd(t *testing.T) {
-	s, _, whole := halfWritten(t, nil)
-	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	sched, _, whole := startHalfWritten(t, nil)
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(1500 * time.Millisecond) // it may end 0.7 s after that
 	whole()
-	s.endsWell()
+	sched.waitForExit()
 }
 
 // A client that reads nothing does not keep the program from its end.
 func TestNeverReadAtTheEnd(t *testing.T) {
-	s, _, _ := halfWritten(t, nil)
-	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	sched, _, _ := startHalfWritten(t, nil)
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	s.endsWell()
+	sched.waitForExit()
 }
 
 // A connection that is to end with a request ends when all answers on it are sent.
 func TestHalfWrittenOnce(t *testing.T) {
-	_, f, whole := halfWritten(t, func(q *request) { q.once = true })
+	_, client, whole := startHalfWritten(t, func(request *clientRequest) { request.closeAfter = true })
 	time.Sleep(300 * time.Millisecond)
 	whole()
-	if !f.gone() {
+	if !client.closedByServer() {
 		t.Error("the connection stays open")
 	}
 }
 
 // A connection with answers half written has no request open any more, and is not the one to make room all the same.
 func TestHalfWrittenMakesNoRoom(t *testing.T) {
-	s, _, whole := halfWritten(t, nil)
+	sched, _, whole := startHalfWritten(t, nil)
 	for range 30 { // 29 find room
-		f := s.front()
-		f.send(call("consulta", "x"))
-		if got := f.read(); got.body != "re:x" {
+		client := sched.connect()
+		client.send(newCall("consulta", "x"))
+		if got := client.readAnswer(); got.body != "re:x" {
 			t.Errorf("status %d, want it served", got.status)
 		}
 	}
@@ -202,42 +202,42 @@
 // What waits for clients that do not read is bounded for all of them together: each alone stays within its own bound.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	big := strings.Repeat("0123456789", 25_000)
-	a := newAgent(t, func(n int, g goLine) string {
-		if g.body == "big" {
-			return answerLine(g.id, "OK", "-", big)
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		if request.body == "big" {
+			return answerLine(request.id, "OK", "-", big)
 		}
-		return echo(n, g)
+		return echo(n, request)
 	})
-	s := newSite(t)
-	s.sockets, s.memoryMB = 90, 32
-	s.tell(true, "a SERVING "+a.addr)
-	s.start()
+	sched := newTestScheduler(t)
+	sched.maxSockets, sched.memoryMB = 90, 32
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
 	const closed = "too much waits for clients that do not read"
-	until(t, "one of them is closed", func() bool {
-		f := s.slowFront()
-		for id := uint16(1); id <= 20 && !strings.Contains(s.log.String(), closed); id++ {
-			q := call("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
-			q.id = id
-			had := len(a.had())
-			f.c.Write(q.bytes()) // it may be the one that was closed
-			until(t, "the worker has it", func() bool { return len(a.had()) > had || strings.Contains(s.log.String(), closed) })
+	waitUntil(t, "one of them is closed", func() bool {
+		client := sched.connectSlowReader()
+		for id := uint16(1); id <= 20 && !strings.Contains(sched.log.String(), closed); id++ {
+			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
+			request.id = id
+			had := len(agent.received())
+			_, _ = client.conn.Write(request.bytes()) // fails if it is the one that was closed
+			waitUntil(t, "the worker has it", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
 		}
-		return strings.Contains(s.log.String(), closed)
+		return strings.Contains(sched.log.String(), closed)
 	})
-	f := s.front()
-	f.send(call("consulta", "x"))
-	if got := f.read(); got.body != "re:x" {
+	client := sched.connect()
+	client.send(newCall("consulta", "x"))
+	if got := client.readAnswer(); got.body != "re:x" {
 		t.Errorf("status %d for a client that reads", got.status)
 	}
 }
 
 // stopped stops the program for what is done meanwhile.
-func (s *site) stopped(meanwhile func()) {
+func (s *testScheduler) whileStopped(meanwhile func()) {
 	s.t.Helper()
 	if err := s.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		s.t.Fatal(err)
 	}
-	until(s.t, "the program stands still", func() bool {
+	waitUntil(s.t, "the program stands still", func() bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
 		return err == nil && strings.Contains(string(text), ") T ")
 	})
@@ -250,81 +250,81 @@
 // Clients that came while a program that is to end had no processor are served, though its time is up when it has one
 // again: their connections were taken by the system, one after the other by the program.
 func TestStalledAtTheEnd(t *testing.T) {
-	s, _ := one(t, echo)
-	var fronts []*front
-	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	sched, _ := startWithAgent(t, echo)
+	var fronts []*testClient
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it drains", func() bool { return strings.Contains(s.log.String(), "draining") })
-	s.stopped(func() {
+	waitUntil(t, "it drains", func() bool { return strings.Contains(sched.log.String(), "draining") })
+	sched.whileStopped(func() {
 		for range 20 {
-			f := s.front()
-			f.send(call("consulta", "x"))
-			fronts = append(fronts, f)
+			client := sched.connect()
+			client.send(newCall("consulta", "x"))
+			fronts = append(fronts, client)
 		}
 		time.Sleep(2 * time.Second)
 	})
-	for _, f := range fronts {
-		if got := f.read(); got.body != "re:x" && got.status != 503 {
+	for _, client := range fronts {
+		if got := client.readAnswer(); got.body != "re:x" && got.status != 503 {
 			t.Errorf("status %d", got.status)
 		}
 	}
-	s.endsWell()
+	sched.waitForExit()
 }
 
 // A configuration that is read for long, as from a disk that stands still, does not hold up the end, and neither do
 // many orders to read it.
 func TestTermAmidReload(t *testing.T) {
-	s, _ := one(t, echo)
+	sched, _ := startWithAgent(t, echo)
 	fifo := filepath.Join(t.TempDir(), "config")
 	if err := unix.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(fifo, s.config); err != nil { // whoever reads it waits for a writer
+	if err := os.Rename(fifo, sched.configFile); err != nil { // whoever reads it waits for a writer
 		t.Fatal(err)
 	}
 	for range 8 {
-		if err := s.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond) // or the system makes one of them
 	}
-	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	f := s.front()
-	f.send(call("consulta", "x"))
-	if got := f.read(); got.body != "re:x" {
+	client := sched.connect()
+	client.send(newCall("consulta", "x"))
+	if got := client.readAnswer(); got.body != "re:x" {
 		t.Errorf("status %d right after SIGTERM", got.status)
 	}
-	s.endsWell()
+	sched.waitForExit()
 }
 
 // Dials that come up all at once, with clients in all places that there are for them, leave descriptors for one more
 // client: without one the event loop would end.
 func TestDescriptorsOfDials(t *testing.T) {
-	s := newSite(t)
-	s.sockets = 66
-	s.settings = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":6000`}}
+	sched := newTestScheduler(t)
+	sched.maxSockets = 66
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":6000`}}
 	var targets []string
 	var open []func()
 	for i := range 40 {
-		a, up := newLateAgent(t, echo)
-		targets, open = append(targets, fmt.Sprintf("w%d SERVING %s", i, a.addr)), append(open, up)
+		agent, up := newLateAgent(t, echo)
+		targets, open = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr)), append(open, up)
 	}
-	s.tell(true, targets...)
-	s.start()
-	asks := s.front()
+	sched.addEvent(true, targets...)
+	sched.start()
+	asks := sched.connect()
 	for id := uint16(1); id <= 30; id++ { // each for a worker that none of the others is at
-		q := call("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"})
-		q.id, q.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
-		asks.send(q)
+		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"})
+		request.id, request.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
+		asks.send(request)
 	}
 	time.Sleep(200 * time.Millisecond) // the dials are under way, and none can come up
-	var idle []*front
-	s.stopped(func() {
+	var idle []*testClient
+	sched.whileStopped(func() {
 		for range 60 {
-			idle = append(idle, s.front())
+			idle = append(idle, sched.connect())
 		}
 		for _, up := range open {
 			up()
@@ -332,14 +332,14 @@
 		time.Sleep(1500 * time.Millisecond) // the connections come up
 	})
 	for range 30 {
-		asks.read()
+		asks.readAnswer()
 	}
-	f := s.front()
-	f.send(call("consulta", "after"))
-	if got := f.read(); got.body != "re:after" {
+	client := sched.connect()
+	client.send(newCall("consulta", "after"))
+	if got := client.readAnswer(); got.body != "re:after" {
 		t.Errorf("status %d for a client that came then", got.status)
 	}
-	if text := s.log.String(); strings.Contains(text, "too many open files") {
+	if text := sched.log.String(); strings.Contains(text, "too many open files") {
 		t.Error("the program ran out of descriptors")
 	}
 }
@@ -347,46 +347,46 @@
 // Idle clients that take all places they can get at three schedulers, while discovery is down, keep none of them from
 // discovery and new workers once it is back, nor other clients from being served.
 func TestDescriptorsOfIdleClients(t *testing.T) {
-	a, b := newAgent(t, named("a")), newAgent(t, named("b"))
-	s := newSite(t)
-	s.tell(true, "a SERVING "+a.addr)
-	sites := []*site{s, newSite(t), newSite(t)}
+	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sites := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
 	for _, other := range sites {
-		if other != s { // it asks the same bulletin
+		if other != sched { // it asks the same bulletin
 			other.bulletin.Close()
-			other.bulletin, other.events = s.bulletin, s.events
+			other.bulletin, other.events = sched.bulletin, sched.events
 		}
-		other.sockets, other.of = 90, len(sites)
+		other.maxSockets, other.schedulers = 90, len(sites)
 		other.start()
-		serves(t, other, "a")
+		waitUntilServedBy(t, other, "a")
 	}
-	at := s.bulletin.Listener.Addr().String()
-	s.bulletin.CloseClientConnections()
-	s.bulletin.Listener.Close()
-	for _, s := range sites {
-		until(t, "discovery is missed", func() bool { return strings.Contains(s.log.String(), "bulletin not heard") })
+	address := sched.bulletin.Listener.Addr().String()
+	sched.bulletin.CloseClientConnections()
+	sched.bulletin.Listener.Close()
+	for _, sched := range sites {
+		waitUntil(t, "discovery is missed", func() bool { return strings.Contains(sched.log.String(), "bulletin not heard") })
 		for range 200 {
-			s.front()
+			sched.connect()
 		}
-		serves(t, s, "a")
+		waitUntilServedBy(t, sched, "a")
 		for range 60 {
-			s.front()
+			sched.connect()
 		}
 	}
-	l, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.bulletin = &httptest.Server{Listener: l, Config: &http.Server{Handler: http.HandlerFunc(s.poll)}}
-	s.bulletin.Start()
-	s.tell(false, "a DELETED "+a.addr, "b SERVING "+b.addr)
-	for _, s := range sites {
-		until(t, "it knows of the second event", func() bool { return strings.Contains(s.log.String(), "event=2 ") })
+	sched.bulletin = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
+	sched.bulletin.Start()
+	sched.addEvent(false, "a DELETED "+agentA.addr, "b SERVING "+agentB.addr)
+	for _, sched := range sites {
+		waitUntil(t, "it knows of the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
 		for range 60 {
-			s.front()
+			sched.connect()
 		}
-		serves(t, s, "b")
-		if strings.Contains(s.log.String(), "too many open files") {
+		waitUntilServedBy(t, sched, "b")
+		if strings.Contains(sched.log.String(), "too many open files") {
 			t.Error("a program ran out of descriptors")
 		}
 	}
@@ -395,25 +395,25 @@
 // A further attempt whose client leaves while the connection for it is being made begins no more than a first one does.
 func TestLeftWhileTriedAgain(t *testing.T) {
 	breaks := make(chan struct{})
-	first := newAgent(t, func(int, goLine) string { <-breaks; return hangUp })
-	a, open := newLateAgent(t, echo)
-	s := newSite(t)
-	s.settings = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}}
-	s.tell(true, "first SERVING "+first.addr)
-	f := s.start().front()
-	f.send(call("consulta", "gone"))
-	until(t, "the request is at the first worker", func() bool { return len(first.had()) == 1 })
-	s.told(false, "late SERVING "+a.addr, "first DRAINING "+first.addr)
-	stays := s.front()
-	stays.send(call("consulta", "stays"))
+	first := newAgent(t, func(int, agentRequest) string { <-breaks; return resetConnection })
+	agent, open := newLateAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}}
+	sched.addEvent(true, "first SERVING "+first.addr)
+	client := sched.start().connect()
+	client.send(newCall("consulta", "gone"))
+	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
+	sched.addEventAndWait(false, "late SERVING "+agent.addr, "first DRAINING "+first.addr)
+	stays := sched.connect()
+	stays.send(newCall("consulta", "stays"))
 	close(breaks)
 	time.Sleep(100 * time.Millisecond)
-	f.c.Close()
+	client.conn.Close()
 	open()
-	if got := stays.read(); got.body != "re:stays" {
+	if got := stays.readAnswer(); got.body != "re:stays" {
 		t.Errorf("the client that stayed got status %d", got.status)
 	}
-	if had := a.had(); len(had) != 1 {
+	if had := agent.received(); len(had) != 1 {
 		t.Errorf("the worker had %v, want the request of the client that stayed alone", had)
 	}
 }
@@ -421,29 +421,29 @@
 // A request that waits for room is not sent when its client has left, whichever way it left.
 func TestLeftWhileHeld(t *testing.T) {
 	release := make(chan struct{})
-	s, a := one(t, func(n int, g goLine) string { <-release; return echo(n, g) })
-	first, cancels, closes, stays := s.front(), s.front(), s.front(), s.front()
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
+	first, cancels, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
 	one := [2]string{"HTTP_X_SPEC", "lanes:1"} // a copy that runs one at a time, and is taken
-	first.send(call("consulta", "first", one))
-	until(t, "the first is at the worker", func() bool { return len(a.had()) == 1 })
-	q := call("consulta", "gone", one)
-	cancels.send(q)
-	closes.send(call("consulta", "gone", one))
-	stays.send(call("consulta", "stays", one))
+	first.send(newCall("consulta", "first", one))
+	waitUntil(t, "the first is at the worker", func() bool { return len(agent.received()) == 1 })
+	request := newCall("consulta", "gone", one)
+	cancels.send(request)
+	closes.send(newCall("consulta", "gone", one))
+	stays.send(newCall("consulta", "stays", one))
 	time.Sleep(50 * time.Millisecond)
-	cancels.write(rec(2, q.id, 0, ""))
-	cancels.read()
-	closes.c.Close()
+	cancels.write(encodeRecord(2, request.id, 0, ""))
+	cancels.readAnswer()
+	closes.conn.Close()
 	time.Sleep(50 * time.Millisecond)
 	close(release)
-	for f, want := range map[*front]string{first: "re:first", stays: "re:stays"} {
-		if got := f.read(); got.body != want {
+	for client, want := range map[*testClient]string{first: "re:first", stays: "re:stays"} {
+		if got := client.readAnswer(); got.body != want {
 			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	for _, g := range a.had() {
-		if g.body == "gone" {
+	for _, request := range agent.received() {
+		if request.body == "gone" {
 			t.Error("a request was sent on after its client had left")
 		}
 	}
@@ -452,46 +452,46 @@
 // The answer of a worker that is removed meanwhile is passed on, and so is that of one which begins to drain.
 func TestAnswerCrossesRemoval(t *testing.T) {
 	release := make(chan struct{})
-	a := newAgent(t, func(n int, g goLine) string { <-release; return echo(n, g) })
-	b := newAgent(t, named("b"))
-	s := newSite(t)
-	s.tell(true, "a SERVING "+a.addr)
-	f := s.start().front()
-	f.send(call("certificado", "x"))
-	until(t, "the request is at the worker", func() bool { return len(a.had()) == 1 })
-	s.told(false, "a DRAINING "+a.addr, "b SERVING "+b.addr)
-	s.told(false, "a DELETED "+a.addr)
-	s.told(true, "b SERVING "+b.addr)
+	agentA := newAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
+	agentB := newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	client := sched.start().connect()
+	client.send(newCall("certificado", "x"))
+	waitUntil(t, "the request is at the worker", func() bool { return len(agentA.received()) == 1 })
+	sched.addEventAndWait(false, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+	sched.addEventAndWait(false, "a DELETED "+agentA.addr)
+	sched.addEventAndWait(true, "b SERVING "+agentB.addr)
 	close(release)
-	if got := f.read(); got.body != "re:x" {
+	if got := client.readAnswer(); got.body != "re:x" {
 		t.Errorf("status %d, %q, want the answer of the worker that was removed", got.status, got.body)
 	}
-	serves(t, s, "b")
+	waitUntilServedBy(t, sched, "b")
 }
 
 // A worker's close of a connection at rest, and a request that would go on it, are both there when the program looks:
 // the request goes on another, in whichever order they came. It may not be repeated, so that a loss would show.
 func TestCloseCrossesRequest(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		after bool // the close comes after the request
 	}{{"close first", false}, {"request first", true}} {
-		t.Run(c.name, func(t *testing.T) {
-			s, a := one(t, echo)
-			f := s.front()
-			f.send(call("certificado", "first"))
-			f.read()
-			s.stopped(func() {
-				if !c.after {
-					a.closeAll()
+		t.Run(tt.name, func(t *testing.T) {
+			sched, agent := startWithAgent(t, echo)
+			client := sched.connect()
+			client.send(newCall("certificado", "first"))
+			client.readAnswer()
+			sched.whileStopped(func() {
+				if !tt.after {
+					agent.closeConns()
 				}
-				f.send(call("certificado", "x"))
-				if c.after {
-					a.closeAll()
+				client.send(newCall("certificado", "x"))
+				if tt.after {
+					agent.closeConns()
 				}
 				time.Sleep(50 * time.Millisecond)
 			})
-			if got := f.read(); got.body != "re:x" {
+			if got := client.readAnswer(); got.body != "re:x" {
 				t.Errorf("status %d, %q, want it served on another connection", got.status, got.body)
 			}
 		})
@@ -502,25 +502,25 @@
 // that connection gets its own.
 func TestAnswerAfterItsTime(t *testing.T) {
 	release := make(chan struct{})
-	s, a := one(t, func(n int, g goLine) string {
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
 			<-release
 		}
-		return echo(n, g)
+		return echo(n, request)
 	})
-	f := s.front()
-	f.send(call("certificado", "late", [2]string{"HTTP_BUDGET_MS", "300"}))
-	if got := f.read(); got.status != 502 {
+	client := sched.connect()
+	client.send(newCall("certificado", "late", [2]string{"HTTP_BUDGET_MS", "300"}))
+	if got := client.readAnswer(); got.status != 502 {
 		t.Errorf("status %d when its time was over, want a failure: it may have run", got.status)
 	}
 	close(release)
 	for _, body := range []string{"a", "b", "c"} {
-		f.send(call("certificado", body))
-		if got := f.read(); got.body != "re:"+body {
+		client.send(newCall("certificado", body))
+		if got := client.readAnswer(); got.body != "re:"+body {
 			t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
 		}
 	}
-	if had := a.had(); len(had) != 4 {
+	if had := agent.received(); len(had) != 4 {
 		t.Errorf("the worker had %d requests, want 4", len(had))
 	}
 }
@@ -529,32 +529,32 @@
 // that come: the settings that a scheduler runs with are those of its start.
 func TestReloadWithoutAClass(t *testing.T) {
 	release := make(chan struct{})
-	s, a := one(t, func(n int, g goLine) string {
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
 			<-release
 		}
-		return echo(n, g)
+		return echo(n, request)
 	})
-	f := s.front()
-	f.send(call("certificado", "out"))
-	until(t, "the request is at the worker", func() bool { return len(a.had()) == 1 })
-	s.settings = [][2]string{
+	client := sched.connect()
+	client.send(newCall("certificado", "out"))
+	waitUntil(t, "the request is at the worker", func() bool { return len(agent.received()) == 1 })
+	sched.settingsEdits = [][2]string{
 		{`"name":"certificado"`, `"name":"other"`},
 		{`"effect":"non_idempotent"`, `"effect":"read_like"`},
 		{`"hardLimitMs":3000`, `"hardLimitMs":30`},
 	}
-	s.configure()
-	if err := s.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+	sched.configure()
+	if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the configuration is read", func() bool { return strings.Contains(s.log.String(), "configuration read again") })
+	waitUntil(t, "the configuration is read", func() bool { return strings.Contains(sched.log.String(), "configuration read again") })
 	close(release)
-	if got := f.read(); got.body != "re:out" {
+	if got := client.readAnswer(); got.body != "re:out" {
 		t.Errorf("status %d for the request under way", got.status)
 	}
 	for class, want := range map[string]int{"certificado": 200, "consulta": 200, "other": 400} {
-		f.send(call(class, "x"))
-		if got := f.read(); got.status != want {
+		client.send(newCall(class, "x"))
+		if got := client.readAnswer(); got.status != want {
 			t.Errorf("status %d for class %s, want %d", got.status, class, want)
 		}
 	}
@@ -563,39 +563,39 @@
 // A scheduler that has no list yet is not ready, refuses what comes while its client can still go elsewhere, ends when
 // it is told to, and serves as soon as it has one.
 func TestBeforeTheFirstList(t *testing.T) {
-	a := newAgent(t, echo)
-	for _, c := range []struct {
+	agent := newAgent(t, echo)
+	for _, tt := range []struct {
 		name  string
 		ended bool
 	}{{"serves when it has one", false}, {"ends without", true}} {
-		t.Run(c.name, func(t *testing.T) {
-			s := newSite(t)
-			s.launch()
-			var f *front
-			until(t, "the program listens", func() bool {
-				conn, err := net.Dial("tcp", s.addr)
+		t.Run(tt.name, func(t *testing.T) {
+			sched := newTestScheduler(t)
+			sched.launch()
+			var client *testClient
+			waitUntil(t, "the program listens", func() bool {
+				conn, err := net.Dial("tcp", sched.addr)
 				if err == nil {
-					f = &front{t: t, c: conn, r: bufio.NewReader(conn)}
+					client = &testClient{t: t, conn: conn, reader: bufio.NewReader(conn)}
 				}
 				return err == nil
 			})
-			defer f.c.Close()
-			for path, q := range map[string]request{"health": {id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}, "a request": call("certificado", "x", [2]string{"HTTP_BUDGET_MS", "400"})} {
-				f.send(q)
-				if got := f.read(); got.status != 503 {
+			defer client.conn.Close()
+			for path, request := range map[string]clientRequest{"health": {id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}, "a request": newCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "400"})} {
+				client.send(request)
+				if got := client.readAnswer(); got.status != 503 {
 					t.Errorf("status %d for %s without a list, want 503", got.status, path)
 				}
 			}
-			if c.ended {
-				if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+			if tt.ended {
+				if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
-				s.endsWell()
+				sched.waitForExit()
 				return
 			}
-			s.told(true, "a SERVING "+a.addr)
-			f.send(call("certificado", "x"))
-			if got := f.read(); got.body != "re:x" {
+			sched.addEventAndWait(true, "a SERVING "+agent.addr)
+			client.send(newCall("certificado", "x"))
+			if got := client.readAnswer(); got.body != "re:x" {
 				t.Errorf("status %d once it has a list", got.status)
 			}
 		})
@@ -605,59 +605,59 @@
 // Events that an answer leaves out may say who drains: the list is read from its beginning. A service that does not
 // have them any more is taken as it is.
 func TestEventsLeftOut(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		never bool // the service never brings them
 	}{{"once", false}, {"for good", true}} {
-		t.Run(c.name, func(t *testing.T) {
-			a, b := newAgent(t, named("a")), newAgent(t, named("b"))
-			s := newSite(t)
-			s.tell(true, "a SERVING "+a.addr)
-			s.start()
-			serves(t, s, "a")
-			s.mu.Lock()
-			skips := func(w http.ResponseWriter) { fmt.Fprintf(w, `{"no":3,"items":[%s]}`, s.events[2]) }
-			s.spoiled = append(s.spoiled, skips)
-			if c.never {
-				s.spoiled = append(s.spoiled, skips)
+		t.Run(tt.name, func(t *testing.T) {
+			agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+agentA.addr)
+			sched.start()
+			waitUntilServedBy(t, sched, "a")
+			sched.mu.Lock()
+			skips := func(w http.ResponseWriter) { fmt.Fprintf(w, `{"no":3,"items":[%s]}`, sched.events[2]) }
+			sched.pollOverrides = append(sched.pollOverrides, skips)
+			if tt.never {
+				sched.pollOverrides = append(sched.pollOverrides, skips)
 			}
-			held := s.changed
-			s.events = append(s.events, fmt.Sprintf(`{"no":2,"roster":{"rev":1,"all":false,"targets":[{"uid":"a","state":"DRAINING","endpoint":%q}]}}`, a.addr))
-			s.events = append(s.events, fmt.Sprintf(`{"no":3,"roster":{"rev":1,"all":false,"targets":[{"uid":"b","state":"SERVING","endpoint":%q}]}}`, b.addr))
-			s.changed = make(chan struct{})
-			s.mu.Unlock()
+			held := sched.changed
+			sched.events = append(sched.events, fmt.Sprintf(`{"no":2,"roster":{"rev":1,"all":false,"targets":[{"uid":"a","state":"DRAINING","endpoint":%q}]}}`, agentA.addr))
+			sched.events = append(sched.events, fmt.Sprintf(`{"no":3,"roster":{"rev":1,"all":false,"targets":[{"uid":"b","state":"SERVING","endpoint":%q}]}}`, agentB.addr))
+			sched.changed = make(chan struct{})
+			sched.mu.Unlock()
 			close(held)
-			until(t, "the last event is known", func() bool { return strings.Contains(s.log.String(), "event=3 ") })
-			if c.never {
-				s.tell(false, "a DRAINING "+a.addr) // what comes after them is heard
+			waitUntil(t, "the last event is known", func() bool { return strings.Contains(sched.log.String(), "event=3 ") })
+			if tt.never {
+				sched.addEvent(false, "a DRAINING "+agentA.addr) // what comes after them is heard
 			}
-			serves(t, s, "b")
+			waitUntilServedBy(t, sched, "b")
 		})
 	}
 }
 
 // Requests that are begun on many connections and never whole give up their buffers to those of others.
 func TestHalfRequestsMakeRoom(t *testing.T) {
-	a := newAgent(t, echo)
-	s := newSite(t)
-	s.memoryMB = 12 // 256 buffers
-	s.tell(true, "a SERVING "+a.addr)
-	s.start()
+	agent := newAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.memoryMB = 12 // 256 buffers
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
 	asks := func() {
 		t.Helper()
-		f := s.front()
-		f.send(call("consulta", "x"))
-		if got := f.read(); got.body != "re:x" {
-			t.Errorf("status %d, protocol status %d, want it served", got.status, got.proto)
+		client := sched.connect()
+		client.send(newCall("consulta", "x"))
+		if got := client.readAnswer(); got.body != "re:x" {
+			t.Errorf("status %d, protocol status %d, want it served", got.status, got.protocolStatus)
 		}
 	}
 	asks()
 	for range 10 {
-		f := s.front()
+		client := sched.connect()
 		for id := uint16(1); id <= 32; id++ {
-			q := call("consulta", "half")
-			q.id, q.open = id, true
-			f.send(q)
+			request := newCall("consulta", "half")
+			request.id, request.bodyOpen = id, true
+			client.send(request)
 		}
 	}
 	time.Sleep(500 * time.Millisecond) // they have 2 s
@@ -667,22 +667,22 @@
 // How long a stall may be that does not make the list old hangs on the grace that drains have: a scheduler between two
 // asks that stands still for longer than that grace sends nothing to a worker that was told to drain meanwhile.
 func TestDrainedDuringAStall(t *testing.T) {
-	a, b := newAgent(t, named("a")), newAgent(t, named("b"))
-	s := newSite(t)
-	s.of = 300
-	s.settings = [][2]string{{`"stopSendingWithinMs":1000`, `"stopSendingWithinMs":200`}}
-	s.tell(true, "a SERVING "+a.addr)
-	s.start()
-	serves(t, s, "a")
-	f := s.front()
+	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.schedulers = 300
+	sched.settingsEdits = [][2]string{{`"stopSendingWithinMs":1000`, `"stopSendingWithinMs":200`}}
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sched.start()
+	waitUntilServedBy(t, sched, "a")
+	client := sched.connect()
 	for round := range 5 {
-		s.told(true, "a SERVING "+a.addr) // it has just been answered, and rests before it asks again
-		s.stopped(func() {
-			s.tell(true, "a DRAINING "+a.addr, "b SERVING "+b.addr)
-			f.send(call("consulta", ""))
+		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // it has just been answered, and rests before it asks again
+		sched.whileStopped(func() {
+			sched.addEvent(true, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+			client.send(newCall("consulta", ""))
 			time.Sleep(270 * time.Millisecond)
 		})
-		if got := f.read(); got.body != "b" {
+		if got := client.readAnswer(); got.body != "b" {
 			t.Errorf("round %d: %q answers 270 ms after a was told to drain, want b", round, got.body)
 		}
 	}
@@ -691,67 +691,67 @@
 // Requests whose clients would wait for longer than the platform does get their final answer before it ends the
 // program: a refusal where a repeat is harmless, a failure where it may not be repeated.
 func TestAnsweredBeforeTheKill(t *testing.T) {
-	a := newAgent(t, func(int, goLine) string { return "" })
-	s := newSite(t)
-	s.settings = [][2]string{{`"hardLimitMs":2500`, `"hardLimitMs":9000`}, {`"hardLimitMs":3000`, `"hardLimitMs":9000`}}
-	s.tell(true, "a SERVING "+a.addr)
-	s.start()
+	agent := newAgent(t, func(int, agentRequest) string { return "" })
+	sched := newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"hardLimitMs":2500`, `"hardLimitMs":9000`}, {`"hardLimitMs":3000`, `"hardLimitMs":9000`}}
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
 	want := map[string]int{"consulta": 503, "registro-horas": 503, "certificado": 502}
-	fronts := map[string]*front{}
+	fronts := map[string]*testClient{}
 	for class := range want {
-		f := s.front()
-		q := call(class, "x")
-		q.params[4][1] = q.param("HTTP_REQUEST_ID") // each of a function of its own, or some would be held
-		f.send(q)
-		fronts[class] = f
+		client := sched.connect()
+		request := newCall(class, "x")
+		request.params[4][1] = request.param("HTTP_REQUEST_ID") // each of a function of its own, or some would be held
+		client.send(request)
+		fronts[class] = client
 	}
-	until(t, "all are at the worker", func() bool { return len(a.had()) >= len(want) })
+	waitUntil(t, "all are at the worker", func() bool { return len(agent.received()) >= len(want) })
 	at := time.Now()
-	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for class, status := range want {
-		if got := fronts[class].read(); got.status != status {
+		if got := fronts[class].readAnswer(); got.status != status {
 			t.Errorf("%s: status %d, want %d", class, got.status, status)
 		}
 	}
 	// By what it says: the race detector keeps a process for a second beyond its end.
-	until(t, "it ends", func() bool { return strings.Contains(s.log.String(), "scheduler ended") })
+	waitUntil(t, "it ends", func() bool { return strings.Contains(sched.log.String(), "scheduler ended") })
 	if took := time.Since(at); took > 3700*time.Millisecond { // SIGKILL comes no sooner
 		t.Errorf("ended %v after SIGTERM", took)
 	}
-	s.endsWell()
+	sched.waitForExit()
 }
 
 // Requests that come in pieces, those of two clients in turn, and answers that come in pieces are whole in the end. Each
 // piece is a write of its own.
 func TestInPieces(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() { // a worker that echoes, one byte at a time
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				for r := bufio.NewReader(c); ; {
-					line, err := r.ReadString('\n')
+				defer conn.Close()
+				for reader := bufio.NewReader(conn); ; {
+					line, err := reader.ReadString('\n')
 					words := strings.Fields(line)
 					if err != nil || len(words) != 4 {
 						return
 					}
 					size, _ := strconv.Atoi(words[3])
 					body := make([]byte, size+2)
-					if _, err := io.ReadFull(r, body); err != nil {
+					if _, err := io.ReadFull(reader, body); err != nil {
 						return
 					}
 					for _, b := range []byte(answerLine(words[1], "OK", "depth=0,l=util:0.5", string(body[:size]))) {
-						if _, err := c.Write([]byte{b}); err != nil {
+						if _, err := conn.Write([]byte{b}); err != nil {
 							return
 						}
 					}
@@ -759,21 +759,21 @@
 			}()
 		}
 	}()
-	s := newSite(t)
-	s.tell(true, "a SERVING "+l.Addr().String())
-	s.start()
-	a, b := s.front(), s.front()
-	first, second := call("certificado", "the first").bytes(), call("certificado", "the second").bytes()
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+listener.Addr().String())
+	sched.start()
+	clientA, clientB := sched.connect(), sched.connect()
+	first, second := newCall("certificado", "the first").bytes(), newCall("certificado", "the second").bytes()
 	for i := range max(len(first), len(second)) {
 		if i < len(first) {
-			a.write(first[i : i+1])
+			clientA.write(first[i : i+1])
 		}
 		if i < len(second) {
-			b.write(second[i : i+1])
+			clientB.write(second[i : i+1])
 		}
 	}
-	for f, want := range map[*front]string{a: "the first", b: "the second"} {
-		if got := f.read(); got.body != want {
+	for client, want := range map[*testClient]string{clientA: "the first", clientB: "the second"} {
+		if got := client.readAnswer(); got.body != want {
 			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
 		}
 	}
@@ -785,37 +785,37 @@
 	for _, first := range []string{"OK", "MISS", "ERR"} {
 		t.Run(first, func(t *testing.T) {
 			var mu sync.Mutex
-			second, at := "", "" // the second answer, and the worker that sends it before its next, on its first connection
+			second, address := "", "" // the second answer, and the worker that sends it before its next, on its first connection
 			begun := false
 			worker := func(name string) *nodeAgent {
-				return newAgent(t, func(n int, g goLine) string {
+				return newAgent(t, func(number int, request agentRequest) string {
 					mu.Lock()
 					defer mu.Unlock()
 					if !begun {
-						begun, at, second = true, name, answerLine(g.id, "OK", "-", "second")
+						begun, address, second = true, name, answerLine(request.id, "OK", "-", "second")
 						if first == "OK" {
-							return echo(n, g)
+							return echo(number, request)
 						}
-						return answerLine(g.id, first, "-", "")
+						return answerLine(request.id, first, "-", "")
 					}
 					before := ""
-					if name == at && g.conn == 1 {
+					if name == address && request.conn == 1 {
 						before, second = second, ""
 					}
-					return before + echo(n, g)
+					return before + echo(number, request)
 				})
 			}
-			s := newSite(t)
-			s.tell(true, "a SERVING "+worker("a").addr, "b SERVING "+worker("b").addr)
-			s.start()
-			f := s.front()
-			f.send(call("consulta", "x"))
-			if got := f.read(); got.body != "re:x" {
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+worker("a").addr, "b SERVING "+worker("b").addr)
+			sched.start()
+			client := sched.connect()
+			client.send(newCall("consulta", "x"))
+			if got := client.readAnswer(); got.body != "re:x" {
 				t.Errorf("status %d, %q, want the first answer, or that of another attempt", got.status, got.body)
 			}
 			for _, body := range []string{"a", "b", "c", "d"} { // of functions that stand at either
-				f.send(call("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
-				if got := f.read(); got.body != "re:"+body {
+				client.send(newCall("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
+				if got := client.readAnswer(); got.body != "re:"+body {
 					t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
 				}
 			}
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -53,9 +53,9 @@
 
 // recorder runs one exchange step by step and writes down the bytes that each side sends and receives. The test takes
 // every step itself, so that the order of the steps never depends on the time.
-type recorder struct {
+type exchangeRecorder struct {
 	t        *testing.T
-	s        *site
+	s        *testScheduler
 	messages chan agentMessage // received by the agents, in order
 	polls    chan string       // received by the list service
 	client   net.Conn
@@ -63,45 +63,45 @@
 }
 
 // newRecorder starts the program with so many agents, all of which the recorder plays.
-func newRecorder(t *testing.T, out *strings.Builder, agents int) *recorder {
+func newExchangeRecorder(t *testing.T, out *strings.Builder, agents int) *exchangeRecorder {
 	t.Helper()
-	r := &recorder{t: t, s: newSite(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
-	r.recordPolls()
+	recorder := &exchangeRecorder{t: t, s: newTestScheduler(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
+	recorder.recordPolls()
 	var workers []string
 	for i := range agents {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { l.Close() })
-		go r.acceptAgent(l)
-		workers = append(workers, fmt.Sprintf("%c SERVING %s", 'a'+i, l.Addr()))
+		t.Cleanup(func() { listener.Close() })
+		go recorder.acceptAgent(listener)
+		workers = append(workers, fmt.Sprintf("%c SERVING %s", 'a'+i, listener.Addr()))
 	}
-	r.s.tell(true, workers...)
-	r.s.start()
-	c, err := net.Dial("tcp", r.s.addr)
+	recorder.s.addEvent(true, workers...)
+	recorder.s.start()
+	conn, err := net.Dial("tcp", recorder.s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	r.client = c
-	return r
+	t.Cleanup(func() { conn.Close() })
+	recorder.client = conn
+	return recorder
 }
 
 // acceptAgent reads the messages on all connections to an agent.
-func (r *recorder) acceptAgent(l net.Listener) {
+func (r *exchangeRecorder) acceptAgent(listener net.Listener) {
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		r.t.Cleanup(func() { c.Close() })
-		go r.readAgent(c)
+		r.t.Cleanup(func() { conn.Close() })
+		go r.readAgent(conn)
 	}
 }
 
-func (r *recorder) readAgent(c net.Conn) {
-	for in := bufio.NewReader(c); ; {
+func (r *exchangeRecorder) readAgent(conn net.Conn) {
+	for in := bufio.NewReader(conn); ; {
 		text, err := in.ReadString('\n')
 		if err == nil && strings.HasPrefix(text, "go ") {
 			words := strings.Fields(text)
@@ -111,7 +111,7 @@
 			text += string(body)
 		}
 		if text != "" {
-			r.messages <- agentMessage{conn: c, text: text}
+			r.messages <- agentMessage{conn: conn, text: text}
 		}
 		if err != nil {
 			return
@@ -120,7 +120,7 @@
 }
 
 // recordPolls puts a list service in place of the site's, one that keeps the bytes of each poll.
-func (r *recorder) recordPolls() {
+func (r *exchangeRecorder) recordPolls() {
 	r.s.bulletin.Close()
 	r.s.bulletin = httptest.NewUnstartedServer(http.HandlerFunc(r.s.poll))
 	r.s.bulletin.Listener = recordingListener{r.s.bulletin.Listener, r.polls}
@@ -134,11 +134,11 @@
 }
 
 func (l recordingListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &recordingConn{Conn: c, requests: l.requests}, nil
+	return &recordingConn{Conn: conn, requests: l.requests}, nil
 }
 
 type recordingConn struct {
@@ -147,9 +147,9 @@
 	pending  []byte
 }
 
-func (c *recordingConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.pending = append(c.pending, b[:n]...)
+func (c *recordingConn) Read(data []byte) (int, error) {
+	n, err := c.Conn.Read(data)
+	c.pending = append(c.pending, data[:n]...)
 	const headEnd = "\r\n\r\n" // polls have no body
 	for end := bytes.Index(c.pending, []byte(headEnd)); end >= 0; end = bytes.Index(c.pending, []byte(headEnd)) {
 		end += len(headEnd)
@@ -163,7 +163,7 @@
 }
 
 // write adds bytes to the record.
-func (r *recorder) write(who, text string) { fmt.Fprintf(r.out, "%s %s\n", who, quote(text)) }
+func (r *exchangeRecorder) write(who, text string) { fmt.Fprintf(r.out, "%s %s\n", who, quote(text)) }
 
 // quote writes bytes as Go does, with long runs of one letter as a product.
 func quote(text string) string {
@@ -188,82 +188,82 @@
 }
 
 // splitRecords cuts FastCGI bytes at the ends of records.
-func splitRecords(b []byte) (records []string) {
+func splitRecords(data []byte) (records []string) {
 	const header = 8
-	for len(b) >= header && b[0] == 1 {
-		n := header + int(binary.BigEndian.Uint16(b[4:])) + int(b[6])
-		if n > len(b) {
+	for len(data) >= header && data[0] == 1 {
+		n := header + int(binary.BigEndian.Uint16(data[4:])) + int(data[6])
+		if n > len(data) {
 			break
 		}
-		records, b = append(records, string(b[:n])), b[n:]
+		records, data = append(records, string(data[:n])), data[n:]
 	}
-	if len(b) > 0 {
-		records = append(records, string(b))
+	if len(data) > 0 {
+		records = append(records, string(data))
 	}
 	return records
 }
 
 // sends writes bytes as the client.
-func (r *recorder) sends(b []byte) {
+func (r *exchangeRecorder) sends(data []byte) {
 	r.t.Helper()
-	for _, text := range splitRecords(b) {
+	for _, text := range splitRecords(data) {
 		r.write("client sends   ", text)
 	}
-	if _, err := r.client.Write(b); err != nil {
+	if _, err := r.client.Write(data); err != nil {
 		r.t.Fatalf("client: %v", err)
 	}
 }
 
 // receives reads as the client, up to and with a record of a type.
-func (r *recorder) receives(last byte) {
+func (r *exchangeRecorder) receives(last byte) {
 	r.t.Helper()
 	for {
-		r.client.SetReadDeadline(time.Now().Add(patient))
-		b := make([]byte, 8)
-		if _, err := io.ReadFull(r.client, b); err != nil {
+		setReadDeadline(r.t, r.client)
+		data := make([]byte, 8)
+		if _, err := io.ReadFull(r.client, data); err != nil {
 			r.t.Fatalf("client: reading a record: %v", err)
 		}
-		content := make([]byte, int(binary.BigEndian.Uint16(b[4:]))+int(b[6]))
+		content := make([]byte, int(binary.BigEndian.Uint16(data[4:]))+int(data[6]))
 		if _, err := io.ReadFull(r.client, content); err != nil {
 			r.t.Fatalf("client: reading a record: %v", err)
 		}
-		r.write("client receives", string(append(b, content...)))
-		if b[1] == last {
+		r.write("client receives", string(append(data, content...)))
+		if data[1] == last {
 			return
 		}
 	}
 }
 
 // receivesEnd reads as the client until the connection ends.
-func (r *recorder) receivesEnd() {
+func (r *exchangeRecorder) receivesEnd() {
 	r.t.Helper()
-	r.client.SetReadDeadline(time.Now().Add(patient))
-	b, err := io.ReadAll(r.client)
+	setReadDeadline(r.t, r.client)
+	data, err := io.ReadAll(r.client)
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
 		r.t.Fatal("client: the connection does not end")
 	}
-	for _, text := range splitRecords(b) {
+	for _, text := range splitRecords(data) {
 		r.write("client receives", text)
 	}
 	fmt.Fprintln(r.out, "client receives the end of the connection")
 }
 
 // agentReceives is the next message that an agent receives.
-func (r *recorder) agentReceives() agentMessage {
+func (r *exchangeRecorder) agentReceives() agentMessage {
 	r.t.Helper()
 	select {
-	case m := <-r.messages:
-		r.write("agent receives ", r.withoutPatience(m.text))
-		return m
-	case <-time.After(patient):
+	case message := <-r.messages:
+		r.write("agent receives ", r.withoutPatience(message.text))
+		return message
+	case <-time.After(waitTimeout):
 		r.t.Fatal("nothing comes to an agent")
 		return agentMessage{}
 	}
 }
 
 // withoutPatience replaces the time that an attempt has left, which must be within the budget of its request.
-func (r *recorder) withoutPatience(text string) string {
+func (r *exchangeRecorder) withoutPatience(text string) string {
 	if m := patienceField.FindStringSubmatch(text); m != nil {
 		if ms, err := strconv.Atoi(m[1]); err != nil || ms <= 0 || ms > goldenBudget {
 			r.t.Errorf("patience %s of a budget of %d", m[1], goldenBudget)
@@ -273,48 +273,48 @@
 }
 
 // agentSends answers a message; {id} stands for its request id.
-func (r *recorder) agentSends(m agentMessage, text string) {
+func (r *exchangeRecorder) agentSends(message agentMessage, text string) {
 	r.t.Helper()
-	text = strings.ReplaceAll(text, "{id}", m.id())
+	text = strings.ReplaceAll(text, "{id}", message.id())
 	r.write("agent sends    ", text)
-	if _, err := io.WriteString(m.conn, text); err != nil {
+	if _, err := io.WriteString(message.conn, text); err != nil {
 		r.t.Fatalf("agent: %v", err)
 	}
 }
 
 // agentEnds closes the connection that a message came on, by a reset if told so.
-func (r *recorder) agentEnds(m agentMessage, reset bool) {
+func (r *exchangeRecorder) agentEnds(message agentMessage, reset bool) {
 	how := "closes"
 	if reset {
 		how = "resets"
-		m.conn.(*net.TCPConn).SetLinger(0)
+		resetOnClose(message.conn)
 	}
 	fmt.Fprintf(r.out, "agent %s the connection\n", how)
-	m.conn.Close()
+	message.conn.Close()
 }
 
 // polled adds the next poll that the list service receives.
-func (r *recorder) polled() {
+func (r *exchangeRecorder) polled() {
 	r.t.Helper()
 	select {
 	case text := <-r.polls:
 		r.write("list service receives", hostHeader.ReplaceAllString(text, "\r\nHost: 127.0.0.1:PORT\r\n"))
-	case <-time.After(patient):
+	case <-time.After(waitTimeout):
 		r.t.Fatal("the list service is not polled")
 	}
 }
 
 // finish checks that the agents receive nothing else. The program has answered a request of its own connection by then,
 // so that what it does about the exchange is done.
-func (r *recorder) finish() {
+func (r *exchangeRecorder) finish() {
 	r.t.Helper()
-	f := r.s.front()
-	f.send(request{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
-	f.read()
+	client := r.s.connect()
+	client.send(clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
+	client.readAnswer()
 	for {
 		select {
-		case m := <-r.messages:
-			r.t.Errorf("an agent received more: %q", m.text)
+		case message := <-r.messages:
+			r.t.Errorf("an agent received more: %q", message.text)
 		default:
 			return
 		}
@@ -322,56 +322,56 @@
 }
 
 // goldenCall is a request with fixed parameters; change edits them, and drops those set to "-".
-func goldenCall(class, body string, change ...[2]string) request {
+func goldenCall(class, body string, change ...[2]string) clientRequest {
 	fixed := [][2]string{
 		{"HTTP_REQUEST_ID", goldenID},
 		{"HTTP_RESOURCE_KEY", goldenFunction},
 		{"HTTP_ONCE_KEY", goldenKey},
 		{"HTTP_BUDGET_MS", strconv.Itoa(goldenBudget)},
 	}
-	return call(class, body, append(fixed, change...)...)
+	return newCall(class, body, append(fixed, change...)...)
 }
 
 // answered is an exchange of one attempt: the agent answers, and the client receives what comes of it.
-func answered(class, answer string) func(*recorder) {
-	return func(r *recorder) {
-		r.sends(goldenCall(class, "x").bytes())
-		r.agentSends(r.agentReceives(), answer)
-		r.receives(typeEndRequest)
+func answered(class, answer string) func(*exchangeRecorder) {
+	return func(recorder *exchangeRecorder) {
+		recorder.sends(goldenCall(class, "x").bytes())
+		recorder.agentSends(recorder.agentReceives(), answer)
+		recorder.receives(typeEndRequest)
 	}
 }
 
 // retried is an exchange of two attempts: the first ends in some way, the second is served.
-func retried(class, answer string) func(*recorder) {
-	return func(r *recorder) {
-		r.sends(goldenCall(class, "x").bytes())
-		r.agentSends(r.agentReceives(), answer)
-		r.agentSends(r.agentReceives(), servedAnswer)
-		r.receives(typeEndRequest)
+func retried(class, answer string) func(*exchangeRecorder) {
+	return func(recorder *exchangeRecorder) {
+		recorder.sends(goldenCall(class, "x").bytes())
+		recorder.agentSends(recorder.agentReceives(), answer)
+		recorder.agentSends(recorder.agentReceives(), servedAnswer)
+		recorder.receives(typeEndRequest)
 	}
 }
 
 // rejected is an exchange that reaches no agent: the client receives an answer at once.
-func rejected(q request) func(*recorder) {
-	return func(r *recorder) {
-		r.sends(q.bytes())
-		r.receives(typeEndRequest)
+func rejected(request clientRequest) func(*exchangeRecorder) {
+	return func(recorder *exchangeRecorder) {
+		recorder.sends(request.bytes())
+		recorder.receives(typeEndRequest)
 	}
 }
 
 // closed is an exchange that the program cannot understand: it ends the connection.
-func closed(b []byte) func(*recorder) {
-	return func(r *recorder) {
-		r.sends(b)
-		r.receivesEnd()
+func closed(data []byte) func(*exchangeRecorder) {
+	return func(recorder *exchangeRecorder) {
+		recorder.sends(data)
+		recorder.receivesEnd()
 	}
 }
 
 // managed is an exchange of records that belong to no request.
-func managed(b []byte, answer byte) func(*recorder) {
-	return func(r *recorder) {
-		r.sends(b)
-		r.receives(answer)
+func managed(data []byte, answer byte) func(*exchangeRecorder) {
+	return func(recorder *exchangeRecorder) {
+		recorder.sends(data)
+		recorder.receives(answer)
 	}
 }
 
@@ -388,69 +388,69 @@
 type exchange struct {
 	name   string
 	agents int
-	run    func(*recorder)
+	run    func(*exchangeRecorder)
 }
 
 func exchanges() []exchange {
 	const nonIdempotent = "certificado" // a class whose requests are never attempted again once they may have run
 	begin := string([]byte{0, 1, 1, 0, 0, 0, 0, 0})
 	once := goldenCall("consulta", "x")
-	once.once = true
+	once.closeAfter = true
 	padded := goldenCall("registro-horas", "padded")
-	padded.id, padded.padding, padded.long = 300, 7, true
+	padded.id, padded.padding, padded.longLengths = 300, 7, true
 	otherRole := goldenCall("consulta", "")
 	otherRole.role = 2
 	tooLong := goldenCall("consulta", strings.Repeat("x", 16<<10+1))
-	tooLong.open = true
-	health := request{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
+	tooLong.bodyOpen = true
+	health := clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
 	return []exchange{
 		{"served", 1, answered("registro-horas", servedAnswer)},
-		{"served, no body", 1, func(r *recorder) {
-			r.sends(goldenCall("consulta", "").bytes())
-			r.agentSends(r.agentReceives(), "{id} OK - 0\r\n\r\n")
-			r.receives(typeEndRequest)
+		{"served, no body", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall("consulta", "").bytes())
+			recorder.agentSends(recorder.agentReceives(), "{id} OK - 0\r\n\r\n")
+			recorder.receives(typeEndRequest)
 		}},
-		{"served, no idempotency key", 1, func(r *recorder) {
-			r.sends(goldenCall("consulta", "x", [2]string{"HTTP_ONCE_KEY", "-"}).bytes())
-			r.agentSends(r.agentReceives(), servedAnswer)
-			r.receives(typeEndRequest)
+		{"served, no idempotency key", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall("consulta", "x", [2]string{"HTTP_ONCE_KEY", "-"}).bytes())
+			recorder.agentSends(recorder.agentReceives(), servedAnswer)
+			recorder.receives(typeEndRequest)
 		}},
-		{"served, body of any bytes", 1, func(r *recorder) {
-			r.sends(goldenCall("certificado", "\x00\xff\r\n=, go").bytes())
-			r.agentSends(r.agentReceives(), "{id} OK - 7\r\n\x00\xff\r\nOK \r\n")
-			r.receives(typeEndRequest)
+		{"served, body of any bytes", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall("certificado", "\x00\xff\r\n=, go").bytes())
+			recorder.agentSends(recorder.agentReceives(), "{id} OK - 7\r\n\x00\xff\r\nOK \r\n")
+			recorder.receives(typeEndRequest)
 		}},
-		{"served, padding and long lengths", 1, func(r *recorder) {
-			r.sends(padded.bytes())
-			r.agentSends(r.agentReceives(), servedAnswer)
-			r.receives(typeEndRequest)
+		{"served, padding and long lengths", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(padded.bytes())
+			recorder.agentSends(recorder.agentReceives(), servedAnswer)
+			recorder.receives(typeEndRequest)
 		}},
-		{"served, connection not kept", 1, func(r *recorder) {
-			r.sends(once.bytes())
-			r.agentSends(r.agentReceives(), servedAnswer)
-			r.receivesEnd()
+		{"served, connection not kept", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(once.bytes())
+			recorder.agentSends(recorder.agentReceives(), servedAnswer)
+			recorder.receivesEnd()
 		}},
 		{"served, fields that are not known", 1, answered("consulta", "{id} OK other=1,depth=1,l=new:1;util:0.25 2\r\nok\r\n")},
-		{"served, answer in pieces", 1, func(r *recorder) {
-			r.sends(goldenCall("certificado", "x").bytes())
-			m := r.agentReceives()
-			for _, b := range m.id() + " OK - 2\r\nok\r\n" {
-				r.agentSends(m, string(b))
+		{"served, answer in pieces", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall("certificado", "x").bytes())
+			message := recorder.agentReceives()
+			for _, b := range message.id() + " OK - 2\r\nok\r\n" {
+				recorder.agentSends(message, string(b))
 			}
-			r.receives(typeEndRequest)
+			recorder.receives(typeEndRequest)
 		}},
 		{"served, answer of several records", 1, answered("certificado", "{id} OK - 140000\r\n"+strings.Repeat("y", 140000)+"\r\n")},
 		{"served after an answer to nobody", 1, answered("certificado", "0000 OK - 2\r\nno\r\n"+servedAnswer)},
-		{"two at a time, answered in the other order", 1, func(r *recorder) {
+		{"two at a time, answered in the other order", 1, func(recorder *exchangeRecorder) {
 			second := goldenCall("consulta", "second", [2]string{"HTTP_REQUEST_ID", "00000000000c0de2"})
 			second.id = 2
-			r.sends(goldenCall("consulta", "first").bytes())
-			first := r.agentReceives()
-			r.sends(second.bytes())
-			r.agentSends(r.agentReceives(), "{id} OK - 6\r\nsecond\r\n")
-			r.receives(typeEndRequest)
-			r.agentSends(first, "{id} OK - 5\r\nfirst\r\n")
-			r.receives(typeEndRequest)
+			recorder.sends(goldenCall("consulta", "first").bytes())
+			first := recorder.agentReceives()
+			recorder.sends(second.bytes())
+			recorder.agentSends(recorder.agentReceives(), "{id} OK - 6\r\nsecond\r\n")
+			recorder.receives(typeEndRequest)
+			recorder.agentSends(first, "{id} OK - 5\r\nfirst\r\n")
+			recorder.receives(typeEndRequest)
 		}},
 		{"ERR, not idempotent", 2, answered(nonIdempotent, "{id} ERR - 0\r\n\r\n")},
 		{"ERR with a text, not idempotent", 2, answered(nonIdempotent, "{id} ERR l=util:0.5 5\r\ncause\r\n")},
@@ -460,27 +460,27 @@
 		{"VOID, then served", 2, retried("certificado", "{id} VOID - 0\r\n\r\n")},
 		{"UP to a request, which counts as served without a body", 2, answered(nonIdempotent, "{id} UP l=util:0.5\r\n")},
 		{"DOWN to a request, which counts as an error", 2, answered(nonIdempotent, "{id} DOWN\r\n")},
-		{"connection closed", 2, func(r *recorder) {
-			r.sends(goldenCall(nonIdempotent, "x").bytes())
-			r.agentEnds(r.agentReceives(), false)
-			r.receives(typeEndRequest)
+		{"connection closed", 2, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall(nonIdempotent, "x").bytes())
+			recorder.agentEnds(recorder.agentReceives(), false)
+			recorder.receives(typeEndRequest)
 		}},
-		{"connection reset", 2, func(r *recorder) {
-			r.sends(goldenCall(nonIdempotent, "x").bytes())
-			r.agentEnds(r.agentReceives(), true)
-			r.receives(typeEndRequest)
+		{"connection reset", 2, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall(nonIdempotent, "x").bytes())
+			recorder.agentEnds(recorder.agentReceives(), true)
+			recorder.receives(typeEndRequest)
 		}},
-		{"connection closed, then served", 2, func(r *recorder) {
-			r.sends(goldenCall("consulta", "x").bytes())
-			r.agentEnds(r.agentReceives(), false)
-			r.agentSends(r.agentReceives(), servedAnswer)
-			r.receives(typeEndRequest)
+		{"connection closed, then served", 2, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall("consulta", "x").bytes())
+			recorder.agentEnds(recorder.agentReceives(), false)
+			recorder.agentSends(recorder.agentReceives(), servedAnswer)
+			recorder.receives(typeEndRequest)
 		}},
-		{"silence until the deadline", 1, func(r *recorder) {
-			r.sends(goldenCall(nonIdempotent, "x", [2]string{"HTTP_BUDGET_MS", "600"}).bytes())
-			r.agentReceives()
-			r.receives(typeEndRequest)
-			r.agentReceives() // that it was given up
+		{"silence until the deadline", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall(nonIdempotent, "x", [2]string{"HTTP_BUDGET_MS", "600"}).bytes())
+			recorder.agentReceives()
+			recorder.receives(typeEndRequest)
+			recorder.agentReceives() // that it was given up
 		}},
 		{"answer that stops short", 1, answered(nonIdempotent, "{id} OK - 100\r\nshort")},
 		{"answer with another word", 1, answered(nonIdempotent, "{id} WHAT - 0\r\n\r\n")},
@@ -489,12 +489,12 @@
 		{"answer with a bad field", 1, answered(nonIdempotent, "{id} OK depth=many 0\r\n\r\n")},
 		{"answer with a bad report", 1, answered(nonIdempotent, "{id} OK l=util:NaN 0\r\n\r\n")},
 		{"answer without a line end", 1, answered(nonIdempotent, strings.Repeat("x", 5000))},
-		{"aborted by the client", 1, func(r *recorder) {
-			r.sends(goldenCall("consulta", "x").bytes())
-			r.agentReceives()
-			r.sends(rec(2, 1, 0, ""))
-			r.receives(typeEndRequest)
-			r.agentReceives() // that it was given up
+		{"aborted by the client", 1, func(recorder *exchangeRecorder) {
+			recorder.sends(goldenCall("consulta", "x").bytes())
+			recorder.agentReceives()
+			recorder.sends(encodeRecord(2, 1, 0, ""))
+			recorder.receives(typeEndRequest)
+			recorder.agentReceives() // that it was given up
 		}},
 		{"refused, no worker", 0, rejected(goldenCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "600"}))},
 		{"rejected, no such class", 1, rejected(goldenCall("nonsense", "x"))},
@@ -504,25 +504,25 @@
 		{"rejected, length of the body", 1, rejected(goldenCall("consulta", "four", [2]string{"CONTENT_LENGTH", "5"}))},
 		{"rejected, body too long", 1, rejected(tooLong)},
 		{"rejected, parameters too long", 1, rejected(goldenCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}))},
-		{"rejected, not complete in time", 1, func(r *recorder) {
+		{"rejected, not complete in time", 1, func(recorder *exchangeRecorder) {
 			// A first complete request, or the time of the connection would run out beside that of the request.
-			r.sends(health.bytes())
-			r.receives(typeEndRequest)
-			r.sends(rec(1, 1, 0, begin))
-			r.receives(typeEndRequest)
+			recorder.sends(health.bytes())
+			recorder.receives(typeEndRequest)
+			recorder.sends(encodeRecord(1, 1, 0, begin))
+			recorder.receives(typeEndRequest)
 		}},
-		{"nothing sent", 1, func(r *recorder) { r.receivesEnd() }},
+		{"nothing sent", 1, func(recorder *exchangeRecorder) { recorder.receivesEnd() }},
 		{"unknown role", 1, rejected(otherRole)},
 		{"health", 1, rejected(health)},
-		{"values", 1, managed(rec(9, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeValues)},
-		{"unknown type", 1, managed(rec(99, 0, 0, "x"), typeUnknownType)},
+		{"values", 1, managed(encodeRecord(9, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeValues)},
+		{"unknown type", 1, managed(encodeRecord(99, 0, 0, "x"), typeUnknownType)},
 		{"other protocol", 1, closed([]byte("GET / HTTP/1.1\r\n\r\n"))},
-		{"begun twice", 1, closed(append(rec(1, 4, 0, begin), rec(1, 4, 0, begin)...))},
-		{"begun short", 1, closed(rec(1, 4, 0, "\x00"))},
-		{"polls of the list service", 0, func(r *recorder) {
-			r.polled()
-			r.s.tell(false)
-			r.polled()
+		{"begun twice", 1, closed(append(encodeRecord(1, 4, 0, begin), encodeRecord(1, 4, 0, begin)...))},
+		{"begun short", 1, closed(encodeRecord(1, 4, 0, "\x00"))},
+		{"polls of the list service", 0, func(recorder *exchangeRecorder) {
+			recorder.polled()
+			recorder.s.addEvent(false)
+			recorder.polled()
 		}},
 	}
 }
@@ -535,16 +535,16 @@
 		t.Fatal("-record writes the whole file: it goes with all exchanges")
 	}
 	var all strings.Builder
-	for _, x := range exchanges() {
-		t.Run(x.name, func(t *testing.T) {
+	for _, exchange := range exchanges() {
+		t.Run(exchange.name, func(t *testing.T) {
 			var out strings.Builder
-			fmt.Fprintf(&out, "== %s\n", x.name)
+			fmt.Fprintf(&out, "== %s\n", exchange.name)
 			defer func() { all.WriteString(out.String()) }()
-			r := newRecorder(t, &out, x.agents)
-			x.run(r)
-			r.finish()
+			recorder := newExchangeRecorder(t, &out, exchange.agents)
+			exchange.run(recorder)
+			recorder.finish()
 			if !*record {
-				compareExchange(t, x.name, out.String())
+				compareExchange(t, exchange.name, out.String())
 			}
 		})
 	}
--- a/cmd/calicohill/shares_test.go
+++ b/cmd/calicohill/shares_test.go
@@ -20,13 +20,13 @@
 	if run == nil || strings.Contains(strings.ToLower(string(run[1])), "operator") {
 		t.Errorf("run is %q: it names an operator's file, or is not there", run)
 	}
-	s, _ := one(t, echo)
-	f := s.front()
-	f.send(call("consulta", "body"))
-	if got := f.read(); got.body != "re:body" {
+	sched, _ := startWithAgent(t, echo)
+	client := sched.connect()
+	client.send(newCall("consulta", "body"))
+	if got := client.readAnswer(); got.body != "re:body" {
 		t.Fatalf("answered status %d, body %q", got.status, got.body)
 	}
-	if n := udpSockets(t, s.cmd.Process.Pid); n != 0 {
+	if n := udpSockets(t, sched.cmd.Process.Pid); n != 0 {
 		t.Errorf("%d UDP sockets", n)
 	}
 }
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -15,73 +15,76 @@
 )
 
 // keeping is a site whose scheduler keeps its list, in the file that is returned.
-func keeping(t *testing.T, dir string) (*site, string) {
+func newSchedulerWithSnapshot(t *testing.T, dir string) (*testScheduler, string) {
 	t.Helper()
 	file := filepath.Join(dir, "n0.list")
-	s := newSite(t)
-	s.operator = filepath.Join(t.TempDir(), "own.conf")
+	sched := newTestScheduler(t)
+	sched.operatorFile = filepath.Join(t.TempDir(), "own.conf")
 	text := "state\n  snapshot " + file + "\n  fleet gt-registros\n  max-age 1h\n"
-	if err := os.WriteFile(s.operator, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(sched.operatorFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return s, file
+	return sched, file
 }
 
 // kept is the number of the last event in a file, 0 if there is none. A file that does not count is an error.
-func kept(t *testing.T, file string) int {
+func snapshotEvent(t *testing.T, file string) int {
 	t.Helper()
-	r, err := snapshotfile.Read(file, "gt-registros", time.Duration(time.Now().UnixNano()), time.Hour)
+	record, err := snapshotfile.Read(file, "gt-registros", time.Duration(time.Now().UnixNano()), time.Hour)
 	if err != nil {
 		t.Fatalf("what was kept does not count: %v", err)
 	}
-	return r.EventNumber
+	return record.EventNumber
 }
 
-// killed kills the program without a word.
-func (s *site) killed() {
-	s.cmd.Process.Kill()
+// kill ends the program by SIGKILL, and waits until it has ended.
+func (s *testScheduler) kill() {
+	s.t.Helper()
+	if err := s.cmd.Process.Kill(); err != nil {
+		s.t.Fatal(err)
+	}
 	s.ended <- <-s.ended // for the end of the test
 }
 
 // A list that was kept serves after a crash where it is newer than the configuration's, also while the list service is
 // down: who drains in it gets nothing, who is new in it gets work. Once the service counts anew its own list goes.
 func TestSnapshot(t *testing.T) {
-	a, b, c := newAgent(t, named("a")), newAgent(t, named("b")), newAgent(t, named("c"))
-	s, file := keeping(t, t.TempDir())
-	s.tell(true, "a SERVING "+a.addr)
-	s.start()
-	s.tell(false, "a DRAINING "+a.addr, "b SERVING "+b.addr)
-	serves(t, s, "b")
-	until(t, "the list is kept", func() bool { return kept(t, file) == 2 })
-	s.killed()
-	had := len(a.had())
+	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
+	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sched.start()
+	sched.addEvent(false, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+	waitUntilServedBy(t, sched, "b")
+	waitUntil(t, "the list is kept", func() bool { return snapshotEvent(t, file) == 2 })
+	sched.kill()
+	had := len(agentA.received())
 
-	s.bulletin.CloseClientConnections()
-	s.bulletin.Close()
-	s.stale = 1
-	s.start()
+	sched.bulletin.CloseClientConnections()
+	sched.bulletin.Close()
+	sched.knownEvents = 1
+	sched.start()
 	for i := range 10 {
-		f := s.front()
-		f.send(call("consulta", fmt.Sprint(i)))
-		if got := f.read(); got.body != "b" {
+		client := sched.connect()
+		client.send(newCall("consulta", fmt.Sprint(i)))
+		if got := client.readAnswer(); got.body != "b" {
 			t.Errorf("after a crash, without the list service: status %d, body %q", got.status, got.body)
 		}
 	}
-	if got := len(a.had()); got != had {
+	if got := len(agentA.received()); got != had {
 		t.Errorf("%d requests went to a worker that drained before the crash", got-had)
 	}
 
 	// The service comes back empty and counts from 1 again.
-	s.mu.Lock()
-	s.events = nil
-	s.mu.Unlock()
-	s.tell(true, "c SERVING "+c.addr)
-	s.bulletin = httptest.NewServer(http.HandlerFunc(s.poll))
-	s.killed()
-	s.stale = 0
-	s.start()
-	serves(t, s, "c")
-	if !strings.Contains(s.log.String(), "bulletin counts anew") {
+	sched.mu.Lock()
+	sched.events = nil
+	sched.mu.Unlock()
+	sched.addEvent(true, "c SERVING "+agentC.addr)
+	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	sched.kill()
+	sched.knownEvents = 0
+	sched.start()
+	waitUntilServedBy(t, sched, "c")
+	if !strings.Contains(sched.log.String(), "bulletin counts anew") {
 		t.Error("the log does not say that the list service counts anew")
 	}
 }
@@ -89,26 +92,26 @@
 // What was learned is kept with the list: after a crash calls go where copies of their functions stood, and begin no
 // loads at a worker that came since.
 func TestSnapshotOfWhatWasLearned(t *testing.T) {
-	a, b := newAgent(t, named("a")), newAgent(t, named("b"))
-	s, file := keeping(t, t.TempDir())
-	s.tell(true, "b SERVING "+b.addr)
-	s.start()
+	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
+	sched.addEvent(true, "b SERVING "+agentB.addr)
+	sched.start()
 	ask := func() {
 		for i := range 12 {
-			f := s.front()
-			f.send(call("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i+1)}))
-			if got := f.read(); got.body != "b" {
+			client := sched.connect()
+			client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i+1)}))
+			if got := client.readAnswer(); got.body != "b" {
 				t.Errorf("function %d: status %d, body %q", i+1, got.status, got.body)
 			}
 		}
 	}
 	ask()
-	s.tell(false, "a SERVING "+a.addr)
-	until(t, "the list is kept", func() bool { return kept(t, file) == 2 })
-	s.killed()
-	s.start()
+	sched.addEvent(false, "a SERVING "+agentA.addr)
+	waitUntil(t, "the list is kept", func() bool { return snapshotEvent(t, file) == 2 })
+	sched.kill()
+	sched.start()
 	ask()
-	if n := len(a.had()); n > 0 {
+	if n := len(agentA.received()); n > 0 {
 		t.Errorf("%d calls went where no copy stood", n)
 	}
 }
@@ -116,9 +119,9 @@
 // What is kept and does not count is set aside with one line, and what cannot be kept is said once; the start and the
 // service go on without.
 func TestSnapshotOfNoUse(t *testing.T) {
-	a := newAgent(t, named("a"))
+	agent := newAgent(t, answerWith("a"))
 	dir := t.TempDir()
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name, line string
 		prepare    func(t *testing.T, file string)
 	}{
@@ -138,19 +141,19 @@
 			}
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			sub := filepath.Join(dir, strings.ReplaceAll(c.name, " ", "-"))
+		t.Run(tt.name, func(t *testing.T) {
+			sub := filepath.Join(dir, strings.ReplaceAll(tt.name, " ", "-"))
 			if err := os.Mkdir(sub, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			s, file := keeping(t, sub)
-			c.prepare(t, file)
-			s.tell(true, "a SERVING "+a.addr)
-			s.start()
-			serves(t, s, "a")
-			until(t, "the log says "+c.line, func() bool { return strings.Contains(s.log.String(), c.line) })
-			if n := strings.Count(s.log.String(), c.line); n != 1 {
-				t.Errorf("%q stands %d times in the log", c.line, n)
+			sched, file := newSchedulerWithSnapshot(t, sub)
+			tt.prepare(t, file)
+			sched.addEvent(true, "a SERVING "+agent.addr)
+			sched.start()
+			waitUntilServedBy(t, sched, "a")
+			waitUntil(t, "the log says "+tt.line, func() bool { return strings.Contains(sched.log.String(), tt.line) })
+			if n := strings.Count(sched.log.String(), tt.line); n != 1 {
+				t.Errorf("%q stands %d times in the log", tt.line, n)
 			}
 		})
 	}
@@ -159,18 +162,18 @@
 // kill -9 while the list changes without end: what stands in the file counts each time, and is never older than what
 // stood there before.
 func TestSnapshotKilled(t *testing.T) {
-	a := newAgent(t, named("a"))
-	s, file := keeping(t, t.TempDir())
-	s.tell(true, "a SERVING "+a.addr)
+	agent := newAgent(t, answerWith("a"))
+	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
+	sched.addEvent(true, "a SERVING "+agent.addr)
 	rng, last := rand.New(rand.NewPCG(1, 1)), 0
 	for range 8 {
-		s.start()
+		sched.start()
 		for end := time.Now().Add(time.Duration(rng.IntN(400)) * time.Millisecond); time.Now().Before(end); {
-			s.tell(false, "a SERVING "+a.addr, fmt.Sprintf("w%d SERVING %s", rng.IntN(1000), a.addr))
+			sched.addEvent(false, "a SERVING "+agent.addr, fmt.Sprintf("w%d SERVING %s", rng.IntN(1000), agent.addr))
 			time.Sleep(time.Millisecond)
 		}
-		s.killed()
-		no := kept(t, file)
+		sched.kill()
+		no := snapshotEvent(t, file)
 		if no < last {
 			t.Errorf("event %d is kept, after %d", no, last)
 		}
