--- /dev/null
+++ b/cmd/calicohill/attempts_test.go
@@ -0,0 +1,458 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// What an agent does, and what its client and the other agents see of it.
+func TestAttempts(t *testing.T) {
+	first := func(word string) func(int, agentRequest) string {
+		return func(n int, request agentRequest) string {
+			if n == 1 {
+				return answerLine(request.id, word, "-", "")
+			}
+			return echo(n, request)
+		}
+	}
+	always := func(text string) func(int, agentRequest) string {
+		return func(_ int, request agentRequest) string { return strings.ReplaceAll(text, "ID", request.id) }
+	}
+	for _, tt := range []struct {
+		name, class string
+		reply       func(int, agentRequest) string
+		status      int
+		attempts    int
+	}{
+		{"MISS proves that it never ran", "certificado", first("MISS"), 200, 2},
+		{"BUSY proves that it never ran", "certificado", first("BUSY"), 200, 2},
+		{"VOID proves that it never ran", "certificado", first("VOID"), 200, 2},
+		{"ERR may have run", "certificado", first("ERR"), 502, 1},
+		{"ERR may be repeated", "consulta", first("ERR"), 200, 2},
+		{"reset may have run", "certificado", always(resetConnection), 502, 1},
+		{"nonsense may have run", "certificado", always("hello there\r\n"), 502, 1},
+		{"word may have run", "certificado", always("ID WHAT - 0\r\n\r\n"), 502, 1},
+		{"length may have run", "certificado", always("ID OK - 99999999\r\n"), 502, 1},
+		{"body that runs on", "certificado", always("ID OK - 2\r\nlong\r\n"), 502, 1},
+		{"line without end", "certificado", always(strings.Repeat("x", 5000)), 502, 1},
+		{"another's answer", "certificado", always("0000 OK - 0\r\n\r\nID OK - 0\r\n\r\n"), 200, 1},
+		{"silence", "certificado", always(""), 502, 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			// Two agents of one script: where a repeat goes is the module's affair.
+			n := 0
+			sched := newTestScheduler(t)
+			ask := make(chan agentRequest)
+			given := make(chan string)
+			go func() {
+				for request := range ask {
+					n++
+					given <- tt.reply(n, request)
+				}
+			}()
+			reply := func(_ int, request agentRequest) string { ask <- request; return <-given }
+			agentA, agentB := newAgent(t, reply), newAgent(t, reply)
+			sched.addEvent(true, "a SERVING "+agentA.addr, "b SERVING "+agentB.addr)
+			client := sched.start().connect()
+			budget := "9000"
+			if tt.name == "silence" {
+				budget = "900"
+			}
+			client.send(newCall(tt.class, "x", [2]string{"HTTP_BUDGET_MS", budget}))
+			if got := client.readAnswer(); got.status != tt.status {
+				t.Errorf("status %d, want %d", got.status, tt.status)
+			}
+			if got := len(agentA.received()) + len(agentB.received()); got != tt.attempts {
+				t.Errorf("%d attempts, want %d", got, tt.attempts)
+			}
+		})
+	}
+}
+
+// An answer that cannot be read, or is cut off, fails its request: it has run. The worker stays in use, and what
+// it holds loaded is still counted on: such answers come from any of them.
+func TestSpoiltAnswer(t *testing.T) {
+	for _, tt := range []struct{ name, text string }{
+		{"noise", "\x01\xfe\r\n"},
+		{"length is a word", "ID OK - many\r\n"},
+		{"length below 0", "ID OK - -3\r\n"},
+		{"length of 3 GB", "ID OK - 3000000000\r\n" + strings.Repeat("x", 1<<16)},
+		{"body runs on", "ID OK - 2\r\nbody\r\n"},
+		{"line without end", "ID " + strings.Repeat("x", 1<<13)},
+		{"noise before a good line", "\x01\xfeID OK - 4\r\nbody\r\n"},
+		{"stops short", "ID OK - 100\r\nshort"},
+		{"cut off", resetConnection},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			spoil := false
+			var mu sync.Mutex
+			reply := func(n int, request agentRequest) string {
+				mu.Lock()
+				defer mu.Unlock()
+				if spoil {
+					spoil = false
+					return strings.Replace(tt.text, "ID", request.id, 1)
+				}
+				return echo(n, request)
+			}
+			agents := []*nodeAgent{newAgent(t, reply), newAgent(t, reply)}
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+agents[0].addr, "b SERVING "+agents[1].addr)
+			sched.start()
+			client := sched.connect()
+			client.t = t
+			ask := func() int {
+				client.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
+				return client.readAnswer().status
+			}
+			had := func() []int { return []int{len(agents[0].received()), len(agents[1].received())} }
+			if got := ask(); got != 200 {
+				t.Fatalf("status %d at first", got)
+			}
+			home := had()
+			mu.Lock()
+			spoil = true
+			mu.Unlock()
+			if got := ask(); got != 502 {
+				t.Errorf("status %d for a spoilt answer, want 502", got)
+			}
+			for range 5 {
+				if got := ask(); got != 200 {
+					t.Errorf("status %d afterwards, want 200", got)
+				}
+			}
+			if d := cmp.Diff([]int{7 * home[0], 7 * home[1]}, had()); d != "" {
+				t.Errorf("requests at each worker (-want +got):\n%s", d)
+			}
+		})
+	}
+}
+
+// Requests to a worker are spread over connections, so that one that breaks takes few along.
+func TestSpread(t *testing.T) {
+	release, spoil := make(chan struct{}), make(chan struct{}, 1)
+	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
+		if n == 1 {
+			<-release
+		}
+		select {
+		case <-spoil:
+			return "noise\r\n"
+		default:
+			return answerLine(request.id, "OK", "-", strconv.Itoa(request.conn))
+		}
+	})
+	long := [2]string{"HTTP_BUDGET_MS", "60000"}
+	first, client := sched.connect(), sched.connect()
+	first.send(newCall("certificado", "", long))
+	ask := func() clientAnswer { client.send(newCall("certificado", "", long)); return client.readAnswer() }
+	waitUntil(t, "another connection carries requests", func() bool { return ask().body == "2" })
+	spoil <- struct{}{}
+	if got := ask(); got.status != 502 {
+		t.Errorf("status %d for the spoilt answer, want 502", got.status)
+	}
+	close(release)
+	if got := first.readAnswer(); got.status != 200 || got.body != "1" {
+		t.Errorf("status %d, body %q for the request on the other connection", got.status, got.body)
+	}
+}
+
+// A second copy of an answer ends no later attempt: none goes on the connection that an answer to its id came on.
+func TestSecondAnswer(t *testing.T) {
+	for _, word := range []string{"MISS", "BUSY", "VOID"} {
+		t.Run(word, func(t *testing.T) {
+			sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+				if n == 1 {
+					return answerLine(request.id, word, "-", "")
+				}
+				if request.conn == 1 {
+					return answerLine(request.id, "ERR", "-", "") + answerLine(request.id, "OK", "-", "late")
+				}
+				return answerLine(request.id, "OK", "-", "good")
+			})
+			client := sched.connect()
+			client.send(newCall("certificado", ""))
+			if got := client.readAnswer(); got.status != 200 || got.body != "good" {
+				t.Errorf("status %d, body %q; the worker had %+v", got.status, got.body, agent.received())
+			}
+		})
+	}
+}
+
+// A worker that answers errors gets no call that must not be repeated. Others still go there, and elsewhere after
+// that. Errors for a function that nobody knows count for nothing.
+func TestErrors(t *testing.T) {
+	var agents []*nodeAgent
+	var failing atomic.Int32 // which of them fails, from 1
+	for i := range 2 {
+		agents = append(agents, newAgent(t, func(n int, request agentRequest) string {
+			if request.fields["asset"] == "00000000deadbeef" || failing.Load() == int32(i+1) {
+				return answerLine(request.id, "ERR", "-", "")
+			}
+			return echo(n, request)
+		}))
+	}
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agents[0].addr, "b SERVING "+agents[1].addr)
+	client := sched.start().connect()
+	ask := func(class string, change ...[2]string) int {
+		client.send(newCall(class, "x", change...))
+		return client.readAnswer().status
+	}
+	certified := func(agent *nodeAgent) (n int) {
+		for _, request := range agent.received() {
+			if request.fields["sort"] == "certificado" {
+				n++
+			}
+		}
+		return n
+	}
+	ask("consulta")
+	home := 0
+	if len(agents[1].received()) > 0 {
+		home = 1
+	}
+	for range 20 {
+		if got := ask("consulta", [2]string{"HTTP_RESOURCE_KEY", "00000000deadbeef"}); got == 200 {
+			t.Fatal("a function that nobody knows was served")
+		}
+	}
+	for range 5 {
+		if got := ask("certificado"); got != 200 {
+			t.Errorf("status %d while all is well", got)
+		}
+	}
+	if certified(agents[home]) != 5 {
+		t.Errorf("%d of 5 calls went where the function stands", certified(agents[home]))
+	}
+	failing.Store(int32(home + 1))
+	before := len(agents[home].received())
+	waitUntil(t, "some calls have met errors", func() bool { // which of two workers gets one is drawn
+		if got := ask("consulta"); got != 200 {
+			t.Errorf("status %d for a call that may be repeated", got)
+		}
+		return len(agents[home].received()) >= before+4
+	})
+	for range 10 {
+		if got := ask("certificado"); got != 200 {
+			t.Errorf("status %d for a call that may not", got)
+		}
+	}
+	if n := certified(agents[home]); n != 5 {
+		t.Errorf("%d calls that must not be repeated went to the worker that fails", n-5)
+	}
+}
+
+// A worker that answers some calls and not others is no silent worker. Once that was seen, a call of which nothing
+// is heard there is tried elsewhere too, in time to be served.
+func TestLostAnswers(t *testing.T) {
+	const asked, steady = "1111111111111111", "2222222222222222"
+	var lost atomic.Int32
+	agentA := newAgent(t, func(n int, request agentRequest) string {
+		switch request.body {
+		case "lose":
+			lost.Add(1)
+			return ""
+		case "fail":
+			return answerLine(request.id, "ERR", "-", "")
+		}
+		return echo(n, request)
+	})
+	// The second worker is the slower one: wherever both hold a copy, the first is chosen once that is known.
+	agentB := newAgent(t, func(n int, request agentRequest) string {
+		time.Sleep(250 * time.Millisecond)
+		return echo(n, request)
+	})
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sched.start()
+	ask := func(client *testClient, function, body string) int {
+		client.send(newCall("consulta", body, [2]string{"HTTP_BUDGET_MS", "2000"}, [2]string{"HTTP_RESOURCE_KEY", function}))
+		return client.readAnswer().status
+	}
+	client, other := sched.connect(), sched.connect()
+	// One function stands at the first alone, so that all its calls go there and are answered, whatever else is
+	// out. The other stands at both: at the first by a call, at the second by an error of the first.
+	ask(other, steady, "warm")
+	ask(client, asked, "warm")
+	sched.addEvent(false, "b SERVING "+agentB.addr)
+	waitUntil(t, "the second worker has served", func() bool { ask(client, asked, "fail"); return len(agentB.received()) > 0 })
+
+	stop, ended := make(chan struct{}), make(chan struct{})
+	t.Cleanup(func() { close(stop); <-ended })
+	go func() { // calls that the first worker answers
+		defer close(ended)
+		for {
+			select {
+			case <-stop:
+				return
+			case <-time.After(5 * time.Millisecond):
+				ask(other, steady, "x")
+			}
+		}
+	}()
+	waitUntil(t, "a call whose answer was lost is served", func() bool {
+		before := lost.Load()
+		status := ask(client, asked, "lose")
+		return status == 200 && lost.Load() > before
+	})
+}
+
+// A worker that cannot be reached has run nothing: even certificado goes elsewhere.
+func TestUnreached(t *testing.T) {
+	sched, agent := newTestScheduler(t), newAgent(t, echo)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener.Close()
+	sched.addEvent(true, "a SERVING "+agent.addr, "b SERVING "+listener.Addr().String())
+	client := sched.start().connect()
+	for i := range 8 { // over several functions, so that the dead one is some function's first
+		client.send(newCall("certificado", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}))
+		if got := client.readAnswer(); got.status != 200 {
+			t.Errorf("status %d, want 200", got.status)
+		}
+	}
+}
+
+// With nobody to serve it a request is refused by half its time, and told when to come again.
+func TestRefused(t *testing.T) {
+	sched := newTestScheduler(t)
+	sched.addEvent(true)
+	client := sched.start().connect()
+	client.send(newCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "600"}))
+	if got := client.readAnswer(); got.status != http.StatusServiceUnavailable || got.header.Get("Back-Off-Ms") != "500" {
+		t.Errorf("status %d, Back-Off-Ms %q; want 503 and 500", got.status, got.header.Get("Back-Off-Ms"))
+	}
+}
+
+// What a request waits to be read comes off its time: here the program stands still meanwhile.
+func TestReadLate(t *testing.T) {
+	sched, agent := startWithAgent(t, echo)
+	client := sched.connect()
+	client.send(newCall("consulta", "x")) // the connection is known to the program
+	client.readAnswer()
+	sched.whileStopped(func() {
+		client.send(newCall("consulta", "x"))
+		time.Sleep(500 * time.Millisecond)
+	})
+	client.readAnswer()
+	had := agent.received()
+	if ms, err := strconv.Atoi(had[len(had)-1].fields["patience"]); err != nil || ms > 8500 {
+		t.Errorf("patience %d after 500 of 9000 ms have gone by", ms)
+	}
+}
+
+// A repeat whose connection comes up when the workers have forgotten its key is not sent any more: they would not
+// drop it.
+func TestRepeatWaitsTooLong(t *testing.T) {
+	breaks := make(chan struct{})
+	first := newAgent(t, func(int, agentRequest) string { <-breaks; return resetConnection })
+	agent, open := newLateAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}, {`"memorySpanMs":2500`, `"memorySpanMs":600`}}
+	sched.addEvent(true, "first SERVING "+first.addr)
+	client := sched.start().connect()
+	client.send(newCall("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
+	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
+	sched.addEventAndWait(false, "late SERVING "+agent.addr)
+	close(breaks) // it may have run there: the repeat goes to the other
+	time.Sleep(100 * time.Millisecond)
+	open() // the connection comes up a second after it was asked for
+	if got := client.readAnswer(); got.status != 503 {
+		t.Errorf("status %d, want a refusal", got.status)
+	}
+	waitUntil(t, "the connection is up", func() bool {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		return agent.conns > 0
+	})
+	client.send(newCall("consulta", "next"))
+	client.readAnswer()
+	for _, request := range agent.received() {
+		if request.body == "x" {
+			t.Error("the repeat was sent after the workers had forgotten its key")
+		}
+	}
+}
+
+// An answer that comes when its request's time is over is nobody's: its client had one answer, and the next request on
+// that connection gets its own.
+func TestAnswerAfterItsTime(t *testing.T) {
+	release := make(chan struct{})
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+		if n == 1 {
+			<-release
+		}
+		return echo(n, request)
+	})
+	client := sched.connect()
+	client.send(newCall("certificado", "late", [2]string{"HTTP_BUDGET_MS", "300"}))
+	if got := client.readAnswer(); got.status != 502 {
+		t.Errorf("status %d when its time was over, want a failure: it may have run", got.status)
+	}
+	close(release)
+	for _, body := range []string{"a", "b", "c"} {
+		client.send(newCall("certificado", body))
+		if got := client.readAnswer(); got.body != "re:"+body {
+			t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
+		}
+	}
+	if had := agent.received(); len(had) != 4 {
+		t.Errorf("the worker had %d requests, want 4", len(had))
+	}
+}
+
+// A second answer that comes some time after the first is nobody's, whether the first ended its request or had it tried
+// again, and whatever comes on the connection next gets its own.
+func TestSecondAnswerLate(t *testing.T) {
+	for _, first := range []string{"OK", "MISS", "ERR"} {
+		t.Run(first, func(t *testing.T) {
+			var mu sync.Mutex
+			second, address := "", "" // the second answer, and the worker that sends it before its next, on its first connection
+			begun := false
+			worker := func(name string) *nodeAgent {
+				return newAgent(t, func(number int, request agentRequest) string {
+					mu.Lock()
+					defer mu.Unlock()
+					if !begun {
+						begun, address, second = true, name, answerLine(request.id, "OK", "-", "second")
+						if first == "OK" {
+							return echo(number, request)
+						}
+						return answerLine(request.id, first, "-", "")
+					}
+					before := ""
+					if name == address && request.conn == 1 {
+						before, second = second, ""
+					}
+					return before + echo(number, request)
+				})
+			}
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+worker("a").addr, "b SERVING "+worker("b").addr)
+			sched.start()
+			client := sched.connect()
+			client.send(newCall("consulta", "x"))
+			if got := client.readAnswer(); got.body != "re:x" {
+				t.Errorf("status %d, %q, want the first answer, or that of another attempt", got.status, got.body)
+			}
+			for _, body := range []string{"a", "b", "c", "d"} { // of functions that stand at either
+				client.send(newCall("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
+				if got := client.readAnswer(); got.body != "re:"+body {
+					t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -0,0 +1,123 @@
+package main
+
+import (
+	"testing"
+	"time"
+)
+
+// A client that leaves has its request given up at the agent; the id may be used again.
+func TestAbandoned(t *testing.T) {
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+		if n == 1 {
+			return ""
+		}
+		return echo(n, request)
+	})
+	client := sched.connect()
+	request := newCall("consulta", "x")
+	client.send(request)
+	waitUntil(t, "the request is at the agent", func() bool { return len(agent.received()) == 1 })
+	client.write(encodeRecord(2, request.id, 0, ""))
+	client.readAnswer()
+	waitUntil(t, "it is given up there", func() bool {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		return len(agent.halted) == 1 && agent.halted[0] == request.param("HTTP_REQUEST_ID")
+	})
+	client.send(newCall("consulta", "y"))
+	if got := client.readAnswer(); got.body != "re:y" {
+		t.Errorf("the next request of that id got %d, %q", got.status, got.body)
+	}
+}
+
+// A request whose client left while the connection for it was being made never reaches the worker, and one whose
+// client stayed does.
+func TestLeftWhileDialing(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		leave func(client *testClient, request clientRequest)
+	}{
+		{"cancels", func(client *testClient, request clientRequest) {
+			client.write(encodeRecord(2, request.id, 0, ""))
+			if got := client.readAnswer(); got.id != request.id {
+				client.t.Errorf("the end of request %d, want %d", got.id, request.id)
+			}
+		}},
+		{"closes", func(client *testClient, _ clientRequest) { client.conn.Close() }},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			t.Parallel()
+			sched, agent, open := startWithLateAgent(t)
+			gone, stays := sched.connect(), sched.connect()
+			request := newCall("certificado", "gone")
+			gone.send(request)
+			stays.send(newCall("certificado", "stays"))
+			time.Sleep(100 * time.Millisecond) // both wait for the connection, which can't come up
+			tt.leave(gone, request)
+			open()
+			if got := stays.readAnswer(); got.body != "re:stays" {
+				t.Errorf("the client that stayed got status %d", got.status)
+			}
+			if had := agent.received(); len(had) != 1 || had[0].body != "stays" {
+				t.Errorf("the worker had %v, want the request of the client that stayed alone", had)
+			}
+		})
+	}
+}
+
+// A further attempt whose client leaves while the connection for it is being made begins no more than a first one does.
+func TestLeftWhileTriedAgain(t *testing.T) {
+	breaks := make(chan struct{})
+	first := newAgent(t, func(int, agentRequest) string { <-breaks; return resetConnection })
+	agent, open := newLateAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}}
+	sched.addEvent(true, "first SERVING "+first.addr)
+	client := sched.start().connect()
+	client.send(newCall("consulta", "gone"))
+	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
+	sched.addEventAndWait(false, "late SERVING "+agent.addr, "first DRAINING "+first.addr)
+	stays := sched.connect()
+	stays.send(newCall("consulta", "stays"))
+	close(breaks)
+	time.Sleep(100 * time.Millisecond)
+	client.conn.Close()
+	open()
+	if got := stays.readAnswer(); got.body != "re:stays" {
+		t.Errorf("the client that stayed got status %d", got.status)
+	}
+	if had := agent.received(); len(had) != 1 {
+		t.Errorf("the worker had %v, want the request of the client that stayed alone", had)
+	}
+}
+
+// A request that waits for room is not sent when its client has left, whichever way it left.
+func TestLeftWhileHeld(t *testing.T) {
+	release := make(chan struct{})
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
+	first, cancels, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
+	one := [2]string{"HTTP_X_SPEC", "lanes:1"} // a copy that runs one at a time, and is taken
+	first.send(newCall("consulta", "first", one))
+	waitUntil(t, "the first is at the worker", func() bool { return len(agent.received()) == 1 })
+	request := newCall("consulta", "gone", one)
+	cancels.send(request)
+	closes.send(newCall("consulta", "gone", one))
+	stays.send(newCall("consulta", "stays", one))
+	time.Sleep(50 * time.Millisecond)
+	cancels.write(encodeRecord(2, request.id, 0, ""))
+	cancels.readAnswer()
+	closes.conn.Close()
+	time.Sleep(50 * time.Millisecond)
+	close(release)
+	for client, want := range map[*testClient]string{first: "re:first", stays: "re:stays"} {
+		if got := client.readAnswer(); got.body != want {
+			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
+		}
+	}
+	time.Sleep(300 * time.Millisecond)
+	for _, request := range agent.received() {
+		if request.body == "gone" {
+			t.Error("a request was sent on after its client had left")
+		}
+	}
+}
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// command runs the program to its end and returns what it wrote and its exit code.
+// runCommandLine runs the program to its end and returns its output and exit code.
 func runCommandLine(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	cmd, out := program(t, args...)
--- /dev/null
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -0,0 +1,225 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// A worker that drains gets nothing new; a new worker at an old address gets new connections; and a bulletin
+// that answers badly is asked again.
+func TestList(t *testing.T) {
+	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sched.start()
+	waitUntilServedBy(t, sched, "a")
+	sched.addEvent(false, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+	waitUntilServedBy(t, sched, "b")
+
+	agentA.mu.Lock()
+	had := agentA.conns
+	agentA.mu.Unlock()
+	sched.addEvent(false, "a DELETED "+agentA.addr, "b DRAINING "+agentB.addr, "c SERVING "+agentA.addr)
+	waitUntilServedBy(t, sched, "a")
+	agentA.mu.Lock()
+	if agentA.conns <= had {
+		t.Errorf("the new worker at the old address had no connection of its own")
+	}
+	agentA.mu.Unlock()
+
+	sched.mu.Lock()
+	for _, text := range []string{`{"no":`, `{"no":4,"items":[{"no":4,"roster":{"targets":[{"uid":"b","state":"?"}]}}]}`} {
+		sched.pollOverrides = append(sched.pollOverrides, func(w http.ResponseWriter) { fmt.Fprint(w, text) })
+	}
+	sched.pollOverrides = append(sched.pollOverrides,
+		func(w http.ResponseWriter) { http.Error(w, "later", http.StatusInternalServerError) },
+		func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
+		func(w http.ResponseWriter) { w.(http.Flusher).Flush(); fmt.Fprint(w, sched.feed(3)) }) // chunked
+	sched.mu.Unlock()
+	sched.addEvent(true, "b SERVING "+agentB.addr)
+	waitUntilServedBy(t, sched, "b")
+}
+
+// The answer of a worker that is removed meanwhile is passed on, and so is that of one which begins to drain.
+func TestAnswerCrossesRemoval(t *testing.T) {
+	release := make(chan struct{})
+	agentA := newAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
+	agentB := newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	client := sched.start().connect()
+	client.send(newCall("certificado", "x"))
+	waitUntil(t, "the request is at the worker", func() bool { return len(agentA.received()) == 1 })
+	sched.addEventAndWait(false, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+	sched.addEventAndWait(false, "a DELETED "+agentA.addr)
+	sched.addEventAndWait(true, "b SERVING "+agentB.addr)
+	close(release)
+	if got := client.readAnswer(); got.body != "re:x" {
+		t.Errorf("status %d, %q, want the answer of the worker that was removed", got.status, got.body)
+	}
+	waitUntilServedBy(t, sched, "b")
+}
+
+// A scheduler that has no list yet is not ready, refuses what comes while its client can still go elsewhere, ends when
+// it is told to, and serves as soon as it has one.
+func TestBeforeTheFirstList(t *testing.T) {
+	agent := newAgent(t, echo)
+	for _, tt := range []struct {
+		name  string
+		ended bool
+	}{{"serves when it has one", false}, {"ends without", true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			sched := newTestScheduler(t)
+			sched.launch()
+			var client *testClient
+			waitUntil(t, "the program listens", func() bool {
+				conn, err := net.Dial("tcp", sched.addr)
+				if err == nil {
+					client = &testClient{t: t, conn: conn, reader: bufio.NewReader(conn)}
+				}
+				return err == nil
+			})
+			defer client.conn.Close()
+			for path, request := range map[string]clientRequest{"health": {id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}, "a request": newCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "400"})} {
+				client.send(request)
+				if got := client.readAnswer(); got.status != 503 {
+					t.Errorf("status %d for %s without a list, want 503", got.status, path)
+				}
+			}
+			if tt.ended {
+				if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+					t.Fatal(err)
+				}
+				sched.waitForExit()
+				return
+			}
+			sched.addEventAndWait(true, "a SERVING "+agent.addr)
+			client.send(newCall("certificado", "x"))
+			if got := client.readAnswer(); got.body != "re:x" {
+				t.Errorf("status %d once it has a list", got.status)
+			}
+		})
+	}
+}
+
+// Events that an answer leaves out may say who drains: the list is read from its beginning. A service that does not
+// have them any more is taken as it is.
+func TestEventsLeftOut(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		never bool // the service never brings them
+	}{{"once", false}, {"for good", true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+agentA.addr)
+			sched.start()
+			waitUntilServedBy(t, sched, "a")
+			sched.mu.Lock()
+			skips := func(w http.ResponseWriter) { fmt.Fprintf(w, `{"no":3,"items":[%s]}`, sched.events[2]) }
+			sched.pollOverrides = append(sched.pollOverrides, skips)
+			if tt.never {
+				sched.pollOverrides = append(sched.pollOverrides, skips)
+			}
+			held := sched.changed
+			sched.events = append(sched.events, fmt.Sprintf(`{"no":2,"roster":{"rev":1,"all":false,"targets":[{"uid":"a","state":"DRAINING","endpoint":%q}]}}`, agentA.addr))
+			sched.events = append(sched.events, fmt.Sprintf(`{"no":3,"roster":{"rev":1,"all":false,"targets":[{"uid":"b","state":"SERVING","endpoint":%q}]}}`, agentB.addr))
+			sched.changed = make(chan struct{})
+			sched.mu.Unlock()
+			close(held)
+			waitUntil(t, "the last event is known", func() bool { return strings.Contains(sched.log.String(), "event=3 ") })
+			if tt.never {
+				sched.addEvent(false, "a DRAINING "+agentA.addr) // what comes after them is heard
+			}
+			waitUntilServedBy(t, sched, "b")
+		})
+	}
+}
+
+// How long a stall may be that does not make the list old hangs on the grace that drains have: a scheduler between two
+// asks that stands still for longer than that grace sends nothing to a worker that was told to drain meanwhile.
+func TestDrainedDuringAStall(t *testing.T) {
+	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.schedulers = 300
+	sched.settingsEdits = [][2]string{{`"stopSendingWithinMs":1000`, `"stopSendingWithinMs":200`}}
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sched.start()
+	waitUntilServedBy(t, sched, "a")
+	client := sched.connect()
+	for round := range 5 {
+		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // it has just been answered, and rests before it asks again
+		sched.whileStopped(func() {
+			sched.addEvent(true, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+			client.send(newCall("consulta", ""))
+			time.Sleep(270 * time.Millisecond)
+		})
+		if got := client.readAnswer(); got.body != "b" {
+			t.Errorf("round %d: %q answers 270 ms after a was told to drain, want b", round, got.body)
+		}
+	}
+}
+
+// Requests that come in pieces, those of two clients in turn, and answers that come in pieces are whole in the end. Each
+// piece is a write of its own.
+func TestInPieces(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() { // a worker that echoes, one byte at a time
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				for reader := bufio.NewReader(conn); ; {
+					line, err := reader.ReadString('\n')
+					words := strings.Fields(line)
+					if err != nil || len(words) != 4 {
+						return
+					}
+					size, _ := strconv.Atoi(words[3])
+					body := make([]byte, size+2)
+					if _, err := io.ReadFull(reader, body); err != nil {
+						return
+					}
+					for _, b := range []byte(answerLine(words[1], "OK", "depth=0,l=util:0.5", string(body[:size]))) {
+						if _, err := conn.Write([]byte{b}); err != nil {
+							return
+						}
+					}
+				}
+			}()
+		}
+	}()
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+listener.Addr().String())
+	sched.start()
+	clientA, clientB := sched.connect(), sched.connect()
+	first, second := newCall("certificado", "the first").bytes(), newCall("certificado", "the second").bytes()
+	for i := range max(len(first), len(second)) {
+		if i < len(first) {
+			clientA.write(first[i : i+1])
+		}
+		if i < len(second) {
+			clientB.write(second[i : i+1])
+		}
+	}
+	for client, want := range map[*testClient]string{clientA: "the first", clientB: "the second"} {
+		if got := client.readAnswer(); got.body != want {
+			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -0,0 +1,296 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// agentMessage is one whole message that an agent received.
+type agentMessage struct {
+	conn net.Conn
+	text string
+}
+
+// id is the request id that the message names.
+func (m agentMessage) id() string { return strings.Fields(m.text)[1] }
+
+// exchangeRecorder runs one exchange step by step and writes down the bytes that each side sends and receives. The test takes
+// every step itself, so that the order of the steps never depends on the time.
+type exchangeRecorder struct {
+	t        *testing.T
+	s        *testScheduler
+	messages chan agentMessage // received by the agents, in order
+	polls    chan string       // received by the list service
+	client   net.Conn
+	out      *strings.Builder
+}
+
+// newExchangeRecorder starts the program with so many agents, all of which the recorder plays.
+func newExchangeRecorder(t *testing.T, out *strings.Builder, agents int) *exchangeRecorder {
+	t.Helper()
+	recorder := &exchangeRecorder{t: t, s: newTestScheduler(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
+	recorder.recordPolls()
+	var workers []string
+	for i := range agents {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { listener.Close() })
+		go recorder.acceptAgent(listener)
+		workers = append(workers, fmt.Sprintf("%c SERVING %s", 'a'+i, listener.Addr()))
+	}
+	recorder.s.addEvent(true, workers...)
+	recorder.s.start()
+	conn, err := net.Dial("tcp", recorder.s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	recorder.client = conn
+	return recorder
+}
+
+// acceptAgent reads the messages on all connections to an agent.
+func (r *exchangeRecorder) acceptAgent(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		r.t.Cleanup(func() { conn.Close() })
+		go r.readAgent(conn)
+	}
+}
+
+func (r *exchangeRecorder) readAgent(conn net.Conn) {
+	for in := bufio.NewReader(conn); ; {
+		text, err := in.ReadString('\n')
+		if err == nil && strings.HasPrefix(text, "go ") {
+			words := strings.Fields(text)
+			size, _ := strconv.Atoi(words[len(words)-1])
+			body := make([]byte, size+len("\r\n"))
+			_, err = io.ReadFull(in, body)
+			text += string(body)
+		}
+		if text != "" {
+			r.messages <- agentMessage{conn: conn, text: text}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// recordPolls puts a list service in place of the site's, one that keeps the bytes of each poll.
+func (r *exchangeRecorder) recordPolls() {
+	r.s.bulletin.Close()
+	r.s.bulletin = httptest.NewUnstartedServer(http.HandlerFunc(r.s.poll))
+	r.s.bulletin.Listener = recordingListener{r.s.bulletin.Listener, r.polls}
+	r.s.bulletin.Start()
+}
+
+// recordingListener reports all that is received on its connections, a request at a time.
+type recordingListener struct {
+	net.Listener
+	requests chan string
+}
+
+func (l recordingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &recordingConn{Conn: conn, requests: l.requests}, nil
+}
+
+type recordingConn struct {
+	net.Conn
+	requests chan string
+	pending  []byte
+}
+
+func (c *recordingConn) Read(data []byte) (int, error) {
+	n, err := c.Conn.Read(data)
+	c.pending = append(c.pending, data[:n]...)
+	const headEnd = "\r\n\r\n" // polls have no body
+	for end := bytes.Index(c.pending, []byte(headEnd)); end >= 0; end = bytes.Index(c.pending, []byte(headEnd)) {
+		end += len(headEnd)
+		select {
+		case c.requests <- string(c.pending[:end]):
+		default: // more than any exchange looks at
+		}
+		c.pending = c.pending[end:]
+	}
+	return n, err
+}
+
+// write adds bytes to the record.
+func (r *exchangeRecorder) write(who, text string) { fmt.Fprintf(r.out, "%s %s\n", who, quote(text)) }
+
+// quote writes bytes as Go does, with long runs of one letter as a product.
+func quote(text string) string {
+	const long = 64
+	var parts []string
+	rest := 0
+	for i := 0; i < len(text); {
+		n := len(text[i:]) - len(strings.TrimLeft(text[i:], text[i:i+1]))
+		if n = max(n, 1); n >= long {
+			if rest < i {
+				parts = append(parts, strconv.QuoteToASCII(text[rest:i]))
+			}
+			parts = append(parts, fmt.Sprintf("%s*%d", strconv.QuoteToASCII(text[i:i+1]), n))
+			rest = i + n
+		}
+		i += n
+	}
+	if rest < len(text) || text == "" {
+		parts = append(parts, strconv.QuoteToASCII(text[rest:]))
+	}
+	return strings.Join(parts, " + ")
+}
+
+// splitRecords cuts FastCGI bytes at the ends of records.
+func splitRecords(data []byte) (records []string) {
+	const header = 8
+	for len(data) >= header && data[0] == 1 {
+		n := header + int(binary.BigEndian.Uint16(data[4:])) + int(data[6])
+		if n > len(data) {
+			break
+		}
+		records, data = append(records, string(data[:n])), data[n:]
+	}
+	if len(data) > 0 {
+		records = append(records, string(data))
+	}
+	return records
+}
+
+// sends writes bytes as the client.
+func (r *exchangeRecorder) sends(data []byte) {
+	r.t.Helper()
+	for _, text := range splitRecords(data) {
+		r.write("client sends   ", text)
+	}
+	if _, err := r.client.Write(data); err != nil {
+		r.t.Fatalf("client: %v", err)
+	}
+}
+
+// receives reads as the client, up to and with a record of a type.
+func (r *exchangeRecorder) receives(last byte) {
+	r.t.Helper()
+	for {
+		setReadDeadline(r.t, r.client)
+		data := make([]byte, 8)
+		if _, err := io.ReadFull(r.client, data); err != nil {
+			r.t.Fatalf("client: reading a record: %v", err)
+		}
+		content := make([]byte, int(binary.BigEndian.Uint16(data[4:]))+int(data[6]))
+		if _, err := io.ReadFull(r.client, content); err != nil {
+			r.t.Fatalf("client: reading a record: %v", err)
+		}
+		r.write("client receives", string(append(data, content...)))
+		if data[1] == last {
+			return
+		}
+	}
+}
+
+// receivesEnd reads as the client until the connection ends.
+func (r *exchangeRecorder) receivesEnd() {
+	r.t.Helper()
+	setReadDeadline(r.t, r.client)
+	data, err := io.ReadAll(r.client)
+	var late net.Error
+	if errors.As(err, &late) && late.Timeout() {
+		r.t.Fatal("client: the connection does not end")
+	}
+	for _, text := range splitRecords(data) {
+		r.write("client receives", text)
+	}
+	fmt.Fprintln(r.out, "client receives the end of the connection")
+}
+
+// agentReceives is the next message that an agent receives.
+func (r *exchangeRecorder) agentReceives() agentMessage {
+	r.t.Helper()
+	select {
+	case message := <-r.messages:
+		r.write("agent receives ", r.withoutPatience(message.text))
+		return message
+	case <-time.After(waitTimeout):
+		r.t.Fatal("nothing comes to an agent")
+		return agentMessage{}
+	}
+}
+
+// withoutPatience replaces the time that an attempt has left, which must be within the budget of its request.
+func (r *exchangeRecorder) withoutPatience(text string) string {
+	if m := patienceField.FindStringSubmatch(text); m != nil {
+		if ms, err := strconv.Atoi(m[1]); err != nil || ms <= 0 || ms > goldenBudget {
+			r.t.Errorf("patience %s of a budget of %d", m[1], goldenBudget)
+		}
+	}
+	return patienceField.ReplaceAllString(text, ",patience=PATIENCE$2")
+}
+
+// agentSends answers a message; {id} stands for its request id.
+func (r *exchangeRecorder) agentSends(message agentMessage, text string) {
+	r.t.Helper()
+	text = strings.ReplaceAll(text, "{id}", message.id())
+	r.write("agent sends    ", text)
+	if _, err := io.WriteString(message.conn, text); err != nil {
+		r.t.Fatalf("agent: %v", err)
+	}
+}
+
+// agentEnds closes the connection that a message came on, by a reset if told so.
+func (r *exchangeRecorder) agentEnds(message agentMessage, reset bool) {
+	how := "closes"
+	if reset {
+		how = "resets"
+		resetOnClose(message.conn)
+	}
+	fmt.Fprintf(r.out, "agent %s the connection\n", how)
+	message.conn.Close()
+}
+
+// polled adds the next poll that the list service receives.
+func (r *exchangeRecorder) polled() {
+	r.t.Helper()
+	select {
+	case text := <-r.polls:
+		r.write("list service receives", hostHeader.ReplaceAllString(text, "\r\nHost: 127.0.0.1:PORT\r\n"))
+	case <-time.After(waitTimeout):
+		r.t.Fatal("the list service is not polled")
+	}
+}
+
+// finish checks that the agents receive nothing else. The program has answered a request of its own connection by then,
+// so that what it does about the exchange is done.
+func (r *exchangeRecorder) finish() {
+	r.t.Helper()
+	client := r.s.connect()
+	client.send(clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
+	client.readAnswer()
+	for {
+		select {
+		case message := <-r.messages:
+			r.t.Errorf("an agent received more: %q", message.text)
+		default:
+			return
+		}
+	}
+}
--- /dev/null
+++ b/cmd/calicohill/harness_client_test.go
@@ -0,0 +1,214 @@
+package main
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// clientRequest is a FastCGI request.
+type clientRequest struct {
+	id          uint16
+	params      [][2]string
+	body        string
+	role        byte // 0 for Responder
+	padding     byte
+	longLengths bool // all parameter lengths have 4 bytes
+	bodyOpen    bool // the body is not ended
+	closeAfter  bool // the connection is closed after the answer
+}
+
+// testClient is a client's connection.
+type testClient struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+func (s *testScheduler) connect() *testClient {
+	s.t.Helper()
+	conn, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { conn.Close() })
+	return &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
+}
+
+// connectSlowReader connects a client whose system buffers little of what it does not read.
+func (s *testScheduler) connectSlowReader() *testClient {
+	s.t.Helper()
+	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
+		return errors.Join(c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) }), err)
+	}}
+	conn, err := d.Dial("tcp", s.addr)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { conn.Close() })
+	return &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
+}
+
+// encodeRecord returns a FastCGI record.
+func encodeRecord(kind byte, id uint16, padding byte, content string) []byte {
+	data := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), padding, 0}
+	return append(append(data, content...), make([]byte, padding)...)
+}
+
+func (q clientRequest) bytes() []byte {
+	keep := byte(1)
+	if q.closeAfter {
+		keep = 0
+	}
+	data := encodeRecord(1, q.id, q.padding, string([]byte{0, max(q.role, 1), keep, 0, 0, 0, 0, 0}))
+	var params []byte
+	for _, p := range q.params {
+		for _, part := range p {
+			if n := len(part); n > 127 || q.longLengths {
+				params = binary.BigEndian.AppendUint32(params, uint32(n)|1<<31)
+			} else {
+				params = append(params, byte(n))
+			}
+		}
+		params = append(append(params, p[0]...), p[1]...)
+	}
+	data = append(append(data, encodeRecord(4, q.id, q.padding, string(params))...), encodeRecord(4, q.id, 0, "")...)
+	if q.body != "" {
+		data = append(data, encodeRecord(5, q.id, q.padding, q.body)...)
+	}
+	if !q.bodyOpen {
+		data = append(data, encodeRecord(5, q.id, 0, "")...)
+	}
+	return data
+}
+
+func (f *testClient) send(request clientRequest) { f.write(request.bytes()) }
+
+func (f *testClient) write(data []byte) {
+	if _, err := f.conn.Write(data); err != nil {
+		f.t.Errorf("client: %v", err)
+	}
+}
+
+// closedByServer reads on and reports whether the scheduler closed the connection, before waitTimeout.
+func (f *testClient) closedByServer() bool {
+	for {
+		_, _, _, err := f.readRecord()
+		var late net.Error
+		if err != nil {
+			return !errors.As(err, &late) || !late.Timeout()
+		}
+	}
+}
+
+// clientAnswer is an answer as a client receives it.
+type clientAnswer struct {
+	id             uint16
+	status         int // 0 if STDOUT was empty
+	header         http.Header
+	body           string
+	protocolStatus byte
+}
+
+// readRecord reads one FastCGI record.
+func (f *testClient) readRecord() (kind byte, id uint16, content []byte, err error) {
+	if err = f.conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
+		return 0, 0, nil, err
+	}
+	header := make([]byte, 8)
+	if _, err = io.ReadFull(f.reader, header); err != nil {
+		return 0, 0, nil, err
+	}
+	content = make([]byte, int(binary.BigEndian.Uint16(header[4:]))+int(header[6]))
+	_, err = io.ReadFull(f.reader, content)
+	return header[1], binary.BigEndian.Uint16(header[2:]), content[:len(content)-int(header[6])], err
+}
+
+// readAnswer reads records up to the next END_REQUEST. Answers must not be interleaved.
+func (f *testClient) readAnswer() (answer clientAnswer) {
+	f.t.Helper()
+	var out []byte
+	for {
+		kind, id, content, err := f.readRecord()
+		switch {
+		case err != nil:
+			f.t.Errorf("client: reading an answer: %v", err)
+			return answer
+		case kind == 6:
+			out = append(out, content...)
+			continue
+		case kind != 3:
+			f.t.Errorf("client: record of type %d", kind)
+			return answer
+		}
+		answer.id, answer.protocolStatus = id, content[4]
+		head, body, _ := strings.Cut(string(out), "\r\n\r\n")
+		answer.body, answer.header = body, http.Header{}
+		for _, l := range strings.Split(head, "\r\n") {
+			name, value, _ := strings.Cut(l, ": ")
+			answer.header.Set(name, value)
+		}
+		answer.status, _ = strconv.Atoi(strings.SplitN(answer.header.Get("Status"), " ", 2)[0])
+		return answer
+	}
+}
+
+var lastID struct {
+	sync.Mutex
+	n uint64
+}
+
+// newCall returns a request of a class with an id of its own; change sets parameters, and drops those set to "-".
+func newCall(class string, body string, change ...[2]string) clientRequest {
+	lastID.Lock()
+	lastID.n++
+	request := clientRequest{id: 1, body: body, params: [][2]string{
+		{"SCRIPT_NAME", "/rpc/" + class},
+		{"HTTP_REQUEST_ID", fmt.Sprintf("%016x", lastID.n)},
+		{"HTTP_BUDGET_MS", "9000"},
+		{"HTTP_ONCE_KEY", fmt.Sprintf("%032x", lastID.n)},
+		{"HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"},
+		{"HTTP_X_SPEC", "memory_mb:512;lanes:2"},
+	}}
+	lastID.Unlock()
+	for _, c := range change {
+		found := false
+		for i := range request.params {
+			if request.params[i][0] == c[0] {
+				request.params[i][1], found = c[1], true
+			}
+		}
+		if !found {
+			request.params = append(request.params, c)
+		}
+	}
+	kept := request.params[:0]
+	for _, p := range request.params {
+		if p[1] != "-" {
+			kept = append(kept, p)
+		}
+	}
+	request.params = kept
+	return request
+}
+
+func (q clientRequest) param(name string) string {
+	for _, p := range q.params {
+		if p[0] == name {
+			return p[1]
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// poll answers a poll as the endpoint list service does.
+func (s *testScheduler) poll(w http.ResponseWriter, r *http.Request) {
+	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
+	wait, _ := strconv.Atoi(r.URL.Query().Get("patience"))
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	address := r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
+	s.countPoll(address, 1)
+	defer s.countPoll(address, -1)
+	for {
+		s.mu.Lock()
+		if len(s.pollOverrides) > 0 {
+			answer := s.pollOverrides[0]
+			s.pollOverrides = s.pollOverrides[1:]
+			s.mu.Unlock()
+			answer(w)
+			return
+		}
+		text, news, changed := s.feed(after), after < len(s.events), s.changed
+		s.mu.Unlock()
+		if news {
+			fmt.Fprint(w, text)
+			return
+		}
+		select {
+		case <-changed:
+		case <-timeout:
+			fmt.Fprint(w, text)
+			return
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// countPoll adds to the number of polls that are open at an address of the list service, and returns it.
+func (s *testScheduler) countPoll(address string, n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.openPolls[address] += n
+	return s.openPolls[address]
+}
+
+// feed returns the events after one in the form of an answer. s.mu is held.
+func (s *testScheduler) feed(after int) string {
+	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(s.events), strings.Join(s.events[min(after, len(s.events)):], ","))
+}
+
+// addEvent adds an event to the endpoint list; targets have the form "uid state address".
+func (s *testScheduler) addEvent(all bool, targets ...string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var list []string
+	for _, t := range targets {
+		f := strings.Fields(t)
+		list = append(list, fmt.Sprintf(`{"uid":%q,"state":%q,"endpoint":%q,"az":"here","model":"std","boot_ms":0}`,
+			f[0], f[1], f[2]))
+	}
+	s.events = append(s.events, fmt.Sprintf(`{"no":%d,"roster":{"rev":1,"all":%v,"targets":[%s]}}`,
+		len(s.events)+1, all, strings.Join(list, ",")))
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// addEventAndWait adds an event and waits until the scheduler has applied it.
+func (s *testScheduler) addEventAndWait(all bool, targets ...string) {
+	s.t.Helper()
+	s.addEvent(all, targets...)
+	s.mu.Lock()
+	want := fmt.Sprintf("event=%d", len(s.events))
+	s.mu.Unlock()
+	waitUntil(s.t, "the program knows of "+want, func() bool { return strings.Contains(s.log.String(), want) })
+}
--- /dev/null
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -0,0 +1,220 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// testSettings is the settings object of the configuration; the verb is idleCloseMs.
+const testSettings = `{"balancers":1,"rank":0,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
+ "ceilings":{"attemptsCap":4,"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterMs":500,
+  "multiplex":100,"idleCloseMs":%d,"connectTimeoutMs":250},
+ "classes":[
+  {"name":"consulta","aimMs":750,"hardLimitMs":3000,"worth":1,"lateWorth":0.1,"effect":"read_like"},
+  {"name":"registro-horas","aimMs":600,"hardLimitMs":2500,"worth":3,"lateWorth":0.2,
+   "effect":"idempotency_key","dedupScope":"all","memorySpanMs":2500},
+  {"name":"certificado","aimMs":750,"hardLimitMs":2500,"worth":2,"lateWorth":0.3,"effect":"non_idempotent"}],
+ "familyInfo":{"idleLifeMs":9000,"saysCompany":true,"whenAbsent":"load"},
+ "report":{"fields":["util"],"how":"piggyback"},
+ "safety":{"answerSlackMs":16,"coldMs":17000,"coldShare":0.25,"overloadForMs":2000,"stopSendingWithinMs":1000,
+  "tipMultiple":3}}`
+
+// testScheduler is a process of the program with its configuration, and with the endpoint list service that it polls.
+type testScheduler struct {
+	t       *testing.T
+	addr    string // for clients
+	cmd     *exec.Cmd
+	log     *logBuffer
+	ended   chan error // gets the process's end
+	started bool
+
+	// The configuration, which can be changed before the start.
+	schedulers    int // number of schedulers in the settings; 0 for 1
+	knownEvents   int // number of events in the configuration file; 0 for all
+	idleMs        int // idleCloseMs in the settings
+	maxSockets    int
+	memoryMB      int
+	configFile    string      // path, once launched
+	operatorFile  string      // path; "" for none
+	settingsEdits [][2]string // replacements in the settings object: old and new text
+
+	// The endpoint list service.
+	bulletin      *httptest.Server
+	mu            sync.Mutex
+	events        []string
+	changed       chan struct{}               // closed and replaced by each new event
+	pollOverrides []func(http.ResponseWriter) // answer the next polls in place of the events
+	openPolls     map[string]int              // number of open polls, by the service's address
+}
+
+// newTestScheduler returns a scheduler that is not started yet; its fields can be changed before that.
+func newTestScheduler(t *testing.T) *testScheduler {
+	sched := &testScheduler{t: t, changed: make(chan struct{}), idleMs: 15000, maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
+	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	return sched
+}
+
+// configure writes the configuration file, with the events so far.
+func (s *testScheduler) configure() {
+	s.t.Helper()
+	s.mu.Lock()
+	known := s.feed(0)
+	if s.knownEvents > 0 {
+		known = fmt.Sprintf(`{"no":%d,"items":[%s]}`, s.knownEvents, strings.Join(s.events[:s.knownEvents], ","))
+	}
+	settings := fmt.Sprintf(strings.Replace(testSettings, `"balancers":1`, `"balancers":`+strconv.Itoa(max(s.schedulers, 1)), 1), s.idleMs)
+	for _, c := range s.settingsEdits {
+		if !strings.Contains(settings, c[0]) {
+			s.t.Fatalf("no %s in the settings", c[0])
+		}
+		settings = strings.ReplaceAll(settings, c[0], c[1])
+	}
+	text, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": s.addr, "seed": "8c1f30d27a5be964",
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.memoryMB, "sockets": s.maxSockets},
+		"bulletin": s.bulletin.Listener.Addr().String(), "known": json.RawMessage(known),
+		"settings": json.RawMessage(settings),
+	})
+	s.mu.Unlock()
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	if err := os.WriteFile(s.configFile, text, 0o600); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// launch starts the process, configured with the events so far.
+func (s *testScheduler) launch() {
+	s.t.Helper()
+	if s.addr == "" {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			s.t.Fatal(err)
+		}
+		s.addr = listener.Addr().String()
+		listener.Close()
+	}
+	s.configFile = filepath.Join(s.t.TempDir(), "config.json")
+	s.configure()
+	s.cmd, s.log = program(s.t, "-config", s.configFile, "--operator", s.operatorFile)
+	// As on the platform: the process may open no more descriptors than it is configured with.
+	s.cmd.Env = append(s.cmd.Env, filesVariable+"="+strconv.Itoa(s.maxSockets))
+	if err := s.cmd.Start(); err != nil {
+		s.t.Fatal(err)
+	}
+	s.ended = make(chan error, 1)
+	go func() { s.ended <- s.cmd.Wait() }()
+	if !s.started {
+		s.started = true
+		s.t.Cleanup(s.stop)
+	}
+}
+
+// start starts the process, configured with the events so far, and waits until its health check succeeds.
+func (s *testScheduler) start() *testScheduler {
+	s.t.Helper()
+	s.launch()
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if conn, err := net.Dial("tcp", s.addr); err == nil {
+			client := &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
+			client.send(clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
+			answer := client.readAnswer()
+			conn.Close()
+			if answer.status == http.StatusOK {
+				return s
+			}
+		}
+	}
+	s.t.Fatal("the program does not become healthy")
+	return nil
+}
+
+// waitForExit waits until the process exits by itself, with code 0.
+func (s *testScheduler) waitForExit() {
+	s.t.Helper()
+	select {
+	case err := <-s.ended:
+		if s.ended <- err; err != nil {
+			s.t.Errorf("ended with %v", err)
+		}
+	case <-time.After(waitTimeout):
+		s.t.Error("the program does not end")
+	}
+}
+
+// stop kills the process at the end of the test. One that has exited by itself must have done so with code 0.
+func (s *testScheduler) stop() {
+	_ = s.cmd.Process.Kill() // fails if it has ended
+	if err := <-s.ended; err != nil && !strings.Contains(err.Error(), "killed") {
+		s.t.Errorf("the program ended with %v", err)
+	}
+	if strings.Contains(s.log.String(), "DATA RACE") || strings.Contains(s.log.String(), "panic:") {
+		s.t.Error("the program raced or panicked")
+	}
+	s.bulletin.CloseClientConnections()
+	s.bulletin.Close()
+	if s.t.Failed() {
+		s.t.Logf("log of the program:\n%s", s.log)
+	}
+}
+
+// startWithAgent starts a scheduler with one worker, whose agent answers by a script.
+func startWithAgent(t *testing.T, reply func(n int, request agentRequest) string) (*testScheduler, *nodeAgent) {
+	t.Helper()
+	agent := newAgent(t, reply)
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	return sched.start(), agent
+}
+
+// waitUntilServedBy sends requests until one is answered with a body, and then checks that further ones are too.
+func waitUntilServedBy(t *testing.T, sched *testScheduler, want string) {
+	t.Helper()
+	client := sched.connect()
+	ask := func() string { client.send(newCall("consulta", "")); return client.readAnswer().body }
+	waitUntil(t, want+" answers", func() bool { return ask() == want })
+	for range 20 {
+		if got := ask(); got != want {
+			t.Fatalf("answer %q, want %q only", got, want)
+		}
+	}
+}
+
+// whileStopped calls a function while the process is stopped by SIGSTOP.
+func (s *testScheduler) whileStopped(meanwhile func()) {
+	s.t.Helper()
+	if err := s.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+		s.t.Fatal(err)
+	}
+	waitUntil(s.t, "the program stands still", func() bool {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
+		return err == nil && strings.Contains(string(text), ") T ")
+	})
+	meanwhile()
+	if err := s.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// kill ends the program by SIGKILL, and waits until it has ended.
+func (s *testScheduler) kill() {
+	s.t.Helper()
+	if err := s.cmd.Process.Kill(); err != nil {
+		s.t.Fatal(err)
+	}
+	s.ended <- <-s.ended // for the end of the test
+}
--- /dev/null
+++ b/cmd/calicohill/harness_test.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// waitTimeout is how long a test waits for what must happen. It does not bound the speed: a correct run ends sooner.
+const waitTimeout = 20 * time.Second
+
+// The environment variables by which the tests start their own binary as the program.
+const (
+	asProgramVariable = "CALICOHILL_AS_PROGRAM" // set: run the program
+	confinedVariable  = "CALICOHILL_CONFINED"   // set: under the platform's system call filter
+	filesVariable     = "CALICOHILL_FILES"      // maximum number of open descriptors
+)
+
+// exitHarness is the exit code for a failure to set up the program's process.
+const exitHarness = 3
+
+// TestMain lets the test binary be the program: the tests start it as a process of its own.
+func TestMain(m *testing.M) {
+	if os.Getenv(asProgramVariable) == "" {
+		os.Exit(m.Run())
+	}
+	if err := limitProcess(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(exitHarness)
+	}
+	main()
+	os.Exit(0)
+}
+
+// limitProcess applies the limits of the environment variables to this process.
+func limitProcess() error {
+	if os.Getenv(confinedVariable) != "" {
+		if err := confine(); err != nil {
+			return fmt.Errorf("confine: %w", err)
+		}
+	}
+	files, err := strconv.ParseUint(os.Getenv(filesVariable), 10, 31)
+	if err != nil {
+		return nil // not limited
+	}
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: files, Max: files}); err != nil {
+		return fmt.Errorf("descriptors: %w", err)
+	}
+	return nil
+}
+
+// resetOnClose has the closing of a connection reset it. It fails only if the connection is closed already.
+func resetOnClose(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
+
+// setReadDeadline lets reads from a connection fail after waitTimeout.
+func setReadDeadline(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// program returns a command that runs the program, and the buffer that its log goes to.
+func program(t *testing.T, args ...string) (*exec.Cmd, *logBuffer) {
+	t.Helper()
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd, log := exec.Command(self, args...), &logBuffer{}
+	cmd.Env = append(os.Environ(), asProgramVariable+"=1", "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN=", "CALICOHILL_OPERATOR=")
+	cmd.Stdout, cmd.Stderr = log, log
+	return cmd, log
+}
+
+// logBuffer collects the log of a running process.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (l *logBuffer) Write(data []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(data)
+}
+
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+// waitUntil waits until a condition holds, and fails the test if it does not within waitTimeout.
+func waitUntil(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("it does not come true that %s", what)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/calicohill/limits_test.go
@@ -0,0 +1,343 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Clients hold a third of the descriptors at most. Those that say nothing or ask nothing more make room for others,
+// and those with a request open are served on.
+func TestTooManyClients(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		before func(client *testClient)
+		let    bool
+	}{
+		{"silent", func(*testClient) {}, true},
+		{"half a request", func(client *testClient) {
+			request := newCall("consulta", "half")
+			request.bodyOpen = true
+			client.send(request)
+		}, true},
+		{"served and held for good", func(client *testClient) {
+			client.send(newCall("consulta", "once"))
+			if got := client.readAnswer(); got.body != "re:once" {
+				client.t.Errorf("status %d at first", got.status)
+			}
+		}, true},
+		{"requests open", func(client *testClient) {
+			// Each of a function of its own, or the module would refuse some.
+			request := newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"})
+			client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")}))
+		}, false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			release := make(chan struct{})
+			sched, had := newTestScheduler(t), func() int { return 0 }
+			sched.maxSockets = 90
+			var targets []string
+			for i := range 12 {
+				agent := newAgent(t, func(n int, request agentRequest) string {
+					if request.body == "held" {
+						<-release
+					}
+					return echo(n, request)
+				})
+				others := had
+				had = func() int { return len(agent.received()) + others() }
+				targets = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr))
+			}
+			sched.addEvent(true, targets...)
+			sched.start()
+			var fronts []*testClient
+			for range 30 {
+				client := sched.connect()
+				tt.before(client)
+				fronts = append(fronts, client)
+			}
+			if !tt.let {
+				waitUntil(t, "all requests are at workers", func() bool { return had() == len(fronts) })
+				if !sched.connect().closedByServer() {
+					t.Error("the 31st was let in")
+				}
+				close(release)
+				for _, client := range fronts {
+					if got := client.readAnswer(); got.body != "re:held" {
+						t.Errorf("status %d for a request that was open", got.status)
+					}
+				}
+				return
+			}
+			client := sched.connect()
+			client.send(newCall("consulta", "new"))
+			if got := client.readAnswer(); got.body != "re:new" {
+				t.Errorf("status %d, want the newcomer served", got.status)
+			}
+		})
+	}
+}
+
+// Where all places are held by clients that were served, one that was just let in keeps its place till its request
+// has come, though others are let in meanwhile.
+func TestJustLetIn(t *testing.T) {
+	sched, _ := startWithAgent(t, echo)
+	sched.kill()
+	sched.maxSockets = 90
+	sched.start()
+	ask := func(client *testClient) bool {
+		if _, err := client.conn.Write(newCall("consulta", "x").bytes()); err != nil {
+			return false
+		}
+		kind, _, _, err := client.readRecord()
+		return err == nil && kind == 6
+	}
+	// A machine that is busy with other things may take too long over one round, but not over all.
+	waitUntil(t, "one that was just let in is served", func() bool {
+		var fronts []*testClient
+		for range 32 {
+			client := sched.connect()
+			defer client.conn.Close()
+			if fronts = append(fronts, client); len(fronts) <= 30 {
+				ask(client)
+			}
+		}
+		return ask(fronts[31]) && ask(fronts[30])
+	})
+}
+
+// A client that sends nothing whole is answered or closed before long, and another may stay for as long as it likes.
+func TestNothingWhole(t *testing.T) {
+	sched, _ := startWithAgent(t, echo)
+	served := sched.connect()
+	ask := func() {
+		t.Helper()
+		served.send(newCall("consulta", "x"))
+		if got := served.readAnswer(); got.body != "re:x" {
+			t.Errorf("status %d for the client that asks", got.status)
+		}
+	}
+	ask()
+	whole := newCall("consulta", "body").bytes()
+	for _, tt := range []struct {
+		name   string
+		text   []byte
+		before bool // a whole request came before
+		status int
+	}{
+		{"nothing", nil, false, 0},
+		{"half a header", whole[:5], false, 0},
+		{"half a record", whole[:40], false, 408},
+		{"no end", whole[:len(whole)-8], false, 408},
+		{"no end, later", whole[:len(whole)-8], true, 408},
+		{"half a header, later", whole[:5], true, 0},
+		{"a record of 64 KiB that does not come", []byte{1, 5, 0, 1, 0xff, 0xff, 0, 0, 'x'}, true, 0},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			t.Parallel()
+			client := sched.connect()
+			client.t = t
+			if tt.before {
+				client.send(newCall("consulta", "first"))
+				client.readAnswer()
+			}
+			client.write(tt.text)
+			if tt.status != 0 {
+				if got := client.readAnswer(); got.status != tt.status {
+					t.Errorf("status %d, want %d", got.status, tt.status)
+				}
+			}
+			if tt.name != "no end, later" && !client.closedByServer() {
+				t.Error("the connection stays open")
+			}
+		})
+	}
+	t.Cleanup(ask) // runs when all of these have ended
+}
+
+// A connection carries 32 requests, whole or not: one more is refused at once.
+func TestTooManyRequests(t *testing.T) {
+	sched, _ := startWithAgent(t, echo)
+	client := sched.connect()
+	for id := uint16(1); id <= 33; id++ {
+		request := newCall("consulta", "x")
+		request.id, request.bodyOpen = id, true
+		client.send(request)
+	}
+	if got := client.readAnswer(); got.id != 33 || got.protocolStatus != 2 {
+		t.Errorf("request %d ended with protocol status %d, want 33 overloaded", got.id, got.protocolStatus)
+	}
+	client.write(encodeRecord(5, 7, 0, "")) // the others go on
+	if got := client.readAnswer(); got.id != 7 || got.body != "re:x" {
+		t.Errorf("then request %d ended with %d, want 7 served", got.id, got.status)
+	}
+}
+
+// A connection with answers half written has no request open any more, and is not the one to make room all the same.
+func TestHalfWrittenMakesNoRoom(t *testing.T) {
+	sched, _, whole := startHalfWritten(t, nil)
+	for range 30 { // 29 find room
+		client := sched.connect()
+		client.send(newCall("consulta", "x"))
+		if got := client.readAnswer(); got.body != "re:x" {
+			t.Errorf("status %d, want it served", got.status)
+		}
+	}
+	whole()
+}
+
+// What waits for clients that do not read is bounded for all of them together: each alone stays within its own bound.
+func TestUnreadAnswersAreBounded(t *testing.T) {
+	big := strings.Repeat("0123456789", 25_000)
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		if request.body == "big" {
+			return answerLine(request.id, "OK", "-", big)
+		}
+		return echo(n, request)
+	})
+	sched := newTestScheduler(t)
+	sched.maxSockets, sched.memoryMB = 90, 32
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
+	const closed = "too much waits for clients that do not read"
+	waitUntil(t, "one of them is closed", func() bool {
+		client := sched.connectSlowReader()
+		for id := uint16(1); id <= 20 && !strings.Contains(sched.log.String(), closed); id++ {
+			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
+			request.id = id
+			had := len(agent.received())
+			_, _ = client.conn.Write(request.bytes()) // fails if it is the one that was closed
+			waitUntil(t, "the worker has it", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
+		}
+		return strings.Contains(sched.log.String(), closed)
+	})
+	client := sched.connect()
+	client.send(newCall("consulta", "x"))
+	if got := client.readAnswer(); got.body != "re:x" {
+		t.Errorf("status %d for a client that reads", got.status)
+	}
+}
+
+// Dials that come up all at once, with clients in all places that there are for them, leave descriptors for one more
+// client: without one the event loop would end.
+func TestDescriptorsOfDials(t *testing.T) {
+	sched := newTestScheduler(t)
+	sched.maxSockets = 66
+	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":6000`}}
+	var targets []string
+	var open []func()
+	for i := range 40 {
+		agent, up := newLateAgent(t, echo)
+		targets, open = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr)), append(open, up)
+	}
+	sched.addEvent(true, targets...)
+	sched.start()
+	asks := sched.connect()
+	for id := uint16(1); id <= 30; id++ { // each for a worker that none of the others is at
+		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"})
+		request.id, request.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
+		asks.send(request)
+	}
+	time.Sleep(200 * time.Millisecond) // the dials are under way, and none can come up
+	var idle []*testClient
+	sched.whileStopped(func() {
+		for range 60 {
+			idle = append(idle, sched.connect())
+		}
+		for _, up := range open {
+			up()
+		}
+		time.Sleep(1500 * time.Millisecond) // the connections come up
+	})
+	for range 30 {
+		asks.readAnswer()
+	}
+	client := sched.connect()
+	client.send(newCall("consulta", "after"))
+	if got := client.readAnswer(); got.body != "re:after" {
+		t.Errorf("status %d for a client that came then", got.status)
+	}
+	if text := sched.log.String(); strings.Contains(text, "too many open files") {
+		t.Error("the program ran out of descriptors")
+	}
+}
+
+// Idle clients that take all places they can get at three schedulers, while discovery is down, keep none of them from
+// discovery and new workers once it is back, nor other clients from being served.
+func TestDescriptorsOfIdleClients(t *testing.T) {
+	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sites := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
+	for _, other := range sites {
+		if other != sched { // it asks the same bulletin
+			other.bulletin.Close()
+			other.bulletin, other.events = sched.bulletin, sched.events
+		}
+		other.maxSockets, other.schedulers = 90, len(sites)
+		other.start()
+		waitUntilServedBy(t, other, "a")
+	}
+	address := sched.bulletin.Listener.Addr().String()
+	sched.bulletin.CloseClientConnections()
+	sched.bulletin.Listener.Close()
+	for _, sched := range sites {
+		waitUntil(t, "discovery is missed", func() bool { return strings.Contains(sched.log.String(), "bulletin not heard") })
+		for range 200 {
+			sched.connect()
+		}
+		waitUntilServedBy(t, sched, "a")
+		for range 60 {
+			sched.connect()
+		}
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sched.bulletin = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
+	sched.bulletin.Start()
+	sched.addEvent(false, "a DELETED "+agentA.addr, "b SERVING "+agentB.addr)
+	for _, sched := range sites {
+		waitUntil(t, "it knows of the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
+		for range 60 {
+			sched.connect()
+		}
+		waitUntilServedBy(t, sched, "b")
+		if strings.Contains(sched.log.String(), "too many open files") {
+			t.Error("a program ran out of descriptors")
+		}
+	}
+}
+
+// Requests that are begun on many connections and never whole give up their buffers to those of others.
+func TestHalfRequestsMakeRoom(t *testing.T) {
+	agent := newAgent(t, echo)
+	sched := newTestScheduler(t)
+	sched.memoryMB = 12 // 256 buffers
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
+	asks := func() {
+		t.Helper()
+		client := sched.connect()
+		client.send(newCall("consulta", "x"))
+		if got := client.readAnswer(); got.body != "re:x" {
+			t.Errorf("status %d, protocol status %d, want it served", got.status, got.protocolStatus)
+		}
+	}
+	asks()
+	for range 10 {
+		client := sched.connect()
+		for id := uint16(1); id <= 32; id++ {
+			request := newCall("consulta", "half")
+			request.id, request.bodyOpen = id, true
+			client.send(request)
+		}
+	}
+	time.Sleep(500 * time.Millisecond) // they have 2 s
+	asks()
+}
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -29,7 +29,7 @@
     class  certificado
 `
 
-// withRules is a site whose scheduler has an operator's file.
+// startWithRules starts a scheduler with an operator's file, and with one worker.
 func startWithRules(t *testing.T, text string, reply func(n int, request agentRequest) string) (*testScheduler, *nodeAgent) {
 	t.Helper()
 	agent, sched := newAgent(t, reply), newTestScheduler(t)
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -19,7 +19,7 @@
 
 const fleetSize = 12
 
-// peers is a dozen schedulers, as processes, that share suspicions about a few workers.
+// startFleet starts schedulers, as processes, that share fault reports about a few workers.
 func startFleet(t *testing.T, instances, workers int) *testbed.Fleet {
 	t.Helper()
 	self, err := os.Executable()
@@ -50,6 +50,7 @@
 	return fleet
 }
 
+// waitUntilJoined waits until each scheduler knows a number of members.
 func waitUntilJoined(t *testing.T, fleet *testbed.Fleet, members int) {
 	t.Helper()
 	if err := fleet.Joined(context.Background(), members, 2*waitTimeout); err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-// all waits until something holds of each instance.
+// waitForAll waits until a condition holds for each scheduler.
 func waitForAll(t *testing.T, fleet *testbed.Fleet, what string, ok func(*testbed.Instance) bool) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
@@ -69,7 +70,7 @@
 	}
 }
 
-// says reports whether a line of a log has this message and this field.
+// hasLogLine reports whether a line of a scheduler's log has a message and a field.
 func hasLogLine(instance *testbed.Instance, msg, field, value string) bool {
 	for _, line := range instance.Log.Lines() {
 		if line.Text("msg") == msg && line.Text(field) == value {
@@ -79,7 +80,7 @@
 	return false
 }
 
-// course is what each instance made of a member, line by line in the order of time.
+// faultHistory returns each scheduler's log lines about a member, in the order of time.
 func faultHistory(fleet *testbed.Fleet, peer string) string {
 	var lines []string
 	for _, instance := range fleet.Instances {
@@ -98,7 +99,7 @@
 	lineUnheard = "peer not heard for a while"
 )
 
-// callOf is a call of a class, with a body that says through whom it goes.
+// fleetRequest returns a request of a class, whose body names the scheduler that it goes through.
 func fleetRequest(instance *testbed.Instance, class string, function int) fastcgi.Request {
 	return fastcgi.Request{
 		Path: "/rpc/" + class, ID: randomHex(8), OnceKey: randomHex(16),
@@ -107,7 +108,7 @@
 	}
 }
 
-// ask sends a call through an instance and tells what became of it.
+// fleetCall sends a request through a scheduler and returns its verdict.
 func fleetCall(t *testing.T, client *fastcgi.Client, instance *testbed.Instance, class string, function int) string {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -119,7 +120,8 @@
 	return reply.Verdict()
 }
 
-// work has instances call many functions, so that they reach all workers, until stop is called or the test ends.
+// sendLoad sends requests for many functions through schedulers, so that all workers are reached, until stop is called
+// or the test ends.
 func sendLoad(t *testing.T, only []*testbed.Instance) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- /dev/null
+++ b/cmd/calicohill/reload_test.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// A configuration that cannot be used ends the program at once, with one line that says why.
+// SIGHUP has the bulletin asked at the address that the file names by then, from the last event on. A file that
+// cannot be used changes nothing, and a request that is out notices neither.
+func TestReload(t *testing.T) {
+	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
+	release := make(chan struct{})
+	held := newAgent(t, func(n int, request agentRequest) string {
+		<-release
+		return answerWith("held")(n, request)
+	})
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agentA.addr)
+	sched.addEvent(true, "held SERVING "+held.addr)
+	sched.start()
+	out := sched.connect()
+	out.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
+	waitUntil(t, "a request is out", func() bool { return len(held.received()) == 1 })
+
+	hup := func(want string) {
+		t.Helper()
+		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		waitUntil(t, "the log says "+want, func() bool { return strings.Contains(sched.log.String(), want) })
+	}
+	// What would end a start changes nothing either: not even where the bulletin is.
+	text, err := os.ReadFile(sched.configFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	moved := strings.Replace(string(text), sched.bulletin.Listener.Addr().String(), "127.0.0.1:1", 1)
+	for i, bad := range []string{
+		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
+		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
+		strings.Replace(moved, `"state":"SERVING"`, `"state":"?"`, 1),
+		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1),
+	} {
+		if bad == moved {
+			t.Fatalf("file %d is as it was", i)
+		}
+		if err := os.WriteFile(sched.configFile, []byte(bad), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "not read again") == i+1 })
+	}
+	sched.addEvent(true, "b SERVING "+agentB.addr)
+	waitUntilServedBy(t, sched, "b")
+
+	// The old address keeps its poll open and tells nothing more.
+	old, address := sched.bulletin, sched.bulletin.Listener.Addr().String()
+	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	old.Listener.Close()
+	sched.configure()
+	hup("configuration read again")
+	sched.addEvent(true, "c SERVING "+agentC.addr)
+	waitUntilServedBy(t, sched, "c")
+	waitUntil(t, "the old polls end", func() bool { return sched.countPoll(address, 0) == 0 })
+	close(release)
+	if got := out.readAnswer(); got.status != 200 || got.body != "held" {
+		t.Errorf("the request that was out got status %d, body %q", got.status, got.body)
+	}
+	old.Close()
+}
+
+func TestBadConfiguration(t *testing.T) {
+	whole := `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":` +
+		fmt.Sprintf(testSettings, 15000) + `}`
+	for _, tt := range []struct{ name, text, want string }{
+		{"not JSON", "{", "unexpected end"},
+		{"no address", strings.Replace(whole, "127.0.0.1:0", "", 1), "listen"},
+		{"seed", strings.Replace(whole, `"seed":"1"`, `"seed":"x"`, 1), "seed"},
+		{"no settings", `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1"}`, "no settings"},
+		{"settings", strings.Replace(whole, "read_like", "harmless", 1), "effect"},
+		{"no class", strings.Replace(whole, `"attemptsCap":4`, `"attemptsCap":0`, 1), "attempt"},
+		{"known", strings.Replace(whole, `"seed"`, `"known":{"items":7},"seed"`, 1), "known"},
+		{"two classes of a name", strings.Replace(whole, `"name":"consulta"`, `"name":"certificado"`, 1), "another's"},
+		{"class without a name", strings.Replace(whole, `"name":"consulta"`, `"name":""`, 1), "name"},
+		{"class that is no word", strings.Replace(whole, `"name":"consulta"`, `"name":"a,asset=b"`, 1), "name"},
+		{"a time below 0", strings.Replace(whole, `"coldMs":17000`, `"coldMs":-1`, 1), "time"},
+		{"a time beyond all", strings.Replace(whole, `"coldMs":17000`, `"coldMs":1e300`, 1), "time"},
+		{"sockets", strings.Replace(whole, `"seed"`, `"limits":{"sockets":3},"seed"`, 1), "sockets"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "config.json")
+			if err := os.WriteFile(path, []byte(tt.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			cmd, log := program(t, "-config", path)
+			err := cmd.Run()
+			if line := log.String(); err == nil || !strings.Contains(line, tt.want) ||
+				!strings.HasPrefix(line, "calicohill: ") || strings.Count(line, "\n") != 1 {
+				t.Errorf("ended with %v and %q, want one line with %q", err, log, tt.want)
+			}
+		})
+	}
+	cmd, log := program(t)
+	if err := cmd.Run(); err == nil || !strings.Contains(log.String(), "ROUTER_CONFIG") {
+		t.Errorf("without a configuration: ended with %v and %q", err, log)
+	}
+}
+
+// A new configuration without a class, or with other figures for it, does nothing to requests under way or to those
+// that come: the settings that a scheduler runs with are those of its start.
+func TestReloadWithoutAClass(t *testing.T) {
+	release := make(chan struct{})
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+		if n == 1 {
+			<-release
+		}
+		return echo(n, request)
+	})
+	client := sched.connect()
+	client.send(newCall("certificado", "out"))
+	waitUntil(t, "the request is at the worker", func() bool { return len(agent.received()) == 1 })
+	sched.settingsEdits = [][2]string{
+		{`"name":"certificado"`, `"name":"other"`},
+		{`"effect":"non_idempotent"`, `"effect":"read_like"`},
+		{`"hardLimitMs":3000`, `"hardLimitMs":30`},
+	}
+	sched.configure()
+	if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "the configuration is read", func() bool { return strings.Contains(sched.log.String(), "configuration read again") })
+	close(release)
+	if got := client.readAnswer(); got.body != "re:out" {
+		t.Errorf("status %d for the request under way", got.status)
+	}
+	for class, want := range map[string]int{"certificado": 200, "consulta": 200, "other": 400} {
+		client.send(newCall(class, "x"))
+		if got := client.readAnswer(); got.status != want {
+			t.Errorf("status %d for class %s, want %d", got.status, class, want)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/calicohill/requests_test.go
@@ -0,0 +1,175 @@
+package main
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestServed(t *testing.T) {
+	sched, agent := startWithAgent(t, echo)
+	big := strings.Repeat("\x00\r\n=, ", 16<<10/6) + "last"
+	for _, tt := range []struct {
+		name string
+		q    clientRequest
+		cut  int // bytes a write; 0 means all at once
+	}{
+		{name: "plain", q: newCall("consulta", "body", [2]string{"HTTP_ONCE_KEY", "-"})},
+		{name: "no body", q: newCall("registro-horas", "")},
+		{name: "largest body", q: newCall("certificado", big)},
+		{name: "padding", q: clientRequest{padding: 7, body: "padded", params: newCall("registro-horas", "").params}},
+		{name: "lengths of 4 bytes", q: clientRequest{longLengths: true, body: "long", params: newCall("registro-horas", "").params}},
+		{name: "a byte at a time", q: clientRequest{padding: 1, body: "split", params: newCall("registro-horas", "").params}, cut: 1},
+		{name: "split in headers", q: newCall("registro-horas", "split"), cut: 11},
+		{name: "long name", q: newCall("consulta", "x", [2]string{"HTTP_" + strings.Repeat("X", 200), strings.Repeat("y", 300)})},
+		{name: "length told", q: newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "4"})},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			client := sched.connect()
+			client.t = t
+			tt.q.id = 300
+			data := tt.q.bytes()
+			for cut := max(tt.cut, 1); tt.cut > 0 && len(data) > cut; data = data[cut:] {
+				client.write(data[:cut])
+			}
+			client.write(data)
+			got := client.readAnswer()
+			if got.id != 300 || got.status != 200 || got.protocolStatus != 0 || got.body != "re:"+tt.q.body {
+				t.Errorf("got request %d, status %d, protocol status %d, body %.40q", got.id, got.status, got.protocolStatus, got.body)
+			}
+			had := agent.received()
+			request := had[len(had)-1]
+			if ms, err := strconv.Atoi(request.fields["patience"]); err != nil || ms <= 0 || ms >= 9000 {
+				t.Errorf("patience %q, want a little under 9000", request.fields["patience"])
+			}
+			delete(request.fields, "patience")
+			request.conn = 0
+			want := agentRequest{id: tt.q.param("HTTP_REQUEST_ID"), body: tt.q.body, fields: map[string]string{
+				"sort": strings.TrimPrefix(tt.q.param("SCRIPT_NAME"), "/rpc/"), "asset": tt.q.param("HTTP_RESOURCE_KEY"),
+			}}
+			if key := tt.q.param("HTTP_ONCE_KEY"); key != "" {
+				want.fields["op"] = key
+			}
+			if d := cmp.Diff(want, request, cmp.AllowUnexported(agentRequest{})); d != "" {
+				t.Errorf("the agent had (-want +got):\n%s", d)
+			}
+		})
+	}
+}
+
+// 32 requests share a connection, and each gets the answer to itself, in whatever order they come.
+func TestMultiplexed(t *testing.T) {
+	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
+		time.Sleep(time.Duration(37*n%20) * time.Millisecond)
+		return echo(n, request)
+	})
+	client, want, got := sched.connect(), map[uint16]string{}, map[uint16]string{}
+	var all []byte
+	for id := uint16(1); id <= 32; id++ {
+		request := newCall("consulta", fmt.Sprint("body ", id))
+		request.id = id
+		want[id] = "re:" + request.body
+		all = append(all, request.bytes()...)
+	}
+	client.write(all)
+	for range want {
+		answer := client.readAnswer()
+		got[answer.id] = answer.body
+	}
+	if d := cmp.Diff(want, got); d != "" {
+		t.Errorf("answers (-want +got):\n%s", d)
+	}
+}
+
+// A request that cannot be used is answered at once and reaches no agent.
+func TestRejected(t *testing.T) {
+	sched, agent := startWithAgent(t, echo)
+	for _, tt := range []struct {
+		name   string
+		q      clientRequest
+		status int
+	}{
+		{"class", newCall("nonsense", ""), 400},
+		{"path", newCall("", "", [2]string{"SCRIPT_NAME", "/other"}), 400},
+		{"path is just the class", newCall("", "", [2]string{"SCRIPT_NAME", "consulta"}), 400},
+		{"no path", newCall("consulta", "", [2]string{"SCRIPT_NAME", "-"}), 400},
+		{"no id", newCall("consulta", "", [2]string{"HTTP_REQUEST_ID", "-"}), 400},
+		{"short id", newCall("consulta", "", [2]string{"HTTP_REQUEST_ID", "12ab"}), 400},
+		{"id not hex", newCall("consulta", "", [2]string{"HTTP_REQUEST_ID", "12ab12ab12ab12\r\n"}), 400},
+		{"no budget", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "-"}), 400},
+		{"no time", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "0"}), 400},
+		{"budget below 0", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "-5"}), 400},
+		{"budget too long", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "99999999999999999999"}), 400},
+		{"no function", newCall("consulta", "", [2]string{"HTTP_RESOURCE_KEY", "-"}), 400},
+		{"function", newCall("consulta", "", [2]string{"HTTP_RESOURCE_KEY", "a,b=c d e f g h "}), 400},
+		{"no key", newCall("registro-horas", "", [2]string{"HTTP_ONCE_KEY", "-"}), 400},
+		{"key", newCall("registro-horas", "", [2]string{"HTTP_ONCE_KEY", "a b"}), 400},
+		{"figures", newCall("consulta", "", [2]string{"HTTP_X_SPEC", "memory_mb:lots"}), 400},
+		{"figure without value", newCall("consulta", "", [2]string{"HTTP_X_SPEC", "lanes"}), 400},
+		{"length", newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "5"}), 400},
+		{"body too long", newCall("consulta", strings.Repeat("x", 16<<10+1)), 413},
+		{"parameters too long", newCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}), 431},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			client := sched.connect()
+			client.t = t
+			tt.q.bodyOpen = tt.status == 413 // answered before the body ends
+			client.send(tt.q)
+			if got := client.readAnswer(); got.status != tt.status {
+				t.Errorf("status %d, want %d", got.status, tt.status)
+			}
+		})
+	}
+	client := sched.connect()
+	client.send(newCall("consulta", "good"))
+	if got := client.readAnswer(); got.status != 200 {
+		t.Errorf("a good request after them: status %d", got.status)
+	}
+	if n := len(agent.received()); n != 1 {
+		t.Errorf("the agent had %d requests, want the good one", n)
+	}
+}
+
+// What the protocol has besides requests, and what breaks it.
+func TestRecords(t *testing.T) {
+	sched, _ := startWithAgent(t, func(int, agentRequest) string { return "" })
+	begin := func(role byte) string { return string([]byte{0, role, 1, 0, 0, 0, 0, 0}) }
+	open := newCall("consulta", "")
+	for _, tt := range []struct {
+		name    string
+		send    []byte
+		kind    byte // 0: the connection is closed
+		content string
+	}{
+		{"unknown role", encodeRecord(1, 9, 0, begin(2)), 3, "\x00\x00\x00\x00\x03\x00\x00\x00"},
+		{"unknown type", encodeRecord(99, 0, 0, "x"), 11, "\x63\x00\x00\x00\x00\x00\x00\x00"},
+		{"values", encodeRecord(9, 0, 3, "\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), 10, "\x0f\x01FCGI_MPXS_CONNS1"},
+		{"abort", append(open.bytes(), encodeRecord(2, open.id, 0, "")...), 3, "\x00\x00\x00\x00\x00\x00\x00\x00"},
+		{
+			"abort before the body", append(encodeRecord(1, 4, 0, begin(1)), encodeRecord(2, 4, 0, "")...), 3,
+			"\x00\x00\x00\x00\x00\x00\x00\x00",
+		},
+		{"version", []byte("GET / HTTP/1.1\r\n\r\n"), 0, ""},
+		{"begun twice", append(encodeRecord(1, 4, 0, begin(1)), encodeRecord(1, 4, 0, begin(1))...), 0, ""},
+		{"begun without id", encodeRecord(1, 0, 0, begin(1)), 0, ""},
+		{"begun short", encodeRecord(1, 4, 0, "\x00"), 0, ""},
+		{"values cut short", encodeRecord(9, 0, 0, "\x7f\x7fx"), 0, ""},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			client := sched.connect()
+			client.write(tt.send)
+			kind, _, content, err := client.readRecord()
+			if tt.kind == 0 {
+				if err == nil {
+					t.Errorf("got a record of type %d, want the connection closed", kind)
+				}
+			} else if err != nil || kind != tt.kind || string(content) != tt.content {
+				t.Errorf("got type %d, %q, %v; want type %d, %q", kind, content, err, tt.kind, tt.content)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/calicohill/shutdown_test.go
@@ -0,0 +1,212 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// After SIGTERM requests are served for a while, all that were taken are answered, and the exit is clean.
+func TestTerm(t *testing.T) {
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+		if request.body == "slow" {
+			time.Sleep(2 * time.Second)
+		}
+		return echo(n, request)
+	})
+	never, slow := sched.connect(), sched.connect()
+	half := newCall("consulta", "half") // of a request that is never whole, nothing is owed
+	half.bodyOpen = true
+	never.send(half)
+	slow.send(newCall("certificado", "slow"))
+	waitUntil(t, "the slow request is at the agent", func() bool { return len(agent.received()) == 1 })
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(200 * time.Millisecond)
+	late := sched.connect()
+	late.send(newCall("consulta", "late"))
+	if got := late.readAnswer(); got.status != 200 {
+		t.Errorf("a request after SIGTERM: status %d", got.status)
+	}
+	if got := slow.readAnswer(); got.body != "re:slow" {
+		t.Errorf("the slow request: status %d", got.status)
+	}
+	sched.waitForExit()
+}
+
+// A scheduler that is killed starts again at its address, whatever became of its connections, and is told the list.
+func TestRestart(t *testing.T) {
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+		if request.body == "lost" {
+			return ""
+		}
+		return echo(n, request)
+	})
+	sched.connect().send(newCall("consulta", "lost"))
+	waitUntil(t, "the request is at the agent", func() bool { return len(agent.received()) == 1 })
+	sched.kill()
+	sched.start()
+	client := sched.connect()
+	client.send(newCall("consulta", "again"))
+	if got := client.readAnswer(); got.body != "re:again" {
+		t.Errorf("after the restart: status %d", got.status)
+	}
+}
+
+// startHalfWritten starts a scheduler whose first client reads none of its answers, of some MB, so that the system does not
+// take all of them. The scheduler accepts only a few clients beside it.
+func startHalfWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, whole func()) {
+	t.Helper()
+	big := strings.Repeat("0123456789", 100_000)
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		if request.body == "big" {
+			return answerLine(request.id, "OK", "-", big)
+		}
+		return echo(n, request)
+	})
+	sched = newTestScheduler(t)
+	sched.maxSockets = 90
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	client = sched.start().connectSlowReader()
+	const count = 5
+	for id := uint16(1); id <= count; id++ {
+		request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:8"})
+		if request.id = id; id == count && last != nil {
+			last(&request)
+		}
+		client.send(request)
+	}
+	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) == count })
+	return sched, client, func() {
+		t.Helper()
+		for range count {
+			if got := client.readAnswer(); got.status != 200 || got.body != big {
+				t.Fatalf("request %d got status %d and %d bytes, want %d", got.id, got.status, len(got.body), len(big))
+			}
+		}
+	}
+}
+
+// Answers that are half written when the program is told to end go out whole, if their client takes its time too.
+func TestHalfWrittenAtTheEnd(t *testing.T) {
+	sched, _, whole := startHalfWritten(t, nil)
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(1500 * time.Millisecond) // it may end 0.7 s after that
+	whole()
+	sched.waitForExit()
+}
+
+// A client that reads nothing does not keep the program from its end.
+func TestNeverReadAtTheEnd(t *testing.T) {
+	sched, _, _ := startHalfWritten(t, nil)
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	sched.waitForExit()
+}
+
+// A connection that is to end with a request ends when all answers on it are sent.
+func TestHalfWrittenOnce(t *testing.T) {
+	_, client, whole := startHalfWritten(t, func(request *clientRequest) { request.closeAfter = true })
+	time.Sleep(300 * time.Millisecond)
+	whole()
+	if !client.closedByServer() {
+		t.Error("the connection stays open")
+	}
+}
+
+// Clients that came while a program that is to end had no processor are served, though its time is up when it has one
+// again: their connections were taken by the system, one after the other by the program.
+func TestStalledAtTheEnd(t *testing.T) {
+	sched, _ := startWithAgent(t, echo)
+	var fronts []*testClient
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "it drains", func() bool { return strings.Contains(sched.log.String(), "draining") })
+	sched.whileStopped(func() {
+		for range 20 {
+			client := sched.connect()
+			client.send(newCall("consulta", "x"))
+			fronts = append(fronts, client)
+		}
+		time.Sleep(2 * time.Second)
+	})
+	for _, client := range fronts {
+		if got := client.readAnswer(); got.body != "re:x" && got.status != 503 {
+			t.Errorf("status %d", got.status)
+		}
+	}
+	sched.waitForExit()
+}
+
+// A configuration that is read for long, as from a disk that stands still, does not hold up the end, and neither do
+// many orders to read it.
+func TestTermAmidReload(t *testing.T) {
+	sched, _ := startWithAgent(t, echo)
+	fifo := filepath.Join(t.TempDir(), "config")
+	if err := unix.Mkfifo(fifo, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(fifo, sched.configFile); err != nil { // whoever reads it waits for a writer
+		t.Fatal(err)
+	}
+	for range 8 {
+		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(10 * time.Millisecond) // or the system makes one of them
+	}
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	client := sched.connect()
+	client.send(newCall("consulta", "x"))
+	if got := client.readAnswer(); got.body != "re:x" {
+		t.Errorf("status %d right after SIGTERM", got.status)
+	}
+	sched.waitForExit()
+}
+
+// Requests whose clients would wait for longer than the platform does get their final answer before it ends the
+// program: a refusal where a repeat is harmless, a failure where it may not be repeated.
+func TestAnsweredBeforeTheKill(t *testing.T) {
+	agent := newAgent(t, func(int, agentRequest) string { return "" })
+	sched := newTestScheduler(t)
+	sched.settingsEdits = [][2]string{{`"hardLimitMs":2500`, `"hardLimitMs":9000`}, {`"hardLimitMs":3000`, `"hardLimitMs":9000`}}
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
+	want := map[string]int{"consulta": 503, "registro-horas": 503, "certificado": 502}
+	fronts := map[string]*testClient{}
+	for class := range want {
+		client := sched.connect()
+		request := newCall(class, "x")
+		request.params[4][1] = request.param("HTTP_REQUEST_ID") // each of a function of its own, or some would be held
+		client.send(request)
+		fronts[class] = client
+	}
+	waitUntil(t, "all are at the worker", func() bool { return len(agent.received()) >= len(want) })
+	at := time.Now()
+	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	for class, status := range want {
+		if got := fronts[class].readAnswer(); got.status != status {
+			t.Errorf("%s: status %d, want %d", class, got.status, status)
+		}
+	}
+	// By what it says: the race detector keeps a process for a second beyond its end.
+	waitUntil(t, "it ends", func() bool { return strings.Contains(sched.log.String(), "scheduler ended") })
+	if took := time.Since(at); took > 3700*time.Millisecond { // SIGKILL comes no sooner
+		t.Errorf("ended %v after SIGTERM", took)
+	}
+	sched.waitForExit()
+}
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -14,7 +14,7 @@
 	"calicohill/internal/snapshot/snapshotfile"
 )
 
-// keeping is a site whose scheduler keeps its list, in the file that is returned.
+// newSchedulerWithSnapshot returns a scheduler that saves its endpoint list, and the path of its snapshot.
 func newSchedulerWithSnapshot(t *testing.T, dir string) (*testScheduler, string) {
 	t.Helper()
 	file := filepath.Join(dir, "n0.list")
@@ -27,7 +27,7 @@
 	return sched, file
 }
 
-// kept is the number of the last event in a file, 0 if there is none. A file that does not count is an error.
+// snapshotEvent returns the number of the last event in a snapshot, 0 if there is none. An invalid snapshot fails the test.
 func snapshotEvent(t *testing.T, file string) int {
 	t.Helper()
 	record, err := snapshotfile.Read(file, "gt-registros", time.Duration(time.Now().UnixNano()), time.Hour)
@@ -37,15 +37,6 @@
 	return record.EventNumber
 }
 
-// kill ends the program by SIGKILL, and waits until it has ended.
-func (s *testScheduler) kill() {
-	s.t.Helper()
-	if err := s.cmd.Process.Kill(); err != nil {
-		s.t.Fatal(err)
-	}
-	s.ended <- <-s.ended // for the end of the test
-}
-
 // A list that was kept serves after a crash where it is newer than the configuration's, also while the list service is
 // down: who drains in it gets nothing, who is new in it gets work. Once the service counts anew its own list goes.
 func TestSnapshot(t *testing.T) {
--- /dev/null
+++ b/cmd/calicohill/worker_connections_test.go
@@ -0,0 +1,150 @@
+package main
+
+import (
+	"strconv"
+	"testing"
+	"time"
+)
+
+// One of hundreds of schedulers keeps to one connection for the little that it has at a worker, which has to take those
+// of all.
+func TestFewConnections(t *testing.T) {
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		time.Sleep(time.Duration(n%2) * 20 * time.Millisecond) // so that two are out at a time
+		return answerLine(request.id, "OK", "-", strconv.Itoa(request.conn))
+	})
+	sched := newTestScheduler(t)
+	sched.schedulers = 300
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
+	client, otherClient := sched.connect(), sched.connect()
+	for range 20 {
+		client.send(newCall("consulta", ""))
+		otherClient.send(newCall("consulta", ""))
+		for _, one := range []*testClient{client, otherClient} {
+			if got := one.readAnswer(); got.status == 200 && got.body != "1" {
+				t.Fatalf("a request went on connection %s", got.body)
+			}
+		}
+	}
+	if len(agent.received()) < 20 {
+		t.Errorf("%d requests reached the worker", len(agent.received()))
+	}
+}
+
+// Where something on the way forgets connections that rest, that is found out, and none is used after such a rest.
+func TestShortRests(t *testing.T) {
+	agent := newAgent(t, echo)
+	agent.idleReset = 60 * time.Millisecond
+	sched := newTestScheduler(t)
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	client := sched.start().connect()
+	waitUntil(t, "ten calls in a row are served after rests", func() bool {
+		for range 10 {
+			time.Sleep(130 * time.Millisecond)
+			client.send(newCall("certificado", "x"))
+			if client.readAnswer().status != 200 {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// A connection that has answered nothing for long, though asked, gets nothing new: its machine may be cut off,
+// which gives no sign, and be back under the same name.
+func TestSilentConnection(t *testing.T) {
+	sched, agent := startWithDeafAgent(t)
+	first, second := sched.connect(), sched.connect()
+	first.send(newCall("consulta", "lost", [2]string{"HTTP_BUDGET_MS", "3000"}))
+	waitUntil(t, "the first request is at the agent", func() bool { return len(agent.received()) == 1 })
+	time.Sleep(1200 * time.Millisecond)
+	second.send(newCall("consulta", "found"))
+	if got := second.readAnswer(); got.body != "re:found" {
+		t.Errorf("status %d, want it served on a new connection", got.status)
+	}
+	if got := first.readAnswer(); got.status == 200 {
+		t.Errorf("the first was served, want it lost")
+	}
+}
+
+// The same where clients give up before that: a few requests lost in a row tell as much.
+func TestLostRequests(t *testing.T) {
+	sched, _ := startWithDeafAgent(t)
+	client := sched.connect()
+	waitUntil(t, "a request is served on a new connection", func() bool {
+		client.send(newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "300"}))
+		return client.readAnswer().status == 200
+	})
+}
+
+// An idle connection is closed before the agent's time for it is up, so that no request meets that close.
+func TestIdleConnections(t *testing.T) {
+	agent, sched := newAgent(t, echo), newTestScheduler(t)
+	sched.idleMs = 400
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	client := sched.start().connect()
+	for n := range 2 {
+		client.send(newCall("certificado", "x"))
+		if got := client.readAnswer(); got.status != 200 {
+			t.Errorf("status %d", got.status)
+		}
+		waitUntil(t, "the program closes its idle connection", func() bool {
+			agent.mu.Lock()
+			defer agent.mu.Unlock()
+			return agent.closed == n+1
+		})
+	}
+}
+
+// A worker that begins to drain while the connection to it is being made gets nothing on it.
+func TestDrainsWhileDialing(t *testing.T) {
+	sched, agentA, open := startWithLateAgent(t)
+	agentB := newAgent(t, answerWith("b"))
+	client := sched.connect()
+	client.send(newCall("certificado", "x"))
+	time.Sleep(100 * time.Millisecond)
+	sched.addEventAndWait(false, "late DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
+	if got := client.readAnswer(); got.body != "b" {
+		t.Errorf("status %d, want it served by the other worker", got.status)
+	}
+	open()
+	waitUntil(t, "the connection is up", func() bool {
+		agentA.mu.Lock()
+		defer agentA.mu.Unlock()
+		return agentA.conns > 0
+	})
+	waitUntilServedBy(t, sched, "b")
+	if had := agentA.received(); len(had) != 0 {
+		t.Errorf("the worker that drains had %v", had)
+	}
+}
+
+// A worker's close of a connection at rest, and a request that would go on it, are both there when the program looks:
+// the request goes on another, in whichever order they came. It may not be repeated, so that a loss would show.
+func TestCloseCrossesRequest(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		after bool // the close comes after the request
+	}{{"close first", false}, {"request first", true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			sched, agent := startWithAgent(t, echo)
+			client := sched.connect()
+			client.send(newCall("certificado", "first"))
+			client.readAnswer()
+			sched.whileStopped(func() {
+				if !tt.after {
+					agent.closeConns()
+				}
+				client.send(newCall("certificado", "x"))
+				if tt.after {
+					agent.closeConns()
+				}
+				time.Sleep(50 * time.Millisecond)
+			})
+			if got := client.readAnswer(); got.body != "re:x" {
+				t.Errorf("status %d, %q, want it served on another connection", got.status, got.body)
+			}
+		})
+	}
+}
