--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -106,10 +106,10 @@
 		waitUntil(t, "the log says "+says, func() bool { return strings.Contains(sched.log.String(), says) })
 	}
 	reload("log\n  format xml\n  level loud\n", `:3:9: level:`)
-	if got := strings.Count(sched.log.String(), "operator's file not read again: the old one stands"); got != 2 {
+	if got := strings.Count(sched.log.String(), "operator's file reload failed, keeping the running configuration"); got != 2 {
 		t.Errorf("%d lines for 2 faults", got)
 	}
-	reload("log\n  format json\n", `"msg":"configuration read again"`)
+	reload("log\n  format json\n", `"msg":"configuration reloaded"`)
 	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // takes effect without a word
 	client := sched.connect()
 	client.send(newCall("consulta", "x"))
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -81,7 +81,7 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "counts are logged", func() bool { return strings.Count(sched.log.String(), "rule so far") == 4 })
+	waitUntil(t, "counts are logged", func() bool { return strings.Count(sched.log.String(), "rule counts") == 4 })
 	text, err := os.ReadFile(status)
 	if err != nil {
 		t.Fatal(err)
@@ -136,9 +136,9 @@
 		waitUntil(t, says, func() bool { return strings.Count(sched.log.String(), says) >= times && asked.Load() > before+20 })
 	}
 	for i := range 4 {
-		reload(strings.Replace(testRules, "class  certificado", "class  registro-horas", 1), "configuration read again", 2*i+1)
-		reload("match a\n  when handlr == 1\n  class nope\n", "operator's file not read again", 2*(i+1))
-		reload(testRules, "configuration read again", 2*i+2)
+		reload(strings.Replace(testRules, "class  certificado", "class  registro-horas", 1), "configuration reloaded", 2*i+1)
+		reload("match a\n  when handlr == 1\n  class nope\n", "operator's file reload failed", 2*(i+1))
+		reload(testRules, "configuration reloaded", 2*i+2)
 	}
 	end()
 	if odd.Load() > 0 {
--- a/cmd/calicohill/reload.go
+++ b/cmd/calicohill/reload.go
@@ -26,7 +26,7 @@
 	var faults operatorfile.Faults
 	if errors.As(err, &faults) {
 		for _, fault := range faults {
-			s.log.WithError(fault).Error("operator's file not read again: the old one stands")
+			s.log.WithError(fault).Error("operator's file reload failed, keeping the running configuration")
 		}
 		return
 	}
@@ -34,7 +34,7 @@
 		err = s.applyOffLoop(next)
 	}
 	if err != nil {
-		s.log.WithError(err).Error("configuration not read again: the old one stands")
+		s.log.WithError(err).Error("configuration reload failed, keeping the running configuration")
 		return
 	}
 	s.statusFile.Store(&next.operator.Log.Status)
@@ -42,7 +42,7 @@
 		s.watcher.SetAddress(next.platform.DiscoveryAddress)
 		s.useRules(next.rules, next.routes)
 	})
-	s.log.WithField("bulletin", next.platform.DiscoveryAddress).Info("configuration read again")
+	s.log.WithField("bulletin", next.platform.DiscoveryAddress).Info("configuration reloaded")
 }
 
 // readAgain reads and checks the configuration. The rules are compiled for the request classes that the scheduler
@@ -63,7 +63,7 @@
 // gossip is checked before it is applied, and the logging settings were checked when the file was read.
 func (s *scheduler) applyOffLoop(next *reloadedConfig) error {
 	if !reflect.DeepEqual(s.operator.State, next.operator.State) {
-		s.log.Warn("the section state is taken up by a restart alone")
+		s.log.Warn("a change of the section state takes effect at the next restart only")
 	}
 	if err := s.reloadPeers(next.operator.Gossip); err != nil {
 		return err
@@ -74,7 +74,7 @@
 // reloadPeers takes new gossip settings into use; nil if there are none.
 func (s *scheduler) reloadPeers(settings *operatorfile.Gossip) error {
 	if (s.peers == nil) != (settings == nil) {
-		s.log.Warn("gossip is switched on or off by a restart alone")
+		s.log.Warn("gossip can only be switched on or off by a restart")
 		return nil
 	}
 	if s.peers == nil {
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -57,7 +57,7 @@
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "not read again") == i+1 })
+		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
 	}
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
@@ -67,7 +67,7 @@
 	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
 	old.Listener.Close()
 	sched.configure()
-	hup("configuration read again")
+	hup("configuration reloaded")
 	sched.addEvent(true, "c SERVING "+agentC.addr)
 	waitUntilServedBy(t, sched, "c")
 	waitUntil(t, "the old polls end", func() bool { return sched.countPoll(address, 0) == 0 })
@@ -137,7 +137,7 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the configuration is read", func() bool { return strings.Contains(sched.log.String(), "configuration read again") })
+	waitUntil(t, "the configuration is read", func() bool { return strings.Contains(sched.log.String(), "configuration reloaded") })
 	close(release)
 	if got := client.readAnswer(); got.body != "re:out" {
 		t.Errorf("status %d for the request under way", got.status)
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	for _, warning := range warnings {
-		loggers.Part("rules").WithError(warning).Warn("rule of no use")
+		loggers.Part("rules").WithError(warning).Warn("rule without effect")
 	}
 	// Faults are reported to peers and to routes. Routes may be added by a reload, so that an operator's file is enough.
 	platform.Deployment.FaultReporting = sources.operatorFile != ""
@@ -199,7 +199,7 @@
 		log.WithFields(logrus.Fields{
 			"event": record.EventNumber, "newer": newer, "functions": len(record.State.Functions),
 			"age": (s.loop.Now() - record.CreatedAt).Round(time.Second),
-		}).Info("snapshot taken up")
+		}).Info("snapshot restored")
 	}
 	file := snapshotfile.New(s.loop, state.Snapshot, state.Fleet, s.watcher.Snapshot, s.dispatcher.LearnedState, log)
 	s.watcher.OnChange = file.Changed
--- a/cmd/calicohill/status.go
+++ b/cmd/calicohill/status.go
@@ -29,13 +29,13 @@
 	if path != "" {
 		status := ruleStatus{At: time.Now().UTC(), Rules: counts}
 		if err := writeStatus(path, status); err != nil {
-			log.WithError(err).Error("status not written")
+			log.WithError(err).Error("status file write failed")
 		}
 	}
 	for _, count := range counts {
 		log.WithFields(logrus.Fields{
 			"rule": count.Rule, "tried": count.Tried, "matched": count.Matched, "failed": count.Failed, "cost": count.Cost,
-		}).Info("rule so far")
+		}).Info("rule counts")
 	}
 }
 
