--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What an agent does, and what its client and the other agents see of it.
+// Each result of an attempt at a node agent, and what its client and the other agents see of it.
 func TestAttempts(t *testing.T) {
 	first := func(word string) func(int, agentRequest) string {
 		return func(n int, request agentRequest) string {
@@ -51,15 +51,15 @@
 			// Two agents of one script: where a repeat goes is the module's affair.
 			n := 0
 			sched := newTestScheduler(t)
-			ask := make(chan agentRequest)
+			requests := make(chan agentRequest)
 			given := make(chan string)
 			go func() {
-				for request := range ask {
+				for request := range requests {
 					n++
 					given <- tt.reply(n, request)
 				}
 			}()
-			reply := func(_ int, request agentRequest) string { ask <- request; return <-given }
+			reply := func(_ int, request agentRequest) string { requests <- request; return <-given }
 			agentA, agentB := newAgent(t, reply), newAgent(t, reply)
 			sched.addEvent(true, "a SERVING "+agentA.addr, "b SERVING "+agentB.addr)
 			client := sched.start().connect()
@@ -78,8 +78,8 @@
 	}
 }
 
-// An answer that cannot be read, or is cut off, fails its request: it has run. The worker stays in use, and what
-// it holds loaded is still counted on: such answers come from any of them.
+// An answer that can't be parsed, or is truncated, fails its request, which may have run. The worker stays in use, and
+// its loaded instances still count: any worker may send such an answer.
 func TestSpoiltAnswer(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
 		{"noise", "\x01\xfe\r\n"},
@@ -110,23 +110,23 @@
 			sched.start()
 			client := sched.connect()
 			client.t = t
-			ask := func() int {
+			sendRequest := func() int {
 				client.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
 				return client.readAnswer().status
 			}
 			had := func() []int { return []int{len(agents[0].received()), len(agents[1].received())} }
-			if got := ask(); got != 200 {
+			if got := sendRequest(); got != 200 {
 				t.Fatalf("status %d at first", got)
 			}
 			home := had()
 			mu.Lock()
 			spoil = true
 			mu.Unlock()
-			if got := ask(); got != 502 {
+			if got := sendRequest(); got != 502 {
 				t.Errorf("status %d for a spoilt answer, want 502", got)
 			}
 			for range 5 {
-				if got := ask(); got != 200 {
+				if got := sendRequest(); got != 200 {
 					t.Errorf("status %d afterwards, want 200", got)
 				}
 			}
@@ -137,7 +137,7 @@
 	}
 }
 
-// Requests to a worker are spread over connections, so that one that breaks takes few along.
+// Requests to a worker are spread over connections, so that a reset fails only a few of them.
 func TestSpread(t *testing.T) {
 	release, spoil := make(chan struct{}), make(chan struct{}, 1)
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
@@ -154,10 +154,10 @@
 	long := [2]string{"HTTP_BUDGET_MS", "60000"}
 	first, client := sched.connect(), sched.connect()
 	first.send(newCall("certificado", "", long))
-	ask := func() clientAnswer { client.send(newCall("certificado", "", long)); return client.readAnswer() }
-	waitUntil(t, "another connection carries requests", func() bool { return ask().body == "2" })
+	sendRequest := func() clientAnswer { client.send(newCall("certificado", "", long)); return client.readAnswer() }
+	waitUntil(t, "another connection carries requests", func() bool { return sendRequest().body == "2" })
 	spoil <- struct{}{}
-	if got := ask(); got.status != 502 {
+	if got := sendRequest(); got.status != 502 {
 		t.Errorf("status %d for the spoilt answer, want 502", got.status)
 	}
 	close(release)
@@ -166,13 +166,13 @@
 	}
 }
 
-// A second copy of an answer ends no later attempt: none goes on the connection that an answer to its id came on.
+// A duplicate answer ends no later attempt: after an answer the connection is not used for an attempt of the same id.
 func TestSecondAnswer(t *testing.T) {
-	for _, word := range []string{"MISS", "BUSY", "VOID"} {
-		t.Run(word, func(t *testing.T) {
+	for _, status := range []string{"MISS", "BUSY", "VOID"} {
+		t.Run(status, func(t *testing.T) {
 			sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 				if n == 1 {
-					return answerLine(request.id, word, "-", "")
+					return answerLine(request.id, status, "-", "")
 				}
 				if request.conn == 1 {
 					return answerLine(request.id, "ERR", "-", "") + answerLine(request.id, "OK", "-", "late")
@@ -188,8 +188,8 @@
 	}
 }
 
-// A worker that answers errors gets no call that must not be repeated. Others still go there, and elsewhere after
-// that. Errors for a function that nobody knows count for nothing.
+// A worker that answers with errors gets no request that must not be retried. Others are still sent there, and retried
+// elsewhere. Errors for a function that no worker knows do not count against a worker.
 func TestErrors(t *testing.T) {
 	var agents []*nodeAgent
 	var failing atomic.Int32 // which of them fails, from 1
@@ -204,7 +204,7 @@
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agents[0].addr, "b SERVING "+agents[1].addr)
 	client := sched.start().connect()
-	ask := func(class string, change ...[2]string) int {
+	sendRequest := func(class string, change ...[2]string) int {
 		client.send(newCall(class, "x", change...))
 		return client.readAnswer().status
 	}
@@ -216,18 +216,18 @@
 		}
 		return n
 	}
-	ask("consulta")
+	sendRequest("consulta")
 	home := 0
 	if len(agents[1].received()) > 0 {
 		home = 1
 	}
 	for range 20 {
-		if got := ask("consulta", [2]string{"HTTP_RESOURCE_KEY", "00000000deadbeef"}); got == 200 {
+		if got := sendRequest("consulta", [2]string{"HTTP_RESOURCE_KEY", "00000000deadbeef"}); got == 200 {
 			t.Fatal("a function that nobody knows was served")
 		}
 	}
 	for range 5 {
-		if got := ask("certificado"); got != 200 {
+		if got := sendRequest("certificado"); got != 200 {
 			t.Errorf("status %d while all is well", got)
 		}
 	}
@@ -237,13 +237,13 @@
 	failing.Store(int32(home + 1))
 	before := len(agents[home].received())
 	waitUntil(t, "some calls have met errors", func() bool { // which of two workers gets one is drawn
-		if got := ask("consulta"); got != 200 {
+		if got := sendRequest("consulta"); got != 200 {
 			t.Errorf("status %d for a call that may be repeated", got)
 		}
 		return len(agents[home].received()) >= before+4
 	})
 	for range 10 {
-		if got := ask("certificado"); got != 200 {
+		if got := sendRequest("certificado"); got != 200 {
 			t.Errorf("status %d for a call that may not", got)
 		}
 	}
@@ -252,8 +252,8 @@
 	}
 }
 
-// A worker that answers some calls and not others is no silent worker. Once that was seen, a call of which nothing
-// is heard there is tried elsewhere too, in time to be served.
+// A worker that answers some requests and not others is not unresponsive. Once it has been observed, a request without
+// an answer is hedged at another worker, in time to be served.
 func TestLostAnswers(t *testing.T) {
 	const asked, steady = "1111111111111111", "2222222222222222"
 	var lost atomic.Int32
@@ -275,17 +275,17 @@
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	sched.start()
-	ask := func(client *testClient, function, body string) int {
+	sendRequest := func(client *testClient, function, body string) int {
 		client.send(newCall("consulta", body, [2]string{"HTTP_BUDGET_MS", "2000"}, [2]string{"HTTP_RESOURCE_KEY", function}))
 		return client.readAnswer().status
 	}
 	client, other := sched.connect(), sched.connect()
 	// One function stands at the first alone, so that all its calls go there and are answered, whatever else is
 	// out. The other stands at both: at the first by a call, at the second by an error of the first.
-	ask(other, steady, "warm")
-	ask(client, asked, "warm")
+	sendRequest(other, steady, "warm")
+	sendRequest(client, asked, "warm")
 	sched.addEvent(false, "b SERVING "+agentB.addr)
-	waitUntil(t, "the second worker has served", func() bool { ask(client, asked, "fail"); return len(agentB.received()) > 0 })
+	waitUntil(t, "the second worker has served", func() bool { sendRequest(client, asked, "fail"); return len(agentB.received()) > 0 })
 
 	stop, ended := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(stop); <-ended })
@@ -296,18 +296,18 @@
 			case <-stop:
 				return
 			case <-time.After(5 * time.Millisecond):
-				ask(other, steady, "x")
+				sendRequest(other, steady, "x")
 			}
 		}
 	}()
 	waitUntil(t, "a call whose answer was lost is served", func() bool {
 		before := lost.Load()
-		status := ask(client, asked, "lose")
+		status := sendRequest(client, asked, "lose")
 		return status == 200 && lost.Load() > before
 	})
 }
 
-// A worker that cannot be reached has run nothing: even certificado goes elsewhere.
+// A worker that can't be connected to has run nothing: even a non-idempotent request is retried elsewhere.
 func TestUnreached(t *testing.T) {
 	sched, agent := newTestScheduler(t), newAgent(t, echo)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -325,7 +325,7 @@
 	}
 }
 
-// With nobody to serve it a request is refused by half its time, and told when to come again.
+// Without a worker that can serve it, a request is rejected by half its deadline, with a Retry-After.
 func TestRefused(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.addEvent(true)
@@ -336,7 +336,7 @@
 	}
 }
 
-// What a request waits to be read comes off its time: here the program stands still meanwhile.
+// The time that a request waits to be read counts against its deadline: here the process is stopped meanwhile.
 func TestReadLate(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	client := sched.connect()
@@ -353,11 +353,11 @@
 	}
 }
 
-// A repeat whose connection comes up when the workers have forgotten its key is not sent any more: they would not
-// drop it.
+// A retry whose connection is established after the workers' deduplication window is not sent: they would run the
+// request a second time.
 func TestRepeatWaitsTooLong(t *testing.T) {
-	breaks := make(chan struct{})
-	first := newAgent(t, func(int, agentRequest) string { <-breaks; return resetConnection })
+	reset := make(chan struct{})
+	first := newAgent(t, func(int, agentRequest) string { <-reset; return resetConnection })
 	agent, open := newLateAgent(t, echo)
 	sched := newTestScheduler(t)
 	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}, {`"memorySpanMs":2500`, `"memorySpanMs":600`}}
@@ -366,7 +366,7 @@
 	client.send(newCall("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
 	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
 	sched.addEventAndWait(false, "late SERVING "+agent.addr)
-	close(breaks) // it may have run there: the repeat goes to the other
+	close(reset) // it may have run there: the repeat goes to the other
 	time.Sleep(100 * time.Millisecond)
 	open() // the connection comes up a second after it was asked for
 	if got := client.readAnswer(); got.status != 503 {
@@ -386,8 +386,8 @@
 	}
 }
 
-// An answer that comes when its request's time is over is nobody's: its client had one answer, and the next request on
-// that connection gets its own.
+// An answer after its request's deadline is dropped: the client has had its one answer, and the next request on that
+// connection gets its own.
 func TestAnswerAfterItsTime(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
@@ -413,8 +413,8 @@
 	}
 }
 
-// A second answer that comes some time after the first is nobody's, whether the first ended its request or had it tried
-// again, and whatever comes on the connection next gets its own.
+// A late duplicate answer is dropped, whether the first one ended its request or had it retried, and the next request
+// on the connection gets its own.
 func TestSecondAnswerLate(t *testing.T) {
 	for _, first := range []string{"OK", "MISS", "ERR"} {
 		t.Run(first, func(t *testing.T) {
--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A client that leaves has its request given up at the agent; the id may be used again.
+// A request whose client disconnects is canceled at the agent, and its id may be used again.
 func TestAbandoned(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A request whose client left while the connection for it was being made never reaches the worker, and one whose
-// client stayed does.
+// A request whose client disconnects while its connection is being dialed never reaches the worker; one whose client
+// stays does.
 func TestLeftWhileDialing(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -65,10 +65,10 @@
 	}
 }
 
-// A further attempt whose client leaves while the connection for it is being made begins no more than a first one does.
+// A retry whose client disconnects while its connection is being dialed is not sent either.
 func TestLeftWhileTriedAgain(t *testing.T) {
-	breaks := make(chan struct{})
-	first := newAgent(t, func(int, agentRequest) string { <-breaks; return resetConnection })
+	reset := make(chan struct{})
+	first := newAgent(t, func(int, agentRequest) string { <-reset; return resetConnection })
 	agent, open := newLateAgent(t, echo)
 	sched := newTestScheduler(t)
 	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":4000`}}
@@ -79,7 +79,7 @@
 	sched.addEventAndWait(false, "late SERVING "+agent.addr, "first DRAINING "+first.addr)
 	stays := sched.connect()
 	stays.send(newCall("consulta", "stays"))
-	close(breaks)
+	close(reset)
 	time.Sleep(100 * time.Millisecond)
 	client.conn.Close()
 	open()
@@ -91,7 +91,7 @@
 	}
 }
 
-// A request that waits for room is not sent when its client has left, whichever way it left.
+// A request that waits for capacity is not sent once its client has disconnected, in whichever way.
 func TestLeftWhileHeld(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -58,12 +58,12 @@
 				Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
 				Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
 			}
-			least := 0.0
-			switch cold := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
-			case cold && strings.HasPrefix(tt.script, "0s boot"):
-				day.Body, day.Of, least = "small", 24, 0.3
-			case cold: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
-				day.Body, day.Of, day.Workers, day.Rate, least = "small", 24, 3, 300, 0.08
+			minServed := 0.0
+			switch warmingUp := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
+			case warmingUp && strings.HasPrefix(tt.script, "0s boot"):
+				day.Body, day.Of, minServed = "small", 24, 0.3
+			case warmingUp: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
+				day.Body, day.Of, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
 			}
 			result, err := day.Run(context.Background())
 			if err != nil {
@@ -72,15 +72,15 @@
 			for _, b := range result.Program.RulesBroken {
 				t.Error(b)
 			}
-			if result.Program.Served < least {
-				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, least)
+			if result.Program.Served < minServed {
+				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, minServed)
 			}
 			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.ColdMost)
 			if result.Program.AllListed < 0 {
 				t.Error("some schedulers did not hear the list again")
 			}
 			// A machine that was late by so much may have brought together what was apart.
-			if most := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > most {
+			if maxPolls := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > maxPolls {
 				t.Errorf("%d of 24 asked within 100 ms", result.Program.PollsPeak)
 			}
 		})
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// A worker that drains gets nothing new; a new worker at an old address gets new connections; and a bulletin
-// that answers badly is asked again.
+// A draining worker gets no new requests, a new worker at an old address gets connections of its own, and a list
+// service that answers badly is polled again.
 func TestList(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -48,7 +48,8 @@
 	waitUntilServedBy(t, sched, "b")
 }
 
-// The answer of a worker that is removed meanwhile is passed on, and so is that of one which begins to drain.
+// The answer of a worker that is removed from the list meanwhile is forwarded, and so is that of a worker that begins
+// to drain.
 func TestAnswerCrossesRemoval(t *testing.T) {
 	release := make(chan struct{})
 	agentA := newAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
@@ -68,8 +69,8 @@
 	waitUntilServedBy(t, sched, "b")
 }
 
-// A scheduler that has no list yet is not ready, refuses what comes while its client can still go elsewhere, ends when
-// it is told to, and serves as soon as it has one.
+// A scheduler without an endpoint list is not ready, rejects requests while their clients can still go elsewhere, shuts
+// down when it is told to, and serves as soon as it has a list.
 func TestBeforeTheFirstList(t *testing.T) {
 	agent := newAgent(t, echo)
 	for _, tt := range []struct {
@@ -110,8 +111,8 @@
 	}
 }
 
-// Events that an answer leaves out may say who drains: the list is read from its beginning. A service that does not
-// have them any more is taken as it is.
+// Events that an answer omits may contain a draining worker: the list is read from its first event. A list service that
+// no longer has them is believed.
 func TestEventsLeftOut(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -144,8 +145,8 @@
 	}
 }
 
-// How long a stall may be that does not make the list old hangs on the grace that drains have: a scheduler between two
-// asks that stands still for longer than that grace sends nothing to a worker that was told to drain meanwhile.
+// How long a stall may last without making the list stale depends on the drain grace: a scheduler that is stopped
+// between two polls for longer than the grace sends nothing to a worker that began to drain meanwhile.
 func TestDrainedDuringAStall(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -168,8 +169,8 @@
 	}
 }
 
-// Requests that come in pieces, those of two clients in turn, and answers that come in pieces are whole in the end. Each
-// piece is a write of its own.
+// Requests that arrive in fragments, those of two clients in turn, and answers that arrive in fragments are
+// reassembled. Each fragment is a write of its own.
 func TestInPieces(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/calicohill/golden_recorder_test.go
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -228,7 +228,7 @@
 	r.t.Helper()
 	select {
 	case message := <-r.messages:
-		r.write("agent receives ", r.withoutPatience(message.text))
+		r.write("agent receives ", r.withoutTimeout(message.text))
 		return message
 	case <-time.After(waitTimeout):
 		r.t.Fatal("nothing comes to an agent")
@@ -237,13 +237,13 @@
 }
 
 // withoutPatience replaces the time that an attempt has left, which must be within the budget of its request.
-func (r *exchangeRecorder) withoutPatience(text string) string {
-	if m := patienceField.FindStringSubmatch(text); m != nil {
+func (r *exchangeRecorder) withoutTimeout(text string) string {
+	if m := timeoutField.FindStringSubmatch(text); m != nil {
 		if ms, err := strconv.Atoi(m[1]); err != nil || ms <= 0 || ms > goldenBudget {
 			r.t.Errorf("patience %s of a budget of %d", m[1], goldenBudget)
 		}
 	}
-	return patienceField.ReplaceAllString(text, ",patience=PATIENCE$2")
+	return timeoutField.ReplaceAllString(text, ",patience=PATIENCE$2")
 }
 
 // agentSends answers a message; {id} stands for its request id.
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -22,8 +22,8 @@
 
 // What differs between runs, and nothing else, is replaced by a name.
 var (
-	patienceField = regexp.MustCompile(`,patience=([1-9][0-9]{0,3})([, ])`)
-	hostHeader    = regexp.MustCompile(`\r\nHost: 127\.0\.0\.1:[0-9]{1,5}\r\n`)
+	timeoutField = regexp.MustCompile(`,patience=([1-9][0-9]{0,3})([, ])`)
+	hostHeader   = regexp.MustCompile(`\r\nHost: 127\.0\.0\.1:[0-9]{1,5}\r\n`)
 )
 
 const (
--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -176,8 +176,8 @@
 }
 
 // answerLine returns an answer in the agents' protocol.
-func answerLine(id, word, fields, body string) string {
-	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body)
+func answerLine(id, status, fields, body string) string {
+	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, status, fields, len(body), body)
 }
 
 // echo is a reply with the request's own body.
--- a/cmd/calicohill/harness_client_test.go
+++ b/cmd/calicohill/harness_client_test.go
@@ -194,13 +194,13 @@
 			request.params = append(request.params, c)
 		}
 	}
-	kept := request.params[:0]
+	params := request.params[:0]
 	for _, p := range request.params {
 		if p[1] != "-" {
-			kept = append(kept, p)
+			params = append(params, p)
 		}
 	}
-	request.params = kept
+	request.params = params
 	return request
 }
 
--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -26,9 +26,9 @@
 			answer(w)
 			return
 		}
-		text, news, changed := s.feed(after), after < len(s.events), s.changed
+		text, updated, changed := s.feed(after), after < len(s.events), s.changed
 		s.mu.Unlock()
-		if news {
+		if updated {
 			fmt.Fprint(w, text)
 			return
 		}
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -185,10 +185,10 @@
 func waitUntilServedBy(t *testing.T, sched *testScheduler, want string) {
 	t.Helper()
 	client := sched.connect()
-	ask := func() string { client.send(newCall("consulta", "")); return client.readAnswer().body }
-	waitUntil(t, want+" answers", func() bool { return ask() == want })
+	sendRequest := func() string { client.send(newCall("consulta", "")); return client.readAnswer().body }
+	waitUntil(t, want+" answers", func() bool { return sendRequest() == want })
 	for range 20 {
-		if got := ask(); got != want {
+		if got := sendRequest(); got != want {
 			t.Fatalf("answer %q, want %q only", got, want)
 		}
 	}
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Clients hold a third of the descriptors at most. Those that say nothing or ask nothing more make room for others,
-// and those with a request open are served on.
+// Clients hold at most a third of the descriptors. Those without an open request are closed for others, and those with
+// one are served.
 func TestTooManyClients(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -82,14 +82,14 @@
 	}
 }
 
-// Where all places are held by clients that were served, one that was just let in keeps its place till its request
-// has come, though others are let in meanwhile.
+// Where all connections are held by clients that were served, one that was just accepted stays until its request has
+// arrived, though others are accepted meanwhile.
 func TestJustLetIn(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	sched.kill()
 	sched.maxSockets = 90
 	sched.start()
-	ask := func(client *testClient) bool {
+	sendRequest := func(client *testClient) bool {
 		if _, err := client.conn.Write(newCall("consulta", "x").bytes()); err != nil {
 			return false
 		}
@@ -103,25 +103,26 @@
 			client := sched.connect()
 			defer client.conn.Close()
 			if fronts = append(fronts, client); len(fronts) <= 30 {
-				ask(client)
+				sendRequest(client)
 			}
 		}
-		return ask(fronts[31]) && ask(fronts[30])
+		return sendRequest(fronts[31]) && sendRequest(fronts[30])
 	})
 }
 
-// A client that sends nothing whole is answered or closed before long, and another may stay for as long as it likes.
+// A client that sends no complete record is answered or closed after a timeout; any other may stay connected without a
+// limit.
 func TestNothingWhole(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	served := sched.connect()
-	ask := func() {
+	sendRequest := func() {
 		t.Helper()
 		served.send(newCall("consulta", "x"))
 		if got := served.readAnswer(); got.body != "re:x" {
 			t.Errorf("status %d for the client that asks", got.status)
 		}
 	}
-	ask()
+	sendRequest()
 	whole := newCall("consulta", "body").bytes()
 	for _, tt := range []struct {
 		name   string
@@ -156,10 +157,10 @@
 			}
 		})
 	}
-	t.Cleanup(ask) // runs when all of these have ended
+	t.Cleanup(sendRequest) // runs when all of these have ended
 }
 
-// A connection carries 32 requests, whole or not: one more is refused at once.
+// A connection carries at most 32 requests, complete or not: a further one is rejected at once.
 func TestTooManyRequests(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	client := sched.connect()
@@ -177,7 +178,7 @@
 	}
 }
 
-// A connection with answers half written has no request open any more, and is not the one to make room all the same.
+// A connection with partly written answers has no open request any more, and is still not closed for another client.
 func TestHalfWrittenMakesNoRoom(t *testing.T) {
 	sched, _, whole := startHalfWritten(t, nil)
 	for range 30 { // 29 find room
@@ -190,7 +191,7 @@
 	whole()
 }
 
-// What waits for clients that do not read is bounded for all of them together: each alone stays within its own bound.
+// The answers that clients do not read are bounded for all clients together, though each is within its own bound.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	big := strings.Repeat("0123456789", 25_000)
 	agent := newAgent(t, func(n int, request agentRequest) string {
@@ -222,8 +223,8 @@
 	}
 }
 
-// Dials that come up all at once, with clients in all places that there are for them, leave descriptors for one more
-// client: without one the event loop would end.
+// Dials that are established all at once, while clients hold all connections that they may, leave descriptors for one
+// more client: without one the event loop would end.
 func TestDescriptorsOfDials(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.maxSockets = 66
@@ -266,8 +267,8 @@
 	}
 }
 
-// Idle clients that take all places they can get at three schedulers, while discovery is down, keep none of them from
-// discovery and new workers once it is back, nor other clients from being served.
+// Idle clients that hold all connections they can get at three schedulers, while the list service is down, keep none of
+// them from the list service and new workers once it is back, nor other clients from being served.
 func TestDescriptorsOfIdleClients(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -314,14 +315,14 @@
 	}
 }
 
-// Requests that are begun on many connections and never whole give up their buffers to those of others.
+// Requests that are begun on many connections and never completed give up their buffers to others.
 func TestHalfRequestsMakeRoom(t *testing.T) {
 	agent := newAgent(t, echo)
 	sched := newTestScheduler(t)
 	sched.memoryMB = 12 // 256 buffers
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
-	asks := func() {
+	sendRequests := func() {
 		t.Helper()
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
@@ -329,7 +330,7 @@
 			t.Errorf("status %d, protocol status %d, want it served", got.status, got.protocolStatus)
 		}
 	}
-	asks()
+	sendRequests()
 	for range 10 {
 		client := sched.connect()
 		for id := uint16(1); id <= 32; id++ {
@@ -339,5 +340,5 @@
 		}
 	}
 	time.Sleep(500 * time.Millisecond) // they have 2 s
-	asks()
+	sendRequests()
 }
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	client := sched.start().connect()
-	ask := func(i int) int {
+	sendRequest := func(i int) int {
 		client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}, [2]string{"HTTP_BUDGET_MS", "1500"}))
 		return client.readAnswer().status
 	}
@@ -228,7 +228,7 @@
 			before[n] = len(n.received())
 		}
 		for i := range 6 {
-			if got := ask(i); got != 200 {
+			if got := sendRequest(i); got != 200 {
 				t.Errorf("%s: status %d", when, got)
 			}
 		}
@@ -255,7 +255,7 @@
 	changed("f2 SERVING " + agentA.addr)
 	goes(agentA, "another has come")
 	mute.Store(true)
-	waitUntil(t, "the next pool stands in for a silent one", func() bool { return ask(1) == 200 })
+	waitUntil(t, "the next pool stands in for a silent one", func() bool { return sendRequest(1) == 200 })
 	if len(other.received()) > 0 {
 		t.Error("a worker of no pool was asked")
 	}
@@ -269,7 +269,7 @@
 	}
 	waitUntil(t, "all workers are asked", func() bool {
 		for i := range 30 {
-			ask(i)
+			sendRequest(i)
 		}
 		return len(other.received()) > 0
 	})
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -95,8 +95,8 @@
 }
 
 const (
-	lineIll     = "worker ill on the word of peers"
-	lineUnheard = "peer not heard for a while"
+	lineUnhealthy = "worker ill on the word of peers"
+	lineUnheard   = "peer not heard for a while"
 )
 
 // fleetRequest returns a request of a class, whose body names the scheduler that it goes through.
@@ -153,8 +153,8 @@
 	t.Parallel()
 	fleet := startFleet(t, fleetSize, 12)
 
-	if n := udpSockets(t, fleet.Instances[0].Pid()); n != 1 {
-		t.Errorf("%d UDP sockets of one that shares, 1 is wanted", n)
+	if sockets := udpSockets(t, fleet.Instances[0].Pid()); sockets != 1 {
+		t.Errorf("%d UDP sockets of one that shares, 1 is wanted", sockets)
 	}
 
 	// One accuses every worker: all stop hearing it, and nobody leaves a worker out.
@@ -163,13 +163,13 @@
 		t.Fatal(err)
 	}
 	var ids []string
-	for _, w := range fleet.Workers {
-		ids = append(ids, w.ID)
+	for _, worker := range fleet.Workers {
+		ids = append(ids, worker.ID)
 	}
 	liar.Accuse(ids)
 	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool { return hasLogLine(instance, lineUnheard, "peer", "liar") })
 	for _, instance := range fleet.Instances {
-		if instance.Count(lineIll) > 0 {
+		if instance.Count(lineUnhealthy) > 0 {
 			t.Errorf("%s leaves a worker out on the word of a liar", instance.Name)
 		}
 	}
@@ -198,34 +198,34 @@
 	})
 	fleet.Workers[5].Set(testbed.Mute)
 	idle := fleet.Instances[fleetSize-1]
-	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineIll, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineUnhealthy, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("an instance without traffic does not hear of a silent worker\n%s", idle.Log)
 		}
 	}
 	for _, instance := range fleet.Instances {
 		for _, w := range ids {
-			if w != "w05" && hasLogLine(instance, lineIll, "worker", w) {
+			if w != "w05" && hasLogLine(instance, lineUnhealthy, "worker", w) {
 				t.Errorf("%s leaves out %s, which is well", instance.Name, w)
 			}
 		}
 	}
 	fleet.Workers[5].Set(testbed.Sound)
 	waitForAll(t, fleet, "the worker is taken back", func(instance *testbed.Instance) bool {
-		n := instance.Count(lineIll)
+		n := instance.Count(lineUnhealthy)
 		return n == 0 || instance.Count("worker no longer ill on the word of peers") == n
 	})
 	stop()
 
 	// A flood of forged datagrams: nobody is taken for dead, calls are served, few signatures are checked.
-	halt, flooded := make(chan struct{}), make(chan error, 1)
-	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, halt) }()
+	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
+	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
 		func(instance *testbed.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
 	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != "served" {
 		t.Errorf("a call is %s during a flood", got)
 	}
-	close(halt)
+	close(stopFlood)
 	if err := <-flooded; err != nil {
 		t.Fatal(err)
 	}
@@ -345,14 +345,14 @@
 	})
 
 	// Another with the name and the key of n1, at other addresses.
-	twin := fleet.Instances[1].Twin()
-	if err := twin.Move(); err != nil {
+	duplicate := fleet.Instances[1].Twin()
+	if err := duplicate.Move(); err != nil {
 		t.Fatal(err)
 	}
-	if err := twin.Start(); err != nil {
+	if err := duplicate.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(twin.Kill)
+	t.Cleanup(duplicate.Kill)
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two with one name falls silent", func(instance *testbed.Instance) bool {
 		return instance.Count("another scheduler has this one's name: this one says no more") == 1
 	})
--- a/cmd/calicohill/reload.go
+++ b/cmd/calicohill/reload.go
@@ -10,7 +10,7 @@
 	"calicohill/internal/rules/pools"
 )
 
-// reloadedConfig is a configuration that has been read again and found valid.
+// reloadedConfig is a configuration that was read by a reload and is valid.
 type reloadedConfig struct {
 	platform *config.Config
 	operator *operatorfile.Settings
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -11,9 +11,8 @@
 	"testing"
 )
 
-// A configuration that cannot be used ends the program at once, with one line that says why.
-// SIGHUP has the bulletin asked at the address that the file names by then, from the last event on. A file that
-// cannot be used changes nothing, and a request that is out notices neither.
+// SIGHUP has the list service polled at the address that the file names then, from the last event on. A file that can't
+// be used changes nothing, and a request in flight notices neither.
 func TestReload(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	release := make(chan struct{})
@@ -78,6 +77,7 @@
 	old.Close()
 }
 
+// A configuration that can't be used ends the program at once, with one line that says why.
 func TestBadConfiguration(t *testing.T) {
 	whole := `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":` +
 		fmt.Sprintf(testSettings, 15000) + `}`
@@ -115,8 +115,8 @@
 	}
 }
 
-// A new configuration without a class, or with other figures for it, does nothing to requests under way or to those
-// that come: the settings that a scheduler runs with are those of its start.
+// A new configuration without a class, or with other figures for it, changes nothing for requests in flight or new
+// ones: a scheduler runs with the settings of its start.
 func TestReloadWithoutAClass(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// Requests that are served, with the headers and the body of their answers.
 func TestServed(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	big := strings.Repeat("\x00\r\n=, ", 16<<10/6) + "last"
@@ -61,7 +62,7 @@
 	}
 }
 
-// 32 requests share a connection, and each gets the answer to itself, in whatever order they come.
+// 32 requests share a connection, and each gets its own answer, in whatever order the answers arrive.
 func TestMultiplexed(t *testing.T) {
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
 		time.Sleep(time.Duration(37*n%20) * time.Millisecond)
@@ -85,7 +86,7 @@
 	}
 }
 
-// A request that cannot be used is answered at once and reaches no agent.
+// An invalid request is answered at once and reaches no agent.
 func TestRejected(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	for _, tt := range []struct {
@@ -134,7 +135,7 @@
 	}
 }
 
-// What the protocol has besides requests, and what breaks it.
+// The protocol's records besides requests, and records that break the protocol.
 func TestRecords(t *testing.T) {
 	sched, _ := startWithAgent(t, func(int, agentRequest) string { return "" })
 	begin := func(role byte) string { return string([]byte{0, role, 1, 0, 0, 0, 0, 0}) }
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// After SIGTERM requests are served for a while, all that were taken are answered, and the exit is clean.
+// After SIGTERM requests are served for a while, all that were accepted are answered, and the exit code is 0.
 func TestTerm(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "slow" {
@@ -40,7 +40,8 @@
 	sched.waitForExit()
 }
 
-// A scheduler that is killed starts again at its address, whatever became of its connections, and is told the list.
+// A scheduler that is killed starts again at its address, whatever became of its connections, and gets the endpoint
+// list.
 func TestRestart(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "lost" {
@@ -93,7 +94,7 @@
 	}
 }
 
-// Answers that are half written when the program is told to end go out whole, if their client takes its time too.
+// Answers that are partly written at the shutdown are sent completely, also to a slow client.
 func TestHalfWrittenAtTheEnd(t *testing.T) {
 	sched, _, whole := startHalfWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -104,7 +105,7 @@
 	sched.waitForExit()
 }
 
-// A client that reads nothing does not keep the program from its end.
+// A client that reads nothing does not keep the program from exiting.
 func TestNeverReadAtTheEnd(t *testing.T) {
 	sched, _, _ := startHalfWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -113,7 +114,7 @@
 	sched.waitForExit()
 }
 
-// A connection that is to end with a request ends when all answers on it are sent.
+// A connection that is to be closed after a request is closed when all answers on it are sent.
 func TestHalfWrittenOnce(t *testing.T) {
 	_, client, whole := startHalfWritten(t, func(request *clientRequest) { request.closeAfter = true })
 	time.Sleep(300 * time.Millisecond)
@@ -123,8 +124,8 @@
 	}
 }
 
-// Clients that came while a program that is to end had no processor are served, though its time is up when it has one
-// again: their connections were taken by the system, one after the other by the program.
+// Clients that connected while a draining program was stopped are served, though the time to drain is over when it runs
+// again: the system had accepted their connections, and the program reads them one after the other.
 func TestStalledAtTheEnd(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	var fronts []*testClient
@@ -148,8 +149,8 @@
 	sched.waitForExit()
 }
 
-// A configuration that is read for long, as from a disk that stands still, does not hold up the end, and neither do
-// many orders to read it.
+// A configuration file that takes long to read, as from a disk that hangs, does not delay the shutdown, and neither do
+// many signals to reload.
 func TestTermAmidReload(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	fifo := filepath.Join(t.TempDir(), "config")
@@ -176,8 +177,8 @@
 	sched.waitForExit()
 }
 
-// Requests whose clients would wait for longer than the platform does get their final answer before it ends the
-// program: a refusal where a repeat is harmless, a failure where it may not be repeated.
+// Requests whose deadlines are after the platform's kill get their final answer before it: a rejection where a retry is
+// harmless, a failure where it is not.
 func TestAnsweredBeforeTheKill(t *testing.T) {
 	agent := newAgent(t, func(int, agentRequest) string { return "" })
 	sched := newTestScheduler(t)
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -37,8 +37,9 @@
 	return record.EventNumber
 }
 
-// A list that was kept serves after a crash where it is newer than the configuration's, also while the list service is
-// down: who drains in it gets nothing, who is new in it gets work. Once the service counts anew its own list goes.
+// A saved endpoint list serves after a crash if it is newer than the configuration's, also while the list service is
+// down: a worker that drains in it gets no requests, a new one does. If the service numbers its events anew, its own
+// list counts.
 func TestSnapshot(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -80,14 +81,14 @@
 	}
 }
 
-// What was learned is kept with the list: after a crash calls go where copies of their functions stood, and begin no
-// loads at a worker that came since.
+// Learned state is saved with the list: after a crash requests go where their functions are loaded, and start no loads
+// at a worker that was added since.
 func TestSnapshotOfWhatWasLearned(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	sched.start()
-	ask := func() {
+	sendRequest := func() {
 		for i := range 12 {
 			client := sched.connect()
 			client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i+1)}))
@@ -96,19 +97,19 @@
 			}
 		}
 	}
-	ask()
+	sendRequest()
 	sched.addEvent(false, "a SERVING "+agentA.addr)
 	waitUntil(t, "the list is kept", func() bool { return snapshotEvent(t, file) == 2 })
 	sched.kill()
 	sched.start()
-	ask()
+	sendRequest()
 	if n := len(agentA.received()); n > 0 {
 		t.Errorf("%d calls went where no copy stood", n)
 	}
 }
 
-// What is kept and does not count is set aside with one line, and what cannot be kept is said once; the start and the
-// service go on without.
+// An invalid snapshot is set aside with one log line, and a failing write is logged once; the start and the service go
+// on.
 func TestSnapshotOfNoUse(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	dir := t.TempDir()
@@ -150,8 +151,7 @@
 	}
 }
 
-// kill -9 while the list changes without end: what stands in the file counts each time, and is never older than what
-// stood there before.
+// SIGKILL while the list changes without end: the file is valid each time, and never older than before.
 func TestSnapshotKilled(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// One of hundreds of schedulers keeps to one connection for the little that it has at a worker, which has to take those
-// of all.
+// One of hundreds of schedulers keeps to one connection for its few requests at a worker, which has to accept those of
+// all schedulers.
 func TestFewConnections(t *testing.T) {
 	agent := newAgent(t, func(n int, request agentRequest) string {
 		time.Sleep(time.Duration(n%2) * 20 * time.Millisecond) // so that two are out at a time
@@ -32,7 +32,7 @@
 	}
 }
 
-// Where something on the way forgets connections that rest, that is found out, and none is used after such a rest.
+// If something on the way drops idle connections, that is detected, and no connection is used after such an idle time.
 func TestShortRests(t *testing.T) {
 	agent := newAgent(t, echo)
 	agent.idleReset = 60 * time.Millisecond
@@ -51,7 +51,7 @@
 	})
 }
 
-// A connection that has answered nothing for long, though asked, gets nothing new: its machine may be cut off,
+// A connection without an answer for long, though requests were sent, gets no new ones: its machine may be cut off,
 // which gives no sign, and be back under the same name.
 func TestSilentConnection(t *testing.T) {
 	sched, agent := startWithDeafAgent(t)
@@ -68,7 +68,7 @@
 	}
 }
 
-// The same where clients give up before that: a few requests lost in a row tell as much.
+// The same where clients give up earlier: a few requests lost in a row tell as much.
 func TestLostRequests(t *testing.T) {
 	sched, _ := startWithDeafAgent(t)
 	client := sched.connect()
@@ -78,7 +78,7 @@
 	})
 }
 
-// An idle connection is closed before the agent's time for it is up, so that no request meets that close.
+// An idle connection is closed before the agent's idle timeout, so that no request crosses the agent's close.
 func TestIdleConnections(t *testing.T) {
 	agent, sched := newAgent(t, echo), newTestScheduler(t)
 	sched.idleMs = 400
@@ -97,7 +97,7 @@
 	}
 }
 
-// A worker that begins to drain while the connection to it is being made gets nothing on it.
+// A worker that begins to drain while its connection is being dialed gets no request on it.
 func TestDrainsWhileDialing(t *testing.T) {
 	sched, agentA, open := startWithLateAgent(t)
 	agentB := newAgent(t, answerWith("b"))
@@ -120,8 +120,8 @@
 	}
 }
 
-// A worker's close of a connection at rest, and a request that would go on it, are both there when the program looks:
-// the request goes on another, in whichever order they came. It may not be repeated, so that a loss would show.
+// A worker's close of an idle connection and a request for that connection are both there when the program looks: the
+// request is sent on another one, in whichever order they came. It must not be retried, so that a loss would show.
 func TestCloseCrossesRequest(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
