--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -18,8 +18,8 @@
 	evenPeak = fleetSize / 20
 )
 
-// Whatever 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their asks over
-// the time that the protocol allows: 2 s after a break; 1 s, for a drain, where the service is well.
+// Whatever fault 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their polls
+// over the time that the protocol allows: 2 s after connections broke; 1 s, for a drain, where the service is healthy.
 func TestSpread(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -36,7 +36,7 @@
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(testbed.ListHealthy)
 		}},
-		// Answered all at once, they have to ask again within the second that a drain allows.
+		// Answered all at once, they have to poll again within the second that a drain allows.
 		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.PollSimulation) {
 			fleet.SetFault(testbed.ListUnresponsive)
 			fleet.Run(8 * time.Second)
@@ -53,13 +53,13 @@
 			fleet := testbed.NewPollSimulation(fleetSize, time.Second, seed, true)
 			fleet.Run(10 * time.Second)
 			if got := testbed.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
-				t.Errorf("start, seed %d: %d asks within 100 ms", seed, got)
+				t.Errorf("start, seed %d: %d polls within 100 ms", seed, got)
 			}
 			at := fleet.Now
 			tt.do(fleet)
 			fleet.Run(30 * time.Second)
 			if got := testbed.PeakPer100ms(fleet.Polls, at); got > tt.bound {
-				t.Errorf("%s, seed %d: %d asks within 100 ms, even are %d", tt.name, seed, got, evenPeak)
+				t.Errorf("%s, seed %d: %d polls within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
 			if got := testbed.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
 				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
@@ -68,9 +68,9 @@
 	}
 }
 
-// What a well service tells counts as told to all, also to those that have just started or are between two asks: each
-// knows it in time to send nothing to a worker that drains later than the grace after, whatever that is.
-func TestWellToldInTime(t *testing.T) {
+// What a healthy service publishes counts as told to all, also to schedulers that have just started or are between two
+// polls: each knows it in time to send nothing to a draining worker after the drain grace, however long that is.
+func TestHealthyServiceUpdatesInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
 			fleet := testbed.NewPollSimulation(300, grace, seed, true)
@@ -89,24 +89,24 @@
 	}
 }
 
-// An event answers all polls at once. Those that come back for more are spread, and soon nobody is in step.
-func TestNotInStepAfterNews(t *testing.T) {
+// An event answers all polls at once. The polls after it are spread, and soon no schedulers are synchronized.
+func TestNotSynchronizedAfterUpdate(t *testing.T) {
 	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.Run(10 * time.Second)
 	fleet.Publish()
 	at := fleet.Now
 	fleet.Run(10 * time.Second)
 	if got := testbed.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
-		t.Errorf("%d of %d ask within 100 ms after an event", got, fleetSize)
+		t.Errorf("%d of %d poll within 100 ms after an event", got, fleetSize)
 	}
 	if got := testbed.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
-		t.Errorf("%d ask within 100 ms a second after an event, even are %d", got, evenPeak)
+		t.Errorf("%d poll within 100 ms a second after an event, even are %d", got, evenPeak)
 	}
 }
 
-// A service that answers a tenth of what the fleet asks in its 2 s lists all in 1.3 times the time that takes it at
-// best, and nobody asks much oftener than the 7 s of the protocol demand.
-func TestCrowded(t *testing.T) {
+// A service that answers a tenth of what the fleet polls in its 2 s brings all schedulers the list in 1.3 times the time
+// that this takes at best, and none polls much oftener than the 7 s of the protocol demand.
+func TestRateLimitedService(t *testing.T) {
 	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.SetFault(testbed.ListRateLimited)
 	fleet.Queue.AnswersPerSecond = fleetSize / 20.
@@ -114,24 +114,25 @@
 	limit := 20 * time.Second
 	began := fleet.Now
 	fleet.Run(limit * 13 / 10)
-	asked, needed := 0, 0
+	polled, needed := 0, 0
 	for i, node := range fleet.Schedulers {
 		if node.LastEvent < 2 {
 			t.Errorf("scheduler %d has no list after 1.3 times the least time", i)
 		}
 		for _, at := range node.Polls {
 			if at < node.UpdatedAt {
-				asked++
+				polled++
 			}
 		}
 		needed += 1 + int((node.UpdatedAt-began)/(7*time.Second))
 	}
-	if asked*10 > needed*12 {
-		t.Errorf("asked %d times until all were listed, the protocol's times need %d", asked, needed)
+	if polled*10 > needed*12 {
+		t.Errorf("polled %d times until all were listed, the protocol's times need %d", polled, needed)
 	}
 }
 
-// Alone before a well service a scheduler asks as soon as it can: at the start, after each answer, after a break.
+// Alone before a healthy service a scheduler polls as soon as it can: at the start, after each response, after its
+// connection broke.
 func TestAlone(t *testing.T) {
 	fleet := testbed.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
@@ -146,22 +147,22 @@
 	}
 	for i, want := range []time.Duration{1, 1002, 2013} { // milliseconds: a dial takes 1, an answer too
 		if want *= time.Millisecond; len(got) <= i || got[i] < want-2*time.Millisecond || got[i] > want+2*time.Millisecond {
-			t.Fatalf("asks at %v, want the %d. at %v", got, i+1, want)
+			t.Fatalf("polls at %v, want the %d. at %v", got, i+1, want)
 		}
 	}
 }
 
-// A process that was stopped does not know what was told meanwhile. The list counts as old until the service has
-// answered an ask made after that, unless one waits there still: what it told would be there to be read.
+// A process that was stopped does not know what was published meanwhile. The list counts as stale until the service has
+// answered a poll made after that, unless one waits there still: its response would be there to be read.
 func TestStalled(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		stop func(*pollplan.Planner, time.Duration) time.Duration // when it goes on
+		stop func(*pollplan.Planner, time.Duration) time.Duration // returns when the process goes on
 		want bool                                                 // that the list counts as stale
 	}{
-		{"while an ask waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
+		{"while a poll waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
 		{"past the end of its wait", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
-		{"between two asks", func(planner *pollplan.Planner, now time.Duration) time.Duration {
+		{"between two polls", func(planner *pollplan.Planner, now time.Duration) time.Duration {
 			planner.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
 			return now + 600*time.Millisecond
 		}, true},
@@ -190,8 +191,8 @@
 	}
 }
 
-// Who has no list asks before all others.
-func TestUnlistedFirst(t *testing.T) {
+// A scheduler without an endpoint list polls before all others.
+func TestStartWithoutEndpointsPollsFirst(t *testing.T) {
 	for _, schedulers := range []int{1, fleetSize} {
 		planner := pollplan.New(schedulers, time.Second, 1)
 		if got := planner.Step(time.Hour, pollplan.Started{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
@@ -200,8 +201,8 @@
 	}
 }
 
-// Over any order of troubles: the service's word is known 2 s after its return, at most two connections are held,
-// asks are bounded, and events are neither missed nor come doubled.
+// Over any order of faults: events are known 2 s after the service has recovered, at most two connections are open, polls
+// are bounded, and events are neither missed nor applied twice.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
@@ -218,10 +219,10 @@
 			}
 			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
 			if fleet.Queue.Len() > 2*schedulers {
-				rt.Fatalf("%d asks open of %d schedulers", fleet.Queue.Len(), schedulers)
+				rt.Fatalf("%d polls pending of %d schedulers", fleet.Queue.Len(), schedulers)
 			}
 		}
-		// What it has to say after trouble is known 7 s later at the latest, and what it says when well at once.
+		// Events from the time of the fault are known 7 s later at the latest, and those of a healthy service at once.
 		fleet.SetFault(testbed.ListHealthy)
 		fleet.Run(7 * time.Second)
 		fleet.Publish()
@@ -232,7 +233,7 @@
 			}
 			for k := range max(len(node.Polls)-60, 0) {
 				if node.Polls[k+60]-node.Polls[k] < time.Second {
-					rt.Fatalf("scheduler %d asks 60 times a second", i)
+					rt.Fatalf("scheduler %d polls 60 times a second", i)
 				}
 			}
 		}
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each scheduler of a fleet has ports of its own, also where the system names one again that was let go.
+// Each scheduler of a fleet has ports of its own, also where the system hands out a released one again.
 func TestFreePorts(t *testing.T) {
 	fleet := &Fleet{}
 	seen := map[string]bool{}
@@ -22,8 +22,8 @@
 	}
 }
 
-// A list service that refused comes back where it was, whoever was given its port elsewhere meanwhile.
-func TestRefusesAndComesBack(t *testing.T) {
+// A list service that refused connections opens its address again, whoever was given the port elsewhere meanwhile.
+func TestListServiceReopensAddress(t *testing.T) {
 	service := NewListService()
 	defer service.Close()
 	addr, err := service.Address("n0")
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A cut link gives no sign: what was sent comes once it is whole again, and a new connection does not come up.
+// A cut link gives no sign: what was sent arrives once it is restored, and a new connection does not come up.
 func TestLinkCut(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/virtualfleet_test.go
+++ b/internal/testbed/virtualfleet_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// Starts of fleets whose schedulers know nothing, in virtual time: what they assume until answers teach them serves from
-// the first seconds on, and pushes nobody over.
-func TestKnowsNothing(t *testing.T) {
+// Starts of fleets whose schedulers have learned nothing yet, in virtual time: what they assume until responses teach them
+// serves from the first seconds on, and makes no worker crash.
+func TestStartWithoutLearnedState(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		experiment VirtualExperiment
 		from       int     // the second from which on
 		least      float64 // so much is served in each second
 	}{
-		// Nothing was sent to any worker for as long as all were cold.
+		// Guards against a fault: nothing was sent to any worker for as long as all were warming up.
 		{"all cold", VirtualExperiment{Schedulers: 24, Workers: 10, ColdWorkers: true, Rate: 80, Seconds: 14}, 7, 0.9},
 		{"all cold, uneven load", VirtualExperiment{Schedulers: 24, Workers: 10, ColdWorkers: true, Rate: 80, Skew: 3, Seconds: 14}, 9, 0.8},
-		// A budget of less than one call a window was hardly ever used.
+		// Guards against a fault: a budget of less than one call a window was hardly ever used.
 		{"all cold, many schedulers", VirtualExperiment{Schedulers: 120, Workers: 24, ColdWorkers: true, Rate: 130, Seconds: 14}, 4, 0.5},
-		// The home of the function that is called most is called 40 times as much as the mean worker.
+		// The preferred worker of the function that is called most is called 40 times as much as the mean worker.
 		{"all cold, hundreds of workers", VirtualExperiment{Schedulers: 300, Workers: 400, ColdWorkers: true, Rate: 3200, Seconds: 3}, 0, 0.3},
-		// Those that were met were pressed, and calls for all others were refused for it.
+		// Guards against a fault: the workers that schedulers knew were overloaded, and calls for all others were rejected for it.
 		{"warm, few met", VirtualExperiment{Schedulers: 400, Workers: 80, Rate: 800, Seconds: 13}, 10, 0.86},
 		{"four in five start anew", VirtualExperiment{Schedulers: 120, Workers: 24, RestartedShare: 0.8, Rate: 200, Seconds: 18}, 9, 0.7},
 	} {
@@ -35,7 +35,7 @@
 			if metrics.Crashed > 0 {
 				t.Errorf("%d workers were pushed over", metrics.Crashed)
 			}
-			// What was asked in the last second may not be answered yet.
+			// Requests of the last second may not be answered yet.
 			if worst := slices.Min(metrics.ServedBySecond[tt.from : tt.experiment.Seconds-1]); worst < tt.least {
 				t.Errorf("%.2f served in the worst second, %.2f of all", worst, metrics.ServedShare)
 			}
