--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -179,10 +179,10 @@
 	started := time.Now()
 	request := fastcgi.Request{
 		Path: "/rpc/" + class, ID: randomHex(requestIDBytes), Function: c.function,
-		OnceKey: c.idempotencyKey, Budget: c.budget, Spec: c.spec, Body: body,
+		IdempotencyKey: c.idempotencyKey, Budget: c.budget, Spec: c.spec, Body: body,
 	}
-	if request.OnceKey == "" {
-		request.OnceKey = randomHex(idempotencyKeyBytes)
+	if request.IdempotencyKey == "" {
+		request.IdempotencyKey = randomHex(idempotencyKeyBytes)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.budget+answerMargin)
 	defer cancel()
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -54,16 +54,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			day := testbed.ColdDay{
-				Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, Of: 300,
+			day := testbed.ColdStartExperiment{
+				Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
 				Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
 			}
 			minServed := 0.0
 			switch warmingUp := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
 			case warmingUp && strings.HasPrefix(tt.script, "0s boot"):
-				day.Body, day.Of, minServed = "small", 24, 0.3
+				day.Profile, day.ClaimedSchedulers, minServed = "small", 24, 0.3
 			case warmingUp: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
-				day.Body, day.Of, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
+				day.Profile, day.ClaimedSchedulers, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
 			}
 			result, err := day.Run(context.Background())
 			if err != nil {
@@ -75,7 +75,7 @@
 			if result.Program.Served < minServed {
 				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, minServed)
 			}
-			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.ColdMost)
+			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.PeakColdLoadShare)
 			if result.Program.AllListed < 0 {
 				t.Error("some schedulers did not hear the list again")
 			}
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -60,10 +60,10 @@
 	if err != nil {
 		return err
 	}
-	if err := pki.WriteFile(name+keySuffix, authority.Key, authority.Cert); err != nil {
+	if err := pki.WriteKeyFile(name+keySuffix, authority.Key, authority.Cert); err != nil {
 		return err
 	}
-	if err := os.WriteFile(name+certificateSuffix, pki.EncodeCert(authority.Cert), publicFileMode); err != nil {
+	if err := os.WriteFile(name+certificateSuffix, pki.EncodeCertificate(authority.Cert), publicFileMode); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s.key signs for fleet %s until %s; name %s.crt as authority\n", name, fleet,
@@ -76,7 +76,7 @@
 	if path == "" {
 		return nil, usageError{errors.New("--authority is needed")}
 	}
-	key, cert, err := pki.ReadKey(path)
+	key, cert, err := pki.ReadKeyFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	if err := pki.WriteFile(file, member.Key, member.Cert); err != nil {
+	if err := pki.WriteKeyFile(file, member.Key, member.Cert); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s is %s of fleet %s until %s\n", file, name, authority.Fleet(),
@@ -128,11 +128,11 @@
 		Use: "show FILE", Short: "Print what a file of key says", Args: exactArguments("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
-			if list, err := pki.ReadList(args[0], false); err == nil {
+			if list, err := pki.ReadRevocationListFile(args[0], false); err == nil {
 				showRevocationList(out, list)
 				return nil
 			}
-			cert, err := pki.ReadCert(args[0])
+			cert, err := pki.ReadCertificateFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	previous, err := pki.ReadList(listFile, true)
+	previous, err := pki.ReadRevocationListFile(listFile, true)
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	if err := replaceFile(listFile, pki.EncodeList(list)); err != nil {
+	if err := replaceFile(listFile, pki.EncodeRevocationList(list)); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s holds %d certificates; bring it to all members and send them SIGHUP\n", listFile,
@@ -212,7 +212,7 @@
 
 // certificateNumber returns the number of the certificate in a file, or the number itself if it is given in hexadecimal.
 func certificateNumber(arg string) (*big.Int, error) {
-	cert, err := pki.ReadCert(arg)
+	cert, err := pki.ReadCertificateFile(arg)
 	if err == nil {
 		return cert.SerialNumber, nil
 	}
--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -72,24 +72,24 @@
 // The error has every field that can't be parsed.
 func (f requestFields) request(slots []string) (*match.Request, error) {
 	request := &match.Request{
-		Class:   f["class"],
-		Handler: f["handler"],
-		Path:    f["path"],
-		Method:  f["method"],
-		Client:  f["client"],
-		OnceKey: f["once_key"],
-		ID:      f["id"],
-		Local:   time.Now(),
+		Class:          f["class"],
+		Handler:        f["handler"],
+		Path:           f["path"],
+		Method:         f["method"],
+		Client:         f["client"],
+		IdempotencyKey: f["once_key"],
+		ID:             f["id"],
+		LocalTime:      time.Now(),
 	}
 	if request.Path == "" && request.Class != "" {
 		request.Path = "/rpc/" + request.Class
 	}
 	err := errors.Join(
-		parseField(f, "budget", &request.Budget, time.ParseDuration),
-		parseField(f, "body", &request.Body, strconv.Atoi),
-		parseField(f, "lanes", &request.Lanes, strconv.Atoi),
-		parseField(f, "memory_mb", &request.Memory, parseFloat),
-		parseField(f, "time", &request.Local, parseLocalTime),
+		parseField(f, "budget", &request.TimeLeft, time.ParseDuration),
+		parseField(f, "body", &request.BodyBytes, strconv.Atoi),
+		parseField(f, "lanes", &request.Concurrency, strconv.Atoi),
+		parseField(f, "memory_mb", &request.MemoryMB, parseFloat),
+		parseField(f, "time", &request.LocalTime, parseLocalTime),
 	)
 	for _, name := range slots {
 		var values []string
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -102,7 +102,7 @@
 // fleetRequest returns a request of a class, whose body names the scheduler that it goes through.
 func fleetRequest(instance *testbed.Instance, class string, function int) fastcgi.Request {
 	return fastcgi.Request{
-		Path: "/rpc/" + class, ID: randomHex(8), OnceKey: randomHex(16),
+		Path: "/rpc/" + class, ID: randomHex(8), IdempotencyKey: randomHex(16),
 		Function: fmt.Sprintf("%016x", function), Budget: 1500 * time.Millisecond, Spec: "memory_mb:64;lanes:4",
 		Body: []byte(instance.Name + " asks"),
 	}
@@ -158,7 +158,7 @@
 	}
 
 	// One accuses every worker: all stop hearing it, and nobody leaves a worker out.
-	liar, err := fleet.NewHostile("liar")
+	liar, err := fleet.NewByzantineMember("liar")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 		}
 		return len(from) >= fleetSize/2
 	})
-	fleet.Workers[5].Set(testbed.Mute)
+	fleet.Workers[5].Set(testbed.WorkerUnresponsive)
 	idle := fleet.Instances[fleetSize-1]
 	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineUnhealthy, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -210,7 +210,7 @@
 			}
 		}
 	}
-	fleet.Workers[5].Set(testbed.Sound)
+	fleet.Workers[5].Set(testbed.WorkerHealthy)
 	waitForAll(t, fleet, "the worker is taken back", func(instance *testbed.Instance) bool {
 		n := instance.Count(lineUnhealthy)
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
@@ -296,7 +296,7 @@
 		}
 	}
 	authority := filepath.Join(fleet.Dir, "authority.key")
-	if err := pki.WriteFile(authority, fleet.Authority.Key, fleet.Authority.Cert); err != nil {
+	if err := pki.WriteKeyFile(authority, fleet.Authority.Key, fleet.Authority.Cert); err != nil {
 		t.Fatal(err)
 	}
 	list := filepath.Join(fleet.Dir, "fleet.revoked")
@@ -316,7 +316,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(fleet.Dir, "next.crt"), pki.EncodeCert(next.Cert), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(fleet.Dir, "next.crt"), pki.EncodeCertificate(next.Cert), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, instance := range fleet.Instances[:3] {
--- a/cmd/calicohill/reload.go
+++ b/cmd/calicohill/reload.go
@@ -23,7 +23,7 @@
 // so that a mistake in a file does not end a working scheduler. It must not be called on the loop, since it reads files.
 func (s *scheduler) reload() {
 	next, err := s.readAgain()
-	var faults operatorfile.Faults
+	var faults operatorfile.ParseErrors
 	if errors.As(err, &faults) {
 		for _, fault := range faults {
 			s.log.WithError(fault).Error("operator's file reload failed, keeping the running configuration")
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -127,7 +127,7 @@
 
 // useRules has the rules of an operator's file decide on requests from now on.
 func (s *scheduler) useRules(rules *match.Table, routes *pools.Core) {
-	s.server.Use(fastcgi.NewRules(rules))
+	s.server.SetRules(fastcgi.NewRules(rules))
 	if routes.Len() == 0 {
 		routes = nil
 	}
--- a/cmd/calicohill/shutdown.go
+++ b/cmd/calicohill/shutdown.go
@@ -88,7 +88,7 @@
 	if open && now-d.started >= drainDelay+d.closeAfter {
 		d.dispatcher.Shutdown()
 	}
-	flushing := d.server.Unsent() > 0 && now-d.lastBusy < flushTimeout
+	flushing := d.server.UnsentBytes() > 0 && now-d.lastBusy < flushTimeout
 	if d.lastBusy == now || flushing {
 		d.loop.SetDeadline(&d.timer, now+idleCheckInterval)
 		return
@@ -98,7 +98,7 @@
 
 // requestsArriving reports whether a request is partly read, or clients have sent something since the last check.
 func (d *drainer) requestsArriving(now time.Duration) bool {
-	return d.server.Streams() > 0 || now-d.server.Heard() < idleCheckInterval
+	return d.server.OpenRequests() > 0 || now-d.server.LastReceived() < idleCheckInterval
 }
 
 // stop ends the loop. It must not be called on it, since it waits for its end.
--- a/cmd/calicohill/sources.go
+++ b/cmd/calicohill/sources.go
@@ -52,7 +52,7 @@
 		return nil, nil, fmt.Errorf("configuration %s: %w", s.platformFile, err)
 	}
 	if s.operatorFile == "" {
-		return platform, operatorfile.None(), nil
+		return platform, operatorfile.Defaults(), nil
 	}
 	operator, err := operatorfile.Read(s.operatorFile)
 	return platform, operator, err
@@ -62,7 +62,7 @@
 func ruleClasses(settings *deployment.Settings) []match.Class {
 	classes := make([]match.Class, len(settings.Classes))
 	for i, class := range settings.Classes {
-		classes[i] = match.Class{Name: settings.ClassNames[i], Effect: class.Idempotency}
+		classes[i] = match.Class{Name: settings.ClassNames[i], Idempotency: class.Idempotency}
 	}
 	return classes
 }
--- a/cmd/calicohill/status.go
+++ b/cmd/calicohill/status.go
@@ -11,8 +11,8 @@
 
 // ruleStatus is the content of the status file.
 type ruleStatus struct {
-	At    time.Time     `json:"at"` // UTC
-	Rules []match.Count `json:"rules"`
+	At    time.Time          `json:"at"` // UTC
+	Rules []match.RuleCounts `json:"rules"`
 }
 
 // reportStatus logs the counts of each rule, and writes them to the status file if the operator's file names one. The
@@ -25,7 +25,7 @@
 }
 
 // reportRules logs counts and writes them to a file, if its path is not empty.
-func reportRules(log *logrus.Entry, counts []match.Count, path string) {
+func reportRules(log *logrus.Entry, counts []match.RuleCounts, path string) {
 	if path != "" {
 		status := ruleStatus{At: time.Now().UTC(), Rules: counts}
 		if err := writeStatus(path, status); err != nil {
--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -15,7 +15,7 @@
 
 // coldstartOptions is what the flags of coldstart say.
 type coldstartOptions struct {
-	experiment testbed.ColdDay
+	experiment testbed.ColdStartExperiment
 	scenario   string // a name, or a file
 	virtual    bool
 	asJSON     bool
@@ -60,12 +60,12 @@
 	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
 	flags.StringVar(&experiment.Baseline, "baseline", "", "an earlier build that plays the same first")
 	flags.IntVar(&experiment.Instances, "instances", 24, "schedulers")
-	flags.IntVar(&experiment.Of, "of", 0, "how many schedulers they are told that there are; those that there are if not set")
+	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "how many schedulers they are told that there are; those that there are if not set")
 	flags.IntVar(&experiment.Workers, "workers", 14, "stand-in workers")
 	flags.StringVar(&o.scenario, "scenario", "well", "a name, or a `FILE`")
 	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
 	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
-	flags.StringVar(&experiment.Body, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
+	flags.StringVar(&experiment.Profile, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
 	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their list and what they learned over a restart")
 	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' parts of the load are: scheduler i has one in 1 + skew x i")
 	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
--- a/internal/config/operatorfile/document.go
+++ b/internal/config/operatorfile/document.go
@@ -22,13 +22,13 @@
 
 // section is a section of a file.
 type section struct {
-	place   match.Place        // of its heading; the last one if it was repeated in error
+	place   match.Position     // of its heading; the last one if it was repeated in error
 	entries map[string][]entry // by directive
 }
 
 // entry is one occurrence of a directive in a file.
 type entry struct {
-	place     match.Place
+	place     match.Position
 	directive string
 	values    []value
 }
@@ -105,16 +105,16 @@
 }
 
 // expression returns the first argument of a directive with its place, or the zero Text if the directive is not present.
-func (d *document) expression(key sectionKey, directive string) match.Text {
+func (d *document) expression(key sectionKey, directive string) match.Expression {
 	if written := d.written(key, directive); len(written) > 0 {
 		return written[0].expression(0)
 	}
-	return match.Text{}
+	return match.Expression{}
 }
 
 // expression returns an argument with its place.
-func (e entry) expression(arg int) match.Text {
+func (e entry) expression(arg int) match.Expression {
 	place := e.place
 	place.Column = e.values[arg].column
-	return match.Text{Place: place, Source: e.values[arg].text}
+	return match.Expression{Position: place, Source: e.values[arg].text}
 }
--- a/internal/config/operatorfile/errors.go
+++ b/internal/config/operatorfile/errors.go
@@ -19,7 +19,7 @@
 // ParseError is one error in an operator's file. Line and Column count from 1, and are 0 where the file as a whole is
 // meant. Directive is "" where the error is not in a directive.
 type ParseError struct {
-	match.Place
+	match.Position
 	Directive string
 	Reason    string
 }
@@ -32,12 +32,12 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Reason)
 }
 
-// Faults is all the errors in an operator's file, in the order in which they were found. It is the error of Read and
+// ParseErrors is all the errors in an operator's file, in the order in which they were found. It is the error of Read and
 // Compile.
-type Faults []ParseError
+type ParseErrors []ParseError
 
 // Error returns the errors, a line each.
-func (f Faults) Error() string {
+func (f ParseErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, parseError := range f {
 		lines[i] = parseError.Error()
@@ -46,9 +46,9 @@
 }
 
 // add appends an error, unless there are maxErrors already.
-func (f *Faults) add(place match.Place, directive, format string, args ...any) {
+func (f *ParseErrors) add(place match.Position, directive, format string, args ...any) {
 	if len(*f) < maxErrors {
-		*f = append(*f, ParseError{Place: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+		*f = append(*f, ParseError{Position: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/config/operatorfile/gossip.go
+++ b/internal/config/operatorfile/gossip.go
@@ -21,21 +21,21 @@
 	file := r.document
 	leaveOut, _ := file.number(sectionGossip, "leave-out")
 	gossip := &Gossip{
-		Listen:       parseAddress(file.text(sectionGossip, "listen")),
-		Fleet:        file.text(sectionGossip, "fleet"),
-		Key:          file.text(sectionGossip, "key"),
-		Authorities:  file.texts(sectionGossip, "authority"),
-		Revoked:      file.text(sectionGossip, "revoked"),
-		ProbeEvery:   file.duration(sectionGossip, "probe-every"),
-		ProbeTimeout: file.duration(sectionGossip, "probe-timeout"),
-		SuspectFor:   file.duration(sectionGossip, "suspect-for"),
-		Messages:     r.gossipCount("messages", 0),
-		Checks:       r.gossipCount("checks", 0),
-		ClockSkew:    file.duration(sectionGossip, "clock-skew"),
-		Overlap:      file.duration(sectionGossip, "overlap"),
-		Liars:        r.gossipCount("liars", unsetLiars),
-		LeaveOut:     leaveOut,
-		ForgetAfter:  file.duration(sectionGossip, "forget-after"),
+		Listen:                      parseAddress(file.text(sectionGossip, "listen")),
+		Fleet:                       file.text(sectionGossip, "fleet"),
+		Key:                         file.text(sectionGossip, "key"),
+		Authorities:                 file.texts(sectionGossip, "authority"),
+		Revoked:                     file.text(sectionGossip, "revoked"),
+		ProbeInterval:               file.duration(sectionGossip, "probe-every"),
+		ProbeTimeout:                file.duration(sectionGossip, "probe-timeout"),
+		SuspicionTimeout:            file.duration(sectionGossip, "suspect-for"),
+		MaxMessagesPerSecond:        r.gossipCount("messages", 0),
+		MaxSignatureChecksPerSecond: r.gossipCount("checks", 0),
+		ClockSkew:                   file.duration(sectionGossip, "clock-skew"),
+		AuthorityOverlap:            file.duration(sectionGossip, "overlap"),
+		MaxByzantine:                r.gossipCount("liars", unsetLiars),
+		MaxEjectedFraction:          leaveOut,
+		FaultReportExpiry:           file.duration(sectionGossip, "forget-after"),
 	}
 	gossip.Advertise = gossip.Listen
 	if advertise := file.text(sectionGossip, "advertise"); advertise != "" {
@@ -58,7 +58,7 @@
 
 // checkGossip reports what no directive shows by itself: conflicts between directives, and files that can't be used.
 func (r *settingsReader) checkGossip(gossip *Gossip) {
-	if gossip.ProbeTimeout >= gossip.ProbeEvery {
+	if gossip.ProbeTimeout >= gossip.ProbeInterval {
 		r.addGossipError("probe-timeout", "must be under probe-every")
 	}
 	if address := gossip.Advertise.Addr(); address.IsUnspecified() {
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -48,9 +48,9 @@
 		Gossip: &Gossip{
 			Listen: parseAddress("127.0.0.1:7946"), Advertise: parseAddress("127.0.0.1:7946"), Fleet: "gt-registros",
 			Key: filepath.Join(dir, "n1.key"), Authorities: []string{filepath.Join(dir, "fleet.crt")},
-			ProbeEvery: 500 * time.Millisecond, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
-			Messages: 20, Checks: 400, ClockSkew: 5 * time.Second, Overlap: 10 * time.Minute, Liars: 2,
-			LeaveOut: 0.125, ForgetAfter: 10 * time.Second,
+			ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 300 * time.Millisecond, SuspicionTimeout: 5 * time.Second,
+			MaxMessagesPerSecond: 20, MaxSignatureChecksPerSecond: 400, ClockSkew: 5 * time.Second, AuthorityOverlap: 10 * time.Minute, MaxByzantine: 2,
+			MaxEjectedFraction: 0.125, FaultReportExpiry: 10 * time.Second,
 		},
 	}
 	want.Gossip.Seeds = append(want.Gossip.Seeds, parseAddress("127.0.0.1:7947"), parseAddress("[::1]:7948"))
@@ -63,7 +63,7 @@
 func checkFaults(t *testing.T, dir, file string, want ...string) {
 	t.Helper()
 	_, err := Read(filepath.Join(dir, file))
-	var faults Faults
+	var faults ParseErrors
 	if !errors.As(err, &faults) {
 		t.Fatalf("%s: error %v", file, err)
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(None(), got); d != "" {
+	if d := cmp.Diff(Defaults(), got); d != "" {
 		t.Errorf("the example changes something: %s", d)
 	}
 	for _, directive := range Directives {
@@ -162,7 +162,7 @@
 	}
 }
 
-// FuzzParse reads any bytes: every error is a Faults whose members have a place and a reason.
+// FuzzParse reads any bytes: every error is a ParseErrors whose members have a place and a reason.
 func FuzzParse(f *testing.F) {
 	f.Add(completeFile)
 	f.Add(peers)
@@ -173,7 +173,7 @@
 			t.Fatal(err)
 		}
 		_, err := parse(file)
-		var faults Faults
+		var faults ParseErrors
 		if err != nil && !errors.As(err, &faults) {
 			t.Fatalf("error %v", err)
 		}
@@ -224,7 +224,7 @@
 		t.Fatal(err)
 	}
 	_, _, _, err = set.Compile(nil)
-	var faults Faults
+	var faults ParseErrors
 	if !errors.As(err, &faults) || len(faults) != 2 || faults[0].Line != 2 || faults[0].Column != 8 || faults[1].Line != 3 || faults[1].Column != 11 {
 		t.Errorf("faults %v", err)
 	}
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -31,14 +31,14 @@
 // parser reads a file and those that it includes into a document, and collects their errors.
 type parser struct {
 	document  *document
-	errors    Faults
+	errors    ParseErrors
 	filesRead int
 }
 
-// parse reads a file and those that it includes. The error is Faults and covers all of them.
+// parse reads a file and those that it includes. The error is ParseErrors and covers all of them.
 func parse(path string) (*document, error) {
 	p := parser{document: newDocument()}
-	p.parseFile(path, match.Place{File: path}, "", nil)
+	p.parseFile(path, match.Position{File: path}, "", nil)
 	p.checkRequired()
 	if len(p.errors) > 0 {
 		return nil, p.errors
@@ -48,7 +48,7 @@
 
 // parseFile reads a file. place and directive are those that name it, and ancestors the files that include it, the
 // outermost first.
-func (p *parser) parseFile(path string, place match.Place, directive string, ancestors []string) {
+func (p *parser) parseFile(path string, place match.Position, directive string, ancestors []string) {
 	if slices.Contains(ancestors, path) {
 		p.errors.add(place, directive, "%s includes itself", path)
 		return
@@ -67,7 +67,7 @@
 	number := 0
 	for line := range strings.SplitSeq(text, "\n") {
 		number++
-		fp.parseLine(strings.TrimSuffix(line, "\r"), match.Place{File: path, Line: number})
+		fp.parseLine(strings.TrimSuffix(line, "\r"), match.Position{File: path, Line: number})
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 // parseLine reads a line. place has its file and number, the column is set here.
-func (p *fileParser) parseLine(line string, place match.Place) {
+func (p *fileParser) parseLine(line string, place match.Position) {
 	tokens, err := splitLine(p.current.kind, line)
 	var lexical *lexicalError
 	if errors.As(err, &lexical) {
@@ -146,7 +146,7 @@
 }
 
 // parseInclude reads the file that an include line names.
-func (p *fileParser) parseInclude(tokens []token, place match.Place) {
+func (p *fileParser) parseInclude(tokens []token, place match.Position) {
 	if len(tokens) != 2 {
 		p.errors.add(place, includeDirective, "takes the name of a file")
 		return
@@ -156,7 +156,7 @@
 }
 
 // parseHeading reads the heading of a section, which becomes the current one.
-func (p *fileParser) parseHeading(tokens []token, place match.Place) {
+func (p *fileParser) parseHeading(tokens []token, place match.Position) {
 	kind := tokens[0].text
 	declared, known := lookupSection(kind)
 	p.current = sectionKey{}
@@ -179,7 +179,7 @@
 
 // beginUnnamed begins a section that has no name of its own and may appear once. It becomes the current section even
 // with an error in its heading.
-func (p *fileParser) beginUnnamed(kind string, tokens []token, place match.Place) {
+func (p *fileParser) beginUnnamed(kind string, tokens []token, place match.Position) {
 	key := unnamed(kind)
 	before := p.document.sections[key]
 	switch {
@@ -193,7 +193,7 @@
 }
 
 // beginNamed begins a section with a name of its own, which must differ from those of its kind before it.
-func (p *fileParser) beginNamed(kind string, name token, place match.Place) {
+func (p *fileParser) beginNamed(kind string, name token, place match.Position) {
 	if _, err := (Arg{Type: Identifier}).parse(name, place.File); err != nil {
 		place.Column = name.column
 		p.errors.add(place, "", "section %s: %v", kind, err)
@@ -209,7 +209,7 @@
 }
 
 // begin makes a section the current one.
-func (p *fileParser) begin(key sectionKey, place match.Place) {
+func (p *fileParser) begin(key sectionKey, place match.Position) {
 	p.current = key
 	p.skipping = false
 	if s := p.document.sections[key]; s != nil {
@@ -220,7 +220,7 @@
 }
 
 // parseDirective reads a directive of the current section.
-func (p *fileParser) parseDirective(tokens []token, place match.Place) {
+func (p *fileParser) parseDirective(tokens []token, place match.Position) {
 	name := tokens[0].text
 	if p.skipping {
 		return // the heading is reported already
@@ -245,7 +245,7 @@
 	}
 }
 
-func (p *fileParser) reportUnknownDirective(name string, place match.Place) {
+func (p *fileParser) reportUnknownDirective(name string, place match.Position) {
 	var known []string
 	for _, directive := range directivesOf(p.current.kind) {
 		known = append(known, directive.Name)
@@ -254,7 +254,7 @@
 }
 
 // parseArguments reads the arguments of a directive and reports whether they are correct.
-func (p *fileParser) parseArguments(directive Directive, tokens []token, place match.Place) ([]value, bool) {
+func (p *fileParser) parseArguments(directive Directive, tokens []token, place match.Position) ([]value, bool) {
 	var values []value
 	for i, arg := range directive.Args {
 		if i >= len(tokens) {
--- a/internal/config/operatorfile/rules.go
+++ b/internal/config/operatorfile/rules.go
@@ -16,19 +16,19 @@
 
 func (r *settingsReader) rule(key sectionKey) match.Rule {
 	rule := match.Rule{
-		Place: r.document.sections[key].place,
-		Name:  key.name,
-		When:  r.document.expression(key, "when"),
-		Class: r.document.expression(key, "class"),
-		Key:   r.document.expression(key, "key"),
-		Route: r.document.expression(key, "route"),
-		Stop:  len(r.document.written(key, "stop")) > 0,
+		Position: r.document.sections[key].place,
+		Name:     key.name,
+		When:     r.document.expression(key, "when"),
+		Class:    r.document.expression(key, "class"),
+		Key:      r.document.expression(key, "key"),
+		Route:    r.document.expression(key, "route"),
+		Stop:     len(r.document.written(key, "stop")) > 0,
 	}
 	for _, e := range r.document.written(key, "label") {
 		rule.Labels = append(rule.Labels, match.Label{Name: e.values[0].text, Value: e.expression(1)})
 	}
 	for _, e := range r.document.written(key, "split") {
-		split := match.Split{Place: e.place, Route: e.values[0].text, Part: int(e.values[1].number)}
+		split := match.Split{Position: e.place, Route: e.values[0].text, PerMille: int(e.values[1].number)}
 		rule.Splits = append(rule.Splits, split)
 	}
 	return rule
@@ -40,9 +40,9 @@
 	for _, name := range r.document.names[sectionPool] {
 		key := sectionKey{sectionPool, name}
 		definitions = append(definitions, pools.Pool{
-			Place:   r.document.sections[key].place,
-			Name:    name,
-			Workers: r.document.expression(key, "workers"),
+			Position: r.document.sections[key].place,
+			Name:     name,
+			Workers:  r.document.expression(key, "workers"),
 		})
 	}
 	return definitions
@@ -53,7 +53,7 @@
 	var definitions []pools.Route
 	for _, name := range r.document.names[sectionRoute] {
 		key := sectionKey{sectionRoute, name}
-		route := pools.Route{Place: r.document.sections[key].place, Name: name}
+		route := pools.Route{Position: r.document.sections[key].place, Name: name}
 		for _, e := range r.document.written(key, "pool") {
 			route.Pools = append(route.Pools, e.expression(0))
 		}
@@ -63,13 +63,13 @@
 }
 
 // Compile compiles the file's rules for the classes of a site, nil where those are not known, and its pools and routes.
-// The error is Faults. Warnings are returned in either case.
-func (s *Settings) Compile(classes []match.Class) (*match.Table, *pools.Core, Faults, error) {
+// The error is ParseErrors. Warnings are returned in either case.
+func (s *Settings) Compile(classes []match.Class) (*match.Table, *pools.Core, ParseErrors, error) {
 	table, ruleFaults := match.Load(s.Rules, classes)
 	routes, routeFaults := pools.Load(s.Pools, s.Routes)
-	var warnings, faults Faults
+	var warnings, faults ParseErrors
 	for _, fault := range append(ruleFaults, routeFaults...) {
-		parseError := ParseError{Place: fault.Place, Directive: fault.Directive, Reason: fault.Reason}
+		parseError := ParseError{Position: fault.Position, Directive: fault.Directive, Reason: fault.Reason}
 		if fault.Warning {
 			warnings = append(warnings, parseError)
 		} else {
--- a/internal/config/operatorfile/settings.go
+++ b/internal/config/operatorfile/settings.go
@@ -40,29 +40,31 @@
 
 // Gossip is the section gossip.
 type Gossip struct {
-	Listen       netip.AddrPort
-	Advertise    netip.AddrPort
-	Fleet        string
-	Key          string   // file
-	Authorities  []string // files
-	Revoked      string   // file; "" if none
-	Seeds        []netip.AddrPort
-	ProbeEvery   time.Duration
-	ProbeTimeout time.Duration
-	SuspectFor   time.Duration
-	Messages     int // sent a second
-	Checks       int // of signatures, a second
-	ClockSkew    time.Duration
-	Overlap      time.Duration
-	Liars        int     // -1: the largest number below a third of the members
-	LeaveOut     float64 // fraction of the listed workers
-	ForgetAfter  time.Duration
+	Listen                      netip.AddrPort
+	Advertise                   netip.AddrPort
+	Fleet                       string
+	Key                         string   // file
+	Authorities                 []string // files
+	Revoked                     string   // file; "" if none
+	Seeds                       []netip.AddrPort
+	ProbeInterval               time.Duration
+	ProbeTimeout                time.Duration
+	SuspicionTimeout            time.Duration
+	MaxMessagesPerSecond        int // sent a second
+	MaxSignatureChecksPerSecond int // of signatures, a second
+	ClockSkew                   time.Duration
+	AuthorityOverlap            time.Duration
+	MaxByzantine                int     // -1: the largest number below a third of the members
+	MaxEjectedFraction          float64 // fraction of the listed workers
+	FaultReportExpiry           time.Duration
 }
 
-// None returns the settings where no file is named.
-func None() *Settings { return &Settings{Log: Log{Level: defaultLevel, Parts: map[string]string{}}} }
+// Defaults returns the settings where no file is named.
+func Defaults() *Settings {
+	return &Settings{Log: Log{Level: defaultLevel, Parts: map[string]string{}}}
+}
 
-// Read reads an operator's file. The error is Faults, each with file, line and column.
+// Read reads an operator's file. The error is ParseErrors, each with file, line and column.
 func Read(path string) (*Settings, error) {
 	parsed, err := parse(path)
 	if err != nil {
@@ -87,11 +89,11 @@
 // that directives name.
 type settingsReader struct {
 	document *document
-	errors   Faults
+	errors   ParseErrors
 }
 
 func (r *settingsReader) log() Log {
-	log := None().Log
+	log := Defaults().Log
 	log.Status = r.document.text(sectionLog, "status")
 	log.JSON = r.document.text(sectionLog, "format") == formatJSON
 	for _, e := range r.document.entries(sectionLog, "level") {
--- a/internal/fleet/faultreport/codec.go
+++ b/internal/fleet/faultreport/codec.go
@@ -13,7 +13,7 @@
 
 // Bounds of a statement, which has to fit into a datagram together with its signature.
 const (
-	MaxAccusations    = 12  // reports in a statement
+	MaxReports        = 12  // reports in a statement
 	MaxWorkerIDBytes  = 48  // length of a worker's id in a report
 	maxStatementBytes = 480 // length of an encoded statement
 )
@@ -28,15 +28,15 @@
 // ErrMalformed is wrapped by every error of Decode.
 var ErrMalformed = errors.New("suspicion: malformed statement")
 
-// Accusation is one scheduler's report of a fault of a worker. Times are ages in milliseconds at the time of the
+// Report is one scheduler's report of a fault of a worker. Times are ages in milliseconds at the time of the
 // statement, so that the members' clocks need not agree.
-type Accusation struct {
-	_        struct{} `cbor:",toarray"`
-	Worker   string
-	Trouble  routing.Fault
-	First    uint32 // age of the oldest request that shows the fault
-	Last     uint32 // age of the newest request that shows it
-	Attempts uint16 // number of requests that show it
+type Report struct {
+	_            struct{} `cbor:",toarray"`
+	Worker       string
+	Fault        routing.Fault
+	FirstSeenAgo uint32 // age of the oldest request that shows the fault
+	LastSeenAgo  uint32 // age of the newest request that shows it
+	Attempts     uint16 // number of requests that show it
 }
 
 var (
@@ -71,13 +71,13 @@
 
 // Encode returns the body of a statement with the most recent reports, as many as fit. Reports of workers whose id is
 // longer than MaxWorkerIDBytes are left out.
-func Encode(list []Accusation) ([]byte, error) {
+func Encode(list []Report) ([]byte, error) {
 	list = slices.Clone(list)
-	slices.SortFunc(list, func(a, b Accusation) int {
-		return cmp.Or(cmp.Compare(a.Last, b.Last), cmp.Compare(a.Worker, b.Worker))
+	slices.SortFunc(list, func(a, b Report) int {
+		return cmp.Or(cmp.Compare(a.LastSeenAgo, b.LastSeenAgo), cmp.Compare(a.Worker, b.Worker))
 	})
-	list = slices.DeleteFunc(list, func(a Accusation) bool { return len(a.Worker) > MaxWorkerIDBytes })
-	list = list[:min(len(list), MaxAccusations)]
+	list = slices.DeleteFunc(list, func(a Report) bool { return len(a.Worker) > MaxWorkerIDBytes })
+	list = list[:min(len(list), MaxReports)]
 	for {
 		body, err := statementEncoder.Marshal(list)
 		if err != nil || len(body) <= maxStatementBytes {
@@ -88,15 +88,15 @@
 }
 
 // Decode returns the reports in the body of a statement. Any error wraps ErrMalformed.
-func Decode(body []byte) ([]Accusation, error) {
+func Decode(body []byte) ([]Report, error) {
 	if len(body) > maxStatementBytes {
 		return nil, ErrMalformed
 	}
-	var list []Accusation
+	var list []Report
 	if err := statementDecoder.Unmarshal(body, &list); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if len(list) > MaxAccusations {
+	if len(list) > MaxReports {
 		return nil, ErrMalformed
 	}
 	seen := map[string]bool{}
@@ -110,8 +110,8 @@
 }
 
 // valid reports whether the fields of a received report are in range.
-func (a Accusation) valid() bool {
+func (a Report) valid() bool {
 	validID := a.Worker != "" && len(a.Worker) <= MaxWorkerIDBytes
-	validFault := a.Trouble != routing.Healthy && a.Trouble <= routing.Unreachable
-	return validID && validFault && a.Last <= a.First
+	validFault := a.Fault != routing.Healthy && a.Fault <= routing.Unreachable
+	return validID && validFault && a.LastSeenAgo <= a.FirstSeenAgo
 }
--- a/internal/fleet/faultreport/core.go
+++ b/internal/fleet/faultreport/core.go
@@ -75,11 +75,11 @@
 		c.observe(event)
 	case EndpointsChanged:
 		c.setEndpoints(event.Workers)
-	case Members:
+	case MembersChanged:
 		c.setMembers(event.Names)
-	case Heard:
+	case StatementReceived:
 		c.receive(event)
-	case Lied:
+	case EquivocationDetected:
 		if sender := c.reporters[event.From]; sender != nil {
 			c.mute(event.From, sender, reasonEquivocation)
 		}
--- a/internal/fleet/faultreport/core_test.go
+++ b/internal/fleet/faultreport/core_test.go
@@ -34,7 +34,7 @@
 // A member that reports every worker is muted for a while.
 func TestMassReporterIsMuted(t *testing.T) {
 	fleet := newFleet(t, 12, 1, 10)
-	var all []Accusation
+	var all []Report
 	for _, w := range workerNames(10) {
 		all = append(all, unresponsiveReport(w)[0])
 	}
@@ -97,8 +97,8 @@
 		}
 	}
 	cleared := false
-	for _, action := range fleet.cores["n2"].Step(fleet.now, []Event{Heard{"n9", mustEncode(nil)}}) {
-		if published, ok := action.(Hold); ok {
+	for _, action := range fleet.cores["n2"].Step(fleet.now, []Event{StatementReceived{"n9", mustEncode(nil)}}) {
+		if published, ok := action.(PublishVerdicts); ok {
 			cleared = len(published.Cleared) == 1 && published.Cleared[0] == "w4"
 		}
 	}
@@ -139,7 +139,7 @@
 	fleet := newFleet(t, 12, 6, 20)
 	for range 10 {
 		for i := range 6 {
-			var some []Accusation
+			var some []Report
 			for w := range 9 {
 				some = append(some, unresponsiveReport(fmt.Sprintf("w%d", w))[0])
 			}
@@ -170,12 +170,12 @@
 			worker := fmt.Sprintf("w%d", rapid.IntRange(1, workers-1).Draw(rt, "worker")) // w0 is left for the genuine outage
 			switch move := rapid.IntRange(0, 3).Draw(rt, "move"); {
 			case move <= 1 && byzantine > 0:
-				var lies []Accusation
-				for i := range rapid.IntRange(0, MaxAccusations).Draw(rt, "lies") {
+				var lies []Report
+				for i := range rapid.IntRange(0, MaxReports).Draw(rt, "lies") {
 					first := rapid.Uint32().Draw(rt, "first")
-					lies = append(lies, Accusation{
-						Worker: fmt.Sprintf("w%d", 1+i), First: first, Last: rapid.Uint32Range(0, first).Draw(rt, "last"),
-						Trouble: routing.Fault(rapid.IntRange(1, 4).Draw(rt, "trouble")),
+					lies = append(lies, Report{
+						Worker: fmt.Sprintf("w%d", 1+i), FirstSeenAgo: first, LastSeenAgo: rapid.Uint32Range(0, first).Draw(rt, "last"),
+						Fault: routing.Fault(rapid.IntRange(1, 4).Draw(rt, "trouble")),
 					})
 				}
 				honest := fleet.names[rapid.IntRange(byzantine, members-1).Draw(rt, "to")]
@@ -199,7 +199,7 @@
 		if workers < 8 {
 			return // a quarter of so few workers may be used up by those that were reported above
 		}
-		observers := fleet.cores[fleet.names[members-1]].Need()
+		observers := fleet.cores[fleet.names[members-1]].Quorum()
 		if observers > members-byzantine-1 {
 			return
 		}
@@ -231,8 +231,8 @@
 		if _, err := Decode(again); err != nil {
 			t.Fatalf("own encoding is not decoded: %v", err)
 		}
-		core := New(Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: second})
-		core.Step(time.Hour, []Event{EndpointsChanged{workersOf(list)}, Members{[]string{"a"}}, Heard{"a", body}})
+		core := New(Config{MaxByzantine: -1, MaxEjectedFraction: 0.25, ReportTTL: second})
+		core.Step(time.Hour, []Event{EndpointsChanged{workersOf(list)}, MembersChanged{[]string{"a"}}, StatementReceived{"a", body}})
 	})
 }
 
@@ -251,7 +251,7 @@
 			}
 		}
 	}
-	fleet.step("n5", Lied{"n0"}, Lied{"n1"}, Lied{"n2"})
+	fleet.step("n5", EquivocationDetected{"n0"}, EquivocationDetected{"n1"}, EquivocationDetected{"n2"})
 	if len(fleet.verdicts["n5"]) > 0 || len(fleet.discredited) != 3 {
 		t.Errorf("verdicts %v and discredited members %v, want none and 3", fleet.verdicts["n5"], fleet.discredited)
 	}
--- a/internal/fleet/faultreport/findings.go
+++ b/internal/fleet/faultreport/findings.go
@@ -91,7 +91,7 @@
 // expireFindings clears the faults that no request has shown for Config.ForgetAfter.
 func (c *Core) expireFindings() {
 	for _, own := range c.findings {
-		if own.fault != routing.Healthy && c.now-own.lastSeen >= c.config.ForgetAfter {
+		if own.fault != routing.Healthy && c.now-own.lastSeen >= c.config.ReportTTL {
 			own.fault = routing.Healthy
 			own.attempts = 0
 			c.findingsChanged = true
@@ -103,7 +103,7 @@
 // fault. A statement without a report is repeated, since the first may be lost on its way.
 func (c *Core) broadcast() {
 	elapsed := c.now - c.broadcastAt
-	due := elapsed >= c.config.ForgetAfter/broadcastsPerTTL
+	due := elapsed >= c.config.ReportTTL/broadcastsPerTTL
 	if elapsed < minBroadcastInterval || !c.findingsChanged && !due {
 		return
 	}
@@ -119,23 +119,23 @@
 	}
 	c.broadcastAt = c.now
 	c.findingsChanged = false
-	c.actions = append(c.actions, Say{reports})
+	c.actions = append(c.actions, Broadcast{reports})
 }
 
 // ownReports returns the own findings that are faults, sorted by worker.
-func (c *Core) ownReports() []Accusation {
-	var reports []Accusation
+func (c *Core) ownReports() []Report {
+	var reports []Report
 	for _, worker := range slices.Sorted(maps.Keys(c.findings)) {
 		own := c.findings[worker]
 		if own.fault == routing.Healthy {
 			continue
 		}
-		reports = append(reports, Accusation{
-			Worker:   worker,
-			Trouble:  own.fault,
-			First:    millisecondsSince(c.now, own.firstSeen),
-			Last:     millisecondsSince(c.now, own.lastSeen),
-			Attempts: own.attempts,
+		reports = append(reports, Report{
+			Worker:       worker,
+			Fault:        own.fault,
+			FirstSeenAgo: millisecondsSince(c.now, own.firstSeen),
+			LastSeenAgo:  millisecondsSince(c.now, own.lastSeen),
+			Attempts:     own.attempts,
 		})
 	}
 	return reports
--- a/internal/fleet/faultreport/fleet_test.go
+++ b/internal/fleet/faultreport/fleet_test.go
@@ -28,7 +28,7 @@
 		cores:    map[string]*Core{},
 		verdicts: map[string]map[string]routing.PeerVerdict{},
 	}
-	config := Config{Liars: -1, LeaveOut: 0.25, ForgetAfter: 10 * second}
+	config := Config{MaxByzantine: -1, MaxEjectedFraction: 0.25, ReportTTL: 10 * second}
 	for i := range members {
 		fleet.names = append(fleet.names, fmt.Sprintf("n%d", i))
 	}
@@ -43,7 +43,7 @@
 				others = append(others, other)
 			}
 		}
-		fleet.step(name, EndpointsChanged{workerNames(workers)}, Members{others})
+		fleet.step(name, EndpointsChanged{workerNames(workers)}, MembersChanged{others})
 	}
 	return fleet
 }
@@ -60,9 +60,9 @@
 func (f *testFleet) step(name string, events ...Event) {
 	for _, action := range f.cores[name].Step(f.now, events) {
 		switch action := action.(type) {
-		case Say:
-			f.deliver(name, action.Accusations)
-		case Hold:
+		case Broadcast:
+			f.deliver(name, action.Reports)
+		case PublishVerdicts:
 			f.verdicts[name] = action.Verdicts
 		case Discredited:
 			f.discredited = append(f.discredited, name+" "+action.From)
@@ -71,14 +71,14 @@
 }
 
 // deliver passes a statement on to all other honest members, or to one only.
-func (f *testFleet) deliver(from string, reports []Accusation, only ...string) {
+func (f *testFleet) deliver(from string, reports []Report, only ...string) {
 	body, err := Encode(reports)
 	if err != nil {
 		f.tb.Fatal(err)
 	}
 	for _, name := range f.names {
 		if f.cores[name] != nil && name != from && (len(only) == 0 || name == only[0]) {
-			f.step(name, Heard{from, body})
+			f.step(name, StatementReceived{from, body})
 		}
 	}
 }
@@ -101,11 +101,11 @@
 }
 
 // unresponsiveReport returns a statement with one report of a fault that warrants ejection.
-func unresponsiveReport(worker string) []Accusation {
-	return []Accusation{{Worker: worker, Trouble: routing.Unresponsive, First: 2000, Last: 0, Attempts: 9}}
+func unresponsiveReport(worker string) []Report {
+	return []Report{{Worker: worker, Fault: routing.Unresponsive, FirstSeenAgo: 2000, LastSeenAgo: 0, Attempts: 9}}
 }
 
-func mustEncode(reports []Accusation) []byte {
+func mustEncode(reports []Report) []byte {
 	body, err := Encode(reports)
 	if err != nil {
 		panic(err)
@@ -113,7 +113,7 @@
 	return body
 }
 
-func workersOf(reports []Accusation) (names []string) {
+func workersOf(reports []Report) (names []string) {
 	for _, report := range reports {
 		names = append(names, report.Worker)
 	}
--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -63,28 +63,28 @@
 
 // A statement's body is encoded to the golden bytes, and the golden bytes decode to its reports.
 func TestGoldenStatements(t *testing.T) {
-	silent := Accusation{Worker: "w-1", Trouble: routing.Unresponsive, First: 1200, Last: 0, Attempts: 7}
-	stalled := Accusation{Worker: "w-2", Trouble: routing.Slow, First: 30_000, Last: 24, Attempts: 300}
-	failing := Accusation{Worker: "vävare/3", Trouble: routing.Failing, First: 4_294_967_295, Last: 256, Attempts: 65_535}
-	unreachable := Accusation{Worker: "w-4", Trouble: routing.Unreachable, First: 70_000, Last: 70_000, Attempts: 1}
-	var long []Accusation // more than fit: the most recent are kept
+	silent := Report{Worker: "w-1", Fault: routing.Unresponsive, FirstSeenAgo: 1200, LastSeenAgo: 0, Attempts: 7}
+	stalled := Report{Worker: "w-2", Fault: routing.Slow, FirstSeenAgo: 30_000, LastSeenAgo: 24, Attempts: 300}
+	failing := Report{Worker: "vävare/3", Fault: routing.Failing, FirstSeenAgo: 4_294_967_295, LastSeenAgo: 256, Attempts: 65_535}
+	unreachable := Report{Worker: "w-4", Fault: routing.Unreachable, FirstSeenAgo: 70_000, LastSeenAgo: 70_000, Attempts: 1}
+	var long []Report // more than fit: the most recent are kept
 	for i := range uint32(14) {
-		long = append(long, Accusation{
-			Worker: strings.Repeat(string(rune('a'+i)), MaxWorkerIDBytes), Trouble: routing.Unresponsive,
-			First: 100_000, Last: 100 - i, Attempts: 10,
+		long = append(long, Report{
+			Worker: strings.Repeat(string(rune('a'+i)), MaxWorkerIDBytes), Fault: routing.Unresponsive,
+			FirstSeenAgo: 100_000, LastSeenAgo: 100 - i, Attempts: 10,
 		})
 	}
 	for _, tt := range []struct {
 		name       string
-		list, want []Accusation
+		list, want []Report
 	}{
-		{"none.cbor", []Accusation{}, []Accusation{}},
-		{"silent.cbor", []Accusation{silent}, []Accusation{silent}},
-		{"stalled.cbor", []Accusation{stalled}, []Accusation{stalled}},
-		{"failing.cbor", []Accusation{failing}, []Accusation{failing}},
-		{"unreachable.cbor", []Accusation{unreachable}, []Accusation{unreachable}},
-		{"all.cbor", []Accusation{unreachable, failing, stalled, silent}, []Accusation{silent, stalled, failing, unreachable}},
-		{"long.cbor", long, []Accusation{long[13], long[12], long[11], long[10], long[9], long[8], long[7]}},
+		{"none.cbor", []Report{}, []Report{}},
+		{"silent.cbor", []Report{silent}, []Report{silent}},
+		{"stalled.cbor", []Report{stalled}, []Report{stalled}},
+		{"failing.cbor", []Report{failing}, []Report{failing}},
+		{"unreachable.cbor", []Report{unreachable}, []Report{unreachable}},
+		{"all.cbor", []Report{unreachable, failing, stalled, silent}, []Report{silent, stalled, failing, unreachable}},
+		{"long.cbor", long, []Report{long[13], long[12], long[11], long[10], long[9], long[8], long[7]}},
 	} {
 		encoded, err := Encode(tt.list)
 		if err != nil {
--- a/internal/fleet/faultreport/quorum.go
+++ b/internal/fleet/faultreport/quorum.go
@@ -15,10 +15,10 @@
 	verdictRefreshInterval = 500 * time.Millisecond // how often unchanged verdicts are published again
 )
 
-// Need is the quorum: how many reporters it takes to have a worker ejected. It is one more than may be byzantine, and
+// Quorum is the quorum: how many reporters it takes to have a worker ejected. It is one more than may be byzantine, and
 // minQuorum at least.
-func (c *Core) Need() int {
-	byzantine := c.config.Liars
+func (c *Core) Quorum() int {
+	byzantine := c.config.MaxByzantine
 	if byzantine < 0 {
 		byzantine = (c.fleetSize - 1) / byzantineDivisor
 	}
@@ -50,8 +50,8 @@
 	return counts
 }
 
-// publishVerdicts computes the verdict on each worker and emits Hold when one has changed, when a worker was cleared,
-// and every verdictRefreshInterval as long as there are any.
+// publishVerdicts computes the verdict on each worker and emits PublishVerdicts when one has changed, when a worker
+// was cleared, and every verdictRefreshInterval as long as there are any.
 func (c *Core) publishVerdicts() {
 	counts := c.countReports()
 	verdicts := map[string]routing.PeerVerdict{}
@@ -67,15 +67,15 @@
 	}
 	c.verdicts = verdicts
 	c.verdictsPublishedAt = c.now
-	c.actions = append(c.actions, Hold{routing.PeerReports{Verdicts: maps.Clone(verdicts), Cleared: c.cleared}})
+	c.actions = append(c.actions, PublishVerdicts{routing.PeerReports{Verdicts: maps.Clone(verdicts), Cleared: c.cleared}})
 	c.cleared = nil
 }
 
 // confirmedWorkers returns the workers with a quorum, at most Config.LeaveOut of the list. Where not all fit, those
 // that are Confirmed already come first, so that the choice is stable, then those with the most reporters.
 func (c *Core) confirmedWorkers(reporters map[string]int) []string {
-	quorum := c.Need()
-	limit := int(c.config.LeaveOut * float64(len(c.endpoints)))
+	quorum := c.Quorum()
+	limit := int(c.config.MaxEjectedFraction * float64(len(c.endpoints)))
 	var candidates []string
 	for worker, n := range reporters {
 		if n >= quorum {
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -93,7 +93,7 @@
 
 // receive replaces the reports of a member with those of its new statement. Malformed statements and those of unknown
 // members are dropped.
-func (c *Core) receive(statement Heard) {
+func (c *Core) receive(statement StatementReceived) {
 	sender := c.reporters[statement.From]
 	if sender == nil {
 		return
@@ -121,13 +121,13 @@
 
 // store keeps a received report unless it has expired. A report that was contradicted stays so however often it is
 // repeated, as long as it is about the same outage.
-func (c *Core) store(sender *reporter, received Accusation, previous map[string]peerReport) {
+func (c *Core) store(sender *reporter, received Report, previous map[string]peerReport) {
 	report := peerReport{
-		fault:     received.Trouble,
-		firstSeen: c.now - milliseconds(received.First),
-		lastSeen:  c.now - milliseconds(received.Last),
+		fault:     received.Fault,
+		firstSeen: c.now - milliseconds(received.FirstSeenAgo),
+		lastSeen:  c.now - milliseconds(received.LastSeenAgo),
 	}
-	report.expiresAt = report.lastSeen + c.config.ForgetAfter
+	report.expiresAt = report.lastSeen + c.config.ReportTTL
 	if report.expiresAt <= c.now {
 		return
 	}
@@ -151,7 +151,7 @@
 			continue
 		}
 		clearedAt := sender.clearedAt[worker]
-		if clearedAt == 0 || c.now-clearedAt >= c.config.ForgetAfter {
+		if clearedAt == 0 || c.now-clearedAt >= c.config.ReportTTL {
 			sender.clearedAt[worker] = c.now
 			c.cleared = append(c.cleared, worker)
 		}
@@ -208,7 +208,7 @@
 			return c.now >= report.expiresAt || !c.endpoints[worker]
 		})
 		maps.DeleteFunc(known.clearedAt, func(_ string, at time.Duration) bool {
-			return c.now-at >= c.config.ForgetAfter
+			return c.now-at >= c.config.ReportTTL
 		})
 		if c.isTrusted(known) {
 			known.discreditAnnounced = false
--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -51,7 +51,7 @@
 		c.sendPing(m.Name, m.Addr.AddrPort, c.summaries(), m.currentClaim())
 	}
 	if len(c.members) == 0 {
-		c.nextReconnect = c.now + c.config.ProbeEvery
+		c.nextReconnect = c.now + c.config.ProbeInterval
 	}
 }
 
--- a/internal/fleet/gossip/awareness.go
+++ b/internal/fleet/gossip/awareness.go
@@ -36,5 +36,5 @@
 			m.StateSince += pause
 		}
 	}
-	c.nextProbe = c.now + c.config.ProbeEvery
+	c.nextProbe = c.now + c.config.ProbeInterval
 }
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -110,7 +110,7 @@
 		return false
 	}
 	c.piggyback(name, message)
-	c.actions = append(c.actions, Transmit{To: name, Addr: addr, Inc: c.self.Incarnation, Message: message})
+	c.actions = append(c.actions, Transmit{To: name, Addr: addr, Incarnation: c.self.Incarnation, Message: message})
 	return true
 }
 
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -9,16 +9,16 @@
 
 // Config configures a Core. Durations and counts must be positive.
 type Config struct {
-	Name         string
-	Addr         netip.AddrPort // where other members reach this one
-	Epoch        int64          // when this member started, Unix milliseconds
-	Seeds        []netip.AddrPort
-	ProbeEvery   time.Duration // interval between probes
-	ProbeTimeout time.Duration // of a direct probe
-	SuspectFor   time.Duration // suspicion timeout of a small fleet
-	Messages     int           // maximum number sent in any second
-	MaxMembers   int           // maximum number held
-	Seed         uint64        // of the random numbers
+	Name                 string
+	Addr                 netip.AddrPort // where other members reach this one
+	Epoch                int64          // when this member started, Unix milliseconds
+	Seeds                []netip.AddrPort
+	ProbeInterval        time.Duration // interval between probes
+	ProbeTimeout         time.Duration // of a direct probe
+	SuspicionTimeout     time.Duration // suspicion timeout of a small fleet
+	MaxMessagesPerSecond int           // maximum number sent in any second
+	MaxMembers           int           // maximum number held
+	Seed                 uint64        // of the random numbers
 	// Sign signs this member's own record and must do nothing else. If it is nil, records are not signed.
 	Sign func(*Record)
 }
@@ -129,7 +129,7 @@
 	switch event := event.(type) {
 	case Received:
 		c.handleMessage(event)
-	case Say:
+	case Broadcast:
 		c.statements[c.config.Name] = event.Statement
 		c.broadcastStatement(c.config.Name, &event.Statement)
 		c.nextGossip = c.now
@@ -212,7 +212,7 @@
 // runPeriodicTasks probes, reconnects and gossips when these are due.
 func (c *Core) runPeriodicTasks() {
 	if c.now >= c.nextProbe {
-		c.nextProbe = c.now + c.scaleByHealth(c.config.ProbeEvery)
+		c.nextProbe = c.now + c.scaleByHealth(c.config.ProbeInterval)
 		c.probeNext()
 	}
 	if c.now >= c.nextReconnect {
--- a/internal/fleet/gossip/events.go
+++ b/internal/fleet/gossip/events.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Event is an input of Core.Step. The concrete types are Received, Say, Leave, RemoveMember and UpdateSeeds.
+// Event is an input of Core.Step. The concrete types are Received, Broadcast, Leave, RemoveMember and UpdateSeeds.
 type Event interface{ event() }
 
 // Received is a message that a Guard has opened.
@@ -14,8 +14,8 @@
 	Trusted bool // known not to be a replay, so the sender's claims may be applied
 }
 
-// Say disseminates a statement of this member to the fleet.
-type Say struct{ Statement Statement }
+// Broadcast disseminates a statement of this member to the fleet.
+type Broadcast struct{ Statement Statement }
 
 // Leave announces that this member leaves the fleet. Nothing is sent after that.
 type Leave struct{}
@@ -27,7 +27,7 @@
 type UpdateSeeds struct{ Seeds []netip.AddrPort }
 
 func (Received) event()     {}
-func (Say) event()          {}
+func (Broadcast) event()    {}
 func (Leave) event()        {}
 func (RemoveMember) event() {}
 func (UpdateSeeds) event()  {}
@@ -38,10 +38,10 @@
 
 // Transmit asks for a message to be sealed and sent.
 type Transmit struct {
-	To      string // empty where only the address is known
-	Addr    netip.AddrPort
-	Inc     uint32 // the sender's incarnation
-	Message *Message
+	To          string // empty where only the address is known
+	Addr        netip.AddrPort
+	Incarnation uint32 // the sender's incarnation
+	Message     *Message
 }
 
 // MemberChanged reports a new member, or a member that changed state.
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := pki.WriteFile(goldenPath(goldenAuthority), authority.Key, authority.Cert); err != nil {
+	if err := pki.WriteKeyFile(goldenPath(goldenAuthority), authority.Key, authority.Cert); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range goldenNames {
@@ -121,7 +121,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := pki.WriteFile(goldenPath(name+".key"), m.Key, m.Cert); err != nil {
+		if err := pki.WriteKeyFile(goldenPath(name+".key"), m.Key, m.Cert); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -134,7 +134,7 @@
 	if err := os.WriteFile(path, readGolden(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	key, cert, err := pki.ReadKey(path)
+	key, cert, err := pki.ReadKeyFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	}
 	return NewGuard(GuardConfig{
 		Fleet: goldenFleet, Own: readGoldenKey(t, name+".key"), Epoch: goldenEpochs[name],
-		Trust: trust, Secret: []byte("secret of " + name), Checks: 400, Skew: goldenSkew,
+		Trust: trust, Secret: []byte("secret of " + name), MaxChecksPerSecond: 400, MaxClockSkew: goldenSkew,
 		Seeds: slices.Collect(maps.Values(goldenAddrs)),
 	})
 }
@@ -191,7 +191,7 @@
 		{"gossip.datagram", "a", "b", Message{
 			Kind: Gossip, Claims: claims[1:2],
 			Records:    []Record{newRecord(guardA, "a", 2, true)},
-			Statements: []Statement{guardC.State(300, goldenNow, []byte("\x81\x85\x63w-1\x01\x19\x04\xb0\x00\x07"))},
+			Statements: []Statement{guardC.SignStatement(300, goldenNow, []byte("\x81\x85\x63w-1\x01\x19\x04\xb0\x00\x07"))},
 		}},
 		{"empty-gossip.datagram", "b", "a", Message{Kind: Gossip}},
 	}
@@ -307,9 +307,9 @@
 	n := &goldenNode{name: name, guard: goldenGuard(t, name)}
 	n.core = New(Config{
 		Name: name, Addr: goldenAddrs[name], Epoch: goldenEpochs[name],
-		Seeds:      []netip.AddrPort{goldenAddrs["a"]},
-		ProbeEvery: 500 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond, SuspectFor: 2 * time.Second,
-		Messages: 200, MaxMembers: 10, Seed: seed, Sign: n.guard.SignRecord,
+		Seeds:         []netip.AddrPort{goldenAddrs["a"]},
+		ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond, SuspicionTimeout: 2 * time.Second,
+		MaxMessagesPerSecond: 200, MaxMembers: 10, Seed: seed, Sign: n.guard.SignRecord,
 	})
 	return n
 }
@@ -339,7 +339,7 @@
 	events := node.arrived
 	node.arrived = nil
 	if now == statementAt && node.name == "a" {
-		events = append(events, Say{node.guard.State(1, goldenNow.Add(now), []byte("statement"))})
+		events = append(events, Broadcast{node.guard.SignStatement(1, goldenNow.Add(now), []byte("statement"))})
 	}
 	if now == leaveAt && node.name == "c" {
 		events = append(events, Leave{})
@@ -368,7 +368,7 @@
 func (x *goldenExchange) transmit(t *testing.T, now time.Duration, sender *goldenNode, action Transmit) {
 	t.Helper()
 	wall := goldenNow.Add(now)
-	datagram, err := sender.guard.Seal(action.To, action.Inc, wall, action.Message)
+	datagram, err := sender.guard.Seal(action.To, action.Incarnation, wall, action.Message)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -48,14 +48,14 @@
 
 // GuardConfig configures a Guard.
 type GuardConfig struct {
-	Fleet  string
-	Own    *pki.Member
-	Epoch  int64 // when this member started, Unix milliseconds
-	Trust  *pki.Trust
-	Secret []byte           // random, new with each start
-	Checks int              // maximum number of signatures verified per second
-	Skew   time.Duration    // maximum difference between the clocks of two members
-	Seeds  []netip.AddrPort // known addresses at the start
+	Fleet              string
+	Own                *pki.Member
+	Epoch              int64 // when this member started, Unix milliseconds
+	Trust              *pki.Trust
+	Secret             []byte           // random, new with each start
+	MaxChecksPerSecond int              // maximum number of signatures verified per second
+	MaxClockSkew       time.Duration    // maximum difference between the clocks of two members
+	Seeds              []netip.AddrPort // known addresses at the start
 }
 
 // NewGuard returns a Guard that knows no other member.
@@ -66,8 +66,8 @@
 		epoch:           c.Epoch,
 		trust:           c.Trust,
 		cookieSecret:    c.Secret,
-		checksPerSecond: float64(c.Checks),
-		clockSkew:       c.Skew,
+		checksPerSecond: float64(c.MaxChecksPerSecond),
+		clockSkew:       c.MaxClockSkew,
 		peers:           map[string]*peer{},
 		knownAddrs:      map[netip.AddrPort]bool{},
 	}
@@ -112,8 +112,8 @@
 // SignRecord signs this member's own record.
 func (g *Guard) SignRecord(r *Record) { r.Sig = ed25519.Sign(g.own.Key, r.signed(g.fleet)) }
 
-// State returns a signed statement of this member. Sequence numbers must grow within an epoch.
-func (g *Guard) State(seq uint64, wall time.Time, body []byte) Statement {
+// SignStatement returns a signed statement of this member. Sequence numbers must grow within an epoch.
+func (g *Guard) SignStatement(seq uint64, wall time.Time, body []byte) Statement {
 	statement := Statement{
 		Name:  g.own.Name(),
 		Epoch: g.epoch,
--- a/internal/fleet/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -54,7 +54,7 @@
 func (f *testFleet) guardOf(m *pki.Member, epoch int64) *Guard {
 	return NewGuard(GuardConfig{
 		Fleet: "f", Own: m, Epoch: epoch, Trust: f.trust(), Secret: []byte(m.Name() + "secret"),
-		Checks: 400, Skew: 5 * time.Second,
+		MaxChecksPerSecond: 400, MaxClockSkew: 5 * time.Second,
 	})
 }
 
@@ -222,7 +222,7 @@
 	lie := own
 	author.SignRecord(&own)
 	lie.Incarnation, lie.Sig = 9, own.Sig
-	statement := author.State(1, noon, []byte("one"))
+	statement := author.SignStatement(1, noon, []byte("one"))
 	wrong := statement
 	wrong.Seq = 2
 	opened, err := receiver.Open(time.Hour, noon, testAddr, fleet.seal(relay, "b", noon, Message{
@@ -236,7 +236,7 @@
 	if err != nil || len(opened.Records)+len(opened.Statements)+len(opened.Equivocators) != 0 {
 		t.Errorf("repeated: %+v, %v", opened, err)
 	}
-	opened, err = receiver.Open(time.Hour, noon, testAddr, fleet.seal(relay, "b", noon, Message{Kind: Gossip, Statements: []Statement{author.State(1, noon, []byte("two"))}}))
+	opened, err = receiver.Open(time.Hour, noon, testAddr, fleet.seal(relay, "b", noon, Message{Kind: Gossip, Statements: []Statement{author.SignStatement(1, noon, []byte("two"))}}))
 	if err != nil || len(opened.Statements) != 0 || len(opened.Equivocators) != 1 || opened.Equivocators[0] != "d" {
 		t.Errorf("equivocation: %+v, %v", opened, err)
 	}
@@ -264,7 +264,7 @@
 	next := newTestFleet(t)
 	overlapping := fleet.guard("d", 300)
 	fleet.acquaint(overlapping, receiver)
-	trust := next.trust().After(receiver.trust, noon, time.Minute)
+	trust := next.trust().MergePrevious(receiver.trust, noon, time.Minute)
 	if removed := receiver.UpdateTrust(receiver.own, trust, noon); len(removed) != 0 {
 		t.Errorf("removed %v within the overlap", removed)
 	}
@@ -290,7 +290,7 @@
 	if n := len(sender.Certificate()); n > maxCertBytes {
 		t.Errorf("a certificate of %d bytes, at most %d are allowed", n, maxCertBytes)
 	}
-	m := Message{Kind: Ping, Statements: []Statement{sender.State(1, noon, make([]byte, maxStatementBytes))}}
+	m := Message{Kind: Ping, Statements: []Statement{sender.SignStatement(1, noon, make([]byte, maxStatementBytes))}}
 	b := fleet.seal(sender, "", noon, m)
 	if len(b) > MaxDatagram {
 		t.Errorf("%d bytes", len(b))
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -32,7 +32,7 @@
 
 // takeFraction takes one message from a bucket that holds a fraction of Config.Messages.
 func (c *Core) takeFraction(bucket *ratelimit.TokenBucket, rateFraction, burstFraction float64) bool {
-	limit := float64(c.config.Messages)
+	limit := float64(c.config.MaxMessagesPerSecond)
 	return bucket.Take(c.now, 1, rateFraction*limit, burstFraction*limit)
 }
 
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -148,9 +148,9 @@
 		// The Nack should arrive before the requester's own timeout.
 		return c.config.ProbeTimeout * 4 / 5
 	case p.requester == "" && !p.indirect:
-		return min(c.scaleByHealth(c.config.ProbeTimeout), c.scaleByHealth(c.config.ProbeEvery)/2)
+		return min(c.scaleByHealth(c.config.ProbeTimeout), c.scaleByHealth(c.config.ProbeInterval)/2)
 	default:
-		return c.scaleByHealth(c.config.ProbeEvery)
+		return c.scaleByHealth(c.config.ProbeInterval)
 	}
 }
 
--- a/internal/fleet/gossip/suspicion.go
+++ b/internal/fleet/gossip/suspicion.go
@@ -65,7 +65,7 @@
 // longer to reach the suspect, and its refutation to come back.
 func (c *Core) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(len(c.members)+1)))
-	return time.Duration(float64(c.config.SuspectFor) * scale)
+	return time.Duration(float64(c.config.SuspicionTimeout) * scale)
 }
 
 // sweepMembers declares suspects dead whose timeout has passed, and forgets members that have been gone long enough.
--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -33,15 +33,15 @@
 	errNotList       = errors.New("not a list of revoked certificates")
 )
 
-// WriteFile writes a private key with its certificate to a new file of mode 0600. An existing file is left as it is,
+// WriteKeyFile writes a private key with its certificate to a new file of mode 0600. An existing file is left as it is,
 // and the error is fs.ErrExist.
-func WriteFile(path string, key ed25519.PrivateKey, cert *x509.Certificate) error {
+func WriteKeyFile(path string, key ed25519.PrivateKey, cert *x509.Certificate) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
 	}
 	content := pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der})
-	content = append(content, EncodeCert(cert)...)
+	content = append(content, EncodeCertificate(cert)...)
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
 		return err
@@ -50,19 +50,19 @@
 	return errors.Join(err, file.Close())
 }
 
-// EncodeCert returns the PEM encoding of a certificate.
-func EncodeCert(cert *x509.Certificate) []byte {
+// EncodeCertificate returns the PEM encoding of a certificate.
+func EncodeCertificate(cert *x509.Certificate) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: cert.Raw})
 }
 
-// EncodeList returns the PEM encoding of a revocation list.
-func EncodeList(list *x509.RevocationList) []byte {
+// EncodeRevocationList returns the PEM encoding of a revocation list.
+func EncodeRevocationList(list *x509.RevocationList) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: pemRevocationList, Bytes: list.Raw})
 }
 
-// ReadKey reads a file that WriteFile wrote. It is an error if group or others have any permission for it, or if the
-// key and the certificate don't belong together. Errors name the path.
-func ReadKey(path string) (ed25519.PrivateKey, *x509.Certificate, error) {
+// ReadKeyFile reads a file that WriteKeyFile wrote. It is an error if group or others have any permission for it, or
+// if the key and the certificate don't belong together. Errors name the path.
+func ReadKeyFile(path string) (ed25519.PrivateKey, *x509.Certificate, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
@@ -120,8 +120,8 @@
 	return key, nil
 }
 
-// ReadCert reads the first certificate in a file. Errors name the path.
-func ReadCert(path string) (*x509.Certificate, error) {
+// ReadCertificateFile reads the first certificate in a file. Errors name the path.
+func ReadCertificateFile(path string) (*x509.Certificate, error) {
 	blocks, err := readPEMFile(path)
 	if err != nil {
 		return nil, err
@@ -139,9 +139,9 @@
 	return nil, fmt.Errorf("%s: %w", path, errNoCertificate)
 }
 
-// ReadList reads a file with a revocation list. If there is no such file it returns nil without an error where the
-// list is optional. Errors name the path.
-func ReadList(path string, optional bool) (*x509.RevocationList, error) {
+// ReadRevocationListFile reads a file with a revocation list. If there is no such file it returns nil without an error
+// where the list is optional. Errors name the path.
+func ReadRevocationListFile(path string, optional bool) (*x509.RevocationList, error) {
 	blocks, err := readPEMFile(path)
 	if optional && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -89,16 +89,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := WriteFile(goldenPath(authorityKeyFile), authority.Key, authority.Cert); err != nil {
+	if err := WriteKeyFile(goldenPath(authorityKeyFile), authority.Key, authority.Cert); err != nil {
 		t.Fatal(err)
 	}
-	recordGolden(t, authorityCertFile, EncodeCert(authority.Cert))
+	recordGolden(t, authorityCertFile, EncodeCertificate(authority.Cert))
 	for file, name := range map[string]string{memberFile: goldenMember, revokedFile: "sched-2"} {
 		member, err := authority.Issue(name, goldenNow, memberValidity)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := WriteFile(goldenPath(file), member.Key, member.Cert); err != nil {
+		if err := WriteKeyFile(goldenPath(file), member.Key, member.Cert); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -106,13 +106,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordGolden(t, firstListFile, EncodeList(first))
+	recordGolden(t, firstListFile, EncodeRevocationList(first))
 	_, revoked := readKeyFile(t, revokedFile)
 	second, err := authority.Revoke(first, goldenRevoked, revoked.SerialNumber)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordGolden(t, secondListFile, EncodeList(second))
+	recordGolden(t, secondListFile, EncodeRevocationList(second))
 }
 
 // writePrivate puts content in a new file of mode 0600, as key files need it: version control keeps no such mode.
@@ -127,7 +127,7 @@
 
 func readKeyFile(t *testing.T, name string) (ed25519.PrivateKey, *x509.Certificate) {
 	t.Helper()
-	key, cert, err := ReadKey(writePrivate(t, readGolden(t, name)))
+	key, cert, err := ReadKeyFile(writePrivate(t, readGolden(t, name)))
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
@@ -142,7 +142,7 @@
 
 func readListFile(t *testing.T, name string) *x509.RevocationList {
 	t.Helper()
-	list, err := ReadList(goldenPath(name), false)
+	list, err := ReadRevocationListFile(goldenPath(name), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	for _, name := range []string{authorityKeyFile, memberFile, revokedFile} {
 		key, cert := readKeyFile(t, name)
 		path := filepath.Join(t.TempDir(), name)
-		if err := WriteFile(path, key, cert); err != nil {
+		if err := WriteKeyFile(path, key, cert); err != nil {
 			t.Fatal(err)
 		}
 		got, err := os.ReadFile(path)
@@ -176,11 +176,11 @@
 			t.Errorf("%s: mode %v, want 0600", name, info.Mode())
 		}
 	}
-	cert, err := ReadCert(goldenPath(authorityCertFile))
+	cert, err := ReadCertificateFile(goldenPath(authorityCertFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := EncodeCert(cert), readGolden(t, authorityCertFile); !bytes.Equal(got, want) {
+	if got, want := EncodeCertificate(cert), readGolden(t, authorityCertFile); !bytes.Equal(got, want) {
 		t.Errorf("certificate written as\n%s\nwant\n%s", got, want)
 	}
 	if !cert.Equal(readAuthority(t).Cert) {
@@ -279,7 +279,7 @@
 		if !reflect.DeepEqual(entries, tt.entries) {
 			t.Errorf("%s: entries %v, want %v", tt.name, entries, tt.entries)
 		}
-		if got, want := EncodeList(tt.list), readGolden(t, tt.name); !bytes.Equal(got, want) {
+		if got, want := EncodeRevocationList(tt.list), readGolden(t, tt.name); !bytes.Equal(got, want) {
 			t.Errorf("%s: written as\n%s\nwant\n%s", tt.name, got, want)
 		}
 	}
@@ -366,9 +366,9 @@
 	certBlock, _ := pem.Decode(rest)
 	otherKey, _ := pem.Decode(other)
 	broken := func(kind string) []byte { return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: []byte{1, 2, 3}}) }
-	readKey := func(path string) error { _, _, err := ReadKey(path); return err }
-	readCert := func(path string) error { _, err := ReadCert(path); return err }
-	readList := func(path string) error { _, err := ReadList(path, true); return err }
+	readKey := func(path string) error { _, _, err := ReadKeyFile(path); return err }
+	readCert := func(path string) error { _, err := ReadCertificateFile(path); return err }
+	readList := func(path string) error { _, err := ReadRevocationListFile(path, true); return err }
 	for _, tt := range []struct {
 		name    string
 		read    func(string) error
@@ -410,11 +410,11 @@
 	if want := path + ": mode 0644 lets others at the key: 0600 is needed"; readKey(path) == nil || readKey(path).Error() != want {
 		t.Errorf("error %v, want %s", readKey(path), want)
 	}
-	if list, err := ReadList(filepath.Join(t.TempDir(), "none"), true); list != nil || err != nil {
+	if list, err := ReadRevocationListFile(filepath.Join(t.TempDir(), "none"), true); list != nil || err != nil {
 		t.Errorf("a missing list that may be: %v, %v", list, err)
 	}
 	key, cert := readKeyFile(t, memberFile)
-	if err := WriteFile(path, key, cert); !errors.Is(err, os.ErrExist) {
+	if err := WriteKeyFile(path, key, cert); !errors.Is(err, os.ErrExist) {
 		t.Errorf("writing over a file: %v", err)
 	}
 	if _, err := NewAuthority("a b", goldenNow, time.Hour); err == nil ||
--- a/internal/fleet/pki/trust.go
+++ b/internal/fleet/pki/trust.go
@@ -22,10 +22,10 @@
 
 // Trust decides which certificates are accepted. The zero Trust accepts none.
 type Trust struct {
-	Fleet   string
-	Skew    time.Duration // how far clocks may be apart
-	roots   []trustedRoot
-	revoked map[string]bool // by revocationKey
+	Fleet     string
+	ClockSkew time.Duration // how far clocks may be apart
+	roots     []trustedRoot
+	revoked   map[string]bool // by revocationKey
 }
 
 // trustedRoot is the certificate of an authority.
@@ -49,7 +49,7 @@
 func NewTrust(
 	fleet string, skew time.Duration, authorities []*x509.Certificate, lists []*x509.RevocationList,
 ) (*Trust, error) {
-	trust := &Trust{Fleet: fleet, Skew: skew, revoked: map[string]bool{}}
+	trust := &Trust{Fleet: fleet, ClockSkew: skew, revoked: map[string]bool{}}
 	for _, authority := range authorities {
 		if !authority.IsCA || fleetOf(authority) != fleet || authority.PublicKeyAlgorithm != x509.Ed25519 {
 			return nil, fmt.Errorf("authority: %w: %q, not %q, or no authority", ErrWrongFleet, fleetOf(authority), fleet)
@@ -75,10 +75,10 @@
 	return string(authority.RawSubjectPublicKeyInfo) + serial.String()
 }
 
-// After returns this trust merged with the one before a reload: authorities that are no longer configured are trusted
-// for the overlap more, and what was revoked before stays revoked.
-func (t *Trust) After(before *Trust, now time.Time, overlap time.Duration) *Trust {
-	merged := &Trust{Fleet: t.Fleet, Skew: t.Skew, roots: slices.Clone(t.roots), revoked: map[string]bool{}}
+// MergePrevious returns this trust merged with the one before a reload: authorities that are no longer configured are
+// trusted for the overlap more, and what was revoked before stays revoked.
+func (t *Trust) MergePrevious(before *Trust, now time.Time, overlap time.Duration) *Trust {
+	merged := &Trust{Fleet: t.Fleet, ClockSkew: t.ClockSkew, roots: slices.Clone(t.roots), revoked: map[string]bool{}}
 	maps.Copy(merged.revoked, t.revoked)
 	maps.Copy(merged.revoked, before.revoked)
 	for _, old := range before.roots {
@@ -124,11 +124,11 @@
 	if fleetOf(cert) != t.Fleet {
 		return fmt.Errorf("%w: %q", ErrWrongFleet, fleetOf(cert))
 	}
-	if now.Add(t.Skew).Before(cert.NotBefore) || now.Add(-t.Skew).After(cert.NotAfter) {
+	if now.Add(t.ClockSkew).Before(cert.NotBefore) || now.Add(-t.ClockSkew).After(cert.NotAfter) {
 		return fmt.Errorf("%w: it is good from %v to %v", ErrExpired, cert.NotBefore, cert.NotAfter)
 	}
 	for _, root := range t.roots {
-		isExpired := now.Add(-t.Skew).After(root.cert.NotAfter)
+		isExpired := now.Add(-t.ClockSkew).After(root.cert.NotAfter)
 		if !root.issued(cert) || !root.isTrusted(now) || isExpired {
 			continue
 		}
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -12,7 +12,7 @@
 // readKeys reads the key, authorities and revocation list that the settings name, and checks that the key's
 // certificate is valid now.
 func readKeys(settings operatorfile.Gossip) (*pki.Member, *pki.Trust, error) {
-	key, cert, err := pki.ReadKey(settings.Key)
+	key, cert, err := pki.ReadKeyFile(settings.Key)
 	if err != nil {
 		return nil, nil, fmt.Errorf("gossip: %w", err)
 	}
@@ -33,7 +33,7 @@
 func readTrust(settings operatorfile.Gossip) (*pki.Trust, error) {
 	var authorities []*x509.Certificate
 	for _, path := range settings.Authorities {
-		authority, err := pki.ReadCert(path)
+		authority, err := pki.ReadCertificateFile(path)
 		if err != nil {
 			return nil, err
 		}
@@ -41,7 +41,7 @@
 	}
 	var revocations []*x509.RevocationList
 	if settings.Revoked != "" {
-		list, err := pki.ReadList(settings.Revoked, false)
+		list, err := pki.ReadRevocationListFile(settings.Revoked, false)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -97,35 +97,35 @@
 	secret := make([]byte, secretBytes)
 	rand.Read(secret) // which never fails
 	return gossip.NewGuard(gossip.GuardConfig{
-		Fleet:  settings.Fleet,
-		Own:    own,
-		Epoch:  epoch,
-		Trust:  trust,
-		Secret: secret,
-		Checks: settings.Checks,
-		Skew:   settings.ClockSkew,
-		Seeds:  settings.Seeds,
+		Fleet:              settings.Fleet,
+		Own:                own,
+		Epoch:              epoch,
+		Trust:              trust,
+		Secret:             secret,
+		MaxChecksPerSecond: settings.MaxSignatureChecksPerSecond,
+		MaxClockSkew:       settings.ClockSkew,
+		Seeds:              settings.Seeds,
 	})
 }
 
 func newCore(settings operatorfile.Gossip, own *pki.Member, guard *gossip.Guard, epoch int64) *gossip.Core {
 	return gossip.New(gossip.Config{
-		Name:         own.Name(),
-		Addr:         settings.Advertise,
-		Epoch:        epoch,
-		Seeds:        settings.Seeds,
-		ProbeEvery:   settings.ProbeEvery,
-		ProbeTimeout: settings.ProbeTimeout,
-		SuspectFor:   settings.SuspectFor,
-		Messages:     settings.Messages,
-		MaxMembers:   maxMembers,
-		Seed:         uint64(epoch),
-		Sign:         guard.SignRecord,
+		Name:                 own.Name(),
+		Addr:                 settings.Advertise,
+		Epoch:                epoch,
+		Seeds:                settings.Seeds,
+		ProbeInterval:        settings.ProbeInterval,
+		ProbeTimeout:         settings.ProbeTimeout,
+		SuspicionTimeout:     settings.SuspicionTimeout,
+		MaxMessagesPerSecond: settings.MaxMessagesPerSecond,
+		MaxMembers:           maxMembers,
+		Seed:                 uint64(epoch),
+		Sign:                 guard.SignRecord,
 	})
 }
 
 func faultReportConfig(settings operatorfile.Gossip) faultreport.Config {
-	return faultreport.Config{Liars: settings.Liars, LeaveOut: settings.LeaveOut, ForgetAfter: settings.ForgetAfter}
+	return faultreport.Config{MaxByzantine: settings.MaxByzantine, MaxEjectedFraction: settings.MaxEjectedFraction, ReportTTL: settings.FaultReportExpiry}
 }
 
 // now is the time that the cores are given: Unix time at the start, continued by the monotonic clock.
@@ -198,7 +198,7 @@
 
 // reload applies new keys and settings. Authorities that the settings no longer name stay trusted for the overlap.
 func (n *Node) reload(settings operatorfile.Gossip, own *pki.Member, trust *pki.Trust) {
-	n.trust = trust.After(n.trust, time.Now(), settings.Overlap)
+	n.trust = trust.MergePrevious(n.trust, time.Now(), settings.AuthorityOverlap)
 	removed := n.guard.UpdateTrust(own, n.trust, time.Now())
 	events := []gossip.Event{gossip.UpdateSeeds{Seeds: settings.Seeds}}
 	for _, name := range removed {
@@ -206,7 +206,7 @@
 		events = append(events, gossip.RemoveMember{Name: name})
 	}
 	n.settings.Seeds = settings.Seeds
-	n.settings.Overlap = settings.Overlap
+	n.settings.AuthorityOverlap = settings.AuthorityOverlap
 	n.faultEvents = append(n.faultEvents, faultreport.Configure{Config: faultReportConfig(settings)})
 	n.step(events)
 	n.log.Info("gossip settings reloaded")
--- a/internal/fleet/transport/receive.go
+++ b/internal/fleet/transport/receive.go
@@ -90,7 +90,7 @@
 		return events
 	}
 	for _, name := range opened.Equivocators {
-		n.faultEvents = append(n.faultEvents, faultreport.Lied{From: name})
+		n.faultEvents = append(n.faultEvents, faultreport.EquivocationDetected{From: name})
 	}
 	return append(events, gossip.Received{
 		From:    opened.From,
--- a/internal/fleet/transport/step.go
+++ b/internal/fleet/transport/step.go
@@ -84,7 +84,7 @@
 			n.guard.Forget(action.Name)
 		case gossip.StatementReceived:
 			n.faultEvents = append(n.faultEvents,
-				faultreport.Heard{From: action.Statement.Name, Body: action.Statement.Body})
+				faultreport.StatementReceived{From: action.Statement.Name, Body: action.Statement.Body})
 		case gossip.NameConflict:
 			n.log.WithField("name", n.own.Name()).Error("name conflict: another scheduler with this name started later, gossip stopped")
 		}
@@ -102,15 +102,15 @@
 	var events []gossip.Event
 	for _, action := range n.faultReports.Step(now, faultEvents) {
 		switch action := action.(type) {
-		case faultreport.Say:
-			body, err := faultreport.Encode(action.Accusations)
+		case faultreport.Broadcast:
+			body, err := faultreport.Encode(action.Reports)
 			if err != nil {
 				n.rateLimitedLog.Warn(now, "statement not encoded", err)
 				continue
 			}
 			n.statementSeq++
-			events = append(events, gossip.Say{Statement: n.guard.State(n.statementSeq, time.Now(), body)})
-		case faultreport.Hold:
+			events = append(events, gossip.Broadcast{Statement: n.guard.SignStatement(n.statementSeq, time.Now(), body)})
+		case faultreport.PublishVerdicts:
 			n.publishPeerReports(action.PeerReports)
 		case faultreport.Discredited:
 			n.log.WithFields(logrus.Fields{"peer": action.From, "why": action.Why}).Warn("peer reports ignored for a while")
@@ -121,7 +121,7 @@
 
 // transmit seals a message and sends it.
 func (n *Node) transmit(transmit gossip.Transmit) {
-	datagram, err := n.guard.Seal(transmit.To, transmit.Inc, time.Now(), transmit.Message)
+	datagram, err := n.guard.Seal(transmit.To, transmit.Incarnation, time.Now(), transmit.Message)
 	if err == nil {
 		_, err = n.conn.WriteToUDPAddrPort(datagram, transmit.Addr)
 	}
@@ -146,14 +146,14 @@
 		}
 	}
 	n.guard.SetKnownAddresses(addrs)
-	n.faultEvents = append(n.faultEvents, faultreport.Members{Names: names})
+	n.faultEvents = append(n.faultEvents, faultreport.MembersChanged{Names: names})
 }
 
 // publishPeerReports passes on the reports of peers, and logs which workers are now, or no longer, confirmed faulty.
 func (n *Node) publishPeerReports(reports routing.PeerReports) {
 	for worker, verdict := range reports.Verdicts {
 		if verdict == routing.Confirmed && n.verdicts[worker] != routing.Confirmed {
-			n.log.WithFields(logrus.Fields{"worker": worker, "accusers": n.faultReports.Need()}).
+			n.log.WithFields(logrus.Fields{"worker": worker, "accusers": n.faultReports.Quorum()}).
 				Warn("worker confirmed faulty by peers")
 		}
 	}
--- a/internal/frontend/fastcgi/client.go
+++ b/internal/frontend/fastcgi/client.go
@@ -18,14 +18,14 @@
 
 // Request is a request as a client makes it.
 type Request struct {
-	Path     string        // SCRIPT_NAME, as in /rpc/consulta
-	ID       string        // Request-Id: 16 hexadecimal digits, unique for each request
-	Function string        // Resource-Key: 16 hexadecimal digits
-	OnceKey  string        // idempotency key; "" if none
-	Budget   time.Duration // how long the client waits for the answer; sent as a millisecond if it is less
-	Spec     string        // X-Spec; "" if none
-	Params   [][2]string   // further parameters, name and value, as CGI names them; one without a value is not sent
-	Body     []byte
+	Path           string        // SCRIPT_NAME, as in /rpc/consulta
+	ID             string        // Request-Id: 16 hexadecimal digits, unique for each request
+	Function       string        // Resource-Key: 16 hexadecimal digits
+	IdempotencyKey string        // idempotency key; "" if none
+	Budget         time.Duration // how long the client waits for the answer; sent as a millisecond if it is less
+	Spec           string        // X-Spec; "" if none
+	Params         [][2]string   // further parameters, name and value, as CGI names them; one without a value is not sent
+	Body           []byte
 }
 
 // Reply is the answer to a Request.
@@ -159,7 +159,7 @@
 		{"HTTP_REQUEST_ID", request.ID},
 		{"HTTP_RESOURCE_KEY", request.Function},
 		{"HTTP_BUDGET_MS", strconv.FormatInt(budgetMS, 10)},
-		{"HTTP_ONCE_KEY", request.OnceKey},
+		{"HTTP_ONCE_KEY", request.IdempotencyKey},
 		{"HTTP_X_SPEC", request.Spec},
 	}, request.Params...)
 	var stream []byte
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Unsent returns how many bytes are written for clients and not sent yet.
-func (s *Server) Unsent() int {
+// UnsentBytes returns how many bytes are written for clients and not sent yet.
+func (s *Server) UnsentBytes() int {
 	total := 0
 	for conn := range s.unsentConns {
 		unsent := conn.socket.OutboundBuffered()
@@ -122,7 +122,7 @@
 // limitUnsent closes connections whose clients do not read, the one with the most unsent bytes first, until what waits
 // for all clients is within its bound.
 func (s *Server) limitUnsent() {
-	for s.Unsent() > s.maxUnsentBytes {
+	for s.UnsentBytes() > s.maxUnsentBytes {
 		s.warn("client closed: too much waits for clients that do not read", nil)
 		s.slowestReader().close()
 	}
--- a/internal/frontend/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -30,7 +30,7 @@
 }
 
 // Counts returns how often each rule was evaluated so far, and with which result; nil for nil rules.
-func (r *Rules) Counts() []match.Count {
+func (r *Rules) Counts() []match.RuleCounts {
 	if r == nil {
 		return nil
 	}
@@ -45,9 +45,9 @@
 	return r.slotByParam
 }
 
-// Use sets the rules for requests whose parameters are complete from now on; nil means none. Earlier requests keep what
-// was decided for them.
-func (s *Server) Use(rules *Rules) { s.rules = rules }
+// SetRules sets the rules for requests whose parameters are complete from now on; nil means none. Earlier requests
+// keep what was decided for them.
+func (s *Server) SetRules(rules *Rules) { s.rules = rules }
 
 // Rules returns the rules in use; nil if there are none.
 func (s *Server) Rules() *Rules { return s.rules }
@@ -91,19 +91,19 @@
 	budget, _ := request.budget()
 	contentLen, _ := strconv.Atoi(request.contentLength)
 	return &match.Request{
-		Class:   class,
-		Handler: request.function,
-		Path:    request.path,
-		Method:  request.method,
-		OnceKey: request.idempotencyKey,
-		ID:      request.id,
-		Client:  clientAddress,
-		Budget:  budget,
-		Body:    max(contentLen, 0),
-		Memory:  spec.MemoryMB,
-		Lanes:   spec.Concurrency,
-		Local:   time.Now(),
-		Params:  request.ruleParams,
+		Class:          class,
+		Handler:        request.function,
+		Path:           request.path,
+		Method:         request.method,
+		IdempotencyKey: request.idempotencyKey,
+		ID:             request.id,
+		Client:         clientAddress,
+		TimeLeft:       budget,
+		BodyBytes:      max(contentLen, 0),
+		MemoryMB:       spec.MemoryMB,
+		Concurrency:    spec.Concurrency,
+		LocalTime:      time.Now(),
+		Params:         request.ruleParams,
 	}
 }
 
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -88,11 +88,11 @@
 	return server
 }
 
-// Streams returns the number of requests that have begun and not ended.
-func (s *Server) Streams() int { return s.requests.Len() }
+// OpenRequests returns the number of requests that have begun and not ended.
+func (s *Server) OpenRequests() int { return s.requests.Len() }
 
-// Heard returns when bytes last came from a client, or a client connected.
-func (s *Server) Heard() time.Duration { return s.lastReceived }
+// LastReceived returns when bytes last came from a client, or a client connected.
+func (s *Server) LastReceived() time.Duration { return s.lastReceived }
 
 // warn logs a fault of a client or an overload, each message at a limited rate: thousands of bad requests must not
 // become thousands of lines.
--- a/internal/rules/match/compile.go
+++ b/internal/rules/match/compile.go
@@ -35,32 +35,32 @@
 	nodesPerSourceNode = 4
 )
 
-// Refusal is the error of an expression that cannot be loaded.
-type Refusal struct {
-	At     int // byte of the expression, from 0
+// ExpressionError is the error of an expression that cannot be loaded.
+type ExpressionError struct {
+	Offset int // byte of the expression, from 0
 	Reason string
 }
 
 // Error returns the reason.
-func (r *Refusal) Error() string { return r.Reason }
+func (r *ExpressionError) Error() string { return r.Reason }
 
-// refusalAt returns a Refusal at the position of a node.
-func refusalAt(node ast.Node, format string, args ...any) *Refusal {
-	return &Refusal{At: node.Location().From, Reason: fmt.Sprintf(format, args...)}
+// refusalAt returns a ExpressionError at the position of a node.
+func refusalAt(node ast.Node, format string, args ...any) *ExpressionError {
+	return &ExpressionError{Offset: node.Location().From, Reason: fmt.Sprintf(format, args...)}
 }
 
-// refusalOf returns a Refusal of the expression as a whole.
-func refusalOf(format string, args ...any) *Refusal {
-	return &Refusal{Reason: fmt.Sprintf(format, args...)}
+// refusalOf returns a ExpressionError of the expression as a whole.
+func refusalOf(format string, args ...any) *ExpressionError {
+	return &ExpressionError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// libraryRefusal returns the Refusal for an error of the expression library.
-func libraryRefusal(err error) *Refusal {
+// libraryRefusal returns the ExpressionError for an error of the expression library.
+func libraryRefusal(err error) *ExpressionError {
 	var positioned *file.Error
 	if errors.As(err, &positioned) {
-		return &Refusal{At: positioned.From, Reason: positioned.Message}
+		return &ExpressionError{Offset: positioned.From, Reason: positioned.Message}
 	}
-	return &Refusal{Reason: err.Error()}
+	return &ExpressionError{Reason: err.Error()}
 }
 
 // resultKind is the type that an expression must yield.
@@ -109,7 +109,7 @@
 }
 
 // compile loads an expression: it parses and rewrites it, estimates its worst-case cost, and compiles it.
-func (c *compiler) compile(source string, want resultKind) (*compiledExpr, *Refusal) {
+func (c *compiler) compile(source string, want resultKind) (*compiledExpr, *ExpressionError) {
 	if len(source) > maxSourceBytes {
 		return nil, refusalOf("%d bytes are over %d", len(source), maxSourceBytes)
 	}
--- a/internal/rules/match/estimate.go
+++ b/internal/rules/match/estimate.go
@@ -47,7 +47,7 @@
 }
 
 // estimate estimates a node at a level of nesting.
-func (e *estimator) estimate(node ast.Node, depth int) (estimate, *Refusal) {
+func (e *estimator) estimate(node ast.Node, depth int) (estimate, *ExpressionError) {
 	e.nodes++
 	if e.nodes > maxNodes || depth > maxNesting {
 		return estimate{}, refusalAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
@@ -75,7 +75,7 @@
 }
 
 // operands estimates the operands of a node and sums up their costs.
-func (e *estimator) operands(depth int, nodes ...ast.Node) (each []estimate, cost int, refusal *Refusal) {
+func (e *estimator) operands(depth int, nodes ...ast.Node) (each []estimate, cost int, refusal *ExpressionError) {
 	for _, node := range nodes {
 		operand, refusal := e.estimate(node, depth+1)
 		if refusal != nil {
@@ -87,16 +87,16 @@
 	return each, cost, nil
 }
 
-func (e *estimator) field(identifier *ast.IdentifierNode) (estimate, *Refusal) {
+func (e *estimator) field(identifier *ast.IdentifierNode) (estimate, *ExpressionError) {
 	i := slices.IndexFunc(e.schema, func(f Field) bool { return f.Name == identifier.Value })
 	if i < 0 || identifier.Value == paramName {
 		return estimate{}, refusalAt(identifier, "no field %q that could stand here", identifier.Value)
 	}
-	return estimate{cost: fieldCost, maxBytes: e.schema[i].Most}, nil
+	return estimate{cost: fieldCost, maxBytes: e.schema[i].MaxBytes}, nil
 }
 
 // parameterAccess estimates the two forms that the rewriter makes of param, and refuses all others.
-func parameterAccess(member *ast.MemberNode) (estimate, *Refusal) {
+func parameterAccess(member *ast.MemberNode) (estimate, *ExpressionError) {
 	if isIdentifier(member.Node, hasName) {
 		return estimate{cost: hasParamCost}, nil
 	}
@@ -106,7 +106,7 @@
 	return estimate{}, refusalAt(member, "only param has parts that can be read")
 }
 
-func (e *estimator) conditional(node *ast.ConditionalNode, depth int) (estimate, *Refusal) {
+func (e *estimator) conditional(node *ast.ConditionalNode, depth int) (estimate, *ExpressionError) {
 	operands, cost, refusal := e.operands(depth, node.Cond, node.Exp1, node.Exp2)
 	if refusal != nil {
 		return estimate{}, refusal
@@ -115,7 +115,7 @@
 }
 
 // list estimates a list of constants: one unit an element.
-func (e *estimator) list(array *ast.ArrayNode, depth int) (estimate, *Refusal) {
+func (e *estimator) list(array *ast.ArrayNode, depth int) (estimate, *ExpressionError) {
 	for _, element := range array.Nodes {
 		switch element.(type) {
 		case *ast.StringNode, *ast.IntegerNode:
@@ -134,7 +134,7 @@
 	return estimate{cost: len(array.Nodes), maxBytes: longest}, nil
 }
 
-func (e *estimator) binary(node *ast.BinaryNode, depth int) (estimate, *Refusal) {
+func (e *estimator) binary(node *ast.BinaryNode, depth int) (estimate, *ExpressionError) {
 	operands, cost, refusal := e.operands(depth, node.Left, node.Right)
 	if refusal != nil {
 		return estimate{}, refusal
--- a/internal/rules/match/evaluate.go
+++ b/internal/rules/match/evaluate.go
@@ -146,7 +146,7 @@
 func (r *compiledRule) splitRoute(share int) string {
 	rest := share
 	for _, split := range r.Splits {
-		rest -= split.Part
+		rest -= split.PerMille
 		if rest < 0 {
 			return split.Route
 		}
--- a/internal/rules/match/helpers_test.go
+++ b/internal/rules/match/helpers_test.go
@@ -14,11 +14,11 @@
 var classes = []Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
 
 // expression returns an expression in the first line of a file.
-func expression(s string) Text { return Text{Place{"f", 1, 1}, s} }
+func expression(s string) Expression { return Expression{Position{"f", 1, 1}, s} }
 
 // ruleWhen returns a rule with nothing but a condition.
 func ruleWhen(when string) Rule {
-	return Rule{Place: Place{"f", 1, 1}, Name: "r", When: expression(when)}
+	return Rule{Position: Position{"f", 1, 1}, Name: "r", When: expression(when)}
 }
 
 // load loads rules that must have no faults but warnings.
@@ -35,7 +35,7 @@
 func newRequest(t *Table, params map[string]string, change ...func(*Request)) *Request {
 	request := &Request{
 		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
-		OnceKey: "k1", Budget: time.Second, Body: 10, Memory: 512, Lanes: 2, Local: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
+		IdempotencyKey: "k1", TimeLeft: time.Second, BodyBytes: 10, MemoryMB: 512, Concurrency: 2, LocalTime: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
 	}
 	for _, name := range t.Slots() {
 		var v []string
--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -10,12 +10,12 @@
 	compiler compiler
 	classes  []Class // nil if unknown
 	byName   map[string]Class
-	faults   []Fault
+	faults   []RuleError
 }
 
 // Load loads rules for the classes of a site. Where the classes are not known (nil), no class name is checked. All
 // faults are reported at once; if one of them is no warning, there is no Table.
-func Load(rules []Rule, classes []Class) (*Table, []Fault) {
+func Load(rules []Rule, classes []Class) (*Table, []RuleError) {
 	ruleLoader := &loader{
 		compiler: compiler{schema: Schema, environment: &environment{}},
 		classes:  classes,
@@ -25,7 +25,7 @@
 		ruleLoader.byName[class.Name] = class
 	}
 	if len(rules) > MaxRules {
-		ruleLoader.fault(rules[MaxRules].Place, "match", "%d rules are over %d", len(rules), MaxRules)
+		ruleLoader.fault(rules[MaxRules].Position, "match", "%d rules are over %d", len(rules), MaxRules)
 		return nil, ruleLoader.faults
 	}
 	table := &Table{classes: ruleLoader.byName}
@@ -39,7 +39,7 @@
 	worst := table.index.worstCost(table.rules)
 	if worst > MaxPath {
 		last := rules[len(rules)-1]
-		ruleLoader.fault(last.Place, "match", "the rules that one request can meet cost up to %d, at most %d is allowed", worst, MaxPath)
+		ruleLoader.fault(last.Position, "match", "the rules that one request can meet cost up to %d, at most %d is allowed", worst, MaxPath)
 		return nil, ruleLoader.faults
 	}
 	table.costLimit = worst
@@ -50,12 +50,12 @@
 	return table, warnings(table.rules)
 }
 
-func (l *loader) fault(at Place, directive, format string, args ...any) {
-	l.faults = append(l.faults, Fault{Place: at, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+func (l *loader) fault(at Position, directive, format string, args ...any) {
+	l.faults = append(l.faults, RuleError{Position: at, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (l *loader) loadRule(source Rule) *compiledRule {
-	loaded := &compiledRule{Rule: source, counts: Count{Rule: source.Name}}
+	loaded := &compiledRule{Rule: source, counts: RuleCounts{Rule: source.Name}}
 	when := source.When
 	if when.Source == "" {
 		when.Source = "true"
@@ -77,14 +77,14 @@
 
 // loadExpression compiles an expression and adds its cost to the rule's. It returns nil for one that was left out or
 // is refused.
-func (l *loader) loadExpression(r *compiledRule, directive string, expression Text, want resultKind) *compiledExpr {
+func (l *loader) loadExpression(r *compiledRule, directive string, expression Expression, want resultKind) *compiledExpr {
 	if expression.Source == "" {
 		return nil
 	}
 	compiled, refusal := l.compiler.compile(expression.Source, want)
 	if refusal != nil {
-		at := expression.Place
-		at.Column += refusal.At
+		at := expression.Position
+		at.Column += refusal.Offset
 		l.fault(at, directive, "%s", refusal.Reason)
 		return nil
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	if _, ok := l.byName[class.Source]; !ok && l.classes != nil {
-		l.fault(class.Place, "class", "no class %q is among the site's%s", class.Source, classList(l.classes))
+		l.fault(class.Position, "class", "no class %q is among the site's%s", class.Source, classList(l.classes))
 	}
 	r.constantClass = class.Source
 }
@@ -108,9 +108,9 @@
 func (l *loader) checkSplits(splits []Split) {
 	total := 0
 	for _, split := range splits {
-		total += split.Part
+		total += split.PerMille
 		if total > totalShares {
-			l.fault(split.Place, "split", "the parts add up to %d of 1,000", total)
+			l.fault(split.Position, "split", "the parts add up to %d of 1,000", total)
 		}
 	}
 }
@@ -141,14 +141,14 @@
 
 // warnings finds rules that can never match, where that is cheap to see: behind one that always matches and stops,
 // with the very condition of an earlier one that stops, or with a condition that contradicts itself.
-func warnings(rules []*compiledRule) []Fault {
-	var list []Fault
+func warnings(rules []*compiledRule) []RuleError {
+	var list []RuleError
 	stoppedBy := ""
 	stopsFor := map[string]string{} // the first rule that stops, by its condition
 	for _, checked := range rules {
 		warn := func(format string, args ...any) {
 			reason := fmt.Sprintf(format, args...)
-			list = append(list, Fault{Place: checked.Place, Directive: "match " + checked.Name, Reason: reason, Warning: true})
+			list = append(list, RuleError{Position: checked.Position, Directive: "match " + checked.Name, Reason: reason, Warning: true})
 		}
 		if stoppedBy != "" {
 			warn("can never match: %s always does, and stops", stoppedBy)
--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -67,8 +67,8 @@
 		}
 	}
 	r := ruleWhen(`handler == "a" && nope == 1`)
-	r.Class, r.Key = Text{Place{"f", 2, 9}, "certificada"}, Text{Place{"f", 3, 9}, `lanes`}
-	r.Labels = []Label{{"centre", Text{Place{"f", 4, 16}, `param["A"] + 1`}}}
+	r.Class, r.Key = Expression{Position{"f", 2, 9}, "certificada"}, Expression{Position{"f", 3, 9}, `lanes`}
+	r.Labels = []Label{{"centre", Expression{Position{"f", 4, 16}, `param["A"] + 1`}}}
 	_, faults := Load([]Rule{r, ruleWhen("true")}, classes)
 	var got []string
 	for _, f := range faults {
@@ -132,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), Fields()) {
-		t.Errorf("docs/operators/matching.md lacks the schema:\n%s", Fields())
+	if !strings.Contains(string(page), SchemaTable()) {
+		t.Errorf("docs/operators/matching.md lacks the schema:\n%s", SchemaTable())
 	}
 }
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -80,7 +80,7 @@
 func TestSafety(t *testing.T) {
 	strict := map[string]routing.Idempotency{}
 	for _, c := range classes {
-		strict[c.Name] = c.Effect
+		strict[c.Name] = c.Idempotency
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"consulta", "registro-horas", "certificado"}
@@ -100,7 +100,7 @@
 		q := newRequest(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(rt, "param")})
 		q.Class = rapid.SampledFrom(append(names, "")).Draw(rt, "asked")
 		if rapid.Bool().Draw(rt, "keyless") {
-			q.OnceKey = ""
+			q.IdempotencyKey = ""
 		}
 		got := table.Match(q)
 		if got.Class == "" {
@@ -109,7 +109,7 @@
 		if _, known := strict[got.Class]; !known || q.Class != "" && strict[got.Class] < strict[q.Class] {
 			rt.Fatalf("asked for %q, got %q", q.Class, got.Class)
 		}
-		if strict[got.Class] == routing.IdempotentByKey && q.OnceKey == "" {
+		if strict[got.Class] == routing.IdempotentByKey && q.IdempotencyKey == "" {
 			rt.Fatalf("%q without a key", got.Class)
 		}
 	})
@@ -185,10 +185,10 @@
 
 // A split sends each key to the same route every time, and the given part of all keys to each route.
 func TestSplit(t *testing.T) {
-	table := load(t, Rule{Name: "r", Route: expression("old"), Splits: []Split{{Route: "trial", Part: 100}, {Route: "other", Part: 250}}})
+	table := load(t, Rule{Name: "r", Route: expression("old"), Splits: []Split{{Route: "trial", PerMille: 100}, {Route: "other", PerMille: 250}}})
 	routes := map[string]int{}
 	for i := range 10000 {
-		q := newRequest(table, nil, func(q *Request) { q.OnceKey = fmt.Sprint(i) })
+		q := newRequest(table, nil, func(q *Request) { q.IdempotencyKey = fmt.Sprint(i) })
 		route := table.Match(q).Route
 		if again := table.Match(q).Route; again != route {
 			t.Fatalf("key %d went to %s and %s", i, route, again)
@@ -200,7 +200,7 @@
 			t.Errorf("%d of 10000 keys went to %s, want about %d", got, route, want)
 		}
 	}
-	if _, faults := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", Part: 600}, {Route: "b", Part: 600}}}}, classes); len(faults) != 1 {
+	if _, faults := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(faults) != 1 {
 		t.Errorf("parts over the whole: %v", faults)
 	}
 }
--- a/internal/rules/match/predicate.go
+++ b/internal/rules/match/predicate.go
@@ -7,7 +7,7 @@
 
 // NewPredicate loads a condition over the fields of a schema. env is a pointer to the struct that has these fields,
 // each with its name in an expr tag.
-func NewPredicate(schema []Field, env any, source string) (*Predicate, *Refusal) {
+func NewPredicate(schema []Field, env any, source string) (*Predicate, *ExpressionError) {
 	c := &compiler{schema: schema, environment: env}
 	condition, refusal := c.compile(source, boolResult)
 	if refusal != nil {
--- a/internal/rules/match/rewrite.go
+++ b/internal/rules/match/rewrite.go
@@ -23,8 +23,8 @@
 // of param into reads of slots, durations into constants. It refuses unknown names and functions.
 type rewriter struct {
 	compiler  *compiler
-	firstPass bool     // the tree is as written, so that names which the rewriter itself puts there are unknown
-	refusal   *Refusal // the first one
+	firstPass bool             // the tree is as written, so that names which the rewriter itself puts there are unknown
+	refusal   *ExpressionError // the first one
 }
 
 func (r *rewriter) refuse(node ast.Node, format string, args ...any) {
--- a/internal/rules/match/rule.go
+++ b/internal/rules/match/rule.go
@@ -6,27 +6,27 @@
 	"calicohill/routing"
 )
 
-// Place is a position in an operator's file.
-type Place struct {
+// Position is a position in an operator's file.
+type Position struct {
 	File   string
 	Line   int // from 1
 	Column int // from 1, in bytes
 }
 
-// Text is an expression and its position.
-type Text struct {
-	Place
+// Expression is an expression and its position.
+type Expression struct {
+	Position
 	Source string
 }
 
 // Rule is a rule as the operator wrote it. A Text with an empty Source was left out.
 type Rule struct {
-	Place
+	Position
 	Name   string
-	When   Text // the condition; left out, it always holds
-	Class  Text
-	Key    Text // affinity key
-	Route  Text
+	When   Expression // the condition; left out, it always holds
+	Class  Expression
+	Key    Expression // affinity key
+	Route  Expression
 	Labels []Label
 	Splits []Split // in order; the rest of the requests goes to Route
 	Stop   bool    // no further rule is evaluated if this one matches
@@ -34,33 +34,33 @@
 
 // Split sends a fraction of a rule's requests to a route. All requests under one idempotency key go the same way.
 type Split struct {
-	Place
-	Route string
-	Part  int // of 1,000
+	Position
+	Route    string
+	PerMille int // of 1,000
 }
 
 // Label is a label that a rule gives to a request.
 type Label struct {
 	Name  string
-	Value Text
+	Value Expression
 }
 
 // Class is a class of requests, as the site declares it.
 type Class struct {
-	Name   string
-	Effect routing.Idempotency
+	Name        string
+	Idempotency routing.Idempotency
 }
 
-// Fault is an error in a rule or, as a warning, a likely one.
-type Fault struct {
-	Place
+// RuleError is an error in a rule or, as a warning, a likely one.
+type RuleError struct {
+	Position
 	Directive string
 	Reason    string
 	Warning   bool
 }
 
 // Error returns the position, the directive and the reason on one line.
-func (f Fault) Error() string {
+func (f RuleError) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Directive, f.Reason)
 }
 
@@ -75,8 +75,8 @@
 	Failed []string // rules whose evaluation failed, each with the reason
 }
 
-// Count holds the counters of one rule since it was loaded.
-type Count struct {
+// RuleCounts holds the counters of one rule since it was loaded.
+type RuleCounts struct {
 	Rule    string `json:"rule"`
 	Tried   uint64 `json:"tried"`
 	Matched uint64 `json:"matched"`
--- a/internal/rules/match/schema.go
+++ b/internal/rules/match/schema.go
@@ -9,10 +9,10 @@
 
 // Field declares one field that expressions may read.
 type Field struct {
-	Name string
-	Type string // as the operators' page has it
-	Most int    // longest text, in bytes; 0 where it is no text
-	Help string
+	Name     string
+	Type     string // as the operators' page has it
+	MaxBytes int    // longest text, in bytes; 0 where it is no text
+	Help     string
 }
 
 // The longest texts that expressions see, in bytes. A longer one is treated as missing.
@@ -47,18 +47,18 @@
 
 // Request is what expressions see of a request.
 type Request struct {
-	Class   string
-	Handler string // id of the function
-	Path    string
-	Method  string
-	Client  string // IP address
-	OnceKey string // idempotency key
-	ID      string
-	Budget  time.Duration // how long the client waits
-	Body    int           // bytes
-	Memory  float64       // of a loaded instance, in MB; 0 if unknown
-	Lanes   int           // requests that an instance runs at a time; 0 if unknown
-	Local   time.Time     // local time of the site
+	Class          string
+	Handler        string // id of the function
+	Path           string
+	Method         string
+	Client         string // IP address
+	IdempotencyKey string // idempotency key
+	ID             string
+	TimeLeft       time.Duration // how long the client waits
+	BodyBytes      int           // bytes
+	MemoryMB       float64       // of a loaded instance, in MB; 0 if unknown
+	Concurrency    int           // requests that an instance runs at a time; 0 if unknown
+	LocalTime      time.Time     // local time of the site
 	// Params is by slot: see Table.Slots. A nil element is a parameter that is missing.
 	Params [][]string
 }
--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -18,7 +18,7 @@
 	route         *compiledExpr
 	labels        []*compiledExpr // in the order of Rule.Labels
 	maxCost       int             // of all its expressions, in units
-	counts        Count
+	counts        RuleCounts
 }
 
 // Table is a list of rules that were loaded. It is not safe for concurrent use.
@@ -47,8 +47,8 @@
 func (t *Table) Len() int { return len(t.rules) }
 
 // Counts returns the counters of each rule, in order.
-func (t *Table) Counts() []Count {
-	list := make([]Count, len(t.rules))
+func (t *Table) Counts() []RuleCounts {
+	list := make([]RuleCounts, len(t.rules))
 	for i, r := range t.rules {
 		list[i] = r.counts
 	}
@@ -91,10 +91,10 @@
 	if !ok {
 		return fmt.Errorf("no class %.40q", name)
 	}
-	if from, ok := t.classes[request.Class]; ok && to.Effect < from.Effect {
+	if from, ok := t.classes[request.Class]; ok && to.Idempotency < from.Idempotency {
 		return fmt.Errorf("class %s is less strict about repeats than %s", to.Name, from.Name)
 	}
-	if to.Effect == routing.IdempotentByKey && request.OnceKey == "" {
+	if to.Idempotency == routing.IdempotentByKey && request.IdempotencyKey == "" {
 		return fmt.Errorf("class %s needs an idempotency key", to.Name)
 	}
 	return nil
--- a/internal/rules/pools/definitions.go
+++ b/internal/rules/pools/definitions.go
@@ -28,25 +28,25 @@
 
 // Schema describes the fields of Attributes to the compiler of conditions and on the operators' page.
 var Schema = []match.Field{
-	{Name: "id", Type: "text", Most: maxAttributeBytes, Help: "the worker's id in the list"},
-	{Name: "model", Type: "text", Most: maxAttributeBytes, Help: "its model"},
-	{Name: "zone", Type: "text", Most: maxAttributeBytes, Help: "its zone"},
+	{Name: "id", Type: "text", MaxBytes: maxAttributeBytes, Help: "the worker's id in the list"},
+	{Name: "model", Type: "text", MaxBytes: maxAttributeBytes, Help: "its model"},
+	{Name: "zone", Type: "text", MaxBytes: maxAttributeBytes, Help: "its zone"},
 	{Name: "group", Type: "number", Help: "its pod group"},
-	{Name: "state", Type: "text", Most: maxStateBytes, Help: "serving or draining"},
+	{Name: "state", Type: "text", MaxBytes: maxStateBytes, Help: "serving or draining"},
 }
 
 // Pool is the definition of a pool in the operator's file.
 type Pool struct {
-	match.Place
+	match.Position
 	Name    string
-	Workers match.Text // condition on a worker's attributes
+	Workers match.Expression // condition on a worker's attributes
 }
 
 // Route is the definition of a route in the operator's file.
 type Route struct {
-	match.Place
+	match.Position
 	Name  string
-	Pools []match.Text // names, the preferred first
+	Pools []match.Expression // names, the preferred first
 }
 
 // StateName returns a worker's state as conditions read it.
--- a/internal/rules/pools/load.go
+++ b/internal/rules/pools/load.go
@@ -20,11 +20,11 @@
 type loader struct {
 	core       *Core
 	poolByName map[string]*pool
-	faults     []match.Fault
+	faults     []match.RuleError
 }
 
 // Load compiles the definitions of pools and routes. It returns either a Core or all faults of the definitions.
-func Load(pools []Pool, routes []Route) (*Core, []match.Fault) {
+func Load(pools []Pool, routes []Route) (*Core, []match.RuleError) {
 	loading := loader{
 		core: &Core{
 			routes:  map[string]*route{},
@@ -34,7 +34,7 @@
 		poolByName: map[string]*pool{},
 	}
 	if len(pools) > maxPools {
-		loading.addFault(pools[maxPools].Place, poolDirective, "%d pools are over %d", len(pools), maxPools)
+		loading.addFault(pools[maxPools].Position, poolDirective, "%d pools are over %d", len(pools), maxPools)
 		return nil, loading.faults
 	}
 	for _, definition := range pools {
@@ -49,15 +49,15 @@
 	return loading.core, nil
 }
 
-func (l *loader) addFault(place match.Place, directive, format string, args ...any) {
-	l.faults = append(l.faults, match.Fault{Place: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+func (l *loader) addFault(place match.Position, directive, format string, args ...any) {
+	l.faults = append(l.faults, match.RuleError{Position: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (l *loader) addPool(definition Pool) {
 	condition, refusal := match.NewPredicate(Schema, &Attributes{}, definition.Workers.Source)
 	if refusal != nil {
-		place := definition.Workers.Place
-		place.Column += refusal.At
+		place := definition.Workers.Position
+		place.Column += refusal.Offset
 		l.addFault(place, workersDirective, "%s", refusal.Reason)
 	}
 	p := &pool{condition: condition, members: map[string]bool{}}
@@ -70,9 +70,9 @@
 	for _, name := range definition.Pools {
 		p := l.poolByName[name.Source]
 		if p == nil {
-			l.addFault(name.Place, poolDirective, "no pool %q is defined", name.Source)
+			l.addFault(name.Position, poolDirective, "no pool %q is defined", name.Source)
 		} else if i := slices.Index(r.pools, p); i >= 0 {
-			l.addFault(name.Place, poolDirective, "%q is pool %d of route %s already", name.Source, i+1, definition.Name)
+			l.addFault(name.Position, poolDirective, "%q is pool %d of route %s already", name.Source, i+1, definition.Name)
 		}
 		r.pools = append(r.pools, p)
 	}
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-func text(s string) match.Text {
-	return match.Text{Place: match.Place{File: "f", Line: 1, Column: 1}, Source: s}
+func text(s string) match.Expression {
+	return match.Expression{Position: match.Position{File: "f", Line: 1, Column: 1}, Source: s}
 }
 
 func load(tb interface{ Fatal(...any) }) *Core {
@@ -24,8 +24,8 @@
 		{Name: "slow", Workers: text(`id.startsWith("s")`)},
 		{Name: "rest", Workers: text(`group != 7`)},
 	}, []Route{
-		{Name: "lane", Pools: []match.Text{text("fast"), text("slow")}},
-		{Name: "any", Pools: []match.Text{text("rest")}},
+		{Name: "lane", Pools: []match.Expression{text("fast"), text("slow")}},
+		{Name: "any", Pools: []match.Expression{text("rest")}},
 	})
 	if core == nil {
 		tb.Fatal(faults)
@@ -89,7 +89,7 @@
 
 func TestRefused(t *testing.T) {
 	_, faults := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
-		[]Route{{Name: "r", Pools: []match.Text{text("a"), text("c"), text("a")}}})
+		[]Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
 	var got []string
 	for _, f := range faults {
 		got = append(got, f.Directive)
--- a/internal/testbed/byzantine.go
+++ b/internal/testbed/byzantine.go
@@ -36,8 +36,8 @@
 	sequence  uint64                   // of its statements; used by its goroutine alone
 }
 
-// NewHostile has a byzantine member join a fleet under a name.
-func (f *Fleet) NewHostile(name string) (*ByzantineMember, error) {
+// NewByzantineMember has a byzantine member join a fleet under a name.
+func (f *Fleet) NewByzantineMember(name string) (*ByzantineMember, error) {
 	identity, err := f.Authority.Issue(name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
 		return nil, err
@@ -65,11 +65,11 @@
 	_, _ = rand.Read(secret) // never fails
 	member.guard = gossip.NewGuard(gossip.GuardConfig{
 		Fleet: "lab", Own: identity, Epoch: member.epoch, Trust: trust, Secret: secret,
-		Checks: 10000, Skew: 5 * time.Second, Seeds: seeds,
+		MaxChecksPerSecond: 10000, MaxClockSkew: 5 * time.Second, Seeds: seeds,
 	})
 	member.core = gossip.New(gossip.Config{
 		Name: name, Addr: socket.LocalAddr().(*net.UDPAddr).AddrPort(), Epoch: member.epoch, Seeds: seeds,
-		ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second, Messages: 400,
+		ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspicionTimeout: 5 * time.Second, MaxMessagesPerSecond: 400,
 		MaxMembers: 4096, Seed: 1, Sign: member.guard.SignRecord,
 	})
 	go member.run()
@@ -156,18 +156,18 @@
 		return nil
 	}
 	m.accusedAt = time.Now()
-	var lies []faultreport.Accusation
-	for _, worker := range (*accused)[:min(len(*accused), faultreport.MaxAccusations)] {
-		lies = append(lies, faultreport.Accusation{Worker: worker, Trouble: routing.Unresponsive, First: 3000, Attempts: 5})
+	var lies []faultreport.Report
+	for _, worker := range (*accused)[:min(len(*accused), faultreport.MaxReports)] {
+		lies = append(lies, faultreport.Report{Worker: worker, Fault: routing.Unresponsive, FirstSeenAgo: 3000, Attempts: 5})
 	}
 	body, err := faultreport.Encode(lies)
 	if err != nil {
 		return nil
 	}
 	m.sequence++
-	statement := m.guard.State(m.sequence, time.Now(), body)
+	statement := m.guard.SignStatement(m.sequence, time.Now(), body)
 	m.broadcast(statement)
-	return []gossip.Event{gossip.Say{Statement: statement}}
+	return []gossip.Event{gossip.Broadcast{Statement: statement}}
 }
 
 // broadcast sends a statement to every member at once, whatever the rate limits of an honest member would be.
@@ -182,7 +182,7 @@
 
 // send seals and sends a message; it is lost like any datagram where that fails.
 func (m *ByzantineMember) send(transmit gossip.Transmit) {
-	if sealed, err := m.guard.Seal(transmit.To, transmit.Inc, time.Now(), transmit.Message); err == nil {
+	if sealed, err := m.guard.Seal(transmit.To, transmit.Incarnation, time.Now(), transmit.Message); err == nil {
 		_, _ = m.socket.WriteToUDPAddrPort(sealed, transmit.Addr)
 	}
 }
@@ -197,8 +197,8 @@
 	floodTick          = 10 * time.Millisecond
 	floodTicksASecond  = int(time.Second / floodTick)
 	floodDatagramBytes = 700
-	// floodHeaderBytes is the fixed part of a datagram's header: magic and format, cookie, epoch, incarnation and sequence
-	// number.
+	// floodHeaderBytes is the fixed part of a datagram's header: magic and format, cookie, epoch, incarnation and
+	// sequence number.
 	floodHeaderBytes = 2 + 8 + 8 + 4 + 8
 )
 
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -36,33 +36,34 @@
 // defaultSkew is how uneven the schedulers' parts of the load are if nothing else is said.
 const defaultSkew = 0.1
 
-// ColdDay is an experiment: a fleet's cold start, or another fault that makes all its schedulers poll at once.
-type ColdDay struct {
-	Program   string
-	Baseline  string // an earlier build that plays the same first; "" for none
-	Env       []string
-	Dir       string // for files; a new one if not set
-	Instances int
-	Of        int // how many schedulers there are by their settings; 0 for as many as there are
-	Workers   int
-	Scenario  Scenario
-	Seconds   float64
-	Body      string  // the workers' profile, by name
-	Keep      bool    // schedulers keep their list and what they learned over a restart
-	Skew      float64 // of the load; see Load
-	Rate      float64 // requests a second, of all
-	Seed      uint64
-	Say       func(string) // is told how each run went
+// ColdStartExperiment is an experiment: a fleet's cold start, or another fault that makes all its schedulers poll at
+// once.
+type ColdStartExperiment struct {
+	Program           string
+	Baseline          string // an earlier build that plays the same first; "" for none
+	Env               []string
+	Dir               string // for files; a new one if not set
+	Instances         int
+	ClaimedSchedulers int // how many schedulers there are by their settings; 0 for as many as there are
+	Workers           int
+	Scenario          Scenario
+	Seconds           float64
+	Profile           string  // the workers' profile, by name
+	Keep              bool    // schedulers keep their list and what they learned over a restart
+	Skew              float64 // of the load; see Load
+	Rate              float64 // requests a second, of all
+	Seed              uint64
+	Say               func(string) // is told how each run went
 }
 
-// ColdStartResult is what a ColdDay measured.
+// ColdStartResult is what a ColdStartExperiment measured.
 type ColdStartResult struct {
 	Program  ColdStartMetrics  `json:"program"`
 	Baseline *ColdStartMetrics `json:"baseline,omitempty"`
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
-func (d ColdDay) Run(ctx context.Context) (ColdStartResult, error) {
+func (d ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
 	var result ColdStartResult
 	if d.Baseline != "" {
 		earlier := d
@@ -79,7 +80,7 @@
 }
 
 // fleet prepares a fleet that is not started yet.
-func (d ColdDay) fleet() (*Fleet, error) {
+func (d ColdStartExperiment) fleet() (*Fleet, error) {
 	dir, err := os.MkdirTemp(d.Dir, "calicohill-lab-")
 	if err != nil {
 		return nil, err
@@ -89,11 +90,11 @@
 		Program:           d.Program,
 		Env:               d.Env,
 		Dir:               dir,
-		ClaimedSchedulers: d.Of,
+		ClaimedSchedulers: d.ClaimedSchedulers,
 		LinkedWorkers:     d.Scenario.has("link"),
 		Sharing:           gossips,
 		GossipThroughHub:  gossips,
-		Profile:           d.Body,
+		Profile:           d.Profile,
 		KeepState:         d.Keep,
 	}
 	if err := fleet.Prepare(d.Instances, d.Workers); err != nil {
@@ -110,7 +111,7 @@
 }
 
 // runProgram runs the experiment with one build.
-func (d ColdDay) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
+func (d ColdStartExperiment) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
 	var metrics ColdStartMetrics
 	fleet, err := d.fleet()
 	if err != nil {
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ColdStartMetrics is what a ColdDay measured with one build. Times are in milliseconds, shares parts of 1.
+// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares parts of 1.
 type ColdStartMetrics struct {
 	PollsPeak          int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
 	PollsEven          float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
@@ -22,7 +22,7 @@
 	Homes              float64  `json:"homes_per_scheduler"`   // preferred workers of the functions that it was asked for: what it has to meet
 	Loads              int      `json:"loads"`
 	Crashed            int      `json:"workers_pushed_over"`
-	ColdMost           float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
+	PeakColdLoadShare  float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
 	RefusedConnections int      `json:"agent_connects_refused"` // over what the workers accept
 	Served             float64  `json:"served_share"`
 	Asked              int      `json:"asked"`
@@ -121,7 +121,7 @@
 		}
 		refused, peakLoadShare := worker.overload()
 		m.RefusedConnections += refused
-		m.ColdMost = max(m.ColdMost, peakLoadShare)
+		m.PeakColdLoadShare = max(m.PeakColdLoadShare, peakLoadShare)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
 			schedulers[arrival.From] = true
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -3,5 +3,5 @@
 //
 // The stand-ins are a list service (ListService), workers (Worker) and the network between them (Link, Hub). Byzantine
 // members lie to the fleet (ByzantineMember). A Scenario says when which fault happens, a Load what clients send, and the
-// experiments (ColdDay, GossipExperiment, MatchExperiment, VirtualExperiment) measure what became of it.
+// experiments (ColdStartExperiment, GossipExperiment, MatchExperiment, VirtualExperiment) measure what became of it.
 package testbed
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -16,8 +16,8 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// platformSettings is the platform's settings of a scheduler in the testbed, with two gaps: how many schedulers there are,
-// and the scheduler's rank.
+// platformSettings is the platform's settings of a scheduler in the testbed, with two gaps: how many schedulers there
+// are, and the scheduler's rank.
 const platformSettings = `{"balancers":%d,"rank":%d,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
  "ceilings":{"attemptsCap":4,"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterMs":500,
   "multiplex":100,"idleCloseMs":15000,"connectTimeoutMs":250},
@@ -57,7 +57,8 @@
 	wakeDelay atomic.Int64   // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
 	restarts  sync.WaitGroup // of schedulers, by a rolling restart
 
-	// departures is the workers that drain or are gone. Prepare and the scenario write it; it is read after the scenario's end.
+	// departures is the workers that drain or are gone. Prepare and the scenario write it; it is read after the
+	// scenario's end.
 	departures map[*Worker]departure
 
 	mu                 sync.Mutex
@@ -128,7 +129,7 @@
 		return err
 	}
 	f.Authority = authority
-	return os.WriteFile(filepath.Join(f.Dir, "fleet.crt"), pki.EncodeCert(authority.Cert), 0o600)
+	return os.WriteFile(filepath.Join(f.Dir, "fleet.crt"), pki.EncodeCertificate(authority.Cert), 0o600)
 }
 
 // addInstance adds a scheduler with addresses of its own.
@@ -185,8 +186,9 @@
 // fleetCount counts the fleets of this process.
 var fleetCount atomic.Uint32
 
-// freeAddress is an address of loopback that nobody listens on. Each fleet has a host of its own: schedulers open their
-// port so that a restart may share it, and of two fleets that were given the same one each would serve the other's clients.
+// freeAddress is an address of loopback that nobody listens on. Each fleet has a host of its own: schedulers open
+// their port so that a restart may share it, and of two fleets that were given the same one each would serve the
+// other's clients.
 func (f *Fleet) freeAddress(network string) (string, error) {
 	if f.host == "" {
 		f.host = fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+fleetCount.Add(1)%250)
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -31,12 +31,12 @@
 		return
 	}
 	r.faultFrom = time.Now()
-	r.setFault(Mute)
+	r.setFault(WorkerUnresponsive)
 	if !sleep(ctx, duration/2) {
 		return
 	}
 	r.faultUntil = time.Now()
-	r.setFault(Sound)
+	r.setFault(WorkerHealthy)
 }
 
 // setFault gives the workers of the run a fault, or none.
@@ -56,7 +56,7 @@
 		}
 	}
 	for i := range count {
-		liar, err := r.fleet.NewHostile(fmt.Sprintf("liar%d", i))
+		liar, err := r.fleet.NewByzantineMember(fmt.Sprintf("liar%d", i))
 		if err != nil {
 			return closeLiars, err
 		}
@@ -93,7 +93,7 @@
 	for _, worker := range run.unresponsive {
 		last := run.faultFrom
 		for _, arrival := range worker.Arrivals() {
-			if arrival.Fault == Mute {
+			if arrival.Fault == WorkerUnresponsive {
 				m.lost++
 				last = arrival.At
 			}
--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -12,8 +12,8 @@
 )
 
 var testConfig = gossip.Config{
-	ProbeEvery: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspectFor: 5 * time.Second,
-	Messages: 20, MaxMembers: 4096,
+	ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspicionTimeout: 5 * time.Second,
+	MaxMessagesPerSecond: 20, MaxMembers: 4096,
 }
 
 // newConvergedFleet returns a fleet of n nodes that joined by one seed and agree on the members.
@@ -70,8 +70,8 @@
 func checkRateLimit(t testing.TB, net *Network) {
 	t.Helper()
 	for _, n := range net.Nodes {
-		if n.Window > testConfig.Messages {
-			t.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.Window, testConfig.Messages)
+		if n.PeakMessageRate > testConfig.MaxMessagesPerSecond {
+			t.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.PeakMessageRate, testConfig.MaxMessagesPerSecond)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 func TestJoinDieLeaveReturn(t *testing.T) {
 	net := newConvergedFleet(t, 12, 1)
 	net.Kill(net.Nodes[3])
-	net.Tell(net.Nodes[4], gossip.Leave{})
+	net.Deliver(net.Nodes[4], gossip.Leave{})
 	net.Kill(net.Nodes[4])
 	net.Run(25 * time.Second)
 	checkAgreement(t, net)
@@ -122,7 +122,7 @@
 func TestPaused(t *testing.T) {
 	net := newConvergedFleet(t, 12, 3)
 	falseDeaths := 0
-	net.Changed = func(n *Node, m gossip.Member) {
+	net.OnMemberChanged = func(n *Node, m gossip.Member) {
 		if m.State == gossip.Dead && m.Name != "n5" {
 			falseDeaths++
 		}
@@ -148,7 +148,7 @@
 			})
 			return !carriesRefutation || m.To != "n7" || n.Name == "n5"
 		}
-		net.Changed = func(n *Node, m gossip.Member) {
+		net.OnMemberChanged = func(n *Node, m gossip.Member) {
 			if m.State == gossip.Dead {
 				t.Errorf("seed %d: %s declares %s dead", seed, n.Name, m.Name)
 			}
@@ -182,7 +182,7 @@
 func TestFalseDeathClaims(t *testing.T) {
 	net := newConvergedFleet(t, 12, 5)
 	falseDeaths := 0
-	net.Changed = func(n *Node, m gossip.Member) {
+	net.OnMemberChanged = func(n *Node, m gossip.Member) {
 		if m.State >= gossip.Dead {
 			falseDeaths++
 		}
@@ -227,9 +227,9 @@
 func TestStatements(t *testing.T) {
 	net := newConvergedFleet(t, 40, 7)
 	received := map[string]int{}
-	net.Heard = func(n *Node, s gossip.Statement) { received[n.Name+fmt.Sprint(s.Seq)]++ }
+	net.OnStatement = func(n *Node, s gossip.Statement) { received[n.Name+fmt.Sprint(s.Seq)]++ }
 	for seq := range uint64(10) {
-		net.Tell(net.Nodes[0], gossip.Say{Statement: gossip.Statement{
+		net.Deliver(net.Nodes[0], gossip.Broadcast{Statement: gossip.Statement{
 			Name: "n0", Epoch: 1, Seq: seq + 1, Body: make([]byte, 400),
 			Cert: make([]byte, 350), Sig: make([]byte, 64),
 		}})
@@ -302,8 +302,8 @@
 			rt.Errorf("no agreement after the last fault: %s", disagreement)
 		}
 		for _, node := range net.Nodes {
-			if node.Window > testConfig.Messages {
-				rt.Errorf("%s sent %d messages in a second", node.Name, node.Window)
+			if node.PeakMessageRate > testConfig.MaxMessagesPerSecond {
+				rt.Errorf("%s sent %d messages in a second", node.Name, node.PeakMessageRate)
 			}
 			if node.Core != nil && len(node.Core.Members()) > len(net.Nodes) {
 				rt.Errorf("%s holds %d members of %d", node.Name, len(node.Core.Members()), len(net.Nodes))
@@ -317,7 +317,7 @@
 func TestRequestFlood(t *testing.T) {
 	net := newConvergedFleet(t, 12, 8)
 	suspicions := 0
-	net.Changed = func(n *Node, m gossip.Member) {
+	net.OnMemberChanged = func(n *Node, m gossip.Member) {
 		if m.State >= gossip.Suspect {
 			suspicions++
 		}
--- a/internal/testbed/gossipsim/network.go
+++ b/internal/testbed/gossipsim/network.go
@@ -34,8 +34,8 @@
 
 	Sent  int // messages
 	Bytes int // of the messages that left the node
-	// Window is the largest number of messages that it has sent in any second.
-	Window int
+	// PeakMessageRate is the largest number of messages that it has sent in any second.
+	PeakMessageRate int
 
 	sendRate gossip.RateMeter // since the last start
 	pending  []gossip.Event   // received while it is paused
@@ -48,9 +48,10 @@
 	Nodes []*Node
 	Loss  float64       // probability that a message is lost
 	Delay time.Duration // mean delay; that of a message is half to one and a half times as long
-	// Heard is called for each statement that a node receives, and Changed for each change of a member. Both may be nil.
-	Heard   func(receiver *Node, statement gossip.Statement)
-	Changed func(observer *Node, member gossip.Member)
+	// OnStatement is called for each statement that a node receives, and OnMemberChanged for each change of a member.
+	// Both may be nil.
+	OnStatement     func(receiver *Node, statement gossip.Statement)
+	OnMemberChanged func(observer *Node, member gossip.Member)
 	// Intercept may change a message that a node sends, or drop it by returning false. It may be nil.
 	Intercept func(sender *Node, message *gossip.Transmit) bool
 
@@ -98,8 +99,8 @@
 	n.step(node, nil)
 }
 
-// Meet makes all nodes that are up known to each other, as if they had been together for long.
-func (n *Network) Meet() {
+// ConnectAll makes all nodes that are up known to each other, as if they had been together for long.
+func (n *Network) ConnectAll() {
 	for _, node := range n.Nodes {
 		if node.Core != nil {
 			node.Core.AddKnownMembers(n.Now, n.othersUp(node))
@@ -135,8 +136,8 @@
 	n.step(node, events)
 }
 
-// Tell steps a node with events.
-func (n *Network) Tell(node *Node, events ...gossip.Event) { n.step(node, events) }
+// Deliver steps a node with events.
+func (n *Network) Deliver(node *Node, events ...gossip.Event) { n.step(node, events) }
 
 // Send sends a message that a node's Core did not ask for, as a byzantine member would.
 func (n *Network) Send(from *Node, to netip.AddrPort, message *gossip.Message) {
@@ -192,15 +193,15 @@
 	case gossip.Transmit:
 		node.Sent++
 		node.sendRate.Record(n.Now)
-		node.Window = max(node.Window, node.sendRate.Peak())
+		node.PeakMessageRate = max(node.PeakMessageRate, node.sendRate.Peak())
 		n.deliver(node, action)
 	case gossip.StatementReceived:
-		if n.Heard != nil {
-			n.Heard(node, action.Statement)
+		if n.OnStatement != nil {
+			n.OnStatement(node, action.Statement)
 		}
 	case gossip.MemberChanged:
-		if n.Changed != nil {
-			n.Changed(node, action.Member)
+		if n.OnMemberChanged != nil {
+			n.OnMemberChanged(node, action.Member)
 		}
 	}
 }
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -111,7 +111,7 @@
 	if err := os.Remove(in.Key); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	return pki.WriteFile(in.Key, member.Key, member.Cert)
+	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
 }
 
 // Operator is the operator's file of an instance, with more lines of the section gossip.
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// classes are the request classes and their shares of the load, as in docs: two in five read, as many file hours, the rest
-// certify.
+// classes are the request classes and their shares of the load, as in docs: two in five read, as many file hours, the
+// rest certify.
 var classes = []struct {
 	name  string
 	share float64
@@ -164,13 +164,13 @@
 	const idBits = 48
 	class := classes[pickClass(rng.Float64())].name
 	request := fastcgi.Request{
-		Path:     "/rpc/" + class,
-		ID:       fmt.Sprintf("%04x%012x", c.index, rng.Uint64()&(1<<idBits-1)),
-		Function: functionName(zipf),
-		OnceKey:  fmt.Sprintf("%04x%016x", c.index, rng.Uint64()),
-		Budget:   requestTimeout,
-		Spec:     "memory_mb:512;lanes:4",
-		Body:     []byte(c.instance.Name + " asks"),
+		Path:           "/rpc/" + class,
+		ID:             fmt.Sprintf("%04x%012x", c.index, rng.Uint64()&(1<<idBits-1)),
+		Function:       functionName(zipf),
+		IdempotencyKey: fmt.Sprintf("%04x%016x", c.index, rng.Uint64()),
+		Budget:         requestTimeout,
+		Spec:           "memory_mb:512;lanes:4",
+		Body:           []byte(c.instance.Name + " asks"),
 	}
 	if c.load.Modify != nil {
 		c.load.Modify(&request)
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -83,7 +83,7 @@
 
 // generateRules is the rules of operatorFileWithRules.
 func generateRules(count int) []match.Rule {
-	text := func(source string) match.Text { return match.Text{Source: source} }
+	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
 	for i := range max(count-2, 0) {
 		rules = append(rules, match.Rule{
@@ -159,7 +159,7 @@
 
 // measureEvaluations measures evaluations by themselves.
 func measureEvaluations(rules int) (MatchSize, error) {
-	classes := []match.Class{{Name: "consulta", Effect: routing.Idempotent}}
+	classes := []match.Class{{Name: "consulta", Idempotency: routing.Idempotent}}
 	began := time.Now()
 	table, faults := match.Load(generateRules(rules), classes)
 	if table == nil {
@@ -168,7 +168,7 @@
 	size := MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
-		OnceKey: "k", Budget: time.Second, Lanes: 2, Local: time.Now(), Params: [][]string{{matchParameterValue}},
+		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: [][]string{{matchParameterValue}},
 	}
 	hostile := *plain
 	hostile.Path = "/rpc/" + strings.Repeat("r", maxPathPadding)
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -17,8 +17,8 @@
 
 // workerFaults is the faults of workers by their words in scenarios.
 var workerFaults = map[string]WorkerFault{
-	"sound":   Sound,
-	"mute":    Mute,
+	"sound":   WorkerHealthy,
+	"mute":    WorkerUnresponsive,
 	"stalls":  WorkerSlow,
 	"fails":   WorkerFailing,
 	"refuses": WorkerRefusing,
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -57,22 +57,22 @@
 	size := VirtualGossipSize{Instances: instances}
 	before := heapBytes()
 	net := gossipsim.New(instances, seed, gossip.Config{
-		ProbeEvery:   time.Second,
-		ProbeTimeout: 300 * time.Millisecond,
-		SuspectFor:   5 * time.Second,
-		Messages:     maxMessagesPerSecond,
-		MaxMembers:   maxVirtualMembers,
+		ProbeInterval:        time.Second,
+		ProbeTimeout:         300 * time.Millisecond,
+		SuspicionTimeout:     5 * time.Second,
+		MaxMessagesPerSecond: maxMessagesPerSecond,
+		MaxMembers:           maxVirtualMembers,
 	})
 	for _, node := range net.Nodes {
 		net.Start(node)
 	}
-	net.Meet()
+	net.ConnectAll()
 	net.Run(idleDuration)
 	size.HeapKB = float64(heapBytes()-before) / 1024 / float64(instances)
 	for _, node := range net.Nodes {
 		size.Messages += float64(node.Sent) / float64(instances) / idleDuration.Seconds()
 		size.Bytes += float64(node.Bytes) / float64(instances) / idleDuration.Seconds()
-		size.Worst = max(size.Worst, node.Window)
+		size.Worst = max(size.Worst, node.PeakMessageRate)
 	}
 	size.Death = measureDeaths(net)
 	size.Statement = measureStatement(net)
@@ -97,7 +97,8 @@
 	}
 }
 
-// millisUntilKnown is how long after a time knownShare of so many nodes knew, in milliseconds; infinite where they didn't.
+// millisUntilKnown is how long after a time knownShare of so many nodes knew, in milliseconds; infinite where they
+// didn't.
 func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
 	needed := int(math.Ceil(knownShare * float64(nodes)))
 	if len(k) < needed {
@@ -119,7 +120,7 @@
 		knownByDead[node.Name] = firstKnown{}
 		net.Kill(node)
 	}
-	net.Changed = func(node *gossipsim.Node, member gossip.Member) {
+	net.OnMemberChanged = func(node *gossipsim.Node, member gossip.Member) {
 		known := knownByDead[member.Name]
 		if known != nil && member.State != gossip.Alive {
 			known.note(net, node)
@@ -127,7 +128,7 @@
 	}
 	killedAt := net.Now
 	net.Run(deathDuration)
-	net.Changed = nil
+	net.OnMemberChanged = nil
 	var millis []float64
 	for _, known := range knownByDead {
 		millis = append(millis, known.millisUntilKnown(survivors, killedAt))
@@ -139,9 +140,9 @@
 // measureStatement has a node make a statement and returns the time until the others have it, in milliseconds.
 func measureStatement(net *gossipsim.Network) float64 {
 	known := firstKnown{}
-	net.Heard = func(node *gossipsim.Node, _ gossip.Statement) { known.note(net, node) }
+	net.OnStatement = func(node *gossipsim.Node, _ gossip.Statement) { known.note(net, node) }
 	speaker := net.Nodes[0]
-	net.Tell(speaker, gossip.Say{Statement: gossip.Statement{
+	net.Deliver(speaker, gossip.Broadcast{Statement: gossip.Statement{
 		Name: speaker.Name, Epoch: 1, Seq: 1,
 		Body: make([]byte, 100), Cert: make([]byte, 340), Sig: make([]byte, 64),
 	}})
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -13,11 +13,11 @@
 
 // The faults of workers.
 const (
-	Sound          WorkerFault = iota // none
-	Mute                              // takes requests and answers none
-	WorkerSlow                        // answers half a second late
-	WorkerFailing                     // answers errors
-	WorkerRefusing                    // closes every connection at once
+	WorkerHealthy      WorkerFault = iota // none
+	WorkerUnresponsive                    // takes requests and answers none
+	WorkerSlow                            // answers half a second late
+	WorkerFailing                         // answers errors
+	WorkerRefusing                        // closes every connection at once
 )
 
 // slowWorkerDelay is by how much a WorkerSlow answers later.
@@ -227,8 +227,8 @@
 // age is how long ago the worker started; long ago for one that is warm. The caller holds the lock.
 func (w *Worker) age(now time.Time) time.Duration { return now.Sub(w.startedAt) }
 
-// crashIfOverloaded has the worker crash if it was sent more since its start than it survives while warming up. The caller
-// holds the lock.
+// crashIfOverloaded has the worker crash if it was sent more since its start than it survives while warming up. The
+// caller holds the lock.
 func (w *Worker) crashIfOverloaded(now time.Time) {
 	if !w.crashedAt.IsZero() {
 		return
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/workerprotocol.go
@@ -59,7 +59,7 @@
 	switch words[0] {
 	case "halt":
 	case "stat", "ping":
-		if c.worker.currentFault() != Mute {
+		if c.worker.currentFault() != WorkerUnresponsive {
 			c.write(words[1] + " UP l=util:0.10 0\r\n\r\n")
 		}
 	case "go":
@@ -116,7 +116,7 @@
 func (c *workerConnection) handle(ctx context.Context, call call) {
 	admitted := c.worker.receive(call)
 	switch admitted.fault {
-	case Mute:
+	case WorkerUnresponsive:
 		return
 	case WorkerFailing:
 		c.write(call.id + " ERR - 0\r\n\r\n")
@@ -127,7 +127,7 @@
 	if !c.worker.execute(ctx, admitted) {
 		return
 	}
-	if c.worker.currentFault() != Mute {
+	if c.worker.currentFault() != WorkerUnresponsive {
 		c.write(fmt.Sprintf("%s OK depth=0,l=util:0.10 %d\r\n%s\r\n", call.id, len(call.body), call.body))
 	}
 }
