--- a/cmd/calicohill/reload.go
+++ b/cmd/calicohill/reload.go
@@ -68,7 +68,7 @@
 	if err := s.reloadPeers(next.operator.Gossip); err != nil {
 		return err
 	}
-	return s.loggers.Apply(next.operator.Log)
+	return s.loggers.Apply(next.operator.Log.Settings)
 }
 
 // reloadPeers takes new gossip settings into use; nil if there are none.
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	loggers, err := logging.New(os.Stderr, operator.Log)
+	loggers, err := logging.New(os.Stderr, operator.Log.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -1,5 +1,7 @@
 package operatorfile
 
+import "calicohill/internal/runtime/logging"
+
 // Sections lists every kind of section that a file may hold, in the order of the example.
 var Sections = []Section{
 	{sectionLog, "", "What is written to standard error, and how."},
@@ -17,9 +19,6 @@
 // levels are the levels of log lines, the most detailed first.
 var levels = []string{"debug", defaultLevel, "warning", "error"}
 
-// Parts lists the parts of the program that log lines name and whose level can be set separately.
-var Parts = []string{"scheduler", "agent", "bulletin", "clients", "gossip", "rules"}
-
 // Directives lists every directive, in the order of the example.
 var Directives = []Directive{
 	{
@@ -30,7 +29,7 @@
 		Section: sectionLog, Name: "level",
 		Args: []Arg{
 			{Name: "LEVEL", Type: Choice, Choices: levels},
-			{Name: "PART", Type: Choice, Choices: Parts, Optional: true},
+			{Name: "PART", Type: Choice, Choices: logging.Parts, Optional: true},
 		},
 		Default: defaultLevel, Repeated: true, Reload: true,
 		Help: "The least level that is written: of all parts, or of the one that is named.",
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"calicohill/internal/runtime/logging"
 )
 
 // files writes files into a directory of their own and returns it; names ending in .key get the mode that keys need.
@@ -44,7 +46,7 @@
 		t.Fatal(err)
 	}
 	want := &Settings{
-		Log: Log{JSON: true, Level: "warning", Parts: map[string]string{"gossip": "debug"}},
+		Log: Log{Settings: logging.Settings{JSON: true, Level: "warning", Levels: map[string]string{"gossip": "debug"}}},
 		Gossip: &Gossip{
 			Listen: parseAddress("127.0.0.1:7946"), Advertise: parseAddress("127.0.0.1:7946"), Fleet: "gt-registros",
 			Key: filepath.Join(dir, "n1.key"), Authorities: []string{filepath.Join(dir, "fleet.crt")},
--- a/internal/config/operatorfile/settings.go
+++ b/internal/config/operatorfile/settings.go
@@ -6,6 +6,7 @@
 
 	"calicohill/internal/rules/match"
 	"calicohill/internal/rules/pools"
+	"calicohill/internal/runtime/logging"
 )
 
 const (
@@ -32,10 +33,8 @@
 
 // Log is the section log.
 type Log struct {
-	JSON   bool
-	Status string            // file; "" if none
-	Level  string            // of parts that Parts does not list
-	Parts  map[string]string // level by part
+	logging.Settings
+	Status string // file; "" if none
 }
 
 // Gossip is the section gossip.
@@ -61,7 +60,7 @@
 
 // Defaults returns the settings where no file is named.
 func Defaults() *Settings {
-	return &Settings{Log: Log{Level: defaultLevel, Parts: map[string]string{}}}
+	return &Settings{Log: Log{Settings: logging.Settings{Level: defaultLevel, Levels: map[string]string{}}}}
 }
 
 // Read reads an operator's file. The error is ParseErrors, each with file, line and column.
@@ -98,7 +97,7 @@
 	log.JSON = r.document.text(sectionLog, "format") == formatJSON
 	for _, e := range r.document.entries(sectionLog, "level") {
 		if len(e.values) > 1 {
-			log.Parts[e.values[1].text] = e.values[0].text
+			log.Levels[e.values[1].text] = e.values[0].text
 		} else {
 			log.Level = e.values[0].text
 		}
--- a/internal/runtime/logging/logging_test.go
+++ b/internal/runtime/logging/logging_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/config/operatorfile"
 	"calicohill/internal/runtime/logging"
 )
 
@@ -21,7 +20,7 @@
 	Error   string `json:"error"`
 }
 
-func newLoggers(t *testing.T, out *bytes.Buffer, settings operatorfile.Log) *logging.Loggers {
+func newLoggers(t *testing.T, out *bytes.Buffer, settings logging.Settings) *logging.Loggers {
 	t.Helper()
 	loggers, err := logging.New(out, settings)
 	if err != nil {
@@ -48,14 +47,14 @@
 func TestLevels(t *testing.T) {
 	own := map[string]string{"gossip": "debug"}
 	cases := map[string]struct {
-		settings operatorfile.Log
+		settings logging.Settings
 		part     string
 		written  bool // an info line
 	}{
-		"common level":           {operatorfile.Log{JSON: true, Level: "info"}, "agent", true},
-		"below the common level": {operatorfile.Log{JSON: true, Level: "warning"}, "agent", false},
-		"level of the part":      {operatorfile.Log{JSON: true, Level: "warning", Parts: own}, "gossip", true},
-		"level of another part":  {operatorfile.Log{JSON: true, Level: "warning", Parts: own}, "agent", false},
+		"common level":           {logging.Settings{JSON: true, Level: "info"}, "agent", true},
+		"below the common level": {logging.Settings{JSON: true, Level: "warning"}, "agent", false},
+		"level of the part":      {logging.Settings{JSON: true, Level: "warning", Levels: own}, "gossip", true},
+		"level of another part":  {logging.Settings{JSON: true, Level: "warning", Levels: own}, "agent", false},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +76,7 @@
 
 func TestApplyChangesRunningLoggers(t *testing.T) {
 	var out bytes.Buffer
-	loggers := newLoggers(t, &out, operatorfile.Log{Level: "warning"})
+	loggers := newLoggers(t, &out, logging.Settings{Level: "warning"})
 	entry := loggers.Part("agent")
 	entry.Info("not written")
 	entry.Warn("as text")
@@ -86,7 +85,7 @@
 		t.Errorf("wrote %q", text)
 	}
 	out.Reset()
-	if err := loggers.Apply(operatorfile.Log{JSON: true, Level: "info"}); err != nil {
+	if err := loggers.Apply(logging.Settings{JSON: true, Level: "info"}); err != nil {
 		t.Fatal(err)
 	}
 	entry.Info("as JSON")
@@ -96,7 +95,7 @@
 }
 
 func TestUnknownLevel(t *testing.T) {
-	if _, err := logging.New(&bytes.Buffer{}, operatorfile.Log{Level: "loud"}); err == nil ||
+	if _, err := logging.New(&bytes.Buffer{}, logging.Settings{Level: "loud"}); err == nil ||
 		!strings.HasPrefix(err.Error(), "log level: ") {
 		t.Errorf("error %v", err)
 	}
@@ -104,7 +103,7 @@
 
 func TestUnknownPart(t *testing.T) {
 	var out bytes.Buffer
-	loggers := newLoggers(t, &out, operatorfile.Log{Level: "info"})
+	loggers := newLoggers(t, &out, logging.Settings{Level: "info"})
 	defer func() {
 		if recover() == nil {
 			t.Error("an unknown part has a logger")
@@ -115,7 +114,7 @@
 
 func TestRateLimited(t *testing.T) {
 	var out bytes.Buffer
-	limited := logging.RateLimited{Log: newLoggers(t, &out, operatorfile.Log{JSON: true, Level: "info"}).Part("agent")}
+	limited := logging.RateLimited{Log: newLoggers(t, &out, logging.Settings{JSON: true, Level: "info"}).Part("agent")}
 	calls := []struct {
 		now     time.Duration
 		message string
