--- /dev/null
+++ b/internal/layers_test.go
@@ -0,0 +1,94 @@
+// Package internal_test holds the packages to the layers of docs/ARCHITECTURE.md.
+package internal_test
+
+import (
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const module = "calicohill/"
+
+// layers are the path prefixes of each layer, the highest first. A package imports its own layer and those below it.
+var layers = [][]string{
+	{"cmd/", "example", "internal/testbed"},
+	{
+		"internal/frontend/", "internal/nodeagent", "internal/discovery", "internal/fleet/transport",
+		"internal/snapshot/snapshotfile", "internal/simwire",
+	},
+	{"internal/dispatch"},
+	{"internal/config"},
+	{
+		"routing", "internal/rules/", "internal/discovery/pollplan", "internal/fleet/gossip", "internal/fleet/faultreport",
+		"internal/fleet/quota", "internal/fleet/pki", "internal/snapshot",
+	},
+	{"internal/runtime/", "internal/stats/"},
+}
+
+// layerOf returns the layer whose longest prefix matches a package path, or -1 for a package outside the table.
+func layerOf(path string) int {
+	layer, longest := -1, 0
+	for i, prefixes := range layers {
+		for _, prefix := range prefixes {
+			if len(prefix) > longest && strings.HasPrefix(path+"/", strings.TrimSuffix(prefix, "/")+"/") {
+				layer, longest = i, len(prefix)
+			}
+		}
+	}
+	return layer
+}
+
+func TestImportsPointDown(t *testing.T) {
+	root := ".."
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			if name := entry.Name(); name == "tools" || name == "testdata" || name == "journal" || strings.HasPrefix(name, ".") && name != ".." {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		checkImports(t, root, path)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// checkImports reports the imports of one source file that point at a layer above its own.
+func checkImports(t *testing.T, root, path string) {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	importer, err := filepath.Rel(root, filepath.Dir(path))
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	own := layerOf(importer)
+	if own < 0 {
+		t.Errorf("%s: package %q is in no layer of docs/ARCHITECTURE.md", path, importer)
+	}
+	for _, spec := range file.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
+		if err != nil || !strings.HasPrefix(imported, module) {
+			continue
+		}
+		if layer := layerOf(strings.TrimPrefix(imported, module)); layer < own {
+			t.Errorf("%s imports %s, which is in a higher layer", path, imported)
+		}
+	}
+}
