--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -100,8 +100,3 @@
 	return slices.ContainsFunc(fn.placements, func(p *placement) bool { return p.loadOrdered || p.inFlight > 0 }) ||
 		slices.ContainsFunc(r.queue, func(q *request) bool { return q.function == fn })
 }
-
-// initialLimit is the concurrency limit of a worker of which nothing is known.
-func (r *Router) initialLimit() float64 {
-	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
-}
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -202,3 +202,8 @@
 	}
 	r.throughputPerWeight.Update(rate, weight)
 }
+
+// initialLimit is the concurrency limit of a worker of which nothing is known.
+func (r *Router) initialLimit() float64 {
+	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
+}
