--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		return nil, err
 	}
-	requests, err := readRequestLines(file, o.requestsFile)
-	return requests, errors.Join(err, file.Close())
+	defer func() { _ = file.Close() }() // what was read is good, whatever becomes of the descriptor
+	return readRequestLines(file, o.requestsFile)
 }
 
 // parseFields parses NAME=VALUE,...
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -35,8 +35,9 @@
 	minStallThreshold = 20 * time.Millisecond
 )
 
-// scheduler is a running scheduler: its configuration and the parts that it is assembled from. All but the loggers,
-// statusFile and peers is used on the event loop only, once that runs.
+// scheduler is a running scheduler: its configuration and the parts that it is assembled from. Once the event loop
+// runs, loop, dispatcher, server, watcher and draining are used on it alone. The configuration and log are not changed
+// after the start and may be read anywhere; loggers, statusFile and peers are safe for concurrent use.
 type scheduler struct {
 	sources  configSources
 	platform *config.Config         // as read at the start
--- a/internal/config/deployment/object.go
+++ b/internal/config/deployment/object.go
@@ -1,7 +1,7 @@
 package deployment
 
 // object is the settings object in JSON, as far as it is used: the simulator's protocol requires that other keys are
-// ignored. Errors of encoding/json quote the names of this type and of its fields, so that these are part of what an
+// ignored. Errors of encoding/json quote the package, this type and its fields, so that these names are part of what an
 // operator and the recording of the simulator's adapter see.
 type object struct {
 	Balancers int     `json:"balancers"`
--- a/internal/config/operatorfile/argument.go
+++ b/internal/config/operatorfile/argument.go
@@ -77,7 +77,7 @@
 	return fmt.Errorf("%q is no %s: %s", tok.text, a.Type, a.describe())
 }
 
-// isIdentifier reports whether a text is a Identifier.
+// isIdentifier reports whether a text is an Identifier.
 func isIdentifier(text string) bool {
 	return text != "" && len(text) <= maxIdentifierBytes && !strings.ContainsFunc(text, func(r rune) bool { return !isIdentifierRune(r) })
 }
--- a/internal/config/operatorfile/document.go
+++ b/internal/config/operatorfile/document.go
@@ -104,7 +104,7 @@
 	return seconds(number)
 }
 
-// expression returns the first argument of a directive with its place, or the zero Text if the directive is not present.
+// expression returns the first argument of a directive with its place, or the zero Expression if the directive is not present.
 func (d *document) expression(key sectionKey, directive string) match.Expression {
 	if written := d.written(key, directive); len(written) > 0 {
 		return written[0].expression(0)
--- a/internal/config/operatorfile/errors.go
+++ b/internal/config/operatorfile/errors.go
@@ -37,18 +37,18 @@
 type ParseErrors []ParseError
 
 // Error returns the errors, a line each.
-func (f ParseErrors) Error() string {
-	lines := make([]string, len(f))
-	for i, parseError := range f {
+func (e ParseErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, parseError := range e {
 		lines[i] = parseError.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // add appends an error, unless there are maxErrors already.
-func (f *ParseErrors) add(place match.Position, directive, format string, args ...any) {
-	if len(*f) < maxErrors {
-		*f = append(*f, ParseError{Position: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+func (e *ParseErrors) add(place match.Position, directive, format string, args ...any) {
+	if len(*e) < maxErrors {
+		*e = append(*e, ParseError{Position: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/config/operatorfile/gossip.go
+++ b/internal/config/operatorfile/gossip.go
@@ -10,8 +10,8 @@
 // maxKeyMode is the most permissive mode of a key file: only its owner may read it.
 const maxKeyMode fs.FileMode = 0o600
 
-// unsetLiars is Gossip.Liars where the file does not give it.
-const unsetLiars = -1
+// unsetMaxByzantine is Gossip.MaxByzantine where the file does not give it.
+const unsetMaxByzantine = -1
 
 // gossip returns the section gossip, or nil if it is missing.
 func (r *settingsReader) gossip() *Gossip {
@@ -33,7 +33,7 @@
 		MaxSignatureChecksPerSecond: r.gossipCount("checks", 0),
 		ClockSkew:                   file.duration(sectionGossip, "clock-skew"),
 		AuthorityOverlap:            file.duration(sectionGossip, "overlap"),
-		MaxByzantine:                r.gossipCount("liars", unsetLiars),
+		MaxByzantine:                r.gossipCount("liars", unsetMaxByzantine),
 		MaxEjectedFraction:          leaveOut,
 		FaultReportExpiry:           file.duration(sectionGossip, "forget-after"),
 	}
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -14,8 +14,8 @@
 // Feed is the list service's response to a poll: the events after the one that the poll named. Known events in the
 // configuration and the list in a snapshot have the same form.
 //
-// The structs of this file mirror the service's JSON and are named after its keys, because these names stand in the text
-// of JSON errors. What leaves the package is a dispatch.EndpointList.
+// The structs of this file mirror the service's JSON and are named after its keys, because these names and the package's
+// stand in the text of JSON errors. What leaves the package is a dispatch.EndpointList.
 type Feed struct {
 	Number int     `json:"no"` // number of the last event that the service has
 	Events []event `json:"items"`
--- a/internal/discovery/pollplan/messages.go
+++ b/internal/discovery/pollplan/messages.go
@@ -52,5 +52,5 @@
 type PollOverdue struct{}
 
 // MarkStale says that from now on the list may be outdated for a while, unless another MarkStale says 0 before: nobody
-// listened to the service, and what it told meanwhile counts as told.
+// polled the service, and its changes meanwhile count as delivered.
 type MarkStale struct{ Duration time.Duration }
--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -18,7 +18,7 @@
 // The long poll.
 const (
 	// PollTimeout is how long a poll has the service wait for an update, in the mean. It is short so that a service which
-	// has become unresponsive is noticed well before what it has to tell counts as told.
+	// has become unresponsive is noticed well before a change that it has to announce counts as delivered.
 	PollTimeout = 2 * time.Second
 	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
 	// polls of the whole fleet at once, and polls that all last as long would stay synchronized for good.
@@ -28,10 +28,10 @@
 	maxPollTimeout = 5 * time.Second
 	// overdueAfter is how long after the end of its wait a poll is overdue, and another is made beside it.
 	overdueAfter = 500 * time.Millisecond
-	// maxOverdueAfter is the same where the service may be behind. What an unresponsive service has to tell counts as told
-	// 2 s after the end of the wait, so that the longest poll may be late for longer.
+	// maxOverdueAfter is the same where the service may be behind. A change counts as delivered 2 s after the end of the
+	// wait, whether it was polled or not, so that the longest poll may be late for longer.
 	maxOverdueAfter = 1500 * time.Millisecond
-	// abandonAfter is how long after its making an overdue poll gives way to the next. Until then it keeps its place in the
+	// abandonAfter is the age at which an overdue poll is closed to make way for the next. Until then it keeps its place in the
 	// queue of a service that is behind.
 	abandonAfter = 20 * time.Second
 	// minPollInterval is how long after a poll the next may be made if the response brought nothing.
@@ -45,13 +45,13 @@
 
 // The spread over the fleet.
 const (
-	// maxReconnectWindow is how far apart at most the times are at which a scheduler of a fleet may come back: what the
-	// service tells has to be known 2 s after a connection broke.
+	// maxReconnectWindow is how far apart at most the times are at which a scheduler of a fleet may come back: a change
+	// has to be known 2 s after a connection broke.
 	maxReconnectWindow = 1900 * time.Millisecond
 	// reconnectWindowPerPeer is what each other scheduler adds to the window.
 	reconnectWindowPerPeer = 20 * time.Millisecond
 	// maxUpdateWindow is the same where nothing shows that the service is faulty: at a start, and when it has just answered
-	// the whole fleet. What it tells next may be a drain, which counts as told whether anybody polls or not.
+	// the whole fleet. Its next change may be a drain, which counts as delivered whether anybody polls or not.
 	maxUpdateWindow = 700 * time.Millisecond
 	// updateWindowPerPeer is what each other scheduler adds to the update window.
 	updateWindowPerPeer = 3 * time.Millisecond
@@ -65,7 +65,7 @@
 	// fleet the reconnect window comes on top.
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 640 * time.Millisecond
-	// maxRetryAfter bounds the Retry-After that is obeyed: what the service has to tell counts as told 7 s later.
+	// maxRetryAfter bounds the Retry-After that is obeyed: a change counts as delivered 7 s later.
 	maxRetryAfter = 4 * time.Second
 	// staleAfterStall is how long the service's response is waited for after a stall before the list counts as stale.
 	staleAfterStall = 250 * time.Millisecond
--- a/internal/fleet/faultreport/codec.go
+++ b/internal/fleet/faultreport/codec.go
@@ -110,8 +110,8 @@
 }
 
 // valid reports whether the fields of a received report are in range.
-func (a Report) valid() bool {
-	validID := a.Worker != "" && len(a.Worker) <= MaxWorkerIDBytes
-	validFault := a.Fault != routing.Healthy && a.Fault <= routing.Unreachable
-	return validID && validFault && a.LastSeenAgo <= a.FirstSeenAgo
+func (r Report) valid() bool {
+	validID := r.Worker != "" && len(r.Worker) <= MaxWorkerIDBytes
+	validFault := r.Fault != routing.Healthy && r.Fault <= routing.Unreachable
+	return validID && validFault && r.LastSeenAgo <= r.FirstSeenAgo
 }
--- a/internal/fleet/faultreport/core_test.go
+++ b/internal/fleet/faultreport/core_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Reports on a worker that leaves the endpoint list are dropped, and no report outlives Config.ForgetAfter.
+// Reports on a worker that leaves the endpoint list are dropped, and no report outlives Config.ReportTTL.
 func TestReportsExpire(t *testing.T) {
 	fleet := newFleet(t, 12, 4, 20)
 	for i := range 4 {
--- a/internal/fleet/faultreport/findings.go
+++ b/internal/fleet/faultreport/findings.go
@@ -10,7 +10,7 @@
 
 const (
 	minBroadcastInterval = 200 * time.Millisecond // between two statements
-	broadcastsPerTTL     = 3                      // statements within Config.ForgetAfter while there is a fault to report
+	broadcastsPerTTL     = 3                      // statements within Config.ReportTTL while there is a fault to report
 	maxFindings          = 4096                   // workers with a finding
 	maxAttempts          = 1<<15 + 1              // where the count of requests that show a fault stops
 )
@@ -88,7 +88,7 @@
 	}
 }
 
-// expireFindings clears the faults that no request has shown for Config.ForgetAfter.
+// expireFindings clears the faults that no request has shown for Config.ReportTTL.
 func (c *Core) expireFindings() {
 	for _, own := range c.findings {
 		if own.fault != routing.Healthy && c.now-own.lastSeen >= c.config.ReportTTL {
--- a/internal/fleet/faultreport/quorum.go
+++ b/internal/fleet/faultreport/quorum.go
@@ -71,7 +71,7 @@
 	c.cleared = nil
 }
 
-// confirmedWorkers returns the workers with a quorum, at most Config.LeaveOut of the list. Where not all fit, those
+// confirmedWorkers returns the workers with a quorum, at most Config.MaxEjectedFraction of the list. Where not all fit, those
 // that are Confirmed already come first, so that the choice is stable, then those with the most reporters.
 func (c *Core) confirmedWorkers(reporters map[string]int) []string {
 	quorum := c.Quorum()
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -142,7 +142,7 @@
 }
 
 // clearWithdrawn notes the workers that a reporter no longer reports: it has had a response from them. A byzantine
-// member may pretend that, which costs one probe at most; so it counts once in Config.ForgetAfter for each worker.
+// member may pretend that, which costs one probe at most; so it counts once in Config.ReportTTL for each worker.
 func (c *Core) clearWithdrawn(sender *reporter, previous map[string]peerReport) {
 	for _, worker := range slices.Sorted(maps.Keys(previous)) {
 		report := previous[worker]
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -2,7 +2,7 @@
 
 import "calicohill/internal/stats/ratelimit"
 
-// Fractions of Config.Messages, as the rate per second and the burst of a token bucket.
+// Fractions of Config.MaxMessagesPerSecond, as the rate per second and the burst of a token bucket.
 const (
 	sendRateFraction    = 0.6 // the rate and the burst of all messages together are the most that any second sees
 	sendBurstFraction   = 0.4
@@ -30,7 +30,7 @@
 	strangers ratelimit.TokenBucket // answers to senders that are not members
 }
 
-// takeFraction takes one message from a bucket that holds a fraction of Config.Messages.
+// takeFraction takes one message from a bucket that holds a fraction of Config.MaxMessagesPerSecond.
 func (c *Core) takeFraction(bucket *ratelimit.TokenBucket, rateFraction, burstFraction float64) bool {
 	limit := float64(c.config.MaxMessagesPerSecond)
 	return bucket.Take(c.now, 1, rateFraction*limit, burstFraction*limit)
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -10,7 +10,7 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Fractions of GuardConfig.Checks, which each have a budget of their own. So neither forged addresses nor one member can
+// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither forged addresses nor one member can
 // use up what the members need that have shown a cookie.
 const (
 	peerCheckFraction    = 0.2  // for each member that shows a cookie
--- a/internal/fleet/gossip/ratemeter.go
+++ b/internal/fleet/gossip/ratemeter.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RateMeter measures how many messages a member sends in a second, to compare with Config.Messages. The zero RateMeter
+// RateMeter measures how many messages a member sends in a second, to compare with Config.MaxMessagesPerSecond. The zero RateMeter
 // is ready for use.
 type RateMeter struct {
 	peak   int
--- a/internal/frontend/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -76,7 +76,7 @@
 }
 
 // call validates the fields of a request. What passes can be written to a worker as it is.
-func (f *fields) call(site *deployment.Settings, classByName map[string]int) (dispatch.Call, error) {
+func (f *fields) call(settings *deployment.Settings, classByName map[string]int) (dispatch.Call, error) {
 	name, underClassPath := strings.CutPrefix(f.path, classPath)
 	class, known := classByName[name]
 	if !underClassPath || !known {
@@ -94,7 +94,7 @@
 		return call, fmt.Errorf("Budget-Ms %.40q", f.budgetMS)
 	}
 	call.TimeLeft = budget
-	if f.idempotencyKey == "" && site.Classes[class].Idempotency == routing.IdempotentByKey {
+	if f.idempotencyKey == "" && settings.Classes[class].Idempotency == routing.IdempotentByKey {
 		return call, errors.New("no Once-Key")
 	}
 	if !isIdempotencyKey(f.idempotencyKey) {
--- a/internal/frontend/fastcgi/client.go
+++ b/internal/frontend/fastcgi/client.go
@@ -21,7 +21,7 @@
 	Path           string        // SCRIPT_NAME, as in /rpc/consulta
 	ID             string        // Request-Id: 16 hexadecimal digits, unique for each request
 	Function       string        // Resource-Key: 16 hexadecimal digits
-	IdempotencyKey string        // idempotency key; "" if none
+	IdempotencyKey string        // Once-Key; "" if none
 	Budget         time.Duration // how long the client waits for the answer; sent as a millisecond if it is less
 	Spec           string        // X-Spec; "" if none
 	Params         [][2]string   // further parameters, name and value, as CGI names them; one without a value is not sent
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -67,14 +67,14 @@
 // New returns a Server that holds at most maxConns connections, and at most maxUnsent bytes for clients that do not
 // read. Buffers for requests come from the pool.
 func New(
-	loop Loop, dispatcher Dispatcher, pool *bufferpool.Pool, site *deployment.Settings,
+	loop Loop, dispatcher Dispatcher, pool *bufferpool.Pool, settings *deployment.Settings,
 	maxConns, maxUnsent int, log, rulesLog logrus.FieldLogger,
 ) *Server {
 	server := &Server{
 		loop:           loop,
 		dispatcher:     dispatcher,
 		pool:           pool,
-		deployment:     site,
+		deployment:     settings,
 		classByName:    map[string]int{},
 		maxConns:       maxConns,
 		maxUnsentBytes: maxUnsent,
@@ -82,7 +82,7 @@
 		rulesLog:       logging.RateLimited{Log: rulesLog},
 		unsentConns:    map[*conn]struct{}{},
 	}
-	for class, name := range site.ClassNames {
+	for class, name := range settings.ClassNames {
 		server.classByName[name] = class
 	}
 	return server
--- a/internal/nodeagent/connection.go
+++ b/internal/nodeagent/connection.go
@@ -16,8 +16,8 @@
 	// idleCloseFraction is the part of Options.IdleCloseAfter for which an idle connection is kept: a command that
 	// is written just as the agent closes it may or may not have run.
 	idleCloseFraction = 0.85
-	// idleRecheckFraction is the least part of the idle timeout, as a divisor, between two checks of a connection.
-	idleRecheckFraction = 8
+	// idleRecheckDivisor gives the least pause between two checks of a connection: the idle timeout divided by it.
+	idleRecheckDivisor = 8
 	// maxOutboundBytes is how much may wait unsent on a connection until the agent counts as not reading.
 	maxOutboundBytes = 256 << 10
 )
@@ -161,7 +161,7 @@
 	now := c.pool.loop.Now()
 	timeout := c.pool.idleTimeout()
 	if idle := c.idleFor(now); idle < timeout || len(c.inFlight) > 0 {
-		c.pool.loop.SetDeadline(&c.idleTimer, now+max(timeout-idle, timeout/idleRecheckFraction))
+		c.pool.loop.SetDeadline(&c.idleTimer, now+max(timeout-idle, timeout/idleRecheckDivisor))
 		return
 	}
 	c.close()
--- a/internal/nodeagent/pipeline.go
+++ b/internal/nodeagent/pipeline.go
@@ -218,7 +218,7 @@
 	result := dispatch.AttemptResult{
 		Outcome:             outcomes[ans.status],
 		Body:                ans.body,
-		InFlightForFunction: inFlightUnknown,
+		InFlightForFunction: dispatch.InFlightUnknown,
 		Report:              ans.loadReport,
 	}
 	if ans.status == statusOK || ans.status == statusBusy {
--- a/internal/nodeagent/pool.go
+++ b/internal/nodeagent/pool.go
@@ -90,12 +90,9 @@
 	healthCheckTimer deadline.Timer // the timers of attempts belong to the dispatcher
 }
 
-// inFlightUnknown is the AttemptResult.InFlightForFunction of an answer that does not tell it.
-const inFlightUnknown = -1
-
 // withoutAnswer is the result of a call that ended without an answer of its agent.
 func withoutAnswer(outcome routing.Outcome) dispatch.AttemptResult {
-	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: inFlightUnknown}
+	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: dispatch.InFlightUnknown}
 }
 
 // New returns a Pool without workers.
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -167,6 +167,6 @@
 	if err != nil {
 		return nil, err
 	}
-	data, err := io.ReadAll(io.LimitReader(file, snapshot.MaxSize+1))
-	return data, errors.Join(err, file.Close())
+	defer func() { _ = file.Close() }() // a file that was read whole is good, whatever becomes of its descriptor
+	return io.ReadAll(io.LimitReader(file, snapshot.MaxSize+1))
 }
