--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -14,67 +14,78 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// answerFirst answers the first request with a status alone, and echoes the later ones.
+func answerFirst(status string) func(int, agentRequest) string {
+	return func(n int, request agentRequest) string {
+		if n == 1 {
+			return answerLine(request.id, status, "-", "")
+		}
+		return echo(n, request)
+	}
+}
+
+// answerAlways answers every request with a text in which ID stands for the request's id.
+func answerAlways(text string) func(int, agentRequest) string {
+	return func(_ int, request agentRequest) string { return strings.ReplaceAll(text, "ID", request.id) }
+}
+
+// An attemptCase is a script of the node agents, with the status and the number of attempts that it leads to.
+type attemptCase struct {
+	name, class string
+	reply       func(int, agentRequest) string
+	status      int
+	attempts    int
+}
+
+var attemptCases = []attemptCase{
+	{"MISS proves that it never ran", "certificado", answerFirst("MISS"), 200, 2},
+	{"BUSY proves that it never ran", "certificado", answerFirst("BUSY"), 200, 2},
+	{"VOID proves that it never ran", "certificado", answerFirst("VOID"), 200, 2},
+	{"ERR may have run", "certificado", answerFirst("ERR"), 502, 1},
+	{"ERR may be repeated", "consulta", answerFirst("ERR"), 200, 2},
+	{"reset may have run", "certificado", answerAlways(resetConnection), 502, 1},
+	{"nonsense may have run", "certificado", answerAlways("hello there\r\n"), 502, 1},
+	{"word may have run", "certificado", answerAlways("ID WHAT - 0\r\n\r\n"), 502, 1},
+	{"length may have run", "certificado", answerAlways("ID OK - 99999999\r\n"), 502, 1},
+	{"body that runs on", "certificado", answerAlways("ID OK - 2\r\nlong\r\n"), 502, 1},
+	{"line without end", "certificado", answerAlways(strings.Repeat("x", 5000)), 502, 1},
+	{"another's answer", "certificado", answerAlways("0000 OK - 0\r\n\r\nID OK - 0\r\n\r\n"), 200, 1},
+	{"silence", "certificado", answerAlways(""), 502, 1},
+}
+
 // Each result of an attempt at a node agent, and what its client and the other agents see of it.
 func TestAttempts(t *testing.T) {
-	first := func(word string) func(int, agentRequest) string {
-		return func(n int, request agentRequest) string {
-			if n == 1 {
-				return answerLine(request.id, word, "-", "")
-			}
-			return echo(n, request)
+	for _, tt := range attemptCases {
+		t.Run(tt.name, tt.run)
+	}
+}
+
+func (tt attemptCase) run(t *testing.T) {
+	// Two agents of one script: where a repeat goes is the module's affair.
+	n := 0
+	sched := newTestScheduler(t)
+	requests := make(chan agentRequest)
+	given := make(chan string)
+	go func() {
+		for request := range requests {
+			n++
+			given <- tt.reply(n, request)
 		}
+	}()
+	reply := func(_ int, request agentRequest) string { requests <- request; return <-given }
+	agentA, agentB := newAgent(t, reply), newAgent(t, reply)
+	sched.addEvent(true, "a SERVING "+agentA.addr, "b SERVING "+agentB.addr)
+	client := sched.start().connect()
+	budget := "9000"
+	if tt.name == "silence" {
+		budget = "900"
 	}
-	always := func(text string) func(int, agentRequest) string {
-		return func(_ int, request agentRequest) string { return strings.ReplaceAll(text, "ID", request.id) }
+	client.send(newCall(tt.class, "x", [2]string{"HTTP_BUDGET_MS", budget}))
+	if got := client.readAnswer(); got.status != tt.status {
+		t.Errorf("status %d, want %d", got.status, tt.status)
 	}
-	for _, tt := range []struct {
-		name, class string
-		reply       func(int, agentRequest) string
-		status      int
-		attempts    int
-	}{
-		{"MISS proves that it never ran", "certificado", first("MISS"), 200, 2},
-		{"BUSY proves that it never ran", "certificado", first("BUSY"), 200, 2},
-		{"VOID proves that it never ran", "certificado", first("VOID"), 200, 2},
-		{"ERR may have run", "certificado", first("ERR"), 502, 1},
-		{"ERR may be repeated", "consulta", first("ERR"), 200, 2},
-		{"reset may have run", "certificado", always(resetConnection), 502, 1},
-		{"nonsense may have run", "certificado", always("hello there\r\n"), 502, 1},
-		{"word may have run", "certificado", always("ID WHAT - 0\r\n\r\n"), 502, 1},
-		{"length may have run", "certificado", always("ID OK - 99999999\r\n"), 502, 1},
-		{"body that runs on", "certificado", always("ID OK - 2\r\nlong\r\n"), 502, 1},
-		{"line without end", "certificado", always(strings.Repeat("x", 5000)), 502, 1},
-		{"another's answer", "certificado", always("0000 OK - 0\r\n\r\nID OK - 0\r\n\r\n"), 200, 1},
-		{"silence", "certificado", always(""), 502, 1},
-	} {
-		t.Run(tt.name, func(t *testing.T) {
-			// Two agents of one script: where a repeat goes is the module's affair.
-			n := 0
-			sched := newTestScheduler(t)
-			requests := make(chan agentRequest)
-			given := make(chan string)
-			go func() {
-				for request := range requests {
-					n++
-					given <- tt.reply(n, request)
-				}
-			}()
-			reply := func(_ int, request agentRequest) string { requests <- request; return <-given }
-			agentA, agentB := newAgent(t, reply), newAgent(t, reply)
-			sched.addEvent(true, "a SERVING "+agentA.addr, "b SERVING "+agentB.addr)
-			client := sched.start().connect()
-			budget := "9000"
-			if tt.name == "silence" {
-				budget = "900"
-			}
-			client.send(newCall(tt.class, "x", [2]string{"HTTP_BUDGET_MS", budget}))
-			if got := client.readAnswer(); got.status != tt.status {
-				t.Errorf("status %d, want %d", got.status, tt.status)
-			}
-			if got := len(agentA.received()) + len(agentB.received()); got != tt.attempts {
-				t.Errorf("%d attempts, want %d", got, tt.attempts)
-			}
-		})
+	if got := len(agentA.received()) + len(agentB.received()); got != tt.attempts {
+		t.Errorf("%d attempts, want %d", got, tt.attempts)
 	}
 }
 
@@ -188,6 +199,16 @@
 	}
 }
 
+// countCertified counts the requests of the class certificado that an agent has received.
+func countCertified(agent *nodeAgent) (n int) {
+	for _, request := range agent.received() {
+		if request.fields["sort"] == "certificado" {
+			n++
+		}
+	}
+	return n
+}
+
 // A worker that answers with errors gets no request that must not be retried. Others are still sent there, and retried
 // elsewhere. Errors for a function that no worker knows do not count against a worker.
 func TestErrors(t *testing.T) {
@@ -208,14 +229,6 @@
 		client.send(newCall(class, "x", change...))
 		return client.readAnswer().status
 	}
-	certified := func(agent *nodeAgent) (n int) {
-		for _, request := range agent.received() {
-			if request.fields["sort"] == "certificado" {
-				n++
-			}
-		}
-		return n
-	}
 	sendRequest("consulta")
 	home := 0
 	if len(agents[1].received()) > 0 {
@@ -231,8 +244,8 @@
 			t.Errorf("status %d while all is well", got)
 		}
 	}
-	if certified(agents[home]) != 5 {
-		t.Errorf("%d of 5 calls went where the function stands", certified(agents[home]))
+	if countCertified(agents[home]) != 5 {
+		t.Errorf("%d of 5 calls went where the function stands", countCertified(agents[home]))
 	}
 	failing.Store(int32(home + 1))
 	before := len(agents[home].received())
@@ -247,7 +260,7 @@
 			t.Errorf("status %d for a call that may not", got)
 		}
 	}
-	if n := certified(agents[home]); n != 5 {
+	if n := countCertified(agents[home]); n != 5 {
 		t.Errorf("%d calls that must not be repeated went to the worker that fails", n-5)
 	}
 }
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -10,75 +10,82 @@
 	"time"
 )
 
+// A clientLoadCase is what thirty clients do before another one comes, and whether that one is let in.
+type clientLoadCase struct {
+	name   string
+	before func(client *testClient)
+	let    bool
+}
+
+var clientLoadCases = []clientLoadCase{
+	{"silent", func(*testClient) {}, true},
+	{"half a request", func(client *testClient) {
+		request := newCall("consulta", "half")
+		request.bodyOpen = true
+		client.send(request)
+	}, true},
+	{"served and held for good", func(client *testClient) {
+		client.send(newCall("consulta", "once"))
+		if got := client.readAnswer(); got.body != "re:once" {
+			client.t.Errorf("status %d at first", got.status)
+		}
+	}, true},
+	{"requests open", func(client *testClient) {
+		// Each of a function of its own, or the module would refuse some.
+		request := newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"})
+		client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")}))
+	}, false},
+}
+
 // Clients hold at most a third of the descriptors. Those without an open request are closed for others, and those with
 // one are served.
 func TestTooManyClients(t *testing.T) {
-	for _, tt := range []struct {
-		name   string
-		before func(client *testClient)
-		let    bool
-	}{
-		{"silent", func(*testClient) {}, true},
-		{"half a request", func(client *testClient) {
-			request := newCall("consulta", "half")
-			request.bodyOpen = true
-			client.send(request)
-		}, true},
-		{"served and held for good", func(client *testClient) {
-			client.send(newCall("consulta", "once"))
-			if got := client.readAnswer(); got.body != "re:once" {
-				client.t.Errorf("status %d at first", got.status)
-			}
-		}, true},
-		{"requests open", func(client *testClient) {
-			// Each of a function of its own, or the module would refuse some.
-			request := newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"})
-			client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")}))
-		}, false},
-	} {
-		t.Run(tt.name, func(t *testing.T) {
-			release := make(chan struct{})
-			sched, had := newTestScheduler(t), func() int { return 0 }
-			sched.maxSockets = 90
-			var targets []string
-			for i := range 12 {
-				agent := newAgent(t, func(n int, request agentRequest) string {
-					if request.body == "held" {
-						<-release
-					}
-					return echo(n, request)
-				})
-				others := had
-				had = func() int { return len(agent.received()) + others() }
-				targets = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr))
-			}
-			sched.addEvent(true, targets...)
-			sched.start()
-			var fronts []*testClient
-			for range 30 {
-				client := sched.connect()
-				tt.before(client)
-				fronts = append(fronts, client)
-			}
-			if !tt.let {
-				waitUntil(t, "all requests are at workers", func() bool { return had() == len(fronts) })
-				if !sched.connect().closedByServer() {
-					t.Error("the 31st was let in")
-				}
-				close(release)
-				for _, client := range fronts {
-					if got := client.readAnswer(); got.body != "re:held" {
-						t.Errorf("status %d for a request that was open", got.status)
-					}
-				}
-				return
-			}
-			client := sched.connect()
-			client.send(newCall("consulta", "new"))
-			if got := client.readAnswer(); got.body != "re:new" {
-				t.Errorf("status %d, want the newcomer served", got.status)
+	for _, tt := range clientLoadCases {
+		t.Run(tt.name, tt.run)
+	}
+}
+
+func (tt clientLoadCase) run(t *testing.T) {
+	release := make(chan struct{})
+	sched, had := newTestScheduler(t), func() int { return 0 }
+	sched.maxSockets = 90
+	var targets []string
+	for i := range 12 {
+		agent := newAgent(t, func(n int, request agentRequest) string {
+			if request.body == "held" {
+				<-release
 			}
+			return echo(n, request)
 		})
+		others := had
+		had = func() int { return len(agent.received()) + others() }
+		targets = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr))
+	}
+	sched.addEvent(true, targets...)
+	sched.start()
+	var fronts []*testClient
+	for range 30 {
+		client := sched.connect()
+		tt.before(client)
+		fronts = append(fronts, client)
+	}
+	if !tt.let {
+		waitUntil(t, "all requests are at workers", func() bool { return had() == len(fronts) })
+		if !sched.connect().closedByServer() {
+			t.Error("the 31st was let in")
+		}
+		close(release)
+		for _, client := range fronts {
+			if got := client.readAnswer(); got.body != "re:held" {
+				t.Errorf("status %d for a request that was open", got.status)
+			}
+		}
+		return
+	}
+	client := sched.connect()
+	client.send(newCall("consulta", "new"))
+	if got := client.readAnswer(); got.body != "re:new" {
+		t.Errorf("status %d, want the newcomer served", got.status)
 	}
 }
 
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -198,6 +198,33 @@
     pool slow
 `
 
+// expectAllAt sends requests for some functions and expects them all at one agent.
+func expectAllAt(t *testing.T, target *nodeAgent, agents []*nodeAgent, sendRequest func(function int) int, when string) {
+	t.Helper()
+	before := map[*nodeAgent]int{}
+	for _, n := range agents {
+		before[n] = len(n.received())
+	}
+	for i := range 6 {
+		if got := sendRequest(i); got != 200 {
+			t.Errorf("%s: status %d", when, got)
+		}
+	}
+	for _, n := range agents {
+		if got := len(n.received()) - before[n]; (n == target) != (got == 6) || n != target && got != 0 {
+			t.Errorf("%s: %d requests at an agent, the right one is it: %v", when, got, n == target)
+		}
+	}
+}
+
+// changeEndpoint changes an endpoint of the list and waits until the scheduler has applied it.
+func changeEndpoint(t *testing.T, sched *testScheduler, target string) {
+	t.Helper()
+	before := strings.Count(sched.log.String(), "worker list changed")
+	sched.addEvent(false, target)
+	waitUntil(t, "the list is taken in", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
+}
+
 // Requests of a route stay in its first pool as long as somebody there is usable, and in the next one otherwise; the
 // third worker belongs to none and is never asked.
 func TestPools(t *testing.T) {
@@ -220,39 +247,18 @@
 		client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}, [2]string{"HTTP_BUDGET_MS", "1500"}))
 		return client.readAnswer().status
 	}
-	// goes asks for some functions and expects them all at one agent.
 	goes := func(target *nodeAgent, when string) {
 		t.Helper()
-		before := map[*nodeAgent]int{}
-		for _, n := range []*nodeAgent{agentA, agentB, other} {
-			before[n] = len(n.received())
-		}
-		for i := range 6 {
-			if got := sendRequest(i); got != 200 {
-				t.Errorf("%s: status %d", when, got)
-			}
-		}
-		for _, n := range []*nodeAgent{agentA, agentB, other} {
-			if got := len(n.received()) - before[n]; (n == target) != (got == 6) || n != target && got != 0 {
-				t.Errorf("%s: %d requests at an agent, the right one is it: %v", when, got, n == target)
-			}
-		}
-	}
-	// changed waits until a change of the list has been taken in.
-	changed := func(target string) {
-		t.Helper()
-		before := strings.Count(sched.log.String(), "worker list changed")
-		sched.addEvent(false, target)
-		waitUntil(t, "the list is taken in", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
+		expectAllAt(t, target, []*nodeAgent{agentA, agentB, other}, sendRequest, when)
 	}
 	goes(agentA, "both pools serve")
-	changed("f DRAINING " + agentA.addr)
+	changeEndpoint(t, sched, "f DRAINING "+agentA.addr)
 	goes(agentB, "the first pool drains")
-	changed("f SERVING " + agentA.addr)
+	changeEndpoint(t, sched, "f SERVING "+agentA.addr)
 	goes(agentA, "the first pool serves again")
-	changed("f DELETED " + agentA.addr)
+	changeEndpoint(t, sched, "f DELETED "+agentA.addr)
 	goes(agentB, "the first pool is empty")
-	changed("f2 SERVING " + agentA.addr)
+	changeEndpoint(t, sched, "f2 SERVING "+agentA.addr)
 	goes(agentA, "another has come")
 	mute.Store(true)
 	waitUntil(t, "the next pool stands in for a silent one", func() bool { return sendRequest(1) == 200 })
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -11,6 +11,34 @@
 	"testing"
 )
 
+// expectUnusableConfigsRejected reloads files that can't be used, and expects each to be rejected. What would end a start
+// changes nothing either: not even the address of the list service.
+func expectUnusableConfigsRejected(t *testing.T, sched *testScheduler) {
+	t.Helper()
+	text, err := os.ReadFile(sched.configFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	moved := strings.Replace(string(text), sched.bulletin.Listener.Addr().String(), "127.0.0.1:1", 1)
+	for i, bad := range []string{
+		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
+		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
+		strings.Replace(moved, `"state":"SERVING"`, `"state":"?"`, 1),
+		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1),
+	} {
+		if bad == moved {
+			t.Fatalf("file %d is as it was", i)
+		}
+		if err := os.WriteFile(sched.configFile, []byte(bad), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
+	}
+}
+
 // SIGHUP has the list service polled at the address that the file names then, from the last event on. A file that can't
 // be used changes nothing, and a request in flight notices neither.
 func TestReload(t *testing.T) {
@@ -35,29 +63,7 @@
 		}
 		waitUntil(t, "the log says "+want, func() bool { return strings.Contains(sched.log.String(), want) })
 	}
-	// What would end a start changes nothing either: not even where the bulletin is.
-	text, err := os.ReadFile(sched.configFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	moved := strings.Replace(string(text), sched.bulletin.Listener.Addr().String(), "127.0.0.1:1", 1)
-	for i, bad := range []string{
-		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
-		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
-		strings.Replace(moved, `"state":"SERVING"`, `"state":"?"`, 1),
-		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1),
-	} {
-		if bad == moved {
-			t.Fatalf("file %d is as it was", i)
-		}
-		if err := os.WriteFile(sched.configFile, []byte(bad), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
-	}
+	expectUnusableConfigsRejected(t, sched)
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
 
