--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -103,18 +104,27 @@
 	run    func(*exchangeRecorder)
 }
 
+const (
+	// nonIdempotent is a class whose requests are never attempted again once they may have run.
+	nonIdempotent = "certificado"
+	// beginKept is the body of a record that begins a request and keeps the connection.
+	beginKept = "\x00\x01\x01\x00\x00\x00\x00\x00"
+)
+
+// exchanges are all entries of the golden file, in its order.
 func exchanges() []exchange {
-	const nonIdempotent = "certificado" // a class whose requests are never attempted again once they may have run
-	begin := string([]byte{0, 1, 1, 0, 0, 0, 0, 0})
+	return slices.Concat(
+		servedExchanges(), answerExchanges(), statusExchanges(), lostAnswerExchanges(), rejectedExchanges(),
+		protocolExchanges(),
+	)
+}
+
+// servedExchanges are requests of each form that are served.
+func servedExchanges() []exchange {
 	once := goldenCall("consulta", "x")
 	once.closeAfter = true
 	padded := goldenCall("registro-horas", "padded")
 	padded.id, padded.padding, padded.longLengths = 300, 7, true
-	otherRole := goldenCall("consulta", "")
-	otherRole.role = 2
-	tooLong := goldenCall("consulta", strings.Repeat("x", 16<<10+1))
-	tooLong.bodyOpen = true
-	health := clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
 	return []exchange{
 		{"served", 1, answered("registro-horas", servedAnswer)},
 		{"served, no body", 1, func(recorder *exchangeRecorder) {
@@ -143,6 +153,12 @@
 			recorder.receivesEnd()
 		}},
 		{"served, fields that are not known", 1, answered("consulta", "{id} OK other=1,depth=1,l=new:1;util:0.25 2\r\nok\r\n")},
+	}
+}
+
+// answerExchanges are answers in pieces, of several records, to nobody and in another order; all are served.
+func answerExchanges() []exchange {
+	return []exchange{
 		{"served, answer in pieces", 1, func(recorder *exchangeRecorder) {
 			recorder.sends(goldenCall("certificado", "x").bytes())
 			message := recorder.agentReceives()
@@ -164,6 +180,12 @@
 			recorder.agentSends(first, "{id} OK - 5\r\nfirst\r\n")
 			recorder.receives(typeEndRequest)
 		}},
+	}
+}
+
+// statusExchanges are answers of a node agent with each status but OK.
+func statusExchanges() []exchange {
+	return []exchange{
 		{"ERR, not idempotent", 2, answered(nonIdempotent, "{id} ERR - 0\r\n\r\n")},
 		{"ERR with a text, not idempotent", 2, answered(nonIdempotent, "{id} ERR l=util:0.5 5\r\ncause\r\n")},
 		{"ERR, then served", 2, retried("consulta", "{id} ERR - 0\r\n\r\n")},
@@ -172,6 +194,12 @@
 		{"VOID, then served", 2, retried("certificado", "{id} VOID - 0\r\n\r\n")},
 		{"UP to a request, which counts as served without a body", 2, answered(nonIdempotent, "{id} UP l=util:0.5\r\n")},
 		{"DOWN to a request, which counts as an error", 2, answered(nonIdempotent, "{id} DOWN\r\n")},
+	}
+}
+
+// lostAnswerExchanges are attempts that end without an answer, or with one that can't be parsed.
+func lostAnswerExchanges() []exchange {
+	return []exchange{
 		{"connection closed", 2, func(recorder *exchangeRecorder) {
 			recorder.sends(goldenCall(nonIdempotent, "x").bytes())
 			recorder.agentEnds(recorder.agentReceives(), false)
@@ -208,6 +236,19 @@
 			recorder.receives(typeEndRequest)
 			recorder.agentReceives() // that it was given up
 		}},
+	}
+}
+
+// healthRequest asks the scheduler for its own health.
+func healthRequest() clientRequest {
+	return clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
+}
+
+// rejectedExchanges are requests that reach no worker.
+func rejectedExchanges() []exchange {
+	tooLong := goldenCall("consulta", strings.Repeat("x", 16<<10+1))
+	tooLong.bodyOpen = true
+	return []exchange{
 		{"refused, no worker", 0, rejected(goldenCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "600"}))},
 		{"rejected, no such class", 1, rejected(goldenCall("nonsense", "x"))},
 		{"rejected, no id", 1, rejected(goldenCall("consulta", "x", [2]string{"HTTP_REQUEST_ID", "-"}))},
@@ -218,18 +259,26 @@
 		{"rejected, parameters too long", 1, rejected(goldenCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}))},
 		{"rejected, not complete in time", 1, func(recorder *exchangeRecorder) {
 			// A first complete request, or the time of the connection would run out beside that of the request.
-			recorder.sends(health.bytes())
+			recorder.sends(healthRequest().bytes())
 			recorder.receives(typeEndRequest)
-			recorder.sends(encodeRecord(1, 1, 0, begin))
+			recorder.sends(encodeRecord(1, 1, 0, beginKept))
 			recorder.receives(typeEndRequest)
 		}},
+	}
+}
+
+// protocolExchanges are records of FastCGI other than a request's, and polls of the list service.
+func protocolExchanges() []exchange {
+	otherRole := goldenCall("consulta", "")
+	otherRole.role = 2
+	return []exchange{
 		{"nothing sent", 1, func(recorder *exchangeRecorder) { recorder.receivesEnd() }},
 		{"unknown role", 1, rejected(otherRole)},
-		{"health", 1, rejected(health)},
+		{"health", 1, rejected(healthRequest())},
 		{"values", 1, managed(encodeRecord(9, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeValues)},
 		{"unknown type", 1, managed(encodeRecord(99, 0, 0, "x"), typeUnknownType)},
 		{"other protocol", 1, closed([]byte("GET / HTTP/1.1\r\n\r\n"))},
-		{"begun twice", 1, closed(append(encodeRecord(1, 4, 0, begin), encodeRecord(1, 4, 0, begin)...))},
+		{"begun twice", 1, closed(append(encodeRecord(1, 4, 0, beginKept), encodeRecord(1, 4, 0, beginKept)...))},
 		{"begun short", 1, closed(encodeRecord(1, 4, 0, "\x00"))},
 		{"polls of the list service", 0, func(recorder *exchangeRecorder) {
 			recorder.polled()
