--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -157,7 +157,6 @@
 		t.Errorf("%d UDP sockets of one that shares, 1 is wanted", sockets)
 	}
 
-	// One accuses every worker: all stop hearing it, and nobody leaves a worker out.
 	liar, err := fleet.NewByzantineMember("liar")
 	if err != nil {
 		t.Fatal(err)
@@ -166,6 +165,26 @@
 	for _, worker := range fleet.Workers {
 		ids = append(ids, worker.ID)
 	}
+	expectMassAccuserUnheard(t, fleet, liar, ids)
+	liar.Accuse(ids[:2])
+	client, err := fastcgi.Dial(context.Background(), fleet.Instances[0].Addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeClient(client)
+	expectServedDespiteLiar(t, fleet, client)
+	liar.Close()
+
+	expectSilenceShared(t, fleet, ids)
+	expectServedDuringFlood(t, fleet, client)
+	expectPausedMemberBack(t, fleet)
+	restartHalf(t, fleet)
+	expectMessageRateKept(t, fleet)
+}
+
+// expectMassAccuserUnheard has a member accuse every worker: all stop hearing it, and nobody leaves a worker out.
+func expectMassAccuserUnheard(t *testing.T, fleet *testbed.Fleet, liar *testbed.ByzantineMember, ids []string) {
+	t.Helper()
 	liar.Accuse(ids)
 	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool { return hasLogLine(instance, lineUnheard, "peer", "liar") })
 	for _, instance := range fleet.Instances {
@@ -173,21 +192,22 @@
 			t.Errorf("%s leaves a worker out on the word of a liar", instance.Name)
 		}
 	}
-	// Nor do they once it accuses a few alone, and calls are served.
-	liar.Accuse(ids[:2])
-	client, err := fastcgi.Dial(context.Background(), fleet.Instances[0].Addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeClient(client)
+}
+
+// expectServedDespiteLiar expects calls to be served while a liar accuses a few workers alone.
+func expectServedDespiteLiar(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
+	t.Helper()
 	for i := range 20 {
 		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != "served" {
 			t.Errorf("a call is %s while a liar speaks", got)
 		}
 	}
-	liar.Close()
+}
 
-	// A worker falls silent. The last instance has no traffic of its own and hears of it all the same.
+// expectSilenceShared has a worker fall silent, and expects the last instance, which has no traffic of its own, to hear
+// of it all the same. Nobody leaves out another worker, and the silent one is taken back once it answers.
+func expectSilenceShared(t *testing.T, fleet *testbed.Fleet, ids []string) {
+	t.Helper()
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
 	waitUntil(t, "many have had answers of the worker", func() bool {
 		from := map[string]bool{}
@@ -216,8 +236,11 @@
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
 	})
 	stop()
+}
 
-	// A flood of forged datagrams: nobody is taken for dead, calls are served, few signatures are checked.
+// expectServedDuringFlood sends forged datagrams: calls are served, and few signatures are checked.
+func expectServedDuringFlood(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
+	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
 	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
@@ -229,8 +252,11 @@
 	if err := <-flooded; err != nil {
 		t.Fatal(err)
 	}
+}
 
-	// One is stopped for 3 s: it comes back and accuses nobody.
+// expectPausedMemberBack stops a member for 3 s: it comes back and accuses nobody, and nobody was taken for dead.
+func expectPausedMemberBack(t *testing.T, fleet *testbed.Fleet) {
+	t.Helper()
 	if err := fleet.Instances[3].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -257,8 +283,11 @@
 			}
 		}
 	}
+}
 
-	// Half of them are killed and are back at once, under their names.
+// restartHalf kills half of the members, which are back at once under their names.
+func restartHalf(t *testing.T, fleet *testbed.Fleet) {
+	t.Helper()
 	for _, instance := range fleet.Instances[:fleetSize/2] {
 		instance.Kill()
 	}
@@ -268,7 +297,11 @@
 		}
 	}
 	waitUntilJoined(t, fleet, fleetSize)
+}
 
+// expectMessageRateKept stops all members, whose logs say then how many messages they sent in a second at most.
+func expectMessageRateKept(t *testing.T, fleet *testbed.Fleet) {
+	t.Helper()
 	for _, instance := range fleet.Instances {
 		if err := instance.Stop(); err != nil {
 			t.Error(err)
@@ -281,37 +314,20 @@
 	}
 }
 
-// Keys: a revoked one is dropped on reload, one of a new authority taken in, a file that others may read refused;
-// and of two with one name the later stays.
-func TestPeersKeys(t *testing.T) {
-	t.Parallel()
-	fleet := startFleet(t, 4, 2)
-	hup := func(instance *testbed.Instance, more string) {
-		t.Helper()
-		if err := instance.Rewrite(instance.Operator(more)); err != nil {
-			t.Fatal(err)
-		}
-		if err := instance.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-	}
-	authority := filepath.Join(fleet.Dir, "authority.key")
-	if err := pki.WriteKeyFile(authority, fleet.Authority.Key, fleet.Authority.Cert); err != nil {
+// reloadGossip writes more lines into the gossip section of an instance's operator's file and has it read again.
+func reloadGossip(t *testing.T, instance *testbed.Instance, more string) {
+	t.Helper()
+	if err := instance.Rewrite(instance.Operator(more)); err != nil {
 		t.Fatal(err)
 	}
-	list := filepath.Join(fleet.Dir, "fleet.revoked")
-	if out, exit := runCommandLine(t, "key", "revoke", fleet.Instances[3].Key, "--authority", authority, "--list", list); exit != 0 {
-		t.Fatalf("revoke: %s", out)
-	}
-	for _, instance := range fleet.Instances[:3] {
-		hup(instance, "  revoked fleet.revoked\n")
+	if err := instance.Signal(syscall.SIGHUP); err != nil {
+		t.Fatal(err)
 	}
-	trusting := &testbed.Fleet{Instances: fleet.Instances[:3]}
-	waitForAll(t, trusting, "a revoked member is dropped", func(instance *testbed.Instance) bool {
-		return hasLogLine(instance, "peer removed: its certificate is no longer valid", "peer", "n3")
-	})
+}
 
-	// A new authority beside the old one, and a member that has a key of it.
+// expectNewAuthorityTaken sets a new authority beside the old one, and expects a member that has a key of it to join.
+func expectNewAuthorityTaken(t *testing.T, fleet, trusting *testbed.Fleet) {
+	t.Helper()
 	next, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -320,7 +336,7 @@
 		t.Fatal(err)
 	}
 	for _, instance := range fleet.Instances[:3] {
-		hup(instance, "  revoked fleet.revoked\n  authority next.crt\n")
+		reloadGossip(t, instance, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
 	waitForAll(t, trusting, "the new authority is taken up", func(instance *testbed.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
 	fleet.Instances[3].Kill()
@@ -334,17 +350,11 @@
 		t.Fatal(err)
 	}
 	waitUntilJoined(t, fleet, 4)
+}
 
-	// A key that others may read changes nothing.
-	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
-		t.Fatal(err)
-	}
-	hup(fleet.Instances[0], "  revoked fleet.revoked\n")
-	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "an open key is refused", func(instance *testbed.Instance) bool {
-		return strings.Contains(instance.Log.String(), "0600 is needed")
-	})
-
-	// Another with the name and the key of n1, at other addresses.
+// expectEarlierTwinSilent starts another with the name and the key of n1, at other addresses.
+func expectEarlierTwinSilent(t *testing.T, fleet *testbed.Fleet) {
+	t.Helper()
 	duplicate := fleet.Instances[1].Twin()
 	if err := duplicate.Move(); err != nil {
 		t.Fatal(err)
@@ -358,6 +368,41 @@
 	})
 }
 
+// Keys: a revoked one is dropped on reload, one of a new authority taken in, a file that others may read refused;
+// and of two with one name the later stays.
+func TestPeersKeys(t *testing.T) {
+	t.Parallel()
+	fleet := startFleet(t, 4, 2)
+	authority := filepath.Join(fleet.Dir, "authority.key")
+	if err := pki.WriteKeyFile(authority, fleet.Authority.Key, fleet.Authority.Cert); err != nil {
+		t.Fatal(err)
+	}
+	list := filepath.Join(fleet.Dir, "fleet.revoked")
+	if out, exit := runCommandLine(t, "key", "revoke", fleet.Instances[3].Key, "--authority", authority, "--list", list); exit != 0 {
+		t.Fatalf("revoke: %s", out)
+	}
+	for _, instance := range fleet.Instances[:3] {
+		reloadGossip(t, instance, "  revoked fleet.revoked\n")
+	}
+	trusting := &testbed.Fleet{Instances: fleet.Instances[:3]}
+	waitForAll(t, trusting, "a revoked member is dropped", func(instance *testbed.Instance) bool {
+		return hasLogLine(instance, "peer removed: its certificate is no longer valid", "peer", "n3")
+	})
+
+	expectNewAuthorityTaken(t, fleet, trusting)
+
+	// A key that others may read changes nothing.
+	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	reloadGossip(t, fleet.Instances[0], "  revoked fleet.revoked\n")
+	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "an open key is refused", func(instance *testbed.Instance) bool {
+		return strings.Contains(instance.Log.String(), "0600 is needed")
+	})
+
+	expectEarlierTwinSilent(t, fleet)
+}
+
 func TestKeyCommands(t *testing.T) {
 	dir := t.TempDir()
 	inDir := func(name string) string { return filepath.Join(dir, name) }
