--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -359,22 +359,25 @@
 	}
 }
 
-// The error texts of broken files, behind the file's path.
-func TestGoldenFileErrors(t *testing.T) {
+// A brokenFile is a file that can't be read, and the error text behind its path.
+type brokenFile struct {
+	name    string
+	read    func(path string) error
+	content []byte
+	want    string
+}
+
+// brokenFiles are files that miss a block, or hold a broken one.
+func brokenFiles(t *testing.T) []brokenFile {
+	t.Helper()
 	member, other := readGolden(t, memberFile), readGolden(t, revokedFile)
 	keyBlock, rest := pem.Decode(member)
 	certBlock, _ := pem.Decode(rest)
 	otherKey, _ := pem.Decode(other)
 	broken := func(kind string) []byte { return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: []byte{1, 2, 3}}) }
-	readKey := func(path string) error { _, _, err := ReadKeyFile(path); return err }
 	readCert := func(path string) error { _, err := ReadCertificateFile(path); return err }
 	readList := func(path string) error { _, err := ReadRevocationListFile(path, true); return err }
-	for _, tt := range []struct {
-		name    string
-		read    func(string) error
-		content []byte
-		want    string
-	}{
+	return []brokenFile{
 		{"key without certificate", readKey, pem.EncodeToMemory(keyBlock), "a key and its certificate are needed"},
 		{"certificate without key", readKey, pem.EncodeToMemory(certBlock), "a key and its certificate are needed"},
 		{"cut off", readKey, member[:40], "a key and its certificate are needed"},
@@ -390,7 +393,17 @@
 		{"no list", readList, member, "not a list of revoked certificates"},
 		{"empty list", readList, nil, "not a list of revoked certificates"},
 		{"broken list", readList, broken("X509 CRL"), "x509: malformed crl"},
-	} {
+	}
+}
+
+func readKey(path string) error {
+	_, _, err := ReadKeyFile(path)
+	return err
+}
+
+// The error texts of broken files, behind the file's path.
+func TestGoldenFileErrors(t *testing.T) {
+	for _, tt := range brokenFiles(t) {
 		path := writePrivate(t, tt.content)
 		err := tt.read(path)
 		if err == nil {
@@ -403,7 +416,7 @@
 			t.Errorf("%s: error %v, want %s", tt.name, err, want)
 		}
 	}
-	path := writePrivate(t, member)
+	path := writePrivate(t, readGolden(t, memberFile))
 	if err := os.Chmod(path, 0o644); err != nil {
 		t.Fatal(err)
 	}
