--- a/internal/fleet/quota/core_test.go
+++ b/internal/fleet/quota/core_test.go
@@ -90,76 +90,89 @@
 	return int64(sum)
 }
 
+// drawFleet draws the settings of a fleet and starts its members.
+func drawFleet(rt *rapid.T) *simulatedFleet {
+	fleetSize := rapid.IntRange(2, 7).Draw(rt, "members")
+	fleet := &simulatedFleet{tb: rt}
+	fleet.total = rapid.Int64Range(0, 60).Draw(rt, "whole")
+	fleet.drift = rapid.SampledFrom([]float64{0, 0.01, 0.3}).Draw(rt, "drift")
+	fleet.holdTime = time.Duration(rapid.IntRange(0, longestDrawnHold).Draw(rt, "hold")) * time.Second
+	for i := range fleetSize {
+		member := &simulatedMember{epoch: 1, rate: 1 + fleet.drift*rapid.Float64Range(-1, 1).Draw(rt, "rate")}
+		fleet.start(member, i, fleetSize)
+		fleet.members = append(fleet.members, member)
+		fleet.step(member)
+	}
+	fleet.pass(time.Minute)
+	return fleet
+}
+
+func (f *simulatedFleet) drawMember(rt *rapid.T) (int, *simulatedMember) {
+	i := rapid.IntRange(0, len(f.members)-1).Draw(rt, "member")
+	return i, f.members[i]
+}
+
+func (f *simulatedFleet) drawRunning(rt *rapid.T) *simulatedMember {
+	_, member := f.drawMember(rt)
+	if member.stopped {
+		rt.Skip("stopped")
+	}
+	return member
+}
+
+// drawnEvents are the events that may be drawn, by name, and the check after each.
+func (f *simulatedFleet) drawnEvents() map[string]func(*rapid.T) {
+	return map[string]func(*rapid.T){
+		"pass": func(rt *rapid.T) {
+			f.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
+		},
+		"need": func(rt *rapid.T) {
+			member := f.drawRunning(rt)
+			demand := rapid.SampledFrom([]int64{0, f.total}).Draw(rt, "units")
+			f.step(member, DemandChanged{"b", max(demand, int64(len(member.inUse)))})
+		},
+		"hear": func(rt *rapid.T) {
+			member := f.drawRunning(rt)
+			if len(f.sent) == 0 {
+				rt.Skip("no statement sent")
+			}
+			for _, statement := range f.sent[max(0, len(f.sent)-10):] {
+				if rapid.Bool().Draw(rt, "arrives") {
+					f.step(member, statement)
+				}
+			}
+		},
+		"stop": func(rt *rapid.T) {
+			_, member := f.drawMember(rt)
+			member.stopped = !member.stopped
+		},
+		"restart": func(rt *rapid.T) {
+			i, member := f.drawMember(rt)
+			member.epoch++
+			member.stopped = false
+			f.start(member, i, len(f.members))
+			f.step(member)
+		},
+		"": func(rt *rapid.T) {
+			if inUse := f.use(); inUse > f.total {
+				rt.Fatalf("%d of %d in use", inUse, f.total)
+			}
+		},
+	}
+}
+
 // Whatever happens, no more than the total is in use, and members that receive nothing have their fixed quota back.
 func TestTotalNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		fleetSize := rapid.IntRange(2, 7).Draw(rt, "members")
-		fleet := &simulatedFleet{tb: rt}
-		fleet.total = rapid.Int64Range(0, 60).Draw(rt, "whole")
-		fleet.drift = rapid.SampledFrom([]float64{0, 0.01, 0.3}).Draw(rt, "drift")
-		fleet.holdTime = time.Duration(rapid.IntRange(0, longestDrawnHold).Draw(rt, "hold")) * time.Second
-		for i := range fleetSize {
-			member := &simulatedMember{epoch: 1, rate: 1 + fleet.drift*rapid.Float64Range(-1, 1).Draw(rt, "rate")}
-			fleet.start(member, i, fleetSize)
-			fleet.members = append(fleet.members, member)
-			fleet.step(member)
-		}
-		fleet.pass(time.Minute)
-		anyMember := func(rt *rapid.T) (int, *simulatedMember) {
-			i := rapid.IntRange(0, fleetSize-1).Draw(rt, "member")
-			return i, fleet.members[i]
-		}
-		running := func(rt *rapid.T) *simulatedMember {
-			_, member := anyMember(rt)
-			if member.stopped {
-				rt.Skip("stopped")
-			}
-			return member
-		}
-		rt.Repeat(map[string]func(*rapid.T){
-			"pass": func(rt *rapid.T) {
-				fleet.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
-			},
-			"need": func(rt *rapid.T) {
-				member := running(rt)
-				demand := rapid.SampledFrom([]int64{0, fleet.total}).Draw(rt, "units")
-				fleet.step(member, DemandChanged{"b", max(demand, int64(len(member.inUse)))})
-			},
-			"hear": func(rt *rapid.T) {
-				member := running(rt)
-				if len(fleet.sent) == 0 {
-					rt.Skip("no statement sent")
-				}
-				for _, statement := range fleet.sent[max(0, len(fleet.sent)-10):] {
-					if rapid.Bool().Draw(rt, "arrives") {
-						fleet.step(member, statement)
-					}
-				}
-			},
-			"stop": func(rt *rapid.T) {
-				_, member := anyMember(rt)
-				member.stopped = !member.stopped
-			},
-			"restart": func(rt *rapid.T) {
-				i, member := anyMember(rt)
-				member.epoch++
-				member.stopped = false
-				fleet.start(member, i, fleetSize)
-				fleet.step(member)
-			},
-			"": func(rt *rapid.T) {
-				if inUse := fleet.use(); inUse > fleet.total {
-					rt.Fatalf("%d of %d in use", inUse, fleet.total)
-				}
-			},
-		})
+		fleet := drawFleet(rt)
+		rt.Repeat(fleet.drawnEvents())
 		for _, member := range fleet.members {
 			member.stopped = false
 			fleet.step(member, DemandChanged{"b", 0})
 		}
 		fleet.pass(silenceUntilReset)
 		for _, member := range fleet.members {
-			fixedQuota := fleet.total / int64(fleetSize)
+			fixedQuota := fleet.total / int64(len(fleet.members))
 			if got := member.usableUnits(member.accounts[0]); got != fixedQuota {
 				rt.Fatalf("%s may use %d units after %v of silence, want its fixed quota %d",
 					member.config.Self, got, silenceUntilReset, fixedQuota)
