--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -10,48 +10,51 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// deepCondition is brackets within brackets.
+var deepCondition = strings.Repeat("(", 200) + "true" + strings.Repeat(")", 200)
+
+// refusedConditions are conditions with a part of the fault that each is refused with.
+var refusedConditions = map[string]string{
+	`handlr == "a"`:               "unknown",
+	`handler == 1`:                "mismatched",
+	`handler`:                     "expected bool",
+	`filter([1], # > 0) == [1]`:   "",
+	`all(1..1000000000, true)`:    "",
+	`len(1..1000000000) > 1`:      "",
+	`repeat("a", 1000000) == ""`:  "no such function",
+	`let x = 1; x == 1`:           "",
+	`path[1:3] == "rp"`:           "no place in a rule",
+	`param == nil`:                "",
+	`param[handler] == "a"`:       "name of a parameter",
+	`handler in param`:            "constant name",
+	`path.matches(handler)`:       "must be a constant",
+	`path.matches("(")`:           "regular expression",
+	`path.matches("(a{30}){30}")`: "regular expression",
+	`path.matches("` + strings.Repeat("a?", 250) + `")`: "instructions are over",
+	`path + path + path + path + path == ""`:            "is over 1024",
+	`duration("soon") > budget`:                         "no duration",
+	`duration(path) > budget`:                           "constant",
+	`slots_[0][0] == "a"`:                               "unknown field slots_",
+	`has_[0]`:                                           "",
+	`path ?? "a" == "b"`:                                "",
+	`$env == nil`:                                       "",
+	`env["x"] == 1`:                                     "",
+	`handler.foo() == 1`:                                "no such function",
+	`now() > 1`:                                         "no such function",
+	`2 ** 100 > 1`:                                      "no operator",
+	deepCondition:                                       "",
+	strings.Repeat("!", 60) + "true":                    "nested",
+	strings.TrimSuffix(strings.Repeat("lanes == 1 || ", 120), " || "):                                            "too long",
+	strings.Repeat(" ", 3000) + "true":                                                                           "bytes are over",
+	`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst cost",
+	`path ==`: "",
+	`"`:       "",
+	``:        "ok", // no condition
+}
+
 // What has no bound or is invalid is refused at load: all faults in one pass, each with its position.
 func TestRefused(t *testing.T) {
-	deep := strings.Repeat("(", 200) + "true" + strings.Repeat(")", 200)
-	not := strings.Repeat("!", 60) + "true"
-	wide := strings.TrimSuffix(strings.Repeat("lanes == 1 || ", 120), " || ")
-	for when, want := range map[string]string{
-		`handlr == "a"`:               "unknown",
-		`handler == 1`:                "mismatched",
-		`handler`:                     "expected bool",
-		`filter([1], # > 0) == [1]`:   "",
-		`all(1..1000000000, true)`:    "",
-		`len(1..1000000000) > 1`:      "",
-		`repeat("a", 1000000) == ""`:  "no such function",
-		`let x = 1; x == 1`:           "",
-		`path[1:3] == "rp"`:           "no place in a rule",
-		`param == nil`:                "",
-		`param[handler] == "a"`:       "name of a parameter",
-		`handler in param`:            "constant name",
-		`path.matches(handler)`:       "must be a constant",
-		`path.matches("(")`:           "regular expression",
-		`path.matches("(a{30}){30}")`: "regular expression",
-		`path.matches("` + strings.Repeat("a?", 250) + `")`: "instructions are over",
-		`path + path + path + path + path == ""`:            "is over 1024",
-		`duration("soon") > budget`:                         "no duration",
-		`duration(path) > budget`:                           "constant",
-		`slots_[0][0] == "a"`:                               "unknown field slots_",
-		`has_[0]`:                                           "",
-		`path ?? "a" == "b"`:                                "",
-		`$env == nil`:                                       "",
-		`env["x"] == 1`:                                     "",
-		`handler.foo() == 1`:                                "no such function",
-		`now() > 1`:                                         "no such function",
-		`2 ** 100 > 1`:                                      "no operator",
-		deep:                                                "",
-		not:                                                 "nested",
-		wide:                                                "too long",
-		strings.Repeat(" ", 3000) + "true":                  "bytes are over",
-		`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst cost",
-		`path ==`: "",
-		`"`:       "",
-		``:        "ok", // no condition
-	} {
+	for when, want := range refusedConditions {
 		table, faults := Load([]Rule{ruleWhen(when)}, classes)
 		if want == "ok" {
 			if table == nil {
@@ -59,7 +62,7 @@
 			}
 			continue
 		}
-		if when == deep && table != nil {
+		if when == deepCondition && table != nil {
 			continue // brackets leave nothing behind once they are read
 		}
 		if table != nil || len(faults) != 1 || !strings.Contains(faults[0].Reason, want) || faults[0].Column < 1 {
