--- a/internal/snapshot/schedule_test.go
+++ b/internal/snapshot/schedule_test.go
@@ -8,66 +8,75 @@
 	"pgregory.net/rapid"
 )
 
+// schedulerModel is what the test knows of a Scheduler: the write in progress, what was saved and what was reported.
+type schedulerModel struct {
+	scheduler       Scheduler
+	now             time.Duration
+	lastStart       time.Duration
+	writing         bool
+	reportedFailing bool
+	listVersion     int
+	writingVersion  int // in the write in progress
+	savedVersion    int // in the last write that succeeded
+}
+
+// step gives the Scheduler events and checks its actions.
+func (m *schedulerModel) step(rt *rapid.T, events ...Event) {
+	for _, action := range m.scheduler.Step(m.now, events...) {
+		switch action := action.(type) {
+		case Write:
+			if m.writing || m.now-m.lastStart < minInterval {
+				rt.Fatalf("a write %v after the last, another in progress: %v", m.now-m.lastStart, m.writing)
+			}
+			m.writing = true
+			m.lastStart = m.now
+			m.writingVersion = m.listVersion
+		case ReportStatus:
+			if m.reportedFailing == (action.Err != nil) {
+				rt.Fatalf("reported twice: %v", action.Err)
+			}
+			m.reportedFailing = action.Err != nil
+		}
+	}
+}
+
+// end ends the write in progress.
+func (m *schedulerModel) end(rt *rapid.T, err error) {
+	m.writing = false
+	if err == nil {
+		m.savedVersion = m.writingVersion
+	}
+	m.step(rt, Written{err})
+}
+
 // For any order of changes, slow writes and failures: there is one write at a time, none within minInterval of the last,
 // and the last change is written in the end. A series of failures is reported once.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var scheduler Scheduler
-		now := time.Hour
-		lastStart := time.Duration(0)
-		writing := false
-		reportedFailing := false
-		listVersion := 0
-		writingVersion := 0 // in the write in progress
-		savedVersion := 0   // in the last write that succeeded
-		step := func(events ...Event) {
-			for _, action := range scheduler.Step(now, events...) {
-				switch action := action.(type) {
-				case Write:
-					if writing || now-lastStart < minInterval {
-						rt.Fatalf("a write %v after the last, another in progress: %v", now-lastStart, writing)
-					}
-					writing = true
-					lastStart = now
-					writingVersion = listVersion
-				case ReportStatus:
-					if reportedFailing == (action.Err != nil) {
-						rt.Fatalf("reported twice: %v", action.Err)
-					}
-					reportedFailing = action.Err != nil
-				}
-			}
-		}
-		end := func(err error) {
-			writing = false
-			if err == nil {
-				savedVersion = writingVersion
-			}
-			step(Written{err})
-		}
+		model := schedulerModel{now: time.Hour}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			now += time.Duration(rapid.IntRange(0, 1500).Draw(rt, "ms")) * time.Millisecond
+			model.now += time.Duration(rapid.IntRange(0, 1500).Draw(rt, "ms")) * time.Millisecond
 			switch choice := rapid.IntRange(0, 3).Draw(rt, "do"); {
 			case choice == 0:
-				listVersion++
-				step(Changed{})
-			case choice == 1 && writing:
-				end(nil)
-			case choice == 2 && writing:
-				end(errors.New("no space"))
+				model.listVersion++
+				model.step(rt, Changed{})
+			case choice == 1 && model.writing:
+				model.end(rt, nil)
+			case choice == 2 && model.writing:
+				model.end(rt, errors.New("no space"))
 			default:
-				step()
+				model.step(rt)
 			}
 		}
 		for range 10 {
-			if writing {
-				end(nil)
+			if model.writing {
+				model.end(rt, nil)
 			}
-			now += maxBackoff
-			step()
+			model.now += maxBackoff
+			model.step(rt)
 		}
-		if savedVersion != listVersion {
-			rt.Fatalf("list %d is saved, the last is %d", savedVersion, listVersion)
+		if model.savedVersion != model.listVersion {
+			rt.Fatalf("list %d is saved, the last is %d", model.savedVersion, model.listVersion)
 		}
 	})
 }
