--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -107,8 +107,8 @@
 const (
 	// nonIdempotent is a class whose requests are never attempted again once they may have run.
 	nonIdempotent = "certificado"
-	// beginKept is the body of a record that begins a request and keeps the connection.
-	beginKept = "\x00\x01\x01\x00\x00\x00\x00\x00"
+	// beginKeepAlive is the body of a record that begins a request and keeps the connection.
+	beginKeepAlive = "\x00\x01\x01\x00\x00\x00\x00\x00"
 )
 
 // exchanges are all entries of the golden file, in its order.
@@ -261,7 +261,7 @@
 			// A first complete request, or the time of the connection would run out beside that of the request.
 			recorder.sends(healthRequest().bytes())
 			recorder.receives(typeEndRequest)
-			recorder.sends(encodeRecord(1, 1, 0, beginKept))
+			recorder.sends(encodeRecord(1, 1, 0, beginKeepAlive))
 			recorder.receives(typeEndRequest)
 		}},
 	}
@@ -278,7 +278,7 @@
 		{"values", 1, managed(encodeRecord(9, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeValues)},
 		{"unknown type", 1, managed(encodeRecord(99, 0, 0, "x"), typeUnknownType)},
 		{"other protocol", 1, closed([]byte("GET / HTTP/1.1\r\n\r\n"))},
-		{"begun twice", 1, closed(append(encodeRecord(1, 4, 0, beginKept), encodeRecord(1, 4, 0, beginKept)...))},
+		{"begun twice", 1, closed(append(encodeRecord(1, 4, 0, beginKeepAlive), encodeRecord(1, 4, 0, beginKeepAlive)...))},
 		{"begun short", 1, closed(encodeRecord(1, 4, 0, "\x00"))},
 		{"polls of the list service", 0, func(recorder *exchangeRecorder) {
 			recorder.polled()
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -179,7 +179,7 @@
 	expectServedDuringFlood(t, fleet, client)
 	expectPausedMemberBack(t, fleet)
 	restartHalf(t, fleet)
-	expectMessageRateKept(t, fleet)
+	expectMessageRateBounded(t, fleet)
 }
 
 // expectMassAccuserUnheard has a member accuse every worker: all stop hearing it, and nobody leaves a worker out.
@@ -299,8 +299,8 @@
 	waitUntilJoined(t, fleet, fleetSize)
 }
 
-// expectMessageRateKept stops all members, whose logs say then how many messages they sent in a second at most.
-func expectMessageRateKept(t *testing.T, fleet *testbed.Fleet) {
+// expectMessageRateBounded stops all members, whose logs say then how many messages they sent in a second at most.
+func expectMessageRateBounded(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
 		if err := instance.Stop(); err != nil {
@@ -352,8 +352,8 @@
 	waitUntilJoined(t, fleet, 4)
 }
 
-// expectEarlierTwinSilent starts another with the name and the key of n1, at other addresses.
-func expectEarlierTwinSilent(t *testing.T, fleet *testbed.Fleet) {
+// expectEarlierDuplicateSilent starts another with the name and the key of n1, at other addresses.
+func expectEarlierDuplicateSilent(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	duplicate := fleet.Instances[1].Twin()
 	if err := duplicate.Move(); err != nil {
@@ -400,7 +400,7 @@
 		return strings.Contains(instance.Log.String(), "0600 is needed")
 	})
 
-	expectEarlierTwinSilent(t, fleet)
+	expectEarlierDuplicateSilent(t, fleet)
 }
 
 func TestKeyCommands(t *testing.T) {
--- a/cmd/simadapter/recording_actions_test.go
+++ b/cmd/simadapter/recording_actions_test.go
@@ -10,38 +10,38 @@
 
 // apply carries out the action of one reply line.
 func (w *simulatedWorld) apply(line string) error {
-	part := strings.Split(line, "\t")
-	switch part[0] {
+	fields := strings.Split(line, "\t")
+	switch fields[0] {
 	case "try":
-		return w.try(part[1], part[2], part[3])
+		return w.attempt(fields[1], fields[2], fields[3])
 	case "recall":
-		w.recall(part[1], part[2])
+		w.recall(fields[1], fields[2])
 	case "say_no", "surrender":
-		q := w.requests[part[1]]
+		q := w.requests[fields[1]]
 		if q == nil {
 			return nil // of a call that unexpectedEvent made up
 		}
 		q.final = true
-		if part[0] == "say_no" && w.chance(300) {
+		if fields[0] == "say_no" && w.chance(300) {
 			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.call(q.function, 2) })
 		}
 	case "arm":
-		after, err := strconv.ParseFloat(part[1], 64)
+		after, err := strconv.ParseFloat(fields[1], 64)
 		if err != nil {
 			return err
 		}
-		token, late := part[2], int64(0)
+		token, late := fields[2], int64(0)
 		if w.chance(10) {
 			late = w.rng.Int64N(300000)
 		}
 		w.schedule(int64(after*1000)+late, func() string { return "reminder\t" + token + "\n" })
 	case "ping":
-		worker := part[1]
+		worker := fields[1]
 		w.schedule(1500, func() string { return "sampled\tdelivered\t" + worker + "\t1.5\t-\n" })
 	case "pin_up":
-		w.load(part[1], part[2])
+		w.load(fields[1], fields[2])
 	case "observe":
-		on := part[1] == "1"
+		on := fields[1] == "1"
 		w.schedule(2000+w.rng.Int64N(30000), func() string {
 			if w.chance(300) {
 				return w.list(3, nil)
--- a/cmd/simadapter/recording_attempts_test.go
+++ b/cmd/simadapter/recording_attempts_test.go
@@ -12,8 +12,8 @@
 	warmth     int // as on the wire: 1 the function was loaded, 2 and 3 it was not, 4 its load failed
 }
 
-// try plays an attempt at a worker.
-func (w *simulatedWorld) try(id, timeoutText, workerID string) error {
+// attempt plays an attempt at a worker.
+func (w *simulatedWorld) attempt(id, timeoutText, workerID string) error {
 	timeoutMillis, err := strconv.ParseFloat(timeoutText, 64)
 	if err != nil {
 		return err
@@ -67,8 +67,8 @@
 			end.tookMicros += function.loadMicros
 		}
 	}
-	cold := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.coldMs)*1000
-	if cold {
+	warmingUp := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.coldMs)*1000
+	if warmingUp {
 		end.tookMicros *= 2
 	}
 	return end
@@ -85,7 +85,7 @@
 		}
 	case conditionRefusesConnections:
 		end.outcome, end.tookMicros = "dial_failed", 2000
-	case conditionBreaksConnections:
+	case conditionResetsConnections:
 		end.outcome, end.tookMicros = "dropped", end.tookMicros/2
 	case conditionSlow:
 		end.tookMicros *= 7
--- a/cmd/simadapter/recording_clients_test.go
+++ b/cmd/simadapter/recording_clients_test.go
@@ -33,11 +33,11 @@
 	if w.chance(30) {
 		left = 1000 + w.rng.Int64N(40000)
 	}
-	patience := left
+	clientTimeout := left
 	if w.chance(25) {
-		patience = w.rng.Int64N(left)
+		clientTimeout = w.rng.Int64N(left)
 	}
-	w.schedule(patience, func() string {
+	w.schedule(clientTimeout, func() string {
 		if request.final {
 			return ""
 		}
--- a/cmd/simadapter/recording_world_test.go
+++ b/cmd/simadapter/recording_world_test.go
@@ -14,7 +14,7 @@
 	conditionSilent
 	conditionErrors
 	conditionRefusesConnections
-	conditionBreaksConnections
+	conditionResetsConnections
 	conditionSlow
 	conditionSheds
 	conditionLosesAnswers
