--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -22,12 +22,6 @@
 	plotPath   string
 }
 
-// virtualColdStart is the report of coldstart in virtual time.
-type virtualColdStart struct {
-	List    []testbed.VirtualPollResult       `json:"list_service"`
-	Workers map[string]testbed.VirtualMetrics `json:"workers"` // by experiment
-}
-
 // coldstartCommand is the command coldstart.
 func coldstartCommand() *cobra.Command {
 	options := &coldstartOptions{}
@@ -125,5 +119,5 @@
 		return err
 	}
 	polls := testbed.SimulatePolls([]int{o.experiment.Instances}, o.experiment.Seed)
-	return show(cmd.OutOrStdout(), o.asJSON, virtualColdStart{List: polls, Workers: workers})
+	return show(cmd.OutOrStdout(), o.asJSON, testbed.VirtualColdStartResult{List: polls, Workers: workers})
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -43,11 +43,11 @@
 	return func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 }
 
-// show prints a result, as one line or for people.
-func show(out io.Writer, oneLine bool, result any) error {
+// show prints a report, as one line or indented.
+func show(out io.Writer, oneLine bool, report testbed.Report) error {
 	encoder := json.NewEncoder(out)
 	if !oneLine {
 		encoder.SetIndent("", "  ")
 	}
-	return encoder.Encode(result)
+	return encoder.Encode(report)
 }
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -56,12 +56,6 @@
 	Say               func(string) // is told how each run went
 }
 
-// ColdStartResult is what a ColdStartExperiment measured.
-type ColdStartResult struct {
-	Program  ColdStartMetrics  `json:"program"`
-	Baseline *ColdStartMetrics `json:"baseline,omitempty"`
-}
-
 // Run runs the experiment with the program, before that with the baseline if there is one.
 func (d ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
 	var result ColdStartResult
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -5,35 +5,6 @@
 	"time"
 )
 
-// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares parts of 1.
-type ColdStartMetrics struct {
-	PollsPeak          int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
-	PollsEven          float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
-	PollsSent          int      `json:"polls_sent"`                // until each had the last event
-	PollsNeeded        int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
-	ConnectsPeak       int      `json:"connects_peak_100ms"`       // at the list service
-	Connects           int      `json:"connects"`                  // there, over the whole run
-	Bytes              int      `json:"list_bytes"`                // of lists, over the whole run
-	AllListed          float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
-	Limit              float64  `json:"limit_ms"`                  // what the service's capacity allows at best
-	AgentConnects      int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
-	Handshakes         float64  `json:"handshakes_per_scheduler"`
-	Workers            float64  `json:"workers_per_scheduler"` // that it sent anything
-	Homes              float64  `json:"homes_per_scheduler"`   // preferred workers of the functions that it was asked for: what it has to meet
-	Loads              int      `json:"loads"`
-	Crashed            int      `json:"workers_pushed_over"`
-	PeakColdLoadShare  float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
-	RefusedConnections int      `json:"agent_connects_refused"` // over what the workers accept
-	Served             float64  `json:"served_share"`
-	Asked              int      `json:"asked"`
-	Lost               int      `json:"lost"` // without any response
-	RulesBroken        []string `json:"rules_broken"`
-	Late               float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
-
-	pollTimes         []time.Duration
-	agentConnectTimes []time.Duration
-}
-
 // summary is the metrics in a sentence.
 func (m *ColdStartMetrics) summary() string {
 	return fmt.Sprintf("served %.4f of %d, at most %d asks and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -37,31 +37,6 @@
 	Say          func(string)
 }
 
-// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares parts of 1.
-type GossipResult struct {
-	Instances      int     `json:"instances"`
-	Workers        int     `json:"workers"`
-	Hostile        int     `json:"hostile"`
-	Seconds        float64 `json:"seconds"`
-	Messages       float64 `json:"messages_per_second"` // sent by the worst instance, over the run
-	Peak           float64 `json:"messages_peak"`       // the most of any second and instance
-	Limit          int     `json:"messages_limit"`      // of any second
-	Bytes          float64 `json:"bytes_per_second"`    // sent by the worst instance
-	LeftOutByLiar  float64 `json:"left_out_by_liar"`    // worker-seconds: healthy workers that were ejected, by instances
-	Served         float64 `json:"served_share"`        // with the byzantine members
-	ServedHonest   float64 `json:"served_share_without_liar"`
-	ServedAlone    float64 `json:"served_share_alone"`
-	Lost           int     `json:"lost_to_silent"`
-	LostHonest     int     `json:"lost_to_silent_without_liar"`
-	LostAlone      int     `json:"lost_to_silent_alone"`
-	Notice         float64 `json:"notice_ms"`
-	NoticeAlone    float64 `json:"notice_ms_alone"`
-	CPUFlooded     float64 `json:"cpu_share_flooded"`   // of a core, more than without the flood
-	MemoryFlooded  int     `json:"memory_kb_flooded"`   // grown during the second half of the flood
-	CPU            float64 `json:"cpu_share_unflooded"` // of a core, of the same instance without load
-	UnheardOfLiars int     `json:"instances_that_unheard_liars"`
-}
-
 // Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
 func (e GossipExperiment) Run(ctx context.Context) (GossipResult, error) {
 	result := GossipResult{
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -37,34 +37,6 @@
 	Say     func(string)
 }
 
-// MatchResult is what a MatchExperiment measured.
-type MatchResult struct {
-	Rules        int         `json:"rules"`
-	Rate         float64     `json:"rate"`
-	Hostile      bool        `json:"hostile"`
-	Sizes        []MatchSize `json:"sizes"`
-	Flatness     float64     `json:"ns_1000_over_10"`            // medians
-	HostileRatio float64     `json:"hostile_p99_over_plain_p50"` // at the given number of rules
-	Served       float64     `json:"served_share"`
-	ServedPlain  float64     `json:"served_share_without_rules"`
-	P99          float64     `json:"p99_ms"`
-	P99Plain     float64     `json:"p99_ms_without_rules"`
-	CPU          float64     `json:"cpu_us_per_request"`
-	CPUPlain     float64     `json:"cpu_us_per_request_without_rules"`
-	Memory       int         `json:"memory_kb"`
-	MemoryPlain  int         `json:"memory_kb_without_rules"`
-}
-
-// MatchSize is what an evaluation takes with so many rules, in nanoseconds.
-type MatchSize struct {
-	Rules      int     `json:"rules"`
-	Plain      float64 `json:"plain_p50_ns"`
-	PlainP99   float64 `json:"plain_p99_ns"`
-	Hostile    float64 `json:"hostile_p50_ns"`
-	HostileP99 float64 `json:"hostile_p99_ns"`
-	Load       float64 `json:"load_ms"`
-}
-
 // operatorFileWithRules is an operator's file with rules that tell requests apart by function, and two that are tried for
 // every request.
 func operatorFileWithRules(rules int) string {
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -17,17 +17,6 @@
 	maxPollDuration = 7 * time.Second
 )
 
-// VirtualPollResult is what a fleet of one size asks of a list service in virtual time.
-type VirtualPollResult struct {
-	Schedulers      int            `json:"schedulers"`
-	EvenPeak        float64        `json:"polls_even_100ms"`
-	Peaks           map[string]int `json:"polls_peak_100ms"`      // by fault
-	AllListedMillis float64        `json:"crowded_all_listed_ms"` // -1 where some scheduler never had the list
-	LimitMillis     float64        `json:"crowded_limit_ms"`      // what the service's capacity allows at best
-	Sent            int            `json:"crowded_polls_sent"`
-	Needed          int            `json:"crowded_polls_needed"`
-}
-
 // SimulatePolls plays the faults of a list service with fleets of these sizes.
 func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
 	withFault := func(fault ListFault) func(*PollSimulation) {
--- /dev/null
+++ b/internal/testbed/report.go
@@ -0,0 +1,149 @@
+package testbed
+
+import "time"
+
+// Report is what an experiment measured, as the command testbed prints it in JSON: a GossipResult, VirtualGossipResult,
+// ColdStartResult, VirtualColdStartResult or MatchResult.
+type Report interface{ isReport() }
+
+func (GossipResult) isReport()           {}
+func (VirtualGossipResult) isReport()    {}
+func (ColdStartResult) isReport()        {}
+func (VirtualColdStartResult) isReport() {}
+func (MatchResult) isReport()            {}
+
+// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares parts of 1.
+type GossipResult struct {
+	Instances      int     `json:"instances"`
+	Workers        int     `json:"workers"`
+	Hostile        int     `json:"hostile"`
+	Seconds        float64 `json:"seconds"`
+	Messages       float64 `json:"messages_per_second"` // sent by the worst instance, over the run
+	Peak           float64 `json:"messages_peak"`       // the most of any second and instance
+	Limit          int     `json:"messages_limit"`      // of any second
+	Bytes          float64 `json:"bytes_per_second"`    // sent by the worst instance
+	LeftOutByLiar  float64 `json:"left_out_by_liar"`    // worker-seconds: healthy workers that were ejected, by instances
+	Served         float64 `json:"served_share"`        // with the byzantine members
+	ServedHonest   float64 `json:"served_share_without_liar"`
+	ServedAlone    float64 `json:"served_share_alone"`
+	Lost           int     `json:"lost_to_silent"`
+	LostHonest     int     `json:"lost_to_silent_without_liar"`
+	LostAlone      int     `json:"lost_to_silent_alone"`
+	Notice         float64 `json:"notice_ms"`
+	NoticeAlone    float64 `json:"notice_ms_alone"`
+	CPUFlooded     float64 `json:"cpu_share_flooded"`   // of a core, more than without the flood
+	MemoryFlooded  int     `json:"memory_kb_flooded"`   // grown during the second half of the flood
+	CPU            float64 `json:"cpu_share_unflooded"` // of a core, of the same instance without load
+	UnheardOfLiars int     `json:"instances_that_unheard_liars"`
+}
+
+// VirtualGossipResult is what fleets of growing size cost in virtual time.
+type VirtualGossipResult struct {
+	Sizes          []VirtualGossipSize `json:"sizes"`
+	MessagesGrowth float64             `json:"messages_largest_over_smallest"` // messages a second an instance, the largest fleet's over the smallest's
+	Wall           float64             `json:"wall_seconds"`
+}
+
+// VirtualGossipSize is what a fleet of one size cost.
+type VirtualGossipSize struct {
+	Instances int     `json:"instances"`
+	Messages  float64 `json:"messages_per_second"` // sent by an instance, the mean
+	Worst     int     `json:"messages_peak"`       // the most of any second and instance
+	Bytes     float64 `json:"bytes_per_second"`
+	Death     float64 `json:"death_known_ms"`     // from a death until 99% of the others hold the member suspect, the median of five
+	Statement float64 `json:"statement_known_ms"` // from a statement until 99% have it
+	HeapKB    float64 `json:"heap_kb_per_instance"`
+}
+
+// ColdStartResult is what a ColdStartExperiment measured.
+type ColdStartResult struct {
+	Program  ColdStartMetrics  `json:"program"`
+	Baseline *ColdStartMetrics `json:"baseline,omitempty"`
+}
+
+// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares parts of 1.
+type ColdStartMetrics struct {
+	PollsPeak          int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
+	PollsEven          float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
+	PollsSent          int      `json:"polls_sent"`                // until each had the last event
+	PollsNeeded        int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
+	ConnectsPeak       int      `json:"connects_peak_100ms"`       // at the list service
+	Connects           int      `json:"connects"`                  // there, over the whole run
+	Bytes              int      `json:"list_bytes"`                // of lists, over the whole run
+	AllListed          float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
+	Limit              float64  `json:"limit_ms"`                  // what the service's capacity allows at best
+	AgentConnects      int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
+	Handshakes         float64  `json:"handshakes_per_scheduler"`
+	Workers            float64  `json:"workers_per_scheduler"` // that it sent anything
+	Homes              float64  `json:"homes_per_scheduler"`   // preferred workers of the functions that it was asked for: what it has to meet
+	Loads              int      `json:"loads"`
+	Crashed            int      `json:"workers_pushed_over"`
+	PeakColdLoadShare  float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
+	RefusedConnections int      `json:"agent_connects_refused"` // over what the workers accept
+	Served             float64  `json:"served_share"`
+	Asked              int      `json:"asked"`
+	Lost               int      `json:"lost"` // without any response
+	RulesBroken        []string `json:"rules_broken"`
+	Late               float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
+
+	pollTimes         []time.Duration
+	agentConnectTimes []time.Duration
+}
+
+// VirtualColdStartResult is what the planners of polls and the Routers of a fleet did in virtual time.
+type VirtualColdStartResult struct {
+	List    []VirtualPollResult       `json:"list_service"`
+	Workers map[string]VirtualMetrics `json:"workers"` // by experiment
+}
+
+// VirtualPollResult is what a fleet of one size asks of a list service in virtual time.
+type VirtualPollResult struct {
+	Schedulers      int            `json:"schedulers"`
+	EvenPeak        float64        `json:"polls_even_100ms"`
+	Peaks           map[string]int `json:"polls_peak_100ms"`      // by fault
+	AllListedMillis float64        `json:"crowded_all_listed_ms"` // -1 where some scheduler never had the list
+	LimitMillis     float64        `json:"crowded_limit_ms"`      // what the service's capacity allows at best
+	Sent            int            `json:"crowded_polls_sent"`
+	Needed          int            `json:"crowded_polls_needed"`
+}
+
+// VirtualMetrics is what a VirtualExperiment measured.
+type VirtualMetrics struct {
+	Schedulers     int       `json:"schedulers"`
+	Workers        int       `json:"workers"`
+	ServedShare    float64   `json:"served_share"`
+	ServedBySecond []float64 `json:"served_share_by_second"`
+	Rejected       int       `json:"refused"`
+	Handshakes     float64   `json:"handshakes_per_scheduler"`
+	ConnectsPeak   int       `json:"agent_connects_peak_100ms"` // at the worker that saw the most
+	Loads          int       `json:"loads"`
+	Crashed        int       `json:"workers_pushed_over"` // overloaded while they were warming up
+}
+
+// MatchResult is what a MatchExperiment measured.
+type MatchResult struct {
+	Rules        int         `json:"rules"`
+	Rate         float64     `json:"rate"`
+	Hostile      bool        `json:"hostile"`
+	Sizes        []MatchSize `json:"sizes"`
+	Flatness     float64     `json:"ns_1000_over_10"`            // medians
+	HostileRatio float64     `json:"hostile_p99_over_plain_p50"` // at the given number of rules
+	Served       float64     `json:"served_share"`
+	ServedPlain  float64     `json:"served_share_without_rules"`
+	P99          float64     `json:"p99_ms"`
+	P99Plain     float64     `json:"p99_ms_without_rules"`
+	CPU          float64     `json:"cpu_us_per_request"`
+	CPUPlain     float64     `json:"cpu_us_per_request_without_rules"`
+	Memory       int         `json:"memory_kb"`
+	MemoryPlain  int         `json:"memory_kb_without_rules"`
+}
+
+// MatchSize is what an evaluation takes with so many rules, in nanoseconds.
+type MatchSize struct {
+	Rules      int     `json:"rules"`
+	Plain      float64 `json:"plain_p50_ns"`
+	PlainP99   float64 `json:"plain_p99_ns"`
+	Hostile    float64 `json:"hostile_p50_ns"`
+	HostileP99 float64 `json:"hostile_p99_ns"`
+	Load       float64 `json:"load_ms"`
+}
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -26,19 +26,6 @@
 	Seed           uint64
 }
 
-// VirtualMetrics is what a VirtualExperiment measured.
-type VirtualMetrics struct {
-	Schedulers     int       `json:"schedulers"`
-	Workers        int       `json:"workers"`
-	ServedShare    float64   `json:"served_share"`
-	ServedBySecond []float64 `json:"served_share_by_second"`
-	Rejected       int       `json:"refused"`
-	Handshakes     float64   `json:"handshakes_per_scheduler"`
-	ConnectsPeak   int       `json:"agent_connects_peak_100ms"` // at the worker that saw the most
-	Loads          int       `json:"loads"`
-	Crashed        int       `json:"workers_pushed_over"` // overloaded while they were warming up
-}
-
 // virtualFleet is the state of a VirtualExperiment that runs.
 type virtualFleet struct {
 	VirtualExperiment
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -20,24 +20,6 @@
 	knownShare        = 0.99 // of the members that have to know of something
 )
 
-// VirtualGossipResult is what fleets of growing size cost in virtual time.
-type VirtualGossipResult struct {
-	Sizes          []VirtualGossipSize `json:"sizes"`
-	MessagesGrowth float64             `json:"messages_largest_over_smallest"` // messages a second an instance, the largest fleet's over the smallest's
-	Wall           float64             `json:"wall_seconds"`
-}
-
-// VirtualGossipSize is what a fleet of one size cost.
-type VirtualGossipSize struct {
-	Instances int     `json:"instances"`
-	Messages  float64 `json:"messages_per_second"` // sent by an instance, the mean
-	Worst     int     `json:"messages_peak"`       // the most of any second and instance
-	Bytes     float64 `json:"bytes_per_second"`
-	Death     float64 `json:"death_known_ms"`     // from a death until 99% of the others hold the member suspect, the median of five
-	Statement float64 `json:"statement_known_ms"` // from a statement until 99% have it
-	HeapKB    float64 `json:"heap_kb_per_instance"`
-}
-
 // SimulateGossip plays fleets of these sizes: half a minute of nothing, then some deaths, then a statement.
 func SimulateGossip(sizes []int, seed uint64) VirtualGossipResult {
 	began := time.Now()
