--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -75,7 +75,7 @@
 			if result.Program.Served < minServed {
 				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, minServed)
 			}
-			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.PeakColdLoadShare)
+			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.PeakWarmUpLoadShare)
 			if result.Program.AllListed < 0 {
 				t.Error("some schedulers did not hear the list again")
 			}
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -8,13 +8,13 @@
 // summary is the metrics in a sentence.
 func (m *ColdStartMetrics) summary() string {
 	return fmt.Sprintf("served %.4f of %d, at most %d asks and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
-		m.Served, m.Asked, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
+		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
 }
 
 // setLoad fills in what became of the load.
 func (m *ColdStartMetrics) setLoad(load LoadResult) {
 	m.Served = load.ServedShare()
-	m.Asked = load.Offered
+	m.Requests = load.Offered
 	m.Lost = load.Lost
 }
 
@@ -92,7 +92,7 @@
 		}
 		refused, peakLoadShare := worker.overload()
 		m.RefusedConnections += refused
-		m.PeakColdLoadShare = max(m.PeakColdLoadShare, peakLoadShare)
+		m.PeakWarmUpLoadShare = max(m.PeakWarmUpLoadShare, peakLoadShare)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
 			schedulers[arrival.From] = true
@@ -108,7 +108,7 @@
 	}
 	schedulers := float64(len(fleet.Instances))
 	m.Handshakes = float64(handshakes) / float64(max(starts, 1))
-	m.Homes = float64(countPreferredPairs(fleet.Workers)) / schedulers
+	m.PreferredWorkers = float64(countPreferredPairs(fleet.Workers)) / schedulers
 	m.Workers = float64(pairs) / schedulers
 }
 
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -95,8 +95,8 @@
 func (r *GossipResult) setByzantine(metrics gossipMetrics) {
 	r.Served = metrics.load.ServedShare()
 	r.Lost = metrics.lost
-	r.LeftOutByLiar = metrics.wronglyEjected
-	r.UnheardOfLiars = metrics.ignoredPeers
+	r.WronglyEjected = metrics.wronglyEjected
+	r.LiarsIgnored = metrics.ignoredPeers
 	r.setTraffic(metrics)
 }
 
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -109,7 +109,7 @@
 			result.HostileRatio = size.HostileP99 / size.Plain
 		}
 	}
-	result.Flatness = medians[1000] / medians[10]
+	result.RulesRatio = medians[1000] / medians[10]
 	with, err := e.measureLoad(ctx, operatorFileWithRules(e.Rules))
 	if err != nil {
 		return result, fmt.Errorf("with rules: %w", err)
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -27,11 +27,11 @@
 		}
 	}
 	disturbances := map[string]func(*PollSimulation){
-		"refused 8 s": withFault(ListRefusing),
-		"503 for 8 s": withFault(ListOverloaded),
-		"silent 8 s":  withFault(ListUnresponsive),
-		"broken":      (*PollSimulation).BreakConnections,
-		"event":       (*PollSimulation).Publish,
+		"refused_8s":    withFault(ListRefusing),
+		"overloaded_8s": withFault(ListOverloaded),
+		"silent_8s":     withFault(ListUnresponsive),
+		"broken":        (*PollSimulation).BreakConnections,
+		"event":         (*PollSimulation).Publish,
 	}
 	var results []VirtualPollResult
 	for _, size := range sizes {
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -4,6 +4,11 @@
 
 // Report is what an experiment measured, as the command testbed prints it in JSON: a GossipResult, VirtualGossipResult,
 // ColdStartResult, VirtualColdStartResult or MatchResult.
+//
+// Keys are in snake_case: what is measured, then under which condition (alone, without_rules), last the unit. Units are
+// _ms, _us, _ns, _seconds, _kb, _bytes, _share (a part of 1) and _100ms (a count within any 100 ms), or one of these per
+// something: _per_second, _us_per_request. A key without a unit is a count, or a ratio where it says a_over_b. What only
+// repeats a flag has the flag's name.
 type Report interface{ isReport() }
 
 func (GossipResult) isReport()           {}
@@ -18,23 +23,23 @@
 	Workers        int     `json:"workers"`
 	Hostile        int     `json:"hostile"`
 	Seconds        float64 `json:"seconds"`
-	Messages       float64 `json:"messages_per_second"` // sent by the worst instance, over the run
-	Peak           float64 `json:"messages_peak"`       // the most of any second and instance
-	Limit          int     `json:"messages_limit"`      // of any second
-	Bytes          float64 `json:"bytes_per_second"`    // sent by the worst instance
-	LeftOutByLiar  float64 `json:"left_out_by_liar"`    // worker-seconds: healthy workers that were ejected, by instances
-	Served         float64 `json:"served_share"`        // with the byzantine members
-	ServedHonest   float64 `json:"served_share_without_liar"`
-	ServedAlone    float64 `json:"served_share_alone"`
+	Messages       float64 `json:"messages_per_second"`            // sent by the worst instance, over the run
+	Peak           float64 `json:"messages_peak_per_second"`       // the most of any second and instance
+	Limit          int     `json:"messages_limit_per_second"`      // of any second
+	Bytes          float64 `json:"bytes_per_second"`               // sent by the worst instance
+	WronglyEjected float64 `json:"wrongly_ejected_worker_seconds"` // worker-seconds: healthy workers that were ejected, by instances
+	Served         float64 `json:"served_share"`                   // with the byzantine members
+	ServedHonest   float64 `json:"served_without_liar_share"`
+	ServedAlone    float64 `json:"served_alone_share"`
 	Lost           int     `json:"lost_to_silent"`
 	LostHonest     int     `json:"lost_to_silent_without_liar"`
 	LostAlone      int     `json:"lost_to_silent_alone"`
 	Notice         float64 `json:"notice_ms"`
-	NoticeAlone    float64 `json:"notice_ms_alone"`
-	CPUFlooded     float64 `json:"cpu_share_flooded"`   // of a core, more than without the flood
-	MemoryFlooded  int     `json:"memory_kb_flooded"`   // grown during the second half of the flood
-	CPU            float64 `json:"cpu_share_unflooded"` // of a core, of the same instance without load
-	UnheardOfLiars int     `json:"instances_that_unheard_liars"`
+	NoticeAlone    float64 `json:"notice_alone_ms"`
+	CPUFlooded     float64 `json:"cpu_flooded_share"`   // of a core, more than without the flood
+	MemoryFlooded  int     `json:"memory_flooded_kb"`   // grown during the second half of the flood
+	CPU            float64 `json:"cpu_unflooded_share"` // of a core, of the same instance without load
+	LiarsIgnored   int     `json:"liars_ignored"`
 }
 
 // VirtualGossipResult is what fleets of growing size cost in virtual time.
@@ -47,8 +52,8 @@
 // VirtualGossipSize is what a fleet of one size cost.
 type VirtualGossipSize struct {
 	Instances int     `json:"instances"`
-	Messages  float64 `json:"messages_per_second"` // sent by an instance, the mean
-	Worst     int     `json:"messages_peak"`       // the most of any second and instance
+	Messages  float64 `json:"messages_per_second"`      // sent by an instance, the mean
+	Worst     int     `json:"messages_peak_per_second"` // the most of any second and instance
 	Bytes     float64 `json:"bytes_per_second"`
 	Death     float64 `json:"death_known_ms"`     // from a death until 99% of the others hold the member suspect, the median of five
 	Statement float64 `json:"statement_known_ms"` // from a statement until 99% have it
@@ -63,28 +68,28 @@
 
 // ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares parts of 1.
 type ColdStartMetrics struct {
-	PollsPeak          int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
-	PollsEven          float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
-	PollsSent          int      `json:"polls_sent"`                // until each had the last event
-	PollsNeeded        int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
-	ConnectsPeak       int      `json:"connects_peak_100ms"`       // at the list service
-	Connects           int      `json:"connects"`                  // there, over the whole run
-	Bytes              int      `json:"list_bytes"`                // of lists, over the whole run
-	AllListed          float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
-	Limit              float64  `json:"limit_ms"`                  // what the service's capacity allows at best
-	AgentConnects      int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
-	Handshakes         float64  `json:"handshakes_per_scheduler"`
-	Workers            float64  `json:"workers_per_scheduler"` // that it sent anything
-	Homes              float64  `json:"homes_per_scheduler"`   // preferred workers of the functions that it was asked for: what it has to meet
-	Loads              int      `json:"loads"`
-	Crashed            int      `json:"workers_pushed_over"`
-	PeakColdLoadShare  float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
-	RefusedConnections int      `json:"agent_connects_refused"` // over what the workers accept
-	Served             float64  `json:"served_share"`
-	Asked              int      `json:"asked"`
-	Lost               int      `json:"lost"` // without any response
-	RulesBroken        []string `json:"rules_broken"`
-	Late               float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
+	PollsPeak           int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
+	PollsEven           float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
+	PollsSent           int      `json:"polls_sent"`                // until each had the last event
+	PollsNeeded         int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
+	ConnectsPeak        int      `json:"connects_peak_100ms"`       // at the list service
+	Connects            int      `json:"connects"`                  // there, over the whole run
+	Bytes               int      `json:"list_bytes"`                // of lists, over the whole run
+	AllListed           float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
+	Limit               float64  `json:"limit_ms"`                  // what the service's capacity allows at best
+	AgentConnects       int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
+	Handshakes          float64  `json:"handshakes_per_scheduler"`
+	Workers             float64  `json:"workers_per_scheduler"`           // that it sent anything
+	PreferredWorkers    float64  `json:"preferred_workers_per_scheduler"` // preferred workers of the functions that it was asked for: what it has to meet
+	Loads               int      `json:"loads"`
+	Crashed             int      `json:"workers_crashed"`
+	PeakWarmUpLoadShare float64  `json:"warm_up_load_peak_share"` // that a worker was sent while warming up, as a share of what it survives
+	RefusedConnections  int      `json:"agent_connects_refused"`  // over what the workers accept
+	Served              float64  `json:"served_share"`
+	Requests            int      `json:"requests"`
+	Lost                int      `json:"lost"` // without any response
+	RulesBroken         []string `json:"rules_broken"`
+	Late                float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
 
 	pollTimes         []time.Duration
 	agentConnectTimes []time.Duration
@@ -112,12 +117,12 @@
 	Schedulers     int       `json:"schedulers"`
 	Workers        int       `json:"workers"`
 	ServedShare    float64   `json:"served_share"`
-	ServedBySecond []float64 `json:"served_share_by_second"`
-	Rejected       int       `json:"refused"`
+	ServedBySecond []float64 `json:"served_by_second_share"`
+	Rejected       int       `json:"rejected"`
 	Handshakes     float64   `json:"handshakes_per_scheduler"`
 	ConnectsPeak   int       `json:"agent_connects_peak_100ms"` // at the worker that saw the most
 	Loads          int       `json:"loads"`
-	Crashed        int       `json:"workers_pushed_over"` // overloaded while they were warming up
+	Crashed        int       `json:"workers_crashed"` // overloaded while they were warming up
 }
 
 // MatchResult is what a MatchExperiment measured.
@@ -126,16 +131,16 @@
 	Rate         float64     `json:"rate"`
 	Hostile      bool        `json:"hostile"`
 	Sizes        []MatchSize `json:"sizes"`
-	Flatness     float64     `json:"ns_1000_over_10"`            // medians
-	HostileRatio float64     `json:"hostile_p99_over_plain_p50"` // at the given number of rules
+	RulesRatio   float64     `json:"plain_p50_1000_over_10_rules"` // medians
+	HostileRatio float64     `json:"hostile_p99_over_plain_p50"`   // at the given number of rules
 	Served       float64     `json:"served_share"`
-	ServedPlain  float64     `json:"served_share_without_rules"`
+	ServedPlain  float64     `json:"served_without_rules_share"`
 	P99          float64     `json:"p99_ms"`
-	P99Plain     float64     `json:"p99_ms_without_rules"`
+	P99Plain     float64     `json:"p99_without_rules_ms"`
 	CPU          float64     `json:"cpu_us_per_request"`
-	CPUPlain     float64     `json:"cpu_us_per_request_without_rules"`
+	CPUPlain     float64     `json:"cpu_without_rules_us_per_request"`
 	Memory       int         `json:"memory_kb"`
-	MemoryPlain  int         `json:"memory_kb_without_rules"`
+	MemoryPlain  int         `json:"memory_without_rules_kb"`
 }
 
 // MatchSize is what an evaluation takes with so many rules, in nanoseconds.
--- /dev/null
+++ b/internal/testbed/report_test.go
@@ -0,0 +1,48 @@
+package testbed
+
+import (
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// Keys of reports are in snake_case, and a unit is their last part, or one before "per".
+func TestReportKeys(t *testing.T) {
+	t.Parallel()
+	snakeCase := regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
+	units := []string{"ms", "us", "ns", "kb", "bytes", "seconds", "share", "100ms"}
+	var check func(typ reflect.Type)
+	check = func(typ reflect.Type) {
+		switch typ.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Map:
+			check(typ.Elem())
+			return
+		case reflect.Struct:
+		default:
+			return
+		}
+		for _, field := range reflect.VisibleFields(typ) {
+			if !field.IsExported() {
+				continue
+			}
+			key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+			if !snakeCase.MatchString(key) {
+				t.Errorf("%s.%s: key %q is not in snake_case", typ.Name(), field.Name, key)
+			}
+			parts := strings.Split(key, "_")
+			for i, part := range parts[:len(parts)-1] {
+				if slices.Contains(units, part) && parts[i+1] != "per" {
+					t.Errorf("%s.%s: key %q goes on after the unit %s", typ.Name(), field.Name, key, part)
+				}
+			}
+			check(field.Type)
+		}
+	}
+	for _, report := range []Report{
+		GossipResult{}, VirtualGossipResult{}, ColdStartResult{}, VirtualColdStartResult{}, MatchResult{},
+	} {
+		check(reflect.TypeOf(report))
+	}
+}
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -183,11 +183,11 @@
 		ratePerWorker = 8 // requests a second: a third of what a worker can do
 	)
 	experiments := map[string]VirtualExperiment{
-		"warm":         {},
-		"cold":         {ColdWorkers: true},
-		"killed":       {KilledShare: 0.7},
-		"cold, uneven": {ColdWorkers: true, Skew: 3},
-		"reborn":       {RestartedShare: 0.6},
+		"warm":        {},
+		"cold":        {ColdWorkers: true},
+		"killed":      {KilledShare: 0.7},
+		"cold_uneven": {ColdWorkers: true, Skew: 3},
+		"reborn":      {RestartedShare: 0.6},
 	}
 	var mu sync.Mutex // guards all and failed
 	all := map[string]VirtualMetrics{}
