--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -28,7 +28,7 @@
 func (r *Router) overdueAfter(a *attempt) float64 {
 	objective := a.request.class.LatencyObjective.Seconds()
 	after := min(max(overdueObjectiveFraction*objective, overdueMeanMultiple*a.work), objective)
-	if a.cold {
+	if a.mayNeedLoad {
 		after += overdueLoadMultiple * r.loadTime(a.request.function)
 	}
 	return after
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -33,9 +33,9 @@
 			return n
 		}
 		// A request may have arrived up to a tick (here 2 ms) before the batch that reported it.
-		got, most := in(orders, 5*time.Second), 2+0.01*in(calls, 5*time.Second-2*millisecond)
-		if got > most {
-			t.Fatalf("%v orders to load in the window, %v are allowed", got, most)
+		got, allowed := in(orders, 5*time.Second), 2+0.01*in(calls, 5*time.Second-2*millisecond)
+		if got > allowed {
+			t.Fatalf("%v orders to load in the window, %v are allowed", got, allowed)
 		}
 	}
 	if len(orders) == 0 {
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"calicohill/routing"
 )
 
-// A scheduler hands the Router what happened and does what it is told.
+// A scheduler passes the Router its events and executes the actions that it returns.
 func Example() {
 	router, err := routing.New(routing.Settings{
 		Schedulers:           1,
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -71,7 +71,7 @@
 	backoff := durationOf(r.serviceTime(ended.request.function) / shedBackoffDivisor)
 	until := r.now + backoff<<source.consecutiveSheds
 	source.loadBackoffUntil = max(source.loadBackoffUntil, until)
-	if !ended.cold {
+	if !ended.mayNeedLoad {
 		source.backoffUntil = max(source.backoffUntil, until)
 		source.concurrencyLimit = max(minLimit, source.concurrencyLimit*limitDecreaseFactor)
 	}
@@ -113,9 +113,9 @@
 	switch {
 	case end.Outcome == TimedOut || end.Outcome == Canceled && ended.superseded:
 		sample = 1 + objectives
-	case end.Outcome == Shed && !ended.cold:
+	case end.Outcome == Shed && !ended.mayNeedLoad:
 		sample = shedPressure
-	case end.Outcome == Served && !ended.cold:
+	case end.Outcome == Served && !ended.mayNeedLoad:
 		sample += objectives
 	case end.Report == nil:
 		return
@@ -164,7 +164,7 @@
 	}
 	latency := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds()
 	called.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
-	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.cold {
+	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.mayNeedLoad {
 		return
 	}
 	if end.InFlightForFunction >= 0 {
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -79,7 +79,7 @@
 	return b.router.Step(b.now, events)
 }
 
-// wait lets time pass with nothing but the Router's own timer, and returns what it asked for meanwhile.
+// wait lets time pass with nothing but the Router's own timer, and returns the actions that it returned meanwhile.
 func (b *testHarness) wait(d time.Duration) []Action {
 	var all []Action
 	for end := b.now + d; b.now < end; {
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -88,7 +88,7 @@
 }
 
 // A worker that enough peers report gets nothing but probes until it answers one; not while its own answers are
-// fresh, and no more workers than the rest can stand in for.
+// recent, and no more workers than the others have the capacity to replace.
 func TestEjectsOnConfirmedReports(t *testing.T) {
 	harness := harnessWithPeers(t, 8)
 	harness.step(0, confirmedReports("w3"))
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -198,7 +198,7 @@
 	for i := range 200 {
 		want := play1(alone, i)
 		if got := play1(a, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("step %d: beside another Router %v, alone %v", i, got, want)
+			t.Fatalf("step %d: with another Router in the process %v, alone %v", i, got, want)
 		}
 		play1(b, 2*i)
 	}
--- a/routing/request.go
+++ b/routing/request.go
@@ -22,17 +22,17 @@
 
 // attempt is an attempt to serve a request at a worker.
 type attempt struct {
-	request    *request
-	number     int // index in request.attempts
-	worker     *worker
-	placement  *placement
-	sentAt     time.Duration
-	overdueAt  time.Duration
-	work       float64 // expected service time, in seconds
-	cold       bool    // it may have to wait for a load
-	ended      bool
-	neverRan   bool // it ended, and is known never to have run
-	superseded bool // another attempt was started in its place, or it was canceled for one
+	request     *request
+	number      int // index in request.attempts
+	worker      *worker
+	placement   *placement
+	sentAt      time.Duration
+	overdueAt   time.Duration
+	work        float64 // expected service time, in seconds
+	mayNeedLoad bool    // it may have to wait for a load
+	ended       bool
+	neverRan    bool // it ended, and is known never to have run
+	superseded  bool // another attempt was started in its place, or it was canceled for one
 }
 
 // newRequest returns the record of a request that has just arrived.
@@ -51,13 +51,13 @@
 // newAttempt returns the record of an attempt that is about to start.
 func (r *Router) newAttempt(req *request, target *worker, warm bool) *attempt {
 	return &attempt{
-		request:   req,
-		number:    len(req.attempts),
-		worker:    target,
-		placement: req.function.placementAt(target),
-		sentAt:    r.now,
-		work:      r.serviceTime(req.function),
-		cold:      !warm,
+		request:     req,
+		number:      len(req.attempts),
+		worker:      target,
+		placement:   req.function.placementAt(target),
+		sentAt:      r.now,
+		work:        r.serviceTime(req.function),
+		mayNeedLoad: !warm,
 	}
 }
 
@@ -70,7 +70,7 @@
 	if r.isWarmingUp(started.worker) {
 		started.worker.slowStartSends = append(started.worker.slowStartSends, r.now)
 	}
-	if !started.cold {
+	if !started.mayNeedLoad {
 		r.inFlightWork += started.work
 		return
 	}
@@ -90,7 +90,7 @@
 	ended.request.inFlight--
 	ended.placement.inFlight--
 	ended.worker.inFlight = slices.DeleteFunc(ended.worker.inFlight, func(b *attempt) bool { return b == ended })
-	if ended.cold {
+	if ended.mayNeedLoad {
 		ended.worker.loadsWaiting--
 		if ended.placement.inFlight == 0 {
 			ended.placement.loading = false
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -11,17 +11,17 @@
 func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
-	serve := func(d time.Duration) (cold []time.Duration) {
+	serve := func(d time.Duration) (sentAt []time.Duration) {
 		for end0 := harness.now + d; harness.now < end0; n++ {
 			for _, s := range actionsOf[Send](harness.step(tickInterval, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
 				TimerFired{tickToken})) {
 				if s.Worker == "w1" {
-					cold = append(cold, harness.now)
+					sentAt = append(sentAt, harness.now)
 				}
 				harness.step(0, attemptEnd(s, 0, Served))
 			}
 		}
-		return cold
+		return sentAt
 	}
 	serve(5 * time.Second) // about 100 requests a second on one warm worker
 	rate := float64(harness.router.throughputPerWeight)
@@ -30,26 +30,26 @@
 		{ID: "w0", State: Draining},
 	}})
 	started := harness.now
-	cold := serve(3 * time.Second)
-	checkSlowStartBudget(t, cold, started, rate)
+	sentAt := serve(3 * time.Second)
+	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
 // checkSlowStartBudget checks that requests were sent to a warming worker, and in no second more than overload it: it
 // can do as much as rate, in requests a second, when it is warm.
-func checkSlowStartBudget(t *testing.T, cold []time.Duration, started time.Duration, rate float64) {
+func checkSlowStartBudget(t *testing.T, sentAt []time.Duration, started time.Duration, rate float64) {
 	t.Helper()
-	if len(cold) == 0 {
+	if len(sentAt) == 0 {
 		t.Fatal("nothing was sent to the warming worker")
 	}
-	for i, t0 := range cold {
+	for i, t0 := range sentAt {
 		in := 0
-		for _, u := range cold[i:] {
+		for _, u := range sentAt[i:] {
 			if u-t0 < time.Second {
 				in++
 			}
 		}
-		share := 0.25 + 0.75*(t0+time.Second-started).Seconds()/10
-		if limit := 2 * share * rate; float64(in) > limit {
+		capacityFraction := 0.25 + 0.75*(t0+time.Second-started).Seconds()/10
+		if limit := 2 * capacityFraction * rate; float64(in) > limit {
 			t.Fatalf("%d sends in the second from %v, the worker is overloaded at %.0f", in, t0-started, limit)
 		}
 	}
@@ -60,7 +60,7 @@
 func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
-	var cold []time.Duration
+	var sentAt []time.Duration
 	step := func(calls int) {
 		events := []Event{TimerFired{tickToken}}
 		for range calls {
@@ -69,7 +69,7 @@
 		}
 		for _, s := range actionsOf[Send](harness.step(tickInterval, events...)) {
 			if s.Worker == "w1" {
-				cold = append(cold, harness.now)
+				sentAt = append(sentAt, harness.now)
 			}
 			harness.step(0, attemptEnd(s, 0, Served))
 		}
@@ -89,7 +89,7 @@
 			step(30)
 		}
 	}
-	checkSlowStartBudget(t, cold, started, rate)
+	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
 // Where nothing overloads a warming worker, it is sent requests like any other.
@@ -111,7 +111,7 @@
 	}
 }
 
-// Rule 4 with many schedulers: a share of less than one request must not be rounded up by each of them.
+// Rule 4 with many schedulers: a quota of less than one request must not be rounded up by each of them.
 func TestSlowStartBudgetOfManySchedulers(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
@@ -137,8 +137,8 @@
 				}
 			}
 		}
-		if got, most := float64(total), budget+3*math.Sqrt(budget)+1; got > most {
-			t.Errorf("%d schedulers sent %v requests to a warming worker within a window, %v are allowed", schedulers, got, most)
+		if got, allowed := float64(total), budget+3*math.Sqrt(budget)+1; got > allowed {
+			t.Errorf("%d schedulers sent %v requests to a warming worker within a window, %v are allowed", schedulers, got, allowed)
 		}
 		if schedulers >= 80 && total == 0 {
 			t.Errorf("%d schedulers sent nothing at all to a warming worker", schedulers)
