--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -56,7 +56,7 @@
 			}
 			day := testbed.ColdStartExperiment{
 				Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
-				Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
+				Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Progress: func(s string) { t.Log(s) },
 			}
 			minServed := 0.0
 			switch warmingUp := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -345,7 +345,7 @@
 	})
 
 	// Another with the name and the key of n1, at other addresses.
-	duplicate := fleet.Instances[1].Twin()
+	duplicate := fleet.Instances[1].Duplicate()
 	if err := duplicate.Move(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -99,7 +99,7 @@
 	if err := setScheduler(&o.experiment.Program); err != nil {
 		return err
 	}
-	o.experiment.Say = reportTo(cmd)
+	o.experiment.Progress = reportTo(cmd)
 	result, err := o.experiment.Run(cmd.Context())
 	if err != nil {
 		return err
--- a/cmd/testbed/match.go
+++ b/cmd/testbed/match.go
@@ -23,7 +23,7 @@
 			if err := setScheduler(&experiment.Program); err != nil {
 				return err
 			}
-			experiment.Say = reportTo(cmd)
+			experiment.Progress = reportTo(cmd)
 			result, err := experiment.Run(cmd.Context())
 			if err != nil {
 				return err
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -53,7 +53,7 @@
 	Skew              float64 // of the load; see Load
 	Rate              float64 // requests a second, of all
 	Seed              uint64
-	Say               func(string) // is told how each run went
+	Progress          func(string) // is called with a summary of each run
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
@@ -136,7 +136,7 @@
 	worstDelay := <-wakeDelay
 	metrics.Late = float64(worstDelay.Milliseconds())
 	metrics.RulesBroken = fleet.violations(load, worstDelay)
-	d.Say(fmt.Sprintf("%-9s %s", name, metrics.summary()))
+	d.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
 	return metrics, nil
 }
 
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -7,7 +7,7 @@
 
 // summary is the metrics in a sentence.
 func (m *ColdStartMetrics) summary() string {
-	return fmt.Sprintf("served %.4f of %d, at most %d asks and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
+	return fmt.Sprintf("served %.4f of %d, at most %d polls and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
 		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
 }
 
@@ -90,9 +90,9 @@
 		if !worker.CrashedAt().IsZero() {
 			m.Crashed++
 		}
-		refused, peakLoadShare := worker.overload()
+		refused, peakLoad := worker.overload()
 		m.RefusedConnections += refused
-		m.PeakWarmUpLoadShare = max(m.PeakWarmUpLoadShare, peakLoadShare)
+		m.PeakWarmUpLoadShare = max(m.PeakWarmUpLoadShare, peakLoad)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
 			schedulers[arrival.From] = true
@@ -113,7 +113,7 @@
 }
 
 // countPreferredPairs counts the pairs of a scheduler and a worker that follow from the preferred workers which all
-// schedulers share: the scheduler was asked for a function that most of all calls of it went to the worker for.
+// schedulers share: the scheduler received a call of a function most of whose calls went to the worker.
 func countPreferredPairs(workers []*Worker) int {
 	calls := map[string]map[string]int{}
 	preferred := map[string]string{}
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -31,10 +31,10 @@
  "safety":{"answerSlackMs":16,"coldMs":17000,"coldShare":0.25,"overloadForMs":2000,"stopSendingWithinMs":1000,
   "tipMultiple":3}}`
 
-// Fleet is schedulers as real processes, the workers that they share, and the list service that tells them of these.
+// Fleet is schedulers as real processes, the workers that they share, and the list service that publishes these workers.
 type Fleet struct {
 	Program           string   // the scheduler
-	Env               []string // environment beside the testbed's own
+	Env               []string // environment variables besides the testbed's own
 	Dir               string   // for files; the caller's to remove
 	Instances         []*Instance
 	Workers           []*Worker
@@ -73,7 +73,7 @@
 	worker    string
 }
 
-// departure is when a worker was told to drain or to be gone, and by which event.
+// departure is when a worker was published as draining or deleted, and by which event.
 type departure struct {
 	at    time.Time
 	event int
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -18,7 +18,7 @@
 	answerTimeout = 8 * time.Second
 	// restartedLately is how long after a disruption a request that fails on a used connection is not sent again.
 	restartedLately = time.Second
-	// healthCheckInterval is how often a scheduler that is not up yet is asked whether it is.
+	// healthCheckInterval is how often a scheduler that is not up yet is probed.
 	healthCheckInterval = 20 * time.Millisecond
 )
 
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -34,7 +34,7 @@
 	Rate         float64 // requests a second, of all
 	Seed         uint64
 	MeasureFlood bool // measure a flood of forged datagrams too
-	Say          func(string)
+	Progress     func(string)
 }
 
 // Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
@@ -62,7 +62,7 @@
 			return result, fmt.Errorf("%s: %w", run.name, err)
 		}
 		run.keep(&result, metrics)
-		e.Say(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
+		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
 			run.name, metrics.load.ServedShare(), metrics.load.Offered, metrics.lost, metrics.noticeMillis, metrics.messages))
 	}
 	if e.MeasureFlood {
@@ -184,8 +184,8 @@
 
 // floodMetrics is what a flood of forged datagrams cost one instance.
 type floodMetrics struct {
-	idleCPU  float64 // share of a core without the flood
-	floodCPU float64 // share of a core more with it
+	idleCPU  float64 // fraction of a core without the flood
+	floodCPU float64 // additional fraction of a core with it
 	grownKB  int     // memory, during the second half of the flood
 }
 
@@ -216,7 +216,7 @@
 	if err := <-ended; err != nil {
 		return metrics, err
 	}
-	e.Say(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
+	e.Progress(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
 	return metrics, fleet.nobodyDead()
 }
 
--- a/internal/testbed/gossipsim/network.go
+++ b/internal/testbed/gossipsim/network.go
@@ -17,7 +17,7 @@
 	defaultDelay = 2 * time.Millisecond
 	// maxPending is how many messages wait for a paused node: about as many as the buffer of a socket holds.
 	maxPending = 200
-	// minStepInterval is the minimum time until a step that a node asks for.
+	// minStepInterval is the minimum time until a step that a node requests.
 	minStepInterval = time.Millisecond
 	// networkStream is the stream of random numbers of a Network. It differs from that of a Core with the same seed.
 	networkStream = 2
@@ -39,7 +39,7 @@
 
 	sendRate gossip.RateMeter // since the last start
 	pending  []gossip.Event   // received while it is paused
-	wakeAt   time.Duration    // the step that it asked for last
+	wakeAt   time.Duration    // the step that it requested last
 }
 
 // Network is a network in virtual time. Its exported settings may be changed between calls of Run.
@@ -139,7 +139,7 @@
 // Deliver steps a node with events.
 func (n *Network) Deliver(node *Node, events ...gossip.Event) { n.step(node, events) }
 
-// Send sends a message that a node's Core did not ask for, as a byzantine member would.
+// Send sends a message that a node's Core did not return, as a byzantine member would.
 func (n *Network) Send(from *Node, to netip.AddrPort, message *gossip.Message) {
 	n.deliver(from, gossip.Transmit{Addr: to, Message: message})
 }
--- a/internal/testbed/gossipsim/queue.go
+++ b/internal/testbed/gossipsim/queue.go
@@ -7,12 +7,12 @@
 	"calicohill/internal/fleet/gossip"
 )
 
-// event is a message on its way to a node, or, without a message, the time at which a node asked to be stepped.
+// event is a message on its way to a node, or, without a message, the time at which a node requested a step.
 type event struct {
 	at      time.Duration
 	seq     int // orders events of the same time
 	node    *Node
-	epoch   int64 // of the node that asked to be stepped
+	epoch   int64 // of the node that requested the step
 	message *gossip.Received
 }
 
--- a/internal/testbed/hub.go
+++ b/internal/testbed/hub.go
@@ -15,7 +15,7 @@
 	condition func(from, to string) LinkCondition
 }
 
-// NewHub opens a hub for members at these addresses. condition tells what the link from one of them to another does.
+// NewHub opens a hub for members at these addresses. condition returns what the link from one of them to another does.
 func NewHub(members []string, condition func(from, to string) LinkCondition) (*Hub, error) {
 	hub := &Hub{sockets: map[string]*net.UDPConn{}, condition: condition}
 	for _, member := range members {
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -54,13 +54,13 @@
 
 // schedulerConfig is the platform's file of a scheduler.
 type schedulerConfig struct {
-	Bulletin string          `json:"bulletin"`
-	Known    json.RawMessage `json:"known"`
-	Limits   schedulerLimits `json:"limits"`
-	Listen   string          `json:"listen"`
-	Name     string          `json:"name"`
-	Seed     string          `json:"seed"`
-	Settings json.RawMessage `json:"settings"`
+	ListAddress string          `json:"bulletin"`
+	Known       json.RawMessage `json:"known"`
+	Limits      schedulerLimits `json:"limits"`
+	Listen      string          `json:"listen"`
+	Name        string          `json:"name"`
+	Seed        string          `json:"seed"`
+	Settings    json.RawMessage `json:"settings"`
 }
 
 // schedulerLimits is what the platform lets a scheduler use.
@@ -74,18 +74,18 @@
 func (in *Instance) configure() error {
 	fleet := in.fleet
 	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
-	bulletin, err := fleet.List.Address(in.Name)
+	listAddress, err := fleet.List.Address(in.Name)
 	if err != nil {
 		return err
 	}
 	text, err := json.Marshal(schedulerConfig{
-		Bulletin: bulletin,
-		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
-		Limits:   schedulerLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Listen:   in.Addr,
-		Name:     in.Name,
-		Seed:     fmt.Sprintf("%016x", rank+1),
-		Settings: json.RawMessage(fmt.Sprintf(platformSettings, max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank)),
+		ListAddress: listAddress,
+		Known:       json.RawMessage(fleet.knownEvents(in.Name)),
+		Limits:      schedulerLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Listen:      in.Addr,
+		Name:        in.Name,
+		Seed:        fmt.Sprintf("%016x", rank+1),
+		Settings:    json.RawMessage(fmt.Sprintf(platformSettings, max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank)),
 	})
 	if err != nil {
 		return err
@@ -140,8 +140,8 @@
 	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
 }
 
-// Twin is another instance with the name and the files of this one, which does not run yet.
-func (in *Instance) Twin() *Instance {
+// Duplicate is another instance with the name and the files of this one, which does not run yet.
+func (in *Instance) Duplicate() *Instance {
 	return &Instance{
 		Name:         in.Name,
 		Addr:         in.Addr,
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -13,7 +13,7 @@
 	machineSlack = 150 * time.Millisecond
 	// maxAnswerDelay is by how much a response may come after its client's time, as in docs: later it counts as lost.
 	maxAnswerDelay = 500 * time.Millisecond
-	// drainGrace is how long after a scheduler was told of a drain it may still send new requests to the worker.
+	// drainGrace is how long a scheduler that was notified of a drain may still send new requests to the worker.
 	drainGrace = time.Second
 	// maxAttempts is how many attempts a request may have.
 	maxAttempts = 4
@@ -32,7 +32,7 @@
 }
 
 // brokenRules holds the history of a fleet against the rules: nothing new to a worker later than 1 s after its scheduler
-// was told that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming up, a
+// was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming up, a
 // response to each request.
 func (f *Fleet) brokenRules(load LoadResult, slack time.Duration) []string {
 	past := &history{
@@ -73,7 +73,7 @@
 // checkWorker checks what reached a worker.
 func (h *history) checkWorker(worker *Worker) {
 	if !worker.CrashedAt().IsZero() {
-		h.violation("%s was pushed over while it was cold", worker.ID)
+		h.violation("%s was overloaded while it was warming up and crashed", worker.ID)
 	}
 	departure, leaves := h.fleet.departures[worker]
 	for _, arrival := range worker.Arrivals() {
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -16,8 +16,8 @@
 	Delay          time.Duration // each way
 	Jitter         time.Duration // each way, up to so much more than Delay
 	BytesPerSecond float64       // each way; 0 means no bound
-	Loss           float64       // share of the datagrams that are lost
-	Duplicate      float64       // share of the datagrams that come twice; those that Jitter delays come out of order
+	Loss           float64       // fraction of the datagrams that is lost
+	Duplicate      float64       // fraction of the datagrams that comes twice; those that Jitter delays come out of order
 	CutForward     bool          // drops what goes there, without a sign
 	CutBackward    bool          // drops what comes back, without a sign
 	Hang           bool          // accepts new connections and passes nothing on
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	if _, err := conn.Write([]byte("a")); err != nil || echo(time.Minute) != nil {
-		t.Fatalf("a link that is whole carries nothing: %v", err)
+		t.Fatalf("a link without a fault carries nothing: %v", err)
 	}
 	if err := link.Set(LinkCondition{CutForward: true, CutBackward: true}); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A hub drops, delays and cuts as it is told, and the receiver sees the sender's address there.
+// A hub drops, delays and cuts by its conditions, and the receiver sees the sender's address at the hub.
 func TestHub(t *testing.T) {
 	sender := listenUDP(t)
 	receiver := listenUDP(t)
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/listservice.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// settledAfter is how long after the list service's last fault an event counts as told to all.
+// settledAfter is how long after the list service's last fault an event counts as delivered to all.
 const settledAfter = 2 * time.Second
 
 // ListService is the stand-in list service on loopback. Each scheduler has a listener of its own to it, an address that
-// nobody else is told, so that it is known who polls.
+// no other scheduler is configured with, so that it is known which of them polls.
 type ListService struct {
 	host string // where it listens, with port 0
 
@@ -166,7 +166,7 @@
 	}
 }
 
-// Publish has the service publish one more event. event returns its JSON, by its number, as the scheduler is told it.
+// Publish has the service publish one more event. event returns its JSON, by its number, as the scheduler receives it.
 func (s *ListService) Publish(event func(number int, scheduler string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,7 @@
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(items, ","))
 }
 
-// effectiveAt is from when on what was published at a time counts as told to all: at once where the service is healthy,
+// effectiveAt is from when on what was published at a time counts as delivered to all: at once where the service is healthy,
 // settledAfter the end of its fault where it is not; the zero time if that has not ended.
 func (s *ListService) effectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -36,7 +36,7 @@
 	MaxOverrun    time.Duration   // the most by which a response came after requestTimeout
 }
 
-// ServedShare is the share of the requests that were served.
+// ServedShare is the fraction of the requests that were served.
 func (r LoadResult) ServedShare() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -71,11 +71,11 @@
 	}
 }
 
-// classes are the request classes and their shares of the load, as in docs: two in five read, as many file hours, the
+// classes are the request classes and their fractions of the load, as in docs: two in five read, as many file hours, the
 // rest certify.
 var classes = []struct {
-	name  string
-	share float64
+	name     string
+	fraction float64
 }{
 	{"consulta", 0.39},
 	{"registro-horas", 0.35},
@@ -85,10 +85,10 @@
 // pickClass is the number of the class that a draw from 0 to 1 falls on.
 func pickClass(draw float64) int {
 	for i, class := range classes {
-		if draw < class.share {
+		if draw < class.fraction {
 			return i
 		}
-		draw -= class.share
+		draw -= class.fraction
 	}
 	return len(classes) - 1
 }
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -27,14 +27,14 @@
 
 // MatchExperiment measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
 type MatchExperiment struct {
-	Program string
-	Env     []string
-	Rules   int
-	Rate    float64 // requests a second
-	Hostile bool    // requests carry the longest legal texts, many parameters and near misses of prefixes
-	Seconds float64
-	Seed    uint64
-	Say     func(string)
+	Program  string
+	Env      []string
+	Rules    int
+	Rate     float64 // requests a second
+	Hostile  bool    // requests carry the longest legal texts, many parameters and near misses of prefixes
+	Seconds  float64
+	Seed     uint64
+	Progress func(string)
 }
 
 // operatorFileWithRules is an operator's file with rules that tell requests apart by function, and two that are tried for
@@ -114,7 +114,7 @@
 	if err != nil {
 		return result, fmt.Errorf("with rules: %w", err)
 	}
-	result.Served = with.servedShare
+	result.Served = with.servedFraction
 	result.P99 = with.p99Millis
 	result.CPU = with.cpuMicros
 	result.Memory = with.memoryKB
@@ -122,7 +122,7 @@
 	if err != nil {
 		return result, fmt.Errorf("without rules: %w", err)
 	}
-	result.ServedPlain = plain.servedShare
+	result.ServedPlain = plain.servedFraction
 	result.P99Plain = plain.p99Millis
 	result.CPUPlain = plain.cpuMicros
 	result.MemoryPlain = plain.memoryKB
@@ -156,10 +156,10 @@
 
 // loadMeasurement is what became of a load.
 type loadMeasurement struct {
-	servedShare float64
-	p99Millis   float64
-	cpuMicros   float64 // of processor time a request
-	memoryKB    int
+	servedFraction float64
+	p99Millis      float64
+	cpuMicros      float64 // of processor time a request
+	memoryKB       int
 }
 
 // measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
@@ -180,16 +180,16 @@
 	cpuBefore := scheduler.CPU()
 	result := offerFor(time.Duration(e.Seconds * float64(time.Second)))
 	measured := loadMeasurement{
-		servedShare: result.ServedShare(),
-		memoryKB:    scheduler.Memory(),
-		cpuMicros:   float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
+		servedFraction: result.ServedShare(),
+		memoryKB:       scheduler.Memory(),
+		cpuMicros:      float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
 	}
 	slices.Sort(result.ResponseTimes)
 	if count := len(result.ResponseTimes); count > 0 {
 		measured.p99Millis = float64(result.ResponseTimes[count*99/100].Microseconds()) / 1000
 	}
-	e.Say(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
-		measured.servedShare, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
+	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
+		measured.servedFraction, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
 	return measured, scheduler.Stop()
 }
 
--- a/internal/testbed/pollqueue.go
+++ b/internal/testbed/pollqueue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ListFault is how the stand-in list service behaves. Its values are words of scenarios.
+// ListFault is how the stand-in list service behaves. Its values are names in scenarios.
 type ListFault string
 
 // The faults of the list service.
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -6,7 +6,7 @@
 // ColdStartResult, VirtualColdStartResult or MatchResult.
 //
 // Keys are in snake_case: what is measured, then under which condition (alone, without_rules), last the unit. Units are
-// _ms, _us, _ns, _seconds, _kb, _bytes, _share (a part of 1) and _100ms (a count within any 100 ms), or one of these per
+// _ms, _us, _ns, _seconds, _kb, _bytes, _share (a fraction of 1) and _100ms (a count within any 100 ms), or one of these per
 // something: _per_second, _us_per_request. A key without a unit is a count, or a ratio where it says a_over_b. What only
 // repeats a flag has the flag's name.
 type Report interface{ isReport() }
@@ -17,7 +17,7 @@
 func (VirtualColdStartResult) isReport() {}
 func (MatchResult) isReport()            {}
 
-// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares parts of 1.
+// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares fractions of 1.
 type GossipResult struct {
 	Instances      int     `json:"instances"`
 	Workers        int     `json:"workers"`
@@ -27,7 +27,7 @@
 	Peak           float64 `json:"messages_peak_per_second"`       // the most of any second and instance
 	Limit          int     `json:"messages_limit_per_second"`      // of any second
 	Bytes          float64 `json:"bytes_per_second"`               // sent by the worst instance
-	WronglyEjected float64 `json:"wrongly_ejected_worker_seconds"` // worker-seconds: healthy workers that were ejected, by instances
+	WronglyEjected float64 `json:"wrongly_ejected_worker_seconds"` // healthy workers that were ejected, times the instances that did
 	Served         float64 `json:"served_share"`                   // with the byzantine members
 	ServedHonest   float64 `json:"served_without_liar_share"`
 	ServedAlone    float64 `json:"served_alone_share"`
@@ -66,7 +66,7 @@
 	Baseline *ColdStartMetrics `json:"baseline,omitempty"`
 }
 
-// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares parts of 1.
+// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares fractions of 1.
 type ColdStartMetrics struct {
 	PollsPeak           int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
 	PollsEven           float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
@@ -80,16 +80,16 @@
 	AgentConnects       int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
 	Handshakes          float64  `json:"handshakes_per_scheduler"`
 	Workers             float64  `json:"workers_per_scheduler"`           // that it sent anything
-	PreferredWorkers    float64  `json:"preferred_workers_per_scheduler"` // preferred workers of the functions that it was asked for: what it has to meet
+	PreferredWorkers    float64  `json:"preferred_workers_per_scheduler"` // of the functions requested of it: the workers that it has to connect to
 	Loads               int      `json:"loads"`
 	Crashed             int      `json:"workers_crashed"`
-	PeakWarmUpLoadShare float64  `json:"warm_up_load_peak_share"` // that a worker was sent while warming up, as a share of what it survives
+	PeakWarmUpLoadShare float64  `json:"warm_up_load_peak_share"` // that a worker was sent while warming up, as a fraction of what it survives
 	RefusedConnections  int      `json:"agent_connects_refused"`  // over what the workers accept
 	Served              float64  `json:"served_share"`
 	Requests            int      `json:"requests"`
 	Lost                int      `json:"lost"` // without any response
 	RulesBroken         []string `json:"rules_broken"`
-	Late                float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
+	Late                float64  `json:"machine_late_ms"` // the worst delay with which this machine woke the testbed itself
 
 	pollTimes         []time.Duration
 	agentConnectTimes []time.Duration
@@ -101,7 +101,7 @@
 	Workers map[string]VirtualMetrics `json:"workers"` // by experiment
 }
 
-// VirtualPollResult is what a fleet of one size asks of a list service in virtual time.
+// VirtualPollResult is the polls that a fleet of one size sends to a list service in virtual time.
 type VirtualPollResult struct {
 	Schedulers      int            `json:"schedulers"`
 	EvenPeak        float64        `json:"polls_even_100ms"`
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -19,7 +19,7 @@
 //	4s break                       breaks all connections of the list service
 //	4s tell                        an event that says again what the list has
 //	4s drain SHARE                 has workers drain
-//	4s replace SHARE [cold]        deletes workers and lists new ones, that start then if they are cold
+//	4s replace SHARE [cold]        deletes workers and lists new ones; with cold these are warming up
 //	4s kill|stop|cont|term SHARE   of schedulers: SIGKILL, SIGSTOP, SIGCONT, SIGTERM
 //	4s roll SHARE PAUSE            a rolling restart of all schedulers, a share at a time
 //	4s link CONDITION SHARE SHARE  of schedulers and workers, between them: whole, cut, cut-there, cut-back, hang, slow
@@ -86,11 +86,11 @@
 	if err != nil {
 		return 0, err
 	}
-	share, err := strconv.ParseFloat(text, 64)
-	if err != nil || share < 0 || share > 1 {
+	fraction, err := strconv.ParseFloat(text, 64)
+	if err != nil || fraction < 0 || fraction > 1 {
 		return 0, fmt.Errorf("%w: share %q", errInvalidStep, text)
 	}
-	return int(share*float64(total) + 0.5), nil
+	return int(fraction*float64(total) + 0.5), nil
 }
 
 // duration is a duration among the arguments.
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// scenarioStream is the second word of the random generator's seed: it sets these draws apart from those of the load.
+// scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
 // pollPeriod is the time in which each scheduler of a healthy fleet polls once, in seconds.
 const pollPeriod = 2
 
-// workerFaults is the faults of workers by their words in scenarios.
+// workerFaults is the faults of workers by their names in scenarios.
 var workerFaults = map[string]WorkerFault{
 	"sound":   WorkerHealthy,
 	"mute":    WorkerUnresponsive,
@@ -24,7 +24,7 @@
 	"refuses": WorkerRefusing,
 }
 
-// linkConditions is what links can be made to do, by the words of scenarios.
+// linkConditions is the conditions of links by their names in scenarios.
 var linkConditions = map[string]LinkCondition{
 	"whole":     {},
 	"cut":       {CutForward: true, CutBackward: true},
@@ -36,7 +36,7 @@
 	"far":       {Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond},
 }
 
-// resetLink is the word for resetting a link's connections once.
+// resetLink is the condition that resets a link's connections once.
 const resetLink = "reset"
 
 // stepRun is a step that is executed on a fleet.
@@ -135,7 +135,7 @@
 // terminate has instances shut down, and does not wait for it.
 func (r stepRun) terminate() error {
 	return r.eachInstance(func(in *Instance) error {
-		go func() { _ = in.Stop() }() // one that does not end in order is noticed by the checks
+		go func() { _ = in.Stop() }() // one that does not end in order is detected by the checks
 		return nil
 	})
 }
@@ -155,7 +155,7 @@
 			instance := r.fleet.Instances[i]
 			r.fleet.restarts.Go(func() {
 				if err := instance.Stop(); err == nil {
-					_ = instance.Start() // one that does not start is noticed by the checks
+					_ = instance.Start() // one that does not start is detected by the checks
 				}
 			})
 		}
@@ -173,11 +173,11 @@
 	}
 	answersPerSecond := 0.0
 	if len(r.Args) > 1 {
-		share, err := strconv.ParseFloat(r.Args[1], 64)
-		if err != nil || share <= 0 {
+		fraction, err := strconv.ParseFloat(r.Args[1], 64)
+		if err != nil || fraction <= 0 {
 			return r.invalid()
 		}
-		answersPerSecond = share * float64(len(r.fleet.Instances)) / pollPeriod
+		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / pollPeriod
 	}
 	return r.fleet.List.SetFault(ListFault(fault), answersPerSecond)
 }
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -14,16 +14,16 @@
 
 // VirtualExperiment is schedulers before workers in virtual time: the Routers, and nothing else of a scheduler.
 type VirtualExperiment struct {
-	Schedulers     int
-	Workers        int
-	Profile        string  // of the workers, by name
-	ColdWorkers    bool    // they start with the experiment, without functions loaded and warming up
-	KilledShare    float64 // of the schedulers, which lose what they learned at half time
-	RestartedShare float64 // of the workers, which start anew then, without functions loaded and warming up
-	Rate           float64 // as a Load's
-	Skew           float64 // as a Load's
-	Seconds        int
-	Seed           uint64
+	Schedulers        int
+	Workers           int
+	Profile           string  // of the workers, by name
+	WarmingWorkers    bool    // they start with the experiment, without functions loaded and warming up
+	KilledFraction    float64 // of the schedulers, which lose what they learned at half time
+	RestartedFraction float64 // of the workers, which start anew then, without functions loaded and warming up
+	Rate              float64 // as a Load's
+	Skew              float64 // as a Load's
+	Seconds           int
+	Seed              uint64
 }
 
 // virtualFleet is the state of a VirtualExperiment that runs.
@@ -75,7 +75,7 @@
 func (f *virtualFleet) addWorkers() {
 	for i := range f.Workers {
 		worker := newVirtualWorker(f.profile)
-		if f.ColdWorkers {
+		if f.WarmingWorkers {
 			worker.startedAt = f.now
 		}
 		id := fmt.Sprintf("w%03d", i)
@@ -107,7 +107,7 @@
 		if err := scheduler.start(); err != nil {
 			return err
 		}
-		if float64(i) < f.KilledShare*float64(f.Schedulers) {
+		if float64(i) < f.KilledFraction*float64(f.Schedulers) {
 			f.schedule(f.duration()/2, func() { f.failed = errors.Join(f.failed, scheduler.start()) })
 		}
 		rng := rand.New(rand.NewPCG(f.Seed, uint64(i)))
@@ -119,9 +119,9 @@
 // functionsFor is how many functions the clients of so many workers call.
 func functionsFor(workers int) int { return 3 * workers / 2 }
 
-// restartWorkers has some workers start anew, and tells the schedulers.
+// restartWorkers restarts some workers, and notifies the schedulers.
 func (f *virtualFleet) restartWorkers() {
-	restarted := int(f.RestartedShare * float64(f.Workers))
+	restarted := int(f.RestartedFraction * float64(f.Workers))
 	for i := range f.list.Workers[:restarted] {
 		listed := &f.list.Workers[i]
 		listed.Started = f.now
@@ -150,8 +150,8 @@
 	for second := range f.Seconds {
 		offered += f.offered[second]
 		served += f.served[second]
-		share := float64(f.served[second]) / max(float64(f.offered[second]), 1)
-		f.metrics.ServedBySecond = append(f.metrics.ServedBySecond, share)
+		fraction := float64(f.served[second]) / max(float64(f.offered[second]), 1)
+		f.metrics.ServedBySecond = append(f.metrics.ServedBySecond, fraction)
 	}
 	f.metrics.ServedShare = float64(served) / max(float64(offered), 1)
 	handshakes := 0
@@ -184,10 +184,10 @@
 	)
 	experiments := map[string]VirtualExperiment{
 		"warm":        {},
-		"cold":        {ColdWorkers: true},
-		"killed":      {KilledShare: 0.7},
-		"cold_uneven": {ColdWorkers: true, Skew: 3},
-		"reborn":      {RestartedShare: 0.6},
+		"cold":        {WarmingWorkers: true},
+		"killed":      {KilledFraction: 0.7},
+		"cold_uneven": {WarmingWorkers: true, Skew: 3},
+		"reborn":      {RestartedFraction: 0.6},
 	}
 	var mu sync.Mutex // guards all and failed
 	all := map[string]VirtualMetrics{}
--- a/internal/testbed/virtualfleet_test.go
+++ b/internal/testbed/virtualfleet_test.go
@@ -15,15 +15,15 @@
 		least      float64 // so much is served in each second
 	}{
 		// Guards against a fault: nothing was sent to any worker for as long as all were warming up.
-		{"all cold", VirtualExperiment{Schedulers: 24, Workers: 10, ColdWorkers: true, Rate: 80, Seconds: 14}, 7, 0.9},
-		{"all cold, uneven load", VirtualExperiment{Schedulers: 24, Workers: 10, ColdWorkers: true, Rate: 80, Skew: 3, Seconds: 14}, 9, 0.8},
+		{"all cold", VirtualExperiment{Schedulers: 24, Workers: 10, WarmingWorkers: true, Rate: 80, Seconds: 14}, 7, 0.9},
+		{"all cold, uneven load", VirtualExperiment{Schedulers: 24, Workers: 10, WarmingWorkers: true, Rate: 80, Skew: 3, Seconds: 14}, 9, 0.8},
 		// Guards against a fault: a budget of less than one call a window was hardly ever used.
-		{"all cold, many schedulers", VirtualExperiment{Schedulers: 120, Workers: 24, ColdWorkers: true, Rate: 130, Seconds: 14}, 4, 0.5},
+		{"all cold, many schedulers", VirtualExperiment{Schedulers: 120, Workers: 24, WarmingWorkers: true, Rate: 130, Seconds: 14}, 4, 0.5},
 		// The preferred worker of the function that is called most is called 40 times as much as the mean worker.
-		{"all cold, hundreds of workers", VirtualExperiment{Schedulers: 300, Workers: 400, ColdWorkers: true, Rate: 3200, Seconds: 3}, 0, 0.3},
+		{"all cold, hundreds of workers", VirtualExperiment{Schedulers: 300, Workers: 400, WarmingWorkers: true, Rate: 3200, Seconds: 3}, 0, 0.3},
 		// Guards against a fault: the workers that schedulers knew were overloaded, and calls for all others were rejected for it.
 		{"warm, few met", VirtualExperiment{Schedulers: 400, Workers: 80, Rate: 800, Seconds: 13}, 10, 0.86},
-		{"four in five start anew", VirtualExperiment{Schedulers: 120, Workers: 24, RestartedShare: 0.8, Rate: 200, Seconds: 18}, 9, 0.7},
+		{"four in five start anew", VirtualExperiment{Schedulers: 120, Workers: 24, RestartedFraction: 0.8, Rate: 200, Seconds: 18}, 9, 0.7},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			if metrics.Crashed > 0 {
-				t.Errorf("%d workers were pushed over", metrics.Crashed)
+				t.Errorf("%d workers were overloaded and crashed", metrics.Crashed)
 			}
 			// Requests of the last second may not be answered yet.
 			if worst := slices.Min(metrics.ServedBySecond[tt.from : tt.experiment.Seconds-1]); worst < tt.least {
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -13,11 +13,11 @@
 // The course of a gossip simulation.
 const (
 	maxVirtualMembers = 8192
-	deathCount        = 5 // several deaths at once: when one is noticed depends on whose turn it is to be probed
+	deathCount        = 5 // several deaths at once: when one is detected depends on the order of the probes
 	idleDuration      = 30 * time.Second
 	deathDuration     = 15 * time.Second
 	statementDuration = 5 * time.Second
-	knownShare        = 0.99 // of the members that have to know of something
+	knownFraction     = 0.99 // of the members that have to know of something
 )
 
 // SimulateGossip plays fleets of these sizes: half a minute of nothing, then some deaths, then a statement.
@@ -82,7 +82,7 @@
 // millisUntilKnown is how long after a time knownShare of so many nodes knew, in milliseconds; infinite where they
 // didn't.
 func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
-	needed := int(math.Ceil(knownShare * float64(nodes)))
+	needed := int(math.Ceil(knownFraction * float64(nodes)))
 	if len(k) < needed {
 		return math.Inf(1)
 	}
--- a/internal/testbed/virtualscheduler.go
+++ b/internal/testbed/virtualscheduler.go
@@ -130,7 +130,7 @@
 	})
 }
 
-// attemptEnded tells the Router how an attempt ended, once.
+// attemptEnded notifies the Router of an attempt's result, once.
 func (s *virtualScheduler) attemptEnded(id string, attempt int, result routing.AttemptEnded) {
 	request := s.inFlight[id]
 	if request == nil || !request.attemptInFlight[attempt] {
--- a/internal/testbed/virtualworker.go
+++ b/internal/testbed/virtualworker.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// report is the load report: the share of the slots that are busy.
+// report is the load report: the fraction of the slots that is busy.
 func (w *virtualWorker) report(now time.Duration) *routing.LoadReport {
 	busy := 0.0
 	for _, freeAt := range w.slotFreeAt {
@@ -67,7 +67,7 @@
 		w.loadedAt[function] = loadedAt
 	}
 	slot := w.nextSlot()
-	serviceTime := time.Duration(float64(scheduler.profile.ServiceTime) / capacityShare(age))
+	serviceTime := time.Duration(float64(scheduler.profile.ServiceTime) / capacityFraction(age))
 	done := max(now, loadedAt, w.slotFreeAt[slot]) + serviceTime
 	w.slotFreeAt[slot] = done
 	unfinished := slices.DeleteFunc(w.doneAt[function], func(at time.Duration) bool { return at <= now })
@@ -84,7 +84,7 @@
 	w.lastUsed[scheduler] = now
 }
 
-// age is how long ago the worker started; the whole warm-up for one that is warm.
+// age is how long ago the worker started; the full warm-up time for one that is warm.
 func (w *virtualWorker) age(now time.Duration) time.Duration {
 	if w.startedAt == 0 {
 		return warmUpTime
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -66,7 +66,7 @@
 	fault              WorkerFault
 	startedAt          time.Time                // zero for one that is warm
 	crashedAt          time.Time                // overloaded while it was warming up; zero if it was not
-	peakLoadShare      float64                  // the most that it was sent while warming up, as a share of what it survives
+	peakLoadFraction   float64                  // the most that it was sent while warming up, as a fraction of what it survives
 	refusedConnections int                      // over MaxConnections
 	loaded             map[string]chan struct{} // closed once the function is loaded
 	arrivals           []Arrival
@@ -206,12 +206,12 @@
 	return w.crashedAt
 }
 
-// overload is how many connections it refused, and the most that it was sent while warming up as a share of what it
+// overload is how many connections it refused, and the most that it was sent while warming up as a fraction of what it
 // survives.
-func (w *Worker) overload() (refusedConnections int, peakLoadShare float64) {
+func (w *Worker) overload() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.refusedConnections, w.peakLoadShare
+	return w.refusedConnections, w.peakLoadFraction
 }
 
 // restart starts the worker anew: without functions loaded, warming up, its connections closed.
@@ -241,9 +241,9 @@
 		}
 		received++
 	}
-	share := float64(received) / w.profile.maxRequests(w.age(now))
-	w.peakLoadShare = max(w.peakLoadShare, share)
-	if share > 1 {
+	loadFraction := float64(received) / w.profile.maxRequests(w.age(now))
+	w.peakLoadFraction = max(w.peakLoadFraction, loadFraction)
+	if loadFraction > 1 {
 		w.crashedAt = now
 		w.closeConnections()
 	}
--- a/internal/testbed/workerprofile.go
+++ b/internal/testbed/workerprofile.go
@@ -32,15 +32,15 @@
 
 // What a worker that is warming up can take, as the settings of the testbed say it.
 const (
-	warmUpTime        = 17 * time.Second
-	coldCapacityShare = 0.25 // of its capacity, when it starts
-	crashWindow       = 2 * time.Second
-	crashMultiple     = 3 // times what it can serve within crashWindow make it crash
+	warmUpTime              = 17 * time.Second
+	initialCapacityFraction = 0.25 // of its capacity, when it starts
+	crashWindow             = 2 * time.Second
+	crashMultiple           = 3 // times what it can serve within crashWindow make it crash
 )
 
-// capacityShare is the share of its capacity that a worker has so long after its start. It grows linearly.
-func capacityShare(age time.Duration) float64 {
-	return min(1, coldCapacityShare+(1-coldCapacityShare)*age.Seconds()/warmUpTime.Seconds())
+// capacityFraction is the fraction of its capacity that a worker has so long after its start. It grows linearly.
+func capacityFraction(age time.Duration) float64 {
+	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/warmUpTime.Seconds())
 }
 
 // maxRequests is how many requests within crashWindow a worker survives so long after its start: N + 2 x root of N + 2, N
@@ -49,6 +49,6 @@
 	if age >= warmUpTime {
 		return math.Inf(1)
 	}
-	expected := crashMultiple * capacityShare(age) * float64(p.Concurrency) / p.ServiceTime.Seconds() * crashWindow.Seconds()
+	expected := crashMultiple * capacityFraction(age) * float64(p.Concurrency) / p.ServiceTime.Seconds() * crashWindow.Seconds()
 	return expected + 2*math.Sqrt(expected) + 2
 }
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/workerprotocol.go
@@ -167,7 +167,7 @@
 	return admittedCall{
 		fault:       w.fault,
 		loaded:      loaded,
-		serviceTime: time.Duration(float64(w.profile.ServiceTime) / capacityShare(w.age(now))),
+		serviceTime: time.Duration(float64(w.profile.ServiceTime) / capacityFraction(w.age(now))),
 	}
 }
 
