--- a/internal/rules/match/compile.go
+++ b/internal/rules/match/compile.go
@@ -49,7 +49,7 @@
 	return &ExpressionError{Offset: node.Location().From, Reason: fmt.Sprintf(format, args...)}
 }
 
-// refusalOf returns a ExpressionError of the expression as a whole.
+// refusalOf returns an ExpressionError that concerns the complete expression.
 func refusalOf(format string, args ...any) *ExpressionError {
 	return &ExpressionError{Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -107,7 +107,7 @@
 			return
 		}
 		if _, known := strict[got.Class]; !known || q.Class != "" && strict[got.Class] < strict[q.Class] {
-			rt.Fatalf("asked for %q, got %q", q.Class, got.Class)
+			rt.Fatalf("requested class %q, got %q", q.Class, got.Class)
 		}
 		if strict[got.Class] == routing.IdempotentByKey && q.IdempotencyKey == "" {
 			rt.Fatalf("%q without a key", got.Class)
@@ -148,7 +148,7 @@
 			if a.Cost > indexed.Limit() {
 				rt.Fatalf("cost %d over the limit of %d", a.Cost, indexed.Limit())
 			}
-			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // the plain one also evaluates what can'rt hold
+			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // the plain one also evaluates what can't hold
 			if d := cmp.Diff(b, a); d != "" {
 				rt.Fatal(d)
 			}
@@ -183,7 +183,7 @@
 	}
 }
 
-// A split sends each key to the same route every time, and the given part of all keys to each route.
+// A split sends each key to the same route every time, and the given fraction of all keys to each route.
 func TestSplit(t *testing.T) {
 	table := load(t, Rule{Name: "r", Route: expression("old"), Splits: []Split{{Route: "trial", PerMille: 100}, {Route: "other", PerMille: 250}}})
 	routes := map[string]int{}
@@ -201,6 +201,6 @@
 		}
 	}
 	if _, faults := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(faults) != 1 {
-		t.Errorf("parts over the whole: %v", faults)
+		t.Errorf("splits of more than all requests: %v", faults)
 	}
 }
--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -85,7 +85,7 @@
 }
 
 // checkClassChange reports why a rule may not move a request to a class. The class must be at least as strict about
-// retries as the one that the client asked for, and one by idempotency key needs a key.
+// retries as the one that the client requested, and one by idempotency key needs a key.
 func (t *Table) checkClassChange(request *Request, name string) error {
 	to, ok := t.classes[name]
 	if !ok {
