--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -48,7 +48,7 @@
 		{"silence", "certificado", always(""), 502, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			// Two agents of one script: where a repeat goes is the module's affair.
+			// Two agents of one script: which of them gets a retry is the Router's decision.
 			n := 0
 			sched := newTestScheduler(t)
 			requests := make(chan agentRequest)
@@ -223,32 +223,32 @@
 	}
 	for range 20 {
 		if got := sendRequest("consulta", [2]string{"HTTP_RESOURCE_KEY", "00000000deadbeef"}); got == 200 {
-			t.Fatal("a function that nobody knows was served")
+			t.Fatal("a function that no worker knows was served")
 		}
 	}
 	for range 5 {
 		if got := sendRequest("certificado"); got != 200 {
-			t.Errorf("status %d while all is well", got)
+			t.Errorf("status %d while no worker fails", got)
 		}
 	}
 	if certified(agents[home]) != 5 {
-		t.Errorf("%d of 5 calls went where the function stands", certified(agents[home]))
+		t.Errorf("%d of 5 calls went where the function is loaded", certified(agents[home]))
 	}
 	failing.Store(int32(home + 1))
 	before := len(agents[home].received())
-	waitUntil(t, "some calls have met errors", func() bool { // which of two workers gets one is drawn
+	waitUntil(t, "some calls have received errors", func() bool { // which of two workers gets one is random
 		if got := sendRequest("consulta"); got != 200 {
-			t.Errorf("status %d for a call that may be repeated", got)
+			t.Errorf("status %d for an idempotent call", got)
 		}
 		return len(agents[home].received()) >= before+4
 	})
 	for range 10 {
 		if got := sendRequest("certificado"); got != 200 {
-			t.Errorf("status %d for a call that may not", got)
+			t.Errorf("status %d for a non-idempotent call", got)
 		}
 	}
 	if n := certified(agents[home]); n != 5 {
-		t.Errorf("%d calls that must not be repeated went to the worker that fails", n-5)
+		t.Errorf("%d non-idempotent calls went to the failing worker", n-5)
 	}
 }
 
@@ -267,7 +267,7 @@
 		}
 		return echo(n, request)
 	})
-	// The second worker is the slower one: wherever both hold a copy, the first is chosen once that is known.
+	// The second worker is the slower one: wherever both have an instance loaded, the first is chosen once that is known.
 	agentB := newAgent(t, func(n int, request agentRequest) string {
 		time.Sleep(250 * time.Millisecond)
 		return echo(n, request)
@@ -280,8 +280,8 @@
 		return client.readAnswer().status
 	}
 	client, other := sched.connect(), sched.connect()
-	// One function stands at the first alone, so that all its calls go there and are answered, whatever else is
-	// out. The other stands at both: at the first by a call, at the second by an error of the first.
+	// One function is loaded at the first alone, so that all its calls go there and are answered, whatever else is
+	// in flight. The other is loaded at both: at the first by a call, at the second by an error of the first.
 	sendRequest(other, steady, "warm")
 	sendRequest(client, asked, "warm")
 	sched.addEvent(false, "b SERVING "+agentB.addr)
@@ -317,7 +317,7 @@
 	listener.Close()
 	sched.addEvent(true, "a SERVING "+agent.addr, "b SERVING "+listener.Addr().String())
 	client := sched.start().connect()
-	for i := range 8 { // over several functions, so that the dead one is some function's first
+	for i := range 8 { // over several functions, so that the dead one is the preferred worker of some function
 		client.send(newCall("certificado", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}))
 		if got := client.readAnswer(); got.status != 200 {
 			t.Errorf("status %d, want 200", got.status)
@@ -340,7 +340,7 @@
 func TestReadLate(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	client := sched.connect()
-	client.send(newCall("consulta", "x")) // the connection is known to the program
+	client.send(newCall("consulta", "x")) // the program has accepted the connection
 	client.readAnswer()
 	sched.whileStopped(func() {
 		client.send(newCall("consulta", "x"))
@@ -366,11 +366,11 @@
 	client.send(newCall("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
 	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
 	sched.addEventAndWait(false, "late SERVING "+agent.addr)
-	close(reset) // it may have run there: the repeat goes to the other
+	close(reset) // it may have run there: the retry goes to the other
 	time.Sleep(100 * time.Millisecond)
-	open() // the connection comes up a second after it was asked for
+	open() // the connection comes up a second after it was dialed
 	if got := client.readAnswer(); got.status != 503 {
-		t.Errorf("status %d, want a refusal", got.status)
+		t.Errorf("status %d, want a rejection", got.status)
 	}
 	waitUntil(t, "the connection is up", func() bool {
 		agent.mu.Lock()
@@ -381,7 +381,7 @@
 	client.readAnswer()
 	for _, request := range agent.received() {
 		if request.body == "x" {
-			t.Error("the repeat was sent after the workers had forgotten its key")
+			t.Error("the retry was sent after the workers' deduplication window")
 		}
 	}
 }
@@ -399,7 +399,7 @@
 	client := sched.connect()
 	client.send(newCall("certificado", "late", [2]string{"HTTP_BUDGET_MS", "300"}))
 	if got := client.readAnswer(); got.status != 502 {
-		t.Errorf("status %d when its time was over, want a failure: it may have run", got.status)
+		t.Errorf("status %d after its deadline, want a failure: it may have run", got.status)
 	}
 	close(release)
 	for _, body := range []string{"a", "b", "c"} {
@@ -447,7 +447,7 @@
 			if got := client.readAnswer(); got.body != "re:x" {
 				t.Errorf("status %d, %q, want the first answer, or that of another attempt", got.status, got.body)
 			}
-			for _, body := range []string{"a", "b", "c", "d"} { // of functions that stand at either
+			for _, body := range []string{"a", "b", "c", "d"} { // of functions that are loaded at either
 				client.send(newCall("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
 				if got := client.readAnswer(); got.body != "re:"+body {
 					t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -19,7 +19,7 @@
 	waitUntil(t, "the request is at the agent", func() bool { return len(agent.received()) == 1 })
 	client.write(encodeRecord(2, request.id, 0, ""))
 	client.readAnswer()
-	waitUntil(t, "it is given up there", func() bool {
+	waitUntil(t, "it is canceled there", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		return len(agent.halted) == 1 && agent.halted[0] == request.param("HTTP_REQUEST_ID")
@@ -96,7 +96,7 @@
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
 	first, cancels, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
-	one := [2]string{"HTTP_X_SPEC", "lanes:1"} // a copy that runs one at a time, and is taken
+	one := [2]string{"HTTP_X_SPEC", "lanes:1"} // an instance that runs one at a time, and is busy
 	first.send(newCall("consulta", "first", one))
 	waitUntil(t, "the first is at the worker", func() bool { return len(agent.received()) == 1 })
 	request := newCall("consulta", "gone", one)
@@ -117,7 +117,7 @@
 	time.Sleep(300 * time.Millisecond)
 	for _, request := range agent.received() {
 		if request.body == "gone" {
-			t.Error("a request was sent on after its client had left")
+			t.Error("a request was forwarded after its client had disconnected")
 		}
 	}
 }
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -9,8 +9,8 @@
 	"calicohill/internal/testbed"
 )
 
-// Two dozen schedulers as processes, told that they are 24 of 300, before a list service and workers in trouble. None
-// of it brings more than a few of them to the list service at once, and no rule is broken.
+// Two dozen schedulers as processes, configured as 24 of 300, with faults of the list service and the workers. None of
+// these makes more than a few of them poll the list service at once, and no rule is broken.
 func TestColdStarts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts 24 processes a scenario")
@@ -22,10 +22,10 @@
 	for _, tt := range []struct {
 		name    string
 		seconds float64
-		peak    int // asks within 100 ms; 0 where a start of all or an event is among the troubles
+		peak    int // polls within 100 ms; 0 where a start of all or an event is among the faults
 		script  string
 	}{
-		// Before asks had times of their own 23 or 24 of 24 came within 100 ms in each of the first four.
+		// Before polls were spread out, 23 or 24 of 24 came within 100 ms in each of the first four.
 		{"refused", 9, 12, "0s known full\n0s list refuse\n0s start 1\n5s list well"},
 		{"silent", 12, 12, "0s known full\n0s start 1\n3s list silent\n9s list well"},
 		{"broken", 9, 12, "0s known full\n0s start 1\n3s break\n6s break"},
@@ -38,11 +38,11 @@
 		{"half stopped", 13, 0, "0s known full\n0s start 1\n3s stop 0.5\n4s drain 0.1\n7s cont 0.5"},
 		{"slow list, slow workers", 14, 0, "0s known full\n0s start 1\n3s workers stalls 0.3\n3s list crowded 0.3\n4s drain 0.1\n9s list well\n9s workers sound 0.3"},
 		{"ended at their start", 9, 0, "0s known full\n0s list silent\n0s start 1\n1s term 0.5\n3s list well\n4s start 1"},
-		// They share what they find, and a third of them falls apart from the others while workers fall silent.
+		// They share their reports, and a third of them is partitioned from the others while workers become unresponsive.
 		{"fallen in two", 13, 0, "0s known full\n0s start 1\n3s talk lossy 0.3\n4s talk cut 0.3\n4s workers mute 0.2\n5s drain 0.1\n8s talk whole 1\n9s workers sound 0.2"},
-		// Workers of little room, that fall when they are sent too much while they are cold; nothing was sent to them.
+		// Workers of little capacity, which crash when overloaded while warming up. Guards against a fault: nothing was sent to them.
 		{"all cold at once", 12, 0, "0s boot 1\n0s known full\n0s start 1"},
-		// The same beside warm ones, when all schedulers know what those answer: what they send the cold ones adds up.
+		// The same with warm ones beside them, whose throughput all schedulers know: what these send the warming ones adds up.
 		{"most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7"},
 		{"replaced by cold ones", 18, 0, "0s known full\n0s start 1\n6s replace 0.7 cold"},
 		{"most boot cold during a release", 18, 0, "0s known full\n0s start 1\n5s boot 0.7\n5s roll 0.25 1s"},
@@ -62,7 +62,7 @@
 			switch warmingUp := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
 			case warmingUp && strings.HasPrefix(tt.script, "0s boot"):
 				day.Profile, day.ClaimedSchedulers, minServed = "small", 24, 0.3
-			case warmingUp: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
+			case warmingUp: // far more is offered than they can serve, a quarter of it when warm: each gets its slow-start budget
 				day.Profile, day.ClaimedSchedulers, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
 			}
 			result, err := day.Run(context.Background())
@@ -73,15 +73,15 @@
 				t.Error(b)
 			}
 			if result.Program.Served < minServed {
-				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, minServed)
+				t.Errorf("%.2f served by workers that are warming up, want %.2f", result.Program.Served, minServed)
 			}
-			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.PeakWarmUpLoadShare)
+			t.Logf("a warming worker was sent %.2f of what it survives", result.Program.PeakWarmUpLoadShare)
 			if result.Program.AllListed < 0 {
-				t.Error("some schedulers did not hear the list again")
+				t.Error("some schedulers did not receive the list again")
 			}
-			// A machine that was late by so much may have brought together what was apart.
+			// A machine that woke processes this late may have brought together polls that were spread out.
 			if maxPolls := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > maxPolls {
-				t.Errorf("%d of 24 asked within 100 ms", result.Program.PollsPeak)
+				t.Errorf("%d of 24 polled within 100 ms", result.Program.PollsPeak)
 			}
 		})
 	}
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// A reload takes up the operator's file whole, or leaves all as it was with a line for each fault.
+// A reload applies the complete operator's file, or changes nothing and logs a line for each fault.
 func TestReloadOperatorsFile(t *testing.T) {
 	agent := newAgent(t, echo)
 	sched := newTestScheduler(t)
@@ -110,14 +110,14 @@
 		t.Errorf("%d lines for 2 faults", got)
 	}
 	reload("log\n  format json\n", `"msg":"configuration reloaded"`)
-	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // takes effect without a word
+	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // takes effect without a log line
 	client := sched.connect()
 	client.send(newCall("consulta", "x"))
 	if got := client.readAnswer(); got.status != 200 {
 		t.Errorf("status %d after reloads", got.status)
 	}
 	sched.addEvent(false, "b SERVING "+agent.addr)
-	waitUntil(t, "a part has its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
+	waitUntil(t, "the part bulletin has its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
 }
 
 func TestCheckedAtTheStart(t *testing.T) {
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -70,7 +70,7 @@
 }
 
 // A scheduler without an endpoint list is not ready, rejects requests while their clients can still go elsewhere, shuts
-// down when it is told to, and serves as soon as it has a list.
+// down on SIGTERM, and serves as soon as it has a list.
 func TestBeforeTheFirstList(t *testing.T) {
 	agent := newAgent(t, echo)
 	for _, tt := range []struct {
@@ -112,7 +112,7 @@
 }
 
 // Events that an answer omits may contain a draining worker: the list is read from its first event. A list service that
-// no longer has them is believed.
+// no longer has them is trusted.
 func TestEventsLeftOut(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -138,7 +138,7 @@
 			close(held)
 			waitUntil(t, "the last event is known", func() bool { return strings.Contains(sched.log.String(), "event=3 ") })
 			if tt.never {
-				sched.addEvent(false, "a DRAINING "+agentA.addr) // what comes after them is heard
+				sched.addEvent(false, "a DRAINING "+agentA.addr) // later events are applied
 			}
 			waitUntilServedBy(t, sched, "b")
 		})
@@ -157,14 +157,14 @@
 	waitUntilServedBy(t, sched, "a")
 	client := sched.connect()
 	for round := range 5 {
-		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // it has just been answered, and rests before it asks again
+		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // it has just been answered, and pauses before it polls again
 		sched.whileStopped(func() {
 			sched.addEvent(true, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 			client.send(newCall("consulta", ""))
 			time.Sleep(270 * time.Millisecond)
 		})
 		if got := client.readAnswer(); got.body != "b" {
-			t.Errorf("round %d: %q answers 270 ms after a was told to drain, want b", round, got.body)
+			t.Errorf("round %d: %q answers 270 ms after a began to drain, want b", round, got.body)
 		}
 	}
 }
--- a/cmd/calicohill/golden_recorder_test.go
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// agentMessage is one whole message that an agent received.
+// agentMessage is one complete message that an agent received.
 type agentMessage struct {
 	conn net.Conn
 	text string
@@ -95,10 +95,10 @@
 
 // recordPolls puts a list service in place of the site's, one that keeps the bytes of each poll.
 func (r *exchangeRecorder) recordPolls() {
-	r.s.bulletin.Close()
-	r.s.bulletin = httptest.NewUnstartedServer(http.HandlerFunc(r.s.poll))
-	r.s.bulletin.Listener = recordingListener{r.s.bulletin.Listener, r.polls}
-	r.s.bulletin.Start()
+	r.s.listServer.Close()
+	r.s.listServer = httptest.NewUnstartedServer(http.HandlerFunc(r.s.poll))
+	r.s.listServer.Listener = recordingListener{r.s.listServer.Listener, r.polls}
+	r.s.listServer.Start()
 }
 
 // recordingListener reports all that is received on its connections, a request at a time.
@@ -246,7 +246,7 @@
 	return timeoutField.ReplaceAllString(text, ",patience=PATIENCE$2")
 }
 
-// agentSends answers a message; {id} stands for its request id.
+// agentSends answers a message; {id} is replaced by its request id.
 func (r *exchangeRecorder) agentSends(message agentMessage, text string) {
 	r.t.Helper()
 	text = strings.ReplaceAll(text, "{id}", message.id())
@@ -256,7 +256,7 @@
 	}
 }
 
-// agentEnds closes the connection that a message came on, by a reset if told so.
+// agentEnds closes the connection that a message came on, by a reset if reset is set.
 func (r *exchangeRecorder) agentEnds(message agentMessage, reset bool) {
 	how := "closes"
 	if reset {
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -13,7 +13,7 @@
 
 // record writes testdata/golden/exchanges.txt anew instead of comparing with it.
 //
-// The file was made by the program as it stood before the code's names were changed. It shows that no later change of
+// The file was made by the program as it was before the code's names were changed. It shows that no later change of
 // names touched a byte on the wire, so it is never made anew to get a pass: only a change of the protocol itself, stated
 // as such in its commit, may change it.
 var record = flag.Bool("record", false, "write the golden files instead of comparing with them")
@@ -192,7 +192,7 @@
 			recorder.sends(goldenCall(nonIdempotent, "x", [2]string{"HTTP_BUDGET_MS", "600"}).bytes())
 			recorder.agentReceives()
 			recorder.receives(typeEndRequest)
-			recorder.agentReceives() // that it was given up
+			recorder.agentReceives() // the cancellation
 		}},
 		{"answer that stops short", 1, answered(nonIdempotent, "{id} OK - 100\r\nshort")},
 		{"answer with another word", 1, answered(nonIdempotent, "{id} WHAT - 0\r\n\r\n")},
@@ -206,7 +206,7 @@
 			recorder.agentReceives()
 			recorder.sends(encodeRecord(2, 1, 0, ""))
 			recorder.receives(typeEndRequest)
-			recorder.agentReceives() // that it was given up
+			recorder.agentReceives() // the cancellation
 		}},
 		{"refused, no worker", 0, rejected(goldenCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "600"}))},
 		{"rejected, no such class", 1, rejected(goldenCall("nonsense", "x"))},
@@ -217,7 +217,7 @@
 		{"rejected, body too long", 1, rejected(tooLong)},
 		{"rejected, parameters too long", 1, rejected(goldenCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}))},
 		{"rejected, not complete in time", 1, func(recorder *exchangeRecorder) {
-			// A first complete request, or the time of the connection would run out beside that of the request.
+			// A first complete request, or the timeout of the connection would expire together with that of the request.
 			recorder.sends(health.bytes())
 			recorder.receives(typeEndRequest)
 			recorder.sends(encodeRecord(1, 1, 0, begin))
@@ -242,9 +242,9 @@
 // TestGoldenExchanges compares what the program sends to clients, agents and the list service with what it sent when
 // the golden file was made, byte for byte.
 func TestGoldenExchanges(t *testing.T) {
-	whole := !strings.Contains(flag.Lookup("test.run").Value.String(), "/") // all exchanges are run
-	if *record && !whole {
-		t.Fatal("-record writes the whole file: it goes with all exchanges")
+	complete := !strings.Contains(flag.Lookup("test.run").Value.String(), "/") // all exchanges are run
+	if *record && !complete {
+		t.Fatal("-record writes the complete file: run it with all exchanges")
 	}
 	var all strings.Builder
 	for _, exchange := range exchanges() {
@@ -269,7 +269,7 @@
 		if err := os.WriteFile(goldenFile, []byte(all.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
-	case whole:
+	case complete:
 		if want := readGolden(t); all.String() != want {
 			t.Error("the golden file has other exchanges than the test, or another order of them")
 		}
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -52,7 +52,7 @@
 	settingsEdits [][2]string // replacements in the settings object: old and new text
 
 	// The endpoint list service.
-	bulletin      *httptest.Server
+	listServer    *httptest.Server
 	mu            sync.Mutex
 	events        []string
 	changed       chan struct{}               // closed and replaced by each new event
@@ -63,7 +63,7 @@
 // newTestScheduler returns a scheduler that is not started yet; its fields can be changed before that.
 func newTestScheduler(t *testing.T) *testScheduler {
 	sched := &testScheduler{t: t, changed: make(chan struct{}), idleMs: 15000, maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
-	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
 	return sched
 }
 
@@ -85,7 +85,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": s.addr, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.memoryMB, "sockets": s.maxSockets},
-		"bulletin": s.bulletin.Listener.Addr().String(), "known": json.RawMessage(known),
+		"bulletin": s.listServer.Listener.Addr().String(), "known": json.RawMessage(known),
 		"settings": json.RawMessage(settings),
 	})
 	s.mu.Unlock()
@@ -165,8 +165,8 @@
 	if strings.Contains(s.log.String(), "DATA RACE") || strings.Contains(s.log.String(), "panic:") {
 		s.t.Error("the program raced or panicked")
 	}
-	s.bulletin.CloseClientConnections()
-	s.bulletin.Close()
+	s.listServer.CloseClientConnections()
+	s.listServer.Close()
 	if s.t.Failed() {
 		s.t.Logf("log of the program:\n%s", s.log)
 	}
@@ -200,7 +200,7 @@
 	if err := s.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		s.t.Fatal(err)
 	}
-	waitUntil(s.t, "the program stands still", func() bool {
+	waitUntil(s.t, "the program is stopped", func() bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
 		return err == nil && strings.Contains(string(text), ") T ")
 	})
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -104,7 +104,7 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it does not come true that %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -31,7 +31,7 @@
 			}
 		}, true},
 		{"requests open", func(client *testClient) {
-			// Each of a function of its own, or the module would refuse some.
+			// Each of a function of its own, or the Router would reject some.
 			request := newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"})
 			client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")}))
 		}, false},
@@ -63,7 +63,7 @@
 			if !tt.let {
 				waitUntil(t, "all requests are at workers", func() bool { return had() == len(fronts) })
 				if !sched.connect().closedByServer() {
-					t.Error("the 31st was let in")
+					t.Error("the 31st was accepted")
 				}
 				close(release)
 				for _, client := range fronts {
@@ -97,7 +97,7 @@
 		return err == nil && kind == 6
 	}
 	// A machine that is busy with other things may take too long over one round, but not over all.
-	waitUntil(t, "one that was just let in is served", func() bool {
+	waitUntil(t, "one that was just accepted is served", func() bool {
 		var fronts []*testClient
 		for range 32 {
 			client := sched.connect()
@@ -119,7 +119,7 @@
 		t.Helper()
 		served.send(newCall("consulta", "x"))
 		if got := served.readAnswer(); got.body != "re:x" {
-			t.Errorf("status %d for the client that asks", got.status)
+			t.Errorf("status %d for the client that sends a request", got.status)
 		}
 	}
 	sendRequest()
@@ -127,7 +127,7 @@
 	for _, tt := range []struct {
 		name   string
 		text   []byte
-		before bool // a whole request came before
+		before bool // a complete request came before
 		status int
 	}{
 		{"nothing", nil, false, 0},
@@ -181,7 +181,7 @@
 // A connection with partly written answers has no open request any more, and is still not closed for another client.
 func TestHalfWrittenMakesNoRoom(t *testing.T) {
 	sched, _, whole := startHalfWritten(t, nil)
-	for range 30 { // 29 find room
+	for range 30 { // 29 are accepted
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
 		if got := client.readAnswer(); got.body != "re:x" {
@@ -238,7 +238,7 @@
 	sched.addEvent(true, targets...)
 	sched.start()
 	asks := sched.connect()
-	for id := uint16(1); id <= 30; id++ { // each for a worker that none of the others is at
+	for id := uint16(1); id <= 30; id++ { // each for a worker of its own
 		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"})
 		request.id, request.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
 		asks.send(request)
@@ -275,19 +275,19 @@
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	sites := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
 	for _, other := range sites {
-		if other != sched { // it asks the same bulletin
-			other.bulletin.Close()
-			other.bulletin, other.events = sched.bulletin, sched.events
+		if other != sched { // it polls the same list service
+			other.listServer.Close()
+			other.listServer, other.events = sched.listServer, sched.events
 		}
 		other.maxSockets, other.schedulers = 90, len(sites)
 		other.start()
 		waitUntilServedBy(t, other, "a")
 	}
-	address := sched.bulletin.Listener.Addr().String()
-	sched.bulletin.CloseClientConnections()
-	sched.bulletin.Listener.Close()
+	address := sched.listServer.Listener.Addr().String()
+	sched.listServer.CloseClientConnections()
+	sched.listServer.Listener.Close()
 	for _, sched := range sites {
-		waitUntil(t, "discovery is missed", func() bool { return strings.Contains(sched.log.String(), "list service unreachable") })
+		waitUntil(t, "the list service is found unreachable", func() bool { return strings.Contains(sched.log.String(), "list service unreachable") })
 		for range 200 {
 			sched.connect()
 		}
@@ -300,8 +300,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sched.bulletin = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
-	sched.bulletin.Start()
+	sched.listServer = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
+	sched.listServer.Start()
 	sched.addEvent(false, "a DELETED "+agentA.addr, "b SERVING "+agentB.addr)
 	for _, sched := range sites {
 		waitUntil(t, "it knows of the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -41,7 +41,7 @@
 	return sched.start(), agent
 }
 
-// Rules decide the class that a worker is told; what runs stays the function. None makes a call less strict.
+// Rules decide the class that a worker receives; what runs stays the function. None makes a call less strict.
 func TestRules(t *testing.T) {
 	status := filepath.Join(t.TempDir(), "status.json")
 	sched, agent := startWithRules(t, "log\n  level debug rules\n  status "+status+"\n"+testRules, echo)
@@ -69,7 +69,7 @@
 		}
 		had := agent.received()[before:]
 		if len(had) != 1 || had[0].fields["sort"] != tt.class || had[0].fields["asset"] != tt.function {
-			t.Errorf("%+v: the worker was asked %+v", tt, had)
+			t.Errorf("%+v: the worker received %+v", tt, had)
 		}
 	}
 	log := sched.log.String()
@@ -91,11 +91,11 @@
 	}
 }
 
-// Under traffic rules come and go by reload; a bad file changes nothing, and each call has met one set of rules.
+// Under traffic rules are added and removed by reloads; an invalid file changes nothing, and each call is evaluated by one set of rules.
 func TestReloadRules(t *testing.T) {
 	var odd atomic.Int32
 	sched, _ := startWithRules(t, testRules, func(n int, request agentRequest) string {
-		// Under either set the class and the body, which names what the client asked for, go together.
+		// Under either set the class and the body, which names the class that the client requested, go together.
 		if class := request.fields["sort"]; request.body == "cc" && class != "certificado" && class != "registro-horas" || request.body == "dd" && class != "consulta" {
 			odd.Add(1)
 		}
@@ -199,7 +199,7 @@
 `
 
 // Requests of a route stay in its first pool as long as somebody there is usable, and in the next one otherwise; the
-// third worker belongs to none and is never asked.
+// third worker belongs to none and is sent nothing.
 func TestPools(t *testing.T) {
 	var mute atomic.Bool
 	agentA := newAgent(t, func(n int, request agentRequest) string {
@@ -220,7 +220,7 @@
 		client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}, [2]string{"HTTP_BUDGET_MS", "1500"}))
 		return client.readAnswer().status
 	}
-	// goes asks for some functions and expects them all at one agent.
+	// goes sends calls of some functions and expects them all at one agent.
 	goes := func(target *nodeAgent, when string) {
 		t.Helper()
 		before := map[*nodeAgent]int{}
@@ -238,12 +238,12 @@
 			}
 		}
 	}
-	// changed waits until a change of the list has been taken in.
+	// changed waits until a change of the list has been applied.
 	changed := func(target string) {
 		t.Helper()
 		before := strings.Count(sched.log.String(), "worker list changed")
 		sched.addEvent(false, target)
-		waitUntil(t, "the list is taken in", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
+		waitUntil(t, "the list is applied", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
 	}
 	goes(agentA, "both pools serve")
 	changed("f DRAINING " + agentA.addr)
@@ -255,9 +255,9 @@
 	changed("f2 SERVING " + agentA.addr)
 	goes(agentA, "another has come")
 	mute.Store(true)
-	waitUntil(t, "the next pool stands in for a silent one", func() bool { return sendRequest(1) == 200 })
+	waitUntil(t, "the fallback pool serves for an unresponsive one", func() bool { return sendRequest(1) == 200 })
 	if len(other.received()) > 0 {
-		t.Error("a worker of no pool was asked")
+		t.Error("a worker of no pool was sent a request")
 	}
 	mute.Store(false)
 	// A reload takes the pools away.
@@ -267,7 +267,7 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "all workers are asked", func() bool {
+	waitUntil(t, "all workers have received requests", func() bool {
 		for i := range 30 {
 			sendRequest(i)
 		}
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -136,7 +136,7 @@
 		t.Cleanup(func() { closeClient(client) })
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				for k := range 4 { // some at a time: a silent worker is found by two that are overdue
+				for k := range 4 { // some at a time: an unresponsive worker is detected by two that are overdue
 					// What becomes of one is not the matter here.
 					wg.Go(func() { _, _ = client.Do(ctx, fleetRequest(instance, "consulta", 1+(4*n+k)%40)) })
 				}
@@ -147,17 +147,17 @@
 	return stop
 }
 
-// A dozen schedulers as processes, with what may go wrong one after another. No worker is left out on the word of one
-// liar; a true silence comes to one that has not met it; a flood, a pause and restarts pass.
+// A dozen schedulers as processes, with faults one after another. No worker is ejected on the reports of one byzantine
+// member; a true fault reaches a scheduler that has not observed it; a flood, a pause and restarts do no harm.
 func TestSharedSuspicions(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, fleetSize, 12)
 
 	if sockets := udpSockets(t, fleet.Instances[0].Pid()); sockets != 1 {
-		t.Errorf("%d UDP sockets of one that shares, 1 is wanted", sockets)
+		t.Errorf("%d UDP sockets of a scheduler that gossips, want 1", sockets)
 	}
 
-	// One accuses every worker: all stop hearing it, and nobody leaves a worker out.
+	// One member reports every worker: all ignore it, and no worker is ejected.
 	liar, err := fleet.NewByzantineMember("liar")
 	if err != nil {
 		t.Fatal(err)
@@ -170,10 +170,10 @@
 	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool { return hasLogLine(instance, lineUnheard, "peer", "liar") })
 	for _, instance := range fleet.Instances {
 		if instance.Count(lineUnhealthy) > 0 {
-			t.Errorf("%s leaves a worker out on the word of a liar", instance.Name)
+			t.Errorf("%s ejects a worker on the reports of a byzantine member", instance.Name)
 		}
 	}
-	// Nor do they once it accuses a few alone, and calls are served.
+	// Nor is one once it reports only a few, and calls are served.
 	liar.Accuse(ids[:2])
 	client, err := fastcgi.Dial(context.Background(), fleet.Instances[0].Addr)
 	if err != nil {
@@ -182,14 +182,14 @@
 	defer closeClient(client)
 	for i := range 20 {
 		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != "served" {
-			t.Errorf("a call is %s while a liar speaks", got)
+			t.Errorf("a call is %s while a byzantine member sends reports", got)
 		}
 	}
 	liar.Close()
 
-	// A worker falls silent. The last instance has no traffic of its own and hears of it all the same.
+	// A worker becomes unresponsive. The last instance has no traffic of its own and is notified all the same.
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
-	waitUntil(t, "many have had answers of the worker", func() bool {
+	waitUntil(t, "many have received answers of the worker", func() bool {
 		from := map[string]bool{}
 		for _, a := range fleet.Workers[5].Arrivals() {
 			from[a.From] = true
@@ -200,13 +200,13 @@
 	idle := fleet.Instances[fleetSize-1]
 	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineUnhealthy, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("an instance without traffic does not hear of a silent worker\n%s", idle.Log)
+			t.Fatalf("an instance without traffic is not notified of an unresponsive worker\n%s", idle.Log)
 		}
 	}
 	for _, instance := range fleet.Instances {
 		for _, w := range ids {
 			if w != "w05" && hasLogLine(instance, lineUnhealthy, "worker", w) {
-				t.Errorf("%s leaves out %s, which is well", instance.Name, w)
+				t.Errorf("%s ejects %s, which is healthy", instance.Name, w)
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	})
 	stop()
 
-	// A flood of forged datagrams: nobody is taken for dead, calls are served, few signatures are checked.
+	// A flood of forged datagrams: no member is declared dead, calls are served, few signatures are checked.
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
 	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
@@ -253,7 +253,7 @@
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
 			if line.Text("msg") == "peer dead" && line.Text("peer") != "liar" {
-				t.Errorf("%s takes %s for dead\n%s", instance.Name, line.Text("peer"), faultHistory(fleet, line.Text("peer")))
+				t.Errorf("%s declares %s dead\n%s", instance.Name, line.Text("peer"), faultHistory(fleet, line.Text("peer")))
 			}
 		}
 	}
@@ -281,7 +281,7 @@
 	}
 }
 
-// Keys: a revoked one is dropped on reload, one of a new authority taken in, a file that others may read refused;
+// Keys: a revoked one is dropped on reload, one of a new authority accepted, a file that others may read rejected;
 // and of two with one name the later stays.
 func TestPeersKeys(t *testing.T) {
 	t.Parallel()
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -12,7 +12,7 @@
 )
 
 // SIGHUP has the list service polled at the address that the file names then, from the last event on. A file that can't
-// be used changes nothing, and a request in flight notices neither.
+// be used changes nothing, and neither affects a request in flight.
 func TestReload(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	release := make(chan struct{})
@@ -26,7 +26,7 @@
 	sched.start()
 	out := sched.connect()
 	out.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
-	waitUntil(t, "a request is out", func() bool { return len(held.received()) == 1 })
+	waitUntil(t, "a request is in flight", func() bool { return len(held.received()) == 1 })
 
 	hup := func(want string) {
 		t.Helper()
@@ -35,12 +35,12 @@
 		}
 		waitUntil(t, "the log says "+want, func() bool { return strings.Contains(sched.log.String(), want) })
 	}
-	// What would end a start changes nothing either: not even where the bulletin is.
+	// What would fail a start changes nothing either, not even the list service's address.
 	text, err := os.ReadFile(sched.configFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.Replace(string(text), sched.bulletin.Listener.Addr().String(), "127.0.0.1:1", 1)
+	moved := strings.Replace(string(text), sched.listServer.Listener.Addr().String(), "127.0.0.1:1", 1)
 	for i, bad := range []string{
 		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
 		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
@@ -56,14 +56,14 @@
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
+		waitUntil(t, fmt.Sprintf("file %d is rejected", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
 	}
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
 
-	// The old address keeps its poll open and tells nothing more.
-	old, address := sched.bulletin, sched.bulletin.Listener.Addr().String()
-	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	// The old address keeps its poll open and answers nothing more.
+	old, address := sched.listServer, sched.listServer.Listener.Addr().String()
+	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
 	old.Listener.Close()
 	sched.configure()
 	hup("configuration reloaded")
@@ -72,7 +72,7 @@
 	waitUntil(t, "the old polls end", func() bool { return sched.countPoll(address, 0) == 0 })
 	close(release)
 	if got := out.readAnswer(); got.status != 200 || got.body != "held" {
-		t.Errorf("the request that was out got status %d, body %q", got.status, got.body)
+		t.Errorf("the request in flight got status %d, body %q", got.status, got.body)
 	}
 	old.Close()
 }
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -128,10 +128,10 @@
 	client := sched.connect()
 	client.send(newCall("consulta", "good"))
 	if got := client.readAnswer(); got.status != 200 {
-		t.Errorf("a good request after them: status %d", got.status)
+		t.Errorf("a valid request after them: status %d", got.status)
 	}
 	if n := len(agent.received()); n != 1 {
-		t.Errorf("the agent had %d requests, want the good one", n)
+		t.Errorf("the agent had %d requests, want the valid one", n)
 	}
 }
 
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -20,7 +20,7 @@
 		return echo(n, request)
 	})
 	never, slow := sched.connect(), sched.connect()
-	half := newCall("consulta", "half") // of a request that is never whole, nothing is owed
+	half := newCall("consulta", "half") // a request that is never complete gets no answer
 	half.bodyOpen = true
 	never.send(half)
 	slow.send(newCall("certificado", "slow"))
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -32,14 +32,14 @@
 	t.Helper()
 	record, err := snapshotfile.Read(file, "gt-registros", time.Duration(time.Now().UnixNano()), time.Hour)
 	if err != nil {
-		t.Fatalf("what was kept does not count: %v", err)
+		t.Fatalf("the snapshot is invalid: %v", err)
 	}
 	return record.EventNumber
 }
 
 // A saved endpoint list serves after a crash if it is newer than the configuration's, also while the list service is
 // down: a worker that drains in it gets no requests, a new one does. If the service numbers its events anew, its own
-// list counts.
+// list is used.
 func TestSnapshot(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -47,12 +47,12 @@
 	sched.start()
 	sched.addEvent(false, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
-	waitUntil(t, "the list is kept", func() bool { return snapshotEvent(t, file) == 2 })
+	waitUntil(t, "the list is saved", func() bool { return snapshotEvent(t, file) == 2 })
 	sched.kill()
 	had := len(agentA.received())
 
-	sched.bulletin.CloseClientConnections()
-	sched.bulletin.Close()
+	sched.listServer.CloseClientConnections()
+	sched.listServer.Close()
 	sched.knownEvents = 1
 	sched.start()
 	for i := range 10 {
@@ -71,13 +71,13 @@
 	sched.events = nil
 	sched.mu.Unlock()
 	sched.addEvent(true, "c SERVING "+agentC.addr)
-	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
 	sched.kill()
 	sched.knownEvents = 0
 	sched.start()
 	waitUntilServedBy(t, sched, "c")
 	if !strings.Contains(sched.log.String(), "event numbers restarted") {
-		t.Error("the log does not say that the list service counts anew")
+		t.Error("the log does not say that the list service restarted its numbering")
 	}
 }
 
@@ -99,12 +99,12 @@
 	}
 	sendRequest()
 	sched.addEvent(false, "a SERVING "+agentA.addr)
-	waitUntil(t, "the list is kept", func() bool { return snapshotEvent(t, file) == 2 })
+	waitUntil(t, "the list is saved", func() bool { return snapshotEvent(t, file) == 2 })
 	sched.kill()
 	sched.start()
 	sendRequest()
 	if n := len(agentA.received()); n > 0 {
-		t.Errorf("%d calls went where no copy stood", n)
+		t.Errorf("%d calls went where no instance was loaded", n)
 	}
 }
 
@@ -145,7 +145,7 @@
 			waitUntilServedBy(t, sched, "a")
 			waitUntil(t, "the log says "+tt.line, func() bool { return strings.Contains(sched.log.String(), tt.line) })
 			if n := strings.Count(sched.log.String(), tt.line); n != 1 {
-				t.Errorf("%q stands %d times in the log", tt.line, n)
+				t.Errorf("%q is %d times in the log", tt.line, n)
 			}
 		})
 	}
@@ -166,11 +166,11 @@
 		sched.kill()
 		no := snapshotEvent(t, file)
 		if no < last {
-			t.Errorf("event %d is kept, after %d", no, last)
+			t.Errorf("event %d is saved, after %d", no, last)
 		}
 		last = no
 	}
 	if last < 2 {
-		t.Error("nothing was kept")
+		t.Error("nothing was saved")
 	}
 }
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -10,7 +10,7 @@
 // all schedulers.
 func TestFewConnections(t *testing.T) {
 	agent := newAgent(t, func(n int, request agentRequest) string {
-		time.Sleep(time.Duration(n%2) * 20 * time.Millisecond) // so that two are out at a time
+		time.Sleep(time.Duration(n%2) * 20 * time.Millisecond) // so that two are in flight at a time
 		return answerLine(request.id, "OK", "-", strconv.Itoa(request.conn))
 	})
 	sched := newTestScheduler(t)
@@ -39,7 +39,7 @@
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	client := sched.start().connect()
-	waitUntil(t, "ten calls in a row are served after rests", func() bool {
+	waitUntil(t, "ten calls in a row are served after idle times", func() bool {
 		for range 10 {
 			time.Sleep(130 * time.Millisecond)
 			client.send(newCall("certificado", "x"))
@@ -68,7 +68,7 @@
 	}
 }
 
-// The same where clients give up earlier: a few requests lost in a row tell as much.
+// The same where clients give up earlier: a few requests lost in a row are as good a sign.
 func TestLostRequests(t *testing.T) {
 	sched, _ := startWithDeafAgent(t)
 	client := sched.connect()
