--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// Under traffic rules are added and removed by reloads; an invalid file changes nothing, and each call is evaluated by one set of rules.
+// Under traffic rules are added and removed by reloads; an invalid file changes nothing, and each call is evaluated by
+// one set of rules.
 func TestReloadRules(t *testing.T) {
 	var odd atomic.Int32
 	sched, _ := startWithRules(t, testRules, func(n int, request agentRequest) string {
--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// coldstartOptions is what the flags of coldstart say.
+// coldstartOptions is the flags of coldstart.
 type coldstartOptions struct {
 	experiment testbed.ColdStartExperiment
 	scenario   string // a name, or a file
@@ -27,8 +27,8 @@
 	options := &coldstartOptions{}
 	names := slices.Sorted(maps.Keys(testbed.ColdStartScenarios))
 	cmd := &cobra.Command{
-		Use: "coldstart", Short: "Many schedulers at once before a list service and workers that have trouble",
-		Long: "Many schedulers at once before a list service and workers that have trouble.\n\n" +
+		Use: "coldstart", Short: "Many schedulers at once before a list service and workers with faults",
+		Long: "Many schedulers at once before a list service and workers with faults.\n\n" +
 			"A scenario is one of " + strings.Join(names, ", ") + ", or a file with a script of the same form.",
 		Example: "  bin/testbed coldstart --instances 300 --workers 60 --scenario crowded --baseline ../earlier/bin/calicohill --json\n" +
 			"  bin/testbed coldstart --virtual --instances 5000 --json",
@@ -54,17 +54,17 @@
 	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
 	flags.StringVar(&experiment.Baseline, "baseline", "", "an earlier build that plays the same first")
 	flags.IntVar(&experiment.Instances, "instances", 24, "schedulers")
-	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "how many schedulers they are told that there are; those that there are if not set")
+	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "schedulers by the settings; as many as run if not set")
 	flags.IntVar(&experiment.Workers, "workers", 14, "stand-in workers")
 	flags.StringVar(&o.scenario, "scenario", "well", "a name, or a `FILE`")
 	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
 	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
 	flags.StringVar(&experiment.Profile, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
 	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their list and what they learned over a restart")
-	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' parts of the load are: scheduler i has one in 1 + skew x i")
+	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' fractions of the load are: scheduler i has one in 1 + skew x i")
 	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
-	flags.BoolVar(&o.virtual, "virtual", false, "the cores that ask and the Routers alone, in virtual time")
-	flags.StringVar(&o.plotPath, "plot", "", "`FILE`, .svg or .png, for a plot of asks and connections over time")
+	flags.BoolVar(&o.virtual, "virtual", false, "the poll planners and the Routers alone, in virtual time")
+	flags.StringVar(&o.plotPath, "plot", "", "`FILE`, .svg or .png, for a plot of polls and connections over time")
 	flags.BoolVar(&o.asJSON, "json", false, "print one JSON object in a line")
 }
 
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// gossipOptions is what the flags of gossip say.
+// gossipOptions is the flags of gossip.
 type gossipOptions struct {
 	experiment testbed.GossipExperiment
 	virtual    bool
@@ -20,7 +20,7 @@
 func gossipCommand() *cobra.Command {
 	options := &gossipOptions{}
 	cmd := &cobra.Command{
-		Use: "gossip", Short: "Shared suspicions: some workers fall silent, with and without liars, shared and alone",
+		Use: "gossip", Short: "Shared fault reports: some workers become unresponsive, with and without byzantine members, with gossip and without",
 		Example: "  bin/testbed gossip --instances 12 --hostile 1 --workers 40 --seconds 20 --json\n" +
 			"  bin/testbed gossip --virtual --instances 1000 --plot gossip.svg --json",
 		Args: cobra.NoArgs,
@@ -38,9 +38,9 @@
 	flags := cmd.Flags()
 	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
 	flags.IntVar(&experiment.Instances, "instances", 12, "schedulers; with --virtual the most of them")
-	flags.IntVar(&experiment.Hostile, "hostile", 1, "members more that lie")
+	flags.IntVar(&experiment.Hostile, "hostile", 1, "further members that are byzantine")
 	flags.IntVar(&experiment.Workers, "workers", 40, "stand-in workers")
-	flags.IntVar(&experiment.Silent, "silent", 0, "workers that fall silent; one in twelve if not set")
+	flags.IntVar(&experiment.Silent, "silent", 0, "workers that become unresponsive; one in twelve if not set")
 	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
 	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
 	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -19,7 +19,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "testbed", Short: "The laboratory of calicohill", SilenceErrors: true, SilenceUsage: true}
+	root := &cobra.Command{Use: "testbed", Short: "Experiments with fleets of calicohill", SilenceErrors: true, SilenceUsage: true}
 	root.AddCommand(gossipCommand(), matchCommand(), coldstartCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -96,7 +96,7 @@
 	r.Served = metrics.load.ServedShare()
 	r.Lost = metrics.lost
 	r.WronglyEjected = metrics.wronglyEjected
-	r.LiarsIgnored = metrics.ignoredPeers
+	r.PeersIgnored = metrics.ignoredPeers
 	r.setTraffic(metrics)
 }
 
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -31,9 +31,9 @@
 	violations []string
 }
 
-// brokenRules holds the history of a fleet against the rules: nothing new to a worker later than 1 s after its scheduler
-// was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming up, a
-// response to each request.
+// brokenRules checks the history of a fleet against the rules: nothing new to a worker later than 1 s after its scheduler
+// was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming
+// up, a response to each request.
 func (f *Fleet) brokenRules(load LoadResult, slack time.Duration) []string {
 	past := &history{
 		fleet:      f,
@@ -102,8 +102,9 @@
 	}
 }
 
-// notifiedAt is when the scheduler of a request counts as notified of a departure: once it received it, and where the list service
-// was healthy in time even if it did not; the zero time if neither. A process that did not run then is notified with its start.
+// notifiedAt is when the scheduler of a request counts as notified of a departure: once it received it, and where the
+// list service was healthy in time even if it did not; the zero time if neither. A process that did not run then is
+// notified with its start.
 func (h *history) notifiedAt(departure departure, arrival Arrival) time.Time {
 	notified := h.fleet.List.effectiveAt(departure.at)
 	received := receivedAt(h.polls[arrival.From], departure.event)
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/listservice.go
@@ -196,8 +196,8 @@
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(items, ","))
 }
 
-// effectiveAt is from when on what was published at a time counts as delivered to all: at once where the service is healthy,
-// settledAfter the end of its fault where it is not; the zero time if that has not ended.
+// effectiveAt is from when on what was published at a time counts as delivered to all: at once where the service is
+// healthy, settledAfter the end of its fault where it is not; the zero time if that has not ended.
 func (s *ListService) effectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -6,9 +6,9 @@
 // ColdStartResult, VirtualColdStartResult or MatchResult.
 //
 // Keys are in snake_case: what is measured, then under which condition (alone, without_rules), last the unit. Units are
-// _ms, _us, _ns, _seconds, _kb, _bytes, _share (a fraction of 1) and _100ms (a count within any 100 ms), or one of these per
-// something: _per_second, _us_per_request. A key without a unit is a count, or a ratio where it says a_over_b. What only
-// repeats a flag has the flag's name.
+// _ms, _us, _ns, _seconds, _kb, _bytes, _share (a fraction of 1) and _100ms (a count within any 100 ms), or one of these
+// per something: _per_second, _us_per_request. A key without a unit is a count, or a ratio where it says a_over_b. What
+// only repeats a flag has the flag's name.
 type Report interface{ isReport() }
 
 func (GossipResult) isReport()           {}
@@ -39,7 +39,7 @@
 	CPUFlooded     float64 `json:"cpu_flooded_share"`   // of a core, more than without the flood
 	MemoryFlooded  int     `json:"memory_flooded_kb"`   // grown during the second half of the flood
 	CPU            float64 `json:"cpu_unflooded_share"` // of a core, of the same instance without load
-	LiarsIgnored   int     `json:"liars_ignored"`
+	PeersIgnored   int     `json:"peers_ignored"`       // times that an instance began to ignore a peer, in the run with the byzantine members
 }
 
 // VirtualGossipResult is what fleets of growing size cost in virtual time.
