--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -104,7 +104,7 @@
 		return err == nil && kind == 6
 	}
 	// A machine that is busy with other things may take too long over one round, but not over all.
-	waitUntil(t, "one that was just let in is served", func() bool {
+	waitUntil(t, "one that was just accepted is served", func() bool {
 		var fronts []*testClient
 		for range 32 {
 			client := sched.connect()
@@ -126,7 +126,7 @@
 		t.Helper()
 		served.send(newCall("consulta", "x"))
 		if got := served.readAnswer(); got.body != "re:x" {
-			t.Errorf("status %d for the client that asks", got.status)
+			t.Errorf("status %d for the client that sends a request", got.status)
 		}
 	}
 	sendRequest()
@@ -134,7 +134,7 @@
 	for _, tt := range []struct {
 		name   string
 		text   []byte
-		before bool // a whole request came before
+		before bool // a complete request came before
 		status int
 	}{
 		{"nothing", nil, false, 0},
@@ -188,7 +188,7 @@
 // A connection with partly written answers has no open request any more, and is still not closed for another client.
 func TestHalfWrittenMakesNoRoom(t *testing.T) {
 	sched, _, whole := startHalfWritten(t, nil)
-	for range 30 { // 29 find room
+	for range 30 { // 29 are accepted
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
 		if got := client.readAnswer(); got.body != "re:x" {
@@ -245,7 +245,7 @@
 	sched.addEvent(true, targets...)
 	sched.start()
 	asks := sched.connect()
-	for id := uint16(1); id <= 30; id++ { // each for a worker that none of the others is at
+	for id := uint16(1); id <= 30; id++ { // each for a worker of its own
 		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"})
 		request.id, request.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
 		asks.send(request)
@@ -282,19 +282,19 @@
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	sites := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
 	for _, other := range sites {
-		if other != sched { // it asks the same bulletin
-			other.bulletin.Close()
-			other.bulletin, other.events = sched.bulletin, sched.events
+		if other != sched { // it polls the same list service
+			other.listServer.Close()
+			other.listServer, other.events = sched.listServer, sched.events
 		}
 		other.maxSockets, other.schedulers = 90, len(sites)
 		other.start()
 		waitUntilServedBy(t, other, "a")
 	}
-	address := sched.bulletin.Listener.Addr().String()
-	sched.bulletin.CloseClientConnections()
-	sched.bulletin.Listener.Close()
+	address := sched.listServer.Listener.Addr().String()
+	sched.listServer.CloseClientConnections()
+	sched.listServer.Listener.Close()
 	for _, sched := range sites {
-		waitUntil(t, "discovery is missed", func() bool { return strings.Contains(sched.log.String(), "list service unreachable") })
+		waitUntil(t, "the list service is found unreachable", func() bool { return strings.Contains(sched.log.String(), "list service unreachable") })
 		for range 200 {
 			sched.connect()
 		}
@@ -307,8 +307,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sched.bulletin = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
-	sched.bulletin.Start()
+	sched.listServer = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
+	sched.listServer.Start()
 	sched.addEvent(false, "a DELETED "+agentA.addr, "b SERVING "+agentB.addr)
 	for _, sched := range sites {
 		waitUntil(t, "it knows of the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -136,7 +136,7 @@
 		t.Cleanup(func() { closeClient(client) })
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				for k := range 4 { // some at a time: a silent worker is found by two that are overdue
+				for k := range 4 { // some at a time: an unresponsive worker is detected by two that are overdue
 					// What becomes of one is not the matter here.
 					wg.Go(func() { _, _ = client.Do(ctx, fleetRequest(instance, "consulta", 1+(4*n+k)%40)) })
 				}
@@ -147,14 +147,14 @@
 	return stop
 }
 
-// A dozen schedulers as processes, with what may go wrong one after another. No worker is left out on the word of one
-// liar; a true silence comes to one that has not met it; a flood, a pause and restarts pass.
+// A dozen schedulers as processes, with faults one after another. No worker is ejected on the reports of one byzantine
+// member; a true fault reaches a scheduler that has not observed it; a flood, a pause and restarts do no harm.
 func TestSharedSuspicions(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, fleetSize, 12)
 
 	if sockets := udpSockets(t, fleet.Instances[0].Pid()); sockets != 1 {
-		t.Errorf("%d UDP sockets of one that shares, 1 is wanted", sockets)
+		t.Errorf("%d UDP sockets of a scheduler that gossips, want 1", sockets)
 	}
 
 	liar, err := fleet.NewByzantineMember("liar")
@@ -189,7 +189,7 @@
 	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool { return hasLogLine(instance, lineUnheard, "peer", "liar") })
 	for _, instance := range fleet.Instances {
 		if instance.Count(lineUnhealthy) > 0 {
-			t.Errorf("%s leaves a worker out on the word of a liar", instance.Name)
+			t.Errorf("%s ejects a worker on the reports of a byzantine member", instance.Name)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	t.Helper()
 	for i := range 20 {
 		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != "served" {
-			t.Errorf("a call is %s while a liar speaks", got)
+			t.Errorf("a call is %s while a byzantine member sends reports", got)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 func expectSilenceShared(t *testing.T, fleet *testbed.Fleet, ids []string) {
 	t.Helper()
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
-	waitUntil(t, "many have had answers of the worker", func() bool {
+	waitUntil(t, "many have received answers of the worker", func() bool {
 		from := map[string]bool{}
 		for _, a := range fleet.Workers[5].Arrivals() {
 			from[a.From] = true
@@ -220,13 +220,13 @@
 	idle := fleet.Instances[fleetSize-1]
 	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineUnhealthy, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("an instance without traffic does not hear of a silent worker\n%s", idle.Log)
+			t.Fatalf("an instance without traffic is not notified of an unresponsive worker\n%s", idle.Log)
 		}
 	}
 	for _, instance := range fleet.Instances {
 		for _, w := range ids {
 			if w != "w05" && hasLogLine(instance, lineUnhealthy, "worker", w) {
-				t.Errorf("%s leaves out %s, which is well", instance.Name, w)
+				t.Errorf("%s ejects %s, which is healthy", instance.Name, w)
 			}
 		}
 	}
@@ -279,7 +279,7 @@
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
 			if line.Text("msg") == "peer dead" && line.Text("peer") != "liar" {
-				t.Errorf("%s takes %s for dead\n%s", instance.Name, line.Text("peer"), faultHistory(fleet, line.Text("peer")))
+				t.Errorf("%s declares %s dead\n%s", instance.Name, line.Text("peer"), faultHistory(fleet, line.Text("peer")))
 			}
 		}
 	}
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -40,7 +40,7 @@
 }
 
 // SIGHUP has the list service polled at the address that the file names then, from the last event on. A file that can't
-// be used changes nothing, and a request in flight notices neither.
+// be used changes nothing, and neither affects a request in flight.
 func TestReload(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	release := make(chan struct{})
@@ -54,7 +54,7 @@
 	sched.start()
 	out := sched.connect()
 	out.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
-	waitUntil(t, "a request is out", func() bool { return len(held.received()) == 1 })
+	waitUntil(t, "a request is in flight", func() bool { return len(held.received()) == 1 })
 
 	hup := func(want string) {
 		t.Helper()
@@ -67,9 +67,9 @@
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
 
-	// The old address keeps its poll open and tells nothing more.
-	old, address := sched.bulletin, sched.bulletin.Listener.Addr().String()
-	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	// The old address keeps its poll open and answers nothing more.
+	old, address := sched.listServer, sched.listServer.Listener.Addr().String()
+	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
 	old.Listener.Close()
 	sched.configure()
 	hup("configuration reloaded")
@@ -78,7 +78,7 @@
 	waitUntil(t, "the old polls end", func() bool { return sched.countPoll(address, 0) == 0 })
 	close(release)
 	if got := out.readAnswer(); got.status != 200 || got.body != "held" {
-		t.Errorf("the request that was out got status %d, body %q", got.status, got.body)
+		t.Errorf("the request in flight got status %d, body %q", got.status, got.body)
 	}
 	old.Close()
 }
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -5,45 +5,16 @@
 	"time"
 )
 
-// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares parts of 1.
-type ColdStartMetrics struct {
-	PollsPeak          int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
-	PollsEven          float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
-	PollsSent          int      `json:"polls_sent"`                // until each had the last event
-	PollsNeeded        int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
-	ConnectsPeak       int      `json:"connects_peak_100ms"`       // at the list service
-	Connects           int      `json:"connects"`                  // there, over the whole run
-	Bytes              int      `json:"list_bytes"`                // of lists, over the whole run
-	AllListed          float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
-	Limit              float64  `json:"limit_ms"`                  // what the service's capacity allows at best
-	AgentConnects      int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
-	Handshakes         float64  `json:"handshakes_per_scheduler"`
-	Workers            float64  `json:"workers_per_scheduler"` // that it sent anything
-	Homes              float64  `json:"homes_per_scheduler"`   // preferred workers of the functions that it was asked for: what it has to meet
-	Loads              int      `json:"loads"`
-	Crashed            int      `json:"workers_pushed_over"`
-	PeakColdLoadShare  float64  `json:"cold_most"`              // that a worker was sent while warming up, as a share of what it survives
-	RefusedConnections int      `json:"agent_connects_refused"` // over what the workers accept
-	Served             float64  `json:"served_share"`
-	Asked              int      `json:"asked"`
-	Lost               int      `json:"lost"` // without any response
-	RulesBroken        []string `json:"rules_broken"`
-	Late               float64  `json:"machine_late_ms"` // the latest that this machine let the testbed itself wake
-
-	pollTimes         []time.Duration
-	agentConnectTimes []time.Duration
-}
-
 // summary is the metrics in a sentence.
 func (m *ColdStartMetrics) summary() string {
-	return fmt.Sprintf("served %.4f of %d, at most %d asks and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
-		m.Served, m.Asked, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
+	return fmt.Sprintf("served %.4f of %d, at most %d polls and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
+		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
 }
 
 // setLoad fills in what became of the load.
 func (m *ColdStartMetrics) setLoad(load LoadResult) {
 	m.Served = load.ServedShare()
-	m.Asked = load.Offered
+	m.Requests = load.Offered
 	m.Lost = load.Lost
 }
 
@@ -119,9 +90,9 @@
 		if !worker.CrashedAt().IsZero() {
 			m.Crashed++
 		}
-		refused, peakLoadShare := worker.overload()
+		refused, peakLoad := worker.overload()
 		m.RefusedConnections += refused
-		m.PeakColdLoadShare = max(m.PeakColdLoadShare, peakLoadShare)
+		m.PeakWarmUpLoadShare = max(m.PeakWarmUpLoadShare, peakLoad)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
 			schedulers[arrival.From] = true
@@ -137,12 +108,12 @@
 	}
 	schedulers := float64(len(fleet.Instances))
 	m.Handshakes = float64(handshakes) / float64(max(starts, 1))
-	m.Homes = float64(countPreferredPairs(fleet.Workers)) / schedulers
+	m.PreferredWorkers = float64(countPreferredPairs(fleet.Workers)) / schedulers
 	m.Workers = float64(pairs) / schedulers
 }
 
 // countPreferredPairs counts the pairs of a scheduler and a worker that follow from the preferred workers which all
-// schedulers share: the scheduler was asked for a function that most of all calls of it went to the worker for.
+// schedulers share: the scheduler received a call of a function most of whose calls went to the worker.
 func countPreferredPairs(workers []*Worker) int {
 	calls := map[string]map[string]int{}
 	preferred := map[string]string{}
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -34,32 +34,7 @@
 	Rate         float64 // requests a second, of all
 	Seed         uint64
 	MeasureFlood bool // measure a flood of forged datagrams too
-	Say          func(string)
-}
-
-// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares parts of 1.
-type GossipResult struct {
-	Instances      int     `json:"instances"`
-	Workers        int     `json:"workers"`
-	Hostile        int     `json:"hostile"`
-	Seconds        float64 `json:"seconds"`
-	Messages       float64 `json:"messages_per_second"` // sent by the worst instance, over the run
-	Peak           float64 `json:"messages_peak"`       // the most of any second and instance
-	Limit          int     `json:"messages_limit"`      // of any second
-	Bytes          float64 `json:"bytes_per_second"`    // sent by the worst instance
-	LeftOutByLiar  float64 `json:"left_out_by_liar"`    // worker-seconds: healthy workers that were ejected, by instances
-	Served         float64 `json:"served_share"`        // with the byzantine members
-	ServedHonest   float64 `json:"served_share_without_liar"`
-	ServedAlone    float64 `json:"served_share_alone"`
-	Lost           int     `json:"lost_to_silent"`
-	LostHonest     int     `json:"lost_to_silent_without_liar"`
-	LostAlone      int     `json:"lost_to_silent_alone"`
-	Notice         float64 `json:"notice_ms"`
-	NoticeAlone    float64 `json:"notice_ms_alone"`
-	CPUFlooded     float64 `json:"cpu_share_flooded"`   // of a core, more than without the flood
-	MemoryFlooded  int     `json:"memory_kb_flooded"`   // grown during the second half of the flood
-	CPU            float64 `json:"cpu_share_unflooded"` // of a core, of the same instance without load
-	UnheardOfLiars int     `json:"instances_that_unheard_liars"`
+	Progress     func(string)
 }
 
 // Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
@@ -87,7 +62,7 @@
 			return result, fmt.Errorf("%s: %w", run.name, err)
 		}
 		run.keep(&result, metrics)
-		e.Say(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
+		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
 			run.name, metrics.load.ServedShare(), metrics.load.Offered, metrics.lost, metrics.noticeMillis, metrics.messages))
 	}
 	if e.MeasureFlood {
@@ -120,8 +95,8 @@
 func (r *GossipResult) setByzantine(metrics gossipMetrics) {
 	r.Served = metrics.load.ServedShare()
 	r.Lost = metrics.lost
-	r.LeftOutByLiar = metrics.wronglyEjected
-	r.UnheardOfLiars = metrics.ignoredPeers
+	r.WronglyEjected = metrics.wronglyEjected
+	r.PeersIgnored = metrics.ignoredPeers
 	r.setTraffic(metrics)
 }
 
@@ -209,8 +184,8 @@
 
 // floodMetrics is what a flood of forged datagrams cost one instance.
 type floodMetrics struct {
-	idleCPU  float64 // share of a core without the flood
-	floodCPU float64 // share of a core more with it
+	idleCPU  float64 // fraction of a core without the flood
+	floodCPU float64 // additional fraction of a core with it
 	grownKB  int     // memory, during the second half of the flood
 }
 
@@ -241,7 +216,7 @@
 	if err := <-ended; err != nil {
 		return metrics, err
 	}
-	e.Say(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
+	e.Progress(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
 	return metrics, fleet.nobodyDead()
 }
 
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -27,42 +27,14 @@
 
 // MatchExperiment measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
 type MatchExperiment struct {
-	Program string
-	Env     []string
-	Rules   int
-	Rate    float64 // requests a second
-	Hostile bool    // requests carry the longest legal texts, many parameters and near misses of prefixes
-	Seconds float64
-	Seed    uint64
-	Say     func(string)
-}
-
-// MatchResult is what a MatchExperiment measured.
-type MatchResult struct {
-	Rules        int         `json:"rules"`
-	Rate         float64     `json:"rate"`
-	Hostile      bool        `json:"hostile"`
-	Sizes        []MatchSize `json:"sizes"`
-	Flatness     float64     `json:"ns_1000_over_10"`            // medians
-	HostileRatio float64     `json:"hostile_p99_over_plain_p50"` // at the given number of rules
-	Served       float64     `json:"served_share"`
-	ServedPlain  float64     `json:"served_share_without_rules"`
-	P99          float64     `json:"p99_ms"`
-	P99Plain     float64     `json:"p99_ms_without_rules"`
-	CPU          float64     `json:"cpu_us_per_request"`
-	CPUPlain     float64     `json:"cpu_us_per_request_without_rules"`
-	Memory       int         `json:"memory_kb"`
-	MemoryPlain  int         `json:"memory_kb_without_rules"`
-}
-
-// MatchSize is what an evaluation takes with so many rules, in nanoseconds.
-type MatchSize struct {
-	Rules      int     `json:"rules"`
-	Plain      float64 `json:"plain_p50_ns"`
-	PlainP99   float64 `json:"plain_p99_ns"`
-	Hostile    float64 `json:"hostile_p50_ns"`
-	HostileP99 float64 `json:"hostile_p99_ns"`
-	Load       float64 `json:"load_ms"`
+	Program  string
+	Env      []string
+	Rules    int
+	Rate     float64 // requests a second
+	Hostile  bool    // requests carry the longest legal texts, many parameters and near misses of prefixes
+	Seconds  float64
+	Seed     uint64
+	Progress func(string)
 }
 
 // operatorFileWithRules is an operator's file with rules that tell requests apart by function, and two that are tried for
@@ -137,12 +109,12 @@
 			result.HostileRatio = size.HostileP99 / size.Plain
 		}
 	}
-	result.Flatness = medians[1000] / medians[10]
+	result.RulesRatio = medians[1000] / medians[10]
 	with, err := e.measureLoad(ctx, operatorFileWithRules(e.Rules))
 	if err != nil {
 		return result, fmt.Errorf("with rules: %w", err)
 	}
-	result.Served = with.servedShare
+	result.Served = with.servedFraction
 	result.P99 = with.p99Millis
 	result.CPU = with.cpuMicros
 	result.Memory = with.memoryKB
@@ -150,7 +122,7 @@
 	if err != nil {
 		return result, fmt.Errorf("without rules: %w", err)
 	}
-	result.ServedPlain = plain.servedShare
+	result.ServedPlain = plain.servedFraction
 	result.P99Plain = plain.p99Millis
 	result.CPUPlain = plain.cpuMicros
 	result.MemoryPlain = plain.memoryKB
@@ -184,10 +156,10 @@
 
 // loadMeasurement is what became of a load.
 type loadMeasurement struct {
-	servedShare float64
-	p99Millis   float64
-	cpuMicros   float64 // of processor time a request
-	memoryKB    int
+	servedFraction float64
+	p99Millis      float64
+	cpuMicros      float64 // of processor time a request
+	memoryKB       int
 }
 
 // measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
@@ -208,16 +180,16 @@
 	cpuBefore := scheduler.CPU()
 	result := offerFor(time.Duration(e.Seconds * float64(time.Second)))
 	measured := loadMeasurement{
-		servedShare: result.ServedShare(),
-		memoryKB:    scheduler.Memory(),
-		cpuMicros:   float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
+		servedFraction: result.ServedShare(),
+		memoryKB:       scheduler.Memory(),
+		cpuMicros:      float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
 	}
 	slices.Sort(result.ResponseTimes)
 	if count := len(result.ResponseTimes); count > 0 {
 		measured.p99Millis = float64(result.ResponseTimes[count*99/100].Microseconds()) / 1000
 	}
-	e.Say(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
-		measured.servedShare, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
+	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
+		measured.servedFraction, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
 	return measured, scheduler.Stop()
 }
 
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -17,17 +17,6 @@
 	maxPollDuration = 7 * time.Second
 )
 
-// VirtualPollResult is what a fleet of one size asks of a list service in virtual time.
-type VirtualPollResult struct {
-	Schedulers      int            `json:"schedulers"`
-	EvenPeak        float64        `json:"polls_even_100ms"`
-	Peaks           map[string]int `json:"polls_peak_100ms"`      // by fault
-	AllListedMillis float64        `json:"crowded_all_listed_ms"` // -1 where some scheduler never had the list
-	LimitMillis     float64        `json:"crowded_limit_ms"`      // what the service's capacity allows at best
-	Sent            int            `json:"crowded_polls_sent"`
-	Needed          int            `json:"crowded_polls_needed"`
-}
-
 // SimulatePolls plays the faults of a list service with fleets of these sizes.
 func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
 	withFault := func(fault ListFault) func(*PollSimulation) {
@@ -38,11 +27,11 @@
 		}
 	}
 	disturbances := map[string]func(*PollSimulation){
-		"refused 8 s": withFault(ListRefusing),
-		"503 for 8 s": withFault(ListOverloaded),
-		"silent 8 s":  withFault(ListUnresponsive),
-		"broken":      (*PollSimulation).BreakConnections,
-		"event":       (*PollSimulation).Publish,
+		"refused_8s":    withFault(ListRefusing),
+		"overloaded_8s": withFault(ListOverloaded),
+		"silent_8s":     withFault(ListUnresponsive),
+		"broken":        (*PollSimulation).BreakConnections,
+		"event":         (*PollSimulation).Publish,
 	}
 	var results []VirtualPollResult
 	for _, size := range sizes {
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -13,31 +13,13 @@
 // The course of a gossip simulation.
 const (
 	maxVirtualMembers = 8192
-	deathCount        = 5 // several deaths at once: when one is noticed depends on whose turn it is to be probed
+	deathCount        = 5 // several deaths at once: when one is detected depends on the order of the probes
 	idleDuration      = 30 * time.Second
 	deathDuration     = 15 * time.Second
 	statementDuration = 5 * time.Second
-	knownShare        = 0.99 // of the members that have to know of something
+	knownFraction     = 0.99 // of the members that have to know of something
 )
 
-// VirtualGossipResult is what fleets of growing size cost in virtual time.
-type VirtualGossipResult struct {
-	Sizes          []VirtualGossipSize `json:"sizes"`
-	MessagesGrowth float64             `json:"messages_largest_over_smallest"` // messages a second an instance, the largest fleet's over the smallest's
-	Wall           float64             `json:"wall_seconds"`
-}
-
-// VirtualGossipSize is what a fleet of one size cost.
-type VirtualGossipSize struct {
-	Instances int     `json:"instances"`
-	Messages  float64 `json:"messages_per_second"` // sent by an instance, the mean
-	Worst     int     `json:"messages_peak"`       // the most of any second and instance
-	Bytes     float64 `json:"bytes_per_second"`
-	Death     float64 `json:"death_known_ms"`     // from a death until 99% of the others hold the member suspect, the median of five
-	Statement float64 `json:"statement_known_ms"` // from a statement until 99% have it
-	HeapKB    float64 `json:"heap_kb_per_instance"`
-}
-
 // SimulateGossip plays fleets of these sizes: half a minute of nothing, then some deaths, then a statement.
 func SimulateGossip(sizes []int, seed uint64) VirtualGossipResult {
 	began := time.Now()
@@ -100,7 +82,7 @@
 // millisUntilKnown is how long after a time knownShare of so many nodes knew, in milliseconds; infinite where they
 // didn't.
 func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
-	needed := int(math.Ceil(knownShare * float64(nodes)))
+	needed := int(math.Ceil(knownFraction * float64(nodes)))
 	if len(k) < needed {
 		return math.Inf(1)
 	}
