--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -3,64 +3,14 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
+	"calicohill/internal/testbed/golden"
 	"calicohill/routing"
 )
 
-// record has the golden files of this package written. They were made by the version before the renames of the
-// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
-// pass: a file that is there already is not overwritten.
-var record = flag.Bool("record", false, "write the golden files that are missing")
-
-// goldenPath is the path of a golden file.
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-// readGolden returns the content of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
-
-// recordGolden writes a golden file that must not exist.
-func recordGolden(t *testing.T, name string, content []byte) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := file.Write(content); err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// compareGolden compares bytes with a golden file, or writes it under -record.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *record {
-		recordGolden(t, name, got)
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%q\nwant\n%q", name, got, want)
-	}
-}
-
 // A statement's body is encoded to the golden bytes, and the golden bytes decode to its reports.
 func TestGoldenStatements(t *testing.T) {
 	silent := Report{Worker: "w-1", Fault: routing.Unresponsive, FirstSeenAgo: 1200, LastSeenAgo: 0, Attempts: 7}
@@ -90,8 +40,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, tt.name, encoded)
-		decoded, err := Decode(readGolden(t, tt.name))
+		golden.Compare(t, tt.name, encoded)
+		decoded, err := Decode(golden.Read(t, tt.name))
 		if err != nil {
 			t.Fatalf("%s: %v", tt.name, err)
 		}
@@ -103,8 +53,8 @@
 
 // The error texts of malformed bodies.
 func TestGoldenErrors(t *testing.T) {
-	whole := readGolden(t, "all.cbor")
-	wrongFault := bytes.Clone(readGolden(t, "silent.cbor"))
+	whole := golden.Read(t, "all.cbor")
+	wrongFault := bytes.Clone(golden.Read(t, "silent.cbor"))
 	place := bytes.Index(wrongFault, []byte("w-1")) + len("w-1")
 	wrongFault[place] = byte(routing.Unreachable) + 1
 	for _, tt := range []struct {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -5,7 +5,6 @@
 	"crypto/sha256"
 	"crypto/x509"
 	"errors"
-	"flag"
 	"fmt"
 	"maps"
 	"net/netip"
@@ -17,56 +16,9 @@
 	"time"
 
 	"calicohill/internal/fleet/pki"
+	"calicohill/internal/testbed/golden"
 )
 
-// record has the golden files of this package written. They were made by the version before the renames of the
-// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
-// pass: a file that is there already is not overwritten.
-var record = flag.Bool("record", false, "write the golden files that are missing")
-
-// goldenPath is the path of a golden file.
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-// readGolden returns the content of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
-
-// recordGolden writes a golden file that must not exist.
-func recordGolden(t *testing.T, name string, content []byte) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := file.Write(content); err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// compareGolden compares bytes with a golden file, or writes it under -record.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *record {
-		recordGolden(t, name, got)
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%q\nwant\n%q", name, got, want)
-	}
-}
-
 const (
 	goldenFleet     = "gt-registros"
 	goldenSkew      = 5 * time.Second
@@ -92,7 +44,7 @@
 
 // The keys of the golden datagrams are read. Under -record they are made first, for the tests below too.
 func TestGoldenKeys(t *testing.T) {
-	if *record {
+	if golden.Recording() {
 		recordKeys(t)
 	}
 	for _, name := range goldenNames {
@@ -105,7 +57,7 @@
 // recordKeys makes an authority and a key for each member, and writes them to the golden directory.
 func recordKeys(t *testing.T) {
 	t.Helper()
-	if err := os.MkdirAll(goldenPath(""), 0o755); err != nil {
+	if err := os.MkdirAll(golden.Path(""), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	const validity = 10 * 365 * 24 * time.Hour
@@ -113,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := pki.WriteKeyFile(goldenPath(goldenAuthority), authority.Key, authority.Cert); err != nil {
+	if err := pki.WriteKeyFile(golden.Path(goldenAuthority), authority.Key, authority.Cert); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range goldenNames {
@@ -121,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := pki.WriteKeyFile(goldenPath(name+".key"), m.Key, m.Cert); err != nil {
+		if err := pki.WriteKeyFile(golden.Path(name+".key"), m.Key, m.Cert); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -131,7 +83,7 @@
 func readGoldenKey(t *testing.T, name string) *pki.Member {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, readGolden(t, name), 0o600); err != nil {
+	if err := os.WriteFile(path, golden.Read(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	key, cert, err := pki.ReadKeyFile(path)
@@ -212,9 +164,9 @@
 		if err != nil {
 			t.Fatalf("%s: %v", step.file, err)
 		}
-		compareGolden(t, step.file, sealed)
+		golden.Compare(t, step.file, sealed)
 		receiver := map[string]string{"a": "b", "b": "a"}[step.from]
-		opened, err := guards[receiver].Open(goldenUptime, wall, goldenAddrs[step.from], readGolden(t, step.file))
+		opened, err := guards[receiver].Open(goldenUptime, wall, goldenAddrs[step.from], golden.Read(t, step.file))
 		if err != nil {
 			t.Fatalf("%s: %v", step.file, err)
 		}
@@ -241,7 +193,7 @@
 // The body of each golden datagram decodes, and encodes to the same bytes.
 func TestGoldenBodies(t *testing.T) {
 	for file, kind := range map[string]Kind{"ping": 1, "ack": 2, "nack": 3, "ask": 4, "gossip": 5, "empty-gossip": 5} {
-		datagram := readGolden(t, file+".datagram")
+		datagram := golden.Read(t, file+".datagram")
 		_, _, body, err := parseHeader(datagram)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
@@ -261,7 +213,7 @@
 
 // The error texts of golden datagrams that are dropped.
 func TestGoldenErrors(t *testing.T) {
-	whole := readGolden(t, "ping.datagram")
+	whole := golden.Read(t, "ping.datagram")
 	forged, otherVersion := bytes.Clone(whole), bytes.Clone(whole)
 	forged[fixedHeaderBytes+3] ^= 1 // the first byte of the signature, behind the names "a" and ""
 	otherVersion[1]++
@@ -277,9 +229,9 @@
 		{"forged", "b", forged, goldenNow, ErrSignature, "gossip: the signature is not right"},
 		{"late", "b", whole, goldenNow.Add(time.Minute), ErrClock, "gossip: sent too long ago, or not yet"},
 		{"its own", "a", whole, goldenNow, ErrReplayed, "gossip: replayed"},
-		{"to another", "c", readGolden(t, "ack.datagram"), goldenNow, ErrNotForUs, "gossip: for another member"},
+		{"to another", "c", golden.Read(t, "ack.datagram"), goldenNow, ErrNotForUs, "gossip: for another member"},
 		{
-			"without certificate", "b", readGolden(t, "gossip.datagram"), goldenNow, ErrUnknown,
+			"without certificate", "b", golden.Read(t, "gossip.datagram"), goldenNow, ErrUnknown,
 			"gossip: the sender is not known and brings no certificate",
 		},
 		{
@@ -406,7 +358,7 @@
 			exchange.step(t, now, node)
 		}
 	}
-	compareGolden(t, "exchange.txt", exchange.lines.Bytes())
+	golden.Compare(t, "exchange.txt", exchange.lines.Bytes())
 	for k := Ping; k <= lastKind; k++ {
 		if exchange.kinds[k] == 0 {
 			t.Errorf("no datagram of kind %d in the exchange", k)
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -6,7 +6,6 @@
 	"crypto/x509"
 	"encoding/pem"
 	"errors"
-	"flag"
 	"math/big"
 	"os"
 	"path/filepath"
@@ -14,43 +13,9 @@
 	"strings"
 	"testing"
 	"time"
-)
-
-// record has the golden files of this package written. They were made by the version before the renames of the
-// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
-// pass: a file that is there already is not overwritten.
-var record = flag.Bool("record", false, "write the golden files that are missing")
-
-// goldenPath is the path of a golden file.
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// readGolden returns the content of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
-
-// recordGolden writes a golden file that must not exist.
-func recordGolden(t *testing.T, name string, content []byte) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := file.Write(content); err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
+	"calicohill/internal/testbed/golden"
+)
 
 const (
 	goldenFleet  = "gt-registros"
@@ -82,23 +47,23 @@
 // recordFiles makes an authority, two members and two revocation lists and writes them to the golden directory.
 func recordFiles(t *testing.T) {
 	t.Helper()
-	if err := os.MkdirAll(goldenPath(""), 0o755); err != nil {
+	if err := os.MkdirAll(golden.Path(""), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	authority, err := NewAuthority(goldenFleet, goldenNow, authorityValidity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := WriteKeyFile(goldenPath(authorityKeyFile), authority.Key, authority.Cert); err != nil {
+	if err := WriteKeyFile(golden.Path(authorityKeyFile), authority.Key, authority.Cert); err != nil {
 		t.Fatal(err)
 	}
-	recordGolden(t, authorityCertFile, EncodeCertificate(authority.Cert))
+	golden.Record(t, authorityCertFile, EncodeCertificate(authority.Cert))
 	for file, name := range map[string]string{memberFile: goldenMember, revokedFile: "sched-2"} {
 		member, err := authority.Issue(name, goldenNow, memberValidity)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := WriteKeyFile(goldenPath(file), member.Key, member.Cert); err != nil {
+		if err := WriteKeyFile(golden.Path(file), member.Key, member.Cert); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -106,13 +71,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordGolden(t, firstListFile, EncodeRevocationList(first))
+	golden.Record(t, firstListFile, EncodeRevocationList(first))
 	_, revoked := readKeyFile(t, revokedFile)
 	second, err := authority.Revoke(first, goldenRevoked, revoked.SerialNumber)
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordGolden(t, secondListFile, EncodeRevocationList(second))
+	golden.Record(t, secondListFile, EncodeRevocationList(second))
 }
 
 // writePrivate puts content in a new file of mode 0600, as key files need it: version control keeps no such mode.
@@ -127,7 +92,7 @@
 
 func readKeyFile(t *testing.T, name string) (ed25519.PrivateKey, *x509.Certificate) {
 	t.Helper()
-	key, cert, err := ReadKeyFile(writePrivate(t, readGolden(t, name)))
+	key, cert, err := ReadKeyFile(writePrivate(t, golden.Read(t, name)))
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
@@ -142,7 +107,7 @@
 
 func readListFile(t *testing.T, name string) *x509.RevocationList {
 	t.Helper()
-	list, err := ReadRevocationListFile(goldenPath(name), false)
+	list, err := ReadRevocationListFile(golden.Path(name), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +117,7 @@
 // A golden key file is read, and what was read is written as the same bytes, with mode 0600. Under -record all golden
 // files are made first, for the tests below too.
 func TestGoldenKeyFiles(t *testing.T) {
-	if *record {
+	if golden.Recording() {
 		recordFiles(t)
 	}
 	for _, name := range []string{authorityKeyFile, memberFile, revokedFile} {
@@ -165,7 +130,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := readGolden(t, name); !bytes.Equal(got, want) {
+		if want := golden.Read(t, name); !bytes.Equal(got, want) {
 			t.Errorf("%s: written as\n%s\nwant\n%s", name, got, want)
 		}
 		info, err := os.Stat(path)
@@ -176,11 +141,11 @@
 			t.Errorf("%s: mode %v, want 0600", name, info.Mode())
 		}
 	}
-	cert, err := ReadCertificateFile(goldenPath(authorityCertFile))
+	cert, err := ReadCertificateFile(golden.Path(authorityCertFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := EncodeCertificate(cert), readGolden(t, authorityCertFile); !bytes.Equal(got, want) {
+	if got, want := EncodeCertificate(cert), golden.Read(t, authorityCertFile); !bytes.Equal(got, want) {
 		t.Errorf("certificate written as\n%s\nwant\n%s", got, want)
 	}
 	if !cert.Equal(readAuthority(t).Cert) {
@@ -190,15 +155,15 @@
 
 // The golden authority is what it was made as, and a new one differs from it in key, number and signature only.
 func TestGoldenAuthority(t *testing.T) {
-	golden := readAuthority(t)
-	if golden.Fleet() != goldenFleet {
-		t.Errorf("fleet %q, want %q", golden.Fleet(), goldenFleet)
+	authority := readAuthority(t)
+	if authority.Fleet() != goldenFleet {
+		t.Errorf("fleet %q, want %q", authority.Fleet(), goldenFleet)
 	}
 	made, err := NewAuthority(goldenFleet, goldenNow, authorityValidity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert := golden.Cert
+	cert := authority.Cert
 	if !cert.IsCA || cert.KeyUsage != x509.KeyUsageCertSign|x509.KeyUsageCRLSign || cert.MaxPathLen != 0 || !cert.MaxPathLenZero {
 		t.Errorf("authority %t, usage %b, path length %d, %t", cert.IsCA, cert.KeyUsage, cert.MaxPathLen, cert.MaxPathLenZero)
 	}
@@ -279,7 +244,7 @@
 		if !reflect.DeepEqual(entries, tt.entries) {
 			t.Errorf("%s: entries %v, want %v", tt.name, entries, tt.entries)
 		}
-		if got, want := EncodeRevocationList(tt.list), readGolden(t, tt.name); !bytes.Equal(got, want) {
+		if got, want := EncodeRevocationList(tt.list), golden.Read(t, tt.name); !bytes.Equal(got, want) {
 			t.Errorf("%s: written as\n%s\nwant\n%s", tt.name, got, want)
 		}
 	}
@@ -361,7 +326,7 @@
 
 // The error texts of broken files, behind the file's path.
 func TestGoldenFileErrors(t *testing.T) {
-	member, other := readGolden(t, memberFile), readGolden(t, revokedFile)
+	member, other := golden.Read(t, memberFile), golden.Read(t, revokedFile)
 	keyBlock, rest := pem.Decode(member)
 	certBlock, _ := pem.Decode(rest)
 	otherKey, _ := pem.Decode(other)
@@ -385,7 +350,7 @@
 		{"broken key", readKey, broken("PRIVATE KEY"), "asn1: structure error: "},
 		{"broken certificate", readKey, broken("CERTIFICATE"), "x509: malformed certificate"},
 		{"too large", readKey, make([]byte, 1<<20+1), "not a file of up to 1048576 bytes"},
-		{"no certificate", readCert, readGolden(t, firstListFile), "no certificate in it"},
+		{"no certificate", readCert, golden.Read(t, firstListFile), "no certificate in it"},
 		{"broken certificate alone", readCert, broken("CERTIFICATE"), "x509: malformed certificate"},
 		{"no list", readList, member, "not a list of revoked certificates"},
 		{"empty list", readList, nil, "not a list of revoked certificates"},
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -3,67 +3,17 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"flag"
 	"hash/crc32"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
 
+	"calicohill/internal/testbed/golden"
 	"calicohill/routing"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// record has the golden files of this package written. They were made by the version before the renames of the
-// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
-// pass: a file that is there already is not overwritten.
-var record = flag.Bool("record", false, "write the golden files that are missing")
-
-// goldenPath is the path of a golden file.
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-// readGolden returns the content of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
-
-// recordGolden writes a golden file that must not exist.
-func recordGolden(t *testing.T, name string, content []byte) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := file.Write(content); err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// compareGolden compares bytes with a golden file, or writes it under -record.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *record {
-		recordGolden(t, name, got)
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%q\nwant\n%q", name, got, want)
-	}
-}
-
 const (
 	goldenFleet = "gt-registros"
 	goldenTime  = 1_790_000_000 * time.Second // Unix time of the golden records
@@ -114,8 +64,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, tt.name, encoded)
-		decoded, err := Decode(readGolden(t, tt.name), goldenFleet, goldenTime+time.Minute, goldenAge)
+		golden.Compare(t, tt.name, encoded)
+		decoded, err := Decode(golden.Read(t, tt.name), goldenFleet, goldenTime+time.Minute, goldenAge)
 		if err != nil {
 			t.Fatalf("%s: %v", tt.name, err)
 		}
@@ -128,18 +78,18 @@
 // A record of a version that kept no learned state is read, with the learned state empty.
 func TestGoldenRecordWithoutMemory(t *testing.T) {
 	const name = "without-memory.snapshot"
-	if *record {
+	if golden.Recording() {
 		body, err := cbor.Marshal(map[int]any{1: goldenFleet, 2: 41, 3: goldenTime, 4: []byte(goldenFeed)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		content := binary.BigEndian.AppendUint32([]byte("calicohill snapshot 1\n"),
 			crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)))
-		recordGolden(t, name, append(content, body...))
+		golden.Record(t, name, append(content, body...))
 	}
 	want := goldenRecord()
 	want.State = routing.LearnedState{}
-	got, err := Decode(readGolden(t, name), goldenFleet, goldenTime, goldenAge)
+	got, err := Decode(golden.Read(t, name), goldenFleet, goldenTime, goldenAge)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +100,7 @@
 
 // The error texts of golden bytes that do not count.
 func TestGoldenErrors(t *testing.T) {
-	complete := readGolden(t, "full.snapshot")
+	complete := golden.Read(t, "full.snapshot")
 	damaged := bytes.Clone(complete)
 	damaged[len(damaged)-1] ^= 1
 	otherVersion := bytes.Replace(complete, []byte("snapshot 1"), []byte("snapshot 2"), 1)
--- a/internal/snapshot/snapshotfile/golden_test.go
+++ b/internal/snapshot/snapshotfile/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -11,45 +10,10 @@
 
 	"calicohill/internal/discovery"
 	"calicohill/internal/snapshot"
+	"calicohill/internal/testbed/golden"
 	"calicohill/routing"
 )
 
-// record has the golden files of this package written. They were made by the version before the renames of the
-// readability work, and show that a later version reads and writes the same bytes. They are never made anew to get a
-// pass: a file that is there already is not overwritten.
-var record = flag.Bool("record", false, "write the golden files that are missing")
-
-// goldenPath is the path of a golden file.
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-// readGolden returns the content of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
-
-// recordGolden writes a golden file that must not exist.
-func recordGolden(t *testing.T, name string, content []byte) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	file, err := os.OpenFile(goldenPath(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := file.Write(content); err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
 const (
 	goldenFleet = "gt-registros"
 	goldenTime  = 1_790_000_000 * time.Second // Unix time of the golden records
@@ -109,12 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *record {
-		recordGolden(t, goldenName, got)
-	}
-	if want := readGolden(t, goldenName); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%q\nwant\n%q", got, want)
-	}
+	golden.Compare(t, goldenName, got)
 	info, err := os.Stat(path)
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +92,7 @@
 
 // The golden file is read as the endpoint list and the learned state that it was made of.
 func TestGoldenRead(t *testing.T) {
-	got, err := Read(goldenPath(goldenName), goldenFleet, goldenTime+time.Minute, goldenAge)
+	got, err := Read(golden.Path(goldenName), goldenFleet, goldenTime+time.Minute, goldenAge)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +107,7 @@
 // A golden file that is cut off is an error of a known text, and is set aside under a known name.
 func TestGoldenTorn(t *testing.T) {
 	path := filepath.Join(t.TempDir(), goldenName)
-	torn := readGolden(t, goldenName)[:100]
+	torn := golden.Read(t, goldenName)[:100]
 	if err := os.WriteFile(path, torn, 0o600); err != nil {
 		t.Fatal(err)
 	}
