--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -3,22 +3,20 @@
 import (
 	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strconv"
 	"strings"
 	"testing"
+
+	"calicohill/internal/testbed/golden"
 )
 
-// record writes testdata/golden/exchanges.txt anew instead of comparing with it.
+// goldenFile holds all exchanges.
 //
 // The file was made by the program as it stood before the code's names were changed. It shows that no later change of
 // names touched a byte on the wire, so it is never made anew to get a pass: only a change of the protocol itself, stated
-// as such in its commit, may change it.
-var record = flag.Bool("record", false, "write the golden files instead of comparing with them")
-
-const goldenFile = "testdata/golden/exchanges.txt"
+// as such in its commit, may change it: the file is removed for that and recorded again with -record.
+const goldenFile = "exchanges.txt"
 
 // What differs between runs, and nothing else, is replaced by a name.
 var (
@@ -243,7 +241,7 @@
 // the golden file was made, byte for byte.
 func TestGoldenExchanges(t *testing.T) {
 	whole := !strings.Contains(flag.Lookup("test.run").Value.String(), "/") // all exchanges are run
-	if *record && !whole {
+	if golden.Recording() && !whole {
 		t.Fatal("-record writes the whole file: it goes with all exchanges")
 	}
 	var all strings.Builder
@@ -255,40 +253,26 @@
 			recorder := newExchangeRecorder(t, &out, exchange.agents)
 			exchange.run(recorder)
 			recorder.finish()
-			if !*record {
+			if !golden.Recording() {
 				compareExchange(t, exchange.name, out.String())
 			}
 		})
 	}
 	switch {
 	case t.Failed():
-	case *record:
-		if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(goldenFile, []byte(all.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
+	case golden.Recording():
+		golden.Record(t, goldenFile, []byte(all.String()))
 	case whole:
-		if want := readGolden(t); all.String() != want {
+		if want := string(golden.Read(t, goldenFile)); all.String() != want {
 			t.Error("the golden file has other exchanges than the test, or another order of them")
 		}
 	}
 }
 
-func readGolden(t *testing.T) string {
-	t.Helper()
-	text, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 // compareExchange compares an exchange with that of its name in the golden file.
 func compareExchange(t *testing.T, name, got string) {
 	t.Helper()
-	_, rest, ok := strings.Cut("\n"+readGolden(t), "\n== "+name+"\n")
+	_, rest, ok := strings.Cut("\n"+string(golden.Read(t, goldenFile)), "\n== "+name+"\n")
 	if !ok {
 		t.Fatal("the golden file lacks this exchange")
 	}
