--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -150,7 +150,7 @@
 func TestDrainedDuringAStall(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
-	sched.schedulers = 300
+	sched.settings.Schedulers = 300
 	sched.settingsEdits = [][2]string{{`"stopSendingWithinMs":1000`, `"stopSendingWithinMs":200`}}
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	sched.start()
--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"calicohill/internal/testbed"
 )
 
 // poll answers a poll as the endpoint list service does.
@@ -53,21 +55,19 @@
 
 // feed returns the events after one in the form of an answer. s.mu is held.
 func (s *testScheduler) feed(after int) string {
-	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(s.events), strings.Join(s.events[min(after, len(s.events)):], ","))
+	return testbed.EndpointFeed(len(s.events), s.events[min(after, len(s.events)):])
 }
 
 // addEvent adds an event to the endpoint list; targets have the form "uid state address".
 func (s *testScheduler) addEvent(all bool, targets ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []string
-	for _, t := range targets {
-		f := strings.Fields(t)
-		list = append(list, fmt.Sprintf(`{"uid":%q,"state":%q,"endpoint":%q,"az":"here","model":"std","boot_ms":0}`,
-			f[0], f[1], f[2]))
+	var endpoints []testbed.Endpoint
+	for _, target := range targets {
+		fields := strings.Fields(target)
+		endpoints = append(endpoints, testbed.Endpoint{ID: fields[0], State: fields[1], Address: fields[2]})
 	}
-	s.events = append(s.events, fmt.Sprintf(`{"no":%d,"roster":{"rev":1,"all":%v,"targets":[%s]}}`,
-		len(s.events)+1, all, strings.Join(list, ",")))
+	s.events = append(s.events, testbed.EndpointEvent(len(s.events)+1, all, endpoints))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -16,35 +16,27 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"calicohill/internal/testbed"
 )
 
-// testSettings is the settings object of the configuration; the verb is idleCloseMs.
-const testSettings = `{"balancers":1,"rank":0,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
- "ceilings":{"attemptsCap":4,"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterMs":500,
-  "multiplex":100,"idleCloseMs":%d,"connectTimeoutMs":250},
- "classes":[
-  {"name":"consulta","aimMs":750,"hardLimitMs":3000,"worth":1,"lateWorth":0.1,"effect":"read_like"},
-  {"name":"registro-horas","aimMs":600,"hardLimitMs":2500,"worth":3,"lateWorth":0.2,
-   "effect":"idempotency_key","dedupScope":"all","memorySpanMs":2500},
-  {"name":"certificado","aimMs":750,"hardLimitMs":2500,"worth":2,"lateWorth":0.3,"effect":"non_idempotent"}],
- "familyInfo":{"idleLifeMs":9000,"saysCompany":true,"whenAbsent":"load"},
- "report":{"fields":["util"],"how":"piggyback"},
- "safety":{"answerSlackMs":16,"coldMs":17000,"coldShare":0.25,"overloadForMs":2000,"stopSendingWithinMs":1000,
-  "tipMultiple":3}}`
+// testSettings returns the platform's settings of the only scheduler of a site.
+func testSettings() testbed.PlatformSettings {
+	return testbed.PlatformSettings{Schedulers: 1, IdleCloseMillis: 15_000, InstanceIdleMillis: 9_000}
+}
 
 // testScheduler is a process of the program with its configuration, and with the endpoint list service that it polls.
 type testScheduler struct {
 	t       *testing.T
 	addr    string // for clients
 	cmd     *exec.Cmd
-	log     *logBuffer
+	log     *testbed.Log
 	ended   chan error // gets the process's end
 	started bool
 
 	// The configuration, which can be changed before the start.
-	schedulers    int // number of schedulers in the settings; 0 for 1
-	knownEvents   int // number of events in the configuration file; 0 for all
-	idleMs        int // idleCloseMs in the settings
+	knownEvents   int                      // number of events in the configuration file; 0 for all
+	settings      testbed.PlatformSettings // changed by settingsEdits
 	maxSockets    int
 	memoryMB      int
 	configFile    string      // path, once launched
@@ -62,7 +54,7 @@
 
 // newTestScheduler returns a scheduler that is not started yet; its fields can be changed before that.
 func newTestScheduler(t *testing.T) *testScheduler {
-	sched := &testScheduler{t: t, changed: make(chan struct{}), idleMs: 15000, maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
+	sched := &testScheduler{t: t, changed: make(chan struct{}), settings: testSettings(), maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
 	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
 	return sched
 }
@@ -73,20 +65,23 @@
 	s.mu.Lock()
 	known := s.feed(0)
 	if s.knownEvents > 0 {
-		known = fmt.Sprintf(`{"no":%d,"items":[%s]}`, s.knownEvents, strings.Join(s.events[:s.knownEvents], ","))
+		known = testbed.EndpointFeed(s.knownEvents, s.events[:s.knownEvents])
 	}
-	settings := fmt.Sprintf(strings.Replace(testSettings, `"balancers":1`, `"balancers":`+strconv.Itoa(max(s.schedulers, 1)), 1), s.idleMs)
+	settings := string(s.settings.JSON())
 	for _, c := range s.settingsEdits {
 		if !strings.Contains(settings, c[0]) {
 			s.t.Fatalf("no %s in the settings", c[0])
 		}
 		settings = strings.ReplaceAll(settings, c[0], c[1])
 	}
-	text, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": s.addr, "seed": "8c1f30d27a5be964",
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.memoryMB, "sockets": s.maxSockets},
-		"bulletin": s.bulletin.Listener.Addr().String(), "known": json.RawMessage(known),
-		"settings": json.RawMessage(settings),
+	text, err := json.Marshal(testbed.SchedulerConfig{
+		Bulletin: s.bulletin.Listener.Addr().String(),
+		Known:    json.RawMessage(known),
+		Limits:   testbed.SchedulerLimits{Cores: 1, MemoryMB: s.memoryMB, Sockets: s.maxSockets},
+		Listen:   s.addr,
+		Name:     "n0",
+		Seed:     "8c1f30d27a5be964",
+		Settings: json.RawMessage(settings),
 	})
 	s.mu.Unlock()
 	if err != nil {
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -1,16 +1,16 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"net"
 	"os"
 	"os/exec"
 	"strconv"
-	"sync"
 	"testing"
 	"time"
 
+	"calicohill/internal/testbed"
+
 	"golang.org/x/sys/unix"
 )
 
@@ -69,36 +69,18 @@
 }
 
 // program returns a command that runs the program, and the buffer that its log goes to.
-func program(t *testing.T, args ...string) (*exec.Cmd, *logBuffer) {
+func program(t *testing.T, args ...string) (*exec.Cmd, *testbed.Log) {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd, log := exec.Command(self, args...), &logBuffer{}
+	cmd, log := exec.Command(self, args...), &testbed.Log{}
 	cmd.Env = append(os.Environ(), asProgramVariable+"=1", "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN=", "CALICOHILL_OPERATOR=")
 	cmd.Stdout, cmd.Stderr = log, log
 	return cmd, log
 }
 
-// logBuffer collects the log of a running process.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(data []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(data)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 // waitUntil waits until a condition holds, and fails the test if it does not within waitTimeout.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -279,7 +279,7 @@
 			other.bulletin.Close()
 			other.bulletin, other.events = sched.bulletin, sched.events
 		}
-		other.maxSockets, other.schedulers = 90, len(sites)
+		other.maxSockets, other.settings.Schedulers = 90, len(sites)
 		other.start()
 		waitUntilServedBy(t, other, "a")
 	}
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -80,7 +80,7 @@
 // A configuration that can't be used ends the program at once, with one line that says why.
 func TestBadConfiguration(t *testing.T) {
 	whole := `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":` +
-		fmt.Sprintf(testSettings, 15000) + `}`
+		string(testSettings().JSON()) + `}`
 	for _, tt := range []struct{ name, text, want string }{
 		{"not JSON", "{", "unexpected end"},
 		{"no address", strings.Replace(whole, "127.0.0.1:0", "", 1), "listen"},
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -14,7 +14,7 @@
 		return answerLine(request.id, "OK", "-", strconv.Itoa(request.conn))
 	})
 	sched := newTestScheduler(t)
-	sched.schedulers = 300
+	sched.settings.Schedulers = 300
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
 	client, otherClient := sched.connect(), sched.connect()
@@ -81,7 +81,7 @@
 // An idle connection is closed before the agent's idle timeout, so that no request crosses the agent's close.
 func TestIdleConnections(t *testing.T) {
 	agent, sched := newAgent(t, echo), newTestScheduler(t)
-	sched.idleMs = 400
+	sched.settings.IdleCloseMillis = 400
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	client := sched.start().connect()
 	for n := range 2 {
--- /dev/null
+++ b/internal/testbed/endpointlist.go
@@ -0,0 +1,29 @@
+package testbed
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Endpoint is a worker as an event of the endpoint list names it.
+type Endpoint struct {
+	ID            string
+	State         string // SERVING, DRAINING or another state of the list service
+	Address       string
+	StartedMillis int64 // Unix time in milliseconds; 0 for a worker that is warm
+}
+
+// EndpointEvent returns the JSON of an event of the endpoint list; with all set the endpoints are the whole list.
+func EndpointEvent(number int, all bool, endpoints []Endpoint) string {
+	var targets []string
+	for _, endpoint := range endpoints {
+		targets = append(targets, fmt.Sprintf(`{"uid":%q,"state":%q,"endpoint":%q,"az":"here","model":"std","boot_ms":%d}`,
+			endpoint.ID, endpoint.State, endpoint.Address, endpoint.StartedMillis))
+	}
+	return fmt.Sprintf(`{"no":%d,"roster":{"rev":1,"all":%v,"targets":[%s]}}`, number, all, strings.Join(targets, ","))
+}
+
+// EndpointFeed returns the body of a response of the list service: events in their order, and the number of the last.
+func EndpointFeed(last int, events []string) string {
+	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(events, ","))
+}
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -8,7 +8,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,21 +15,6 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// platformSettings is the platform's settings of a scheduler in the testbed, with two gaps: how many schedulers there
-// are, and the scheduler's rank.
-const platformSettings = `{"balancers":%d,"rank":%d,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
- "ceilings":{"attemptsCap":4,"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterMs":500,
-  "multiplex":100,"idleCloseMs":15000,"connectTimeoutMs":250},
- "classes":[
-  {"name":"consulta","aimMs":750,"hardLimitMs":3000,"worth":1,"lateWorth":0.1,"effect":"read_like"},
-  {"name":"registro-horas","aimMs":600,"hardLimitMs":2500,"worth":3,"lateWorth":0.2,
-   "effect":"idempotency_key","dedupScope":"all","memorySpanMs":2500},
-  {"name":"certificado","aimMs":750,"hardLimitMs":2500,"worth":2,"lateWorth":0.3,"effect":"non_idempotent"}],
- "familyInfo":{"idleLifeMs":30000,"saysCompany":true,"whenAbsent":"load"},
- "report":{"fields":["util"],"how":"piggyback"},
- "safety":{"answerSlackMs":16,"coldMs":17000,"coldShare":0.25,"overloadForMs":2000,"stopSendingWithinMs":1000,
-  "tipMultiple":3}}`
-
 // Fleet is schedulers as real processes, the workers that they share, and the list service that tells them of these.
 type Fleet struct {
 	Program           string   // the scheduler
@@ -227,12 +211,16 @@
 		}
 	}
 	f.List.Publish(func(number int, scheduler string) string {
-		var targets []string
+		var endpoints []Endpoint
 		for _, worker := range workers {
-			targets = append(targets, fmt.Sprintf(`{"uid":%q,"state":%q,"endpoint":%q,"az":"here","model":"std","boot_ms":%d}`,
-				worker.ID, state, f.workerAddress(scheduler, worker), max(worker.startedAt.UnixMilli(), 0)))
+			endpoints = append(endpoints, Endpoint{
+				ID:            worker.ID,
+				State:         state,
+				Address:       f.workerAddress(scheduler, worker),
+				StartedMillis: max(worker.startedAt.UnixMilli(), 0),
+			})
 		}
-		return fmt.Sprintf(`{"no":%d,"roster":{"rev":1,"all":%v,"targets":[%s]}}`, number, all, strings.Join(targets, ","))
+		return EndpointEvent(number, all, endpoints)
 	})
 }
 
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -52,24 +52,6 @@
 // processExit is how a process ended.
 type processExit struct{ err error }
 
-// schedulerConfig is the platform's file of a scheduler.
-type schedulerConfig struct {
-	Bulletin string          `json:"bulletin"`
-	Known    json.RawMessage `json:"known"`
-	Limits   schedulerLimits `json:"limits"`
-	Listen   string          `json:"listen"`
-	Name     string          `json:"name"`
-	Seed     string          `json:"seed"`
-	Settings json.RawMessage `json:"settings"`
-}
-
-// schedulerLimits is what the platform lets a scheduler use.
-type schedulerLimits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
 // configure writes the files of an instance: the platform's, its key and the operator's.
 func (in *Instance) configure() error {
 	fleet := in.fleet
@@ -78,14 +60,14 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(schedulerConfig{
+	text, err := json.Marshal(SchedulerConfig{
 		Bulletin: bulletin,
 		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
-		Limits:   schedulerLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Limits:   SchedulerLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Listen:   in.Addr,
 		Name:     in.Name,
 		Seed:     fmt.Sprintf("%016x", rank+1),
-		Settings: json.RawMessage(fmt.Sprintf(platformSettings, max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank)),
+		Settings: fleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
 	})
 	if err != nil {
 		return err
@@ -166,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	var config schedulerConfig
+	var config SchedulerConfig
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
 	}
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/listservice.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"os"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -193,7 +192,7 @@
 	for _, event := range s.events[min(after, last):last] {
 		items = append(items, event(scheduler))
 	}
-	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(items, ","))
+	return EndpointFeed(last, items)
 }
 
 // effectiveAt is from when on what was published at a time counts as told to all: at once where the service is healthy,
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -104,7 +104,7 @@
 
 // addSchedulers starts the schedulers and their clients.
 func (f *virtualFleet) addSchedulers() error {
-	site, err := deployment.Parse(fmt.Appendf(nil, platformSettings, f.Schedulers, 0))
+	site, err := deployment.Parse(fleetSettings(f.Schedulers, 0).JSON())
 	if err != nil {
 		return err
 	}
