--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -286,7 +286,7 @@
 			other.listServer.Close()
 			other.listServer, other.events = sched.listServer, sched.events
 		}
-		other.maxSockets, other.schedulers = 90, len(sites)
+		other.maxSockets, other.settings.Schedulers = 90, len(sites)
 		other.start()
 		waitUntilServedBy(t, other, "a")
 	}
