--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -55,7 +55,7 @@
 // newTestScheduler returns a scheduler that is not started yet; its fields can be changed before that.
 func newTestScheduler(t *testing.T) *testScheduler {
 	sched := &testScheduler{t: t, changed: make(chan struct{}), settings: testSettings(), maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
-	sched.bulletin = httptest.NewServer(http.HandlerFunc(sched.poll))
+	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
 	return sched
 }
 
@@ -75,7 +75,7 @@
 		settings = strings.ReplaceAll(settings, c[0], c[1])
 	}
 	text, err := json.Marshal(testbed.SchedulerConfig{
-		Bulletin: s.bulletin.Listener.Addr().String(),
+		Bulletin: s.listServer.Listener.Addr().String(),
 		Known:    json.RawMessage(known),
 		Limits:   testbed.SchedulerLimits{Cores: 1, MemoryMB: s.memoryMB, Sockets: s.maxSockets},
 		Listen:   s.addr,
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -355,7 +355,7 @@
 // expectEarlierDuplicateSilent starts another with the name and the key of n1, at other addresses.
 func expectEarlierDuplicateSilent(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
-	duplicate := fleet.Instances[1].Twin()
+	duplicate := fleet.Instances[1].Duplicate()
 	if err := duplicate.Move(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.Replace(string(text), sched.bulletin.Listener.Addr().String(), "127.0.0.1:1", 1)
+	moved := strings.Replace(string(text), sched.listServer.Listener.Addr().String(), "127.0.0.1:1", 1)
 	for i, bad := range []string{
 		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
 		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -324,8 +324,17 @@
 	}
 }
 
-// The error texts of broken files, behind the file's path.
-func TestGoldenFileErrors(t *testing.T) {
+// A brokenFile is a file that can't be read, and the error text behind its path.
+type brokenFile struct {
+	name    string
+	read    func(path string) error
+	content []byte
+	want    string
+}
+
+// brokenFiles are files that miss a block, or hold a broken one.
+func brokenFiles(t *testing.T) []brokenFile {
+	t.Helper()
 	member, other := golden.Read(t, memberFile), golden.Read(t, revokedFile)
 	keyBlock, rest := pem.Decode(member)
 	certBlock, _ := pem.Decode(rest)
@@ -372,7 +381,7 @@
 			t.Errorf("%s: error %v, want %s", tt.name, err, want)
 		}
 	}
-	path := writePrivate(t, readGolden(t, memberFile))
+	path := writePrivate(t, golden.Read(t, memberFile))
 	if err := os.Chmod(path, 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	text, err := json.Marshal(SchedulerConfig{
-		Bulletin: bulletin,
+		Bulletin: listAddress,
 		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
 		Limits:   SchedulerLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Listen:   in.Addr,
