--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -9,6 +9,39 @@
 	"calicohill/internal/testbed"
 )
 
+// A startupScenario is a script of the testbed, how long it runs and how many polls may come together.
+type startupScenario struct {
+	name    string
+	seconds float64
+	peak    int // asks within 100 ms; 0 where a start of all or an event is among the troubles
+	script  string
+}
+
+var startupScenarios = []startupScenario{
+	// Before asks had times of their own 23 or 24 of 24 came within 100 ms in each of the first four.
+	{"refused", 9, 12, "0s known full\n0s list refuse\n0s start 1\n5s list well"},
+	{"silent", 12, 12, "0s known full\n0s start 1\n3s list silent\n9s list well"},
+	{"broken", 9, 12, "0s known full\n0s start 1\n3s break\n6s break"},
+	{"in step after an event", 9, 14, "0s known full\n0s start 1\n3s tell"},
+	{"behind while workers drain", 16, 12, "0s known full\n0s start 1\n3s list crowded 0.3\n4s drain 0.2\n12s list well"},
+	{"release during a stall", 14, 0, "0s known full\n0s start 1\n3s list silent\n4s replace 0.2\n4s roll 0.25 1s\n9s list well"},
+	{"killed while workers are cut", 18, 0, "0s known full\n0s start 1\n3s link cut 1 0.2\n3s kill 0.7\n4s start 1\n8s link whole 1 0.2"},
+	{"half cut from some workers", 18, 0, "0s known full\n0s start 1\n3s link cut-back 0.5 0.3\n5s link cut-there 0.5 0.3\n6s drain 0.1\n8s link whole 0.5 0.3"},
+	{"reset, slow and far ways", 18, 0, "0s known full\n0s start 1\n3s link far 1 0.3\n4s link reset 1 0.5\n5s link slow 0.5 0.5\n6s link reset 1 1\n8s link whole 1 1"},
+	{"half stopped", 13, 0, "0s known full\n0s start 1\n3s stop 0.5\n4s drain 0.1\n7s cont 0.5"},
+	{"slow list, slow workers", 14, 0, "0s known full\n0s start 1\n3s workers stalls 0.3\n3s list crowded 0.3\n4s drain 0.1\n9s list well\n9s workers sound 0.3"},
+	{"ended at their start", 9, 0, "0s known full\n0s list silent\n0s start 1\n1s term 0.5\n3s list well\n4s start 1"},
+	// They share what they find, and a third of them falls apart from the others while workers fall silent.
+	{"fallen in two", 13, 0, "0s known full\n0s start 1\n3s talk lossy 0.3\n4s talk cut 0.3\n4s workers mute 0.2\n5s drain 0.1\n8s talk whole 1\n9s workers sound 0.2"},
+	// Workers of little room, that fall when they are sent too much while they are cold; nothing was sent to them.
+	{"all cold at once", 12, 0, "0s boot 1\n0s known full\n0s start 1"},
+	// The same beside warm ones, when all schedulers know what those answer: what they send the cold ones adds up.
+	{"most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7"},
+	{"replaced by cold ones", 18, 0, "0s known full\n0s start 1\n6s replace 0.7 cold"},
+	{"most boot cold during a release", 18, 0, "0s known full\n0s start 1\n5s boot 0.7\n5s roll 0.25 1s"},
+	{"half killed while most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7\n6s kill 0.5\n7s start 1"},
+}
+
 // Two dozen schedulers as processes, told that they are 24 of 300, before a list service and workers in trouble. None
 // of it brings more than a few of them to the list service at once, and no rule is broken.
 func TestColdStarts(t *testing.T) {
@@ -19,70 +52,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, tt := range []struct {
-		name    string
-		seconds float64
-		peak    int // asks within 100 ms; 0 where a start of all or an event is among the troubles
-		script  string
-	}{
-		// Before asks had times of their own 23 or 24 of 24 came within 100 ms in each of the first four.
-		{"refused", 9, 12, "0s known full\n0s list refuse\n0s start 1\n5s list well"},
-		{"silent", 12, 12, "0s known full\n0s start 1\n3s list silent\n9s list well"},
-		{"broken", 9, 12, "0s known full\n0s start 1\n3s break\n6s break"},
-		{"in step after an event", 9, 14, "0s known full\n0s start 1\n3s tell"},
-		{"behind while workers drain", 16, 12, "0s known full\n0s start 1\n3s list crowded 0.3\n4s drain 0.2\n12s list well"},
-		{"release during a stall", 14, 0, "0s known full\n0s start 1\n3s list silent\n4s replace 0.2\n4s roll 0.25 1s\n9s list well"},
-		{"killed while workers are cut", 18, 0, "0s known full\n0s start 1\n3s link cut 1 0.2\n3s kill 0.7\n4s start 1\n8s link whole 1 0.2"},
-		{"half cut from some workers", 18, 0, "0s known full\n0s start 1\n3s link cut-back 0.5 0.3\n5s link cut-there 0.5 0.3\n6s drain 0.1\n8s link whole 0.5 0.3"},
-		{"reset, slow and far ways", 18, 0, "0s known full\n0s start 1\n3s link far 1 0.3\n4s link reset 1 0.5\n5s link slow 0.5 0.5\n6s link reset 1 1\n8s link whole 1 1"},
-		{"half stopped", 13, 0, "0s known full\n0s start 1\n3s stop 0.5\n4s drain 0.1\n7s cont 0.5"},
-		{"slow list, slow workers", 14, 0, "0s known full\n0s start 1\n3s workers stalls 0.3\n3s list crowded 0.3\n4s drain 0.1\n9s list well\n9s workers sound 0.3"},
-		{"ended at their start", 9, 0, "0s known full\n0s list silent\n0s start 1\n1s term 0.5\n3s list well\n4s start 1"},
-		// They share what they find, and a third of them falls apart from the others while workers fall silent.
-		{"fallen in two", 13, 0, "0s known full\n0s start 1\n3s talk lossy 0.3\n4s talk cut 0.3\n4s workers mute 0.2\n5s drain 0.1\n8s talk whole 1\n9s workers sound 0.2"},
-		// Workers of little room, that fall when they are sent too much while they are cold; nothing was sent to them.
-		{"all cold at once", 12, 0, "0s boot 1\n0s known full\n0s start 1"},
-		// The same beside warm ones, when all schedulers know what those answer: what they send the cold ones adds up.
-		{"most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7"},
-		{"replaced by cold ones", 18, 0, "0s known full\n0s start 1\n6s replace 0.7 cold"},
-		{"most boot cold during a release", 18, 0, "0s known full\n0s start 1\n5s boot 0.7\n5s roll 0.25 1s"},
-		{"half killed while most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7\n6s kill 0.5\n7s start 1"},
-	} {
+	for _, tt := range startupScenarios {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			script, err := testbed.ParseScenario(tt.script)
-			if err != nil {
-				t.Fatal(err)
-			}
-			day := testbed.ColdStartExperiment{
-				Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
-				Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
-			}
-			minServed := 0.0
-			switch warmingUp := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
-			case warmingUp && strings.HasPrefix(tt.script, "0s boot"):
-				day.Profile, day.ClaimedSchedulers, minServed = "small", 24, 0.3
-			case warmingUp: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
-				day.Profile, day.ClaimedSchedulers, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
-			}
-			result, err := day.Run(context.Background())
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, b := range result.Program.RulesBroken {
-				t.Error(b)
-			}
-			if result.Program.Served < minServed {
-				t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, minServed)
-			}
-			t.Logf("a cold worker was sent %.2f of what it bears", result.Program.PeakColdLoadShare)
-			if result.Program.AllListed < 0 {
-				t.Error("some schedulers did not hear the list again")
-			}
-			// A machine that was late by so much may have brought together what was apart.
-			if maxPolls := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > maxPolls {
-				t.Errorf("%d of 24 asked within 100 ms", result.Program.PollsPeak)
-			}
+			tt.run(t, self)
 		})
 	}
 }
+
+// run plays the scenario with that program.
+func (tt startupScenario) run(t *testing.T, program string) {
+	script, err := testbed.ParseScenario(tt.script)
+	if err != nil {
+		t.Fatal(err)
+	}
+	day := testbed.ColdStartExperiment{
+		Program: program, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
+		Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Say: func(s string) { t.Log(s) },
+	}
+	minServed := 0.0
+	switch warmingUp := strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold"); {
+	case warmingUp && strings.HasPrefix(tt.script, "0s boot"):
+		day.Profile, day.ClaimedSchedulers, minServed = "small", 24, 0.3
+	case warmingUp: // far more is asked than they can do, a quarter of it when warm: each gets as much as it is let have
+		day.Profile, day.ClaimedSchedulers, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
+	}
+	result, err := day.Run(context.Background())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, b := range result.Program.RulesBroken {
+		t.Error(b)
+	}
+	if result.Program.Served < minServed {
+		t.Errorf("%.2f served by workers that start cold, want %.2f", result.Program.Served, minServed)
+	}
+	t.Logf("a cold worker was sent %.2f of what it bears", result.Program.PeakColdLoadShare)
+	if result.Program.AllListed < 0 {
+		t.Error("some schedulers did not hear the list again")
+	}
+	// A machine that was late by so much may have brought together what was apart.
+	if maxPolls := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > maxPolls {
+		t.Errorf("%d of 24 asked within 100 ms", result.Program.PollsPeak)
+	}
+}
