--- a/Makefile
+++ b/Makefile
@@ -8,15 +8,18 @@
 build: ## all programs, as the platform builds them
 	mkdir -p bin && go build -buildvcs=false -ldflags=-linkmode=external -o bin/ ./cmd/...
 
+# The tests of the program run dozens of processes by the clock: they get the cores to themselves.
+program = ./cmd/calicohill
+packages = $$(go list ./... | grep -v '/cmd/calicohill$$')
+
 test: ## all tests; those of the program start it as a process; the last finds mistakes that are built in on purpose
-	go test -count=1 ./...
+	go test -count=1 $(packages)
+	go test -count=1 $(program)
 	go test -count=1 -tags faults -run FaultsAreFound ./internal/fleet/quota
 
 race: ## the same under the race detector
-	go test -count=1 -race ./...
-
-# Pinned by a module of its own, so that the linter's requirements stay out of the program's.
-golangci = go tool -modfile=tools/go.mod golangci-lint
+	go test -count=1 -race $(packages)
+	go test -count=1 -race $(program)
 
 lint: ## formatting, vet, the staticcheck that go.mod pins, and the linters of .golangci.yml, also over files behind build tags
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "gofmt: $$unformatted" >&2; exit 1; fi
