--- a/Makefile
+++ b/Makefile
@@ -8,6 +8,9 @@
 build: ## all programs, as the platform builds them
 	mkdir -p bin && go build -buildvcs=false -ldflags=-linkmode=external -o bin/ ./cmd/...
 
+# Pinned by a module of its own, so that the linter's requirements stay out of the program's.
+golangci = go tool -modfile=tools/go.mod golangci-lint
+
 # The tests of the program run dozens of processes by the clock: they get the cores to themselves.
 program = ./cmd/calicohill
 packages = $$(go list ./... | grep -v '/cmd/calicohill$$')
