--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -5,15 +5,15 @@
 // Sections lists every kind of section that a file may hold, in the order of the example.
 var Sections = []Section{
 	{sectionLog, "", "What is written to standard error, and how."},
-	{sectionState, "", "What is kept over a restart, where there is a disk that lasts. Without this section nothing is written."},
-	{sectionGossip, "", "Shared suspicions: talk to other schedulers of the fleet about workers that seem ill. Without this\n" +
+	{sectionState, "", "What is saved for a restart, where there is a persistent disk. Without this section nothing is written."},
+	{sectionGossip, "", "Fault reports: exchange reports on faulty workers with other schedulers of the fleet. Without this\n" +
 		"section nothing is sent, no socket is opened and no key is read."},
-	{sectionMatch, "RULE", "A rule that decides a request's class, affinity key, route and labels. Rules are tried in the order in\n" +
-		"which they stand; each of these is given by the first rule that matches and gives it. Without rules a\n" +
+	{sectionMatch, "RULE", "A rule that decides a request's class, affinity key, route and labels. Rules are evaluated in the order\n" +
+		"of the file; each of these is set by the first rule that matches and sets it. Without rules a\n" +
 		"request's class is the last word of its path, and its affinity key its function."},
-	{sectionPool, "POOL", "Workers that a condition on their entry in the list holds of."},
-	{sectionRoute, "ROUTE", "Where the requests go that a rule gives this route: to the first of its pools that has somebody usable. A\n" +
-		"route without a section of its own is only a word in the log."},
+	{sectionPool, "POOL", "Workers whose entry in the endpoint list meets a condition."},
+	{sectionRoute, "ROUTE", "Where requests with this route go: to the first of its pools that has an eligible worker. A\n" +
+		"route without a section of its own is only logged."},
 }
 
 // levels are the levels of log lines, the most detailed first.
@@ -32,33 +32,33 @@
 			{Name: "PART", Type: Choice, Choices: logging.Parts, Optional: true},
 		},
 		Default: defaultLevel, Repeated: true, Reload: true,
-		Help: "The least level that is written: of all parts, or of the one that is named.",
+		Help: "The lowest level that is written: of all parts, or of the one that is named.",
 	},
 	{
 		Section: sectionLog, Name: "status", Args: []Arg{{Name: "FILE", Type: Path}}, Example: "/run/calicohill/n1.json", Reload: true,
-		Help: "Where SIGUSR1 has the counts of all rules written, as a JSON object. They are logged too.",
+		Help: "File that the counts of all rules are written to on SIGUSR1, as a JSON object. They are logged too.",
 	},
 
 	{
 		Section: sectionState, Name: "snapshot", Args: []Arg{{Name: "FILE", Type: Path}}, Required: true, Example: "/var/lib/calicohill/n1.list",
-		Help: "Where the list of workers, and what was learned, is kept. A start takes the list up if it is newer than the one\nthat the platform's file holds. Only where the list service's numbers outlast a restart of a scheduler.",
+		Help: "File that the endpoint list and the learned state are saved to. A start restores the list if it is newer than the\none in the platform's file. Only where the list service keeps its event numbers over a restart of a scheduler.",
 	},
 	{
 		Section: sectionState, Name: "fleet", Args: []Arg{{Name: "NAME", Type: Identifier}}, Required: true, Example: "gt-registros",
-		Help: "The fleet that the list is of. A list of another one is set aside.",
+		Help: "The fleet that the list belongs to. A list of another one is rejected.",
 	},
 	{
 		Section: sectionState, Name: "max-age", Args: []Arg{{Name: "TIME", Type: Duration, Min: 1, Max: 30 * 86400}}, Default: "1h",
-		Help: "An older list is set aside.",
+		Help: "Maximum age of a list. An older one is rejected.",
 	},
 	{
 		Section: sectionGossip, Name: "listen", Args: []Arg{{Name: "ADDRESS", Type: Address}},
-		Example: "127.0.0.1:7946", Required: true, Help: "The UDP address that messages of peers come to.",
+		Example: "127.0.0.1:7946", Required: true, Help: "The UDP address to listen on for messages of peers.",
 	},
 	{
 		Section: sectionGossip, Name: "fleet", Args: []Arg{{Name: "NAME", Type: Identifier}},
 		Example: "gt-registros", Required: true,
-		Help: "The fleet that keys and messages belong to. Those of another fleet are refused.",
+		Help: "The fleet that keys and messages belong to. Those of another fleet are rejected.",
 	},
 	{
 		Section: sectionGossip, Name: "key", Args: []Arg{{Name: "FILE", Type: Path}},
@@ -68,8 +68,8 @@
 	{
 		Section: sectionGossip, Name: "authority", Args: []Arg{{Name: "FILE", Type: Path}},
 		Example: "fleet.pub", Required: true, Repeated: true, Reload: true,
-		Help: "The public key of an authority whose certificates count (calicohill key authority). With two of them\n" +
-			"members of the old one stay while the new one takes over.",
+		Help: "The public key of an authority whose certificates are trusted (calicohill key authority). With two of\n" +
+			"them members of the old one stay while the new one takes over.",
 	},
 	{
 		Section: sectionGossip, Name: "revoked", Args: []Arg{{Name: "FILE", Type: Path}},
@@ -79,55 +79,55 @@
 	{
 		Section: sectionGossip, Name: "seed", Args: []Arg{{Name: "ADDRESS", Type: Address}},
 		Example: "127.0.0.1:7947", Repeated: true, Reload: true,
-		Help: "Where another member may be found. It is asked at the start, and again while nobody is known.",
+		Help: "Address of another member. It is contacted at the start, and again while no member is known.",
 	},
 	{
 		Section: sectionGossip, Name: "advertise", Args: []Arg{{Name: "ADDRESS", Type: Address}},
-		Example: "127.0.0.1:7946", Help: "The address that peers reach this one at, where it is not the one of listen.",
+		Example: "127.0.0.1:7946", Help: "The address at which peers reach this scheduler, if it differs from listen.",
 	},
 	{
 		Section: sectionGossip, Name: "probe-every", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0.1, Max: 60}},
-		Default: "1s", Help: "How often one other member is asked whether it is there.",
+		Default: "1s", Help: "Interval between two probes; each probes one other member.",
 	},
 	{
 		Section: sectionGossip, Name: "probe-timeout", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0.01, Max: 10}},
-		Default: "300ms", Help: "How long its answer may take until others are asked to ask it. Under probe-every.",
+		Default: "300ms", Help: "Timeout of a direct probe; after it, other members probe indirectly. Below probe-every.",
 	},
 	{
 		Section: sectionGossip, Name: "suspect-for", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0.5, Max: 300}},
-		Default: "5s", Help: "How long a member that did not answer may say that it is there until it counts as dead.",
+		Default: "5s", Help: "Suspicion timeout: how long a member that did not answer may refute that before it counts as dead.",
 	},
 	{
 		Section: sectionGossip, Name: "messages", Args: []Arg{{Name: "NUMBER", Type: Count, Min: 5, Max: 1000}},
-		Default: "20", Help: "The most messages sent in a second, whatever is received.",
+		Default: "20", Help: "Maximum number of messages sent in a second, whatever is received.",
 	},
 	{
 		Section: sectionGossip, Name: "checks", Args: []Arg{{Name: "NUMBER", Type: Count, Min: 20, Max: 10000}},
-		Default: "400", Help: "The most signatures checked in a second, whatever is received.",
+		Default: "400", Help: "Maximum number of signatures checked in a second, whatever is received.",
 	},
 	{
 		Section: sectionGossip, Name: "clock-skew", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0, Max: 60}},
-		Default: "5s", Help: "How far the clocks of members may be apart.",
+		Default: "5s", Help: "Maximum difference between the clocks of two members.",
 	},
 	{
 		Section: sectionGossip, Name: "overlap", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0, Max: 86400}},
 		Default: "10m", Reload: true,
-		Help: "How long after a reload the certificates of an authority that is no longer named still count.",
+		Help: "How long after a reload the certificates of an authority that is no longer named are still trusted.",
 	},
 	{
 		Section: sectionGossip, Name: "liars", Args: []Arg{{Name: "NUMBER", Type: Count, Min: 0, Max: 1000}},
 		Example: "1", Reload: true,
-		Help: "How many members may lie. It takes more accusers than that to leave a worker out. Where it is not\n" +
-			"set it is the most that are less than a third of the members.",
+		Help: "Number of byzantine members to tolerate. It takes more reporters than that to eject a worker. If it is\n" +
+			"not set, it is the largest number below a third of the members.",
 	},
 	{
 		Section: sectionGossip, Name: "leave-out", Args: []Arg{{Name: "SHARE", Type: Percentage, Min: 0, Max: 50}},
 		Default: "25%", Reload: true,
-		Help: "The most of the listed workers that are left out on the word of peers. 0% listens and does nothing.",
+		Help: "Largest part of the listed workers that reports of peers may eject. With 0% reports have no effect.",
 	},
 	{
 		Section: sectionGossip, Name: "forget-after", Args: []Arg{{Name: "TIME", Type: Duration, Min: 1, Max: 300}},
-		Default: "10s", Reload: true, Help: "How long an accusation counts that is not said again.",
+		Default: "10s", Reload: true, Help: "How long a fault report counts that is not repeated.",
 	},
 
 	{
@@ -138,15 +138,15 @@
 	},
 	{
 		Section: sectionMatch, Name: "class", Args: []Arg{{Name: "CLASS", Type: Expr}}, Reload: true, Example: `certificado`,
-		Help: "The class: its name, or an expression. It must be as strict about repeats as the one asked for, or more.",
+		Help: "The class: its name, or an expression. It must be at least as strict about retries as the requested one.",
 	},
 	{
 		Section: sectionMatch, Name: "key", Args: []Arg{{Name: "KEY", Type: Expr}}, Reload: true, Example: `handler + ":" + param["HTTP_X_CENTRE"]`,
-		Help: "The affinity key: requests of one key go to the same few workers. What is run stays the function.",
+		Help: "The affinity key: requests of one key go to the same few workers. The function that runs stays the same.",
 	},
 	{
 		Section: sectionMatch, Name: "route", Args: []Arg{{Name: "ROUTE", Type: Expr}}, Reload: true, Example: `slow-lane`,
-		Help: "The route: its name, or an expression. It is kept with the request and logged.",
+		Help: "The route: its name, or an expression. It is stored with the request and logged.",
 	},
 	{
 		Section: sectionMatch, Name: "label", Args: []Arg{{Name: "NAME", Type: Identifier}, {Name: "VALUE", Type: Expr}}, Repeated: true, Reload: true,
@@ -155,10 +155,10 @@
 	{
 		Section: sectionMatch, Name: "split", Args: []Arg{{Name: "ROUTE", Type: Identifier}, {Name: "PART", Type: Count, Min: 1, Max: 1000}},
 		Repeated: true, Reload: true, Example: "trial 50",
-		Help: "So many in a thousand of the requests get this route; those left get the one of route. All tries under one\n" +
+		Help: "This many of a thousand requests get this route; the others get the one of route. All attempts under one\n" +
 			"idempotency key get the same.",
 	},
-	{Section: sectionMatch, Name: "stop", Reload: true, Help: "No further rule is tried once this one has matched."},
+	{Section: sectionMatch, Name: "stop", Reload: true, Help: "No further rule is evaluated once this one has matched."},
 
 	{
 		Section: sectionPool, Name: "workers", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Required: true, Reload: true,
@@ -167,6 +167,6 @@
 	},
 	{
 		Section: sectionRoute, Name: "pool", Args: []Arg{{Name: "POOL", Type: Identifier}}, Required: true, Repeated: true, Reload: true,
-		Example: "fast", Help: "A pool; the first that stands here is preferred, the others stand in for it in turn.",
+		Example: "fast", Help: "A pool; the first one listed is preferred, the others are its fallbacks in this order.",
 	},
 }
--- a/internal/rules/match/schema.go
+++ b/internal/rules/match/schema.go
@@ -28,21 +28,21 @@
 
 // Schema is every field, in the order of the operators' page.
 var Schema = []Field{
-	{"class", "text", maxClassBytes, "the class that the client asks for; empty if it names none"},
+	{"class", "text", maxClassBytes, "the class that the client requests; empty if it names none"},
 	{"handler", "text", maxFunctionIDBytes, "the function"},
 	{"path", "text", maxPathBytes, "the whole path, as in /rpc/consulta"},
-	{"method", "text", maxMethodBytes, "REQUEST_METHOD; empty if not told"},
-	{"param", "texts by name", maxValueBytes, `further parameters: param["HTTP_X_CENTRE"]. "HTTP_X_CENTRE" in param tells whether there is one; reading one that is missing is a fault`},
+	{"method", "text", maxMethodBytes, "REQUEST_METHOD; empty if not set"},
+	{"param", "texts by name", maxValueBytes, `further parameters: param["HTTP_X_CENTRE"]. "HTTP_X_CENTRE" in param reports whether there is one; reading one that is missing is an error`},
 	{"budget", "duration", 0, `how long the client waits, as in duration("500ms")`},
-	{"body", "number", 0, "bytes of the body, as far as CONTENT_LENGTH tells; 0 if it doesn't"},
+	{"body", "number", 0, "length of the body in bytes by CONTENT_LENGTH; 0 if that is not set"},
 	{"keyed", "truth", 0, "whether there is an idempotency key"},
 	{"client", "text", maxClientBytes, "the client's IP address"},
-	{"memory_mb", "number", 0, "memory of a loaded copy; 0 if not told"},
-	{"lanes", "number", 0, "requests that a copy runs at a time; 0 if not told"},
+	{"memory_mb", "number", 0, "memory of a loaded instance; 0 if not set"},
+	{"lanes", "number", 0, "concurrency of an instance; 0 if not set"},
 	{"hour", "number", 0, "local time: 0 to 23"},
 	{"minute", "number", 0, "0 to 59"},
 	{"weekday", "number", 0, "0 (Sunday) to 6"},
-	{"share", "number", 0, "0 to 999, the same for all tries under one idempotency key; by the request's id where there is none"},
+	{"share", "number", 0, "0 to 999, the same for all attempts under one idempotency key; by the request's id where there is none"},
 }
 
 // Request is what expressions see of a request.
