--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -35,13 +35,8 @@
 	printedPrecision = 10 * time.Microsecond
 )
 
-// The words of fastcgi.Reply.Verdict that are counted, and one for requests without an answer.
-const (
-	verdictServed     = "served"
-	verdictRefused    = "refused"
-	verdictFailed     = "failed"
-	verdictUnanswered = "unanswered"
-)
+// outcomeUnanswered is the outcome of a request without a reply, beside those of fastcgi.
+const outcomeUnanswered fastcgi.Outcome = "unanswered"
 
 // caller has the options of the call command.
 type caller struct {
@@ -89,12 +84,12 @@
 	err   error // why there is no reply
 }
 
-// verdict returns how the request ended, in one word.
-func (r *callResult) verdict() string {
+// outcome returns how the request ended.
+func (r *callResult) outcome() fastcgi.Outcome {
 	if r.err != nil {
-		return verdictUnanswered
+		return outcomeUnanswered
 	}
-	return r.reply.Verdict()
+	return r.reply.Outcome()
 }
 
 // run sends the requests and prints their results. The error says how many were not served, or why none was sent.
@@ -127,7 +122,7 @@
 	}
 	notServed := 0
 	for i := range results {
-		if results[i].verdict() != verdictServed {
+		if results[i].outcome() != fastcgi.OutcomeServed {
 			notServed++
 		}
 	}
@@ -196,7 +191,7 @@
 		return fmt.Errorf("no answer: %w", result.err)
 	}
 	reply := result.reply
-	fmt.Fprintf(out, "%s, status %d, %v", reply.Verdict(), reply.Status, result.took.Round(printedPrecision))
+	fmt.Fprintf(out, "%s, status %d, %v", reply.Outcome(), reply.Status, result.took.Round(printedPrecision))
 	if reply.RetryAfter > 0 {
 		fmt.Fprintf(out, ", come back after %v", reply.RetryAfter)
 	}
@@ -209,17 +204,17 @@
 
 // printSummary prints how many requests ended in which way, and the latencies of those that were answered.
 func printSummary(out io.Writer, results []callResult, took time.Duration) {
-	verdicts := map[string]int{}
+	outcomes := map[fastcgi.Outcome]int{}
 	var latencies []time.Duration
 	for i := range results {
-		verdicts[results[i].verdict()]++
+		outcomes[results[i].outcome()]++
 		if results[i].err == nil {
 			latencies = append(latencies, results[i].took)
 		}
 	}
 	fmt.Fprintf(out, "%d requests in %v: %d served, %d refused, %d failed, %d unanswered\n", len(results),
-		took.Round(time.Millisecond), verdicts[verdictServed], verdicts[verdictRefused], verdicts[verdictFailed],
-		verdicts[verdictUnanswered])
+		took.Round(time.Millisecond), outcomes[fastcgi.OutcomeServed], outcomes[fastcgi.OutcomeRejected], outcomes[fastcgi.OutcomeFailed],
+		outcomes[outcomeUnanswered])
 	slices.Sort(latencies)
 	if n := len(latencies); n > 0 {
 		fmt.Fprintf(out, "answered after %v (half), %v (99%%), %v (last)\n", latencies[n/2].Round(printedPrecision),
@@ -249,7 +244,7 @@
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	reply, err := client.Do(ctx, fastcgi.Request{Path: "/health", Budget: healthCheckTimeout})
-	if err == nil && reply.Verdict() == verdictServed {
+	if err == nil && reply.Outcome() == fastcgi.OutcomeServed {
 		return nil
 	}
 	closeClient(client)
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// fleetCall sends a request through a scheduler and returns its verdict.
-func fleetCall(t *testing.T, client *fastcgi.Client, instance *testbed.Instance, class string, function int) string {
+// fleetCall sends a request through a scheduler and returns its outcome.
+func fleetCall(t *testing.T, client *fastcgi.Client, instance *testbed.Instance, class string, function int) fastcgi.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	reply, err := client.Do(ctx, fleetRequest(instance, class, function))
@@ -117,7 +117,7 @@
 		t.Errorf("%s: %v", instance.Name, err)
 		return ""
 	}
-	return reply.Verdict()
+	return reply.Outcome()
 }
 
 // sendLoad sends requests for many functions through schedulers, so that all workers are reached, until stop is called
@@ -198,7 +198,7 @@
 func expectServedDespiteLiar(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	for i := range 20 {
-		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != "served" {
+		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != fastcgi.OutcomeServed {
 			t.Errorf("a call is %s while a byzantine member sends reports", got)
 		}
 	}
@@ -245,7 +245,7 @@
 	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
 		func(instance *testbed.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
-	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != "served" {
+	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != fastcgi.OutcomeServed {
 		t.Errorf("a call is %s during a flood", got)
 	}
 	close(stopFlood)
--- a/internal/frontend/fastcgi/client.go
+++ b/internal/frontend/fastcgi/client.go
@@ -24,10 +24,16 @@
 	IdempotencyKey string        // Once-Key; "" if none
 	Budget         time.Duration // how long the client waits for the answer; sent as a millisecond if it is less
 	Spec           string        // X-Spec; "" if none
-	Params         [][2]string   // further parameters, name and value, as CGI names them; one without a value is not sent
+	Params         []Param       // further parameters; one without a value is not sent
 	Body           []byte
 }
 
+// Param is a parameter of a request, as CGI names them: HTTP_X_CENTRE is the header X-Centre.
+type Param struct {
+	Name  string
+	Value string
+}
+
 // Reply is the answer to a Request.
 type Reply struct {
 	Status     int           // HTTP status; 0 if the scheduler ended the request as OVERLOADED
@@ -35,22 +41,25 @@
 	Body       []byte
 }
 
-// The verdicts of replies.
+// Outcome is how a request ended, by its reply. Its text is the protocol's word.
+type Outcome string
+
+// The outcomes of requests.
 const (
-	VerdictServed  = "served"
-	VerdictRefused = "refused"
-	VerdictFailed  = "failed"
+	OutcomeServed   Outcome = "served"
+	OutcomeRejected Outcome = "refused" // a retry is harmless
+	OutcomeFailed   Outcome = "failed"
 )
 
-// Verdict tells served requests, refused ones, whose retry is harmless, and failed ones apart, as the protocol does.
-func (r Reply) Verdict() string {
+// Outcome tells served, rejected and failed requests apart, as the protocol does.
+func (r Reply) Outcome() Outcome {
 	switch r.Status {
 	case http.StatusOK:
-		return VerdictServed
+		return OutcomeServed
 	case 0, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return VerdictRefused
+		return OutcomeRejected
 	default:
-		return VerdictFailed
+		return OutcomeFailed
 	}
 }
 
@@ -154,19 +163,18 @@
 // requestParams is the content of the PARAMS stream of a request.
 func requestParams(request Request) []byte {
 	budgetMS := max(request.Budget.Milliseconds(), 1)
-	params := append([][2]string{
-		{"SCRIPT_NAME", request.Path},
-		{"HTTP_REQUEST_ID", request.ID},
-		{"HTTP_RESOURCE_KEY", request.Function},
-		{"HTTP_BUDGET_MS", strconv.FormatInt(budgetMS, 10)},
-		{"HTTP_ONCE_KEY", request.IdempotencyKey},
-		{"HTTP_X_SPEC", request.Spec},
+	params := append([]Param{
+		{Name: "SCRIPT_NAME", Value: request.Path},
+		{Name: "HTTP_REQUEST_ID", Value: request.ID},
+		{Name: "HTTP_RESOURCE_KEY", Value: request.Function},
+		{Name: "HTTP_BUDGET_MS", Value: strconv.FormatInt(budgetMS, 10)},
+		{Name: "HTTP_ONCE_KEY", Value: request.IdempotencyKey},
+		{Name: "HTTP_X_SPEC", Value: request.Spec},
 	}, request.Params...)
 	var stream []byte
 	for _, param := range params {
-		name, value := param[0], param[1]
-		if value != "" {
-			stream = appendPair(stream, name, value)
+		if param.Value != "" {
+			stream = appendPair(stream, param.Name, param.Value)
 		}
 	}
 	return stream
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -178,8 +178,8 @@
 	if err != nil {
 		return err
 	}
-	if reply.Verdict() != "served" {
-		return fmt.Errorf("%w: %s", errUnhealthy, reply.Verdict())
+	if reply.Outcome() != fastcgi.OutcomeServed {
+		return fmt.Errorf("%w: %s", errUnhealthy, reply.Outcome())
 	}
 	return nil
 }
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -62,9 +62,9 @@
 		r.Interrupted++
 	case err != nil:
 		r.Lost++
-	case reply.Verdict() == "served":
+	case reply.Outcome() == fastcgi.OutcomeServed:
 		r.Served++
-	case reply.Verdict() == "refused":
+	case reply.Outcome() == fastcgi.OutcomeRejected:
 		r.Rejected++
 	default:
 		r.Failed++
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -231,9 +231,9 @@
 		nearMisses = hostileParameters
 	}
 	addParameters := func(request *fastcgi.Request) {
-		request.Params = append(request.Params, [2]string{matchParameter, value})
+		request.Params = append(request.Params, fastcgi.Param{Name: matchParameter, Value: value})
 		for i := range nearMisses {
-			request.Params = append(request.Params, [2]string{fmt.Sprintf("HTTP_X_CENTR%d", i), value[:100]})
+			request.Params = append(request.Params, fastcgi.Param{Name: fmt.Sprintf("HTTP_X_CENTR%d", i), Value: value[:100]})
 		}
 	}
 	return Load{Rate: e.Rate, Functions: matchFunctions, Seed: e.Seed, Modify: addParameters}
