--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -121,8 +121,14 @@
 		MaxAnswerBytes: limits.answerBytes,
 	}, s.loggers.Part("agent"))
 	s.dispatcher.SetWorkers(agents)
-	s.server = fastcgi.New(s.loop, s.dispatcher, buffers, deployment, limits.clientConns, limits.unsentBytes,
-		s.loggers.Part("clients"), s.loggers.Part("rules"))
+	s.server = fastcgi.New(s.loop, s.dispatcher, fastcgi.Options{
+		Deployment:     deployment,
+		Buffers:        buffers,
+		MaxConns:       limits.clientConns,
+		MaxUnsentBytes: limits.unsentBytes,
+		Log:            s.loggers.Part("clients"),
+		RulesLog:       s.loggers.Part("rules"),
+	})
 	s.useRules(rules, routes)
 }
 
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -64,25 +64,31 @@
 	scratch      []byte             // reused for what is written
 }
 
-// New returns a Server that holds at most maxConns connections, and at most maxUnsent bytes for clients that do not
-// read. Buffers for requests come from the pool.
-func New(
-	loop Loop, dispatcher Dispatcher, pool *bufferpool.Pool, settings *deployment.Settings,
-	maxConns, maxUnsent int, log, rulesLog logrus.FieldLogger,
-) *Server {
+// Options are the settings and limits of a Server.
+type Options struct {
+	Deployment     *deployment.Settings
+	Buffers        *bufferpool.Pool   // for requests
+	MaxConns       int                // connections of clients
+	MaxUnsentBytes int                // for all clients together that do not read
+	Log            logrus.FieldLogger // of clients and their connections
+	RulesLog       logrus.FieldLogger // of the operator's rules
+}
+
+// New returns a Server without connections.
+func New(loop Loop, dispatcher Dispatcher, options Options) *Server {
 	server := &Server{
 		loop:           loop,
 		dispatcher:     dispatcher,
-		pool:           pool,
-		deployment:     settings,
+		pool:           options.Buffers,
+		deployment:     options.Deployment,
 		classByName:    map[string]int{},
-		maxConns:       maxConns,
-		maxUnsentBytes: maxUnsent,
-		log:            logging.RateLimited{Log: log},
-		rulesLog:       logging.RateLimited{Log: rulesLog},
+		maxConns:       options.MaxConns,
+		maxUnsentBytes: options.MaxUnsentBytes,
+		log:            logging.RateLimited{Log: options.Log},
+		rulesLog:       logging.RateLimited{Log: options.RulesLog},
 		unsentConns:    map[*conn]struct{}{},
 	}
-	for class, name := range settings.ClassNames {
+	for class, name := range options.Deployment.ClassNames {
 		server.classByName[name] = class
 	}
 	return server
