--- a/routing/function.go
+++ b/routing/function.go
@@ -119,16 +119,9 @@
 	return cmp.Or(fn.declaredLoadTime, r.settings.Classes[fn.class].LatencyObjective).Seconds()
 }
 
-// rendezvousOrder is the order of the workers for a function, the same at every scheduler (rendezvous
-// hashing). A worker comes first for as many functions as its weight warrants.
-func (r *Router) rendezvousOrder(fn *function) []*worker {
-	if fn.orderVersion != r.membershipVersion {
-		ready := slices.DeleteFunc(slices.Clone(r.workerList), func(w *worker) bool {
-			return w.State != Ready || !fn.pool.Has(w.ID)
-		})
-		identity := func(w *worker) (string, float64) { return w.ID, w.Weight }
-		fn.workerOrder = rendezvous.Order(fn.name, ready, identity)
-		fn.orderVersion = r.membershipVersion
-	}
-	return fn.workerOrder
+// isWarm reports whether a function is believed to be loaded at a worker: it was found so within the
+// shortest keep-alive, in this incarnation of the worker.
+func (r *Router) isWarm(p *placement) bool {
+	return p.warm && p.incarnation == p.worker.incarnation && p.worker.State == Ready &&
+		r.now-p.warmAt < r.settings.InstanceKeepAlive
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"calicohill/internal/stats/rendezvous"
 )
 
 // pick chooses the worker for a request, and reports whether the function is believed to be loaded there:
@@ -154,6 +156,13 @@
 	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 && r.isUnhealthy(w)
 }
 
+// lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
+// elsewhere.
+func (q *request) lastFailedAt(w *worker) bool {
+	n := len(q.attempts)
+	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
+}
+
 // preferredWorkers are the workers that a function is spread over: the first of its rendezvous order, as
 // many as its part of the requests warrants, so that all schedulers choose much the same. Where one is under
 // pressure, the next in the order takes its place: it looks so to all schedulers.
@@ -172,6 +181,20 @@
 	return preferred
 }
 
+// rendezvousOrder is the order of the workers for a function, the same at every scheduler (rendezvous
+// hashing). A worker comes first for as many functions as its weight warrants.
+func (r *Router) rendezvousOrder(fn *function) []*worker {
+	if fn.orderVersion != r.membershipVersion {
+		ready := slices.DeleteFunc(slices.Clone(r.workerList), func(w *worker) bool {
+			return w.State != Ready || !fn.pool.Has(w.ID)
+		})
+		identity := func(w *worker) (string, float64) { return w.ID, w.Weight }
+		fn.workerOrder = rendezvous.Order(fn.name, ready, identity)
+		fn.orderVersion = r.membershipVersion
+	}
+	return fn.workerOrder
+}
+
 // isDisplaced reports whether a function leaves a worker for the next in its order. The same functions leave
 // first at every scheduler: each sees little of a worker, and would hold on to one that all of them press.
 // With few schedulers, each knows the worker's load by its own counts.
@@ -186,10 +209,3 @@
 func (r *Router) pressure(w *worker) float64 {
 	return min(r.meanPressure, leavePressureStart) + w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
 }
-
-// isWarm reports whether a function is believed to be loaded at a worker: it was found so within the
-// shortest keep-alive, in this incarnation of the worker.
-func (r *Router) isWarm(p *placement) bool {
-	return p.warm && p.incarnation == p.worker.incarnation && p.worker.State == Ready &&
-		r.now-p.warmAt < r.settings.InstanceKeepAlive
-}
--- a/routing/request.go
+++ b/routing/request.go
@@ -125,10 +125,3 @@
 	}
 	return q.attempts[i]
 }
-
-// lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
-// elsewhere.
-func (q *request) lastFailedAt(w *worker) bool {
-	n := len(q.attempts)
-	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
-}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -53,17 +53,3 @@
 	chance := budget / (window.Seconds() * skew * max(rate, usualRate) * w.Weight)
 	return int(max(budget, min(chance, 1)) + r.rng.Float64())
 }
-
-// slowStartFactor is the share of its capacity that a worker can be counted on for.
-func (r *Router) slowStartFactor(w *worker) float64 {
-	if !r.isWarmingUp(w) {
-		return 1
-	}
-	elapsed := max(0, (r.now-w.Started).Seconds()/r.settings.SlowStartDuration.Seconds())
-	return r.settings.SlowStartFraction + (1-r.settings.SlowStartFraction)*elapsed
-}
-
-// isWarmingUp reports whether a worker has started so lately that it can do only part of its work.
-func (r *Router) isWarmingUp(w *worker) bool {
-	return w.Started > 0 && r.now-w.Started < r.settings.SlowStartDuration
-}
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -71,3 +71,17 @@
 	}
 	return overdue, newest
 }
+
+// isWarmingUp reports whether a worker has started so lately that it can do only part of its work.
+func (r *Router) isWarmingUp(w *worker) bool {
+	return w.Started > 0 && r.now-w.Started < r.settings.SlowStartDuration
+}
+
+// slowStartFactor is the share of its capacity that a worker can be counted on for.
+func (r *Router) slowStartFactor(w *worker) float64 {
+	if !r.isWarmingUp(w) {
+		return 1
+	}
+	elapsed := max(0, (r.now-w.Started).Seconds()/r.settings.SlowStartDuration.Seconds())
+	return r.settings.SlowStartFraction + (1-r.settings.SlowStartFraction)*elapsed
+}
