--- a/routing/events.go
+++ b/routing/events.go
@@ -192,8 +192,8 @@
 	Confirmed               // more of them than may lie find it unresponsive or unreachable
 )
 
-// String returns the name of a verdict in logs and on the operator's pages.
-func (v PeerVerdict) String() string { return [...]string{"none", "noted", "believed"}[v] }
+// String returns the name of a verdict.
+func (v PeerVerdict) String() string { return [...]string{"not reported", "reported", "confirmed"}[v] }
 
 // Fault is what a scheduler may find wrong with a worker.
 type Fault uint8
@@ -207,9 +207,9 @@
 	Unreachable        // takes no connections, or breaks them
 )
 
-// String returns the name of a fault in logs and on the operator's pages.
+// String returns the name of a fault.
 func (f Fault) String() string {
-	return [...]string{"well", "silent", "stalled", "failing", "unreachable"}[f]
+	return [...]string{"healthy", "unresponsive", "slow", "failing", "unreachable"}[f]
 }
 
 // EndpointsStale says for how long from now the endpoint list may be stale: nobody heard of changes for a while. Nothing
