--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -91,7 +91,7 @@
 
 // An answer that can't be parsed, or is truncated, fails its request, which may have run. The worker stays in use, and
 // its loaded instances still count: any worker may send such an answer.
-func TestSpoiltAnswer(t *testing.T) {
+func TestMalformedAnswer(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
 		{"noise", "\x01\xfe\r\n"},
 		{"length is a word", "ID OK - many\r\n"},
@@ -149,7 +149,7 @@
 }
 
 // Requests to a worker are spread over connections, so that a reset fails only a few of them.
-func TestSpread(t *testing.T) {
+func TestRequestsSpreadOverConnections(t *testing.T) {
 	release, spoil := make(chan struct{}), make(chan struct{}, 1)
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
@@ -178,7 +178,7 @@
 }
 
 // A duplicate answer ends no later attempt: after an answer the connection is not used for an attempt of the same id.
-func TestSecondAnswer(t *testing.T) {
+func TestDuplicateAnswer(t *testing.T) {
 	for _, status := range []string{"MISS", "BUSY", "VOID"} {
 		t.Run(status, func(t *testing.T) {
 			sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
@@ -211,7 +211,7 @@
 
 // A worker that answers with errors gets no request that must not be retried. Others are still sent there, and retried
 // elsewhere. Errors for a function that no worker knows do not count against a worker.
-func TestErrors(t *testing.T) {
+func TestFailingWorker(t *testing.T) {
 	var agents []*nodeAgent
 	var failing atomic.Int32 // which of them fails, from 1
 	for i := range 2 {
@@ -321,7 +321,7 @@
 }
 
 // A worker that can't be connected to has run nothing: even a non-idempotent request is retried elsewhere.
-func TestUnreached(t *testing.T) {
+func TestConnectFailure(t *testing.T) {
 	sched, agent := newTestScheduler(t), newAgent(t, echo)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -339,7 +339,7 @@
 }
 
 // Without a worker that can serve it, a request is rejected by half its deadline, with a Retry-After.
-func TestRefused(t *testing.T) {
+func TestRejectedWithoutWorker(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.addEvent(true)
 	client := sched.start().connect()
@@ -350,7 +350,7 @@
 }
 
 // The time that a request waits to be read counts against its deadline: here the process is stopped meanwhile.
-func TestReadLate(t *testing.T) {
+func TestDeadlineIncludesReadDelay(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	client := sched.connect()
 	client.send(newCall("consulta", "x")) // the program has accepted the connection
@@ -368,7 +368,7 @@
 
 // A retry whose connection is established after the workers' deduplication window is not sent: they would run the
 // request a second time.
-func TestRepeatWaitsTooLong(t *testing.T) {
+func TestRetryAfterDeduplicationWindow(t *testing.T) {
 	reset := make(chan struct{})
 	first := newAgent(t, func(int, agentRequest) string { <-reset; return resetConnection })
 	agent, open := newLateAgent(t, echo)
@@ -401,7 +401,7 @@
 
 // An answer after its request's deadline is dropped: the client has had its one answer, and the next request on that
 // connection gets its own.
-func TestAnswerAfterItsTime(t *testing.T) {
+func TestAnswerAfterDeadline(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
@@ -428,7 +428,7 @@
 
 // A late duplicate answer is dropped, whether the first one ended its request or had it retried, and the next request
 // on the connection gets its own.
-func TestSecondAnswerLate(t *testing.T) {
+func TestLateDuplicateAnswer(t *testing.T) {
 	for _, first := range []string{"OK", "MISS", "ERR"} {
 		t.Run(first, func(t *testing.T) {
 			var mu sync.Mutex
--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -6,7 +6,7 @@
 )
 
 // A request whose client disconnects is canceled at the agent, and its id may be used again.
-func TestAbandoned(t *testing.T) {
+func TestAbortCancelsAtAgent(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
 			return ""
@@ -32,7 +32,7 @@
 
 // A request whose client disconnects while its connection is being dialed never reaches the worker; one whose client
 // stays does.
-func TestLeftWhileDialing(t *testing.T) {
+func TestDisconnectDuringDial(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		leave func(client *testClient, request clientRequest)
@@ -66,7 +66,7 @@
 }
 
 // A retry whose client disconnects while its connection is being dialed is not sent either.
-func TestLeftWhileTriedAgain(t *testing.T) {
+func TestDisconnectDuringRetryDial(t *testing.T) {
 	reset := make(chan struct{})
 	first := newAgent(t, func(int, agentRequest) string { <-reset; return resetConnection })
 	agent, open := newLateAgent(t, echo)
@@ -92,7 +92,7 @@
 }
 
 // A request that waits for capacity is not sent once its client has disconnected, in whichever way.
-func TestLeftWhileHeld(t *testing.T) {
+func TestDisconnectWhileQueued(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
 	first, cancels, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -120,7 +120,7 @@
 	waitUntil(t, "the part bulletin has its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
 }
 
-func TestCheckedAtTheStart(t *testing.T) {
+func TestOperatorFileCheckedAtStart(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.conf")
 	if err := os.WriteFile(bad, []byte("log\n  level loud\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -15,7 +15,7 @@
 
 // A draining worker gets no new requests, a new worker at an old address gets connections of its own, and a list
 // service that answers badly is polled again.
-func TestList(t *testing.T) {
+func TestEndpointList(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agentA.addr)
@@ -113,7 +113,7 @@
 
 // Events that an answer omits may contain a draining worker: the list is read from its first event. A list service that
 // no longer has them is trusted.
-func TestEventsLeftOut(t *testing.T) {
+func TestMissingEvents(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		never bool // the service never brings them
@@ -147,7 +147,7 @@
 
 // How long a stall may last without making the list stale depends on the drain grace: a scheduler that is stopped
 // between two polls for longer than the grace sends nothing to a worker that began to drain meanwhile.
-func TestDrainedDuringAStall(t *testing.T) {
+func TestDrainDuringStall(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
 	sched.settings.Schedulers = 300
@@ -171,7 +171,7 @@
 
 // Requests that arrive in fragments, those of two clients in turn, and answers that arrive in fragments are
 // reassembled. Each fragment is a write of its own.
-func TestInPieces(t *testing.T) {
+func TestFragments(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -91,7 +91,7 @@
 
 // Where all connections are held by clients that were served, one that was just accepted stays until its request has
 // arrived, though others are accepted meanwhile.
-func TestJustLetIn(t *testing.T) {
+func TestJustAcceptedClientStays(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	sched.kill()
 	sched.maxSockets = 90
@@ -119,7 +119,7 @@
 
 // A client that sends no complete record is answered or closed after a timeout; any other may stay connected without a
 // limit.
-func TestNothingWhole(t *testing.T) {
+func TestIncompleteRequestTimeout(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	served := sched.connect()
 	sendRequest := func() {
@@ -186,7 +186,7 @@
 }
 
 // A connection with partly written answers has no open request any more, and is still not closed for another client.
-func TestHalfWrittenMakesNoRoom(t *testing.T) {
+func TestPartlyWrittenIsNotEvicted(t *testing.T) {
 	sched, _, whole := startHalfWritten(t, nil)
 	for range 30 { // 29 are accepted
 		client := sched.connect()
@@ -323,7 +323,7 @@
 }
 
 // Requests that are begun on many connections and never completed give up their buffers to others.
-func TestHalfRequestsMakeRoom(t *testing.T) {
+func TestIncompleteRequestsReleaseBuffers(t *testing.T) {
 	agent := newAgent(t, echo)
 	sched := newTestScheduler(t)
 	sched.memoryMB = 12 // 256 buffers
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -149,7 +149,7 @@
 
 // A dozen schedulers as processes, with faults one after another. No worker is ejected on the reports of one byzantine
 // member; a true fault reaches a scheduler that has not observed it; a flood, a pause and restarts do no harm.
-func TestSharedSuspicions(t *testing.T) {
+func TestSharedFaultReports(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, fleetSize, 12)
 
@@ -370,7 +370,7 @@
 
 // Keys: a revoked one is dropped on reload, one of a new authority taken in, a file that others may read refused;
 // and of two with one name the later stays.
-func TestPeersKeys(t *testing.T) {
+func TestPeerKeys(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 4, 2)
 	authority := filepath.Join(fleet.Dir, "authority.key")
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -87,7 +87,7 @@
 }
 
 // An invalid request is answered at once and reaches no agent.
-func TestRejected(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	for _, tt := range []struct {
 		name   string
--- a/cmd/calicohill/shares_test.go
+++ b/cmd/calicohill/shares_test.go
@@ -11,7 +11,7 @@
 
 // As the platform starts it, a scheduler talks to no other: the line names no operator's file, and the program holds no
 // UDP socket once it has served.
-func TestRunSharesNothing(t *testing.T) {
+func TestRunWithoutGossip(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -12,7 +12,7 @@
 )
 
 // After SIGTERM requests are served for a while, all that were accepted are answered, and the exit code is 0.
-func TestTerm(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "slow" {
 			time.Sleep(2 * time.Second)
@@ -95,7 +95,7 @@
 }
 
 // Answers that are partly written at the shutdown are sent completely, also to a slow client.
-func TestHalfWrittenAtTheEnd(t *testing.T) {
+func TestPartlyWrittenAtShutdown(t *testing.T) {
 	sched, _, whole := startHalfWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 }
 
 // A client that reads nothing does not keep the program from exiting.
-func TestNeverReadAtTheEnd(t *testing.T) {
+func TestUnreadAnswersAtShutdown(t *testing.T) {
 	sched, _, _ := startHalfWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 }
 
 // A connection that is to be closed after a request is closed when all answers on it are sent.
-func TestHalfWrittenOnce(t *testing.T) {
+func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
 	_, client, whole := startHalfWritten(t, func(request *clientRequest) { request.closeAfter = true })
 	time.Sleep(300 * time.Millisecond)
 	whole()
@@ -126,7 +126,7 @@
 
 // Clients that connected while a draining program was stopped are served, though the time to drain is over when it runs
 // again: the system had accepted their connections, and the program reads them one after the other.
-func TestStalledAtTheEnd(t *testing.T) {
+func TestStalledDuringShutdown(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	var fronts []*testClient
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -151,7 +151,7 @@
 
 // A configuration file that takes long to read, as from a disk that hangs, does not delay the shutdown, and neither do
 // many signals to reload.
-func TestTermAmidReload(t *testing.T) {
+func TestShutdownDuringReload(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	fifo := filepath.Join(t.TempDir(), "config")
 	if err := unix.Mkfifo(fifo, 0o600); err != nil {
@@ -179,7 +179,7 @@
 
 // Requests whose deadlines are after the platform's kill get their final answer before it: a rejection where a retry is
 // harmless, a failure where it is not.
-func TestAnsweredBeforeTheKill(t *testing.T) {
+func TestAnsweredBeforeKill(t *testing.T) {
 	agent := newAgent(t, func(int, agentRequest) string { return "" })
 	sched := newTestScheduler(t)
 	sched.settingsEdits = [][2]string{{`"hardLimitMs":2500`, `"hardLimitMs":9000`}, {`"hardLimitMs":3000`, `"hardLimitMs":9000`}}
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -83,7 +83,7 @@
 
 // Learned state is saved with the list: after a crash requests go where their functions are loaded, and start no loads
 // at a worker that was added since.
-func TestSnapshotOfWhatWasLearned(t *testing.T) {
+func TestSnapshotOfLearnedState(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
 	sched.addEvent(true, "b SERVING "+agentB.addr)
@@ -110,7 +110,7 @@
 
 // An invalid snapshot is set aside with one log line, and a failing write is logged once; the start and the service go
 // on.
-func TestSnapshotOfNoUse(t *testing.T) {
+func TestInvalidSnapshot(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	dir := t.TempDir()
 	for _, tt := range []struct {
@@ -152,7 +152,7 @@
 }
 
 // SIGKILL while the list changes without end: the file is valid each time, and never older than before.
-func TestSnapshotKilled(t *testing.T) {
+func TestKillDuringSnapshot(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
 	sched.addEvent(true, "a SERVING "+agent.addr)
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -33,7 +33,7 @@
 }
 
 // If something on the way drops idle connections, that is detected, and no connection is used after such an idle time.
-func TestShortRests(t *testing.T) {
+func TestIdleConnectionsDropped(t *testing.T) {
 	agent := newAgent(t, echo)
 	agent.idleReset = 60 * time.Millisecond
 	sched := newTestScheduler(t)
@@ -53,7 +53,7 @@
 
 // A connection without an answer for long, though requests were sent, gets no new ones: its machine may be cut off,
 // which gives no sign, and be back under the same name.
-func TestSilentConnection(t *testing.T) {
+func TestUnresponsiveConnection(t *testing.T) {
 	sched, agent := startWithDeafAgent(t)
 	first, second := sched.connect(), sched.connect()
 	first.send(newCall("consulta", "lost", [2]string{"HTTP_BUDGET_MS", "3000"}))
@@ -98,7 +98,7 @@
 }
 
 // A worker that begins to drain while its connection is being dialed gets no request on it.
-func TestDrainsWhileDialing(t *testing.T) {
+func TestDrainDuringDial(t *testing.T) {
 	sched, agentA, open := startWithLateAgent(t)
 	agentB := newAgent(t, answerWith("b"))
 	client := sched.connect()
