--- a/cmd/calicohill/golden_recorder_test.go
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -28,18 +28,18 @@
 // exchangeRecorder runs one exchange step by step and writes down the bytes that each side sends and receives. The test takes
 // every step itself, so that the order of the steps never depends on the time.
 type exchangeRecorder struct {
-	t        *testing.T
-	s        *testScheduler
-	messages chan agentMessage // received by the agents, in order
-	polls    chan string       // received by the list service
-	client   net.Conn
-	out      *strings.Builder
+	t         *testing.T
+	scheduler *testScheduler
+	messages  chan agentMessage // received by the agents, in order
+	polls     chan string       // received by the list service
+	client    net.Conn
+	out       *strings.Builder
 }
 
 // newExchangeRecorder starts the program with so many agents, all of which the recorder plays.
 func newExchangeRecorder(t *testing.T, out *strings.Builder, agents int) *exchangeRecorder {
 	t.Helper()
-	recorder := &exchangeRecorder{t: t, s: newTestScheduler(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
+	recorder := &exchangeRecorder{t: t, scheduler: newTestScheduler(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
 	recorder.recordPolls()
 	var workers []string
 	for i := range agents {
@@ -51,9 +51,9 @@
 		go recorder.acceptAgent(listener)
 		workers = append(workers, fmt.Sprintf("%c SERVING %s", 'a'+i, listener.Addr()))
 	}
-	recorder.s.addEvent(true, workers...)
-	recorder.s.start()
-	conn, err := net.Dial("tcp", recorder.s.addr)
+	recorder.scheduler.addEvent(true, workers...)
+	recorder.scheduler.start()
+	conn, err := net.Dial("tcp", recorder.scheduler.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,10 +95,10 @@
 
 // recordPolls puts a list service in place of the site's, one that keeps the bytes of each poll.
 func (r *exchangeRecorder) recordPolls() {
-	r.s.listServer.Close()
-	r.s.listServer = httptest.NewUnstartedServer(http.HandlerFunc(r.s.poll))
-	r.s.listServer.Listener = recordingListener{r.s.listServer.Listener, r.polls}
-	r.s.listServer.Start()
+	r.scheduler.listServer.Close()
+	r.scheduler.listServer = httptest.NewUnstartedServer(http.HandlerFunc(r.scheduler.poll))
+	r.scheduler.listServer.Listener = recordingListener{r.scheduler.listServer.Listener, r.polls}
+	r.scheduler.listServer.Start()
 }
 
 // recordingListener reports all that is received on its connections, a request at a time.
@@ -282,7 +282,7 @@
 // so that what it does about the exchange is done.
 func (r *exchangeRecorder) finish() {
 	r.t.Helper()
-	client := r.s.connect()
+	client := r.scheduler.connect()
 	client.send(clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
 	client.readAnswer()
 	for {
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -280,7 +280,7 @@
 		{"begun short", 1, closed(encodeRecord(1, 4, 0, "\x00"))},
 		{"polls of the list service", 0, func(recorder *exchangeRecorder) {
 			recorder.polled()
-			recorder.s.addEvent(false)
+			recorder.scheduler.addEvent(false)
 			recorder.polled()
 		}},
 	}
--- a/cmd/calicohill/harness_client_test.go
+++ b/cmd/calicohill/harness_client_test.go
@@ -67,16 +67,16 @@
 	return append(append(data, content...), make([]byte, padding)...)
 }
 
-func (q clientRequest) bytes() []byte {
+func (r clientRequest) bytes() []byte {
 	keep := byte(1)
-	if q.closeAfter {
+	if r.closeAfter {
 		keep = 0
 	}
-	data := encodeRecord(1, q.id, q.padding, string([]byte{0, max(q.role, 1), keep, 0, 0, 0, 0, 0}))
+	data := encodeRecord(1, r.id, r.padding, string([]byte{0, max(r.role, 1), keep, 0, 0, 0, 0, 0}))
 	var params []byte
-	for _, p := range q.params {
+	for _, p := range r.params {
 		for _, part := range p {
-			if n := len(part); n > 127 || q.longLengths {
+			if n := len(part); n > 127 || r.longLengths {
 				params = binary.BigEndian.AppendUint32(params, uint32(n)|1<<31)
 			} else {
 				params = append(params, byte(n))
@@ -84,28 +84,28 @@
 		}
 		params = append(append(params, p[0]...), p[1]...)
 	}
-	data = append(append(data, encodeRecord(4, q.id, q.padding, string(params))...), encodeRecord(4, q.id, 0, "")...)
-	if q.body != "" {
-		data = append(data, encodeRecord(5, q.id, q.padding, q.body)...)
+	data = append(append(data, encodeRecord(4, r.id, r.padding, string(params))...), encodeRecord(4, r.id, 0, "")...)
+	if r.body != "" {
+		data = append(data, encodeRecord(5, r.id, r.padding, r.body)...)
 	}
-	if !q.bodyOpen {
-		data = append(data, encodeRecord(5, q.id, 0, "")...)
+	if !r.bodyOpen {
+		data = append(data, encodeRecord(5, r.id, 0, "")...)
 	}
 	return data
 }
 
-func (f *testClient) send(request clientRequest) { f.write(request.bytes()) }
+func (c *testClient) send(request clientRequest) { c.write(request.bytes()) }
 
-func (f *testClient) write(data []byte) {
-	if _, err := f.conn.Write(data); err != nil {
-		f.t.Errorf("client: %v", err)
+func (c *testClient) write(data []byte) {
+	if _, err := c.conn.Write(data); err != nil {
+		c.t.Errorf("client: %v", err)
 	}
 }
 
 // closedByServer reads on and reports whether the scheduler closed the connection, before waitTimeout.
-func (f *testClient) closedByServer() bool {
+func (c *testClient) closedByServer() bool {
 	for {
-		_, _, _, err := f.readRecord()
+		_, _, _, err := c.readRecord()
 		var late net.Error
 		if err != nil {
 			return !errors.As(err, &late) || !late.Timeout()
@@ -123,34 +123,34 @@
 }
 
 // readRecord reads one FastCGI record.
-func (f *testClient) readRecord() (kind byte, id uint16, content []byte, err error) {
-	if err = f.conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
+func (c *testClient) readRecord() (kind byte, id uint16, content []byte, err error) {
+	if err = c.conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		return 0, 0, nil, err
 	}
 	header := make([]byte, 8)
-	if _, err = io.ReadFull(f.reader, header); err != nil {
+	if _, err = io.ReadFull(c.reader, header); err != nil {
 		return 0, 0, nil, err
 	}
 	content = make([]byte, int(binary.BigEndian.Uint16(header[4:]))+int(header[6]))
-	_, err = io.ReadFull(f.reader, content)
+	_, err = io.ReadFull(c.reader, content)
 	return header[1], binary.BigEndian.Uint16(header[2:]), content[:len(content)-int(header[6])], err
 }
 
 // readAnswer reads records up to the next END_REQUEST. Answers must not be interleaved.
-func (f *testClient) readAnswer() (answer clientAnswer) {
-	f.t.Helper()
+func (c *testClient) readAnswer() (answer clientAnswer) {
+	c.t.Helper()
 	var out []byte
 	for {
-		kind, id, content, err := f.readRecord()
+		kind, id, content, err := c.readRecord()
 		switch {
 		case err != nil:
-			f.t.Errorf("client: reading an answer: %v", err)
+			c.t.Errorf("client: reading an answer: %v", err)
 			return answer
 		case kind == 6:
 			out = append(out, content...)
 			continue
 		case kind != 3:
-			f.t.Errorf("client: record of type %d", kind)
+			c.t.Errorf("client: record of type %d", kind)
 			return answer
 		}
 		answer.id, answer.protocolStatus = id, content[4]
@@ -204,8 +204,8 @@
 	return request
 }
 
-func (q clientRequest) param(name string) string {
-	for _, p := range q.params {
+func (r clientRequest) param(name string) string {
+	for _, p := range r.params {
 		if p[0] == name {
 			return p[1]
 		}
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -12,9 +12,9 @@
 
 // A clientLoadCase is what thirty clients do before another one comes, and whether that one is let in.
 type clientLoadCase struct {
-	name   string
-	before func(client *testClient)
-	let    bool
+	name     string
+	before   func(client *testClient)
+	accepted bool
 }
 
 var clientLoadCases = []clientLoadCase{
@@ -63,19 +63,19 @@
 	}
 	sched.addEvent(true, targets...)
 	sched.start()
-	var fronts []*testClient
+	var clients []*testClient
 	for range 30 {
 		client := sched.connect()
 		tt.before(client)
-		fronts = append(fronts, client)
+		clients = append(clients, client)
 	}
-	if !tt.let {
-		waitUntil(t, "all requests are at workers", func() bool { return had() == len(fronts) })
+	if !tt.accepted {
+		waitUntil(t, "all requests are at workers", func() bool { return had() == len(clients) })
 		if !sched.connect().closedByServer() {
 			t.Error("the 31st was let in")
 		}
 		close(release)
-		for _, client := range fronts {
+		for _, client := range clients {
 			if got := client.readAnswer(); got.body != "re:held" {
 				t.Errorf("status %d for a request that was open", got.status)
 			}
@@ -105,15 +105,15 @@
 	}
 	// A machine that is busy with other things may take too long over one round, but not over all.
 	waitUntil(t, "one that was just accepted is served", func() bool {
-		var fronts []*testClient
+		var clients []*testClient
 		for range 32 {
 			client := sched.connect()
 			defer client.conn.Close()
-			if fronts = append(fronts, client); len(fronts) <= 30 {
+			if clients = append(clients, client); len(clients) <= 30 {
 				sendRequest(client)
 			}
 		}
-		return sendRequest(fronts[31]) && sendRequest(fronts[30])
+		return sendRequest(clients[31]) && sendRequest(clients[30])
 	})
 }
 
@@ -130,7 +130,7 @@
 		}
 	}
 	sendRequest()
-	whole := newCall("consulta", "body").bytes()
+	complete := newCall("consulta", "body").bytes()
 	for _, tt := range []struct {
 		name   string
 		text   []byte
@@ -138,11 +138,11 @@
 		status int
 	}{
 		{"nothing", nil, false, 0},
-		{"half a header", whole[:5], false, 0},
-		{"half a record", whole[:40], false, 408},
-		{"no end", whole[:len(whole)-8], false, 408},
-		{"no end, later", whole[:len(whole)-8], true, 408},
-		{"half a header, later", whole[:5], true, 0},
+		{"half a header", complete[:5], false, 0},
+		{"half a record", complete[:40], false, 408},
+		{"no end", complete[:len(complete)-8], false, 408},
+		{"no end, later", complete[:len(complete)-8], true, 408},
+		{"half a header, later", complete[:5], true, 0},
 		{"a record of 64 KiB that does not come", []byte{1, 5, 0, 1, 0xff, 0xff, 0, 0, 'x'}, true, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 
 // A connection with partly written answers has no open request any more, and is still not closed for another client.
 func TestPartlyWrittenIsNotEvicted(t *testing.T) {
-	sched, _, whole := startHalfWritten(t, nil)
+	sched, _, readAll := startPartlyWritten(t, nil)
 	for range 30 { // 29 are accepted
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
@@ -195,7 +195,7 @@
 			t.Errorf("status %d, want it served", got.status)
 		}
 	}
-	whole()
+	readAll()
 }
 
 // The answers that clients do not read are bounded for all clients together, though each is within its own bound.
@@ -280,20 +280,20 @@
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agentA.addr)
-	sites := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
-	for _, other := range sites {
+	schedulers := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
+	for _, other := range schedulers {
 		if other != sched { // it polls the same list service
 			other.listServer.Close()
 			other.listServer, other.events = sched.listServer, sched.events
 		}
-		other.maxSockets, other.settings.Schedulers = 90, len(sites)
+		other.maxSockets, other.settings.Schedulers = 90, len(schedulers)
 		other.start()
 		waitUntilServedBy(t, other, "a")
 	}
 	address := sched.listServer.Listener.Addr().String()
 	sched.listServer.CloseClientConnections()
 	sched.listServer.Listener.Close()
-	for _, sched := range sites {
+	for _, sched := range schedulers {
 		waitUntil(t, "the list service is found unreachable", func() bool { return strings.Contains(sched.log.String(), "list service unreachable") })
 		for range 200 {
 			sched.connect()
@@ -310,7 +310,7 @@
 	sched.listServer = &httptest.Server{Listener: listener, Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
 	sched.listServer.Start()
 	sched.addEvent(false, "a DELETED "+agentA.addr, "b SERVING "+agentB.addr)
-	for _, sched := range sites {
+	for _, sched := range schedulers {
 		waitUntil(t, "it knows of the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
 		for range 60 {
 			sched.connect()
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -95,8 +95,10 @@
 }
 
 const (
-	lineUnhealthy = "worker confirmed faulty by peers"
-	lineUnheard   = "peer reports ignored for a while"
+	byzantineName = "byzantine"
+
+	lineConfirmedFaulty = "worker confirmed faulty by peers"
+	lineReportsIgnored  = "peer reports ignored for a while"
 )
 
 // fleetRequest returns a request of a class, whose body names the scheduler that it goes through.
@@ -157,7 +159,7 @@
 		t.Errorf("%d UDP sockets of a scheduler that gossips, want 1", sockets)
 	}
 
-	liar, err := fleet.NewByzantineMember("liar")
+	byzantine, err := fleet.NewByzantineMember(byzantineName)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,37 +167,39 @@
 	for _, worker := range fleet.Workers {
 		ids = append(ids, worker.ID)
 	}
-	expectMassAccuserUnheard(t, fleet, liar, ids)
-	liar.Accuse(ids[:2])
+	expectMassAccuserIgnored(t, fleet, byzantine, ids)
+	byzantine.Accuse(ids[:2])
 	client, err := fastcgi.Dial(context.Background(), fleet.Instances[0].Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeClient(client)
-	expectServedDespiteLiar(t, fleet, client)
-	liar.Close()
+	expectServedDespiteByzantine(t, fleet, client)
+	byzantine.Close()
 
-	expectSilenceShared(t, fleet, ids)
+	expectUnresponsiveWorkerShared(t, fleet, ids)
 	expectServedDuringFlood(t, fleet, client)
 	expectPausedMemberBack(t, fleet)
 	restartHalf(t, fleet)
 	expectMessageRateBounded(t, fleet)
 }
 
-// expectMassAccuserUnheard has a member accuse every worker: all stop hearing it, and nobody leaves a worker out.
-func expectMassAccuserUnheard(t *testing.T, fleet *testbed.Fleet, liar *testbed.ByzantineMember, ids []string) {
+// expectMassAccuserIgnored has a member accuse every worker: all stop hearing it, and nobody leaves a worker out.
+func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *testbed.ByzantineMember, ids []string) {
 	t.Helper()
-	liar.Accuse(ids)
-	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool { return hasLogLine(instance, lineUnheard, "peer", "liar") })
+	byzantine.Accuse(ids)
+	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool {
+		return hasLogLine(instance, lineReportsIgnored, "peer", byzantineName)
+	})
 	for _, instance := range fleet.Instances {
-		if instance.Count(lineUnhealthy) > 0 {
+		if instance.Count(lineConfirmedFaulty) > 0 {
 			t.Errorf("%s ejects a worker on the reports of a byzantine member", instance.Name)
 		}
 	}
 }
 
-// expectServedDespiteLiar expects calls to be served while a liar accuses a few workers alone.
-func expectServedDespiteLiar(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
+// expectServedDespiteByzantine expects calls to be served while a byzantine accuses a few workers alone.
+func expectServedDespiteByzantine(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	for i := range 20 {
 		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != fastcgi.OutcomeServed {
@@ -204,9 +208,9 @@
 	}
 }
 
-// expectSilenceShared has a worker fall silent, and expects the last instance, which has no traffic of its own, to hear
+// expectUnresponsiveWorkerShared has a worker fall silent, and expects the last instance, which has no traffic of its own, to hear
 // of it all the same. Nobody leaves out another worker, and the silent one is taken back once it answers.
-func expectSilenceShared(t *testing.T, fleet *testbed.Fleet, ids []string) {
+func expectUnresponsiveWorkerShared(t *testing.T, fleet *testbed.Fleet, ids []string) {
 	t.Helper()
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
 	waitUntil(t, "many have received answers of the worker", func() bool {
@@ -218,21 +222,21 @@
 	})
 	fleet.Workers[5].Set(testbed.WorkerUnresponsive)
 	idle := fleet.Instances[fleetSize-1]
-	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineUnhealthy, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineConfirmedFaulty, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("an instance without traffic is not notified of an unresponsive worker\n%s", idle.Log)
 		}
 	}
 	for _, instance := range fleet.Instances {
 		for _, w := range ids {
-			if w != "w05" && hasLogLine(instance, lineUnhealthy, "worker", w) {
+			if w != "w05" && hasLogLine(instance, lineConfirmedFaulty, "worker", w) {
 				t.Errorf("%s ejects %s, which is healthy", instance.Name, w)
 			}
 		}
 	}
 	fleet.Workers[5].Set(testbed.WorkerHealthy)
 	waitForAll(t, fleet, "the worker is taken back", func(instance *testbed.Instance) bool {
-		n := instance.Count(lineUnhealthy)
+		n := instance.Count(lineConfirmedFaulty)
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
 	})
 	stop()
@@ -278,7 +282,7 @@
 	})
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
-			if line.Text("msg") == "peer dead" && line.Text("peer") != "liar" {
+			if line.Text("msg") == "peer dead" && line.Text("peer") != byzantineName {
 				t.Errorf("%s declares %s dead\n%s", instance.Name, line.Text("peer"), faultHistory(fleet, line.Text("peer")))
 			}
 		}
@@ -325,8 +329,8 @@
 	}
 }
 
-// expectNewAuthorityTaken sets a new authority beside the old one, and expects a member that has a key of it to join.
-func expectNewAuthorityTaken(t *testing.T, fleet, trusting *testbed.Fleet) {
+// expectNewAuthorityApplied sets a new authority beside the old one, and expects a member that has a key of it to join.
+func expectNewAuthorityApplied(t *testing.T, fleet, trusting *testbed.Fleet) {
 	t.Helper()
 	next, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
@@ -352,8 +356,8 @@
 	waitUntilJoined(t, fleet, 4)
 }
 
-// expectEarlierDuplicateSilent starts another with the name and the key of n1, at other addresses.
-func expectEarlierDuplicateSilent(t *testing.T, fleet *testbed.Fleet) {
+// expectEarlierDuplicateStops starts another with the name and the key of n1, at other addresses.
+func expectEarlierDuplicateStops(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	duplicate := fleet.Instances[1].Duplicate()
 	if err := duplicate.Move(); err != nil {
@@ -389,7 +393,7 @@
 		return hasLogLine(instance, "peer removed: its certificate is no longer valid", "peer", "n3")
 	})
 
-	expectNewAuthorityTaken(t, fleet, trusting)
+	expectNewAuthorityApplied(t, fleet, trusting)
 
 	// A key that others may read changes nothing.
 	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
@@ -400,7 +404,7 @@
 		return strings.Contains(instance.Log.String(), "0600 is needed")
 	})
 
-	expectEarlierDuplicateSilent(t, fleet)
+	expectEarlierDuplicateStops(t, fleet)
 }
 
 func TestKeyCommands(t *testing.T) {
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -15,31 +15,31 @@
 	sched, agent := startWithAgent(t, echo)
 	big := strings.Repeat("\x00\r\n=, ", 16<<10/6) + "last"
 	for _, tt := range []struct {
-		name string
-		q    clientRequest
-		cut  int // bytes a write; 0 means all at once
+		name    string
+		request clientRequest
+		cut     int // bytes a write; 0 means all at once
 	}{
-		{name: "plain", q: newCall("consulta", "body", [2]string{"HTTP_ONCE_KEY", "-"})},
-		{name: "no body", q: newCall("registro-horas", "")},
-		{name: "largest body", q: newCall("certificado", big)},
-		{name: "padding", q: clientRequest{padding: 7, body: "padded", params: newCall("registro-horas", "").params}},
-		{name: "lengths of 4 bytes", q: clientRequest{longLengths: true, body: "long", params: newCall("registro-horas", "").params}},
-		{name: "a byte at a time", q: clientRequest{padding: 1, body: "split", params: newCall("registro-horas", "").params}, cut: 1},
-		{name: "split in headers", q: newCall("registro-horas", "split"), cut: 11},
-		{name: "long name", q: newCall("consulta", "x", [2]string{"HTTP_" + strings.Repeat("X", 200), strings.Repeat("y", 300)})},
-		{name: "length told", q: newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "4"})},
+		{name: "plain", request: newCall("consulta", "body", [2]string{"HTTP_ONCE_KEY", "-"})},
+		{name: "no body", request: newCall("registro-horas", "")},
+		{name: "largest body", request: newCall("certificado", big)},
+		{name: "padding", request: clientRequest{padding: 7, body: "padded", params: newCall("registro-horas", "").params}},
+		{name: "lengths of 4 bytes", request: clientRequest{longLengths: true, body: "long", params: newCall("registro-horas", "").params}},
+		{name: "a byte at a time", request: clientRequest{padding: 1, body: "split", params: newCall("registro-horas", "").params}, cut: 1},
+		{name: "split in headers", request: newCall("registro-horas", "split"), cut: 11},
+		{name: "long name", request: newCall("consulta", "x", [2]string{"HTTP_" + strings.Repeat("X", 200), strings.Repeat("y", 300)})},
+		{name: "length told", request: newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "4"})},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client := sched.connect()
 			client.t = t
-			tt.q.id = 300
-			data := tt.q.bytes()
+			tt.request.id = 300
+			data := tt.request.bytes()
 			for cut := max(tt.cut, 1); tt.cut > 0 && len(data) > cut; data = data[cut:] {
 				client.write(data[:cut])
 			}
 			client.write(data)
 			got := client.readAnswer()
-			if got.id != 300 || got.status != 200 || got.protocolStatus != 0 || got.body != "re:"+tt.q.body {
+			if got.id != 300 || got.status != 200 || got.protocolStatus != 0 || got.body != "re:"+tt.request.body {
 				t.Errorf("got request %d, status %d, protocol status %d, body %.40q", got.id, got.status, got.protocolStatus, got.body)
 			}
 			had := agent.received()
@@ -49,10 +49,10 @@
 			}
 			delete(request.fields, "patience")
 			request.conn = 0
-			want := agentRequest{id: tt.q.param("HTTP_REQUEST_ID"), body: tt.q.body, fields: map[string]string{
-				"sort": strings.TrimPrefix(tt.q.param("SCRIPT_NAME"), "/rpc/"), "asset": tt.q.param("HTTP_RESOURCE_KEY"),
+			want := agentRequest{id: tt.request.param("HTTP_REQUEST_ID"), body: tt.request.body, fields: map[string]string{
+				"sort": strings.TrimPrefix(tt.request.param("SCRIPT_NAME"), "/rpc/"), "asset": tt.request.param("HTTP_RESOURCE_KEY"),
 			}}
-			if key := tt.q.param("HTTP_ONCE_KEY"); key != "" {
+			if key := tt.request.param("HTTP_ONCE_KEY"); key != "" {
 				want.fields["op"] = key
 			}
 			if d := cmp.Diff(want, request, cmp.AllowUnexported(agentRequest{})); d != "" {
@@ -90,9 +90,9 @@
 func TestInvalidRequests(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	for _, tt := range []struct {
-		name   string
-		q      clientRequest
-		status int
+		name    string
+		request clientRequest
+		status  int
 	}{
 		{"class", newCall("nonsense", ""), 400},
 		{"path", newCall("", "", [2]string{"SCRIPT_NAME", "/other"}), 400},
@@ -118,8 +118,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			client := sched.connect()
 			client.t = t
-			tt.q.bodyOpen = tt.status == 413 // answered before the body ends
-			client.send(tt.q)
+			tt.request.bodyOpen = tt.status == 413 // answered before the body ends
+			client.send(tt.request)
 			if got := client.readAnswer(); got.status != tt.status {
 				t.Errorf("status %d, want %d", got.status, tt.status)
 			}
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// startHalfWritten starts a scheduler whose first client reads none of its answers, of some MB, so that the system does not
+// startPartlyWritten starts a scheduler whose first client reads none of its answers, of some MB, so that the system does not
 // take all of them. The scheduler accepts only a few clients beside it.
-func startHalfWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, whole func()) {
+func startPartlyWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
 	t.Helper()
 	big := strings.Repeat("0123456789", 100_000)
 	agent := newAgent(t, func(n int, request agentRequest) string {
@@ -96,18 +96,18 @@
 
 // Answers that are partly written at the shutdown are sent completely, also to a slow client.
 func TestPartlyWrittenAtShutdown(t *testing.T) {
-	sched, _, whole := startHalfWritten(t, nil)
+	sched, _, readAll := startPartlyWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(1500 * time.Millisecond) // it may end 0.7 s after that
-	whole()
+	readAll()
 	sched.waitForExit()
 }
 
 // A client that reads nothing does not keep the program from exiting.
 func TestUnreadAnswersAtShutdown(t *testing.T) {
-	sched, _, _ := startHalfWritten(t, nil)
+	sched, _, _ := startPartlyWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -116,9 +116,9 @@
 
 // A connection that is to be closed after a request is closed when all answers on it are sent.
 func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
-	_, client, whole := startHalfWritten(t, func(request *clientRequest) { request.closeAfter = true })
+	_, client, readAll := startPartlyWritten(t, func(request *clientRequest) { request.closeAfter = true })
 	time.Sleep(300 * time.Millisecond)
-	whole()
+	readAll()
 	if !client.closedByServer() {
 		t.Error("the connection stays open")
 	}
@@ -128,7 +128,7 @@
 // again: the system had accepted their connections, and the program reads them one after the other.
 func TestStalledDuringShutdown(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
-	var fronts []*testClient
+	var clients []*testClient
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -137,11 +137,11 @@
 		for range 20 {
 			client := sched.connect()
 			client.send(newCall("consulta", "x"))
-			fronts = append(fronts, client)
+			clients = append(clients, client)
 		}
 		time.Sleep(2 * time.Second)
 	})
-	for _, client := range fronts {
+	for _, client := range clients {
 		if got := client.readAnswer(); got.body != "re:x" && got.status != 503 {
 			t.Errorf("status %d", got.status)
 		}
@@ -186,13 +186,13 @@
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
 	want := map[string]int{"consulta": 503, "registro-horas": 503, "certificado": 502}
-	fronts := map[string]*testClient{}
+	clients := map[string]*testClient{}
 	for class := range want {
 		client := sched.connect()
 		request := newCall(class, "x")
 		request.params[4][1] = request.param("HTTP_REQUEST_ID") // each of a function of its own, or some would be held
 		client.send(request)
-		fronts[class] = client
+		clients[class] = client
 	}
 	waitUntil(t, "all are at the worker", func() bool { return len(agent.received()) >= len(want) })
 	at := time.Now()
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	for class, status := range want {
-		if got := fronts[class].readAnswer(); got.status != status {
+		if got := clients[class].readAnswer(); got.status != status {
 			t.Errorf("%s: status %d, want %d", class, got.status, status)
 		}
 	}
