--- /dev/null
+++ b/cmd/calicohill/answers_test.go
@@ -0,0 +1,162 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// An answer that can't be parsed, or is truncated, fails its request, which may have run. The worker stays in use, and
+// its loaded instances still count: any worker may send such an answer.
+func TestMalformedAnswer(t *testing.T) {
+	for _, tt := range []struct{ name, text string }{
+		{"noise", "\x01\xfe\r\n"},
+		{"length is a word", "ID OK - many\r\n"},
+		{"length below 0", "ID OK - -3\r\n"},
+		{"length of 3 GB", "ID OK - 3000000000\r\n" + strings.Repeat("x", 1<<16)},
+		{"body runs on", "ID OK - 2\r\nbody\r\n"},
+		{"line without end", "ID " + strings.Repeat("x", 1<<13)},
+		{"noise before a good line", "\x01\xfeID OK - 4\r\nbody\r\n"},
+		{"stops short", "ID OK - 100\r\nshort"},
+		{"cut off", resetConnection},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			spoil := false
+			var mu sync.Mutex
+			reply := func(n int, request agentRequest) string {
+				mu.Lock()
+				defer mu.Unlock()
+				if spoil {
+					spoil = false
+					return strings.Replace(tt.text, "ID", request.id, 1)
+				}
+				return echo(n, request)
+			}
+			agents := []*nodeAgent{newAgent(t, reply), newAgent(t, reply)}
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+agents[0].addr, "b SERVING "+agents[1].addr)
+			sched.start()
+			client := sched.connect()
+			client.t = t
+			sendRequest := func() int {
+				client.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
+				return client.readAnswer().status
+			}
+			had := func() []int { return []int{len(agents[0].received()), len(agents[1].received())} }
+			if got := sendRequest(); got != 200 {
+				t.Fatalf("status %d at first", got)
+			}
+			home := had()
+			mu.Lock()
+			spoil = true
+			mu.Unlock()
+			if got := sendRequest(); got != 502 {
+				t.Errorf("status %d for a spoilt answer, want 502", got)
+			}
+			for range 5 {
+				if got := sendRequest(); got != 200 {
+					t.Errorf("status %d afterwards, want 200", got)
+				}
+			}
+			if d := cmp.Diff([]int{7 * home[0], 7 * home[1]}, had()); d != "" {
+				t.Errorf("requests at each worker (-want +got):\n%s", d)
+			}
+		})
+	}
+}
+
+// A duplicate answer ends no later attempt: after an answer the connection is not used for an attempt of the same id.
+func TestDuplicateAnswer(t *testing.T) {
+	for _, status := range []string{"MISS", "BUSY", "VOID"} {
+		t.Run(status, func(t *testing.T) {
+			sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+				if n == 1 {
+					return answerLine(request.id, status, "-", "")
+				}
+				if request.conn == 1 {
+					return answerLine(request.id, "ERR", "-", "") + answerLine(request.id, "OK", "-", "late")
+				}
+				return answerLine(request.id, "OK", "-", "good")
+			})
+			client := sched.connect()
+			client.send(newCall("certificado", ""))
+			if got := client.readAnswer(); got.status != 200 || got.body != "good" {
+				t.Errorf("status %d, body %q; the worker had %+v", got.status, got.body, agent.received())
+			}
+		})
+	}
+}
+
+// An answer after its request's deadline is dropped: the client has had its one answer, and the next request on that
+// connection gets its own.
+func TestAnswerAfterDeadline(t *testing.T) {
+	release := make(chan struct{})
+	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+		if n == 1 {
+			<-release
+		}
+		return echo(n, request)
+	})
+	client := sched.connect()
+	client.send(newCall("certificado", "late", [2]string{"HTTP_BUDGET_MS", "300"}))
+	if got := client.readAnswer(); got.status != 502 {
+		t.Errorf("status %d after its deadline, want a failure: it may have run", got.status)
+	}
+	close(release)
+	for _, body := range []string{"a", "b", "c"} {
+		client.send(newCall("certificado", body))
+		if got := client.readAnswer(); got.body != "re:"+body {
+			t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
+		}
+	}
+	if had := agent.received(); len(had) != 4 {
+		t.Errorf("the worker had %d requests, want 4", len(had))
+	}
+}
+
+// A late duplicate answer is dropped, whether the first one ended its request or had it retried, and the next request
+// on the connection gets its own.
+func TestLateDuplicateAnswer(t *testing.T) {
+	for _, first := range []string{"OK", "MISS", "ERR"} {
+		t.Run(first, func(t *testing.T) {
+			var mu sync.Mutex
+			second, address := "", "" // the second answer, and the worker that sends it before its next, on its first connection
+			begun := false
+			worker := func(name string) *nodeAgent {
+				return newAgent(t, func(number int, request agentRequest) string {
+					mu.Lock()
+					defer mu.Unlock()
+					if !begun {
+						begun, address, second = true, name, answerLine(request.id, "OK", "-", "second")
+						if first == "OK" {
+							return echo(number, request)
+						}
+						return answerLine(request.id, first, "-", "")
+					}
+					before := ""
+					if name == address && request.conn == 1 {
+						before, second = second, ""
+					}
+					return before + echo(number, request)
+				})
+			}
+			sched := newTestScheduler(t)
+			sched.addEvent(true, "a SERVING "+worker("a").addr, "b SERVING "+worker("b").addr)
+			sched.start()
+			client := sched.connect()
+			client.send(newCall("consulta", "x"))
+			if got := client.readAnswer(); got.body != "re:x" {
+				t.Errorf("status %d, %q, want the first answer, or that of another attempt", got.status, got.body)
+			}
+			for _, body := range []string{"a", "b", "c", "d"} { // of functions that are loaded at either
+				client.send(newCall("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
+				if got := client.readAnswer(); got.body != "re:"+body {
+					t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
+				}
+			}
+		})
+	}
+}
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -3,10 +3,8 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -168,59 +166,3 @@
 		}
 	}
 }
-
-// Requests that arrive in fragments, those of two clients in turn, and answers that arrive in fragments are
-// reassembled. Each fragment is a write of its own.
-func TestFragments(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	go func() { // a worker that echoes, one byte at a time
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer conn.Close()
-				for reader := bufio.NewReader(conn); ; {
-					line, err := reader.ReadString('\n')
-					words := strings.Fields(line)
-					if err != nil || len(words) != 4 {
-						return
-					}
-					size, _ := strconv.Atoi(words[3])
-					body := make([]byte, size+2)
-					if _, err := io.ReadFull(reader, body); err != nil {
-						return
-					}
-					for _, b := range []byte(answerLine(words[1], "OK", "depth=0,l=util:0.5", string(body[:size]))) {
-						if _, err := conn.Write([]byte{b}); err != nil {
-							return
-						}
-					}
-				}
-			}()
-		}
-	}()
-	sched := newTestScheduler(t)
-	sched.addEvent(true, "a SERVING "+listener.Addr().String())
-	sched.start()
-	clientA, clientB := sched.connect(), sched.connect()
-	first, second := newCall("certificado", "the first").bytes(), newCall("certificado", "the second").bytes()
-	for i := range max(len(first), len(second)) {
-		if i < len(first) {
-			clientA.write(first[i : i+1])
-		}
-		if i < len(second) {
-			clientB.write(second[i : i+1])
-		}
-	}
-	for client, want := range map[*testClient]string{clientA: "the first", clientB: "the second"} {
-		if got := client.readAnswer(); got.body != want {
-			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
-		}
-	}
-}
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -185,51 +185,6 @@
 	}
 }
 
-// A connection with partly written answers has no open request any more, and is still not closed for another client.
-func TestPartlyWrittenIsNotEvicted(t *testing.T) {
-	sched, _, readAll := startPartlyWritten(t, nil)
-	for range 30 { // 29 are accepted
-		client := sched.connect()
-		client.send(newCall("consulta", "x"))
-		if got := client.readAnswer(); got.body != "re:x" {
-			t.Errorf("status %d, want it served", got.status)
-		}
-	}
-	readAll()
-}
-
-// The answers that clients do not read are bounded for all clients together, though each is within its own bound.
-func TestUnreadAnswersAreBounded(t *testing.T) {
-	big := strings.Repeat("0123456789", 25_000)
-	agent := newAgent(t, func(n int, request agentRequest) string {
-		if request.body == "big" {
-			return answerLine(request.id, "OK", "-", big)
-		}
-		return echo(n, request)
-	})
-	sched := newTestScheduler(t)
-	sched.maxSockets, sched.memoryMB = 90, 32
-	sched.addEvent(true, "a SERVING "+agent.addr)
-	sched.start()
-	const closed = "too much waits for clients that do not read"
-	waitUntil(t, "one of them is closed", func() bool {
-		client := sched.connectSlowReader()
-		for id := uint16(1); id <= 20 && !strings.Contains(sched.log.String(), closed); id++ {
-			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
-			request.id = id
-			had := len(agent.received())
-			_, _ = client.conn.Write(request.bytes()) // fails if it is the one that was closed
-			waitUntil(t, "the worker has it", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
-		}
-		return strings.Contains(sched.log.String(), closed)
-	})
-	client := sched.connect()
-	client.send(newCall("consulta", "x"))
-	if got := client.readAnswer(); got.body != "re:x" {
-		t.Errorf("status %d for a client that reads", got.status)
-	}
-}
-
 // Dials that are established all at once, while clients hold all connections that they may, leave descriptors for one
 // more client: without one the event loop would end.
 func TestDescriptorsOfDials(t *testing.T) {
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -60,40 +60,6 @@
 	}
 }
 
-// startPartlyWritten starts a scheduler whose first client reads none of its answers, of some MB, so that the system does not
-// take all of them. The scheduler accepts only a few clients beside it.
-func startPartlyWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
-	t.Helper()
-	big := strings.Repeat("0123456789", 100_000)
-	agent := newAgent(t, func(n int, request agentRequest) string {
-		if request.body == "big" {
-			return answerLine(request.id, "OK", "-", big)
-		}
-		return echo(n, request)
-	})
-	sched = newTestScheduler(t)
-	sched.maxSockets = 90
-	sched.addEvent(true, "a SERVING "+agent.addr)
-	client = sched.start().connectSlowReader()
-	const count = 5
-	for id := uint16(1); id <= count; id++ {
-		request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:8"})
-		if request.id = id; id == count && last != nil {
-			last(&request)
-		}
-		client.send(request)
-	}
-	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) == count })
-	return sched, client, func() {
-		t.Helper()
-		for range count {
-			if got := client.readAnswer(); got.status != 200 || got.body != big {
-				t.Fatalf("request %d got status %d and %d bytes, want %d", got.id, got.status, len(got.body), len(big))
-			}
-		}
-	}
-}
-
 // Answers that are partly written at the shutdown are sent completely, also to a slow client.
 func TestPartlyWrittenAtShutdown(t *testing.T) {
 	sched, _, readAll := startPartlyWritten(t, nil)
@@ -114,16 +80,6 @@
 	sched.waitForExit()
 }
 
-// A connection that is to be closed after a request is closed when all answers on it are sent.
-func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
-	_, client, readAll := startPartlyWritten(t, func(request *clientRequest) { request.closeAfter = true })
-	time.Sleep(300 * time.Millisecond)
-	readAll()
-	if !client.closedByServer() {
-		t.Error("the connection stays open")
-	}
-}
-
 // Clients that connected while a draining program was stopped are served, though the time to drain is over when it runs
 // again: the system had accepted their connections, and the program reads them one after the other.
 func TestStalledDuringShutdown(t *testing.T) {
--- /dev/null
+++ b/cmd/calicohill/unread_answers_test.go
@@ -0,0 +1,96 @@
+package main
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// startPartlyWritten starts a scheduler whose first client reads none of its answers, of some MB, so that the system does not
+// take all of them. The scheduler accepts only a few clients beside it.
+func startPartlyWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
+	t.Helper()
+	big := strings.Repeat("0123456789", 100_000)
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		if request.body == "big" {
+			return answerLine(request.id, "OK", "-", big)
+		}
+		return echo(n, request)
+	})
+	sched = newTestScheduler(t)
+	sched.maxSockets = 90
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	client = sched.start().connectSlowReader()
+	const count = 5
+	for id := uint16(1); id <= count; id++ {
+		request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:8"})
+		if request.id = id; id == count && last != nil {
+			last(&request)
+		}
+		client.send(request)
+	}
+	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) == count })
+	return sched, client, func() {
+		t.Helper()
+		for range count {
+			if got := client.readAnswer(); got.status != 200 || got.body != big {
+				t.Fatalf("request %d got status %d and %d bytes, want %d", got.id, got.status, len(got.body), len(big))
+			}
+		}
+	}
+}
+
+// A connection that is to be closed after a request is closed when all answers on it are sent.
+func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
+	_, client, readAll := startPartlyWritten(t, func(request *clientRequest) { request.closeAfter = true })
+	time.Sleep(300 * time.Millisecond)
+	readAll()
+	if !client.closedByServer() {
+		t.Error("the connection stays open")
+	}
+}
+
+// A connection with partly written answers has no open request any more, and is still not closed for another client.
+func TestPartlyWrittenIsNotEvicted(t *testing.T) {
+	sched, _, readAll := startPartlyWritten(t, nil)
+	for range 30 { // 29 are accepted
+		client := sched.connect()
+		client.send(newCall("consulta", "x"))
+		if got := client.readAnswer(); got.body != "re:x" {
+			t.Errorf("status %d, want it served", got.status)
+		}
+	}
+	readAll()
+}
+
+// The answers that clients do not read are bounded for all clients together, though each is within its own bound.
+func TestUnreadAnswersAreBounded(t *testing.T) {
+	big := strings.Repeat("0123456789", 25_000)
+	agent := newAgent(t, func(n int, request agentRequest) string {
+		if request.body == "big" {
+			return answerLine(request.id, "OK", "-", big)
+		}
+		return echo(n, request)
+	})
+	sched := newTestScheduler(t)
+	sched.maxSockets, sched.memoryMB = 90, 32
+	sched.addEvent(true, "a SERVING "+agent.addr)
+	sched.start()
+	const closed = "too much waits for clients that do not read"
+	waitUntil(t, "one of them is closed", func() bool {
+		client := sched.connectSlowReader()
+		for id := uint16(1); id <= 20 && !strings.Contains(sched.log.String(), closed); id++ {
+			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
+			request.id = id
+			had := len(agent.received())
+			_, _ = client.conn.Write(request.bytes()) // fails if it is the one that was closed
+			waitUntil(t, "the worker has it", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
+		}
+		return strings.Contains(sched.log.String(), closed)
+	})
+	client := sched.connect()
+	client.send(newCall("consulta", "x"))
+	if got := client.readAnswer(); got.body != "re:x" {
+		t.Errorf("status %d for a client that reads", got.status)
+	}
+}
