--- a/cmd/calicohill/answers_test.go
+++ b/cmd/calicohill/answers_test.go
@@ -10,7 +10,7 @@
 )
 
 // An answer that can't be parsed, or is truncated, fails its request, which may have run. The worker stays in use, and
-// its loaded instances still count: any worker may send such an answer.
+// later requests still go to its loaded instance.
 func TestMalformedAnswer(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
 		{"noise", "\x01\xfe\r\n"},
@@ -24,13 +24,13 @@
 		{"cut off", resetConnection},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			spoil := false
+			malformed := false
 			var mu sync.Mutex
 			reply := func(n int, request agentRequest) string {
 				mu.Lock()
 				defer mu.Unlock()
-				if spoil {
-					spoil = false
+				if malformed {
+					malformed = false
 					return strings.Replace(tt.text, "ID", request.id, 1)
 				}
 				return echo(n, request)
@@ -45,30 +45,30 @@
 				client.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
 				return client.readAnswer().status
 			}
-			had := func() []int { return []int{len(agents[0].received()), len(agents[1].received())} }
+			countReceived := func() []int { return []int{len(agents[0].received()), len(agents[1].received())} }
 			if got := sendRequest(); got != 200 {
-				t.Fatalf("status %d at first", got)
+				t.Fatalf("status %d for the first request", got)
 			}
-			home := had()
+			first := countReceived()
 			mu.Lock()
-			spoil = true
+			malformed = true
 			mu.Unlock()
 			if got := sendRequest(); got != 502 {
-				t.Errorf("status %d for a spoilt answer, want 502", got)
+				t.Errorf("status %d for a malformed answer, want 502", got)
 			}
 			for range 5 {
 				if got := sendRequest(); got != 200 {
 					t.Errorf("status %d afterwards, want 200", got)
 				}
 			}
-			if d := cmp.Diff([]int{7 * home[0], 7 * home[1]}, had()); d != "" {
+			if d := cmp.Diff([]int{7 * first[0], 7 * first[1]}, countReceived()); d != "" {
 				t.Errorf("requests at each worker (-want +got):\n%s", d)
 			}
 		})
 	}
 }
 
-// A duplicate answer ends no later attempt: after an answer the connection is not used for an attempt of the same id.
+// A duplicate answer does not end a retry: the connection on which an attempt was answered carries no retry of its id.
 func TestDuplicateAnswer(t *testing.T) {
 	for _, status := range []string{"MISS", "BUSY", "VOID"} {
 		t.Run(status, func(t *testing.T) {
@@ -103,7 +103,7 @@
 	client := sched.connect()
 	client.send(newCall("certificado", "late", [2]string{"HTTP_BUDGET_MS", "300"}))
 	if got := client.readAnswer(); got.status != 502 {
-		t.Errorf("status %d after its deadline, want a failure: it may have run", got.status)
+		t.Errorf("status %d after its deadline, want 502: it may have run", got.status)
 	}
 	close(release)
 	for _, body := range []string{"a", "b", "c"} {
@@ -123,22 +123,24 @@
 	for _, first := range []string{"OK", "MISS", "ERR"} {
 		t.Run(first, func(t *testing.T) {
 			var mu sync.Mutex
-			second, address := "", "" // the second answer, and the worker that sends it before its next, on its first connection
+			// The worker that receives the first request answers it twice: the duplicate precedes its next answer on its
+			// first connection.
+			duplicate, duplicateSender := "", ""
 			begun := false
 			worker := func(name string) *nodeAgent {
 				return newAgent(t, func(number int, request agentRequest) string {
 					mu.Lock()
 					defer mu.Unlock()
 					if !begun {
-						begun, address, second = true, name, answerLine(request.id, "OK", "-", "second")
+						begun, duplicateSender, duplicate = true, name, answerLine(request.id, "OK", "-", "second")
 						if first == "OK" {
 							return echo(number, request)
 						}
 						return answerLine(request.id, first, "-", "")
 					}
 					before := ""
-					if name == address && request.conn == 1 {
-						before, second = second, ""
+					if name == duplicateSender && request.conn == 1 {
+						before, duplicate = duplicate, ""
 					}
 					return before + echo(number, request)
 				})
@@ -149,9 +151,9 @@
 			client := sched.connect()
 			client.send(newCall("consulta", "x"))
 			if got := client.readAnswer(); got.body != "re:x" {
-				t.Errorf("status %d, %q, want the first answer, or that of another attempt", got.status, got.body)
+				t.Errorf("status %d, %q, want the first answer, or that of a retry", got.status, got.body)
 			}
-			for _, body := range []string{"a", "b", "c", "d"} { // of functions that are loaded at either
+			for _, body := range []string{"a", "b", "c", "d"} { // of functions of their own, loaded at either worker
 				client.send(newCall("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
 				if got := client.readAnswer(); got.body != "re:"+body {
 					t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -50,7 +50,7 @@
 	{"silence", "certificado", answerAlways(""), 502, 1},
 }
 
-// Each result of an attempt at a node agent, and what its client and the other agents see of it.
+// Each result of an attempt at a node agent, and the status and number of attempts that it leads to.
 func TestAttempts(t *testing.T) {
 	for _, tt := range attemptCases {
 		t.Run(tt.name, tt.run)
@@ -58,7 +58,7 @@
 }
 
 func (tt attemptCase) run(t *testing.T) {
-	// Two agents of one script: where a repeat goes is the module's affair.
+	// Two agents with one script between them: which one a retry goes to is the scheduler's choice.
 	n := 0
 	sched := newTestScheduler(t)
 	requests := make(chan agentRequest)
@@ -74,7 +74,7 @@
 	sched.addEvent(true, "a SERVING "+agentA.addr, "b SERVING "+agentB.addr)
 	client := sched.start().connect()
 	budget := "9000"
-	if tt.name == "silence" {
+	if tt.name == "silence" { // the attempt lasts until the deadline
 		budget = "900"
 	}
 	client.send(newCall(tt.class, "x", [2]string{"HTTP_BUDGET_MS", budget}))
@@ -86,15 +86,16 @@
 	}
 }
 
-// Requests to a worker are spread over connections, so that a reset fails only a few of them.
+// Requests to a worker are spread over connections, so that a connection that fails takes only its own requests
+// with it.
 func TestRequestsSpreadOverConnections(t *testing.T) {
-	release, spoil := make(chan struct{}), make(chan struct{}, 1)
+	release, sendMalformed := make(chan struct{}), make(chan struct{}, 1)
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
 			<-release
 		}
 		select {
-		case <-spoil:
+		case <-sendMalformed:
 			return "noise\r\n"
 		default:
 			return answerLine(request.id, "OK", "-", strconv.Itoa(request.conn))
@@ -105,9 +106,9 @@
 	first.send(newCall("certificado", "", long))
 	sendRequest := func() clientAnswer { client.send(newCall("certificado", "", long)); return client.readAnswer() }
 	waitUntil(t, "another connection carries requests", func() bool { return sendRequest().body == "2" })
-	spoil <- struct{}{}
+	sendMalformed <- struct{}{}
 	if got := sendRequest(); got.status != 502 {
-		t.Errorf("status %d for the spoilt answer, want 502", got.status)
+		t.Errorf("status %d for the malformed answer, want 502", got.status)
 	}
 	close(release)
 	if got := first.readAnswer(); got.status != 200 || got.body != "1" {
@@ -125,11 +126,11 @@
 	return n
 }
 
-// A worker that answers with errors gets no request that must not be retried. Others are still sent there, and retried
-// elsewhere. Errors for a function that no worker knows do not count against a worker.
+// A worker that answers with errors gets no non-idempotent requests. Idempotent ones are still sent there, and retried
+// at another worker. Errors for a function that no worker knows do not count against a worker.
 func TestFailingWorker(t *testing.T) {
 	var agents []*nodeAgent
-	var failing atomic.Int32 // which of them fails, from 1
+	var failing atomic.Int32 // index of the agent that fails, from 1; 0 for none
 	for i := range 2 {
 		agents = append(agents, newAgent(t, func(n int, request agentRequest) string {
 			if request.fields["asset"] == "00000000deadbeef" || failing.Load() == int32(i+1) {
@@ -146,9 +147,9 @@
 		return client.readAnswer().status
 	}
 	sendRequest("consulta")
-	home := 0
+	loadedAt := 0
 	if len(agents[1].received()) > 0 {
-		home = 1
+		loadedAt = 1
 	}
 	for range 20 {
 		if got := sendRequest("consulta", [2]string{"HTTP_RESOURCE_KEY", "00000000deadbeef"}); got == 200 {
@@ -160,24 +161,24 @@
 			t.Errorf("status %d while no worker fails", got)
 		}
 	}
-	if countCertified(agents[home]) != 5 {
-		t.Errorf("%d of 5 calls went where the function stands", countCertified(agents[home]))
+	if countCertified(agents[loadedAt]) != 5 {
+		t.Errorf("%d of 5 calls went where the function is loaded", countCertified(agents[loadedAt]))
 	}
-	failing.Store(int32(home + 1))
-	before := len(agents[home].received())
-	waitUntil(t, "some calls have received errors", func() bool { // which of two workers gets one is random
+	failing.Store(int32(loadedAt + 1))
+	before := len(agents[loadedAt].received())
+	waitUntil(t, "some calls have received errors", func() bool { // which worker gets a call is random
 		if got := sendRequest("consulta"); got != 200 {
 			t.Errorf("status %d for an idempotent call", got)
 		}
-		return len(agents[home].received()) >= before+4
+		return len(agents[loadedAt].received()) >= before+4
 	})
 	for range 10 {
 		if got := sendRequest("certificado"); got != 200 {
 			t.Errorf("status %d for a non-idempotent call", got)
 		}
 	}
-	if n := countCertified(agents[home]); n != 5 {
-		t.Errorf("%d calls that must not be repeated went to the worker that fails", n-5)
+	if n := countCertified(agents[loadedAt]); n != 5 {
+		t.Errorf("%d non-idempotent requests went to the worker that fails", n-5)
 	}
 }
 
@@ -196,7 +197,7 @@
 		}
 		return echo(n, request)
 	})
-	// The second worker is the slower one: wherever both have an instance loaded, the first is chosen once that is known.
+	// The second worker is slower: where both have an instance loaded, the first is chosen once both were observed.
 	agentB := newAgent(t, func(n int, request agentRequest) string {
 		time.Sleep(250 * time.Millisecond)
 		return echo(n, request)
@@ -209,8 +210,9 @@
 		return client.readAnswer().status
 	}
 	client, other := sched.connect(), sched.connect()
-	// One function is loaded at the first alone, so that all its calls go there and are answered, whatever else is
-	// in flight. The other is loaded at both: at the first by a call, at the second by an error of the first.
+	// The function steady is loaded at the first worker alone, so that all its calls go there and are answered, whatever
+	// else is in flight. The function asked is loaded at both: at the first worker by a call, and at the second by the
+	// retry of a call that the first answered with an error.
 	sendRequest(other, steady, "warm")
 	sendRequest(client, asked, "warm")
 	sched.addEvent(false, "b SERVING "+agentB.addr)
@@ -218,7 +220,7 @@
 
 	stop, ended := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(stop); <-ended })
-	go func() { // calls that the first worker answers
+	go func() { // calls that the first worker answers all the time
 		defer close(ended)
 		for {
 			select {
@@ -246,7 +248,7 @@
 	listener.Close()
 	sched.addEvent(true, "a SERVING "+agent.addr, "b SERVING "+listener.Addr().String())
 	client := sched.start().connect()
-	for i := range 8 { // over several functions, so that the dead one is the preferred worker of some function
+	for i := range 8 { // over several functions, so that the worker that is down is the preferred one of some function
 		client.send(newCall("certificado", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}))
 		if got := client.readAnswer(); got.status != 200 {
 			t.Errorf("status %d, want 200", got.status)
@@ -254,7 +256,7 @@
 	}
 }
 
-// Without a worker that can serve it, a request is rejected by half its deadline, with a Retry-After.
+// Without a worker that can serve it, a request is rejected with 503 and Back-Off-Ms.
 func TestRejectedWithoutWorker(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.addEvent(true)
@@ -265,7 +267,7 @@
 	}
 }
 
-// The time that a request waits to be read counts against its deadline: here the process is stopped meanwhile.
+// The time that a request waits in the socket counts against its deadline: here the process is stopped meanwhile.
 func TestDeadlineIncludesReadDelay(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	client := sched.connect()
@@ -278,7 +280,7 @@
 	client.readAnswer()
 	had := agent.received()
 	if ms, err := strconv.Atoi(had[len(had)-1].fields["patience"]); err != nil || ms > 8500 {
-		t.Errorf("patience %d after 500 of 9000 ms have gone by", ms)
+		t.Errorf("patience of %d ms, though 500 of 9000 ms have passed", ms)
 	}
 }
 
@@ -295,13 +297,13 @@
 	client.send(newCall("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
 	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
 	sched.addEventAndWait(false, "late SERVING "+agent.addr)
-	close(reset) // it may have run there: the retry goes to the other
+	close(reset) // the request may have run at the first worker: the retry goes to the other one
 	time.Sleep(100 * time.Millisecond)
-	open() // the connection comes up a second after it was dialed
+	open() // the connection is established a second after it was dialed
 	if got := client.readAnswer(); got.status != 503 {
 		t.Errorf("status %d, want a rejection", got.status)
 	}
-	waitUntil(t, "the connection is up", func() bool {
+	waitUntil(t, "the connection is established", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		return agent.conns > 0
--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A request whose client disconnects is canceled at the agent, and its id may be used again.
+// A request that its client aborts is canceled at the agent, and its FastCGI id may be used again.
 func TestAbortCancelsAtAgent(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
@@ -19,7 +19,7 @@
 	waitUntil(t, "the request is at the agent", func() bool { return len(agent.received()) == 1 })
 	client.write(encodeRecord(2, request.id, 0, ""))
 	client.readAnswer()
-	waitUntil(t, "it is canceled there", func() bool {
+	waitUntil(t, "the request is canceled at the agent", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		return len(agent.halted) == 1 && agent.halted[0] == request.param("HTTP_REQUEST_ID")
@@ -52,7 +52,7 @@
 			request := newCall("certificado", "gone")
 			gone.send(request)
 			stays.send(newCall("certificado", "stays"))
-			time.Sleep(100 * time.Millisecond) // both wait for the connection, which can't come up
+			time.Sleep(100 * time.Millisecond) // both wait for the connection, which can't be established yet
 			tt.leave(gone, request)
 			open()
 			if got := stays.readAnswer(); got.body != "re:stays" {
@@ -91,21 +91,21 @@
 	}
 }
 
-// A request that waits for capacity is not sent once its client has disconnected, in whichever way.
+// A request that waits for capacity is not sent once its client has aborted it or closed the connection.
 func TestDisconnectWhileQueued(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
-	first, cancels, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
-	one := [2]string{"HTTP_X_SPEC", "lanes:1"} // an instance that runs one at a time, and is busy
-	first.send(newCall("consulta", "first", one))
+	first, aborts, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
+	oneLane := [2]string{"HTTP_X_SPEC", "lanes:1"} // an instance runs one request at a time: the others wait
+	first.send(newCall("consulta", "first", oneLane))
 	waitUntil(t, "the first is at the worker", func() bool { return len(agent.received()) == 1 })
-	request := newCall("consulta", "gone", one)
-	cancels.send(request)
-	closes.send(newCall("consulta", "gone", one))
-	stays.send(newCall("consulta", "stays", one))
+	request := newCall("consulta", "gone", oneLane)
+	aborts.send(request)
+	closes.send(newCall("consulta", "gone", oneLane))
+	stays.send(newCall("consulta", "stays", oneLane))
 	time.Sleep(50 * time.Millisecond)
-	cancels.write(encodeRecord(2, request.id, 0, ""))
-	cancels.readAnswer()
+	aborts.write(encodeRecord(2, request.id, 0, ""))
+	aborts.readAnswer()
 	closes.conn.Close()
 	time.Sleep(50 * time.Millisecond)
 	close(release)
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -110,14 +110,14 @@
 		t.Errorf("%d lines for 2 faults", got)
 	}
 	reload("log\n  format json\n", `"msg":"configuration reloaded"`)
-	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // takes effect without a log line
+	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // level error: applied without a log line
 	client := sched.connect()
 	client.send(newCall("consulta", "x"))
 	if got := client.readAnswer(); got.status != 200 {
 		t.Errorf("status %d after reloads", got.status)
 	}
 	sched.addEvent(false, "b SERVING "+agent.addr)
-	waitUntil(t, "the part bulletin has its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
+	waitUntil(t, "the part bulletin logs at its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
 }
 
 func TestOperatorFileCheckedAtStart(t *testing.T) {
--- a/cmd/calicohill/confined_test.go
+++ b/cmd/calicohill/confined_test.go
@@ -17,7 +17,7 @@
 		anyOf = unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K
 		ret   = unix.BPF_RET | unix.BPF_K
 
-		number, firstArg = 0, 16 // places in what the filter is shown
+		number, firstArg = 0, 16 // offsets in struct seccomp_data, the input of the filter
 	)
 	refuse := func(errno unix.Errno) uint32 { return unix.SECCOMP_RET_ERRNO | uint32(errno) }
 	var filter []unix.SockFilter
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// TestConfined guards against a scheduler that needs what the platform refuses: it once made a pair of Unix sockets
-// at its start, and ended there.
+// TestConfined guards against a fault: the program created a pair of Unix sockets at its start, which the platform
+// refuses, and ended there.
 func TestConfined(t *testing.T) {
 	t.Setenv(confinedVariable, "1")
 	sched, _ := startWithAgent(t, echo)
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A draining worker gets no new requests, a new worker at an old address gets connections of its own, and a list
-// service that answers badly is polled again.
+// A draining worker gets no new requests, and a new worker at the address of a removed one gets connections of its own.
+// A list service that fails, or whose answers are invalid, is polled again.
 func TestEndpointList(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -23,12 +23,12 @@
 	waitUntilServedBy(t, sched, "b")
 
 	agentA.mu.Lock()
-	had := agentA.conns
+	connsBefore := agentA.conns
 	agentA.mu.Unlock()
 	sched.addEvent(false, "a DELETED "+agentA.addr, "b DRAINING "+agentB.addr, "c SERVING "+agentA.addr)
 	waitUntilServedBy(t, sched, "a")
 	agentA.mu.Lock()
-	if agentA.conns <= had {
+	if agentA.conns <= connsBefore {
 		t.Errorf("the new worker at the old address had no connection of its own")
 	}
 	agentA.mu.Unlock()
@@ -46,8 +46,7 @@
 	waitUntilServedBy(t, sched, "b")
 }
 
-// The answer of a worker that is removed from the list meanwhile is forwarded, and so is that of a worker that begins
-// to drain.
+// The answer of a worker that began to drain, and was then removed from the list, is still forwarded to the client.
 func TestAnswerCrossesRemoval(t *testing.T) {
 	release := make(chan struct{})
 	agentA := newAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
@@ -67,13 +66,13 @@
 	waitUntilServedBy(t, sched, "b")
 }
 
-// A scheduler without an endpoint list is not ready, rejects requests while their clients can still go elsewhere, shuts
-// down on SIGTERM, and serves as soon as it has a list.
+// A scheduler without an endpoint list is not healthy and rejects requests with 503. It serves as soon as it has a
+// list, and shuts down on SIGTERM also without one.
 func TestBeforeTheFirstList(t *testing.T) {
 	agent := newAgent(t, echo)
 	for _, tt := range []struct {
-		name  string
-		ended bool
+		name      string
+		terminate bool // by SIGTERM, before there is a list
 	}{{"serves when it has one", false}, {"ends without", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			sched := newTestScheduler(t)
@@ -93,7 +92,7 @@
 					t.Errorf("status %d for %s without a list, want 503", got.status, path)
 				}
 			}
-			if tt.ended {
+			if tt.terminate {
 				if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
@@ -109,12 +108,12 @@
 	}
 }
 
-// Events that an answer omits may contain a draining worker: the list is read from its first event. A list service that
-// no longer has them is trusted.
+// Where the service's answer omits events, a draining worker may be among them: the list is read from its first event
+// again. A service that omits them again is believed, and the list goes on with the later events.
 func TestMissingEvents(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		never bool // the service never brings them
+		never bool // the service omits them again
 	}{{"once", false}, {"for good", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
@@ -128,13 +127,13 @@
 			if tt.never {
 				sched.pollOverrides = append(sched.pollOverrides, skips)
 			}
-			held := sched.changed
+			changed := sched.changed
 			sched.events = append(sched.events, fmt.Sprintf(`{"no":2,"roster":{"rev":1,"all":false,"targets":[{"uid":"a","state":"DRAINING","endpoint":%q}]}}`, agentA.addr))
 			sched.events = append(sched.events, fmt.Sprintf(`{"no":3,"roster":{"rev":1,"all":false,"targets":[{"uid":"b","state":"SERVING","endpoint":%q}]}}`, agentB.addr))
 			sched.changed = make(chan struct{})
 			sched.mu.Unlock()
-			close(held)
-			waitUntil(t, "the last event is known", func() bool { return strings.Contains(sched.log.String(), "event=3 ") })
+			close(changed)
+			waitUntil(t, "the last event is applied", func() bool { return strings.Contains(sched.log.String(), "event=3 ") })
 			if tt.never {
 				sched.addEvent(false, "a DRAINING "+agentA.addr) // later events are applied
 			}
@@ -143,8 +142,8 @@
 	}
 }
 
-// How long a stall may last without making the list stale depends on the drain grace: a scheduler that is stopped
-// between two polls for longer than the grace sends nothing to a worker that began to drain meanwhile.
+// A scheduler that was stopped between two polls for longer than the drain grace of the settings takes its list for
+// stale: it sends nothing to a worker that began to drain meanwhile.
 func TestDrainDuringStall(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -155,7 +154,7 @@
 	waitUntilServedBy(t, sched, "a")
 	client := sched.connect()
 	for round := range 5 {
-		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // it has just been answered, and pauses before it polls again
+		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // a poll has just been answered: the scheduler pauses before the next
 		sched.whileStopped(func() {
 			sched.addEvent(true, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 			client.send(newCall("consulta", ""))
--- a/cmd/calicohill/golden_recorder_test.go
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -25,8 +25,8 @@
 // id is the request id that the message names.
 func (m agentMessage) id() string { return strings.Fields(m.text)[1] }
 
-// exchangeRecorder runs one exchange step by step and writes down the bytes that each side sends and receives. The test takes
-// every step itself, so that the order of the steps never depends on the time.
+// exchangeRecorder runs one exchange step by step and records the bytes that each side sends and receives. The test
+// takes every step itself, so that their order never depends on timing.
 type exchangeRecorder struct {
 	t         *testing.T
 	scheduler *testScheduler
@@ -36,7 +36,7 @@
 	out       *strings.Builder
 }
 
-// newExchangeRecorder starts the program with so many agents, all of which the recorder plays.
+// newExchangeRecorder starts the program with a number of agents, all of which the recorder plays.
 func newExchangeRecorder(t *testing.T, out *strings.Builder, agents int) *exchangeRecorder {
 	t.Helper()
 	recorder := &exchangeRecorder{t: t, scheduler: newTestScheduler(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
@@ -93,7 +93,7 @@
 	}
 }
 
-// recordPolls puts a list service in place of the site's, one that keeps the bytes of each poll.
+// recordPolls replaces the scheduler's list service by one that keeps the bytes of each poll.
 func (r *exchangeRecorder) recordPolls() {
 	r.scheduler.listServer.Close()
 	r.scheduler.listServer = httptest.NewUnstartedServer(http.HandlerFunc(r.scheduler.poll))
@@ -129,17 +129,17 @@
 		end += len(headEnd)
 		select {
 		case c.requests <- string(c.pending[:end]):
-		default: // more than any exchange looks at
+		default: // the buffer is full: more polls than any exchange compares
 		}
 		c.pending = c.pending[end:]
 	}
 	return n, err
 }
 
-// write adds bytes to the record.
+// write adds a line to the record: who sends or receives, and the bytes.
 func (r *exchangeRecorder) write(who, text string) { fmt.Fprintf(r.out, "%s %s\n", who, quote(text)) }
 
-// quote writes bytes as Go does, with long runs of one letter as a product.
+// quote quotes bytes as Go does, and shortens runs of 64 or more equal bytes to a product, such as "x"*5000.
 func quote(text string) string {
 	const long = 64
 	var parts []string
@@ -188,7 +188,7 @@
 	}
 }
 
-// receives reads as the client, up to and with a record of a type.
+// receives reads records as the client, up to and including the first of a type.
 func (r *exchangeRecorder) receives(last byte) {
 	r.t.Helper()
 	for {
@@ -231,16 +231,16 @@
 		r.write("agent receives ", r.withoutTimeout(message.text))
 		return message
 	case <-time.After(waitTimeout):
-		r.t.Fatal("nothing comes to an agent")
+		r.t.Fatal("no message arrives at an agent")
 		return agentMessage{}
 	}
 }
 
-// withoutPatience replaces the time that an attempt has left, which must be within the budget of its request.
+// withoutTimeout replaces the time that an attempt has left, which must be within the budget of its request.
 func (r *exchangeRecorder) withoutTimeout(text string) string {
 	if m := timeoutField.FindStringSubmatch(text); m != nil {
 		if ms, err := strconv.Atoi(m[1]); err != nil || ms <= 0 || ms > goldenBudget {
-			r.t.Errorf("patience %s of a budget of %d", m[1], goldenBudget)
+			r.t.Errorf("patience=%s, want more than 0 and at most the budget of %d", m[1], goldenBudget)
 		}
 	}
 	return timeoutField.ReplaceAllString(text, ",patience=PATIENCE$2")
@@ -267,7 +267,7 @@
 	message.conn.Close()
 }
 
-// polled adds the next poll that the list service receives.
+// polled records the next poll that the list service receives.
 func (r *exchangeRecorder) polled() {
 	r.t.Helper()
 	select {
@@ -278,8 +278,8 @@
 	}
 }
 
-// finish checks that the agents receive nothing else. The program has answered a request of its own connection by then,
-// so that what it does about the exchange is done.
+// finish checks that the agents receive nothing else. It first has a health check answered on another connection: by
+// then the program has sent all that the exchange makes it send.
 func (r *exchangeRecorder) finish() {
 	r.t.Helper()
 	client := r.scheduler.connect()
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -15,11 +15,11 @@
 // goldenFile holds all exchanges.
 //
 // The file was made by the program as it was before the code's names were changed. It shows that no later change of
-// names touched a byte on the wire, so it is never made anew to get a pass: only a change of the protocol itself, stated
-// as such in its commit, may change it: the file is removed for that and recorded again with -record.
+// names touched a byte on the wire, so it is never made anew to get a pass: only a change of the protocol itself,
+// stated as such in its commit, may change it: the file is removed for that and recorded again with -record.
 const goldenFile = "exchanges.txt"
 
-// What differs between runs, and nothing else, is replaced by a name.
+// The parts of messages that differ between runs. They are replaced by a placeholder, and nothing else is.
 var (
 	timeoutField = regexp.MustCompile(`,patience=([1-9][0-9]{0,3})([, ])`)
 	hostHeader   = regexp.MustCompile(`\r\nHost: 127\.0\.0\.1:[0-9]{1,5}\r\n`)
@@ -43,7 +43,7 @@
 	return newCall(class, body, append(fixed, change...)...)
 }
 
-// answered is an exchange of one attempt: the agent answers, and the client receives what comes of it.
+// answered is an exchange of one attempt: the agent answers, and the client receives the outcome.
 func answered(class, answer string) func(*exchangeRecorder) {
 	return func(recorder *exchangeRecorder) {
 		recorder.sends(goldenCall(class, "x").bytes())
@@ -70,7 +70,7 @@
 	}
 }
 
-// closed is an exchange that the program cannot understand: it ends the connection.
+// closed is an exchange that breaks the protocol: the program closes the connection.
 func closed(data []byte) func(*exchangeRecorder) {
 	return func(recorder *exchangeRecorder) {
 		recorder.sends(data)
@@ -78,7 +78,7 @@
 	}
 }
 
-// managed is an exchange of records that belong to no request.
+// managed is an exchange of management records, which belong to no request.
 func managed(data []byte, answer byte) func(*exchangeRecorder) {
 	return func(recorder *exchangeRecorder) {
 		recorder.sends(data)
@@ -154,7 +154,8 @@
 	}
 }
 
-// answerExchanges are answers in pieces, of several records, to nobody and in another order; all are served.
+// answerExchanges are answers in fragments, in several FastCGI records, under an unknown id and out of order. All
+// requests are served.
 func answerExchanges() []exchange {
 	return []exchange{
 		{"served, answer in pieces", 1, func(recorder *exchangeRecorder) {
@@ -256,7 +257,7 @@
 		{"rejected, body too long", 1, rejected(tooLong)},
 		{"rejected, parameters too long", 1, rejected(goldenCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}))},
 		{"rejected, not complete in time", 1, func(recorder *exchangeRecorder) {
-			// A first complete request, or the time of the connection would run out beside that of the request.
+			// A complete request comes first, or the timeout of the new connection would expire along with that of the request.
 			recorder.sends(healthRequest().bytes())
 			recorder.receives(typeEndRequest)
 			recorder.sends(encodeRecord(1, 1, 0, beginKeepAlive))
@@ -289,8 +290,8 @@
 // TestGoldenExchanges compares what the program sends to clients, agents and the list service with what it sent when
 // the golden file was made, byte for byte.
 func TestGoldenExchanges(t *testing.T) {
-	whole := !strings.Contains(flag.Lookup("test.run").Value.String(), "/") // all exchanges are run
-	if golden.Recording() && !whole {
+	runsAll := !strings.Contains(flag.Lookup("test.run").Value.String(), "/") // all exchanges are run
+	if golden.Recording() && !runsAll {
 		t.Fatal("-record writes the whole file: it goes with all exchanges")
 	}
 	var all strings.Builder
@@ -311,7 +312,7 @@
 	case t.Failed():
 	case golden.Recording():
 		golden.Record(t, goldenFile, []byte(all.String()))
-	case whole:
+	case runsAll:
 		if want := string(golden.Read(t, goldenFile)); all.String() != want {
 			t.Error("the golden file has other exchanges than the test, or another order of them")
 		}
--- a/cmd/calicohill/harness_client_test.go
+++ b/cmd/calicohill/harness_client_test.go
@@ -47,7 +47,7 @@
 	return &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// connectSlowReader connects a client whose system buffers little of what it does not read.
+// connectSlowReader connects a client with a small receive buffer: little is sent to it of what it does not read.
 func (s *testScheduler) connectSlowReader() *testClient {
 	s.t.Helper()
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
@@ -102,7 +102,8 @@
 	}
 }
 
-// closedByServer reads on and reports whether the scheduler closed the connection, before waitTimeout.
+// closedByServer reads on until the connection ends, and reports whether the scheduler closed it. Each record may take
+// up to waitTimeout.
 func (c *testClient) closedByServer() bool {
 	for {
 		_, _, _, err := c.readRecord()
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -20,7 +20,7 @@
 	"calicohill/internal/testbed"
 )
 
-// testSettings returns the platform's settings of the only scheduler of a site.
+// testSettings returns the platform's settings for a scheduler that runs alone.
 func testSettings() testbed.PlatformSettings {
 	return testbed.PlatformSettings{Schedulers: 1, IdleCloseMillis: 15_000, InstanceIdleMillis: 9_000}
 }
@@ -31,7 +31,7 @@
 	addr    string // for clients
 	cmd     *exec.Cmd
 	log     *testbed.Log
-	ended   chan error // gets the process's end
+	ended   chan error // receives the result of Wait when the process has ended
 	started bool
 
 	// The configuration, which can be changed before the start.
@@ -151,7 +151,8 @@
 	}
 }
 
-// stop kills the process at the end of the test. One that has exited by itself must have done so with code 0.
+// stop kills the process at the end of the test, and fails the test if the process had exited by itself with an error,
+// or had raced or panicked.
 func (s *testScheduler) stop() {
 	_ = s.cmd.Process.Kill() // fails if it has ended
 	if err := <-s.ended; err != nil && !strings.Contains(err.Error(), "killed") {
@@ -176,7 +177,8 @@
 	return sched.start(), agent
 }
 
-// waitUntilServedBy sends requests until one is answered with a body, and then checks that further ones are too.
+// waitUntilServedBy sends requests until one is answered with that body, and then expects the next 20 to be answered
+// with the same one.
 func waitUntilServedBy(t *testing.T, sched *testScheduler, want string) {
 	t.Helper()
 	client := sched.connect()
@@ -211,5 +213,5 @@
 	if err := s.cmd.Process.Kill(); err != nil {
 		s.t.Fatal(err)
 	}
-	s.ended <- <-s.ended // for the end of the test
+	s.ended <- <-s.ended // waits, and keeps the result for stop
 }
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// program returns a command that runs the program, and the buffer that its log goes to.
+// program returns a command that runs the program, and the buffer that receives its standard output and error.
 func program(t *testing.T, args ...string) (*exec.Cmd, *testbed.Log) {
 	t.Helper()
 	self, err := os.Executable()
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A clientLoadCase is what thirty clients do before another one comes, and whether that one is let in.
+// A clientLoadCase is what thirty clients do before another one connects, and whether that one is accepted.
 type clientLoadCase struct {
 	name     string
 	before   func(client *testClient)
@@ -31,14 +31,14 @@
 		}
 	}, true},
 	{"requests open", func(client *testClient) {
-		// Each of a function of its own, or the module would refuse some.
+		// Each of a function of its own, or the scheduler would reject some.
 		request := newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"})
 		client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")}))
 	}, false},
 }
 
-// Clients hold at most a third of the descriptors. Those without an open request are closed for others, and those with
-// one are served.
+// Clients hold at most a third of the descriptors. Clients without a complete request in progress are disconnected to
+// make room; those with one are served, and the newcomer is disconnected.
 func TestTooManyClients(t *testing.T) {
 	for _, tt := range clientLoadCases {
 		t.Run(tt.name, tt.run)
@@ -72,7 +72,7 @@
 	if !tt.accepted {
 		waitUntil(t, "all requests are at workers", func() bool { return had() == len(clients) })
 		if !sched.connect().closedByServer() {
-			t.Error("the 31st was let in")
+			t.Error("the 31st client was accepted")
 		}
 		close(release)
 		for _, client := range clients {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Where all connections are held by clients that were served, one that was just accepted stays until its request has
-// arrived, though others are accepted meanwhile.
+// Where all connections are held by clients that were served, one that was just accepted is not evicted before its
+// request has arrived, though another is accepted meanwhile.
 func TestJustAcceptedClientStays(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	sched.kill()
@@ -103,7 +103,7 @@
 		kind, _, _, err := client.readRecord()
 		return err == nil && kind == 6
 	}
-	// A machine that is busy with other things may take too long over one round, but not over all.
+	// A new connection is spared for 250 ms: on a busy machine a round may take longer, but not all rounds do.
 	waitUntil(t, "one that was just accepted is served", func() bool {
 		var clients []*testClient
 		for range 32 {
@@ -117,8 +117,8 @@
 	})
 }
 
-// A client that sends no complete record is answered or closed after a timeout; any other may stay connected without a
-// limit.
+// A client that does not complete its request is answered with 408 or disconnected after a timeout. So is one that
+// leaves a record incomplete, also on a connection that has carried a complete request.
 func TestIncompleteRequestTimeout(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	served := sched.connect()
@@ -159,6 +159,7 @@
 					t.Errorf("status %d, want %d", got.status, tt.status)
 				}
 			}
+			// After a complete request the connection may stay open, if only a request and no record is incomplete.
 			if tt.name != "no end, later" && !client.closedByServer() {
 				t.Error("the connection stays open")
 			}
@@ -177,16 +178,16 @@
 		client.send(request)
 	}
 	if got := client.readAnswer(); got.id != 33 || got.protocolStatus != 2 {
-		t.Errorf("request %d ended with protocol status %d, want 33 overloaded", got.id, got.protocolStatus)
+		t.Errorf("request %d ended with protocol status %d, want request 33 rejected with 2, overloaded", got.id, got.protocolStatus)
 	}
-	client.write(encodeRecord(5, 7, 0, "")) // the others go on
+	client.write(encodeRecord(5, 7, 0, "")) // ends the body of request 7: the others are unaffected
 	if got := client.readAnswer(); got.id != 7 || got.body != "re:x" {
-		t.Errorf("then request %d ended with %d, want 7 served", got.id, got.status)
+		t.Errorf("after that, request %d ended with status %d, want request 7 served", got.id, got.status)
 	}
 }
 
-// Dials that are established all at once, while clients hold all connections that they may, leave descriptors for one
-// more client: without one the event loop would end.
+// Connections to workers that are established all at once, while clients hold their full third of the descriptors,
+// leave descriptors for one more client. Guards against a fault: with none left, the event loop ended.
 func TestDescriptorsOfDials(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.maxSockets = 66
@@ -205,7 +206,7 @@
 		request.id, request.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
 		asks.send(request)
 	}
-	time.Sleep(200 * time.Millisecond) // the dials are under way, and none can come up
+	time.Sleep(200 * time.Millisecond) // the connections are being dialed, and none can be established
 	var idle []*testClient
 	sched.whileStopped(func() {
 		for range 60 {
@@ -214,7 +215,7 @@
 		for _, up := range open {
 			up()
 		}
-		time.Sleep(1500 * time.Millisecond) // the connections come up
+		time.Sleep(1500 * time.Millisecond) // until the workers' connections are established
 	})
 	for range 30 {
 		asks.readAnswer()
@@ -222,15 +223,15 @@
 	client := sched.connect()
 	client.send(newCall("consulta", "after"))
 	if got := client.readAnswer(); got.body != "re:after" {
-		t.Errorf("status %d for a client that came then", got.status)
+		t.Errorf("status %d for a client that connected afterwards", got.status)
 	}
 	if text := sched.log.String(); strings.Contains(text, "too many open files") {
 		t.Error("the program ran out of descriptors")
 	}
 }
 
-// Idle clients that hold all connections they can get at three schedulers, while the list service is down, keep none of
-// them from the list service and new workers once it is back, nor other clients from being served.
+// While the list service is down, idle clients take all connections that they can get at three schedulers. Once the
+// service is back, each scheduler still reaches it and new workers, and serves other clients.
 func TestDescriptorsOfIdleClients(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -266,7 +267,7 @@
 	sched.listServer.Start()
 	sched.addEvent(false, "a DELETED "+agentA.addr, "b SERVING "+agentB.addr)
 	for _, sched := range schedulers {
-		waitUntil(t, "it knows of the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
+		waitUntil(t, "the scheduler has applied the second event", func() bool { return strings.Contains(sched.log.String(), "event=2 ") })
 		for range 60 {
 			sched.connect()
 		}
@@ -277,7 +278,7 @@
 	}
 }
 
-// Requests that are begun on many connections and never completed give up their buffers to others.
+// Requests that are begun on many connections and never completed lose their buffers to the requests of others.
 func TestIncompleteRequestsReleaseBuffers(t *testing.T) {
 	agent := newAgent(t, echo)
 	sched := newTestScheduler(t)
@@ -301,6 +302,6 @@
 			client.send(request)
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // they have 2 s
+	time.Sleep(500 * time.Millisecond) // longer than 0.25 s, and well before the 2 s after which they would be closed anyway
 	sendRequests()
 }
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -41,7 +41,8 @@
 	return sched.start(), agent
 }
 
-// Rules decide the class that a worker receives; what runs stays the function. None makes a call less strict.
+// Rules decide the class that a worker receives. The function that runs is unchanged. No rule can give a request a
+// class with weaker guarantees.
 func TestRules(t *testing.T) {
 	status := filepath.Join(t.TempDir(), "status.json")
 	sched, agent := startWithRules(t, "log\n  level debug rules\n  status "+status+"\n"+testRules, echo)
@@ -91,20 +92,21 @@
 	}
 }
 
-// Under traffic rules are added and removed by reloads; an invalid file changes nothing, and each call is evaluated by
-// one set of rules.
+// Rules are replaced by reloads under traffic. An invalid file changes nothing, and each call is evaluated by one set
+// of rules.
 func TestReloadRules(t *testing.T) {
-	var odd atomic.Int32
+	var wrongClass atomic.Int32
 	sched, _ := startWithRules(t, testRules, func(n int, request agentRequest) string {
-		// Under either set the class and the body, which names the class that the client requested, go together.
+		// The body names the prefix of the function: under one set of rules "cc" becomes certificado, under the other
+		// registro-horas, and "dd" stays consulta under both.
 		if class := request.fields["sort"]; request.body == "cc" && class != "certificado" && class != "registro-horas" || request.body == "dd" && class != "consulta" {
-			odd.Add(1)
+			wrongClass.Add(1)
 		}
 		return echo(n, request)
 	})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	var asked atomic.Int32
+	var answered atomic.Int32
 	end := sync.OnceFunc(func() { close(stop); wg.Wait() })
 	t.Cleanup(end)
 	for range 3 {
@@ -116,12 +118,12 @@
 					return
 				default:
 				}
-				kind := []string{"cc", "dd"}[i%2]
-				client.send(newCall("consulta", kind, [2]string{"HTTP_RESOURCE_KEY", kind + "00000000000001"}, [2]string{"HTTP_X_CENTRE", "z"}))
+				prefix := []string{"cc", "dd"}[i%2]
+				client.send(newCall("consulta", prefix, [2]string{"HTTP_RESOURCE_KEY", prefix + "00000000000001"}, [2]string{"HTTP_X_CENTRE", "z"}))
 				if got := client.readAnswer(); got.status != 200 && got.status != 503 {
 					t.Errorf("status %d", got.status)
 				}
-				asked.Add(1)
+				answered.Add(1)
 			}
 		})
 	}
@@ -130,11 +132,11 @@
 		if err := os.WriteFile(sched.operatorFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := asked.Load()
+		before := answered.Load()
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, says, func() bool { return strings.Count(sched.log.String(), says) >= times && asked.Load() > before+20 })
+		waitUntil(t, says, func() bool { return strings.Count(sched.log.String(), says) >= times && answered.Load() > before+20 })
 	}
 	for i := range 4 {
 		reload(strings.Replace(testRules, "class  certificado", "class  registro-horas", 1), "configuration reloaded", 2*i+1)
@@ -142,8 +144,8 @@
 		reload(testRules, "configuration reloaded", 2*i+2)
 	}
 	end()
-	if odd.Load() > 0 {
-		t.Errorf("%d calls went under a class that no rule gives them", odd.Load())
+	if wrongClass.Load() > 0 {
+		t.Errorf("%d calls reached the worker under a class that neither set of rules gives them", wrongClass.Load())
 	}
 }
 
@@ -199,21 +201,21 @@
     pool slow
 `
 
-// expectAllAt sends requests for some functions and expects them all at one agent.
+// expectAllAt sends requests for six functions and expects them all at one agent.
 func expectAllAt(t *testing.T, target *nodeAgent, agents []*nodeAgent, sendRequest func(function int) int, when string) {
 	t.Helper()
 	before := map[*nodeAgent]int{}
-	for _, n := range agents {
-		before[n] = len(n.received())
+	for _, agent := range agents {
+		before[agent] = len(agent.received())
 	}
 	for i := range 6 {
 		if got := sendRequest(i); got != 200 {
 			t.Errorf("%s: status %d", when, got)
 		}
 	}
-	for _, n := range agents {
-		if got := len(n.received()) - before[n]; (n == target) != (got == 6) || n != target && got != 0 {
-			t.Errorf("%s: %d requests at an agent, the right one is it: %v", when, got, n == target)
+	for _, agent := range agents {
+		if got := len(agent.received()) - before[agent]; (agent == target) != (got == 6) || agent != target && got != 0 {
+			t.Errorf("%s: %d of 6 requests at %s (the target: %v)", when, got, agent.addr, agent == target)
 		}
 	}
 }
@@ -223,15 +225,15 @@
 	t.Helper()
 	before := strings.Count(sched.log.String(), "worker list changed")
 	sched.addEvent(false, target)
-	waitUntil(t, "the list is taken in", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
+	waitUntil(t, "the list is applied", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
 }
 
-// Requests of a route stay in its first pool as long as somebody there is usable, and in the next one otherwise; the
-// third worker belongs to none and is sent nothing.
+// Requests of a route go to its first pool as long as a worker there is usable, and to the next pool otherwise. The
+// third worker belongs to no pool and gets no requests.
 func TestPools(t *testing.T) {
-	var mute atomic.Bool
+	var unresponsive atomic.Bool
 	agentA := newAgent(t, func(n int, request agentRequest) string {
-		if mute.Load() {
+		if unresponsive.Load() {
 			return ""
 		}
 		return echo(n, request)
@@ -248,26 +250,26 @@
 		client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}, [2]string{"HTTP_BUDGET_MS", "1500"}))
 		return client.readAnswer().status
 	}
-	goes := func(target *nodeAgent, when string) {
+	expectServedBy := func(target *nodeAgent, when string) {
 		t.Helper()
 		expectAllAt(t, target, []*nodeAgent{agentA, agentB, other}, sendRequest, when)
 	}
-	goes(agentA, "both pools serve")
+	expectServedBy(agentA, "both pools have a worker")
 	changeEndpoint(t, sched, "f DRAINING "+agentA.addr)
-	goes(agentB, "the first pool drains")
+	expectServedBy(agentB, "the first pool's worker drains")
 	changeEndpoint(t, sched, "f SERVING "+agentA.addr)
-	goes(agentA, "the first pool serves again")
+	expectServedBy(agentA, "the first pool serves again")
 	changeEndpoint(t, sched, "f DELETED "+agentA.addr)
-	goes(agentB, "the first pool is empty")
+	expectServedBy(agentB, "the first pool is empty")
 	changeEndpoint(t, sched, "f2 SERVING "+agentA.addr)
-	goes(agentA, "another has come")
-	mute.Store(true)
+	expectServedBy(agentA, "the first pool has another worker")
+	unresponsive.Store(true)
 	waitUntil(t, "the fallback pool serves for an unresponsive one", func() bool { return sendRequest(1) == 200 })
 	if len(other.received()) > 0 {
 		t.Error("a worker of no pool was sent a request")
 	}
-	mute.Store(false)
-	// A reload takes the pools away.
+	unresponsive.Store(false)
+	// A reload removes the pools: the third worker gets requests too.
 	if err := os.WriteFile(sched.operatorFile, []byte("match all\n  route lane\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// expectNewAuthorityApplied sets a new authority beside the old one, and expects a member that has a key of it to join.
+// expectNewAuthorityApplied adds a new authority beside the old one, and expects a member with a key of it to join.
 func expectNewAuthorityApplied(t *testing.T, fleet, trusting *testbed.Fleet) {
 	t.Helper()
 	next, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
@@ -36,7 +36,7 @@
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	waitForAll(t, trusting, "the new authority is taken up", func(instance *testbed.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
+	waitForAll(t, trusting, "the new authority is applied", func(instance *testbed.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
 	fleet.Instances[3].Kill()
 	if err := fleet.Instances[3].NewKey(next); err != nil {
 		t.Fatal(err)
@@ -50,7 +50,8 @@
 	waitUntilJoined(t, fleet, 4)
 }
 
-// expectEarlierDuplicateStops starts another with the name and the key of n1, at other addresses.
+// expectEarlierDuplicateStops starts a second scheduler with the name and the key of n1, at other addresses, and
+// expects n1, the earlier of the two, to stop its gossip.
 func expectEarlierDuplicateStops(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	duplicate := fleet.Instances[1].Duplicate()
@@ -61,13 +62,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(duplicate.Kill)
-	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two with one name falls silent", func(instance *testbed.Instance) bool {
+	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two schedulers with one name stops its gossip", func(instance *testbed.Instance) bool {
 		return instance.Count("name conflict: another scheduler with this name started later, gossip stopped") == 1
 	})
 }
 
-// Keys: a revoked one is dropped on reload, one of a new authority taken in, a file that others may read refused;
-// and of two with one name the later stays.
+// A reload of the gossip section drops a member with a revoked certificate, applies a new authority, and is refused if
+// others may read the key file. Of two schedulers with one name and key, the earlier one stops its gossip.
 func TestPeerKeys(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 4, 2)
@@ -89,12 +90,12 @@
 
 	expectNewAuthorityApplied(t, fleet, trusting)
 
-	// A key that others may read changes nothing.
+	// A key file that others may read is refused.
 	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	reloadGossip(t, fleet.Instances[0], "  revoked fleet.revoked\n")
-	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "an open key is refused", func(instance *testbed.Instance) bool {
+	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "a key that others may read is refused", func(instance *testbed.Instance) bool {
 		return strings.Contains(instance.Log.String(), "0600 is needed")
 	})
 
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -62,7 +62,7 @@
 	for _, instance := range fleet.Instances {
 		for end := time.Now().Add(2 * waitTimeout); !ok(instance); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("it does not come true that %s: %s\n%s", what, instance.Name, instance.Log)
+				t.Fatalf("timed out waiting until %s, at %s:\n%s", what, instance.Name, instance.Log)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 	return false
 }
 
-// faultHistory returns each scheduler's log lines about a member, in the order of time.
+// faultHistory returns the log lines of all schedulers about a member, in the order of time.
 func faultHistory(fleet *testbed.Fleet, peer string) string {
 	var lines []string
 	for _, instance := range fleet.Instances {
@@ -92,14 +92,16 @@
 	return strings.Join(lines, "\n")
 }
 
-const (
-	byzantineName = "byzantine"
+// byzantineName is the name of the member that sends false reports.
+const byzantineName = "byzantine"
 
+// Messages of log lines about fault reports.
+const (
 	lineConfirmedFaulty = "worker confirmed faulty by peers"
 	lineReportsIgnored  = "peer reports ignored for a while"
 )
 
-// fleetRequest returns a request of a class, whose body names the scheduler that it goes through.
+// fleetRequest returns a request of a class, whose body names the scheduler that it is sent through.
 func fleetRequest(instance *testbed.Instance, class string, function int) fastcgi.Request {
 	return fastcgi.Request{
 		Path: "/rpc/" + class, ID: randomHex(8), IdempotencyKey: randomHex(16),
@@ -136,8 +138,8 @@
 		t.Cleanup(func() { closeClient(client) })
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				for k := range 4 { // some at a time: an unresponsive worker is detected by two that are overdue
-					// What becomes of one is not the matter here.
+				for k := range 4 { // several at a time: an unresponsive worker is detected by two overdue requests
+					// The outcome does not matter: these requests only give the schedulers something to observe.
 					wg.Go(func() { _, _ = client.Do(ctx, fleetRequest(instance, "consulta", 1+(4*n+k)%40)) })
 				}
 				time.Sleep(time.Duration(40+10*i) * time.Millisecond) // each at a rate of its own
@@ -148,7 +150,8 @@
 }
 
 // A dozen schedulers as processes, with faults one after another. No worker is ejected on the reports of one byzantine
-// member; a true fault reaches a scheduler that has not observed it; a flood, a pause and restarts do no harm.
+// member; a true fault is reported to a scheduler that has not observed it; during a flood of forged datagrams calls
+// are served, and after a pause and restarts all members are back.
 func TestSharedFaultReports(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, fleetSize, 12)
@@ -182,11 +185,12 @@
 	expectMessageRateBounded(t, fleet)
 }
 
-// expectMassAccuserIgnored has a member accuse every worker: all stop hearing it, and nobody leaves a worker out.
+// expectMassAccuserIgnored has a byzantine member accuse every worker: all schedulers ignore its reports, and none
+// ejects a worker.
 func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *testbed.ByzantineMember, ids []string) {
 	t.Helper()
 	byzantine.Accuse(ids)
-	waitForAll(t, fleet, "a mass accuser is not heard", func(instance *testbed.Instance) bool {
+	waitForAll(t, fleet, "the reports of a mass accuser are ignored", func(instance *testbed.Instance) bool {
 		return hasLogLine(instance, lineReportsIgnored, "peer", byzantineName)
 	})
 	for _, instance := range fleet.Instances {
@@ -196,7 +200,7 @@
 	}
 }
 
-// expectServedDespiteByzantine expects calls to be served while a byzantine accuses a few workers alone.
+// expectServedDespiteByzantine expects calls to be served while a byzantine member alone accuses a few workers.
 func expectServedDespiteByzantine(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	for i := range 20 {
@@ -206,12 +210,13 @@
 	}
 }
 
-// expectUnresponsiveWorkerShared has a worker fall silent, and expects the last instance, which has no traffic of its own, to hear
-// of it all the same. Nobody leaves out another worker, and the silent one is taken back once it answers.
+// expectUnresponsiveWorkerShared makes a worker unresponsive, and expects the last scheduler, which has no traffic of
+// its own, to learn of it from the reports of the others. No scheduler ejects another worker, and the unresponsive one
+// is readmitted once it answers again.
 func expectUnresponsiveWorkerShared(t *testing.T, fleet *testbed.Fleet, ids []string) {
 	t.Helper()
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
-	waitUntil(t, "many have received answers of the worker", func() bool {
+	waitUntil(t, "half of the schedulers have sent requests to the worker", func() bool {
 		from := map[string]bool{}
 		for _, a := range fleet.Workers[5].Arrivals() {
 			from[a.From] = true
@@ -222,7 +227,7 @@
 	idle := fleet.Instances[fleetSize-1]
 	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineConfirmedFaulty, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("an instance without traffic is not notified of an unresponsive worker\n%s", idle.Log)
+			t.Fatalf("a scheduler without traffic is not notified of an unresponsive worker\n%s", idle.Log)
 		}
 	}
 	for _, instance := range fleet.Instances {
@@ -233,14 +238,14 @@
 		}
 	}
 	fleet.Workers[5].Set(testbed.WorkerHealthy)
-	waitForAll(t, fleet, "the worker is taken back", func(instance *testbed.Instance) bool {
+	waitForAll(t, fleet, "the worker is readmitted", func(instance *testbed.Instance) bool {
 		n := instance.Count(lineConfirmedFaulty)
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
 	})
 	stop()
 }
 
-// expectServedDuringFlood sends forged datagrams: calls are served, and few signatures are checked.
+// expectServedDuringFlood sends forged datagrams to a scheduler: it drops them, and serves calls meanwhile.
 func expectServedDuringFlood(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
@@ -256,7 +261,8 @@
 	}
 }
 
-// expectPausedMemberBack stops a member for 3 s: it comes back and accuses nobody, and nobody was taken for dead.
+// expectPausedMemberBack stops a member for 3 s: the others find it alive afterwards, and until then no scheduler has
+// declared a member other than the byzantine one dead.
 func expectPausedMemberBack(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	if err := fleet.Instances[3].Signal(syscall.SIGSTOP); err != nil {
@@ -266,7 +272,7 @@
 	if err := fleet.Instances[3].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	waitForAll(t, fleet, "the one that was stopped is taken for alive", func(instance *testbed.Instance) bool {
+	waitForAll(t, fleet, "the member that was stopped is alive again", func(instance *testbed.Instance) bool {
 		last := ""
 		for _, line := range instance.Log.Lines() {
 			switch msg := line.Text("msg"); msg {
@@ -287,7 +293,7 @@
 	}
 }
 
-// restartHalf kills half of the members, which are back at once under their names.
+// restartHalf kills half of the members and starts them at once under the same names: all members join again.
 func restartHalf(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances[:fleetSize/2] {
@@ -301,7 +307,7 @@
 	waitUntilJoined(t, fleet, fleetSize)
 }
 
-// expectMessageRateBounded stops all members, whose logs say then how many messages they sent in a second at most.
+// expectMessageRateBounded stops all members, which then log the most messages that they sent in any second.
 func expectMessageRateBounded(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// expectUnusableConfigsRejected reloads files that can't be used, and expects each to be rejected. What would end a start
-// changes nothing either: not even the address of the list service.
+// expectUnusableConfigsRejected reloads files that can't be used, and expects each to be rejected. All but the first
+// also name another address for the list service, which must not be applied.
 func expectUnusableConfigsRejected(t *testing.T, sched *testScheduler) {
 	t.Helper()
 	text, err := os.ReadFile(sched.configFile)
@@ -27,7 +27,7 @@
 		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1),
 	} {
 		if bad == moved {
-			t.Fatalf("file %d is as it was", i)
+			t.Fatalf("file %d is unchanged but for the address", i)
 		}
 		if err := os.WriteFile(sched.configFile, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
@@ -35,12 +35,12 @@
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, fmt.Sprintf("file %d is not taken", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
+		waitUntil(t, fmt.Sprintf("file %d is rejected", i), func() bool { return strings.Count(sched.log.String(), "reload failed") == i+1 })
 	}
 }
 
-// SIGHUP has the list service polled at the address that the file names then, from the last event on. A file that can't
-// be used changes nothing, and neither affects a request in flight.
+// After SIGHUP the list service is polled at the address in the configuration file, from the last event on. A file that
+// can't be used changes nothing, and neither kind of file affects a request in flight.
 func TestReload(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	release := make(chan struct{})
@@ -52,8 +52,8 @@
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	sched.addEvent(true, "held SERVING "+held.addr)
 	sched.start()
-	out := sched.connect()
-	out.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
+	client := sched.connect()
+	client.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
 	waitUntil(t, "a request is in flight", func() bool { return len(held.received()) == 1 })
 
 	hup := func(want string) {
@@ -77,7 +77,7 @@
 	waitUntilServedBy(t, sched, "c")
 	waitUntil(t, "the old polls end", func() bool { return sched.countPoll(address, 0) == 0 })
 	close(release)
-	if got := out.readAnswer(); got.status != 200 || got.body != "held" {
+	if got := client.readAnswer(); got.status != 200 || got.body != "held" {
 		t.Errorf("the request in flight got status %d, body %q", got.status, got.body)
 	}
 	old.Close()
@@ -85,22 +85,22 @@
 
 // A configuration that can't be used ends the program at once, with one line that says why.
 func TestBadConfiguration(t *testing.T) {
-	whole := `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":` +
+	complete := `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":` +
 		string(testSettings().JSON()) + `}`
 	for _, tt := range []struct{ name, text, want string }{
 		{"not JSON", "{", "unexpected end"},
-		{"no address", strings.Replace(whole, "127.0.0.1:0", "", 1), "listen"},
-		{"seed", strings.Replace(whole, `"seed":"1"`, `"seed":"x"`, 1), "seed"},
+		{"no address", strings.Replace(complete, "127.0.0.1:0", "", 1), "listen"},
+		{"seed", strings.Replace(complete, `"seed":"1"`, `"seed":"x"`, 1), "seed"},
 		{"no settings", `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1"}`, "no settings"},
-		{"settings", strings.Replace(whole, "read_like", "harmless", 1), "effect"},
-		{"no class", strings.Replace(whole, `"attemptsCap":4`, `"attemptsCap":0`, 1), "attempt"},
-		{"known", strings.Replace(whole, `"seed"`, `"known":{"items":7},"seed"`, 1), "known"},
-		{"two classes of a name", strings.Replace(whole, `"name":"consulta"`, `"name":"certificado"`, 1), "another's"},
-		{"class without a name", strings.Replace(whole, `"name":"consulta"`, `"name":""`, 1), "name"},
-		{"class that is no word", strings.Replace(whole, `"name":"consulta"`, `"name":"a,asset=b"`, 1), "name"},
-		{"a time below 0", strings.Replace(whole, `"coldMs":17000`, `"coldMs":-1`, 1), "time"},
-		{"a time beyond all", strings.Replace(whole, `"coldMs":17000`, `"coldMs":1e300`, 1), "time"},
-		{"sockets", strings.Replace(whole, `"seed"`, `"limits":{"sockets":3},"seed"`, 1), "sockets"},
+		{"settings", strings.Replace(complete, "read_like", "harmless", 1), "effect"},
+		{"no class", strings.Replace(complete, `"attemptsCap":4`, `"attemptsCap":0`, 1), "attempt"},
+		{"known", strings.Replace(complete, `"seed"`, `"known":{"items":7},"seed"`, 1), "known"},
+		{"two classes of a name", strings.Replace(complete, `"name":"consulta"`, `"name":"certificado"`, 1), "another's"},
+		{"class without a name", strings.Replace(complete, `"name":"consulta"`, `"name":""`, 1), "name"},
+		{"class that is no word", strings.Replace(complete, `"name":"consulta"`, `"name":"a,asset=b"`, 1), "name"},
+		{"a time below 0", strings.Replace(complete, `"coldMs":17000`, `"coldMs":-1`, 1), "time"},
+		{"a time beyond all", strings.Replace(complete, `"coldMs":17000`, `"coldMs":1e300`, 1), "time"},
+		{"sockets", strings.Replace(complete, `"seed"`, `"limits":{"sockets":3},"seed"`, 1), "sockets"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -121,8 +121,8 @@
 	}
 }
 
-// A new configuration without a class, or with other figures for it, changes nothing for requests in flight or new
-// ones: a scheduler runs with the settings of its start.
+// A reloaded configuration that lacks a class, or has other settings for it, changes nothing for requests in flight or
+// new ones: a scheduler keeps the settings that it was started with.
 func TestReloadWithoutAClass(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
@@ -143,10 +143,10 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the configuration is read", func() bool { return strings.Contains(sched.log.String(), "configuration reloaded") })
+	waitUntil(t, "the configuration is reloaded", func() bool { return strings.Contains(sched.log.String(), "configuration reloaded") })
 	close(release)
 	if got := client.readAnswer(); got.body != "re:out" {
-		t.Errorf("status %d for the request under way", got.status)
+		t.Errorf("status %d for the request in flight", got.status)
 	}
 	for class, want := range map[string]int{"certificado": 200, "consulta": 200, "other": 400} {
 		client.send(newCall(class, "x"))
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Requests that are served, with the headers and the body of their answers.
+// Requests of every valid form are served: the agent receives their fields and body, and the client the agent's body.
 func TestServed(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	big := strings.Repeat("\x00\r\n=, ", 16<<10/6) + "last"
@@ -65,7 +65,7 @@
 	}
 }
 
-// 32 requests share a connection, and each gets its own answer, in whatever order the answers arrive.
+// 32 requests share a connection, and each gets its own answer, in whichever order the worker answers.
 func TestMultiplexed(t *testing.T) {
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
 		time.Sleep(time.Duration(37*n%20) * time.Millisecond)
@@ -89,8 +89,7 @@
 	}
 }
 
-// Requests that arrive in fragments, those of two clients in turn, and answers that arrive in fragments are
-// reassembled. Each fragment is a write of its own.
+// Requests and answers that arrive a byte at a time, those of two clients in turn, are reassembled.
 func TestFragments(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -194,7 +193,7 @@
 	}
 }
 
-// The protocol's records besides requests, and records that break the protocol.
+// Records that belong to no request are answered; records that break the protocol have the connection closed.
 func TestRecords(t *testing.T) {
 	sched, _ := startWithAgent(t, func(int, agentRequest) string { return "" })
 	begin := func(role byte) string { return string([]byte{0, role, 1, 0, 0, 0, 0, 0}) }
--- a/cmd/calicohill/shares_test.go
+++ b/cmd/calicohill/shares_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// As the platform starts it, a scheduler talks to no other: the line names no operator's file, and the program holds no
-// UDP socket once it has served.
+// As the platform starts it, a scheduler does not gossip: the command in deploy/balancer.toml names no operator's file,
+// and the program holds no UDP socket once it has served.
 func TestRunWithoutGossip(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -18,7 +18,7 @@
 	}
 	run := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(deploy)
 	if run == nil || strings.Contains(strings.ToLower(string(run[1])), "operator") {
-		t.Errorf("run is %q: it names an operator's file, or is not there", run)
+		t.Errorf("run is %q: it is missing, or names an operator's file", run)
 	}
 	sched, _ := startWithAgent(t, echo)
 	client := sched.connect()
@@ -31,13 +31,13 @@
 	}
 }
 
-// udpSockets is how many UDP sockets a process holds.
+// udpSockets counts the UDP sockets that a process holds.
 func udpSockets(t *testing.T, pid int) (n int) {
 	t.Helper()
 	held := map[string]bool{}
 	fds, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	if err != nil || len(fds) == 0 {
-		t.Fatalf("no descriptors of %d to be seen: %v", pid, err)
+		t.Fatalf("no descriptors of process %d to be seen: %v", pid, err)
 	}
 	for _, fd := range fds {
 		if to, err := os.Readlink(fd); err == nil { // it may have been closed meanwhile
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// After SIGTERM requests are served for a while, all that were accepted are answered, and the exit code is 0.
+// After SIGTERM new requests are served for a while, those in flight are answered, and the exit code is 0.
 func TestShutdown(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "slow" {
@@ -20,7 +20,7 @@
 		return echo(n, request)
 	})
 	never, slow := sched.connect(), sched.connect()
-	half := newCall("consulta", "half") // a request that is never complete gets no answer
+	half := newCall("consulta", "half") // never completed: it must not delay the exit
 	half.bodyOpen = true
 	never.send(half)
 	slow.send(newCall("certificado", "slow"))
@@ -40,8 +40,7 @@
 	sched.waitForExit()
 }
 
-// A scheduler that is killed starts again at its address, whatever became of its connections, and gets the endpoint
-// list.
+// A scheduler that is killed with a request in flight starts again at its address, and serves.
 func TestRestart(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "lost" {
@@ -60,13 +59,13 @@
 	}
 }
 
-// Answers that are partly written at the shutdown are sent completely, also to a slow client.
+// Answers that are partly written at SIGTERM are sent completely, also to a slow client.
 func TestPartlyWrittenAtShutdown(t *testing.T) {
 	sched, _, readAll := startPartlyWritten(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(1500 * time.Millisecond) // it may end 0.7 s after that
+	time.Sleep(1500 * time.Millisecond) // without unsent answers it would have exited by now
 	readAll()
 	sched.waitForExit()
 }
@@ -80,15 +79,15 @@
 	sched.waitForExit()
 }
 
-// Clients that connected while a draining program was stopped are served, though the time to drain is over when it runs
-// again: the system had accepted their connections, and the program reads them one after the other.
+// Clients that connected while a draining program was stopped are answered: served, or rejected with 503. The time to
+// drain is over when it runs again, but the system has accepted their connections.
 func TestStalledDuringShutdown(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	var clients []*testClient
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "it drains", func() bool { return strings.Contains(sched.log.String(), "draining") })
+	waitUntil(t, "the scheduler is draining", func() bool { return strings.Contains(sched.log.String(), "draining") })
 	sched.whileStopped(func() {
 		for range 20 {
 			client := sched.connect()
@@ -105,22 +104,22 @@
 	sched.waitForExit()
 }
 
-// A configuration file that takes long to read, as from a disk that hangs, does not delay the shutdown, and neither do
-// many signals to reload.
+// A configuration file that can't be read to its end, as on a disk that hangs, does not delay the shutdown, and neither
+// do many signals to reload.
 func TestShutdownDuringReload(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	fifo := filepath.Join(t.TempDir(), "config")
 	if err := unix.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(fifo, sched.configFile); err != nil { // whoever reads it waits for a writer
+	if err := os.Rename(fifo, sched.configFile); err != nil { // a FIFO: its reader blocks until there is a writer
 		t.Fatal(err)
 	}
 	for range 8 {
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(10 * time.Millisecond) // or the system makes one of them
+		time.Sleep(10 * time.Millisecond) // or the kernel would merge the pending signals into one
 	}
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -146,11 +145,11 @@
 	for class := range want {
 		client := sched.connect()
 		request := newCall(class, "x")
-		request.params[4][1] = request.param("HTTP_REQUEST_ID") // each of a function of its own, or some would be held
+		request.params[4][1] = request.param("HTTP_REQUEST_ID") // each of a function of its own, or some would wait for capacity
 		client.send(request)
 		clients[class] = client
 	}
-	waitUntil(t, "all are at the worker", func() bool { return len(agent.received()) >= len(want) })
+	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) >= len(want) })
 	at := time.Now()
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -160,9 +159,9 @@
 			t.Errorf("%s: status %d, want %d", class, got.status, status)
 		}
 	}
-	// By what it says: the race detector keeps a process for a second beyond its end.
-	waitUntil(t, "it ends", func() bool { return strings.Contains(sched.log.String(), "scheduler ended") })
-	if took := time.Since(at); took > 3700*time.Millisecond { // SIGKILL comes no sooner
+	// Measured by the log line, since the race detector delays the process exit by a second.
+	waitUntil(t, "the scheduler has ended", func() bool { return strings.Contains(sched.log.String(), "scheduler ended") })
+	if took := time.Since(at); took > 3700*time.Millisecond { // SIGKILL comes no earlier
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 	sched.waitForExit()
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -27,7 +27,8 @@
 	return sched, file
 }
 
-// snapshotEvent returns the number of the last event in a snapshot, 0 if there is none. An invalid snapshot fails the test.
+// snapshotEvent returns the number of the last event in a snapshot, 0 if there is none, and fails the test if the
+// snapshot is invalid.
 func snapshotEvent(t *testing.T, file string) int {
 	t.Helper()
 	record, err := snapshotfile.Read(file, "gt-registros", time.Duration(time.Now().UnixNano()), time.Hour)
@@ -37,9 +38,9 @@
 	return record.EventNumber
 }
 
-// A saved endpoint list serves after a crash if it is newer than the configuration's, also while the list service is
-// down: a worker that drains in it gets no requests, a new one does. If the service numbers its events anew, its own
-// list is used.
+// After a crash a saved endpoint list is used if it is newer than the configuration's, also while the list service is
+// down: a worker that drains in it gets no requests, a new one does. If the service restarts its event numbers, the
+// list of the service is used.
 func TestSnapshot(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -104,12 +105,12 @@
 	sched.start()
 	sendRequest()
 	if n := len(agentA.received()); n > 0 {
-		t.Errorf("%d calls went where no instance was loaded", n)
+		t.Errorf("%d calls went to a worker with no instance loaded", n)
 	}
 }
 
-// An invalid snapshot is set aside with one log line, and a failing write is logged once; the start and the service go
-// on.
+// An invalid snapshot is set aside with one log line, and failing writes are logged once. Neither keeps the scheduler
+// from starting and serving.
 func TestInvalidSnapshot(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	dir := t.TempDir()
@@ -145,13 +146,14 @@
 			waitUntilServedBy(t, sched, "a")
 			waitUntil(t, "the log says "+tt.line, func() bool { return strings.Contains(sched.log.String(), tt.line) })
 			if n := strings.Count(sched.log.String(), tt.line); n != 1 {
-				t.Errorf("%q is %d times in the log", tt.line, n)
+				t.Errorf("%q is in the log %d times, want once", tt.line, n)
 			}
 		})
 	}
 }
 
-// SIGKILL while the list changes without end: the file is valid each time, and never older than before.
+// Kills by SIGKILL while the endpoint list changes all the time: the snapshot is valid after each, and never older than
+// before.
 func TestKillDuringSnapshot(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -166,7 +168,7 @@
 		sched.kill()
 		no := snapshotEvent(t, file)
 		if no < last {
-			t.Errorf("event %d is saved, after %d", no, last)
+			t.Errorf("event %d is saved, event %d was before", no, last)
 		}
 		last = no
 	}
--- a/cmd/calicohill/unread_answers_test.go
+++ b/cmd/calicohill/unread_answers_test.go
@@ -6,9 +6,11 @@
 	"time"
 )
 
-// startPartlyWritten starts a scheduler whose first client reads none of its answers, of some MB, so that the system does not
-// take all of them. The scheduler accepts only a few clients beside it.
-func startPartlyWritten(t *testing.T, last func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
+// startPartlyWritten starts a scheduler whose client has read none of its answers, 5 MB together: more than the system
+// buffers, so that the scheduler has written only a part of them. editLast, if any, changes the last of the requests
+// before it is sent. readAll has the client read all answers, and fails the test if one is not complete. The scheduler
+// has descriptors for only a few clients more.
+func startPartlyWritten(t *testing.T, editLast func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
 	t.Helper()
 	big := strings.Repeat("0123456789", 100_000)
 	agent := newAgent(t, func(n int, request agentRequest) string {
@@ -24,8 +26,8 @@
 	const count = 5
 	for id := uint16(1); id <= count; id++ {
 		request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:8"})
-		if request.id = id; id == count && last != nil {
-			last(&request)
+		if request.id = id; id == count && editLast != nil {
+			editLast(&request)
 		}
 		client.send(request)
 	}
@@ -40,7 +42,7 @@
 	}
 }
 
-// A connection that is to be closed after a request is closed when all answers on it are sent.
+// A connection that is to be closed after a request is closed only once all answers on it are sent.
 func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
 	_, client, readAll := startPartlyWritten(t, func(request *clientRequest) { request.closeAfter = true })
 	time.Sleep(300 * time.Millisecond)
@@ -50,20 +52,20 @@
 	}
 }
 
-// A connection with partly written answers has no open request any more, and is still not closed for another client.
+// A connection with partly written answers has no open request any more, but is not closed to make room for others.
 func TestPartlyWrittenIsNotEvicted(t *testing.T) {
 	sched, _, readAll := startPartlyWritten(t, nil)
-	for range 30 { // 29 are accepted
+	for range 30 { // 29 fit in beside the first client: one of them has to be closed for the last
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
 		if got := client.readAnswer(); got.body != "re:x" {
-			t.Errorf("status %d, want it served", got.status)
+			t.Errorf("status %d for another client, want it served", got.status)
 		}
 	}
 	readAll()
 }
 
-// The answers that clients do not read are bounded for all clients together, though each is within its own bound.
+// Unread answers are bounded for all clients together, also where each client stays within its own bound.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	big := strings.Repeat("0123456789", 25_000)
 	agent := newAgent(t, func(n int, request agentRequest) string {
@@ -77,14 +79,14 @@
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
 	const closed = "too much waits for clients that do not read"
-	waitUntil(t, "one of them is closed", func() bool {
+	waitUntil(t, "a slow reader is disconnected", func() bool {
 		client := sched.connectSlowReader()
 		for id := uint16(1); id <= 20 && !strings.Contains(sched.log.String(), closed); id++ {
 			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
 			request.id = id
 			had := len(agent.received())
-			_, _ = client.conn.Write(request.bytes()) // fails if it is the one that was closed
-			waitUntil(t, "the worker has it", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
+			_, _ = client.conn.Write(request.bytes()) // fails if this client was disconnected
+			waitUntil(t, "the request is at the worker", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
 		}
 		return strings.Contains(sched.log.String(), closed)
 	})
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// One of hundreds of schedulers keeps to one connection for its few requests at a worker, which has to accept those of
-// all schedulers.
+// One of hundreds of schedulers uses a single connection for its few requests to a worker, since the worker has to
+// accept the connections of all schedulers.
 func TestFewConnections(t *testing.T) {
 	agent := newAgent(t, func(n int, request agentRequest) string {
 		time.Sleep(time.Duration(n%2) * 20 * time.Millisecond) // so that two are in flight at a time
@@ -21,8 +21,8 @@
 	for range 20 {
 		client.send(newCall("consulta", ""))
 		otherClient.send(newCall("consulta", ""))
-		for _, one := range []*testClient{client, otherClient} {
-			if got := one.readAnswer(); got.status == 200 && got.body != "1" {
+		for _, each := range []*testClient{client, otherClient} {
+			if got := each.readAnswer(); got.status == 200 && got.body != "1" {
 				t.Fatalf("a request went on connection %s", got.body)
 			}
 		}
@@ -32,7 +32,7 @@
 	}
 }
 
-// If something on the way drops idle connections, that is detected, and no connection is used after such an idle time.
+// If the network drops idle connections, that is detected, and no connection is used after such an idle time any more.
 func TestIdleConnectionsDropped(t *testing.T) {
 	agent := newAgent(t, echo)
 	agent.idleReset = 60 * time.Millisecond
@@ -51,8 +51,8 @@
 	})
 }
 
-// A connection without an answer for long, though requests were sent, gets no new ones: its machine may be cut off,
-// which gives no sign, and be back under the same name.
+// A connection on which a request has waited long for its answer gets no new requests: the worker's machine may have
+// been cut off without a sign, and be back under the same name.
 func TestUnresponsiveConnection(t *testing.T) {
 	sched, agent := startWithDeafAgent(t)
 	first, second := sched.connect(), sched.connect()
@@ -64,11 +64,11 @@
 		t.Errorf("status %d, want it served on a new connection", got.status)
 	}
 	if got := first.readAnswer(); got.status == 200 {
-		t.Errorf("the first was served, want it lost")
+		t.Errorf("the first request was served, want it lost")
 	}
 }
 
-// The same where clients give up earlier: a few requests lost in a row are as good a sign.
+// The same where deadlines are shorter than that wait: a few requests lost in a row are enough.
 func TestLostRequests(t *testing.T) {
 	sched, _ := startWithDeafAgent(t)
 	client := sched.connect()
@@ -109,7 +109,7 @@
 		t.Errorf("status %d, want it served by the other worker", got.status)
 	}
 	open()
-	waitUntil(t, "the connection is up", func() bool {
+	waitUntil(t, "the connection is established", func() bool {
 		agentA.mu.Lock()
 		defer agentA.mu.Unlock()
 		return agentA.conns > 0
@@ -120,8 +120,8 @@
 	}
 }
 
-// A worker's close of an idle connection and a request for that connection are both there when the program looks: the
-// request is sent on another one, in whichever order they came. It must not be retried, so that a loss would show.
+// A worker closes an idle connection while the program is stopped and a request for that connection arrives, in either
+// order: the request is sent on another connection. It is non-idempotent, so that a loss would show as a failure.
 func TestCloseCrossesRequest(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
