--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -17,7 +17,7 @@
 	request := newCall("consulta", "x")
 	client.send(request)
 	waitUntil(t, "the request is at the agent", func() bool { return len(agent.received()) == 1 })
-	client.write(encodeRecord(2, request.id, 0, ""))
+	client.write(encodeRecord(typeAbortRequest, request.id, 0, ""))
 	client.readAnswer()
 	waitUntil(t, "the request is canceled at the agent", func() bool {
 		agent.mu.Lock()
@@ -38,7 +38,7 @@
 		leave func(client *testClient, request clientRequest)
 	}{
 		{"cancels", func(client *testClient, request clientRequest) {
-			client.write(encodeRecord(2, request.id, 0, ""))
+			client.write(encodeRecord(typeAbortRequest, request.id, 0, ""))
 			if got := client.readAnswer(); got.id != request.id {
 				client.t.Errorf("the end of request %d, want %d", got.id, request.id)
 			}
@@ -104,7 +104,7 @@
 	closes.send(newCall("consulta", "gone", oneLane))
 	stays.send(newCall("consulta", "stays", oneLane))
 	time.Sleep(50 * time.Millisecond)
-	aborts.write(encodeRecord(2, request.id, 0, ""))
+	aborts.write(encodeRecord(typeAbortRequest, request.id, 0, ""))
 	aborts.readAnswer()
 	closes.conn.Close()
 	time.Sleep(50 * time.Millisecond)
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -22,6 +22,7 @@
 // misspelt is a directive that the check has to suggest the right name for.
 const misspelt = "levle" //nolint:misspell // it is the fault that the test is about
 
+// Command lines that need no scheduler, with the exit code of each and a part of its output.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.conf")
@@ -59,6 +60,7 @@
 	}
 }
 
+// The command call prints the answer or the counts of its calls, and exits with 1 if one fails.
 func TestCall(t *testing.T) {
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "lose" {
@@ -120,6 +122,7 @@
 	waitUntil(t, "the part bulletin logs at its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
 }
 
+// A fault in the operator's file ends the program at its start, with one line that names the place.
 func TestOperatorFileCheckedAtStart(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.conf")
 	if err := os.WriteFile(bad, []byte("log\n  level loud\n"), 0o600); err != nil {
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -86,10 +86,13 @@
 				return err == nil
 			})
 			defer client.conn.Close()
-			for path, request := range map[string]clientRequest{"health": {id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}, "a request": newCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "400"})} {
+			for kind, request := range map[string]clientRequest{
+				"a health check": healthRequest(),
+				"a call":         newCall("certificado", "x", [2]string{"HTTP_BUDGET_MS", "400"}),
+			} {
 				client.send(request)
 				if got := client.readAnswer(); got.status != 503 {
-					t.Errorf("status %d for %s without a list, want 503", got.status, path)
+					t.Errorf("status %d for %s without a list, want 503", got.status, kind)
 				}
 			}
 			if tt.terminate {
--- a/cmd/calicohill/golden_recorder_test.go
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -283,7 +283,7 @@
 func (r *exchangeRecorder) finish() {
 	r.t.Helper()
 	client := r.scheduler.connect()
-	client.send(clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
+	client.send(healthRequest())
 	client.readAnswer()
 	for {
 		select {
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -86,13 +86,6 @@
 	}
 }
 
-// Types of FastCGI records.
-const (
-	typeEndRequest  = 3
-	typeValues      = 10
-	typeUnknownType = 11
-)
-
 const servedAnswer = "{id} OK depth=2,l=inflight:3;queue:1;util:0.5;x0:512;x1:4 6\r\nserved\r\n"
 
 // exchange is one entry of the golden file.
@@ -231,18 +224,13 @@
 		{"aborted by the client", 1, func(recorder *exchangeRecorder) {
 			recorder.sends(goldenCall("consulta", "x").bytes())
 			recorder.agentReceives()
-			recorder.sends(encodeRecord(2, 1, 0, ""))
+			recorder.sends(encodeRecord(typeAbortRequest, 1, 0, ""))
 			recorder.receives(typeEndRequest)
 			recorder.agentReceives() // the cancellation
 		}},
 	}
 }
 
-// healthRequest asks the scheduler for its own health.
-func healthRequest() clientRequest {
-	return clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
-}
-
 // rejectedExchanges are requests that reach no worker.
 func rejectedExchanges() []exchange {
 	tooLong := goldenCall("consulta", strings.Repeat("x", 16<<10+1))
@@ -260,7 +248,7 @@
 			// A complete request comes first, or the timeout of the new connection would expire along with that of the request.
 			recorder.sends(healthRequest().bytes())
 			recorder.receives(typeEndRequest)
-			recorder.sends(encodeRecord(1, 1, 0, beginKeepAlive))
+			recorder.sends(encodeRecord(typeBeginRequest, 1, 0, beginKeepAlive))
 			recorder.receives(typeEndRequest)
 		}},
 	}
@@ -274,11 +262,11 @@
 		{"nothing sent", 1, func(recorder *exchangeRecorder) { recorder.receivesEnd() }},
 		{"unknown role", 1, rejected(otherRole)},
 		{"health", 1, rejected(healthRequest())},
-		{"values", 1, managed(encodeRecord(9, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeValues)},
+		{"values", 1, managed(encodeRecord(typeGetValues, 0, 3, "\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeGetValuesResult)},
 		{"unknown type", 1, managed(encodeRecord(99, 0, 0, "x"), typeUnknownType)},
 		{"other protocol", 1, closed([]byte("GET / HTTP/1.1\r\n\r\n"))},
-		{"begun twice", 1, closed(append(encodeRecord(1, 4, 0, beginKeepAlive), encodeRecord(1, 4, 0, beginKeepAlive)...))},
-		{"begun short", 1, closed(encodeRecord(1, 4, 0, "\x00"))},
+		{"begun twice", 1, closed(append(encodeRecord(typeBeginRequest, 4, 0, beginKeepAlive), encodeRecord(typeBeginRequest, 4, 0, beginKeepAlive)...))},
+		{"begun short", 1, closed(encodeRecord(typeBeginRequest, 4, 0, "\x00"))},
 		{"polls of the list service", 0, func(recorder *exchangeRecorder) {
 			recorder.polled()
 			recorder.scheduler.addEvent(false)
--- a/cmd/calicohill/harness_client_test.go
+++ b/cmd/calicohill/harness_client_test.go
@@ -37,6 +37,7 @@
 	reader *bufio.Reader
 }
 
+// connect connects a client, until the end of the test.
 func (s *testScheduler) connect() *testClient {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
@@ -61,18 +62,32 @@
 	return &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// encodeRecord returns a FastCGI record.
+// Types of FastCGI records.
+const (
+	typeBeginRequest    = 1
+	typeAbortRequest    = 2
+	typeEndRequest      = 3
+	typeParams          = 4
+	typeStdin           = 5
+	typeStdout          = 6
+	typeGetValues       = 9
+	typeGetValuesResult = 10
+	typeUnknownType     = 11
+)
+
+// encodeRecord returns a FastCGI record with so many bytes of padding.
 func encodeRecord(kind byte, id uint16, padding byte, content string) []byte {
 	data := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), padding, 0}
 	return append(append(data, content...), make([]byte, padding)...)
 }
 
+// bytes returns the records of the request.
 func (r clientRequest) bytes() []byte {
 	keep := byte(1)
 	if r.closeAfter {
 		keep = 0
 	}
-	data := encodeRecord(1, r.id, r.padding, string([]byte{0, max(r.role, 1), keep, 0, 0, 0, 0, 0}))
+	data := encodeRecord(typeBeginRequest, r.id, r.padding, string([]byte{0, max(r.role, 1), keep, 0, 0, 0, 0, 0}))
 	var params []byte
 	for _, p := range r.params {
 		for _, part := range p {
@@ -84,12 +99,12 @@
 		}
 		params = append(append(params, p[0]...), p[1]...)
 	}
-	data = append(append(data, encodeRecord(4, r.id, r.padding, string(params))...), encodeRecord(4, r.id, 0, "")...)
+	data = append(append(data, encodeRecord(typeParams, r.id, r.padding, string(params))...), encodeRecord(typeParams, r.id, 0, "")...)
 	if r.body != "" {
-		data = append(data, encodeRecord(5, r.id, r.padding, r.body)...)
+		data = append(data, encodeRecord(typeStdin, r.id, r.padding, r.body)...)
 	}
 	if !r.bodyOpen {
-		data = append(data, encodeRecord(5, r.id, 0, "")...)
+		data = append(data, encodeRecord(typeStdin, r.id, 0, "")...)
 	}
 	return data
 }
@@ -147,10 +162,10 @@
 		case err != nil:
 			c.t.Errorf("client: reading an answer: %v", err)
 			return answer
-		case kind == 6:
+		case kind == typeStdout:
 			out = append(out, content...)
 			continue
-		case kind != 3:
+		case kind != typeEndRequest:
 			c.t.Errorf("client: record of type %d", kind)
 			return answer
 		}
@@ -185,15 +200,7 @@
 	}}
 	lastID.Unlock()
 	for _, c := range change {
-		found := false
-		for i := range request.params {
-			if request.params[i][0] == c[0] {
-				request.params[i][1], found = c[1], true
-			}
-		}
-		if !found {
-			request.params = append(request.params, c)
-		}
+		request.setParam(c[0], c[1])
 	}
 	params := request.params[:0]
 	for _, p := range request.params {
@@ -205,6 +212,12 @@
 	return request
 }
 
+// healthRequest asks the scheduler for its own health.
+func healthRequest() clientRequest {
+	return clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
+}
+
+// param returns the value of a parameter, "" if there is none.
 func (r clientRequest) param(name string) string {
 	for _, p := range r.params {
 		if p[0] == name {
@@ -213,3 +226,14 @@
 	}
 	return ""
 }
+
+// setParam changes the value of a parameter, or adds the parameter.
+func (r *clientRequest) setParam(name, value string) {
+	for i := range r.params {
+		if r.params[i][0] == name {
+			r.params[i][1] = value
+			return
+		}
+	}
+	r.params = append(r.params, [2]string{name, value})
+}
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -126,7 +126,7 @@
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", s.addr); err == nil {
 			client := &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
-			client.send(clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}})
+			client.send(healthRequest())
 			answer := client.readAnswer()
 			conn.Close()
 			if answer.status == http.StatusOK {
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -32,8 +32,8 @@
 	}, true},
 	{"requests open", func(client *testClient) {
 		// Each of a function of its own, or the scheduler would reject some.
-		request := newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"})
-		client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")}))
+		function := newCall("consulta", "").param("HTTP_REQUEST_ID")
+		client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", function}))
 	}, false},
 }
 
@@ -101,7 +101,7 @@
 			return false
 		}
 		kind, _, _, err := client.readRecord()
-		return err == nil && kind == 6
+		return err == nil && kind == typeStdout
 	}
 	// A new connection is spared for 250 ms: on a busy machine a round may take longer, but not all rounds do.
 	waitUntil(t, "one that was just accepted is served", func() bool {
@@ -180,7 +180,7 @@
 	if got := client.readAnswer(); got.id != 33 || got.protocolStatus != 2 {
 		t.Errorf("request %d ended with protocol status %d, want request 33 rejected with 2, overloaded", got.id, got.protocolStatus)
 	}
-	client.write(encodeRecord(5, 7, 0, "")) // ends the body of request 7: the others are unaffected
+	client.write(encodeRecord(typeStdin, 7, 0, "")) // ends the body of request 7: the others are unaffected
 	if got := client.readAnswer(); got.id != 7 || got.body != "re:x" {
 		t.Errorf("after that, request %d ended with status %d, want request 7 served", got.id, got.status)
 	}
@@ -200,11 +200,12 @@
 	}
 	sched.addEvent(true, targets...)
 	sched.start()
-	asks := sched.connect()
+	caller := sched.connect()
 	for id := uint16(1); id <= 30; id++ { // each for a worker of its own
-		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"})
-		request.id, request.params[4][1] = id, fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
-		asks.send(request)
+		function := fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
+		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"}, [2]string{"HTTP_RESOURCE_KEY", function})
+		request.id = id
+		caller.send(request)
 	}
 	time.Sleep(200 * time.Millisecond) // the connections are being dialed, and none can be established
 	var idle []*testClient
@@ -218,7 +219,7 @@
 		time.Sleep(1500 * time.Millisecond) // until the workers' connections are established
 	})
 	for range 30 {
-		asks.readAnswer()
+		caller.readAnswer()
 	}
 	client := sched.connect()
 	client.send(newCall("consulta", "after"))
--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -149,6 +149,7 @@
 	}
 }
 
+// The commands match and check evaluate and check rules without a scheduler.
 func TestMatchCommand(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -102,6 +102,7 @@
 	expectEarlierDuplicateStops(t, fleet)
 }
 
+// The commands below key create, show and revoke keys; private keys are readable by their owner alone.
 func TestKeyCommands(t *testing.T) {
 	dir := t.TempDir()
 	inDir := func(name string) string { return filepath.Join(dir, name) }
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -204,19 +204,19 @@
 		kind    byte // 0: the connection is closed
 		content string
 	}{
-		{"unknown role", encodeRecord(1, 9, 0, begin(2)), 3, "\x00\x00\x00\x00\x03\x00\x00\x00"},
-		{"unknown type", encodeRecord(99, 0, 0, "x"), 11, "\x63\x00\x00\x00\x00\x00\x00\x00"},
-		{"values", encodeRecord(9, 0, 3, "\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), 10, "\x0f\x01FCGI_MPXS_CONNS1"},
-		{"abort", append(open.bytes(), encodeRecord(2, open.id, 0, "")...), 3, "\x00\x00\x00\x00\x00\x00\x00\x00"},
+		{"unknown role", encodeRecord(typeBeginRequest, 9, 0, begin(2)), typeEndRequest, "\x00\x00\x00\x00\x03\x00\x00\x00"},
+		{"unknown type", encodeRecord(99, 0, 0, "x"), typeUnknownType, "\x63\x00\x00\x00\x00\x00\x00\x00"},
+		{"values", encodeRecord(typeGetValues, 0, 3, "\x0f\x00FCGI_MPXS_CONNS\x02\x00no"), typeGetValuesResult, "\x0f\x01FCGI_MPXS_CONNS1"},
+		{"abort", append(open.bytes(), encodeRecord(typeAbortRequest, open.id, 0, "")...), typeEndRequest, "\x00\x00\x00\x00\x00\x00\x00\x00"},
 		{
-			"abort before the body", append(encodeRecord(1, 4, 0, begin(1)), encodeRecord(2, 4, 0, "")...), 3,
+			"abort before the body", append(encodeRecord(typeBeginRequest, 4, 0, begin(1)), encodeRecord(typeAbortRequest, 4, 0, "")...), typeEndRequest,
 			"\x00\x00\x00\x00\x00\x00\x00\x00",
 		},
 		{"version", []byte("GET / HTTP/1.1\r\n\r\n"), 0, ""},
-		{"begun twice", append(encodeRecord(1, 4, 0, begin(1)), encodeRecord(1, 4, 0, begin(1))...), 0, ""},
-		{"begun without id", encodeRecord(1, 0, 0, begin(1)), 0, ""},
-		{"begun short", encodeRecord(1, 4, 0, "\x00"), 0, ""},
-		{"values cut short", encodeRecord(9, 0, 0, "\x7f\x7fx"), 0, ""},
+		{"begun twice", append(encodeRecord(typeBeginRequest, 4, 0, begin(1)), encodeRecord(typeBeginRequest, 4, 0, begin(1))...), 0, ""},
+		{"begun without id", encodeRecord(typeBeginRequest, 0, 0, begin(1)), 0, ""},
+		{"begun short", encodeRecord(typeBeginRequest, 4, 0, "\x00"), 0, ""},
+		{"values cut short", encodeRecord(typeGetValues, 0, 0, "\x7f\x7fx"), 0, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client := sched.connect()
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -145,7 +145,7 @@
 	for class := range want {
 		client := sched.connect()
 		request := newCall(class, "x")
-		request.params[4][1] = request.param("HTTP_REQUEST_ID") // each of a function of its own, or some would wait for capacity
+		request.setParam("HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")) // own functions, or some would wait for capacity
 		client.send(request)
 		clients[class] = client
 	}
