--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 5: the load budget holds in every window, however many functions need a load.
+// Load budget: it holds in every window, however many functions need a load.
 func TestLoadBudget(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
 	var calls, orders []time.Duration
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -24,6 +24,23 @@
 // requests, the endpoint list, the learned state that survives a restart, the settings, and the messages in
 // and out.
 //
+// # Invariants
+//
+// These hold as long as the caller reports events as they are documented. Tests refer to them by name.
+//
+//   - One final answer: a request gets exactly one, no later than Settings.AnswerSlack after its client gives
+//     up, and none once its client has left.
+//   - No unsafe repeat: once an attempt may have run, the request is sent again only as the Idempotency of its
+//     class allows, and it is rejected only if a repeat by its client is harmless too. A request has no more
+//     than Settings.MaxAttempts attempts, and two in flight together only with Settings.HedgingAllowed.
+//   - Nothing to draining workers: a worker gets no Send and no Load from the moment that it is listed as
+//     Draining or Gone, or that a full list leaves it out.
+//   - Slow-start budget: all schedulers together send a worker that is warming up no more than it bears, as
+//     Settings.OverloadMultiple and OverloadDuration say. They do so without asking each other, by estimates
+//     and random rounding, so this one holds with high probability.
+//   - Load budget: in no Settings.LoadBudgetWindow are there more orders to load than LoadBudgetBase, plus
+//     LoadBudgetPerRequest for each request that arrived in it.
+//
 // The design is SCORPIO's: earliest deadline first, admission by estimated finish time. Where the code
 // departs from it, a comment that begins "A departure" gives the reason and the harm.
 package routing
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Rule 3: nothing new is sent to a worker from the moment it is listed as draining or gone.
+// Nothing to draining workers: no request and no order to load goes to a worker from the moment it is listed as draining
+// or gone, or a full list leaves it out.
 func TestNothingIsSentToDrainingWorkers(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Gone} {
 		harness := newHarness(t, settings(loadsAllowed), readyWorkers(3)...)
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// randomPlay plays the clients and workers of a Router at random, and checks rules 1 and 2 and the drain rule on what it
-// does.
+// randomPlay plays the clients and workers of a Router at random. It checks three invariants of the package on each action:
+// one final answer, no unsafe repeat (for requests that must not be repeated at all) and nothing to draining workers.
 type randomPlay struct {
 	t        *testing.T
 	settings Settings
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Rule 2: which retries may follow an attempt that did not serve.
+// No unsafe repeat: what may follow an attempt that did not serve the request depends on its class and on the outcome.
 func TestRetriesByIdempotency(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	for _, tt := range []struct {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Rule 1: one final answer, in time, whatever becomes of the request.
+// One final answer: there is one, in time, whatever becomes of the request.
 func TestOneFinalAnswer(t *testing.T) {
 	t.Run("no worker", func(t *testing.T) {
 		harness := newHarness(t, settings())
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Rule 4: the budget of a warming worker holds in every window, with bursts, and falls with the number of schedulers.
+// Slow-start budget: under steady traffic a warming worker is never sent more than it bears, in any second.
 func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	n := 0
@@ -111,7 +111,8 @@
 	}
 }
 
-// Rule 4 with many schedulers: a quota of less than one request must not be rounded up by each of them.
+// Slow-start budget of many schedulers: what they send together stays within it, though the quota of each is less than
+// one request and would exceed it if each rounded up.
 func TestSlowStartBudgetOfManySchedulers(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
