--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -115,7 +115,7 @@
 
 // Reports of peers eject no worker that the rest could not do without.
 func TestKeepsWorkersThatAreNeeded(t *testing.T) {
-	harness := harnessWithPeers(t, 4)
+	harness := harnessAfterAnswers(t, 4)
 	harness.wait(2 * time.Second)
 	for _, w := range harness.router.workerList {
 		w.concurrencyLimit = 2
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -39,7 +39,7 @@
 }
 
 // A failed connection attempt says nothing of a worker that answered on another connection meanwhile.
-func TestConnectFailureAfterAnswerDoesNotEject(t *testing.T) {
+func TestConnectFailureEjectsOnlyWithoutLaterAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		harness := newHarness(t, settings(), readyWorker("w0", 0))
 		first := harness.send("a", "f")
@@ -68,8 +68,8 @@
 	}
 }
 
-// harnessWithPeers has a fleet of which each worker has the function loaded and has just answered.
-func harnessWithPeers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
+// harnessAfterAnswers has a fleet of which each worker has the function loaded and has just answered.
+func harnessAfterAnswers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(append(change, faultReporting)...), readyWorkers(n)...)
 	for i := range 4 * n {
@@ -90,7 +90,7 @@
 // A worker that enough peers report gets nothing but probes until it answers one; not while its own answers are
 // recent, and no more workers than the others have the capacity to replace.
 func TestEjectsOnConfirmedReports(t *testing.T) {
-	harness := harnessWithPeers(t, 8)
+	harness := harnessAfterAnswers(t, 8)
 	harness.step(0, confirmedReports("w3"))
 	if harness.router.workers["w3"].ejected {
 		t.Error("ejected though it has just answered")
@@ -113,7 +113,7 @@
 	if w := harness.router.workers["w3"]; harness.router.now < w.probationAt {
 		t.Error("not probed at once though a peer has had an answer")
 	}
-	harness = harnessWithPeers(t, 8)
+	harness = harnessAfterAnswers(t, 8)
 	harness.wait(2 * time.Second)
 	harness.step(0, confirmedReports("w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7"))
 	out := 0
@@ -129,7 +129,7 @@
 
 // A single report only diverts requests that must not be repeated, and not if all workers are reported.
 func TestSingleReportDivertsNonIdempotent(t *testing.T) {
-	harness := harnessWithPeers(t, 4, nonIdempotent)
+	harness := harnessAfterAnswers(t, 4, nonIdempotent)
 	harness.wait(2 * time.Second)
 	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported}})
 	for i := range 20 {
