--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// A failed connection attempt says nothing of a worker that answered on another connection meanwhile.
+// A failed connection attempt ejects a worker and voids its warm instances, unless the worker has answered on another
+// connection since the attempt was sent.
 func TestConnectFailureEjectsOnlyWithoutLaterAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		harness := newHarness(t, settings(), readyWorker("w0", 0))
@@ -68,7 +69,8 @@
 	}
 }
 
-// harnessAfterAnswers has a fleet of which each worker has the function loaded and has just answered.
+// harnessAfterAnswers returns a harness with n workers: fault reporting is on, and 4n requests for different functions have
+// just been answered.
 func harnessAfterAnswers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(append(change, faultReporting)...), readyWorkers(n)...)
@@ -87,8 +89,8 @@
 	return h
 }
 
-// A worker that enough peers report gets nothing but probes until it answers one; not while its own answers are
-// recent, and no more workers than the others have the capacity to replace.
+// A worker that enough peers report gets nothing but probes until it answers one; it is not ejected while its own answers
+// are recent. Reports never eject all workers; TestKeepsWorkersThatAreNeeded has the bound by capacity.
 func TestEjectsOnConfirmedReports(t *testing.T) {
 	harness := harnessAfterAnswers(t, 8)
 	harness.step(0, confirmedReports("w3"))
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -77,9 +77,8 @@
 	}
 }
 
-// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, the
-// same ones first at every scheduler. Each scheduler alone once held on to its preferred workers while a third of the
-// workers idled.
+// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and those
+// that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler alone.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
 	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
