--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -12,11 +12,11 @@
 	answer := attemptEnd(first, 0, Served)
 	answer.Latency = 900 * millisecond
 	harness.step(900*millisecond, answer)
-	refused := 0
+	rejected := 0
 	for i := range 60 {
-		refused += len(actionsOf[Reject](harness.step(0, newTestRequest(fmt.Sprint("r", i), "f"))))
+		rejected += len(actionsOf[Reject](harness.step(0, newTestRequest(fmt.Sprint("r", i), "f"))))
 	}
-	if refused == 0 {
+	if rejected == 0 {
 		t.Error("nothing rejected with a queue far longer than the deadline")
 	}
 }
@@ -41,8 +41,8 @@
 // With the same work ahead, a class with a short objective is treated like one with a long one, or it would starve.
 func TestShortObjectivesDoNotStarve(t *testing.T) {
 	for _, tt := range []struct {
-		ahead   float64 // seconds of work ahead, per unit of capacity
-		refused bool
+		ahead    float64 // seconds of work ahead, per unit of capacity
+		rejected bool
 	}{{0.1, false}, {0.3, false}, {0.5, true}, {0.9, true}} {
 		for class := range 2 {
 			harness := newHarness(t, settings(func(s *Settings) {
@@ -56,8 +56,8 @@
 			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-harness.router.settings.Classes[class].LatencyObjective.Seconds())
 			harness.router.inFlightWork = tt.ahead * harness.router.capacity
 			q.ID = "b"
-			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.refused {
-				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.refused)
+			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.rejected {
+				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.rejected)
 			}
 		}
 	}
@@ -77,18 +77,18 @@
 		{"slow answers, one scheduler", unchangedSettings, 1500 * millisecond, false, false},
 	} {
 		harness := newHarness(t, settings(tt.change), readyWorkers(1)...)
-		refused := 0
+		rejected := 0
 		for i := range 200 {
 			acts := harness.step(millisecond, newTestRequest(fmt.Sprint("r", i), "f"))
-			refused += len(actionsOf[Reject](acts))
+			rejected += len(actionsOf[Reject](acts))
 			for _, s := range actionsOf[Send](acts) {
 				e := attemptEnd(s, 0, Served)
 				e.Latency = tt.slow
 				harness.step(tt.slow, e)
 			}
 		}
-		if refused > 0 != tt.some || refused > 190 != tt.all {
-			t.Errorf("%s: %d of 200 rejected", tt.name, refused)
+		if rejected > 0 != tt.some || rejected > 190 != tt.all {
+			t.Errorf("%s: %d of 200 rejected", tt.name, rejected)
 		}
 	}
 }
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -9,14 +9,14 @@
 // Load budget: it holds in every window, however many functions need a load.
 func TestLoadBudget(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
-	var calls, orders []time.Duration
+	var arrivals, orders []time.Duration
 	for i := range 1200 {
 		if i == 600 {
 			harness.now += 4 * time.Second // a pause: the window's edge then passes over a dense stretch of requests
 		}
 		f := fmt.Sprint("f", i%40)
 		acts := harness.step(5*millisecond, newTestRequest(fmt.Sprint("r", i), f), TimerFired{tickToken})
-		calls = append(calls, harness.now)
+		arrivals = append(arrivals, harness.now)
 		for _, l := range actionsOf[Load](acts) {
 			orders = append(orders, harness.now)
 			harness.step(0, LoadEnded{Worker: l.Worker, Function: l.Function, Outcome: Shed})
@@ -24,16 +24,16 @@
 		for _, s := range actionsOf[Send](acts) {
 			harness.step(0, attemptEnd(s, 0, Served))
 		}
-		in := func(ts []time.Duration, window time.Duration) (n float64) {
-			for _, t := range ts {
-				if harness.now-t <= window {
-					n++
+		countWithin := func(times []time.Duration, window time.Duration) (count float64) {
+			for _, at := range times {
+				if harness.now-at <= window {
+					count++
 				}
 			}
-			return n
+			return count
 		}
 		// A request may have arrived up to a tick (here 2 ms) before the batch that reported it.
-		got, allowed := in(orders, 5*time.Second), 2+0.01*in(calls, 5*time.Second-2*millisecond)
+		got, allowed := countWithin(orders, 5*time.Second), 2+0.01*countWithin(arrivals, 5*time.Second-2*millisecond)
 		if got > allowed {
 			t.Fatalf("%v orders to load in the window, %v are allowed", got, allowed)
 		}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -69,21 +69,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &testHarness{t: t, router: r, now: time.Hour}
-	b.step(0, WorkerList{Kind: ListCached, Workers: workers})
-	return b
+	harness := &testHarness{t: t, router: r, now: time.Hour}
+	harness.step(0, WorkerList{Kind: ListCached, Workers: workers})
+	return harness
 }
 
-func (b *testHarness) step(after time.Duration, events ...Event) []Action {
-	b.now += after
-	return b.router.Step(b.now, events)
+func (h *testHarness) step(after time.Duration, events ...Event) []Action {
+	h.now += after
+	return h.router.Step(h.now, events)
 }
 
 // wait lets time pass with nothing but the Router's own timer, and returns the actions that it returned meanwhile.
-func (b *testHarness) wait(d time.Duration) []Action {
+func (h *testHarness) wait(d time.Duration) []Action {
 	var all []Action
-	for end := b.now + d; b.now < end; {
-		all = append(all, b.step(tickInterval, TimerFired{tickToken})...)
+	for end := h.now + d; h.now < end; {
+		all = append(all, h.step(tickInterval, TimerFired{tickToken})...)
 	}
 	return all
 }
@@ -98,11 +98,11 @@
 	return list
 }
 
-func (b *testHarness) send(id, function string) Send {
-	b.t.Helper()
-	got := actionsOf[Send](b.step(millisecond, newTestRequest(id, function)))
+func (h *testHarness) send(id, function string) Send {
+	h.t.Helper()
+	got := actionsOf[Send](h.step(millisecond, newTestRequest(id, function)))
 	if len(got) != 1 {
-		b.t.Fatalf("request %s: %d sends, want 1", id, len(got))
+		h.t.Fatalf("request %s: %d sends, want 1", id, len(got))
 	}
 	return got[0]
 }
@@ -133,11 +133,11 @@
 func manySchedulers(s *Settings) { s.Schedulers = 80 }
 
 // warmUp answers requests of many functions, so that the Router knows the throughput of warm workers.
-func (b *testHarness) warmUp(calls int, gap time.Duration) {
+func (h *testHarness) warmUp(calls int, gap time.Duration) {
 	for i := range calls {
-		acts := b.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
+		acts := h.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
 		for _, s := range actionsOf[Send](acts) {
-			b.step(0, attemptEnd(s, 0, Served))
+			h.step(0, attemptEnd(s, 0, Served))
 		}
 	}
 }
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -22,17 +22,17 @@
 // request on.
 func TestRestoreState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(6)...)
-	m := harness.router.LearnedState()
-	next := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
-	next.now = harness.now + time.Second
-	next.step(0, StateRestored{m})
-	if got, want := next.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
+	state := harness.router.LearnedState()
+	restarted := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
+	restarted.now = harness.now + time.Second
+	restarted.step(0, StateRestored{state})
+	if got, want := restarted.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
 		t.Errorf("a warm worker answers %v a second, as restored; it was %v", got, want)
 	}
 	for i := range 7 {
-		f := next.router.functions[fmt.Sprint("f", i)]
-		s := next.send(fmt.Sprint("r", i), f.name)
-		if p := f.placementAt(next.router.workers[s.Worker]); !next.router.isWarm(p) {
+		f := restarted.router.functions[fmt.Sprint("f", i)]
+		s := restarted.send(fmt.Sprint("r", i), f.name)
+		if p := f.placementAt(restarted.router.workers[s.Worker]); !restarted.router.isWarm(p) {
 			t.Errorf("%s went to %s, where no instance was loaded", f.name, s.Worker)
 		}
 	}
@@ -44,11 +44,11 @@
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
 	for _, tt := range []struct {
-		name    string
-		after   time.Duration
-		workers []Worker
-		calls   int
-		knows   bool
+		name     string
+		after    time.Duration
+		workers  []Worker
+		requests int
+		warm     bool
 	}{
 		{"as it was", time.Second, readyWorkers(2), 0, true},
 		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
@@ -57,20 +57,20 @@
 		{"learned already", time.Second, readyWorkers(2), 1, false},
 		{"of a time to come", -time.Minute, readyWorkers(2), 0, false},
 	} {
-		next := newHarness(t, settings(manySchedulers), tt.workers...)
-		next.now = harness.now + tt.after
-		for i := range tt.calls {
-			next.send(fmt.Sprint("s", i), "other")
+		restarted := newHarness(t, settings(manySchedulers), tt.workers...)
+		restarted.now = harness.now + tt.after
+		for i := range tt.requests {
+			restarted.send(fmt.Sprint("s", i), "other")
 		}
-		next.step(0, StateRestored{state})
-		knows := false
-		for _, f := range next.router.functions {
+		restarted.step(0, StateRestored{state})
+		warm := false
+		for _, f := range restarted.router.functions {
 			for _, p := range f.placements {
-				knows = knows || next.router.isWarm(p)
+				warm = warm || restarted.router.isWarm(p)
 			}
 		}
-		if knows != tt.knows {
-			t.Errorf("%s: instances are believed loaded: %v, want %v", tt.name, knows, tt.knows)
+		if warm != tt.warm {
+			t.Errorf("%s: instances are believed loaded: %v, want %v", tt.name, warm, tt.warm)
 		}
 	}
 }
@@ -88,14 +88,14 @@
 			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
-			k := LearnedFunction{
+			learned := LearnedFunction{
 				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Concurrency: number.Draw(rt, "lanes"),
 				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: instant.Draw(rt, "told"),
 			}
 			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
-				k.Instances = append(k.Instances, LearnedInstance{number.Draw(rt, "place"), instant.Draw(rt, "found"), number.Draw(rt, "copies")})
+				learned.Instances = append(learned.Instances, LearnedInstance{number.Draw(rt, "place"), instant.Draw(rt, "found"), number.Draw(rt, "copies")})
 			}
-			state.Functions = append(state.Functions, k)
+			state.Functions = append(state.Functions, learned)
 		}
 		harness := newHarness(t, settings(manySchedulers), readyWorkers(4)...)
 		harness.step(millisecond, StateRestored{state})
@@ -109,9 +109,9 @@
 		if answered == 0 {
 			rt.Fatal("nothing is sent any more")
 		}
-		again := harness.router.LearnedState()
-		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, harness.router.LearnedState()) {
-			rt.Fatalf("it exports %+v", again)
+		exported := harness.router.LearnedState()
+		if !plausible(exported.RequestWeight, exported.ThroughputPerWeight, exported.MeanPressure) || !reflect.DeepEqual(exported, harness.router.LearnedState()) {
+			rt.Fatalf("it exports %+v", exported)
 		}
 	})
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -82,11 +82,11 @@
 }
 
 func confirmedReports(ids ...string) PeerReports {
-	h := PeerReports{Verdicts: map[string]PeerVerdict{}}
+	reports := PeerReports{Verdicts: map[string]PeerVerdict{}}
 	for _, id := range ids {
-		h.Verdicts[id] = Confirmed
+		reports.Verdicts[id] = Confirmed
 	}
-	return h
+	return reports
 }
 
 // A worker that enough peers report gets nothing but probes until it answers one; it is not ejected while its own answers
@@ -118,13 +118,13 @@
 	harness = harnessAfterAnswers(t, 8)
 	harness.wait(2 * time.Second)
 	harness.step(0, confirmedReports("w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7"))
-	out := 0
+	ejected := 0
 	for _, w := range harness.router.workerList {
 		if w.ejected {
-			out++
+			ejected++
 		}
 	}
-	if out == len(harness.router.workerList) {
+	if ejected == len(harness.router.workerList) {
 		t.Error("all workers are ejected on reports of peers")
 	}
 }
@@ -154,21 +154,21 @@
 	for _, reporting := range []bool{true, false} {
 		harness := newHarness(t, settings(func(s *Settings) { s.FaultReporting = reporting }), readyWorkers(1)...)
 		s := harness.send("a", "f")
-		seen := actionsOf[ReportFault](harness.step(30*millisecond, attemptEnd(s, 0, Served)))
-		var sent time.Duration
+		observed := actionsOf[ReportFault](harness.step(30*millisecond, attemptEnd(s, 0, Served)))
+		var sentAt time.Duration
 		for i := range 2 {
 			harness.send(fmt.Sprintf("b%d", i), "f")
-			sent = harness.now
+			sentAt = harness.now
 		}
-		seen = append(seen, actionsOf[ReportFault](harness.wait(time.Second))...)
-		back := harness.now
-		seen = append(seen, actionsOf[ReportFault](harness.step(0, attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
-		want := []ReportFault{{"w0", Unresponsive, sent}, {"w0", Healthy, back}} // both are overdue in the same sweep
+		observed = append(observed, actionsOf[ReportFault](harness.wait(time.Second))...)
+		answeredAt := harness.now
+		observed = append(observed, actionsOf[ReportFault](harness.step(0, attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
+		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}} // both are overdue in the same sweep
 		if !reporting {
 			want = nil
 		}
-		if !reflect.DeepEqual(seen, want) {
-			t.Errorf("peers %v: observed %v, want %v", reporting, seen, want)
+		if !reflect.DeepEqual(observed, want) {
+			t.Errorf("peers %v: observed %v, want %v", reporting, observed, want)
 		}
 	}
 }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -51,18 +51,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &testHarness{t: t, router: r, now: time.Hour}
-		b.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(20)})
+		harness := &testHarness{t: t, router: r, now: time.Hour}
+		harness.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(20)})
 		for i := range 200 {
 			f := "hot"
 			if i%2 == 0 {
 				f = fmt.Sprint("f", i)
 			}
-			for _, s := range actionsOf[Send](b.step(20*millisecond, newTestRequest(fmt.Sprint("r", i), f))) {
-				b.step(0, attemptEnd(s, 0, Served))
+			for _, s := range actionsOf[Send](harness.step(20*millisecond, newTestRequest(fmt.Sprint("r", i), f))) {
+				harness.step(0, attemptEnd(s, 0, Served))
 			}
 		}
-		hot, rare := b.router.preferredWorkers(b.router.functions["hot"]), b.router.preferredWorkers(b.router.functions["f198"])
+		hot, rare := harness.router.preferredWorkers(harness.router.functions["hot"]), harness.router.preferredWorkers(harness.router.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
 			t.Fatalf("%d preferred workers for half of all requests and %d for a rare function, want many and 1", len(hot), len(rare))
 		}
@@ -80,37 +80,37 @@
 // Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and those
 // that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler alone.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
-	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
+	displacedFunctions := func(change func(*Settings), utilization float64, latency time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
-		w := harness.router.workers["w0"]
+		pressed := harness.router.workers["w0"]
 		for range 8 {
-			for _, a := range []*worker{w, harness.router.workers["w1"], harness.router.workers["w2"], harness.router.workers["w3"]} {
-				e := AttemptEnded{Outcome: Served, Latency: 50 * millisecond, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
-				if a == w {
-					e.Latency, e.Report.Utilization = took, util
+			for _, sampled := range []*worker{pressed, harness.router.workers["w1"], harness.router.workers["w2"], harness.router.workers["w3"]} {
+				end := AttemptEnded{Outcome: Served, Latency: 50 * millisecond, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
+				if sampled == pressed {
+					end.Latency, end.Report.Utilization = latency, utilization
 				}
-				harness.router.observeLoad(&attempt{worker: a}, e)
+				harness.router.observeLoad(&attempt{worker: sampled}, end)
 			}
 		}
-		gone := map[string]bool{}
+		displaced := map[string]bool{}
 		for i := range 100 {
-			if f := (&function{name: fmt.Sprint("f", i)}); harness.router.isDisplaced(f.placementAt(w)) {
-				gone[f.name] = true
+			if fn := (&function{name: fmt.Sprint("f", i)}); harness.router.isDisplaced(fn.placementAt(pressed)) {
+				displaced[fn.name] = true
 			}
 		}
-		return gone
+		return displaced
 	}
-	calm, busy, late := leaving(manySchedulers, 0.4, 50*millisecond), leaving(manySchedulers, 1, 50*millisecond), leaving(manySchedulers, 1, 900*millisecond)
+	calm, busy, late := displacedFunctions(manySchedulers, 0.4, 50*millisecond), displacedFunctions(manySchedulers, 1, 50*millisecond), displacedFunctions(manySchedulers, 1, 900*millisecond)
 	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
 		t.Errorf("of 100 functions %d leave a calm worker, %d a busy and %d a late one, want none, some and most",
 			len(calm), len(busy), len(late))
 	}
-	for f := range busy {
-		if !late[f] {
-			t.Errorf("%s leaves a busy worker and stays at one that is late too", f)
+	for name := range busy {
+		if !late[name] {
+			t.Errorf("%s leaves a busy worker and stays at one that is late too", name)
 		}
 	}
-	if own := leaving(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
+	if own := displacedFunctions(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
 		t.Errorf("%d functions leave a worker that is under pressure by our own requests", len(own))
 	}
 }
@@ -149,16 +149,16 @@
 	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
-	met := harness.router.workers[s.Worker]
+	answeredLately := harness.router.workers[s.Worker]
 	other := harness.router.workerList[0]
-	if other == met {
+	if other == answeredLately {
 		other = harness.router.workerList[1]
 	}
-	if !harness.router.busier(other, met) || harness.router.busier(met, other) {
+	if !harness.router.busier(other, answeredLately) || harness.router.busier(answeredLately, other) {
 		t.Error("a worker that never answered is taken before one that did")
 	}
 	harness.wait(harness.router.settings.InstanceKeepAlive + time.Second)
-	if harness.router.relativeLoad(met) != harness.router.relativeLoad(other) {
+	if harness.router.relativeLoad(answeredLately) != harness.router.relativeLoad(other) {
 		t.Error("an answer counts for ever")
 	}
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -9,11 +9,11 @@
 // not at all where they don't get to see it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
-		name     string
-		honoured bool
-		workers  int
-		outWork  float64 // seconds; one worker has a capacity of 12
-		want     time.Duration
+		name         string
+		honoured     bool
+		workers      int
+		inFlightWork float64 // seconds; one worker has a capacity of 12
+		want         time.Duration
 	}{
 		{"no worker", true, 0, 0, 500 * millisecond},
 		{"clients are not told", false, 0, 0, 0},
@@ -26,7 +26,7 @@
 				s.HonorsRetryAfter, s.MaxRetryAfter = tt.honoured, 500*millisecond
 			}), readyWorkers(tt.workers)...)
 			harness.step(millisecond)
-			harness.router.inFlightWork = tt.outWork
+			harness.router.inFlightWork = tt.inFlightWork
 			q := &request{Request: newTestRequest("a", "f"), class: &harness.router.settings.Classes[0]}
 			harness.router.actions = nil
 			harness.router.rejectOrFail(q)
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -49,7 +49,7 @@
 
 func unchangedSettings(*Settings) {}
 
-func TestKeyedRetryStaysInDeduplicationScope(t *testing.T) {
+func TestRetryByKeyStaysInDeduplicationScope(t *testing.T) {
 	zones := map[string]int{}
 	for _, w := range readyWorkers(6) {
 		zones[w.ID] = w.Zone
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,10 +10,10 @@
 // Slow-start budget: under steady traffic a warming worker is never sent more than it bears, in any second.
 func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
-	n := 0
-	serve := func(d time.Duration) (sentAt []time.Duration) {
-		for end0 := harness.now + d; harness.now < end0; n++ {
-			for _, s := range actionsOf[Send](harness.step(tickInterval, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
+	requests := 0
+	serve := func(period time.Duration) (sentAt []time.Duration) {
+		for until := harness.now + period; harness.now < until; requests++ {
+			for _, s := range actionsOf[Send](harness.step(tickInterval, newTestRequest(fmt.Sprint("r", requests), fmt.Sprint("f", requests%7)),
 				TimerFired{tickToken})) {
 				if s.Worker == "w1" {
 					sentAt = append(sentAt, harness.now)
@@ -41,16 +41,16 @@
 	if len(sentAt) == 0 {
 		t.Fatal("nothing was sent to the warming worker")
 	}
-	for i, t0 := range sentAt {
-		in := 0
-		for _, u := range sentAt[i:] {
-			if u-t0 < time.Second {
-				in++
+	for i, from := range sentAt {
+		sent := 0
+		for _, at := range sentAt[i:] {
+			if at-from < time.Second {
+				sent++
 			}
 		}
-		capacityFraction := 0.25 + 0.75*(t0+time.Second-started).Seconds()/10
-		if limit := 2 * capacityFraction * rate; float64(in) > limit {
-			t.Fatalf("%d sends in the second from %v, the worker is overloaded at %.0f", in, t0-started, limit)
+		capacityFraction := 0.25 + 0.75*(from+time.Second-started).Seconds()/10
+		if limit := 2 * capacityFraction * rate; float64(sent) > limit {
+			t.Fatalf("%d sends in the second from %v, the worker is overloaded at %.0f", sent, from-started, limit)
 		}
 	}
 }
@@ -59,13 +59,13 @@
 // followed by all of the next.
 func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
-	n := 0
+	requests := 0
 	var sentAt []time.Duration
-	step := func(calls int) {
+	step := func(count int) {
 		events := []Event{TimerFired{tickToken}}
-		for range calls {
-			events = append(events, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%50)))
-			n++
+		for range count {
+			events = append(events, newTestRequest(fmt.Sprint("r", requests), fmt.Sprint("f", requests%50)))
+			requests++
 		}
 		for _, s := range actionsOf[Send](harness.step(tickInterval, events...)) {
 			if s.Worker == "w1" {
@@ -98,9 +98,7 @@
 		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
 		"no time":     func(s *Settings) { s.OverloadDuration = 0 },
 	} {
-		set := settings()
-		change(&set)
-		harness := newHarness(t, set, Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
+		harness := newHarness(t, settings(change), Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
 		for i := range 5 {
 			acts := harness.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
 			if len(actionsOf[Send](acts)) != 1 {
@@ -121,19 +119,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &testHarness{t: t, router: r, now: time.Hour}
-			b.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(4)})
-			b.warmUp(50, time.Second)
-			b.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: b.now}}})
-			budget += b.router.settings.OverloadMultiple * b.router.settings.SlowStartFraction * float64(b.router.throughputPerWeight) * b.router.settings.OverloadDuration.Seconds()
+			harness := &testHarness{t: t, router: r, now: time.Hour}
+			harness.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(4)})
+			harness.warmUp(50, time.Second)
+			harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: harness.now}}})
+			budget += harness.router.settings.OverloadMultiple * harness.router.settings.SlowStartFraction * float64(harness.router.throughputPerWeight) * harness.router.settings.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
 				for k := range 10 { // new functions: a fifth of them have the new worker as their first
 					id := fmt.Sprint("c", i, "-", k)
-					for _, s := range actionsOf[Send](b.step(5*millisecond, newTestRequest(id, "n"+id))) {
+					for _, s := range actionsOf[Send](harness.step(5*millisecond, newTestRequest(id, "n"+id))) {
 						if s.Worker == "new" {
 							total++
 						}
-						b.step(0, attemptEnd(s, 0, Served))
+						harness.step(0, attemptEnd(s, 0, Served))
 					}
 				}
 			}
