--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -11,14 +11,14 @@
 	}{
 		{"allowed", []func(*Settings){hedgingAllowed}, true, false},
 		{"not allowed", nil, false, true},
-		{"allowed, but unsafe", []func(*Settings){hedgingAllowed, nonIdempotent}, false, false},
-		{"neither copies nor cancels", []func(*Settings){cancelForbidden}, false, false},
+		{"allowed, but non-idempotent", []func(*Settings){hedgingAllowed, nonIdempotent}, false, false},
+		{"neither hedges nor cancels", []func(*Settings){cancelForbidden}, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			harness := newHarness(t, settings(tt.change...), readyWorkers(4)...)
 			harness.send("a", "f")
 			harness.send("b", "f")
-			acts := harness.wait(2800 * millisecond) // until attempts that need a load are overdue, with two of them unanswered
+			acts := harness.wait(2800 * millisecond) // by then both attempts are overdue, even with a load; one alone would not do
 			if got := len(actionsOf[Send](acts)) > 0; got != tt.sends {
 				t.Errorf("hedges: %v, want %v", got, tt.sends)
 			}
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -50,12 +50,12 @@
 		requests int
 		warm     bool
 	}{
-		{"as it was", time.Second, readyWorkers(2), 0, true},
-		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
+		{"nothing changed", time.Second, readyWorkers(2), 0, true},
+		{"restarted", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
 		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
 		{"long ago", time.Minute, readyWorkers(2), 0, false},
 		{"learned already", time.Second, readyWorkers(2), 1, false},
-		{"of a time to come", -time.Minute, readyWorkers(2), 0, false},
+		{"captured in the future", -time.Minute, readyWorkers(2), 0, false},
 	} {
 		restarted := newHarness(t, settings(manySchedulers), tt.workers...)
 		restarted.now = harness.now + tt.after
@@ -81,19 +81,19 @@
 	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
 		state := LearnedState{
-			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), RequestWeight: figure.Draw(rt, "calls"),
-			ThroughputPerWeight: figure.Draw(rt, "rate"), MeanPressure: figure.Draw(rt, "press"),
+			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "CapturedAt"), RequestWeight: figure.Draw(rt, "RequestWeight"),
+			ThroughputPerWeight: figure.Draw(rt, "ThroughputPerWeight"), MeanPressure: figure.Draw(rt, "MeanPressure"),
 		}
-		for range rapid.IntRange(0, 3).Draw(rt, "workers") {
-			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
+		for range rapid.IntRange(0, 3).Draw(rt, "Workers") {
+			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "ID")), 0, figure.Draw(rt, "PressureExcess"), figure.Draw(rt, "LatencyExcess")})
 		}
-		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
+		for range rapid.IntRange(0, 3).Draw(rt, "Functions") {
 			learned := LearnedFunction{
-				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Concurrency: number.Draw(rt, "lanes"),
-				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: instant.Draw(rt, "told"),
+				Name: fmt.Sprint("f", number.Draw(rt, "Name")), Class: number.Draw(rt, "Class"), Concurrency: number.Draw(rt, "Concurrency"),
+				RequestWeight: figure.Draw(rt, "RequestWeight"), ServiceTimeExcess: figure.Draw(rt, "ServiceTimeExcess"), LoadTime: instant.Draw(rt, "LoadTime"),
 			}
-			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
-				learned.Instances = append(learned.Instances, LearnedInstance{number.Draw(rt, "place"), instant.Draw(rt, "found"), number.Draw(rt, "copies")})
+			for range rapid.IntRange(0, 2).Draw(rt, "Instances") {
+				learned.Instances = append(learned.Instances, LearnedInstance{number.Draw(rt, "WorkerIndex"), instant.Draw(rt, "LastWarm"), number.Draw(rt, "Count")})
 			}
 			state.Functions = append(state.Functions, learned)
 		}
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	harness := newHarness(t, settings(append(change, faultReporting)...), readyWorkers(n)...)
 	for i := range 4 * n {
-		s := harness.send(fmt.Sprintf("lit%d", i), fmt.Sprintf("f%d", i))
+		s := harness.send(fmt.Sprintf("warm%d", i), fmt.Sprintf("f%d", i))
 		harness.step(30*millisecond, attemptEnd(s, 0, Served))
 	}
 	return harness
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A rejection tells the client when to retry: when the work ahead will be done, never later than clients follow, and
-// not at all where they don't get to see it.
+// A rejection advises the client when to retry: when the work ahead will be done, never later than clients follow, and
+// without advice where clients do not see it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -16,10 +16,10 @@
 		want         time.Duration
 	}{
 		{"no worker", true, 0, 0, 500 * millisecond},
-		{"clients are not told", false, 0, 0, 0},
-		{"little ahead", true, 1, 2.4, 200 * millisecond},
-		{"next to nothing ahead", true, 1, 0.001, tickInterval},
-		{"much ahead", true, 1, 60, 500 * millisecond},
+		{"clients do not see Retry-After", false, 0, 0, 0},
+		{"little work ahead", true, 1, 2.4, 200 * millisecond},
+		{"next to no work ahead", true, 1, 0.001, tickInterval},
+		{"much work ahead", true, 1, 60, 500 * millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			harness := newHarness(t, settings(func(s *Settings) {
@@ -45,6 +45,6 @@
 	harness.step(millisecond, late, soon)
 	got := actionsOf[Send](harness.step(millisecond, WorkerList{Workers: readyWorkers(2)}))
 	if len(got) != 2 || got[0].ID != "soon" || got[1].ID != "late" {
-		t.Errorf("left as %v, want soon before late", got)
+		t.Errorf("sent in the order %v, want soon before late", got)
 	}
 }
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -165,8 +165,8 @@
 
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"safe": unchangedSettings, "unsafe": nonIdempotent,
-		"keyed": dedupInZone, "hedging": hedgingAllowed, "orders": loadsAllowed, "no cancel": cancelForbidden,
+		"idempotent": unchangedSettings, "non-idempotent": nonIdempotent,
+		"by key": dedupInZone, "hedging": hedgingAllowed, "loads": loadsAllowed, "no cancel": cancelForbidden,
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -9,7 +9,7 @@
 
 // No unsafe repeat: what may follow an attempt that did not serve the request depends on its class and on the outcome.
 func TestRetriesByIdempotency(t *testing.T) {
-	const again, refuse, fail = "again", "refuse", "fail"
+	const retry, reject, fail = "retry", "reject", "fail"
 	for _, tt := range []struct {
 		name    string
 		change  func(*Settings)
@@ -17,28 +17,28 @@
 		after   time.Duration
 		want    string
 	}{
-		{"safe, timed out", unchangedSettings, TimedOut, 600 * millisecond, again},
-		{"safe, attempts used up", singleAttempt, TimedOut, 600 * millisecond, refuse},
-		{"unsafe, shed", nonIdempotent, Shed, 10 * millisecond, again},
-		{"unsafe, unreached", nonIdempotent, ConnectFailed, 10 * millisecond, again},
-		{"unsafe, not loaded", nonIdempotent, NotLoaded, 10 * millisecond, again},
-		{"unsafe, reset", nonIdempotent, ConnectionReset, 10 * millisecond, fail},
-		{"unsafe, error", nonIdempotent, Errored, 10 * millisecond, fail},
-		{"unsafe, timed out", nonIdempotent, TimedOut, 600 * millisecond, fail},
-		{"keyed, in its span", dedupInZone, TimedOut, 1990 * millisecond, again},
-		{"keyed, at the end of its span", dedupInZone, TimedOut, 1998 * millisecond, fail},
-		{"keyed, past its span", dedupInZone, TimedOut, 2100 * millisecond, fail},
-		{"keyed by all, past its span", dedupEverywhere, TimedOut, 2100 * millisecond, refuse},
+		{"idempotent, timed out", unchangedSettings, TimedOut, 600 * millisecond, retry},
+		{"idempotent, attempts used up", singleAttempt, TimedOut, 600 * millisecond, reject},
+		{"non-idempotent, shed", nonIdempotent, Shed, 10 * millisecond, retry},
+		{"non-idempotent, connect failed", nonIdempotent, ConnectFailed, 10 * millisecond, retry},
+		{"non-idempotent, not loaded", nonIdempotent, NotLoaded, 10 * millisecond, retry},
+		{"non-idempotent, connection reset", nonIdempotent, ConnectionReset, 10 * millisecond, fail},
+		{"non-idempotent, error", nonIdempotent, Errored, 10 * millisecond, fail},
+		{"non-idempotent, timed out", nonIdempotent, TimedOut, 600 * millisecond, fail},
+		{"by key, within the deduplication window", dedupInZone, TimedOut, 1990 * millisecond, retry},
+		{"by key, at the end of the deduplication window", dedupInZone, TimedOut, 1998 * millisecond, fail},
+		{"by key, past the deduplication window", dedupInZone, TimedOut, 2100 * millisecond, fail},
+		{"by key everywhere, past the deduplication window", dedupEverywhere, TimedOut, 2100 * millisecond, reject},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			harness := newHarness(t, settings(tt.change), readyWorkers(6)...)
 			s := harness.send("a", "f")
 			acts := harness.step(tt.after, attemptEnd(s, 0, tt.outcome))
 			got := map[string]int{
-				again: len(actionsOf[Send](acts)), refuse: len(actionsOf[Reject](acts)),
+				retry: len(actionsOf[Send](acts)), reject: len(actionsOf[Reject](acts)),
 				fail: len(actionsOf[Fail](acts)),
 			}
-			want := map[string]int{again: 0, refuse: 0, fail: 0}
+			want := map[string]int{retry: 0, reject: 0, fail: 0}
 			want[tt.want] = 1
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("got %v, want %s", got, tt.want)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -42,12 +42,12 @@
 
 func TestNewRejects(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no class":       func(s *Settings) { s.Classes = nil },
-		"no aim":         func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"no deadline":    func(s *Settings) { s.Classes[0].Deadline = -1 },
-		"no schedulers":  func(s *Settings) { s.Schedulers = 0 },
-		"no attempts":    func(s *Settings) { s.MaxAttempts = 0 },
-		"negative share": func(s *Settings) { s.LoadBudgetPerRequest = -0.1 },
+		"no class":             func(s *Settings) { s.Classes = nil },
+		"no latency objective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"no deadline":          func(s *Settings) { s.Classes[0].Deadline = -1 },
+		"no schedulers":        func(s *Settings) { s.Schedulers = 0 },
+		"no attempts":          func(s *Settings) { s.MaxAttempts = 0 },
+		"negative load budget": func(s *Settings) { s.LoadBudgetPerRequest = -0.1 },
 	} {
 		if _, err := New(settings(change), 1); err == nil {
 			t.Errorf("%s: no error", name)
@@ -69,7 +69,7 @@
 		}
 	})
 	// Past half its time a rejection is expensive where nothing was ever sent: what a worker has seen stays queued.
-	t.Run("no room after a worker turned it away", func(t *testing.T) {
+	t.Run("no capacity after a worker shed it", func(t *testing.T) {
 		harness := newHarness(t, settings(), readyWorkers(1)...)
 		s := harness.send("a", "f")
 		gone := readyWorker("w0", 0)
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -95,8 +95,8 @@
 // Where nothing overloads a warming worker, it is sent requests like any other.
 func TestNoSlowStartBudgetWithoutOverload(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
-		"no time":     func(s *Settings) { s.OverloadDuration = 0 },
+		"no overload multiple": func(s *Settings) { s.OverloadMultiple = 0 },
+		"no overload duration": func(s *Settings) { s.OverloadDuration = 0 },
 	} {
 		harness := newHarness(t, settings(change), Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
 		for i := range 5 {
