--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -8,9 +8,9 @@
 
 const millisecond = time.Millisecond
 
-// settings returns settings with one idempotent class and plenty of everything.
-func settings(change ...func(*Settings)) Settings {
-	made := Settings{
+// settings returns the settings of a deployment with one scheduler and one idempotent class, with these changes.
+func settings(changes ...func(*Settings)) Settings {
+	deployed := Settings{
 		Schedulers:           1,
 		Tick:                 2 * millisecond,
 		MaxAttempts:          4,
@@ -34,27 +34,37 @@
 			DeduplicationWindow: 2 * time.Second,
 		}},
 	}
-	for _, f := range change {
-		f(&made)
+	for _, change := range changes {
+		change(&deployed)
 	}
-	return made
+	return deployed
 }
 
+// Changes of settings, by what the deployment then allows or has.
+
+func unchangedSettings(*Settings) {}
+func cancelForbidden(s *Settings) { s.CancelAllowed = false }
+func faultReporting(s *Settings)  { s.FaultReporting = true }
+func hedgingAllowed(s *Settings)  { s.HedgingAllowed = true }
+func manySchedulers(s *Settings)  { s.Schedulers = 80 }
+func nonIdempotent(s *Settings)   { s.Classes[0].Idempotency = NonIdempotent }
+func singleAttempt(s *Settings)   { s.MaxAttempts = 1 }
+func threeSchedulers(s *Settings) { s.Schedulers = 3 }
+
+// dedupInZone has the workers of a zone drop repeats with the same idempotency key.
 func dedupInZone(s *Settings) {
 	s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope = IdempotentByKey, ScopeZone
 }
 
+// dedupEverywhere has all workers drop repeats with the same idempotency key.
 func dedupEverywhere(s *Settings) {
 	s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope = IdempotentByKey, ScopeAll
 }
-func nonIdempotent(s *Settings)  { s.Classes[0].Idempotency = NonIdempotent }
-func hedgingAllowed(s *Settings) { s.HedgingAllowed = true }
+
+// loadsAllowed allows two orders to load in five seconds.
 func loadsAllowed(s *Settings) {
 	s.LoadAllowed, s.LoadBudgetBase, s.LoadBudgetWindow = true, 2, 5*time.Second
 }
-func cancelForbidden(s *Settings) { s.CancelAllowed = false }
-func threeSchedulers(s *Settings) { s.Schedulers = 3 }
-func singleAttempt(s *Settings)   { s.MaxAttempts = 1 }
 
 // testHarness drives a Router by hand.
 type testHarness struct {
@@ -63,17 +73,26 @@
 	now    time.Duration
 }
 
-func newHarness(t *testing.T, s Settings, workers ...Worker) *testHarness {
+// newHarness returns a harness for a new Router that has been given these workers.
+func newHarness(t *testing.T, deployed Settings, workers ...Worker) *testHarness {
 	t.Helper()
-	r, err := New(s, 7)
+	const anySeed = 7
+	return newSeededHarness(t, deployed, anySeed, workers...)
+}
+
+// newSeededHarness is newHarness with a seed: two schedulers of one deployment differ in it.
+func newSeededHarness(t *testing.T, deployed Settings, seed uint64, workers ...Worker) *testHarness {
+	t.Helper()
+	router, err := New(deployed, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	harness := &testHarness{t: t, router: r, now: time.Hour}
+	harness := &testHarness{t: t, router: router, now: time.Hour}
 	harness.step(0, WorkerList{Kind: ListCached, Workers: workers})
 	return harness
 }
 
+// step lets time pass, reports the events to the Router and returns its actions.
 func (h *testHarness) step(after time.Duration, events ...Event) []Action {
 	h.now += after
 	return h.router.Step(h.now, events)
@@ -88,16 +107,7 @@
 	return all
 }
 
-func actionsOf[T Action](actions []Action) []T {
-	var list []T
-	for _, a := range actions {
-		if t, ok := a.(T); ok {
-			list = append(list, t)
-		}
-	}
-	return list
-}
-
+// send reports a new request and returns its Send. It ends the test unless the request is sent exactly once, and at once.
 func (h *testHarness) send(id, function string) Send {
 	h.t.Helper()
 	got := actionsOf[Send](h.step(millisecond, newTestRequest(id, function)))
@@ -107,13 +117,36 @@
 	return got[0]
 }
 
+// warmUp has requests of seven functions answered, so that the Router knows the throughput of warm workers.
+func (h *testHarness) warmUp(requests int, gap time.Duration) {
+	for i := range requests {
+		acts := h.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
+		for _, s := range actionsOf[Send](acts) {
+			h.step(0, attemptEnd(s, 0, Served))
+		}
+	}
+}
+
+// actionsOf returns the actions of one type, in their order.
+func actionsOf[T Action](actions []Action) []T {
+	var list []T
+	for _, action := range actions {
+		if typed, ok := action.(T); ok {
+			list = append(list, typed)
+		}
+	}
+	return list
+}
+
+// newTestRequest returns a request whose client gives up after 3 s.
 func newTestRequest(id, function string) Request {
 	return Request{ID: id, Function: function, TimeLeft: 3 * time.Second, Concurrency: 2, LoadTime: 500 * millisecond}
 }
 
-func attemptEnd(s Send, attempt int, o Outcome) AttemptEnded {
+// attemptEnd returns the end of an attempt at the worker of a Send, after 50 ms at a warm instance.
+func attemptEnd(s Send, attempt int, outcome Outcome) AttemptEnded {
 	return AttemptEnded{
-		ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: o, RequestAnswered: o == Served,
+		ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: outcome, RequestAnswered: outcome == Served,
 		Latency: 50 * millisecond, StartType: WarmStart, InFlightForFunction: -1,
 	}
 }
@@ -122,6 +155,7 @@
 	return Worker{ID: id, State: Ready, Weight: 1, Zone: zone}
 }
 
+// readyWorkers returns the workers w0, w1 and so on, by turns in the zones 0 and 1.
 func readyWorkers(n int) []Worker {
 	var list []Worker
 	for i := range n {
@@ -129,17 +163,3 @@
 	}
 	return list
 }
-
-func manySchedulers(s *Settings) { s.Schedulers = 80 }
-
-// warmUp answers requests of many functions, so that the Router knows the throughput of warm workers.
-func (h *testHarness) warmUp(calls int, gap time.Duration) {
-	for i := range calls {
-		acts := h.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
-		for _, s := range actionsOf[Send](acts) {
-			h.step(0, attemptEnd(s, 0, Served))
-		}
-	}
-}
-
-func faultReporting(s *Settings) { s.FaultReporting = true }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -47,12 +47,7 @@
 func TestSchedulersAgreeOnPreferredWorkers(t *testing.T) {
 	var first []*worker
 	for seed := range uint64(3) {
-		r, err := New(settings(manySchedulers), seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		harness := &testHarness{t: t, router: r, now: time.Hour}
-		harness.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(20)})
+		harness := newSeededHarness(t, settings(manySchedulers), seed, readyWorkers(20)...)
 		for i := range 200 {
 			f := "hot"
 			if i%2 == 0 {
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -47,8 +47,6 @@
 	}
 }
 
-func unchangedSettings(*Settings) {}
-
 func TestRetryByKeyStaysInDeduplicationScope(t *testing.T) {
 	zones := map[string]int{}
 	for _, w := range readyWorkers(6) {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -115,15 +115,12 @@
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
 		for seed := range schedulers {
-			r, err := New(settings(func(s *Settings) { s.Schedulers = schedulers }), uint64(seed))
-			if err != nil {
-				t.Fatal(err)
-			}
-			harness := &testHarness{t: t, router: r, now: time.Hour}
-			harness.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(4)})
+			deployed := settings(func(s *Settings) { s.Schedulers = schedulers })
+			harness := newSeededHarness(t, deployed, uint64(seed), readyWorkers(4)...)
 			harness.warmUp(50, time.Second)
 			harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: harness.now}}})
-			budget += harness.router.settings.OverloadMultiple * harness.router.settings.SlowStartFraction * float64(harness.router.throughputPerWeight) * harness.router.settings.OverloadDuration.Seconds()
+			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * float64(harness.router.throughputPerWeight) *
+				deployed.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
 				for k := range 10 { // new functions: a fifth of them have the new worker as their first
 					id := fmt.Sprint("c", i, "-", k)
