--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
+// A request is rejected on arrival when the work ahead of it makes it miss its deadline.
 func TestRejectsOnArrival(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
-	first := harness.send("first", "f") // nothing ahead: never rejected
+	first := harness.send("first", "f") // no work ahead: never rejected
 	answer := attemptEnd(first, 0, Served)
 	answer.Latency = 900 * millisecond
 	harness.step(900*millisecond, answer)
@@ -34,11 +35,12 @@
 	}
 	slow.ID = "second"
 	if acts := harness.step(millisecond, slow); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("second request, its load under way but too late: %v, want it rejected", acts)
+		t.Errorf("second request, while the load that it needs ends too late: %v, want it rejected", acts)
 	}
 }
 
-// With the same work ahead, a class with a short objective is treated like one with a long one, or it would starve.
+// With the same work ahead, classes with a short and with a long objective are rejected alike, or the short would
+// starve.
 func TestShortObjectivesDoNotStarve(t *testing.T) {
 	for _, tt := range []struct {
 		ahead    float64 // seconds of work ahead, per unit of capacity
@@ -63,8 +65,9 @@
 	}
 }
 
-// What peers have in flight shows in slow answers: part of the requests is rejected on arrival, but never all, or
-// nothing would show that the worker recovered. A single scheduler counts what it has in flight instead.
+// Slow answers of a shared worker show that peers have work in flight there: part of the requests is then rejected on
+// arrival, but never all, or no answer would show that the worker has recovered. A single scheduler knows what is in
+// flight and rejects none for slow answers.
 func TestRejectsForWorkOfPeers(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -93,7 +96,7 @@
 	}
 }
 
-// A tenant whose quota at this scheduler is less than one request a second still gets it.
+// A tenant whose quota at this scheduler is less than one request a second is still admitted at that rate.
 func TestSmallQuotaAdmits(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) {
 		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
@@ -101,10 +104,10 @@
 	harness.now += time.Minute
 	harness.step(0)
 	if harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("the first request in a minute is over its quota")
+		t.Error("the first request in a minute is over the tenant's quota")
 	}
 	if !harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("a second request at once is within a quota of 0.2 a second")
+		t.Error("a second request right after it is within a quota of 0.2 a second")
 	}
 	harness.now += 6 * time.Second
 	harness.step(0)
@@ -113,7 +116,7 @@
 	}
 }
 
-// Reports of peers eject no worker that the rest could not do without.
+// Reports of peers eject no worker whose load the remaining workers do not have the capacity for.
 func TestKeepsWorkersThatAreNeeded(t *testing.T) {
 	harness := harnessAfterAnswers(t, 4)
 	harness.wait(2 * time.Second)
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -32,29 +32,29 @@
 			}
 			return count
 		}
-		// A request may have arrived up to a tick (here 2 ms) before the batch that reported it.
+		// A request may have arrived up to Settings.Tick (here 2 ms) before the batch that reported it.
 		got, allowed := countWithin(orders, 5*time.Second), 2+0.01*countWithin(arrivals, 5*time.Second-2*millisecond)
 		if got > allowed {
-			t.Fatalf("%v orders to load in the window, %v are allowed", got, allowed)
+			t.Fatalf("%v loads ordered in the window, %v are allowed", got, allowed)
 		}
 	}
 	if len(orders) == 0 {
-		t.Error("no order to load at all")
+		t.Error("no load was ordered at all")
 	}
 }
 
-// Where only orders load a function, there is one order and the requests wait for its answer.
+// Where workers do not load on demand, one load is ordered, and the requests for the function wait until it has ended.
 func TestOrdersLoadsWithoutLoadOnDemand(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
 	acts := append(harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), harness.wait(100*millisecond)...)
 	loads := actionsOf[Load](acts)
 	if len(loads) != 1 || len(actionsOf[Send](acts)) != 0 {
-		t.Fatalf("got %v, want one order and no request sent before its answer", acts)
+		t.Fatalf("got %v, want one load ordered and no request sent before it has ended", acts)
 	}
 	acts = harness.step(millisecond, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
 	for _, s := range actionsOf[Send](acts) {
 		if s.Worker != loads[0].Worker {
-			t.Errorf("sent to %s, loaded at %s", s.Worker, loads[0].Worker)
+			t.Errorf("sent to %s, but the function is loaded at %s", s.Worker, loads[0].Worker)
 		}
 	}
 	if n := len(actionsOf[Send](acts)); n != 2 {
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -17,16 +17,17 @@
 	benchmarkTimerToken = 1
 )
 
-// benchmarkFleet plays the workers of a benchmark: each attempt is answered after benchmarkLatency of virtual time.
+// benchmarkFleet simulates the workers of a benchmark: each attempt is answered after benchmarkLatency of virtual time.
 type benchmarkFleet struct {
 	router  *routing.Router
 	now     time.Duration
 	steps   int
-	ids     []string // reused: a request is answered long before its id comes round again
+	ids     []string // used in turn: a request is answered long before its id is used again
 	pending []pendingAnswer
 	events  []routing.Event
 }
 
+// pendingAnswer is an attempt that a worker will answer, and when.
 type pendingAnswer struct {
 	at   time.Duration
 	send routing.Send
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Nothing to draining workers: no request and no order to load goes to a worker from the moment it is listed as draining
-// or gone, or a full list leaves it out.
+// Nothing to draining workers: no request and no order to load goes to a worker from the moment it is listed as
+// draining or gone, or a full list leaves it out.
 func TestNothingIsSentToDrainingWorkers(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Gone} {
 		harness := newHarness(t, settings(loadsAllowed), readyWorkers(3)...)
@@ -20,7 +20,7 @@
 					t.Errorf("state %d: sent to %s", state, s.Worker)
 				}
 				if to, ok := a.(Load); ok && to.Worker == s.Worker {
-					t.Errorf("state %d: order to load at %s", state, s.Worker)
+					t.Errorf("state %d: load ordered at %s", state, s.Worker)
 				}
 			}
 		}
@@ -35,13 +35,13 @@
 	}
 }
 
-// While the endpoint list may be stale nothing is sent, until it is known to be fresh or that takes too long; what
-// cannot wait so long is rejected in time.
+// While the endpoint list may be stale nothing is sent, until it is known to be fresh or the time that EndpointsStale
+// allows has passed. A request whose client does not wait that long is rejected.
 func TestStaleEndpointsHoldSends(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
 	if got := actionsOf[Send](append(harness.step(millisecond, newTestRequest("a", "f")), harness.wait(200*millisecond)...)); len(got) > 0 {
-		t.Fatalf("sent by a list that may be stale: %v", got)
+		t.Fatalf("sent while the endpoint list may be stale: %v", got)
 	}
 	if got := actionsOf[Send](harness.step(millisecond, EndpointsStale{})); len(got) != 1 {
 		t.Errorf("%d sends once the list is fresh, want 1", len(got))
@@ -51,28 +51,29 @@
 	short.TimeLeft = 100 * millisecond
 	got := append(harness.step(millisecond, short, newTestRequest("c", "g")), harness.wait(300*millisecond)...)
 	if s := actionsOf[Send](got); len(s) != 1 || s[0].ID != "c" {
-		t.Errorf("sent after the bound on waiting: %v, want c alone", s)
+		t.Errorf("sent after the longest wait: %v, want c alone", s)
 	}
 	if r := actionsOf[Reject](got); len(r) != 1 || r[0].ID != "b" {
 		t.Errorf("rejected: %v, want b, whose time ran out", r)
 	}
 }
 
+// A worker that restarted has lost its instances.
 func TestRestartVoidsWarmInstances(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
 	p := harness.router.functions["f"].placementAt(harness.router.workers[s.Worker])
 	if !harness.router.isWarm(p) {
-		t.Fatal("not believed warm after a served answer")
+		t.Fatal("the instance that served a request is not believed warm")
 	}
 	harness.step(millisecond, WorkerList{Workers: []Worker{{ID: s.Worker, State: Ready, Started: harness.now}}})
 	if harness.router.isWarm(p) {
-		t.Error("still believed warm after a restart")
+		t.Error("the instance is still believed warm after a restart of its worker")
 	}
 }
 
-// Workers that are gone, and what was known of them, are forgotten in the end; one that returns starts afresh.
+// Workers that are gone are forgotten with all that was known of them. One that returns gets requests again.
 func TestGoneWorkersAreForgotten(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("stays", 0))
 	for i := range 50 {
@@ -84,9 +85,9 @@
 	harness.step(millisecond, WorkerList{Kind: ListChanges, Workers: []Worker{{ID: "w49", State: Gone}, readyWorker("stays", 0)}})
 	harness.wait(10 * time.Second)
 	if n, m, p := len(harness.router.workerList), len(harness.router.workers), len(harness.router.functions["f"].placements); n != 1 || m != 1 || p > 1 {
-		t.Errorf("%d and %d workers and %d placements are kept, want those of one worker", n, m, p)
+		t.Errorf("%d workers in the list, %d by id and %d placements are kept, want those of one worker", n, m, p)
 	}
 	if s := harness.send("last", "f"); s.Worker != "stays" {
-		t.Errorf("sent to %s", s.Worker)
+		t.Errorf("sent to %s, want the worker that returned", s.Worker)
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -107,7 +107,8 @@
 	return all
 }
 
-// send reports a new request and returns its Send. It ends the test unless the request is sent exactly once, and at once.
+// send reports a new request and returns its Send. It ends the test unless the request is sent exactly once, and at
+// once.
 func (h *testHarness) send(id, function string) Send {
 	h.t.Helper()
 	got := actionsOf[Send](h.step(millisecond, newTestRequest(id, function)))
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// learnedHarness is a harness whose Router has served calls of some functions.
+// learnedHarness returns a harness whose Router has served requests for seven functions.
 func learnedHarness(t *testing.T, workers ...Worker) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(manySchedulers), workers...)
@@ -18,8 +18,8 @@
 	return harness
 }
 
-// After a restart requests go where instances were loaded, and the throughput of warm workers is known from the first
-// request on.
+// After a restart of the scheduler requests go where instances were loaded, and the throughput of warm workers is known
+// from the first request on.
 func TestRestoreState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(6)...)
 	state := harness.router.LearnedState()
@@ -27,7 +27,7 @@
 	restarted.now = harness.now + time.Second
 	restarted.step(0, StateRestored{state})
 	if got, want := restarted.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
-		t.Errorf("a warm worker answers %v a second, as restored; it was %v", got, want)
+		t.Errorf("restored throughput of a warm worker is %v a second, want %v", got, want)
 	}
 	for i := range 7 {
 		f := restarted.router.functions[fmt.Sprint("f", i)]
@@ -38,8 +38,8 @@
 	}
 }
 
-// What no longer holds is ignored: instances at workers that restarted or are gone, or that were idle for too long, and
-// all of it where something was learned already or the state was captured in the future.
+// What no longer holds is ignored: instances that were idle for too long or whose worker restarted or is gone. The
+// whole state is ignored if something was learned already or it was captured in the future.
 func TestRestoreIgnoresVoidState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
@@ -70,12 +70,12 @@
 			}
 		}
 		if warm != tt.warm {
-			t.Errorf("%s: instances are believed loaded: %v, want %v", tt.name, warm, tt.warm)
+			t.Errorf("%s: instances are believed warm: %v, want %v", tt.name, warm, tt.warm)
 		}
 	}
 }
 
-// Whatever a restored state holds, the Router goes on deciding, and the state that it exports then is plausible.
+// Whatever a restored state holds, the Router still sends requests, and the state that it exports then is plausible.
 func TestRestoreArbitraryState(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
 	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
@@ -107,11 +107,11 @@
 			}
 		}
 		if answered == 0 {
-			rt.Fatal("nothing is sent any more")
+			rt.Fatal("no request is sent after the state was restored")
 		}
 		exported := harness.router.LearnedState()
 		if !plausible(exported.RequestWeight, exported.ThroughputPerWeight, exported.MeanPressure) || !reflect.DeepEqual(exported, harness.router.LearnedState()) {
-			rt.Fatalf("it exports %+v", exported)
+			rt.Fatalf("the exported state is not plausible or not stable: %+v", exported)
 		}
 	})
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A worker that takes requests and answers none is ejected, and probed with one request at a time.
+// A worker that takes requests and answers none is ejected: requests go elsewhere until it answers one.
 func TestEjectsUnresponsiveWorker(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -19,7 +19,7 @@
 		t.Fatal("two overdue requests and no answer: not ejected")
 	}
 	if d := harness.send("d", "f"); d.Worker == s.Worker {
-		t.Error("an ejected worker got another request at once")
+		t.Error("an ejected worker got another request")
 	}
 	harness.step(millisecond, attemptEnd(Send{ID: "b", Worker: s.Worker}, 0, Served))
 	if harness.router.workers[s.Worker].ejected {
@@ -27,6 +27,7 @@
 	}
 }
 
+// A single overdue attempt may be an expensive request.
 func TestOneOverdueRequestDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -56,21 +57,21 @@
 	}
 }
 
-// After a stall the timer may come before the answers of the same batch: no worker is ejected for that.
+// After a stall of the scheduler the timer may come before answers in the same batch: their worker is not ejected.
 func TestStallDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	one, two := harness.send("one", "f"), harness.send("two", "f")
 	acts := harness.step(2*time.Second, TimerFired{tickToken}, attemptEnd(one, 0, Served), attemptEnd(two, 0, Served))
 	if w := harness.router.workers[one.Worker]; w.ejected {
-		t.Error("ejected, though its answers came in the same batch")
+		t.Error("ejected though its answers came in the same batch")
 	}
 	if got := actionsOf[Cancel](acts); len(got) > 0 {
 		t.Errorf("canceled %v", got)
 	}
 }
 
-// harnessAfterAnswers returns a harness with n workers: fault reporting is on, and 4n requests for different functions have
-// just been answered.
+// harnessAfterAnswers returns a harness with n workers: fault reporting is on, and 4n requests for different functions
+// have just been answered.
 func harnessAfterAnswers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(append(change, faultReporting)...), readyWorkers(n)...)
@@ -81,6 +82,7 @@
 	return harness
 }
 
+// confirmedReports returns reports by which enough peers find each of these workers unhealthy.
 func confirmedReports(ids ...string) PeerReports {
 	reports := PeerReports{Verdicts: map[string]PeerVerdict{}}
 	for _, id := range ids {
@@ -89,8 +91,9 @@
 	return reports
 }
 
-// A worker that enough peers report gets nothing but probes until it answers one; it is not ejected while its own answers
-// are recent. Reports never eject all workers; TestKeepsWorkersThatAreNeeded has the bound by capacity.
+// A worker that enough peers report is ejected, and gets nothing but probes, unless its own answers are recent. Its
+// answer to a peer has it probed at once. Reports never eject all workers; TestKeepsWorkersThatAreNeeded has the bound
+// by capacity.
 func TestEjectsOnConfirmedReports(t *testing.T) {
 	harness := harnessAfterAnswers(t, 8)
 	harness.step(0, confirmedReports("w3"))
@@ -99,7 +102,7 @@
 	}
 	harness.wait(2 * time.Second)
 	if acts := actionsOf[ReportFault](harness.step(0, confirmedReports("w3"))); len(acts) > 0 {
-		t.Errorf("reports of peers were passed on as observed here: %v", acts)
+		t.Errorf("reports of peers were passed on as observations of this scheduler: %v", acts)
 	}
 	for i := range 40 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
@@ -109,11 +112,11 @@
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if !harness.router.workers["w3"].ejected {
-		t.Error("not ejected")
+		t.Error("not ejected though enough peers report it")
 	}
 	harness.step(0, PeerReports{Cleared: []string{"w3"}})
 	if w := harness.router.workers["w3"]; harness.router.now < w.probationAt {
-		t.Error("not probed at once though a peer has had an answer")
+		t.Error("not to be probed at once, though a peer has had an answer")
 	}
 	harness = harnessAfterAnswers(t, 8)
 	harness.wait(2 * time.Second)
@@ -129,7 +132,8 @@
 	}
 }
 
-// A single report only diverts requests that must not be repeated, and not if all workers are reported.
+// A worker that some peers report, too few to eject it, gets no requests that must not be repeated, unless all workers
+// are reported.
 func TestSingleReportDivertsNonIdempotent(t *testing.T) {
 	harness := harnessAfterAnswers(t, 4, nonIdempotent)
 	harness.wait(2 * time.Second)
@@ -137,19 +141,20 @@
 	for i := range 20 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
 		if s.Worker == "w0" {
-			t.Fatal("a request that must not be repeated went to a worker that one peer reports")
+			t.Fatal("a request that must not be repeated went to a worker that peers report")
 		}
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if harness.router.workers["w0"].ejected {
-		t.Error("ejected on the report of one peer")
+		t.Error("ejected though too few peers report it")
 	}
 	harness.wait(2 * time.Second)
 	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}})
 	harness.send("last", "f0")
 }
 
-// Faults are reported: an unresponsive worker with the newest evidence, and its recovery; without peers nothing is.
+// An unresponsive worker is reported with the time of the newest evidence, and later its recovery. Where nobody reads
+// the reports, there are none.
 func TestReportsFaults(t *testing.T) {
 	for _, reporting := range []bool{true, false} {
 		harness := newHarness(t, settings(func(s *Settings) { s.FaultReporting = reporting }), readyWorkers(1)...)
@@ -163,12 +168,12 @@
 		observed = append(observed, actionsOf[ReportFault](harness.wait(time.Second))...)
 		answeredAt := harness.now
 		observed = append(observed, actionsOf[ReportFault](harness.step(0, attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
-		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}} // both are overdue in the same sweep
+		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}} // both attempts are overdue in the same sweep
 		if !reporting {
 			want = nil
 		}
 		if !reflect.DeepEqual(observed, want) {
-			t.Errorf("peers %v: observed %v, want %v", reporting, observed, want)
+			t.Errorf("fault reporting %v: reported %v, want %v", reporting, observed, want)
 		}
 	}
 }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Requests go to the worker where the function was found loaded.
 func TestPrefersWarmInstance(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(8)...)
 	s := harness.send("a", "f")
@@ -14,12 +15,13 @@
 	for i := range 10 {
 		again := harness.send(fmt.Sprint("b", i), "f")
 		if again.Worker != s.Worker {
-			t.Fatalf("sent to %s, found warm at %s", again.Worker, s.Worker)
+			t.Fatalf("sent to %s, but the function is warm at %s", again.Worker, s.Worker)
 		}
 		harness.step(50*millisecond, attemptEnd(again, 0, Served))
 	}
 }
 
+// Schedulers with different seeds choose the same worker for the first instance of a function.
 func TestSchedulersAgreeOnFirstLoad(t *testing.T) {
 	for i := range 10 {
 		f := fmt.Sprint("f", i)
@@ -43,7 +45,7 @@
 	}
 }
 
-// A much called function is spread over several workers, the same ones at all schedulers; others prefer one.
+// A function that gets many requests prefers several workers, the same ones at all schedulers; a rare one prefers one.
 func TestSchedulersAgreeOnPreferredWorkers(t *testing.T) {
 	var first []*worker
 	for seed := range uint64(3) {
@@ -59,7 +61,7 @@
 		}
 		hot, rare := harness.router.preferredWorkers(harness.router.functions["hot"]), harness.router.preferredWorkers(harness.router.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
-			t.Fatalf("%d preferred workers for half of all requests and %d for a rare function, want many and 1", len(hot), len(rare))
+			t.Fatalf("%d preferred workers for the function with half of all requests and %d for a rare one, want at least 5 and 1", len(hot), len(rare))
 		}
 		if first == nil {
 			first = hot
@@ -72,8 +74,9 @@
 	}
 }
 
-// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and those
-// that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler alone.
+// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and
+// those that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler
+// alone.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
 	displacedFunctions := func(change func(*Settings), utilization float64, latency time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
@@ -97,21 +100,20 @@
 	}
 	calm, busy, late := displacedFunctions(manySchedulers, 0.4, 50*millisecond), displacedFunctions(manySchedulers, 1, 50*millisecond), displacedFunctions(manySchedulers, 1, 900*millisecond)
 	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
-		t.Errorf("of 100 functions %d leave a calm worker, %d a busy and %d a late one, want none, some and most",
+		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want none, some and most",
 			len(calm), len(busy), len(late))
 	}
 	for name := range busy {
 		if !late[name] {
-			t.Errorf("%s leaves a busy worker and stays at one that is late too", name)
+			t.Errorf("%s leaves a busy worker and stays at a busy one that answers late", name)
 		}
 	}
 	if own := displacedFunctions(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
-		t.Errorf("%d functions leave a worker that is under pressure by our own requests", len(own))
+		t.Errorf("%d functions leave a worker that only this scheduler puts under pressure", len(own))
 	}
 }
 
-// Requests of a pool stay in it, and go to its fallback where it has no capacity: by their estimate on arrival, or when
-// half their time has passed.
+// Requests of a pool stay in it, and go to its fallback where it has no capacity. A change of the pool holds at once.
 func TestFallbackPool(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
@@ -129,17 +131,17 @@
 		t.Errorf("sent outside the pools: %v", sentTo)
 	}
 	if sentTo["w0"]+sentTo["w1"] == 0 || sentTo["w2"]+sentTo["w3"] == 0 {
-		t.Errorf("sent to one pool alone: %v", sentTo)
+		t.Errorf("sent to only one of pool and fallback: %v", sentTo)
 	}
 	first.Workers = map[string]bool{"w4": true}
 	q := newTestRequest("late", "g\x00lane")
 	q.Pool = first
 	if got := actionsOf[Send](harness.step(0, PoolsChanged{}, q)); len(got) != 1 || got[0].Worker != "w4" {
-		t.Errorf("after a change: %v", got)
+		t.Errorf("after a change of the pool: %v, want one request sent to w4", got)
 	}
 }
 
-// Of two workers with nothing in flight that many schedulers share, the one that answered here lately is taken.
+// Of two idle workers that many schedulers share, the one that answered this scheduler lately counts as less busy.
 func TestPrefersWorkerThatAnsweredLately(t *testing.T) {
 	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -150,10 +152,10 @@
 		other = harness.router.workerList[1]
 	}
 	if !harness.router.busier(other, answeredLately) || harness.router.busier(answeredLately, other) {
-		t.Error("a worker that never answered is taken before one that did")
+		t.Error("a worker that never answered counts as less busy than one that did")
 	}
 	harness.wait(harness.router.settings.InstanceKeepAlive + time.Second)
 	if harness.router.relativeLoad(answeredLately) != harness.router.relativeLoad(other) {
-		t.Error("an answer counts for ever")
+		t.Error("an old answer still counts")
 	}
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -31,7 +31,7 @@
 			harness.router.actions = nil
 			harness.router.rejectOrFail(q)
 			if got := actionsOf[Reject](harness.router.actions); len(got) != 1 || got[0].RetryAfter.Round(millisecond) != tt.want {
-				t.Errorf("got %v, want one rejection with %v", got, tt.want)
+				t.Errorf("got %v, want one rejection with Retry-After %v", got, tt.want)
 			}
 		})
 	}
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// randomSimulation simulates the clients and workers of a Router at random. It checks three invariants of the package on
-// each action: one final answer, no unsafe repeat (for requests that must not be repeated at all) and nothing to draining
-// workers.
+// randomSimulation simulates the clients and workers of a Router at random. It checks three invariants of the package
+// on each action: one final answer, no unsafe repeat (for requests that must not be repeated at all) and nothing to
+// draining workers.
 type randomSimulation struct {
 	t          *testing.T
 	settings   Settings
@@ -67,7 +67,7 @@
 	return all
 }
 
-// check fails the test if an action breaks a rule, and notes it otherwise.
+// check fails the test if an action breaks an invariant, and records it otherwise.
 func (s *randomSimulation) check(action Action) {
 	s.t.Helper()
 	mustNotRepeat := s.settings.Classes[0].Idempotency == NonIdempotent
@@ -76,13 +76,13 @@
 		req := s.requests[action.ID]
 		if req == nil || req.answered || s.now >= req.end || !s.ready[action.Worker] ||
 			len(req.inFlight) > 0 && !s.settings.HedgingAllowed || req.mayHaveRun && mustNotRepeat {
-			s.t.Fatalf("step %d: %+v breaks a rule: %+v", s.step, action, req)
+			s.t.Fatalf("step %d: %+v breaks an invariant, request %+v", s.step, action, req)
 		}
 		req.inFlight[req.attempts] = action.Worker
 		req.attempts++
 	case Load:
 		if !s.ready[action.Worker] {
-			s.t.Fatalf("step %d: order to %s", s.step, action.Worker)
+			s.t.Fatalf("step %d: load ordered at %s, which is not ready", s.step, action.Worker)
 		}
 	case Fail:
 		s.checkFinal(action.ID)
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkFinal fails the test if a request has its final answer already.
+// checkFinal records the final answer of a request, and fails the test if it is not the first.
 func (s *randomSimulation) checkFinal(id string) {
 	s.t.Helper()
 	if s.requests[id] == nil || s.requests[id].answered {
@@ -104,14 +104,14 @@
 	s.requests[id].answered = true
 }
 
-// attemptEnds ends some of the attempts in flight, and fails the test if a request is unanswered past its time.
+// attemptEnds ends some of the attempts in flight, and fails the test if a request has no final answer in time.
 func (s *randomSimulation) attemptEnds() []Event {
 	s.t.Helper()
 	var events []Event
 	for _, id := range s.requestIDs {
 		req := s.requests[id]
 		if !req.answered && s.now > req.end+s.settings.AnswerSlack {
-			s.t.Fatalf("step %d: %s unanswered past its time", s.step, id)
+			s.t.Fatalf("step %d: %s has no final answer in time", s.step, id)
 		}
 		for number := range req.attempts {
 			target, inFlight := req.inFlight[number]
@@ -140,7 +140,7 @@
 	return events
 }
 
-// newRequests makes a request in one step of three.
+// newRequests returns a new request in one step of three, on average.
 func (s *randomSimulation) newRequests() []Event {
 	if s.rng.IntN(3) != 0 {
 		return nil
@@ -152,7 +152,7 @@
 	return []Event{req}
 }
 
-// workerChanges changes the state of a worker in one step of a hundred.
+// workerChanges changes the state of a worker in one step of a hundred, on average.
 func (s *randomSimulation) workerChanges() []Event {
 	if s.rng.IntN(100) != 0 {
 		return nil
@@ -176,18 +176,20 @@
 	}
 }
 
+// The same seed and events give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	one, two := simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000), simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000)
 	if !reflect.DeepEqual(one, two) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events and seed gave different actions")
 	}
 }
 
+// A Router decides the same whether or not another Router is used in the same process.
 func TestRoutersShareNothing(t *testing.T) {
 	stepOneRequest := func(r *Router, i int) []Action {
 		return r.Step(time.Hour+time.Duration(i)*millisecond, []Event{newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%5))})
 	}
-	fresh := func() *Router {
+	newRouter := func() *Router {
 		r, err := New(settings(), 3)
 		if err != nil {
 			t.Fatal(err)
@@ -195,7 +197,7 @@
 		r.Step(time.Hour, []Event{WorkerList{Kind: ListCached, Workers: readyWorkers(5)}})
 		return r
 	}
-	alone, shared, other := fresh(), fresh(), fresh()
+	alone, shared, other := newRouter(), newRouter(), newRouter()
 	for i := range 200 {
 		want := stepOneRequest(alone, i)
 		if got := stepOneRequest(shared, i); !reflect.DeepEqual(got, want) {
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// A retry by key goes to another worker that drops repeats of the same key.
 func TestRetryByKeyStaysInDeduplicationScope(t *testing.T) {
 	zones := map[string]int{}
 	for _, w := range readyWorkers(6) {
@@ -57,12 +58,13 @@
 		s := harness.send("a", fmt.Sprint("f", i))
 		acts := actionsOf[Send](harness.step(10*millisecond, attemptEnd(s, 0, ConnectionReset)))
 		if len(acts) != 1 || zones[acts[0].Worker] != zones[s.Worker] || acts[0].Worker == s.Worker {
-			t.Fatalf("after %v: %v, want another worker of the same zone", s, acts)
+			t.Fatalf("after %v: sent %v, want another worker of the same zone", s, acts)
 		}
 	}
 }
 
-// A stream that has started belongs to the client: nothing more is sent for it when it breaks.
+// The client already has the beginning of a stream that has started: when it breaks, the request is neither retried nor
+// given another answer.
 func TestStartedStreamIsNotRetried(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), readyWorkers(3)...)
 	s := harness.send("a", "f")
@@ -71,6 +73,6 @@
 	broken.RequestAnswered = true
 	acts := append(harness.step(500*millisecond, broken), harness.wait(3*time.Second)...)
 	if len(actionsOf[Send](acts))+len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) > 0 {
-		t.Errorf("something follows a broken stream: %v", acts)
+		t.Errorf("actions after a broken stream: %v", acts)
 	}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// The files that deploy/balancer.toml names as policy hold 950 lines together that are not blank.
+// The files that deploy/balancer.toml names as policy hold at most 950 lines together that are not blank, none of them
+// wider than 110 columns.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -30,8 +31,8 @@
 			if len(bytes.TrimSpace(line)) > 0 {
 				lines++
 			}
-			if w := len([]rune(string(bytes.ReplaceAll(line, []byte("\t"), []byte("    "))))); w > 110 {
-				t.Errorf("%s:%d is %d columns wide, 110 are allowed", name, i+1, w)
+			if width := len([]rune(string(bytes.ReplaceAll(line, []byte("\t"), []byte("    "))))); width > 110 {
+				t.Errorf("%s:%d is %d columns wide, 110 are allowed", name, i+1, width)
 			}
 		}
 	}
@@ -62,13 +63,13 @@
 		harness.step(0, newTestRequest("a", "f"))
 		early, late := harness.wait(1400*millisecond), harness.wait(100*millisecond)
 		if n := len(actionsOf[Reject](early)); n != 0 {
-			t.Errorf("%d rejections long before half of the client's time", n)
+			t.Errorf("%d rejections before half of the client's time has passed", n)
 		}
 		if n := len(actionsOf[Reject](late)) + len(actionsOf[Fail](late)); n != 1 {
 			t.Errorf("%d final answers, want 1", n)
 		}
 	})
-	// Past half its time a rejection is expensive where nothing was ever sent: what a worker has seen stays queued.
+	// Half its time without capacity ends a request only if it never reached a worker.
 	t.Run("no capacity after a worker shed it", func(t *testing.T) {
 		harness := newHarness(t, settings(), readyWorkers(1)...)
 		s := harness.send("a", "f")
@@ -76,7 +77,7 @@
 		gone.State = Gone
 		harness.step(millisecond, WorkerList{Workers: []Worker{gone}}, attemptEnd(s, 0, Shed))
 		if acts := harness.wait(1900 * millisecond); len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 0 {
-			t.Errorf("got %v at half of the client's time, want it queued", acts)
+			t.Errorf("got %v after half of the client's time, want the request to stay queued", acts)
 		}
 	})
 	t.Run("time-out at the deadline", func(t *testing.T) {
@@ -90,7 +91,7 @@
 			t.Errorf("got %v, want one failure", acts)
 		}
 		if acts := harness.wait(time.Second); len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
-			t.Errorf("something follows the final answer: %v", acts)
+			t.Errorf("actions after the final answer: %v", acts)
 		}
 	})
 	t.Run("client left", func(t *testing.T) {
@@ -101,23 +102,24 @@
 		}
 		acts := append(harness.step(millisecond, attemptEnd(s, 0, Shed)), harness.wait(4*time.Second)...)
 		if len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
-			t.Errorf("something follows the client's leaving: %v", acts)
+			t.Errorf("actions for a request whose client has left: %v", acts)
 		}
 	})
 }
 
+// Events for requests, attempts, workers and timers that the Router does not know change nothing.
 func TestUnknownIDsAreIgnored(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed), readyWorkers(2)...)
 	acts := harness.step(millisecond, attemptEnd(Send{ID: "none", Worker: "w0"}, 0, Served), ClientCanceled{"none"},
 		StreamStarted{ID: "none", Worker: "nobody"}, ProbeEnded{Worker: "nobody"}, TimerFired{Token: 99},
 		LoadEnded{Worker: "nobody", Function: "f"}, PeerMessage{From: 3})
 	if len(acts) != 0 {
-		t.Errorf("acted on unknown ids: %v", acts)
+		t.Errorf("actions for unknown ids: %v", acts)
 	}
 	s := harness.send("a", "f")
 	harness.step(millisecond, attemptEnd(s, 5, Shed), attemptEnd(s, -1, Shed))
 	harness.step(millisecond, attemptEnd(s, 0, Served), attemptEnd(s, 0, Served))
 	if n := len(harness.router.workers[s.Worker].inFlight); n != 0 {
-		t.Errorf("%d attempts counted as in flight after the only one ended twice", n)
+		t.Errorf("%d attempts in flight after the only one was reported as ended twice", n)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -34,8 +34,8 @@
 	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
-// checkSlowStartBudget checks that requests were sent to a warming worker, and in no second more than overload it: it
-// can do as much as rate, in requests a second, when it is warm.
+// checkSlowStartBudget fails the test if nothing was sent to a warming worker, or in any second more than overloads it.
+// It serves rate requests a second when warm; the fractions and the overload multiple of 2 are those of settings.
 func checkSlowStartBudget(t *testing.T, sentAt []time.Duration, started time.Duration, rate float64) {
 	t.Helper()
 	if len(sentAt) == 0 {
@@ -50,13 +50,13 @@
 		}
 		capacityFraction := 0.25 + 0.75*(from+time.Second-started).Seconds()/10
 		if limit := 2 * capacityFraction * rate; float64(sent) > limit {
-			t.Fatalf("%d sends in the second from %v, the worker is overloaded at %.0f", sent, from-started, limit)
+			t.Fatalf("%d sends in the second from %v after the start, the worker is overloaded at %.0f", sent, from-started, limit)
 		}
 	}
 }
 
-// The budget holds for any window, not only for those that it is drawn for: what is saved until the end of one is not
-// followed by all of the next.
+// Slow-start budget: it holds in any window, not only in those that a quota is drawn for. A quota that is used at the
+// end of one window is not followed at once by that of the next.
 func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	requests := 0
@@ -80,7 +80,7 @@
 	rate := float64(harness.router.throughputPerWeight)
 	harness.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: harness.now}, {ID: "w0", State: Draining}}})
 	started := harness.now
-	for range 6 { // a few requests begin a window, most come around its end
+	for range 6 { // one request begins a window, bursts come around its end
 		step(1)
 		for harness.now < harness.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
 			step(0)
@@ -92,7 +92,7 @@
 	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
-// Where nothing overloads a warming worker, it is sent requests like any other.
+// Where nothing overloads a warming worker, it is sent requests like a warm one.
 func TestNoSlowStartBudgetWithoutOverload(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no overload multiple": func(s *Settings) { s.OverloadMultiple = 0 },
@@ -122,7 +122,7 @@
 			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * float64(harness.router.throughputPerWeight) *
 				deployed.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
-				for k := range 10 { // new functions: a fifth of them have the new worker as their first
+				for k := range 10 { // new functions: one in five has the new worker first in its rendezvous order
 					id := fmt.Sprint("c", i, "-", k)
 					for _, s := range actionsOf[Send](harness.step(5*millisecond, newTestRequest(id, "n"+id))) {
 						if s.Worker == "new" {
@@ -137,7 +137,7 @@
 			t.Errorf("%d schedulers sent %v requests to a warming worker within a window, %v are allowed", schedulers, got, allowed)
 		}
 		if schedulers >= 80 && total == 0 {
-			t.Errorf("%d schedulers sent nothing at all to a warming worker", schedulers)
+			t.Errorf("%d schedulers sent nothing to a warming worker", schedulers)
 		}
 	}
 }
