--- a/cmd/simadapter/recording_test.go
+++ b/cmd/simadapter/recording_test.go
@@ -4,22 +4,24 @@
 	"bufio"
 	"bytes"
 	"compress/gzip"
-	"flag"
 	"fmt"
 	"hash/crc32"
 	"io"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
+
+	"calicohill/internal/testbed/golden"
 )
 
-// record writes testdata/recording.txt.gz anew. The recording was made by the program as it was before its names were
-// changed, as proof that the changes alter no decision. It is never made anew to get a pass: a reply that differs is a
-// fault of the change, unless the change was meant to alter decisions and its commit says so. It was made on amd64; a
-// processor for which Go fuses floating-point operations may differ in the last bits.
-var record = flag.Bool("record", false, "write testdata/recording.txt.gz instead of comparing with it")
+// recordingFile is the golden file of the recording, named from testdata/golden: it lies in testdata itself.
+//
+// It was recorded with the program as it was before its names were changed, and shows that those changes alter no
+// decision. It is never recorded again to get a pass: a reply that differs is a fault of the change, unless the change was
+// meant to alter decisions and its commit says so. Then the file is removed first; the flag -record of package golden
+// writes it only if it is missing. It was recorded on amd64; a processor for which Go fuses floating-point operations may
+// differ in the last bits.
+const recordingFile = "../recording.txt.gz"
 
 const (
 	recordedRounds     = 6400 // of all instances together
@@ -39,18 +41,11 @@
 		t.Fatal(err)
 	}
 	recordMalformedInput(&got)
-	name := filepath.Join("testdata", "recording.txt.gz")
-	if *record {
-		if err := writeRecording(name, got.Bytes()); err != nil {
-			t.Fatal(err)
-		}
+	if golden.Recording() {
+		writeRecording(t, got.Bytes())
 		return
 	}
-	want, err := readRecording(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	compareRecordings(t, got.Bytes(), want)
+	compareRecordings(t, got.Bytes(), readRecording(t))
 }
 
 // compareRecordings reports the first line that differs, and whether input or decisions differ there.
@@ -299,29 +294,33 @@
 	return strings.Join(lines, "\n")
 }
 
-func readRecording(name string) ([]byte, error) {
-	compressed, err := os.ReadFile(name)
+// readRecording returns the recording as text, and ends the test if it cannot be read.
+func readRecording(t *testing.T) []byte {
+	t.Helper()
+	reader, err := gzip.NewReader(bytes.NewReader(golden.Read(t, recordingFile)))
 	if err != nil {
-		return nil, err
+		t.Fatal(err)
 	}
-	reader, err := gzip.NewReader(bytes.NewReader(compressed))
+	text, err := io.ReadAll(reader)
 	if err != nil {
-		return nil, err
+		t.Fatal(err)
 	}
-	return io.ReadAll(reader)
+	return text
 }
 
-func writeRecording(name string, text []byte) error {
-	var out bytes.Buffer
-	w, err := gzip.NewWriterLevel(&out, gzip.BestCompression)
+// writeRecording compresses a new recording into its file, and ends the test if the file exists.
+func writeRecording(t *testing.T, text []byte) {
+	t.Helper()
+	var compressed bytes.Buffer
+	writer, err := gzip.NewWriterLevel(&compressed, gzip.BestCompression)
 	if err != nil {
-		return err
+		t.Fatal(err)
 	}
-	if _, err := w.Write(text); err != nil {
-		return err
+	if _, err := writer.Write(text); err != nil {
+		t.Fatal(err)
 	}
-	if err := w.Close(); err != nil {
-		return err
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
 	}
-	return os.WriteFile(name, out.Bytes(), 0o644)
+	golden.Record(t, recordingFile, compressed.Bytes())
 }
