--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestSettingsThatMakeNoSenseGiveIn(t *testing.T) {
+func TestInvalidSettingsFailTheInstance(t *testing.T) {
 	var out bytes.Buffer
 	in := "round\t1\t1\ntarget_instance\t0\npower_on\t1\t{}\nflush\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
