--- a/cmd/simadapter/recording_actions_test.go
+++ b/cmd/simadapter/recording_actions_test.go
@@ -13,17 +13,17 @@
 	fields := strings.Split(line, "\t")
 	switch fields[0] {
 	case "try":
-		return w.attempt(fields[1], fields[2], fields[3])
+		return w.startAttempt(fields[1], fields[2], fields[3])
 	case "recall":
-		w.recall(fields[1], fields[2])
+		w.cancel(fields[1], fields[2])
 	case "say_no", "surrender":
-		q := w.requests[fields[1]]
-		if q == nil {
-			return nil // of a call that unexpectedEvent made up
+		request := w.requests[fields[1]]
+		if request == nil {
+			return nil // for a request that unexpectedEvent made up
 		}
-		q.final = true
+		request.over = true
 		if fields[0] == "say_no" && w.chance(300) {
-			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.call(q.function, 2) })
+			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.newRequest(request.function, 2) })
 		}
 	case "arm":
 		after, err := strconv.ParseFloat(fields[1], 64)
@@ -44,13 +44,13 @@
 		on := fields[1] == "1"
 		w.schedule(2000+w.rng.Int64N(30000), func() string {
 			if w.chance(300) {
-				return w.list(3, nil)
+				return w.endpointList(3, nil)
 			}
 			w.subscribed, w.changed = on, nil
-			return w.list(1, w.workers)
+			return w.endpointList(1, w.workers)
 		})
 	case "resolve":
-		w.schedule(2000, func() string { return w.list(2, w.workers) })
+		w.schedule(2000, func() string { return w.endpointList(2, w.workers) })
 	case "unmount", "give_in":
 	default:
 		return fmt.Errorf("reply %q is not known to the world", line)
@@ -58,45 +58,45 @@
 	return nil
 }
 
-// recall calls an attempt off; now and then its answer comes first.
-func (w *simulatedWorld) recall(id, attempt string) {
-	q := w.requests[id]
-	n, err := strconv.Atoi(attempt)
-	if q == nil || err != nil || n >= len(q.attempts) || w.chance(50) {
+// cancel ends an attempt as canceled after a while; now and then the cancellation is lost and its answer comes.
+func (w *simulatedWorld) cancel(id, attemptNumber string) {
+	request := w.requests[id]
+	number, err := strconv.Atoi(attemptNumber)
+	if request == nil || err != nil || number >= len(request.attempts) || w.chance(50) {
 		return
 	}
-	a := q.attempts[n]
+	attempt := request.attempts[number]
 	w.schedule(1000+w.rng.Int64N(4000), func() string {
-		if a.ended {
+		if attempt.ended {
 			return ""
 		}
-		return w.end(q, a, n, "-", "revoked", "-")
+		return w.attemptEnded(request, attempt, number, "-", "revoked", "-")
 	})
 }
 
-// load plays an order to load.
+// load carries out an order to load and schedules its answer.
 func (w *simulatedWorld) load(workerID, function string) {
 	worker := w.worker(workerID)
 	i := slices.IndexFunc(w.functions, func(f *simulatedFunction) bool { return f.name == function })
-	outcome, copies, took := "delivered", 1+w.rng.IntN(2), int64(200000)
+	outcome, instances, took := "delivered", 1+w.rng.IntN(2), int64(200000)
 	if i >= 0 {
 		took = w.functions[i].loadMicros
 	}
 	switch {
 	case worker == nil || worker.state == 0:
-		outcome, copies, took = "dial_failed", 0, 3000
-	case worker.condition == conditionSilent:
-		outcome, copies, took = "expired", 0, 10000000
+		outcome, instances, took = "dial_failed", 0, 3000
+	case worker.condition == conditionUnresponsive:
+		outcome, instances, took = "expired", 0, 10000000
 	case w.chance(60):
-		outcome, copies, took = "shed", 0, 4000
+		outcome, instances, took = "shed", 0, 4000
 	case w.chance(40):
-		copies = 0
+		instances = 0
 	}
 	w.schedule(took, func() string {
-		if outcome == "delivered" && copies > 0 {
+		if outcome == "delivered" && instances > 0 {
 			worker.loaded[function] = true
 		}
-		copiesText := cmp.Or(strings.TrimPrefix(strconv.Itoa(copies), "0"), "-")
-		return fmt.Sprintf("brought_up\t%s\t%s\t%s\t%s\t%s\n", workerID, millisText(took), copiesText, function, outcome)
+		instancesText := cmp.Or(strings.TrimPrefix(strconv.Itoa(instances), "0"), "-")
+		return fmt.Sprintf("brought_up\t%s\t%s\t%s\t%s\t%s\n", workerID, millisText(took), instancesText, function, outcome)
 	})
 }
--- a/cmd/simadapter/recording_attempts_test.go
+++ b/cmd/simadapter/recording_attempts_test.go
@@ -5,21 +5,21 @@
 	"strconv"
 )
 
-// A plannedEnd is what a worker will make of an attempt.
+// plannedEnd is how an attempt will end at its worker.
 type plannedEnd struct {
 	outcome    string
 	tookMicros int64
-	warmth     int // as on the wire: 1 the function was loaded, 2 and 3 it was not, 4 its load failed
+	startType  int // as on the wire
 }
 
-// attempt plays an attempt at a worker.
-func (w *simulatedWorld) attempt(id, timeoutText, workerID string) error {
+// startAttempt starts an attempt at a worker and schedules its end.
+func (w *simulatedWorld) startAttempt(id, timeoutText, workerID string) error {
 	timeoutMillis, err := strconv.ParseFloat(timeoutText, 64)
 	if err != nil {
 		return err
 	}
 	request := w.requests[id]
-	if request == nil { // of a call that unexpectedEvent made up
+	if request == nil { // for a request that unexpectedEvent made up
 		request = &simulatedRequest{id: id, function: w.functions[0]}
 		w.requests[id] = request
 	}
@@ -37,47 +37,47 @@
 		end.outcome, end.tookMicros = "expired", timeout
 	}
 	if end.outcome == "delivered" && request.function.class == 5 && w.chance(900) {
-		w.scheduleFirst(request, attempt, number, end.tookMicros/3)
+		w.scheduleStreamStart(request, attempt, number, end.tookMicros/3)
 	}
 	info := "-"
 	if w.chance(850) {
 		if w.chance(200) {
-			end.warmth = 0
+			end.startType = 0
 		}
-		info = strconv.Itoa(end.warmth + 8*worker.inFlight)
+		info = strconv.Itoa(end.startType + 8*worker.inFlight)
 	}
 	worker.inFlight++
 	w.scheduleEnd(request, attempt, number, end.tookMicros, end.outcome, info, timeout)
 	return nil
 }
 
-// planEnd draws what a worker in no trouble makes of an attempt.
+// planEnd draws how an attempt ends at a healthy worker.
 func (w *simulatedWorld) planEnd(worker *simulatedWorker, function *simulatedFunction) plannedEnd {
 	end := plannedEnd{
 		outcome:    "delivered",
 		tookMicros: function.serviceMicros/2 + w.rng.Int64N(function.serviceMicros),
-		warmth:     1,
+		startType:  1,
 	}
 	end.tookMicros += end.tookMicros * int64(worker.inFlight) / 8
 	if !worker.loaded[function.name] {
-		end.warmth = 2 + w.rng.IntN(2)
-		if w.profile.whenAbsent == "miss" {
+		end.startType = 2 + w.rng.IntN(2)
+		if w.profile.whenNotLoaded == "miss" {
 			end.outcome, end.tookMicros = "empty", 3000
 		} else {
 			end.tookMicros += function.loadMicros
 		}
 	}
-	warmingUp := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.coldMs)*1000
+	warmingUp := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.slowStartMs)*1000
 	if warmingUp {
 		end.tookMicros *= 2
 	}
 	return end
 }
 
-// applyCondition changes the end of an attempt by the condition that its worker is in.
+// applyCondition changes the end of an attempt as the condition of its worker requires.
 func (w *simulatedWorld) applyCondition(end *plannedEnd, worker *simulatedWorker, timeout int64) {
 	switch worker.condition {
-	case conditionSilent:
+	case conditionUnresponsive:
 		end.outcome, end.tookMicros = "expired", timeout
 	case conditionErrors:
 		if w.chance(700) {
@@ -98,14 +98,14 @@
 			end.outcome, end.tookMicros = "expired", timeout
 		}
 	case conditionLoadsFail:
-		if end.warmth > 1 {
-			end.warmth, end.outcome = 4, []string{"app_error", "empty"}[w.rng.IntN(2)]
+		if end.startType > 1 {
+			end.startType, end.outcome = 4, []string{"app_error", "empty"}[w.rng.IntN(2)]
 			end.tookMicros /= 2
 		}
 	}
 }
 
-// applyPressure has a worker that drains or is full shed an attempt, and now and then an attempt end in any way.
+// applyPressure makes draining and full workers shed some attempts, and gives a few attempts an outcome at random.
 func (w *simulatedWorld) applyPressure(end *plannedEnd, worker *simulatedWorker) {
 	switch {
 	case worker.state == 2 && w.chance(300):
@@ -118,8 +118,8 @@
 	}
 }
 
-// scheduleFirst has an answer begin to arrive, unless its attempt ended before.
-func (w *simulatedWorld) scheduleFirst(request *simulatedRequest, attempt *simulatedAttempt, number int, after int64) {
+// scheduleStreamStart schedules the beginning of a streamed answer, which does not come if the attempt ends before.
+func (w *simulatedWorld) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int, after int64) {
 	w.schedule(after, func() string {
 		if attempt.ended {
 			return ""
@@ -128,40 +128,40 @@
 	})
 }
 
-// scheduleEnd has an attempt end, unless it was called off before.
-func (w *simulatedWorld) scheduleEnd(q *simulatedRequest, a *simulatedAttempt, n int, took int64, outcome, info string,
-	timeout int64,
+// scheduleEnd schedules the end of an attempt, which does not come if the attempt was canceled before.
+func (w *simulatedWorld) scheduleEnd(request *simulatedRequest, attempt *simulatedAttempt, number int, took int64,
+	outcome, info string, timeout int64,
 ) {
 	w.schedule(min(took, timeout), func() string {
-		if a.ended {
+		if attempt.ended {
 			return ""
 		}
-		return w.end(q, a, n, millisText(took), outcome, info)
+		return w.attemptEnded(request, attempt, number, millisText(took), outcome, info)
 	})
 }
 
-// end tells how an attempt ended; it may be told twice.
-func (w *simulatedWorld) end(request *simulatedRequest, attempt *simulatedAttempt, number int, latency, outcome, info string) string {
+// attemptEnded ends an attempt and returns its message, now and then twice.
+func (w *simulatedWorld) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int, latency, outcome, info string) string {
 	attempt.ended = true
 	id, report := "worker-lost", "-"
 	if attempt.worker != nil {
 		id = attempt.worker.id
 		attempt.worker.inFlight = max(0, attempt.worker.inFlight-1)
 		if outcome == "delivered" || outcome == "shed" || outcome == "app_error" {
-			report = w.report(attempt.worker)
+			report = w.loadReport(attempt.worker)
 		}
 		if outcome == "delivered" {
 			attempt.worker.loaded[request.function.name] = true
-			if w.chance(15) { // something else needed its room
+			if w.chance(15) { // evicted for another function
 				delete(attempt.worker.loaded, request.function.name)
 			}
 		}
 	}
 	if outcome == "delivered" || outcome == "app_error" && w.chance(200) {
-		request.final = true
+		request.over = true
 	}
 	closed := 0
-	if request.final {
+	if request.over {
 		closed = 1
 	}
 	if w.chance(50) {
@@ -174,8 +174,8 @@
 	return line
 }
 
-// report is a load report of a worker, or of none in particular.
-func (w *simulatedWorld) report(worker *simulatedWorker) string {
+// loadReport returns a load report of a worker, or one made up if it is nil; "-" stands for none.
+func (w *simulatedWorld) loadReport(worker *simulatedWorker) string {
 	if !w.profile.reportEverything && w.chance(500) {
 		return "-"
 	}
--- a/cmd/simadapter/recording_clients_test.go
+++ b/cmd/simadapter/recording_clients_test.go
@@ -5,9 +5,10 @@
 	"strconv"
 )
 
-// call begins a request, or repeats one for its client.
-func (w *simulatedWorld) call(function *simulatedFunction, flags int) string {
-	if function == nil { // the first functions are called most
+// newRequest returns the message of a new request with these flags of the wire. A nil function stands for one drawn at
+// random.
+func (w *simulatedWorld) newRequest(function *simulatedFunction, flags int) string {
+	if function == nil { // the first functions get most requests
 		function = w.functions[min(w.rng.IntN(len(w.functions)), w.rng.IntN(len(w.functions)))]
 	}
 	w.nextRequest++
@@ -16,18 +17,18 @@
 	if w.recentIDs = append(w.recentIDs, request.id); len(w.recentIDs) > 40 {
 		w.recentIDs = w.recentIDs[1:]
 	}
-	tenant, work, load, memory, lanes := "-", "-", "-", "-", "-"
+	tenant, work, load, memory, concurrency := "-", "-", "-", "-", "-"
 	if w.profile.tenants != "" {
 		tenant = strconv.Itoa(w.rng.IntN(3))
 	}
 	if w.chance(300) {
 		work = millisText(function.serviceMicros)
 	}
-	if function.tellsLoadTime {
+	if function.declaresLoadTime {
 		load = millisText(function.loadMicros)
 	}
 	if w.chance(900) {
-		memory, lanes = strconv.Itoa(function.memory), strconv.Itoa(function.lanes)
+		memory, concurrency = strconv.Itoa(function.memory), strconv.Itoa(function.concurrency)
 	}
 	left := 300000 + w.rng.Int64N(2500000)
 	if w.chance(30) {
@@ -38,17 +39,17 @@
 		clientTimeout = w.rng.Int64N(left)
 	}
 	w.schedule(clientTimeout, func() string {
-		if request.final {
+		if request.over {
 			return ""
 		}
-		request.final = true
+		request.over = true
 		return "expired\t" + request.id + "\n"
 	})
 	return fmt.Sprintf("call\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", request.id, function.class, tenant, function.name, millisText(left), work,
-		memory, lanes, load, flags)
+		memory, concurrency, load, flags)
 }
 
-// unexpectedEvent is an event that the instance has no use for, or does not expect.
+// unexpectedEvent returns the message of an event that the instance has no use for, or does not expect.
 func (w *simulatedWorld) unexpectedEvent() string {
 	worker, id := w.workers[w.rng.IntN(len(w.workers))].id, "t/unknown"
 	if len(w.recentIDs) > 0 && w.chance(500) {
@@ -69,7 +70,7 @@
 	case 5:
 		return fmt.Sprintf("reminder\t%d\n", 2+w.rng.Uint64()>>1)
 	case 6:
-		return fmt.Sprintf("sampled\t%s\t%s\t-\t%s\n", outcome, worker, w.report(nil))
+		return fmt.Sprintf("sampled\t%s\t%s\t-\t%s\n", outcome, worker, w.loadReport(nil))
 	case 7:
 		return fmt.Sprintf("sampled\t%s\tworker-unknown\t1.5\t-\n", outcome)
 	case 8:
@@ -80,24 +81,24 @@
 	case 10:
 		return []string{"datagram\t2\t6869\n", "datagram\t0\t-\n", "datagram\t-1\t00ff\n"}[w.rng.IntN(3)]
 	case 11:
-		class := []int{-1, 6, 99, 0}[w.rng.IntN(4)] // of these only the last exists, and its id may be known
+		class := []int{-1, 6, 99, 0}[w.rng.IntN(4)] // only the last is a class, and the id may be known
 		return fmt.Sprintf("call\t%s\t%d\t-\tf-odd\t200\t-\t-\t-\t-\t-\n", id, class)
 	default:
 		switch w.rng.IntN(4) {
 		case 0:
-			return w.list(3, nil)
+			return w.endpointList(3, nil)
 		case 1:
-			return w.list(2, w.workers[1:])
+			return w.endpointList(2, w.workers[1:])
 		case 2:
-			return w.list(1, w.workers)
+			return w.endpointList(1, w.workers)
 		default:
 			gone := simulatedWorker{id: "worker-never-seen", weight: 1}
-			return w.list(0, []*simulatedWorker{&gone})
+			return w.endpointList(0, []*simulatedWorker{&gone})
 		}
 	}
 }
 
-// wireOutcomes are the outcomes by their names on the wire.
+// wireOutcomes are the names of the outcomes on the wire.
 var wireOutcomes = []string{
 	"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused", "empty",
 }
--- a/cmd/simadapter/recording_profiles_test.go
+++ b/cmd/simadapter/recording_profiles_test.go
@@ -5,46 +5,50 @@
 	"strings"
 )
 
-// A siteProfile varies the settings object and the conditions of one simulated instance.
+// siteProfile is the settings object and the load of one simulated instance. The settings have the names of
+// routing.Settings; the keys that the simulator uses for them are in the method settings.
 type siteProfile struct {
-	balancers, rank  int
-	attempts         int
-	cancel, probes   bool
-	retryAfter       bool
-	secondCopies     bool
-	subscribed       bool // the worker list comes only to subscribers
-	whenAbsent       string
-	mayLoad          bool
-	loadsAnyway      float64 // with loadRatio and loadWindowMs, the ration of loads
-	loadRatio        float64
-	loadWindowMs     int
-	coldMs, tipMs    int
-	coldShare        float64
-	tipMultiple      float64
-	idleLifeMs       int
-	weights          string
-	tenants          string
-	lateWorth        float64
-	workers          int
-	functions        int
-	callsPerSecond   int
-	faultsPerMinute  int
-	restartsPerMin   int
-	stepMs           int  // mean time between two rounds
-	startCold        bool // all workers have just started
-	reportEverything bool
+	schedulers, rank     int
+	maxAttempts          int
+	cancelAllowed        bool
+	probeAllowed         bool
+	honorsRetryAfter     bool
+	hedgingAllowed       bool
+	subscriptionRequired bool   // the worker list comes only to subscribers
+	whenNotLoaded        string // what a worker does without the function: "load" or "miss"
+	loadAllowed          bool
+	loadBudgetBase       float64 // with loadBudgetPerRequest and loadBudgetWindowMs, the load budget
+	loadBudgetPerRequest float64
+	loadBudgetWindowMs   int
+	slowStartMs          int
+	slowStartFraction    float64
+	overloadMs           int
+	overloadMultiple     float64
+	keepAliveMs          int
+	weights              string // how well workers report their weights: "silent", "rough" or "exact"
+	tenants              string // as JSON; empty for none
+	lateValue            float64
+
+	workers           int
+	functions         int
+	requestsPerSecond int
+	faultsPerMinute   int
+	restartsPerMinute int
+	stepMs            int  // mean time between two rounds
+	startCold         bool // all workers have just started
+	reportEverything  bool // load reports come with all answers, not with half of them
 }
 
 // settings returns the settings object as the simulator writes it.
 func (p siteProfile) settings() string {
 	discovery := "pushed"
-	if p.subscribed {
+	if p.subscriptionRequired {
 		discovery = "on_request"
 	}
-	class := func(name, effect, scope string, aim, limit, span int, worth float64, stream bool) string {
+	class := func(name, idempotency, scope string, objectiveMs, deadlineMs, windowMs int, weight float64, stream bool) string {
 		return fmt.Sprintf(`{"name":%q,"aimMs":%d,"hardLimitMs":%d,"worth":%g,"lateWorth":%g,"effect":%q,`+
-			`"dedupScope":%q,"memorySpanMs":%d,"stream":%t}`, name, aim, limit, worth, p.lateWorth, effect, scope, span,
-			stream)
+			`"dedupScope":%q,"memorySpanMs":%d,"stream":%t}`, name, objectiveMs, deadlineMs, weight, p.lateValue, idempotency, scope,
+			windowMs, stream)
 	}
 	classes := strings.Join([]string{
 		class("lookup", "read_like", "all", 500, 2000, 0, 1, false),
@@ -62,18 +66,20 @@
 		`"fees":{"crossZone":0.01,"lateFail":0.027,"origin":0.03,"probe":0.008,"waste":0.025},`+
 		`"report":{"how":"piggyback"},"safety":{"answerSlackMs":16,"askWithinMs":10000,"coldMs":%d,"coldShare":%g,`+
 		`"overloadForMs":%d,"stopSendingWithinMs":1000,"tipMultiple":%g}}`,
-		p.balancers, p.rank, p.attempts, p.cancel, p.probes, p.retryAfter, p.secondCopies, classes, p.tenants,
-		discovery, p.weights, p.idleLifeMs, p.loadRatio, p.loadWindowMs, p.loadsAnyway, p.mayLoad, p.whenAbsent,
-		p.coldMs, p.coldShare, p.tipMs, p.tipMultiple)
+		p.schedulers, p.rank, p.maxAttempts, p.cancelAllowed, p.probeAllowed, p.honorsRetryAfter, p.hedgingAllowed,
+		classes, p.tenants, discovery, p.weights, p.keepAliveMs, p.loadBudgetPerRequest, p.loadBudgetWindowMs,
+		p.loadBudgetBase, p.loadAllowed, p.whenNotLoaded,
+		p.slowStartMs, p.slowStartFraction, p.overloadMs, p.overloadMultiple)
 }
 
-// siteProfiles are the instances that the recording plays, in their order.
+// siteProfiles returns the profiles of the instances of the recording, in the order in which they start.
 func siteProfiles() []siteProfile {
 	base := siteProfile{
-		balancers: 1, attempts: 4, cancel: true, probes: true, retryAfter: true, secondCopies: true,
-		whenAbsent: "load", coldMs: 6000, tipMs: 2000, coldShare: 0.25, tipMultiple: 3, idleLifeMs: 9000,
-		weights: "silent", lateWorth: 0.2, workers: 8, functions: 12, callsPerSecond: 60, faultsPerMinute: 20,
-		restartsPerMin: 6, stepMs: 12, reportEverything: true,
+		schedulers: 1, maxAttempts: 4, cancelAllowed: true, probeAllowed: true, honorsRetryAfter: true,
+		hedgingAllowed: true, whenNotLoaded: "load", slowStartMs: 6000, overloadMs: 2000, slowStartFraction: 0.25, overloadMultiple: 3,
+		keepAliveMs: 9000,
+		weights:     "silent", lateValue: 0.2, workers: 8, functions: 12, requestsPerSecond: 60, faultsPerMinute: 20,
+		restartsPerMinute: 6, stepMs: 12, reportEverything: true,
 	}
 	vary := func(change func(p *siteProfile)) siteProfile {
 		p := base
@@ -82,36 +88,43 @@
 	}
 	return []siteProfile{
 		base,
-		vary(func(p *siteProfile) { p.secondCopies, p.callsPerSecond = false, 90 }),
+		vary(func(p *siteProfile) { p.hedgingAllowed, p.requestsPerSecond = false, 90 }),
+		vary(func(p *siteProfile) {
+			p.whenNotLoaded, p.loadAllowed, p.loadBudgetBase, p.loadBudgetPerRequest = "miss", true, 3, 0.05
+			p.loadBudgetWindowMs = 2000
+		}),
 		vary(func(p *siteProfile) {
-			p.whenAbsent, p.mayLoad, p.loadsAnyway, p.loadRatio, p.loadWindowMs = "miss", true, 3, 0.05, 2000
+			p.subscriptionRequired, p.cancelAllowed, p.hedgingAllowed, p.workers = true, false, false, 5
 		}),
-		vary(func(p *siteProfile) { p.subscribed, p.cancel, p.secondCopies, p.workers = true, false, false, 5 }),
-		vary(func(p *siteProfile) { p.balancers, p.rank, p.workers, p.weights = 300, 17, 20, "rough" }),
+		vary(func(p *siteProfile) { p.schedulers, p.rank, p.workers, p.weights = 300, 17, 20, "rough" }),
 		vary(func(p *siteProfile) {
 			p.tenants = `{"share":0.5,"quotaPerS":12},{"share":0.3,"quotaPerS":4},{"share":0.2,"quotaPerS":0.5}`
-			p.callsPerSecond, p.balancers, p.workers = 120, 2, 4
+			p.requestsPerSecond, p.schedulers, p.workers = 120, 2, 4
+		}),
+		vary(func(p *siteProfile) {
+			p.startCold, p.slowStartMs, p.restartsPerMinute, p.schedulers = true, 9000, 20, 4
+		}),
+		vary(func(p *siteProfile) {
+			p.whenNotLoaded, p.loadAllowed, p.subscriptionRequired, p.weights = "miss", true, true, "exact"
+			p.keepAliveMs, p.loadBudgetWindowMs = 1500, 0
 		}),
-		vary(func(p *siteProfile) { p.startCold, p.coldMs, p.restartsPerMin, p.balancers = true, 9000, 20, 4 }),
+		vary(func(p *siteProfile) { p.faultsPerMinute, p.requestsPerSecond, p.workers, p.lateValue = 60, 100, 6, 1 }),
+		vary(func(p *siteProfile) { p.keepAliveMs, p.functions, p.stepMs, p.schedulers = 700, 40, 40, 12 }),
 		vary(func(p *siteProfile) {
-			p.whenAbsent, p.mayLoad, p.subscribed, p.weights, p.idleLifeMs = "miss", true, true, "exact", 1500
-			p.loadWindowMs = 0
+			p.overloadMultiple, p.overloadMs, p.startCold, p.maxAttempts, p.honorsRetryAfter = 0, 0, true, 1, false
 		}),
-		vary(func(p *siteProfile) { p.faultsPerMinute, p.callsPerSecond, p.workers, p.lateWorth = 60, 100, 6, 1 }),
-		vary(func(p *siteProfile) { p.idleLifeMs, p.functions, p.stepMs, p.balancers = 700, 40, 40, 12 }),
+		vary(func(p *siteProfile) { p.workers, p.requestsPerSecond, p.functions, p.faultsPerMinute = 2, 150, 3, 30 }),
 		vary(func(p *siteProfile) {
-			p.tipMultiple, p.tipMs, p.startCold, p.attempts, p.retryAfter = 0, 0, true, 1, false
+			p.workers, p.functions, p.requestsPerSecond, p.schedulers, p.faultsPerMinute = 14, 4, 160, 40, 40
 		}),
-		vary(func(p *siteProfile) { p.workers, p.callsPerSecond, p.functions, p.faultsPerMinute = 2, 150, 3, 30 }),
 		vary(func(p *siteProfile) {
-			p.workers, p.functions, p.callsPerSecond, p.balancers, p.faultsPerMinute = 14, 4, 160, 40, 40
+			p.maxAttempts, p.hedgingAllowed, p.stepMs, p.reportEverything = 2, false, 25, false
 		}),
-		vary(func(p *siteProfile) { p.attempts, p.secondCopies, p.stepMs, p.reportEverything = 2, false, 25, false }),
 		vary(func(p *siteProfile) {
-			p.balancers, p.rank, p.subscribed, p.startCold, p.tipMs, p.weights = 60, 3, true, true, 600, "rough"
+			p.schedulers, p.rank, p.subscriptionRequired, p.startCold, p.overloadMs, p.weights = 60, 3, true, true, 600, "rough"
 		}),
-		vary(func(p *siteProfile) { // pressed workers that many schedulers share
-			p.balancers, p.rank, p.workers, p.callsPerSecond, p.functions, p.weights = 300, 299, 5, 200, 30, "rough"
+		vary(func(p *siteProfile) { // workers under pressure that many schedulers share
+			p.schedulers, p.rank, p.workers, p.requestsPerSecond, p.functions, p.weights = 300, 299, 5, 200, 30, "rough"
 		}),
 	}
 }
--- a/cmd/simadapter/recording_test.go
+++ b/cmd/simadapter/recording_test.go
@@ -17,24 +17,24 @@
 // recordingFile is the golden file of the recording, named from testdata/golden: it lies in testdata itself.
 //
 // It was recorded with the program as it was before its names were changed, and shows that those changes alter no
-// decision. It is never recorded again to get a pass: a reply that differs is a fault of the change, unless the change was
-// meant to alter decisions and its commit says so. Then the file is removed first; the flag -record of package golden
-// writes it only if it is missing. It was recorded on amd64; a processor for which Go fuses floating-point operations may
-// differ in the last bits.
+// decision. It is never recorded again to get a pass: a reply that differs is a fault of the change, unless the change
+// was meant to alter decisions and its commit says so. Then the file is removed first; the flag -record of package
+// golden writes it only if it is missing. It was recorded on amd64; a processor for which Go fuses floating-point
+// operations may differ in the last bits.
 const recordingFile = "../recording.txt.gz"
 
 const (
 	recordedRounds     = 6400 // of all instances together
-	recordedInstances  = 3    // that run side by side
+	recordedInstances  = 3    // run side by side
 	recordedMalformed  = 900  // short runs with a malformed line
 	recordingSeed      = 20260101
 	recordingStartTime = 1000000  // microseconds
-	inputMark          = "input " // begins the line with the checksum of what the program was told
+	inputMark          = "input " // begins the line with the checksum of the program's input
 )
 
-// TestRecordedDecisions plays a seeded world against the adapter and compares all replies, byte for byte, with those
-// that the program gave when the recording was made. A checksum of each round's input stands before its replies: if
-// that is the first line to differ, the generator changed and not the decisions.
+// TestRecordedDecisions runs the adapter in simulated worlds and compares all replies, byte for byte, with those of the
+// recording. A checksum of each round's input stands before its replies: if that is the first line to differ, the
+// simulation changed and not the decisions.
 func TestRecordedDecisions(t *testing.T) {
 	var got bytes.Buffer
 	if err := recordWorld(&got); err != nil {
@@ -61,14 +61,14 @@
 		}
 		what := "decisions changed"
 		if strings.HasPrefix(gotLines[i], inputMark) && strings.HasPrefix(wantLines[i], inputMark) {
-			what = "the generator's input changed, not the decisions before it"
+			what = "the simulated input changed, not the decisions before it"
 		}
 		t.Fatalf("line %d of the recording: %s: got %q, want %q", i+1, what, gotLines[i], wantLines[i])
 	}
 	t.Fatalf("got %d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// recordWorld plays all profiles against one run of the program, several side by side, and writes checksums of the
+// recordWorld simulates all profiles for one run of the program, several side by side, and records checksums of the
 // input and all replies.
 func recordWorld(recording *bytes.Buffer) error {
 	programIn, toProgram := io.Pipe()
@@ -98,12 +98,12 @@
 	return <-ended
 }
 
-// instanceSchedule plays the profiles one after the other on a few instances.
+// instanceSchedule runs the profiles one after the other on a few instances.
 type instanceSchedule struct {
 	rng      *rand.Rand
 	now      int64
 	profiles []siteProfile
-	next     int // profile
+	next     int // index of the next profile
 	worlds   [recordedInstances]*simulatedWorld
 	ends     [recordedInstances]int // round after which the instance is shut down
 }
@@ -133,18 +133,18 @@
 	return text.String()
 }
 
-// instance writes what one instance is told.
+// instance writes the messages for one instance in a round.
 func (s *instanceSchedule) instance(text *strings.Builder, i, number int) {
 	world := s.worlds[i]
 	switch {
 	case world != nil && number < s.ends[i]:
-		if told := world.round(s.now); told != "" {
-			fmt.Fprintf(text, "target_instance\t%d\n%s", i, told)
+		if messages := world.round(s.now); messages != "" {
+			fmt.Fprintf(text, "target_instance\t%d\n%s", i, messages)
 		}
 	case world != nil:
 		fmt.Fprintf(text, "target_instance\t%d\n%sshutdown\n", i, world.round(s.now))
 		s.worlds[i] = nil
-	case s.rng.IntN(20) == 0: // nothing runs there
+	case s.rng.IntN(20) == 0: // an event for an instance that is not running
 		fmt.Fprintf(text, "target_instance\t%d\nreminder\t1\n", i)
 	case s.rng.IntN(10) == 0:
 		fmt.Fprintf(text, "target_instance\t%d\npower_on\t1\t{\"balancers\":%d}\n", i, s.rng.IntN(2))
@@ -154,11 +154,11 @@
 		world = newSimulatedWorld(s.profiles[s.next%len(s.profiles)], seed, s.now)
 		s.next++
 		s.worlds[i], s.ends[i] = world, number+duration
-		fmt.Fprintf(text, "target_instance\t%d\n%s", i, world.first(seed))
+		fmt.Fprintf(text, "target_instance\t%d\n%s", i, world.startMessages(seed))
 	}
 }
 
-// takeReply reads the reply to a round, records it and lets the worlds act on it.
+// takeReply reads the reply to a round, records it and has the worlds carry out its actions.
 func (s *instanceSchedule) takeReply(replies *bufio.Reader, number int, recording *bytes.Buffer) error {
 	var world *simulatedWorld
 	for {
@@ -183,7 +183,7 @@
 			world = s.worlds[i]
 		default:
 			if world == nil {
-				continue // a start that failed, or an event for what does not run
+				continue // the reply to a failed start, or to an event for an instance that is not running
 			}
 			if err := world.apply(line); err != nil {
 				return err
@@ -192,7 +192,7 @@
 	}
 }
 
-// wellFormed has a message of each kind, and some values that stand at the edges of what is read.
+// wellFormed has valid messages of each kind, some with values at the bounds.
 var wellFormed = []string{
 	"view\t1\t1\t2\nm\t1\t1\tw-a\t0\t0\t0\t-\nm\t2.5\t2\tw-b\t1\t1\t1\t900.5",
 	"view\t0\t9\t1\nm\t-\t0\tw-a\t-\t-\t-\t-",
@@ -215,7 +215,7 @@
 	"round\t12\t3",
 }
 
-// outOfRange has messages whose values are of the right form and can't be.
+// outOfRange has messages with values of the right form that are out of range or impossible.
 var outOfRange = []string{
 	"view\t4\t1\t0", "view\t-1\t1\t0", "view\t1\t1\t-1", "view\t1\t1\t1\nm\t1\t3\tw-a\t0\t0\t0\t-",
 	"view\t1\t1\t1\nm\t1\t-1\tw-a\t0\t0\t0\t-", "view\t1\t1\t1\nn\t1\t1\tw-a\t0\t0\t0\t-",
@@ -260,7 +260,8 @@
 	}
 }
 
-// malformed alters one value of a message: it is left out, doubled, or replaced by one that may make no sense.
+// malformed alters one message: the line is cut short, a value left out or added, or one replaced by an odd one, which
+// may be valid all the same.
 func malformed(rng *rand.Rand, message string) string {
 	odd := []string{
 		"", "-", "x", "-1", "1e999", "NaN", "0x1", "9223372036854775808", "18446744073709551616", "4", "1.5",
@@ -272,11 +273,11 @@
 	values := strings.Split(line, "\t")
 	position := rng.IntN(len(values))
 	switch rng.IntN(6) {
-	case 0: // cut
+	case 0: // cut short
 		lines[changed] = strings.Join(values[:position], "\t")
-	case 1: // one too few
+	case 1: // a value left out
 		lines[changed] = strings.Join(append(append([]string{}, values[:position]...), values[position+1:]...), "\t")
-	case 2: // one too many
+	case 2: // a value added
 		lines[changed] = line + "\t" + odd[rng.IntN(len(odd))]
 	default:
 		if position == 0 && rng.IntN(4) > 0 {
@@ -288,7 +289,7 @@
 		values[position] = odd[rng.IntN(len(odd))]
 		lines[changed] = strings.Join(values, "\t")
 	}
-	if rng.IntN(12) == 0 { // a list that is cut short
+	if rng.IntN(12) == 0 { // a list that ends too early
 		lines = lines[:changed+1]
 	}
 	return strings.Join(lines, "\n")
--- a/cmd/simadapter/recording_world_test.go
+++ b/cmd/simadapter/recording_world_test.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Conditions that a simulated worker may be in.
+// The conditions of a simulated worker.
 const (
-	conditionFine = iota
-	conditionSilent
+	conditionHealthy = iota
+	conditionUnresponsive
 	conditionErrors
 	conditionRefusesConnections
 	conditionResetsConnections
@@ -22,7 +22,7 @@
 	conditionCount
 )
 
-// simulatedWorker is a worker of the world, as it really is.
+// simulatedWorker is a worker as it really is, which the instance learns only from messages.
 type simulatedWorker struct {
 	id               string
 	state            int // 0 gone, 1 ready, 2 draining
@@ -38,15 +38,15 @@
 
 // simulatedFunction is a function that clients call.
 type simulatedFunction struct {
-	name          string
-	class, lanes  int
-	memory        int
-	serviceMicros int64
-	loadMicros    int64
-	tellsLoadTime bool
+	name               string
+	class, concurrency int
+	memory             int
+	serviceMicros      int64
+	loadMicros         int64
+	declaresLoadTime   bool
 }
 
-// simulatedAttempt is a Send that has not ended.
+// simulatedAttempt is an attempt at a worker; the worker is nil if the instance named one that does not exist.
 type simulatedAttempt struct {
 	worker *simulatedWorker
 	ended  bool
@@ -56,37 +56,38 @@
 type simulatedRequest struct {
 	id       string
 	function *simulatedFunction
-	final    bool
+	over     bool // it has its final answer, or its client has left
 	attempts []*simulatedAttempt
 }
 
-// scheduledEvent is something that the world will do; it returns the lines to tell.
+// scheduledEvent is something that will happen at a time; run returns the messages for the instance.
 type scheduledEvent struct {
 	at  int64
 	run func() string
 }
 
-// simulatedWorld stands for all that surrounds one instance. Its times are in microseconds and whole, so that the same
-// seed plays the same world on every machine.
+// simulatedWorld stands for the clients, workers and endpoint list of one instance. Its times are whole microseconds,
+// so that the same seed gives the same world on every machine.
 type simulatedWorld struct {
-	profile      siteProfile
-	rng          *rand.Rand
-	now          int64
-	workers      []*simulatedWorker
-	functions    []*simulatedFunction
-	requests     map[string]*simulatedRequest // only looked up, never iterated
-	recentIDs    []string
-	events       []scheduledEvent // in order of time, first scheduled first
-	nextRequest  int
-	nextWorker   int
-	listVersion  int
-	subscribed   bool
-	changed      []*simulatedWorker
-	callBudget   int64 // a call is due for each million
-	surgeUntil   int64
-	surgePercent int64
+	profile       siteProfile
+	rng           *rand.Rand
+	now           int64
+	workers       []*simulatedWorker
+	functions     []*simulatedFunction
+	requests      map[string]*simulatedRequest // only looked up, never iterated
+	recentIDs     []string
+	events        []scheduledEvent // in order of time, first scheduled first
+	nextRequest   int
+	nextWorker    int
+	listVersion   int
+	subscribed    bool
+	changed       []*simulatedWorker
+	requestCredit int64 // a request is due for each million
+	surgeUntil    int64
+	surgePercent  int64 // rate of requests until surgeUntil, in percent of the usual
 }
 
+// newSimulatedWorld returns the world of a profile. The same seed gives the same world.
 func newSimulatedWorld(p siteProfile, seed uint64, now int64) *simulatedWorld {
 	world := &simulatedWorld{
 		profile: p, rng: rand.New(rand.NewPCG(seed, 2)), now: now,
@@ -101,13 +102,14 @@
 	for i := range p.functions {
 		world.functions = append(world.functions, &simulatedFunction{
 			name: fmt.Sprintf("f-%d-%s", i, strconv.FormatUint(world.rng.Uint64()%46656, 36)), class: i % 6,
-			lanes: 1 + world.rng.IntN(4), memory: 100 * (1 + world.rng.IntN(6)), serviceMicros: 8000 + world.rng.Int64N(150000),
-			loadMicros: 80000 + world.rng.Int64N(900000), tellsLoadTime: world.rng.IntN(3) == 0,
+			concurrency: 1 + world.rng.IntN(4), memory: 100 * (1 + world.rng.IntN(6)), serviceMicros: 8000 + world.rng.Int64N(150000),
+			loadMicros: 80000 + world.rng.Int64N(900000), declaresLoadTime: world.rng.IntN(3) == 0,
 		})
 	}
 	return world
 }
 
+// addWorker adds a ready worker that has just started.
 func (w *simulatedWorld) addWorker() *simulatedWorker {
 	w.nextWorker++
 	worker := &simulatedWorker{
@@ -119,10 +121,10 @@
 	return worker
 }
 
-// chance is true that many times in a thousand.
+// chance is true with a probability of perMille thousandths.
 func (w *simulatedWorld) chance(perMille int) bool { return w.rng.IntN(1000) < perMille }
 
-// schedule has an event run after a while.
+// schedule adds an event. Events at the same time run in the order in which they were added.
 func (w *simulatedWorld) schedule(after int64, run func() string) {
 	e := scheduledEvent{at: w.now + max(after, 1), run: run}
 	i, _ := slices.BinarySearchFunc(w.events, e.at, func(o scheduledEvent, at int64) int {
@@ -139,17 +141,17 @@
 	return strconv.FormatFloat(float64(micros)/1000, 'f', -1, 64)
 }
 
-// first is what the instance is told when it starts.
-func (w *simulatedWorld) first(seed uint64) string {
+// startMessages returns the messages that start the instance.
+func (w *simulatedWorld) startMessages(seed uint64) string {
 	text := fmt.Sprintf("power_on\t%d\t%s\n", seed, w.profile.settings())
-	if !w.profile.subscribed {
-		text += w.list(1, w.workers)
+	if !w.profile.subscriptionRequired {
+		text += w.endpointList(1, w.workers)
 	}
 	return text
 }
 
-// list writes a view of that kind.
-func (w *simulatedWorld) list(kind int, workers []*simulatedWorker) string {
+// endpointList returns the message with an endpoint list or changes of it.
+func (w *simulatedWorld) endpointList(kind int, workers []*simulatedWorker) string {
 	w.listVersion++
 	text := fmt.Sprintf("view\t%d\t%d\t%d\n", kind, w.listVersion, len(workers))
 	for _, worker := range workers {
@@ -166,14 +168,14 @@
 	return text
 }
 
-// round moves the world to that time and returns what the instance is told then.
+// round advances the world to a time and returns the messages for the instance of that round.
 func (w *simulatedWorld) round(now int64) string {
 	var text strings.Builder
 	passed := now - w.now
 	w.now = now
 	w.changeWorkers(passed)
-	if len(w.changed) > 0 && (!w.profile.subscribed || w.subscribed) {
-		text.WriteString(w.list(0, w.changed))
+	if len(w.changed) > 0 && (!w.profile.subscriptionRequired || w.subscribed) {
+		text.WriteString(w.endpointList(0, w.changed))
 		w.changed = nil
 	}
 	for len(w.events) > 0 && w.events[0].at <= now {
@@ -185,9 +187,9 @@
 		w.surgeUntil = now + 500000 + w.rng.Int64N(2500000)
 		w.surgePercent = []int64{10, 60, 100, 100, 250, 500}[w.rng.IntN(6)]
 	}
-	w.callBudget += passed * int64(w.profile.callsPerSecond) * w.surgePercent / 100
-	for ; w.callBudget >= 1e6; w.callBudget -= 1e6 {
-		text.WriteString(w.call(nil, 0))
+	w.requestCredit += passed * int64(w.profile.requestsPerSecond) * w.surgePercent / 100
+	for ; w.requestCredit >= 1e6; w.requestCredit -= 1e6 {
+		text.WriteString(w.newRequest(nil, 0))
 	}
 	if w.chance(60) {
 		text.WriteString(w.unexpectedEvent())
@@ -195,14 +197,14 @@
 	return text.String()
 }
 
-// changeWorkers begins and ends faults, drains workers and brings them back.
+// changeWorkers begins and ends faults, and drains, removes and restarts workers.
 func (w *simulatedWorld) changeWorkers(passed int64) {
 	for _, worker := range w.workers {
-		if worker.condition != conditionFine && w.now >= worker.conditionUntil {
-			worker.condition = conditionFine
+		if worker.condition != conditionHealthy && w.now >= worker.conditionUntil {
+			worker.condition = conditionHealthy
 		}
 		if worker.state != 1 && worker.returnsAt > 0 && w.now >= worker.returnsAt {
-			if worker.state == 2 && w.chance(500) { // it drains no longer
+			if worker.state == 2 && w.chance(500) { // it has drained
 				worker.returnsAt = w.now + 1000000
 				worker.state = 0
 			} else {
@@ -218,14 +220,14 @@
 		worker.condition = 1 + w.rng.IntN(conditionCount-1)
 		worker.conditionUntil = w.now + 400000 + w.rng.Int64N(4000000)
 	}
-	if w.rng.Int64N(minute) < passed*int64(w.profile.restartsPerMin) {
+	if w.rng.Int64N(minute) < passed*int64(w.profile.restartsPerMinute) {
 		worker := w.workers[w.rng.IntN(len(w.workers))]
 		switch w.rng.IntN(4) {
-		case 0: // it drains, and is gone or back later
+		case 0: // it drains, and is removed or restarted later
 			worker.state, worker.returnsAt = 2, w.now+300000+w.rng.Int64N(3000000)
-		case 1: // it is gone, and comes back
+		case 1: // it is removed, and comes back later
 			worker.state, worker.returnsAt = 0, w.now+300000+w.rng.Int64N(6000000)
-		case 2: // a restart that the list shows only by its start
+		case 2: // it restarts, which the endpoint list shows only by its start time
 			worker.startedMicros, worker.loaded = w.now, map[string]bool{}
 		default:
 			worker.state, worker.returnsAt = 0, 0 // it never comes back, and a new one takes its place
@@ -237,6 +239,7 @@
 	}
 }
 
+// worker returns the worker with this id, or nil.
 func (w *simulatedWorld) worker(id string) *simulatedWorker {
 	i := slices.IndexFunc(w.workers, func(o *simulatedWorker) bool { return o.id == id })
 	if i < 0 {
