--- a/cmd/simadapter/recording_actions_test.go
+++ b/cmd/simadapter/recording_actions_test.go
@@ -23,7 +23,7 @@
 		}
 		request.over = true
 		if fields[0] == "say_no" && w.chance(300) {
-			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.newRequest(request.function, 2) })
+			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.newRequest(request.function, wireRetryFlag) })
 		}
 	case "arm":
 		after, err := strconv.ParseFloat(fields[1], 64)
@@ -44,13 +44,13 @@
 		on := fields[1] == "1"
 		w.schedule(2000+w.rng.Int64N(30000), func() string {
 			if w.chance(300) {
-				return w.endpointList(3, nil)
+				return w.endpointList(wireListFailed, nil)
 			}
 			w.subscribed, w.changed = on, nil
-			return w.endpointList(1, w.workers)
+			return w.endpointList(wireListFull, w.workers)
 		})
 	case "resolve":
-		w.schedule(2000, func() string { return w.endpointList(2, w.workers) })
+		w.schedule(2000, func() string { return w.endpointList(wireListCached, w.workers) })
 	case "unmount", "give_in":
 	default:
 		return fmt.Errorf("reply %q is not known to the world", line)
@@ -70,7 +70,7 @@
 		if attempt.ended {
 			return ""
 		}
-		return w.attemptEnded(request, attempt, number, "-", "revoked", "-")
+		return w.attemptEnded(request, attempt, number, wireUnknown, wireCanceled, wireUnknown)
 	})
 }
 
@@ -78,25 +78,25 @@
 func (w *simulatedWorld) load(workerID, function string) {
 	worker := w.worker(workerID)
 	i := slices.IndexFunc(w.functions, func(f *simulatedFunction) bool { return f.name == function })
-	outcome, instances, took := "delivered", 1+w.rng.IntN(2), int64(200000)
+	outcome, instances, took := wireServed, 1+w.rng.IntN(2), int64(200000)
 	if i >= 0 {
 		took = w.functions[i].loadMicros
 	}
 	switch {
-	case worker == nil || worker.state == 0:
-		outcome, instances, took = "dial_failed", 0, 3000
+	case worker == nil || worker.state == wireGone:
+		outcome, instances, took = wireConnectFailed, 0, 3000
 	case worker.condition == conditionUnresponsive:
-		outcome, instances, took = "expired", 0, 10000000
+		outcome, instances, took = wireTimedOut, 0, 10000000
 	case w.chance(60):
-		outcome, instances, took = "shed", 0, 4000
+		outcome, instances, took = wireShed, 0, 4000
 	case w.chance(40):
 		instances = 0
 	}
 	w.schedule(took, func() string {
-		if outcome == "delivered" && instances > 0 {
+		if outcome == wireServed && instances > 0 {
 			worker.loaded[function] = true
 		}
-		instancesText := cmp.Or(strings.TrimPrefix(strconv.Itoa(instances), "0"), "-")
+		instancesText := cmp.Or(strings.TrimPrefix(strconv.Itoa(instances), "0"), wireUnknown)
 		return fmt.Sprintf("brought_up\t%s\t%s\t%s\t%s\t%s\n", workerID, millisText(took), instancesText, function, outcome)
 	})
 }
--- a/cmd/simadapter/recording_attempts_test.go
+++ b/cmd/simadapter/recording_attempts_test.go
@@ -9,7 +9,7 @@
 type plannedEnd struct {
 	outcome    string
 	tookMicros int64
-	startType  int // as on the wire
+	startType  int
 }
 
 // startAttempt starts an attempt at a worker and schedules its end.
@@ -24,27 +24,31 @@
 		w.requests[id] = request
 	}
 	worker := w.worker(workerID)
-	attempt, number, timeout := &simulatedAttempt{worker: worker}, len(request.attempts), int64(timeoutMillis*1000)
+	attempt := &simulatedAttempt{worker: worker}
+	number := len(request.attempts)
+	timeout := int64(timeoutMillis * 1000)
 	request.attempts = append(request.attempts, attempt)
-	if worker == nil || worker.state == 0 {
-		w.scheduleEnd(request, attempt, number, 1000+w.rng.Int64N(5000), []string{"dial_failed", "unused"}[w.rng.IntN(2)], "-", timeout)
+	if worker == nil || worker.state == wireGone {
+		after := 1000 + w.rng.Int64N(5000)
+		outcome := []string{wireConnectFailed, wireNotSent}[w.rng.IntN(2)]
+		w.scheduleEnd(request, attempt, number, after, outcome, wireUnknown, timeout)
 		return nil
 	}
 	end := w.planEnd(worker, request.function)
 	w.applyCondition(&end, worker, timeout)
 	w.applyPressure(&end, worker)
 	if end.tookMicros >= timeout {
-		end.outcome, end.tookMicros = "expired", timeout
+		end.outcome, end.tookMicros = wireTimedOut, timeout
 	}
-	if end.outcome == "delivered" && request.function.class == 5 && w.chance(900) {
+	if end.outcome == wireServed && request.function.class == streamingClass && w.chance(900) {
 		w.scheduleStreamStart(request, attempt, number, end.tookMicros/3)
 	}
-	info := "-"
+	info := wireUnknown
 	if w.chance(850) {
 		if w.chance(200) {
-			end.startType = 0
+			end.startType = wireStartUnknown
 		}
-		info = strconv.Itoa(end.startType + 8*worker.inFlight)
+		info = strconv.Itoa(end.startType + wireStartInfoRadix*worker.inFlight)
 	}
 	worker.inFlight++
 	w.scheduleEnd(request, attempt, number, end.tookMicros, end.outcome, info, timeout)
@@ -54,15 +58,15 @@
 // planEnd draws how an attempt ends at a healthy worker.
 func (w *simulatedWorld) planEnd(worker *simulatedWorker, function *simulatedFunction) plannedEnd {
 	end := plannedEnd{
-		outcome:    "delivered",
+		outcome:    wireServed,
 		tookMicros: function.serviceMicros/2 + w.rng.Int64N(function.serviceMicros),
-		startType:  1,
+		startType:  wireWarmStart,
 	}
 	end.tookMicros += end.tookMicros * int64(worker.inFlight) / 8
 	if !worker.loaded[function.name] {
-		end.startType = 2 + w.rng.IntN(2)
+		end.startType = []int{wireColdStart, wireJoinedColdStart}[w.rng.IntN(2)]
 		if w.profile.whenNotLoaded == "miss" {
-			end.outcome, end.tookMicros = "empty", 3000
+			end.outcome, end.tookMicros = wireNotLoaded, 3000
 		} else {
 			end.tookMicros += function.loadMicros
 		}
@@ -78,28 +82,28 @@
 func (w *simulatedWorld) applyCondition(end *plannedEnd, worker *simulatedWorker, timeout int64) {
 	switch worker.condition {
 	case conditionUnresponsive:
-		end.outcome, end.tookMicros = "expired", timeout
+		end.outcome, end.tookMicros = wireTimedOut, timeout
 	case conditionErrors:
 		if w.chance(700) {
-			end.outcome, end.tookMicros = "app_error", end.tookMicros/4
+			end.outcome, end.tookMicros = wireErrored, end.tookMicros/4
 		}
 	case conditionRefusesConnections:
-		end.outcome, end.tookMicros = "dial_failed", 2000
+		end.outcome, end.tookMicros = wireConnectFailed, 2000
 	case conditionResetsConnections:
-		end.outcome, end.tookMicros = "dropped", end.tookMicros/2
+		end.outcome, end.tookMicros = wireConnectionReset, end.tookMicros/2
 	case conditionSlow:
 		end.tookMicros *= 7
 	case conditionSheds:
 		if w.chance(700) {
-			end.outcome, end.tookMicros = "shed", 2000
+			end.outcome, end.tookMicros = wireShed, 2000
 		}
 	case conditionLosesAnswers:
 		if w.chance(350) {
-			end.outcome, end.tookMicros = "expired", timeout
+			end.outcome, end.tookMicros = wireTimedOut, timeout
 		}
 	case conditionLoadsFail:
-		if end.startType > 1 {
-			end.startType, end.outcome = 4, []string{"app_error", "empty"}[w.rng.IntN(2)]
+		if end.startType > wireWarmStart {
+			end.startType, end.outcome = wireLoadFailed, []string{wireErrored, wireNotLoaded}[w.rng.IntN(2)]
 			end.tookMicros /= 2
 		}
 	}
@@ -108,10 +112,10 @@
 // applyPressure makes draining and full workers shed some attempts, and gives a few attempts an outcome at random.
 func (w *simulatedWorld) applyPressure(end *plannedEnd, worker *simulatedWorker) {
 	switch {
-	case worker.state == 2 && w.chance(300):
-		end.outcome, end.tookMicros = "shed", 1500
+	case worker.state == wireDraining && w.chance(300):
+		end.outcome, end.tookMicros = wireShed, 1500
 	case worker.inFlight > 12 && w.chance(500):
-		end.outcome, end.tookMicros = "shed", 2500
+		end.outcome, end.tookMicros = wireShed, 2500
 	case w.chance(12):
 		end.outcome = wireOutcomes[w.rng.IntN(len(wireOutcomes))]
 		end.tookMicros = 1000 + w.rng.Int64N(50000)
@@ -119,7 +123,9 @@
 }
 
 // scheduleStreamStart schedules the beginning of a streamed answer, which does not come if the attempt ends before.
-func (w *simulatedWorld) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int, after int64) {
+func (w *simulatedWorld) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int,
+	after int64,
+) {
 	w.schedule(after, func() string {
 		if attempt.ended {
 			return ""
@@ -141,23 +147,25 @@
 }
 
 // attemptEnded ends an attempt and returns its message, now and then twice.
-func (w *simulatedWorld) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int, latency, outcome, info string) string {
+func (w *simulatedWorld) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int,
+	latency, outcome, info string,
+) string {
 	attempt.ended = true
-	id, report := "worker-lost", "-"
+	id, report := "worker-lost", wireUnknown
 	if attempt.worker != nil {
 		id = attempt.worker.id
 		attempt.worker.inFlight = max(0, attempt.worker.inFlight-1)
-		if outcome == "delivered" || outcome == "shed" || outcome == "app_error" {
+		if outcome == wireServed || outcome == wireShed || outcome == wireErrored {
 			report = w.loadReport(attempt.worker)
 		}
-		if outcome == "delivered" {
+		if outcome == wireServed {
 			attempt.worker.loaded[request.function.name] = true
 			if w.chance(15) { // evicted for another function
 				delete(attempt.worker.loaded, request.function.name)
 			}
 		}
 	}
-	if outcome == "delivered" || outcome == "app_error" && w.chance(200) {
+	if outcome == wireServed || outcome == wireErrored && w.chance(200) {
 		request.over = true
 	}
 	closed := 0
@@ -165,19 +173,20 @@
 		closed = 1
 	}
 	if w.chance(50) {
-		latency = "-"
+		latency = wireUnknown
 	}
-	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, closed, info, latency, id, number, outcome, report)
+	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, closed, info, latency, id, number,
+		outcome, report)
 	if w.chance(4) {
 		line += line
 	}
 	return line
 }
 
-// loadReport returns a load report of a worker, or one made up if it is nil; "-" stands for none.
+// loadReport returns a load report of a worker, or one made up if it is nil; wireUnknown stands for none.
 func (w *simulatedWorld) loadReport(worker *simulatedWorker) string {
 	if !w.profile.reportEverything && w.chance(500) {
-		return "-"
+		return wireUnknown
 	}
 	inFlight := 1
 	if worker != nil {
@@ -185,7 +194,7 @@
 	}
 	switch w.rng.IntN(5) {
 	case 0:
-		return "-"
+		return wireUnknown
 	case 1:
 		return fmt.Sprintf("inflight:%d", inFlight+w.rng.IntN(4))
 	case 2:
--- a/cmd/simadapter/recording_clients_test.go
+++ b/cmd/simadapter/recording_clients_test.go
@@ -17,7 +17,8 @@
 	if w.recentIDs = append(w.recentIDs, request.id); len(w.recentIDs) > 40 {
 		w.recentIDs = w.recentIDs[1:]
 	}
-	tenant, work, load, memory, concurrency := "-", "-", "-", "-", "-"
+	tenant, work, load := wireUnknown, wireUnknown, wireUnknown
+	memory, concurrency := wireUnknown, wireUnknown
 	if w.profile.tenants != "" {
 		tenant = strconv.Itoa(w.rng.IntN(3))
 	}
@@ -45,8 +46,8 @@
 		request.over = true
 		return "expired\t" + request.id + "\n"
 	})
-	return fmt.Sprintf("call\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", request.id, function.class, tenant, function.name, millisText(left), work,
-		memory, concurrency, load, flags)
+	return fmt.Sprintf("call\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", request.id, function.class, tenant,
+		function.name, millisText(left), work, memory, concurrency, load, flags)
 }
 
 // unexpectedEvent returns the message of an event that the instance has no use for, or does not expect.
@@ -86,19 +87,14 @@
 	default:
 		switch w.rng.IntN(4) {
 		case 0:
-			return w.endpointList(3, nil)
+			return w.endpointList(wireListFailed, nil)
 		case 1:
-			return w.endpointList(2, w.workers[1:])
+			return w.endpointList(wireListCached, w.workers[1:])
 		case 2:
-			return w.endpointList(1, w.workers)
+			return w.endpointList(wireListFull, w.workers)
 		default:
 			gone := simulatedWorker{id: "worker-never-seen", weight: 1}
-			return w.endpointList(0, []*simulatedWorker{&gone})
+			return w.endpointList(wireListChanges, []*simulatedWorker{&gone})
 		}
 	}
 }
-
-// wireOutcomes are the names of the outcomes on the wire.
-var wireOutcomes = []string{
-	"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused", "empty",
-}
--- a/cmd/simadapter/recording_profiles_test.go
+++ b/cmd/simadapter/recording_profiles_test.go
@@ -5,6 +5,12 @@
 	"strings"
 )
 
+// streamingClass is the index of the class with streamed answers, the last of classCount.
+const (
+	streamingClass = 5
+	classCount     = 6
+)
+
 // siteProfile is the settings object and the load of one simulated instance. The settings have the names of
 // routing.Settings; the keys that the simulator uses for them are in the method settings.
 type siteProfile struct {
@@ -36,7 +42,7 @@
 	restartsPerMinute int
 	stepMs            int  // mean time between two rounds
 	startCold         bool // all workers have just started
-	reportEverything  bool // load reports come with all answers, not with half of them
+	reportEverything  bool // twice as many answers carry a load report
 }
 
 // settings returns the settings object as the simulator writes it.
@@ -45,10 +51,12 @@
 	if p.subscriptionRequired {
 		discovery = "on_request"
 	}
-	class := func(name, idempotency, scope string, objectiveMs, deadlineMs, windowMs int, weight float64, stream bool) string {
+	class := func(
+		name, idempotency, scope string, objectiveMs, deadlineMs, windowMs int, weight float64, stream bool,
+	) string {
 		return fmt.Sprintf(`{"name":%q,"aimMs":%d,"hardLimitMs":%d,"worth":%g,"lateWorth":%g,"effect":%q,`+
-			`"dedupScope":%q,"memorySpanMs":%d,"stream":%t}`, name, objectiveMs, deadlineMs, weight, p.lateValue, idempotency, scope,
-			windowMs, stream)
+			`"dedupScope":%q,"memorySpanMs":%d,"stream":%t}`, name, objectiveMs, deadlineMs, weight, p.lateValue,
+			idempotency, scope, windowMs, stream)
 	}
 	classes := strings.Join([]string{
 		class("lookup", "read_like", "all", 500, 2000, 0, 1, false),
@@ -121,7 +129,8 @@
 			p.maxAttempts, p.hedgingAllowed, p.stepMs, p.reportEverything = 2, false, 25, false
 		}),
 		vary(func(p *siteProfile) {
-			p.schedulers, p.rank, p.subscriptionRequired, p.startCold, p.overloadMs, p.weights = 60, 3, true, true, 600, "rough"
+			p.schedulers, p.rank, p.overloadMs, p.weights = 60, 3, 600, "rough"
+			p.subscriptionRequired, p.startCold = true, true
 		}),
 		vary(func(p *siteProfile) { // workers under pressure that many schedulers share
 			p.schedulers, p.rank, p.workers, p.requestsPerSecond, p.functions, p.weights = 300, 299, 5, 200, 30, "rough"
--- a/cmd/simadapter/recording_test.go
+++ b/cmd/simadapter/recording_test.go
@@ -109,7 +109,11 @@
 }
 
 func newInstanceSchedule() *instanceSchedule {
-	return &instanceSchedule{rng: rand.New(rand.NewPCG(recordingSeed, 1)), now: recordingStartTime, profiles: siteProfiles()}
+	return &instanceSchedule{
+		rng:      rand.New(rand.NewPCG(recordingSeed, 1)),
+		now:      recordingStartTime,
+		profiles: siteProfiles(),
+	}
 }
 
 // round returns the lines of the next round.
@@ -231,7 +235,10 @@
 	settings := siteProfiles()[0].settings()
 	start := "round\t1\t1\ntarget_instance\t0\npower_on\t5\t" + settings + "\nview\t1\t1\t1\nm\t1\t1\tw-a\t0\t0\t0\t-\n" +
 		"call\tt/1\t0\t-\tf-a\t900\t-\t-\t-\t-\t-\nflush\nround\t20\t2\ntarget_instance\t0\n"
-	inputs := []string{"", "\n", "flush\n", "round\t1\t1\nexpired\tt/a\nflush\n", "round\t1\t1\ntarget_instance\t0\nnews\t1\nflush\n"}
+	inputs := []string{
+		"", "\n", "flush\n", "round\t1\t1\nexpired\tt/a\nflush\n",
+		"round\t1\t1\ntarget_instance\t0\nnews\t1\nflush\n",
+	}
 	for _, bad := range []string{
 		"{}", "{", "null", "", `{"balancers":1}`,
 		strings.Replace(settings, "read_like", "unheard_of", 1), strings.Replace(settings, `"cell"`, `"room"`, 1),
--- a/cmd/simadapter/recording_world_test.go
+++ b/cmd/simadapter/recording_world_test.go
@@ -8,6 +8,11 @@
 	"strings"
 )
 
+const (
+	microsPerMinute  = 60_000_000
+	creditPerRequest = 1_000_000 // microseconds times requests a second
+)
+
 // The conditions of a simulated worker.
 const (
 	conditionHealthy = iota
@@ -25,7 +30,7 @@
 // simulatedWorker is a worker as it really is, which the instance learns only from messages.
 type simulatedWorker struct {
 	id               string
-	state            int // 0 gone, 1 ready, 2 draining
+	state            int // wireGone, wireReady or wireDraining
 	kind, zone, cell int
 	weight           float64
 	startedMicros    int64
@@ -82,28 +87,35 @@
 	listVersion   int
 	subscribed    bool
 	changed       []*simulatedWorker
-	requestCredit int64 // a request is due for each million
+	requestCredit int64 // a request is due for each creditPerRequest
 	surgeUntil    int64
 	surgePercent  int64 // rate of requests until surgeUntil, in percent of the usual
 }
 
 // newSimulatedWorld returns the world of a profile. The same seed gives the same world.
-func newSimulatedWorld(p siteProfile, seed uint64, now int64) *simulatedWorld {
+func newSimulatedWorld(profile siteProfile, seed uint64, now int64) *simulatedWorld {
 	world := &simulatedWorld{
-		profile: p, rng: rand.New(rand.NewPCG(seed, 2)), now: now,
-		requests: map[string]*simulatedRequest{}, surgePercent: 100,
+		profile:      profile,
+		rng:          rand.New(rand.NewPCG(seed, 2)),
+		now:          now,
+		requests:     map[string]*simulatedRequest{},
+		surgePercent: 100,
 	}
-	for range p.workers {
+	for range profile.workers {
 		worker := world.addWorker()
-		if !p.startCold {
+		if !profile.startCold {
 			worker.startedMicros = 0
 		}
 	}
-	for i := range p.functions {
+	for i := range profile.functions {
 		world.functions = append(world.functions, &simulatedFunction{
-			name: fmt.Sprintf("f-%d-%s", i, strconv.FormatUint(world.rng.Uint64()%46656, 36)), class: i % 6,
-			concurrency: 1 + world.rng.IntN(4), memory: 100 * (1 + world.rng.IntN(6)), serviceMicros: 8000 + world.rng.Int64N(150000),
-			loadMicros: 80000 + world.rng.Int64N(900000), declaresLoadTime: world.rng.IntN(3) == 0,
+			name:             fmt.Sprintf("f-%d-%s", i, world.randomSuffix()),
+			class:            i % classCount,
+			concurrency:      1 + world.rng.IntN(4),
+			memory:           100 * (1 + world.rng.IntN(6)),
+			serviceMicros:    8000 + world.rng.Int64N(150000),
+			loadMicros:       80000 + world.rng.Int64N(900000),
+			declaresLoadTime: world.rng.IntN(3) == 0,
 		})
 	}
 	return world
@@ -113,14 +125,25 @@
 func (w *simulatedWorld) addWorker() *simulatedWorker {
 	w.nextWorker++
 	worker := &simulatedWorker{
-		id:    fmt.Sprintf("w%s%d", strconv.FormatUint(w.rng.Uint64()%46656, 36), w.nextWorker),
-		state: 1, kind: w.rng.IntN(2), zone: w.rng.IntN(2), cell: w.rng.IntN(4), weight: 0.5 * float64(1+w.rng.IntN(4)),
-		startedMicros: w.now, loaded: map[string]bool{},
+		id:            fmt.Sprintf("w%s%d", w.randomSuffix(), w.nextWorker),
+		state:         wireReady,
+		kind:          w.rng.IntN(2),
+		zone:          w.rng.IntN(2),
+		cell:          w.rng.IntN(4),
+		weight:        0.5 * float64(1+w.rng.IntN(4)),
+		startedMicros: w.now,
+		loaded:        map[string]bool{},
 	}
 	w.workers = append(w.workers, worker)
 	return worker
 }
 
+// randomSuffix draws up to three characters that make a name differ from others of its kind.
+func (w *simulatedWorld) randomSuffix() string {
+	const base, limit = 36, 36 * 36 * 36
+	return strconv.FormatUint(w.rng.Uint64()%limit, base)
+}
+
 // chance is true with a probability of perMille thousandths.
 func (w *simulatedWorld) chance(perMille int) bool { return w.rng.IntN(1000) < perMille }
 
@@ -145,7 +168,7 @@
 func (w *simulatedWorld) startMessages(seed uint64) string {
 	text := fmt.Sprintf("power_on\t%d\t%s\n", seed, w.profile.settings())
 	if !w.profile.subscriptionRequired {
-		text += w.endpointList(1, w.workers)
+		text += w.endpointList(wireListFull, w.workers)
 	}
 	return text
 }
@@ -155,7 +178,7 @@
 	w.listVersion++
 	text := fmt.Sprintf("view\t%d\t%d\t%d\n", kind, w.listVersion, len(workers))
 	for _, worker := range workers {
-		weight, started := "-", "-"
+		weight, started := wireUnknown, wireUnknown
 		if w.profile.weights != "silent" {
 			weight = strconv.FormatFloat(worker.weight, 'f', -1, 64)
 		}
@@ -175,7 +198,7 @@
 	w.now = now
 	w.changeWorkers(passed)
 	if len(w.changed) > 0 && (!w.profile.subscriptionRequired || w.subscribed) {
-		text.WriteString(w.endpointList(0, w.changed))
+		text.WriteString(w.endpointList(wireListChanges, w.changed))
 		w.changed = nil
 	}
 	for len(w.events) > 0 && w.events[0].at <= now {
@@ -188,8 +211,8 @@
 		w.surgePercent = []int64{10, 60, 100, 100, 250, 500}[w.rng.IntN(6)]
 	}
 	w.requestCredit += passed * int64(w.profile.requestsPerSecond) * w.surgePercent / 100
-	for ; w.requestCredit >= 1e6; w.requestCredit -= 1e6 {
-		text.WriteString(w.newRequest(nil, 0))
+	for ; w.requestCredit >= creditPerRequest; w.requestCredit -= creditPerRequest {
+		text.WriteString(w.newRequest(nil, wireNoFlags))
 	}
 	if w.chance(60) {
 		text.WriteString(w.unexpectedEvent())
@@ -203,34 +226,33 @@
 		if worker.condition != conditionHealthy && w.now >= worker.conditionUntil {
 			worker.condition = conditionHealthy
 		}
-		if worker.state != 1 && worker.returnsAt > 0 && w.now >= worker.returnsAt {
-			if worker.state == 2 && w.chance(500) { // it has drained
+		if worker.state != wireReady && worker.returnsAt > 0 && w.now >= worker.returnsAt {
+			if worker.state == wireDraining && w.chance(500) { // it has drained
 				worker.returnsAt = w.now + 1000000
-				worker.state = 0
+				worker.state = wireGone
 			} else {
-				worker.state, worker.returnsAt, worker.startedMicros = 1, 0, w.now
+				worker.state, worker.returnsAt, worker.startedMicros = wireReady, 0, w.now
 				worker.loaded = map[string]bool{}
 			}
 			w.changed = append(w.changed, worker)
 		}
 	}
-	minute := int64(60000000)
-	if w.rng.Int64N(minute) < passed*int64(w.profile.faultsPerMinute) {
+	if w.rng.Int64N(microsPerMinute) < passed*int64(w.profile.faultsPerMinute) {
 		worker := w.workers[w.rng.IntN(len(w.workers))]
 		worker.condition = 1 + w.rng.IntN(conditionCount-1)
 		worker.conditionUntil = w.now + 400000 + w.rng.Int64N(4000000)
 	}
-	if w.rng.Int64N(minute) < passed*int64(w.profile.restartsPerMinute) {
+	if w.rng.Int64N(microsPerMinute) < passed*int64(w.profile.restartsPerMinute) {
 		worker := w.workers[w.rng.IntN(len(w.workers))]
 		switch w.rng.IntN(4) {
 		case 0: // it drains, and is removed or restarted later
-			worker.state, worker.returnsAt = 2, w.now+300000+w.rng.Int64N(3000000)
+			worker.state, worker.returnsAt = wireDraining, w.now+300000+w.rng.Int64N(3000000)
 		case 1: // it is removed, and comes back later
-			worker.state, worker.returnsAt = 0, w.now+300000+w.rng.Int64N(6000000)
+			worker.state, worker.returnsAt = wireGone, w.now+300000+w.rng.Int64N(6000000)
 		case 2: // it restarts, which the endpoint list shows only by its start time
 			worker.startedMicros, worker.loaded = w.now, map[string]bool{}
 		default:
-			worker.state, worker.returnsAt = 0, 0 // it never comes back, and a new one takes its place
+			worker.state, worker.returnsAt = wireGone, 0 // it never comes back, and a new one takes its place
 			w.changed = append(w.changed, worker)
 			w.workers = slices.DeleteFunc(w.workers, func(o *simulatedWorker) bool { return o == worker })
 			worker = w.addWorker()
