--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -55,7 +55,8 @@
 			q.Class = class
 			s := actionsOf[Send](harness.step(millisecond, q))[0]
 			harness.step(millisecond, attemptEnd(s, 0, Served))
-			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-harness.router.settings.Classes[class].LatencyObjective.Seconds())
+			objective := harness.router.settings.Classes[class].LatencyObjective.Seconds()
+			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-objective)
 			harness.router.inFlightWork = tt.ahead * harness.router.capacity
 			q.ID = "b"
 			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.rejected {
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -8,7 +8,8 @@
 
 // Load budget: it holds in every window, however many functions need a load.
 func TestLoadBudget(t *testing.T) {
-	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
+	deployed := settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false })
+	harness := newHarness(t, deployed, readyWorkers(4)...)
 	var arrivals, orders []time.Duration
 	for i := range 1200 {
 		if i == 600 {
@@ -46,7 +47,8 @@
 // Where workers do not load on demand, one load is ordered, and the requests for the function wait until it has ended.
 func TestOrdersLoadsWithoutLoadOnDemand(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
-	acts := append(harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), harness.wait(100*millisecond)...)
+	acts := harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f"))
+	acts = append(acts, harness.wait(100*millisecond)...)
 	loads := actionsOf[Load](acts)
 	if len(loads) != 1 || len(actionsOf[Send](acts)) != 0 {
 		t.Fatalf("got %v, want one load ordered and no request sent before it has ended", acts)
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -40,7 +40,8 @@
 func TestStaleEndpointsHoldSends(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	harness.step(millisecond, EndpointsStale{Duration: 250 * millisecond})
-	if got := actionsOf[Send](append(harness.step(millisecond, newTestRequest("a", "f")), harness.wait(200*millisecond)...)); len(got) > 0 {
+	acts := append(harness.step(millisecond, newTestRequest("a", "f")), harness.wait(200*millisecond)...)
+	if got := actionsOf[Send](acts); len(got) > 0 {
 		t.Fatalf("sent while the endpoint list may be stale: %v", got)
 	}
 	if got := actionsOf[Send](harness.step(millisecond, EndpointsStale{})); len(got) != 1 {
@@ -82,10 +83,13 @@
 		s := harness.send(fmt.Sprint("q", i), "f")
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
-	harness.step(millisecond, WorkerList{Kind: ListChanges, Workers: []Worker{{ID: "w49", State: Gone}, readyWorker("stays", 0)}})
+	lastChange := []Worker{{ID: "w49", State: Gone}, readyWorker("stays", 0)}
+	harness.step(millisecond, WorkerList{Kind: ListChanges, Workers: lastChange})
 	harness.wait(10 * time.Second)
-	if n, m, p := len(harness.router.workerList), len(harness.router.workers), len(harness.router.functions["f"].placements); n != 1 || m != 1 || p > 1 {
-		t.Errorf("%d workers in the list, %d by id and %d placements are kept, want those of one worker", n, m, p)
+	listed, byID := len(harness.router.workerList), len(harness.router.workers)
+	placements := len(harness.router.functions["f"].placements)
+	if listed != 1 || byID != 1 || placements > 1 {
+		t.Errorf("%d workers in the list, %d by id and %d placements are kept, want those of one worker", listed, byID, placements)
 	}
 	if s := harness.send("last", "f"); s.Worker != "stays" {
 		t.Errorf("sent to %s, want the worker that returned", s.Worker)
--- a/routing/hedging_test.go
+++ b/routing/hedging_test.go
@@ -18,7 +18,8 @@
 			harness := newHarness(t, settings(tt.change...), readyWorkers(4)...)
 			harness.send("a", "f")
 			harness.send("b", "f")
-			acts := harness.wait(2800 * millisecond) // by then both attempts are overdue, even with a load; one alone would not do
+			// By then both attempts are overdue, even with a load; one alone would not do.
+			acts := harness.wait(2800 * millisecond)
 			if got := len(actionsOf[Send](acts)) > 0; got != tt.sends {
 				t.Errorf("hedges: %v, want %v", got, tt.sends)
 			}
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -43,6 +43,10 @@
 func TestRestoreIgnoresVoidState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
+	restartedWorkers := []Worker{
+		{ID: "w0", State: Ready, Weight: 1, Started: harness.now},
+		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
+	}
 	for _, tt := range []struct {
 		name     string
 		after    time.Duration
@@ -51,7 +55,7 @@
 		warm     bool
 	}{
 		{"nothing changed", time.Second, readyWorkers(2), 0, true},
-		{"restarted", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
+		{"restarted", time.Second, restartedWorkers, 0, false},
 		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
 		{"long ago", time.Minute, readyWorkers(2), 0, false},
 		{"learned already", time.Second, readyWorkers(2), 1, false},
@@ -78,22 +82,37 @@
 // Whatever a restored state holds, the Router still sends requests, and the state that it exports then is plausible.
 func TestRestoreArbitraryState(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
-	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
+	number := rapid.IntRange(-2, 5)
+	instant := rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
 		state := LearnedState{
-			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "CapturedAt"), RequestWeight: figure.Draw(rt, "RequestWeight"),
-			ThroughputPerWeight: figure.Draw(rt, "ThroughputPerWeight"), MeanPressure: figure.Draw(rt, "MeanPressure"),
+			CapturedAt:          rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "CapturedAt"),
+			RequestWeight:       figure.Draw(rt, "RequestWeight"),
+			ThroughputPerWeight: figure.Draw(rt, "ThroughputPerWeight"),
+			MeanPressure:        figure.Draw(rt, "MeanPressure"),
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "Workers") {
-			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "ID")), 0, figure.Draw(rt, "PressureExcess"), figure.Draw(rt, "LatencyExcess")})
+			state.Workers = append(state.Workers, LearnedWorker{
+				ID:             fmt.Sprint("w", number.Draw(rt, "ID")),
+				PressureExcess: figure.Draw(rt, "PressureExcess"),
+				LatencyExcess:  figure.Draw(rt, "LatencyExcess"),
+			})
 		}
 		for range rapid.IntRange(0, 3).Draw(rt, "Functions") {
 			learned := LearnedFunction{
-				Name: fmt.Sprint("f", number.Draw(rt, "Name")), Class: number.Draw(rt, "Class"), Concurrency: number.Draw(rt, "Concurrency"),
-				RequestWeight: figure.Draw(rt, "RequestWeight"), ServiceTimeExcess: figure.Draw(rt, "ServiceTimeExcess"), LoadTime: instant.Draw(rt, "LoadTime"),
+				Name:              fmt.Sprint("f", number.Draw(rt, "Name")),
+				Class:             number.Draw(rt, "Class"),
+				Concurrency:       number.Draw(rt, "Concurrency"),
+				RequestWeight:     figure.Draw(rt, "RequestWeight"),
+				ServiceTimeExcess: figure.Draw(rt, "ServiceTimeExcess"),
+				LoadTime:          instant.Draw(rt, "LoadTime"),
 			}
 			for range rapid.IntRange(0, 2).Draw(rt, "Instances") {
-				learned.Instances = append(learned.Instances, LearnedInstance{number.Draw(rt, "WorkerIndex"), instant.Draw(rt, "LastWarm"), number.Draw(rt, "Count")})
+				learned.Instances = append(learned.Instances, LearnedInstance{
+					WorkerIndex: number.Draw(rt, "WorkerIndex"),
+					LastWarm:    instant.Draw(rt, "LastWarm"),
+					Count:       number.Draw(rt, "Count"),
+				})
 			}
 			state.Functions = append(state.Functions, learned)
 		}
@@ -101,7 +120,8 @@
 		harness.step(millisecond, StateRestored{state})
 		answered := 0
 		for i := range 20 {
-			for _, s := range actionsOf[Send](harness.step(100*millisecond, newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
+			arrival := newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3))
+			for _, s := range actionsOf[Send](harness.step(100*millisecond, arrival, TimerFired{tickToken})) {
 				harness.step(millisecond, attemptEnd(s, 0, Served))
 				answered++
 			}
@@ -110,7 +130,8 @@
 			rt.Fatal("no request is sent after the state was restored")
 		}
 		exported := harness.router.LearnedState()
-		if !plausible(exported.RequestWeight, exported.ThroughputPerWeight, exported.MeanPressure) || !reflect.DeepEqual(exported, harness.router.LearnedState()) {
+		if !plausible(exported.RequestWeight, exported.ThroughputPerWeight, exported.MeanPressure) ||
+			!reflect.DeepEqual(exported, harness.router.LearnedState()) {
 			rt.Fatalf("the exported state is not plausible or not stable: %+v", exported)
 		}
 	})
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -149,7 +149,8 @@
 		t.Error("ejected though too few peers report it")
 	}
 	harness.wait(2 * time.Second)
-	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}})
+	allReported := map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}
+	harness.step(0, PeerReports{Verdicts: allReported})
 	harness.send("last", "f0")
 }
 
@@ -167,8 +168,10 @@
 		}
 		observed = append(observed, actionsOf[ReportFault](harness.wait(time.Second))...)
 		answeredAt := harness.now
-		observed = append(observed, actionsOf[ReportFault](harness.step(0, attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
-		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}} // both attempts are overdue in the same sweep
+		lateAnswer := attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)
+		observed = append(observed, actionsOf[ReportFault](harness.step(0, lateAnswer))...)
+		// Both attempts are overdue in the same sweep, so there is one report with the time of the newer.
+		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}}
 		if !reporting {
 			want = nil
 		}
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -25,7 +25,8 @@
 func TestSchedulersAgreeOnFirstLoad(t *testing.T) {
 	for i := range 10 {
 		f := fmt.Sprint("f", i)
-		one, two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...), newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
+		one := newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
+		two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
 		two.router.rng = rand.New(rand.NewPCG(99, 0))
 		if a, b := one.send("a", f), two.send("b", f); a.Worker != b.Worker {
 			t.Errorf("%s goes to %s and to %s", f, a.Worker, b.Worker)
@@ -59,9 +60,11 @@
 				harness.step(0, attemptEnd(s, 0, Served))
 			}
 		}
-		hot, rare := harness.router.preferredWorkers(harness.router.functions["hot"]), harness.router.preferredWorkers(harness.router.functions["f198"])
+		hot := harness.router.preferredWorkers(harness.router.functions["hot"])
+		rare := harness.router.preferredWorkers(harness.router.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
-			t.Fatalf("%d preferred workers for the function with half of all requests and %d for a rare one, want at least 5 and 1", len(hot), len(rare))
+			t.Fatalf("%d preferred workers for the function with half of all requests and %d for a rare one, want at least 5 and 1",
+				len(hot), len(rare))
 		}
 		if first == nil {
 			first = hot
@@ -78,12 +81,19 @@
 // those that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler
 // alone.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
+	// displacedFunctions returns those of 100 functions that leave w0, where answers take this long and it reports this
+	// utilization, while three other workers are at ease.
 	displacedFunctions := func(change func(*Settings), utilization float64, latency time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
-		pressed := harness.router.workers["w0"]
+		workers := harness.router.workers
+		pressed := workers["w0"]
 		for range 8 {
-			for _, sampled := range []*worker{pressed, harness.router.workers["w1"], harness.router.workers["w2"], harness.router.workers["w3"]} {
-				end := AttemptEnded{Outcome: Served, Latency: 50 * millisecond, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
+			for _, sampled := range []*worker{pressed, workers["w1"], workers["w2"], workers["w3"]} {
+				end := AttemptEnded{
+					Outcome: Served,
+					Latency: 50 * millisecond,
+					Report:  &LoadReport{InFlight: -1, Utilization: 0.5},
+				}
 				if sampled == pressed {
 					end.Latency, end.Report.Utilization = latency, utilization
 				}
@@ -98,9 +108,11 @@
 		}
 		return displaced
 	}
-	calm, busy, late := displacedFunctions(manySchedulers, 0.4, 50*millisecond), displacedFunctions(manySchedulers, 1, 50*millisecond), displacedFunctions(manySchedulers, 1, 900*millisecond)
+	calm := displacedFunctions(manySchedulers, 0.4, 50*millisecond)
+	busy := displacedFunctions(manySchedulers, 1, 50*millisecond)
+	late := displacedFunctions(manySchedulers, 1, 900*millisecond)
 	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
-		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want none, some and most",
+		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want 0, 5 to 60 and at least 90",
 			len(calm), len(busy), len(late))
 	}
 	for name := range busy {
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -30,7 +30,8 @@
 			q := &request{Request: newTestRequest("a", "f"), class: &harness.router.settings.Classes[0]}
 			harness.router.actions = nil
 			harness.router.rejectOrFail(q)
-			if got := actionsOf[Reject](harness.router.actions); len(got) != 1 || got[0].RetryAfter.Round(millisecond) != tt.want {
+			got := actionsOf[Reject](harness.router.actions)
+			if len(got) != 1 || got[0].RetryAfter.Round(millisecond) != tt.want {
 				t.Errorf("got %v, want one rejection with Retry-After %v", got, tt.want)
 			}
 		})
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -178,7 +178,8 @@
 
 // The same seed and events give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	one, two := simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000), simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000)
+	one := simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000)
+	two := simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000)
 	if !reflect.DeepEqual(one, two) {
 		t.Error("the same events and seed gave different actions")
 	}
@@ -187,7 +188,8 @@
 // A Router decides the same whether or not another Router is used in the same process.
 func TestRoutersShareNothing(t *testing.T) {
 	stepOneRequest := func(r *Router, i int) []Action {
-		return r.Step(time.Hour+time.Duration(i)*millisecond, []Event{newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%5))})
+		now := time.Hour + time.Duration(i)*millisecond
+		return r.Step(now, []Event{newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%5))})
 	}
 	newRouter := func() *Router {
 		r, err := New(settings(), 3)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -90,7 +90,8 @@
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) != 0 {
 			t.Errorf("got %v, want one failure", acts)
 		}
-		if acts := harness.wait(time.Second); len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
+		acts = harness.wait(time.Second)
+		if len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
 			t.Errorf("actions after the final answer: %v", acts)
 		}
 	})
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -13,8 +13,8 @@
 	requests := 0
 	serve := func(period time.Duration) (sentAt []time.Duration) {
 		for until := harness.now + period; harness.now < until; requests++ {
-			for _, s := range actionsOf[Send](harness.step(tickInterval, newTestRequest(fmt.Sprint("r", requests), fmt.Sprint("f", requests%7)),
-				TimerFired{tickToken})) {
+			arrival := newTestRequest(fmt.Sprint("r", requests), fmt.Sprint("f", requests%7))
+			for _, s := range actionsOf[Send](harness.step(tickInterval, arrival, TimerFired{tickToken})) {
 				if s.Worker == "w1" {
 					sentAt = append(sentAt, harness.now)
 				}
@@ -78,7 +78,10 @@
 		step(1)
 	}
 	rate := float64(harness.router.throughputPerWeight)
-	harness.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: harness.now}, {ID: "w0", State: Draining}}})
+	harness.step(0, WorkerList{Workers: []Worker{
+		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
+		{ID: "w0", State: Draining},
+	}})
 	started := harness.now
 	for range 6 { // one request begins a window, bursts come around its end
 		step(1)
@@ -98,7 +101,8 @@
 		"no overload multiple": func(s *Settings) { s.OverloadMultiple = 0 },
 		"no overload duration": func(s *Settings) { s.OverloadDuration = 0 },
 	} {
-		harness := newHarness(t, settings(change), Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
+		warming := Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second}
+		harness := newHarness(t, settings(change), warming)
 		for i := range 5 {
 			acts := harness.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
 			if len(actionsOf[Send](acts)) != 1 {
@@ -118,7 +122,8 @@
 			deployed := settings(func(s *Settings) { s.Schedulers = schedulers })
 			harness := newSeededHarness(t, deployed, uint64(seed), readyWorkers(4)...)
 			harness.warmUp(50, time.Second)
-			harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: harness.now}}})
+			warming := Worker{ID: "new", State: Ready, Weight: 1, Started: harness.now}
+			harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{warming}})
 			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * float64(harness.router.throughputPerWeight) *
 				deployed.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
