--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -11,7 +11,7 @@
 
 // The files that deploy/balancer.toml names as policy hold at most 950 lines together that are not blank, none of them
 // wider than 110 columns.
-func TestModuleSize(t *testing.T) {
+func TestPolicySize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
