--- a/cmd/simadapter/recording_actions_test.go
+++ b/cmd/simadapter/recording_actions_test.go
@@ -12,20 +12,20 @@
 func (w *simulatedWorld) apply(line string) error {
 	fields := strings.Split(line, "\t")
 	switch fields[0] {
-	case "try":
+	case wireSend:
 		return w.startAttempt(fields[1], fields[2], fields[3])
-	case "recall":
+	case wireCancel:
 		w.cancel(fields[1], fields[2])
-	case "say_no", "surrender":
+	case wireReject, wireFail:
 		request := w.requests[fields[1]]
 		if request == nil {
 			return nil // for a request that unexpectedEvent made up
 		}
 		request.over = true
-		if fields[0] == "say_no" && w.chance(300) {
+		if fields[0] == wireReject && w.chance(300) {
 			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.newRequest(request.function, wireRetryFlag) })
 		}
-	case "arm":
+	case wireSetTimer:
 		after, err := strconv.ParseFloat(fields[1], 64)
 		if err != nil {
 			return err
@@ -35,12 +35,12 @@
 			late = w.rng.Int64N(300000)
 		}
 		w.schedule(int64(after*1000)+late, func() string { return "reminder\t" + token + "\n" })
-	case "ping":
+	case wireProbe:
 		worker := fields[1]
-		w.schedule(1500, func() string { return "sampled\tdelivered\t" + worker + "\t1.5\t-\n" })
-	case "pin_up":
+		w.schedule(1500, func() string { return "sampled\t" + wireServed + "\t" + worker + "\t1.5\t-\n" })
+	case wireLoad:
 		w.load(fields[1], fields[2])
-	case "observe":
+	case wireSubscribe:
 		on := fields[1] == "1"
 		w.schedule(2000+w.rng.Int64N(30000), func() string {
 			if w.chance(300) {
@@ -49,16 +49,16 @@
 			w.subscribed, w.changed = on, nil
 			return w.endpointList(wireListFull, w.workers)
 		})
-	case "resolve":
+	case wireFetchList:
 		w.schedule(2000, func() string { return w.endpointList(wireListCached, w.workers) })
-	case "unmount", "give_in":
+	case wireUnload, wireInstanceFailed:
 	default:
 		return fmt.Errorf("reply %q is not known to the world", line)
 	}
 	return nil
 }
 
-// cancel ends an attempt as canceled after a while; now and then the cancellation is lost and its answer comes.
+// cancel ends an attempt as canceled after a while. Now and then the cancellation is lost, and the attempt goes on.
 func (w *simulatedWorld) cancel(id, attemptNumber string) {
 	request := w.requests[id]
 	number, err := strconv.Atoi(attemptNumber)
--- a/cmd/simadapter/recording_wire_test.go
+++ b/cmd/simadapter/recording_wire_test.go
@@ -3,6 +3,21 @@
 // Values of the simulator's lines, named after what they stand for in package routing. They are written out here, not
 // taken from internal/simwire, so that a changed value there shows as a difference from the recording.
 
+// Replies: one for each action of a Router, and that an instance failed.
+const (
+	wireSend           = "try"
+	wireCancel         = "recall"
+	wireReject         = "say_no"
+	wireFail           = "surrender"
+	wireSetTimer       = "arm"
+	wireProbe          = "ping"
+	wireLoad           = "pin_up"
+	wireUnload         = "unmount"
+	wireSubscribe      = "observe"
+	wireFetchList      = "resolve"
+	wireInstanceFailed = "give_in"
+)
+
 // Outcomes of attempts, probes and loads.
 const (
 	wireServed          = "delivered"
