--- a/cmd/simadapter/recording_actions_test.go
+++ b/cmd/simadapter/recording_actions_test.go
@@ -12,20 +12,20 @@
 func (w *simulatedWorld) apply(line string) error {
 	fields := strings.Split(line, "\t")
 	switch fields[0] {
-	case "try":
-		return w.attempt(fields[1], fields[2], fields[3])
-	case "recall":
-		w.recall(fields[1], fields[2])
-	case "say_no", "surrender":
-		q := w.requests[fields[1]]
-		if q == nil {
-			return nil // of a call that unexpectedEvent made up
+	case wireSend:
+		return w.startAttempt(fields[1], fields[2], fields[3])
+	case wireCancel:
+		w.cancel(fields[1], fields[2])
+	case wireReject, wireFail:
+		request := w.requests[fields[1]]
+		if request == nil {
+			return nil // for a request that unexpectedEvent made up
 		}
-		q.final = true
-		if fields[0] == "say_no" && w.chance(300) {
-			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.call(q.function, 2) })
+		request.over = true
+		if fields[0] == wireReject && w.chance(300) {
+			w.schedule(50000+w.rng.Int64N(400000), func() string { return w.newRequest(request.function, wireRetryFlag) })
 		}
-	case "arm":
+	case wireSetTimer:
 		after, err := strconv.ParseFloat(fields[1], 64)
 		if err != nil {
 			return err
@@ -35,68 +35,68 @@
 			late = w.rng.Int64N(300000)
 		}
 		w.schedule(int64(after*1000)+late, func() string { return "reminder\t" + token + "\n" })
-	case "ping":
+	case wireProbe:
 		worker := fields[1]
-		w.schedule(1500, func() string { return "sampled\tdelivered\t" + worker + "\t1.5\t-\n" })
-	case "pin_up":
+		w.schedule(1500, func() string { return "sampled\t" + wireServed + "\t" + worker + "\t1.5\t-\n" })
+	case wireLoad:
 		w.load(fields[1], fields[2])
-	case "observe":
+	case wireSubscribe:
 		on := fields[1] == "1"
 		w.schedule(2000+w.rng.Int64N(30000), func() string {
 			if w.chance(300) {
-				return w.list(3, nil)
+				return w.endpointList(wireListFailed, nil)
 			}
 			w.subscribed, w.changed = on, nil
-			return w.list(1, w.workers)
+			return w.endpointList(wireListFull, w.workers)
 		})
-	case "resolve":
-		w.schedule(2000, func() string { return w.list(2, w.workers) })
-	case "unmount", "give_in":
+	case wireFetchList:
+		w.schedule(2000, func() string { return w.endpointList(wireListCached, w.workers) })
+	case wireUnload, wireInstanceFailed:
 	default:
 		return fmt.Errorf("reply %q is not known to the world", line)
 	}
 	return nil
 }
 
-// recall calls an attempt off; now and then its answer comes first.
-func (w *simulatedWorld) recall(id, attempt string) {
-	q := w.requests[id]
-	n, err := strconv.Atoi(attempt)
-	if q == nil || err != nil || n >= len(q.attempts) || w.chance(50) {
+// cancel ends an attempt as canceled after a while. Now and then the cancellation is lost, and the attempt goes on.
+func (w *simulatedWorld) cancel(id, attemptNumber string) {
+	request := w.requests[id]
+	number, err := strconv.Atoi(attemptNumber)
+	if request == nil || err != nil || number >= len(request.attempts) || w.chance(50) {
 		return
 	}
-	a := q.attempts[n]
+	attempt := request.attempts[number]
 	w.schedule(1000+w.rng.Int64N(4000), func() string {
-		if a.ended {
+		if attempt.ended {
 			return ""
 		}
-		return w.end(q, a, n, "-", "revoked", "-")
+		return w.attemptEnded(request, attempt, number, wireUnknown, wireCanceled, wireUnknown)
 	})
 }
 
-// load plays an order to load.
+// load carries out an order to load and schedules its answer.
 func (w *simulatedWorld) load(workerID, function string) {
 	worker := w.worker(workerID)
 	i := slices.IndexFunc(w.functions, func(f *simulatedFunction) bool { return f.name == function })
-	outcome, copies, took := "delivered", 1+w.rng.IntN(2), int64(200000)
+	outcome, instances, took := wireServed, 1+w.rng.IntN(2), int64(200000)
 	if i >= 0 {
 		took = w.functions[i].loadMicros
 	}
 	switch {
-	case worker == nil || worker.state == 0:
-		outcome, copies, took = "dial_failed", 0, 3000
-	case worker.condition == conditionSilent:
-		outcome, copies, took = "expired", 0, 10000000
+	case worker == nil || worker.state == wireGone:
+		outcome, instances, took = wireConnectFailed, 0, 3000
+	case worker.condition == conditionUnresponsive:
+		outcome, instances, took = wireTimedOut, 0, 10000000
 	case w.chance(60):
-		outcome, copies, took = "shed", 0, 4000
+		outcome, instances, took = wireShed, 0, 4000
 	case w.chance(40):
-		copies = 0
+		instances = 0
 	}
 	w.schedule(took, func() string {
-		if outcome == "delivered" && copies > 0 {
+		if outcome == wireServed && instances > 0 {
 			worker.loaded[function] = true
 		}
-		copiesText := cmp.Or(strings.TrimPrefix(strconv.Itoa(copies), "0"), "-")
-		return fmt.Sprintf("brought_up\t%s\t%s\t%s\t%s\t%s\n", workerID, millisText(took), copiesText, function, outcome)
+		instancesText := cmp.Or(strings.TrimPrefix(strconv.Itoa(instances), "0"), wireUnknown)
+		return fmt.Sprintf("brought_up\t%s\t%s\t%s\t%s\t%s\n", workerID, millisText(took), instancesText, function, outcome)
 	})
 }
--- a/cmd/simadapter/recording_attempts_test.go
+++ b/cmd/simadapter/recording_attempts_test.go
@@ -5,121 +5,127 @@
 	"strconv"
 )
 
-// A plannedEnd is what a worker will make of an attempt.
+// plannedEnd is how an attempt will end at its worker.
 type plannedEnd struct {
 	outcome    string
 	tookMicros int64
-	warmth     int // as on the wire: 1 the function was loaded, 2 and 3 it was not, 4 its load failed
+	startType  int
 }
 
-// attempt plays an attempt at a worker.
-func (w *simulatedWorld) attempt(id, timeoutText, workerID string) error {
+// startAttempt starts an attempt at a worker and schedules its end.
+func (w *simulatedWorld) startAttempt(id, timeoutText, workerID string) error {
 	timeoutMillis, err := strconv.ParseFloat(timeoutText, 64)
 	if err != nil {
 		return err
 	}
 	request := w.requests[id]
-	if request == nil { // of a call that unexpectedEvent made up
+	if request == nil { // for a request that unexpectedEvent made up
 		request = &simulatedRequest{id: id, function: w.functions[0]}
 		w.requests[id] = request
 	}
 	worker := w.worker(workerID)
-	attempt, number, timeout := &simulatedAttempt{worker: worker}, len(request.attempts), int64(timeoutMillis*1000)
+	attempt := &simulatedAttempt{worker: worker}
+	number := len(request.attempts)
+	timeout := int64(timeoutMillis * 1000)
 	request.attempts = append(request.attempts, attempt)
-	if worker == nil || worker.state == 0 {
-		w.scheduleEnd(request, attempt, number, 1000+w.rng.Int64N(5000), []string{"dial_failed", "unused"}[w.rng.IntN(2)], "-", timeout)
+	if worker == nil || worker.state == wireGone {
+		after := 1000 + w.rng.Int64N(5000)
+		outcome := []string{wireConnectFailed, wireNotSent}[w.rng.IntN(2)]
+		w.scheduleEnd(request, attempt, number, after, outcome, wireUnknown, timeout)
 		return nil
 	}
 	end := w.planEnd(worker, request.function)
 	w.applyCondition(&end, worker, timeout)
 	w.applyPressure(&end, worker)
 	if end.tookMicros >= timeout {
-		end.outcome, end.tookMicros = "expired", timeout
+		end.outcome, end.tookMicros = wireTimedOut, timeout
 	}
-	if end.outcome == "delivered" && request.function.class == 5 && w.chance(900) {
-		w.scheduleFirst(request, attempt, number, end.tookMicros/3)
+	if end.outcome == wireServed && request.function.class == streamingClass && w.chance(900) {
+		w.scheduleStreamStart(request, attempt, number, end.tookMicros/3)
 	}
-	info := "-"
+	info := wireUnknown
 	if w.chance(850) {
 		if w.chance(200) {
-			end.warmth = 0
+			end.startType = wireStartUnknown
 		}
-		info = strconv.Itoa(end.warmth + 8*worker.inFlight)
+		info = strconv.Itoa(end.startType + wireStartInfoRadix*worker.inFlight)
 	}
 	worker.inFlight++
 	w.scheduleEnd(request, attempt, number, end.tookMicros, end.outcome, info, timeout)
 	return nil
 }
 
-// planEnd draws what a worker in no trouble makes of an attempt.
+// planEnd draws how an attempt ends at a healthy worker.
 func (w *simulatedWorld) planEnd(worker *simulatedWorker, function *simulatedFunction) plannedEnd {
 	end := plannedEnd{
-		outcome:    "delivered",
+		outcome:    wireServed,
 		tookMicros: function.serviceMicros/2 + w.rng.Int64N(function.serviceMicros),
-		warmth:     1,
+		startType:  wireWarmStart,
 	}
 	end.tookMicros += end.tookMicros * int64(worker.inFlight) / 8
 	if !worker.loaded[function.name] {
-		end.warmth = 2 + w.rng.IntN(2)
-		if w.profile.whenAbsent == "miss" {
-			end.outcome, end.tookMicros = "empty", 3000
+		end.startType = []int{wireColdStart, wireJoinedColdStart}[w.rng.IntN(2)]
+		if w.profile.whenNotLoaded == "miss" {
+			end.outcome, end.tookMicros = wireNotLoaded, 3000
 		} else {
 			end.tookMicros += function.loadMicros
 		}
 	}
-	warmingUp := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.coldMs)*1000
+	warmingUp := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.slowStartMs)*1000
 	if warmingUp {
 		end.tookMicros *= 2
 	}
 	return end
 }
 
-// applyCondition changes the end of an attempt by the condition that its worker is in.
+// applyCondition changes the end of an attempt as the condition of its worker requires.
 func (w *simulatedWorld) applyCondition(end *plannedEnd, worker *simulatedWorker, timeout int64) {
 	switch worker.condition {
-	case conditionSilent:
-		end.outcome, end.tookMicros = "expired", timeout
+	case conditionUnresponsive:
+		end.outcome, end.tookMicros = wireTimedOut, timeout
 	case conditionErrors:
 		if w.chance(700) {
-			end.outcome, end.tookMicros = "app_error", end.tookMicros/4
+			end.outcome, end.tookMicros = wireErrored, end.tookMicros/4
 		}
 	case conditionRefusesConnections:
-		end.outcome, end.tookMicros = "dial_failed", 2000
+		end.outcome, end.tookMicros = wireConnectFailed, 2000
 	case conditionResetsConnections:
-		end.outcome, end.tookMicros = "dropped", end.tookMicros/2
+		end.outcome, end.tookMicros = wireConnectionReset, end.tookMicros/2
 	case conditionSlow:
 		end.tookMicros *= 7
 	case conditionSheds:
 		if w.chance(700) {
-			end.outcome, end.tookMicros = "shed", 2000
+			end.outcome, end.tookMicros = wireShed, 2000
 		}
 	case conditionLosesAnswers:
 		if w.chance(350) {
-			end.outcome, end.tookMicros = "expired", timeout
+			end.outcome, end.tookMicros = wireTimedOut, timeout
 		}
 	case conditionLoadsFail:
-		if end.warmth > 1 {
-			end.warmth, end.outcome = 4, []string{"app_error", "empty"}[w.rng.IntN(2)]
+		if end.startType > wireWarmStart {
+			end.startType, end.outcome = wireLoadFailed, []string{wireErrored, wireNotLoaded}[w.rng.IntN(2)]
 			end.tookMicros /= 2
 		}
 	}
 }
 
-// applyPressure has a worker that drains or is full shed an attempt, and now and then an attempt end in any way.
+// applyPressure makes draining and full workers shed some attempts, and gives a few attempts an outcome at random.
 func (w *simulatedWorld) applyPressure(end *plannedEnd, worker *simulatedWorker) {
 	switch {
-	case worker.state == 2 && w.chance(300):
-		end.outcome, end.tookMicros = "shed", 1500
+	case worker.state == wireDraining && w.chance(300):
+		end.outcome, end.tookMicros = wireShed, 1500
 	case worker.inFlight > 12 && w.chance(500):
-		end.outcome, end.tookMicros = "shed", 2500
+		end.outcome, end.tookMicros = wireShed, 2500
 	case w.chance(12):
 		end.outcome = wireOutcomes[w.rng.IntN(len(wireOutcomes))]
 		end.tookMicros = 1000 + w.rng.Int64N(50000)
 	}
 }
 
-// scheduleFirst has an answer begin to arrive, unless its attempt ended before.
-func (w *simulatedWorld) scheduleFirst(request *simulatedRequest, attempt *simulatedAttempt, number int, after int64) {
+// scheduleStreamStart schedules the beginning of a streamed answer, which does not come if the attempt ends before.
+func (w *simulatedWorld) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int,
+	after int64,
+) {
 	w.schedule(after, func() string {
 		if attempt.ended {
 			return ""
@@ -128,56 +134,59 @@
 	})
 }
 
-// scheduleEnd has an attempt end, unless it was called off before.
-func (w *simulatedWorld) scheduleEnd(q *simulatedRequest, a *simulatedAttempt, n int, took int64, outcome, info string,
-	timeout int64,
+// scheduleEnd schedules the end of an attempt, which does not come if the attempt was canceled before.
+func (w *simulatedWorld) scheduleEnd(request *simulatedRequest, attempt *simulatedAttempt, number int, took int64,
+	outcome, info string, timeout int64,
 ) {
 	w.schedule(min(took, timeout), func() string {
-		if a.ended {
+		if attempt.ended {
 			return ""
 		}
-		return w.end(q, a, n, millisText(took), outcome, info)
+		return w.attemptEnded(request, attempt, number, millisText(took), outcome, info)
 	})
 }
 
-// end tells how an attempt ended; it may be told twice.
-func (w *simulatedWorld) end(request *simulatedRequest, attempt *simulatedAttempt, number int, latency, outcome, info string) string {
+// attemptEnded ends an attempt and returns its message, now and then twice.
+func (w *simulatedWorld) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int,
+	latency, outcome, info string,
+) string {
 	attempt.ended = true
-	id, report := "worker-lost", "-"
+	id, report := "worker-lost", wireUnknown
 	if attempt.worker != nil {
 		id = attempt.worker.id
 		attempt.worker.inFlight = max(0, attempt.worker.inFlight-1)
-		if outcome == "delivered" || outcome == "shed" || outcome == "app_error" {
-			report = w.report(attempt.worker)
+		if outcome == wireServed || outcome == wireShed || outcome == wireErrored {
+			report = w.loadReport(attempt.worker)
 		}
-		if outcome == "delivered" {
+		if outcome == wireServed {
 			attempt.worker.loaded[request.function.name] = true
-			if w.chance(15) { // something else needed its room
+			if w.chance(15) { // evicted for another function
 				delete(attempt.worker.loaded, request.function.name)
 			}
 		}
 	}
-	if outcome == "delivered" || outcome == "app_error" && w.chance(200) {
-		request.final = true
+	if outcome == wireServed || outcome == wireErrored && w.chance(200) {
+		request.over = true
 	}
 	closed := 0
-	if request.final {
+	if request.over {
 		closed = 1
 	}
 	if w.chance(50) {
-		latency = "-"
+		latency = wireUnknown
 	}
-	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, closed, info, latency, id, number, outcome, report)
+	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, closed, info, latency, id, number,
+		outcome, report)
 	if w.chance(4) {
 		line += line
 	}
 	return line
 }
 
-// report is a load report of a worker, or of none in particular.
-func (w *simulatedWorld) report(worker *simulatedWorker) string {
+// loadReport returns a load report of a worker, or one made up if it is nil; wireUnknown stands for none.
+func (w *simulatedWorld) loadReport(worker *simulatedWorker) string {
 	if !w.profile.reportEverything && w.chance(500) {
-		return "-"
+		return wireUnknown
 	}
 	inFlight := 1
 	if worker != nil {
@@ -185,7 +194,7 @@
 	}
 	switch w.rng.IntN(5) {
 	case 0:
-		return "-"
+		return wireUnknown
 	case 1:
 		return fmt.Sprintf("inflight:%d", inFlight+w.rng.IntN(4))
 	case 2:
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
+// A request is rejected on arrival when the work ahead of it makes it miss its deadline.
 func TestRejectsOnArrival(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
-	first := harness.send("first", "f") // nothing ahead: never rejected
+	first := harness.send("first", "f") // no work ahead: never rejected
 	answer := attemptEnd(first, 0, Served)
 	answer.Latency = 900 * millisecond
 	harness.step(900*millisecond, answer)
-	refused := 0
+	rejected := 0
 	for i := range 60 {
-		refused += len(actionsOf[Reject](harness.step(0, newTestRequest(fmt.Sprint("r", i), "f"))))
+		rejected += len(actionsOf[Reject](harness.step(0, newTestRequest(fmt.Sprint("r", i), "f"))))
 	}
-	if refused == 0 {
+	if rejected == 0 {
 		t.Error("nothing rejected with a queue far longer than the deadline")
 	}
 }
@@ -34,15 +35,16 @@
 	}
 	slow.ID = "second"
 	if acts := harness.step(millisecond, slow); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("second request, its load under way but too late: %v, want it rejected", acts)
+		t.Errorf("second request, while the load that it needs ends too late: %v, want it rejected", acts)
 	}
 }
 
-// With the same work ahead, a class with a short objective is treated like one with a long one, or it would starve.
+// With the same work ahead, classes with a short and with a long objective are rejected alike, or the short would
+// starve.
 func TestShortObjectivesDoNotStarve(t *testing.T) {
 	for _, tt := range []struct {
-		ahead   float64 // seconds of work ahead, per unit of capacity
-		refused bool
+		ahead    float64 // seconds of work ahead, per unit of capacity
+		rejected bool
 	}{{0.1, false}, {0.3, false}, {0.5, true}, {0.9, true}} {
 		for class := range 2 {
 			harness := newHarness(t, settings(func(s *Settings) {
@@ -53,18 +55,20 @@
 			q.Class = class
 			s := actionsOf[Send](harness.step(millisecond, q))[0]
 			harness.step(millisecond, attemptEnd(s, 0, Served))
-			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-harness.router.settings.Classes[class].LatencyObjective.Seconds())
+			objective := harness.router.settings.Classes[class].LatencyObjective.Seconds()
+			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-objective)
 			harness.router.inFlightWork = tt.ahead * harness.router.capacity
 			q.ID = "b"
-			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.refused {
-				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.refused)
+			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.rejected {
+				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.rejected)
 			}
 		}
 	}
 }
 
-// What peers have in flight shows in slow answers: part of the requests is rejected on arrival, but never all, or
-// nothing would show that the worker recovered. A single scheduler counts what it has in flight instead.
+// Slow answers of a shared worker show that peers have work in flight there: part of the requests is then rejected on
+// arrival, but never all, or no answer would show that the worker has recovered. A single scheduler knows what is in
+// flight and rejects none for slow answers.
 func TestRejectsForWorkOfPeers(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -77,23 +81,23 @@
 		{"slow answers, one scheduler", unchangedSettings, 1500 * millisecond, false, false},
 	} {
 		harness := newHarness(t, settings(tt.change), readyWorkers(1)...)
-		refused := 0
+		rejected := 0
 		for i := range 200 {
 			acts := harness.step(millisecond, newTestRequest(fmt.Sprint("r", i), "f"))
-			refused += len(actionsOf[Reject](acts))
+			rejected += len(actionsOf[Reject](acts))
 			for _, s := range actionsOf[Send](acts) {
 				e := attemptEnd(s, 0, Served)
 				e.Latency = tt.slow
 				harness.step(tt.slow, e)
 			}
 		}
-		if refused > 0 != tt.some || refused > 190 != tt.all {
-			t.Errorf("%s: %d of 200 rejected", tt.name, refused)
+		if rejected > 0 != tt.some || rejected > 190 != tt.all {
+			t.Errorf("%s: %d of 200 rejected", tt.name, rejected)
 		}
 	}
 }
 
-// A tenant whose quota at this scheduler is less than one request a second still gets it.
+// A tenant whose quota at this scheduler is less than one request a second is still admitted at that rate.
 func TestSmallQuotaAdmits(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) {
 		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
@@ -101,10 +105,10 @@
 	harness.now += time.Minute
 	harness.step(0)
 	if harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("the first request in a minute is over its quota")
+		t.Error("the first request in a minute is over the tenant's quota")
 	}
 	if !harness.router.tenantQuotas.Exceeded(harness.router.now, 0) {
-		t.Error("a second request at once is within a quota of 0.2 a second")
+		t.Error("a second request right after it is within a quota of 0.2 a second")
 	}
 	harness.now += 6 * time.Second
 	harness.step(0)
@@ -113,9 +117,9 @@
 	}
 }
 
-// Reports of peers eject no worker that the rest could not do without.
+// Reports of peers eject no worker whose load the remaining workers do not have the capacity for.
 func TestKeepsWorkersThatAreNeeded(t *testing.T) {
-	harness := harnessWithPeers(t, 4)
+	harness := harnessAfterAnswers(t, 4)
 	harness.wait(2 * time.Second)
 	for _, w := range harness.router.workerList {
 		w.concurrencyLimit = 2
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Rule 5: the load budget holds in every window, however many functions need a load.
+// Load budget: it holds in every window, however many functions need a load.
 func TestLoadBudget(t *testing.T) {
-	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false }), readyWorkers(4)...)
-	var calls, orders []time.Duration
+	deployed := settings(loadsAllowed, func(s *Settings) { s.LoadBudgetPerRequest, s.LoadOnDemand = 0.01, false })
+	harness := newHarness(t, deployed, readyWorkers(4)...)
+	var arrivals, orders []time.Duration
 	for i := range 1200 {
 		if i == 600 {
 			harness.now += 4 * time.Second // a pause: the window's edge then passes over a dense stretch of requests
 		}
 		f := fmt.Sprint("f", i%40)
 		acts := harness.step(5*millisecond, newTestRequest(fmt.Sprint("r", i), f), TimerFired{tickToken})
-		calls = append(calls, harness.now)
+		arrivals = append(arrivals, harness.now)
 		for _, l := range actionsOf[Load](acts) {
 			orders = append(orders, harness.now)
 			harness.step(0, LoadEnded{Worker: l.Worker, Function: l.Function, Outcome: Shed})
@@ -24,37 +25,38 @@
 		for _, s := range actionsOf[Send](acts) {
 			harness.step(0, attemptEnd(s, 0, Served))
 		}
-		in := func(ts []time.Duration, window time.Duration) (n float64) {
-			for _, t := range ts {
-				if harness.now-t <= window {
-					n++
+		countWithin := func(times []time.Duration, window time.Duration) (count float64) {
+			for _, at := range times {
+				if harness.now-at <= window {
+					count++
 				}
 			}
-			return n
+			return count
 		}
-		// A request may have arrived up to a tick (here 2 ms) before the batch that reported it.
-		got, allowed := in(orders, 5*time.Second), 2+0.01*in(calls, 5*time.Second-2*millisecond)
+		// A request may have arrived up to Settings.Tick (here 2 ms) before the batch that reported it.
+		got, allowed := countWithin(orders, 5*time.Second), 2+0.01*countWithin(arrivals, 5*time.Second-2*millisecond)
 		if got > allowed {
-			t.Fatalf("%v orders to load in the window, %v are allowed", got, allowed)
+			t.Fatalf("%v loads ordered in the window, %v are allowed", got, allowed)
 		}
 	}
 	if len(orders) == 0 {
-		t.Error("no order to load at all")
+		t.Error("no load was ordered at all")
 	}
 }
 
-// Where only orders load a function, there is one order and the requests wait for its answer.
+// Where workers do not load on demand, one load is ordered, and the requests for the function wait until it has ended.
 func TestOrdersLoadsWithoutLoadOnDemand(t *testing.T) {
 	harness := newHarness(t, settings(loadsAllowed, func(s *Settings) { s.LoadOnDemand = false }), readyWorkers(3)...)
-	acts := append(harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f")), harness.wait(100*millisecond)...)
+	acts := harness.step(millisecond, newTestRequest("a", "f"), newTestRequest("b", "f"))
+	acts = append(acts, harness.wait(100*millisecond)...)
 	loads := actionsOf[Load](acts)
 	if len(loads) != 1 || len(actionsOf[Send](acts)) != 0 {
-		t.Fatalf("got %v, want one order and no request sent before its answer", acts)
+		t.Fatalf("got %v, want one load ordered and no request sent before it has ended", acts)
 	}
 	acts = harness.step(millisecond, LoadEnded{Worker: loads[0].Worker, Function: "f", Outcome: Served, Instances: 1})
 	for _, s := range actionsOf[Send](acts) {
 		if s.Worker != loads[0].Worker {
-			t.Errorf("sent to %s, loaded at %s", s.Worker, loads[0].Worker)
+			t.Errorf("sent to %s, but the function is loaded at %s", s.Worker, loads[0].Worker)
 		}
 	}
 	if n := len(actionsOf[Send](acts)); n != 2 {
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// learnedHarness is a harness whose Router has served calls of some functions.
+// learnedHarness returns a harness whose Router has served requests for seven functions.
 func learnedHarness(t *testing.T, workers ...Worker) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(manySchedulers), workers...)
@@ -18,100 +18,121 @@
 	return harness
 }
 
-// After a restart requests go where instances were loaded, and the throughput of warm workers is known from the first
-// request on.
+// After a restart of the scheduler requests go where instances were loaded, and the throughput of warm workers is known
+// from the first request on.
 func TestRestoreState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(6)...)
-	m := harness.router.LearnedState()
-	next := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
-	next.now = harness.now + time.Second
-	next.step(0, StateRestored{m})
-	if got, want := next.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
-		t.Errorf("a warm worker answers %v a second, as restored; it was %v", got, want)
+	state := harness.router.LearnedState()
+	restarted := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
+	restarted.now = harness.now + time.Second
+	restarted.step(0, StateRestored{state})
+	if got, want := restarted.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
+		t.Errorf("restored throughput of a warm worker is %v a second, want %v", got, want)
 	}
 	for i := range 7 {
-		f := next.router.functions[fmt.Sprint("f", i)]
-		s := next.send(fmt.Sprint("r", i), f.name)
-		if p := f.placementAt(next.router.workers[s.Worker]); !next.router.isWarm(p) {
+		f := restarted.router.functions[fmt.Sprint("f", i)]
+		s := restarted.send(fmt.Sprint("r", i), f.name)
+		if p := f.placementAt(restarted.router.workers[s.Worker]); !restarted.router.isWarm(p) {
 			t.Errorf("%s went to %s, where no instance was loaded", f.name, s.Worker)
 		}
 	}
 }
 
-// What no longer holds is ignored: instances at workers that restarted or are gone, or that were idle for too long, and
-// all of it where something was learned already or the state was captured in the future.
+// What no longer holds is ignored: instances that were idle for too long or whose worker restarted or is gone. The
+// whole state is ignored if something was learned already or it was captured in the future.
 func TestRestoreIgnoresVoidState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
+	restartedWorkers := []Worker{
+		{ID: "w0", State: Ready, Weight: 1, Started: harness.now},
+		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
+	}
 	for _, tt := range []struct {
-		name    string
-		after   time.Duration
-		workers []Worker
-		calls   int
-		knows   bool
+		name     string
+		after    time.Duration
+		workers  []Worker
+		requests int
+		warm     bool
 	}{
-		{"as it was", time.Second, readyWorkers(2), 0, true},
-		{"started anew", time.Second, []Worker{{ID: "w0", State: Ready, Weight: 1, Started: harness.now}, {ID: "w1", State: Ready, Weight: 1, Started: harness.now}}, 0, false},
+		{"nothing changed", time.Second, readyWorkers(2), 0, true},
+		{"restarted", time.Second, restartedWorkers, 0, false},
 		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
 		{"long ago", time.Minute, readyWorkers(2), 0, false},
 		{"learned already", time.Second, readyWorkers(2), 1, false},
-		{"of a time to come", -time.Minute, readyWorkers(2), 0, false},
+		{"captured in the future", -time.Minute, readyWorkers(2), 0, false},
 	} {
-		next := newHarness(t, settings(manySchedulers), tt.workers...)
-		next.now = harness.now + tt.after
-		for i := range tt.calls {
-			next.send(fmt.Sprint("s", i), "other")
+		restarted := newHarness(t, settings(manySchedulers), tt.workers...)
+		restarted.now = harness.now + tt.after
+		for i := range tt.requests {
+			restarted.send(fmt.Sprint("s", i), "other")
 		}
-		next.step(0, StateRestored{state})
-		knows := false
-		for _, f := range next.router.functions {
+		restarted.step(0, StateRestored{state})
+		warm := false
+		for _, f := range restarted.router.functions {
 			for _, p := range f.placements {
-				knows = knows || next.router.isWarm(p)
+				warm = warm || restarted.router.isWarm(p)
 			}
 		}
-		if knows != tt.knows {
-			t.Errorf("%s: instances are believed loaded: %v, want %v", tt.name, knows, tt.knows)
+		if warm != tt.warm {
+			t.Errorf("%s: instances are believed warm: %v, want %v", tt.name, warm, tt.warm)
 		}
 	}
 }
 
-// Whatever a restored state holds, the Router goes on deciding, and the state that it exports then is plausible.
+// Whatever a restored state holds, the Router still sends requests, and the state that it exports then is plausible.
 func TestRestoreArbitraryState(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
-	number, instant := rapid.IntRange(-2, 5), rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
+	number := rapid.IntRange(-2, 5)
+	instant := rapid.Map(rapid.Int64(), func(x int64) time.Duration { return time.Duration(x) })
 	rapid.Check(t, func(rt *rapid.T) {
 		state := LearnedState{
-			CapturedAt: rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "at"), RequestWeight: figure.Draw(rt, "calls"),
-			ThroughputPerWeight: figure.Draw(rt, "rate"), MeanPressure: figure.Draw(rt, "press"),
+			CapturedAt:          rapid.SampledFrom([]time.Duration{time.Hour, 0, 2 * time.Hour}).Draw(rt, "CapturedAt"),
+			RequestWeight:       figure.Draw(rt, "RequestWeight"),
+			ThroughputPerWeight: figure.Draw(rt, "ThroughputPerWeight"),
+			MeanPressure:        figure.Draw(rt, "MeanPressure"),
 		}
-		for range rapid.IntRange(0, 3).Draw(rt, "workers") {
-			state.Workers = append(state.Workers, LearnedWorker{fmt.Sprint("w", number.Draw(rt, "id")), 0, figure.Draw(rt, "press"), figure.Draw(rt, "pace")})
+		for range rapid.IntRange(0, 3).Draw(rt, "Workers") {
+			state.Workers = append(state.Workers, LearnedWorker{
+				ID:             fmt.Sprint("w", number.Draw(rt, "ID")),
+				PressureExcess: figure.Draw(rt, "PressureExcess"),
+				LatencyExcess:  figure.Draw(rt, "LatencyExcess"),
+			})
 		}
-		for range rapid.IntRange(0, 3).Draw(rt, "functions") {
-			k := LearnedFunction{
-				Name: fmt.Sprint("f", number.Draw(rt, "name")), Class: number.Draw(rt, "class"), Concurrency: number.Draw(rt, "lanes"),
-				RequestWeight: figure.Draw(rt, "calls"), ServiceTimeExcess: figure.Draw(rt, "mean"), LoadTime: instant.Draw(rt, "told"),
+		for range rapid.IntRange(0, 3).Draw(rt, "Functions") {
+			learned := LearnedFunction{
+				Name:              fmt.Sprint("f", number.Draw(rt, "Name")),
+				Class:             number.Draw(rt, "Class"),
+				Concurrency:       number.Draw(rt, "Concurrency"),
+				RequestWeight:     figure.Draw(rt, "RequestWeight"),
+				ServiceTimeExcess: figure.Draw(rt, "ServiceTimeExcess"),
+				LoadTime:          instant.Draw(rt, "LoadTime"),
 			}
-			for range rapid.IntRange(0, 2).Draw(rt, "copies") {
-				k.Instances = append(k.Instances, LearnedInstance{number.Draw(rt, "place"), instant.Draw(rt, "found"), number.Draw(rt, "copies")})
+			for range rapid.IntRange(0, 2).Draw(rt, "Instances") {
+				learned.Instances = append(learned.Instances, LearnedInstance{
+					WorkerIndex: number.Draw(rt, "WorkerIndex"),
+					LastWarm:    instant.Draw(rt, "LastWarm"),
+					Count:       number.Draw(rt, "Count"),
+				})
 			}
-			state.Functions = append(state.Functions, k)
+			state.Functions = append(state.Functions, learned)
 		}
 		harness := newHarness(t, settings(manySchedulers), readyWorkers(4)...)
 		harness.step(millisecond, StateRestored{state})
 		answered := 0
 		for i := range 20 {
-			for _, s := range actionsOf[Send](harness.step(100*millisecond, newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3)), TimerFired{tickToken})) {
+			arrival := newTestRequest(fmt.Sprint("r", i), fmt.Sprint("f", i%3))
+			for _, s := range actionsOf[Send](harness.step(100*millisecond, arrival, TimerFired{tickToken})) {
 				harness.step(millisecond, attemptEnd(s, 0, Served))
 				answered++
 			}
 		}
 		if answered == 0 {
-			rt.Fatal("nothing is sent any more")
+			rt.Fatal("no request is sent after the state was restored")
 		}
-		again := harness.router.LearnedState()
-		if !plausible(again.RequestWeight, again.ThroughputPerWeight, again.MeanPressure) || !reflect.DeepEqual(again, harness.router.LearnedState()) {
-			rt.Fatalf("it exports %+v", again)
+		exported := harness.router.LearnedState()
+		if !plausible(exported.RequestWeight, exported.ThroughputPerWeight, exported.MeanPressure) ||
+			!reflect.DeepEqual(exported, harness.router.LearnedState()) {
+			rt.Fatalf("the exported state is not plausible or not stable: %+v", exported)
 		}
 	})
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A worker that takes requests and answers none is ejected, and probed with one request at a time.
+// A worker that takes requests and answers none is ejected: requests go elsewhere until it answers one.
 func TestEjectsUnresponsiveWorker(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -19,7 +19,7 @@
 		t.Fatal("two overdue requests and no answer: not ejected")
 	}
 	if d := harness.send("d", "f"); d.Worker == s.Worker {
-		t.Error("an ejected worker got another request at once")
+		t.Error("an ejected worker got another request")
 	}
 	harness.step(millisecond, attemptEnd(Send{ID: "b", Worker: s.Worker}, 0, Served))
 	if harness.router.workers[s.Worker].ejected {
@@ -27,6 +27,7 @@
 	}
 }
 
+// A single overdue attempt may be an expensive request.
 func TestOneOverdueRequestDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -38,8 +39,9 @@
 	}
 }
 
-// A failed connection attempt says nothing of a worker that answered on another connection meanwhile.
-func TestConnectFailureAfterAnswerDoesNotEject(t *testing.T) {
+// A failed connection attempt ejects a worker and voids its warm instances, unless the worker has answered on another
+// connection since the attempt was sent.
+func TestConnectFailureEjectsOnlyWithoutLaterAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		harness := newHarness(t, settings(), readyWorker("w0", 0))
 		first := harness.send("a", "f")
@@ -55,49 +57,52 @@
 	}
 }
 
-// After a stall the timer may come before the answers of the same batch: no worker is ejected for that.
+// After a stall of the scheduler the timer may come before answers in the same batch: their worker is not ejected.
 func TestStallDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	one, two := harness.send("one", "f"), harness.send("two", "f")
 	acts := harness.step(2*time.Second, TimerFired{tickToken}, attemptEnd(one, 0, Served), attemptEnd(two, 0, Served))
 	if w := harness.router.workers[one.Worker]; w.ejected {
-		t.Error("ejected, though its answers came in the same batch")
+		t.Error("ejected though its answers came in the same batch")
 	}
 	if got := actionsOf[Cancel](acts); len(got) > 0 {
 		t.Errorf("canceled %v", got)
 	}
 }
 
-// harnessWithPeers has a fleet of which each worker has the function loaded and has just answered.
-func harnessWithPeers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
+// harnessAfterAnswers returns a harness with n workers: fault reporting is on, and 4n requests for different functions
+// have just been answered.
+func harnessAfterAnswers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(append(change, faultReporting)...), readyWorkers(n)...)
 	for i := range 4 * n {
-		s := harness.send(fmt.Sprintf("lit%d", i), fmt.Sprintf("f%d", i))
+		s := harness.send(fmt.Sprintf("warm%d", i), fmt.Sprintf("f%d", i))
 		harness.step(30*millisecond, attemptEnd(s, 0, Served))
 	}
 	return harness
 }
 
+// confirmedReports returns reports by which enough peers find each of these workers unhealthy.
 func confirmedReports(ids ...string) PeerReports {
-	h := PeerReports{Verdicts: map[string]PeerVerdict{}}
+	reports := PeerReports{Verdicts: map[string]PeerVerdict{}}
 	for _, id := range ids {
-		h.Verdicts[id] = Confirmed
+		reports.Verdicts[id] = Confirmed
 	}
-	return h
+	return reports
 }
 
-// A worker that enough peers report gets nothing but probes until it answers one; not while its own answers are
-// recent, and no more workers than the others have the capacity to replace.
+// A worker that enough peers report is ejected, and gets nothing but probes, unless its own answers are recent. Its
+// answer to a peer has it probed at once. Reports never eject all workers; TestKeepsWorkersThatAreNeeded has the bound
+// by capacity.
 func TestEjectsOnConfirmedReports(t *testing.T) {
-	harness := harnessWithPeers(t, 8)
+	harness := harnessAfterAnswers(t, 8)
 	harness.step(0, confirmedReports("w3"))
 	if harness.router.workers["w3"].ejected {
 		t.Error("ejected though it has just answered")
 	}
 	harness.wait(2 * time.Second)
 	if acts := actionsOf[ReportFault](harness.step(0, confirmedReports("w3"))); len(acts) > 0 {
-		t.Errorf("reports of peers were passed on as observed here: %v", acts)
+		t.Errorf("reports of peers were passed on as observations of this scheduler: %v", acts)
 	}
 	for i := range 40 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
@@ -107,66 +112,71 @@
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if !harness.router.workers["w3"].ejected {
-		t.Error("not ejected")
+		t.Error("not ejected though enough peers report it")
 	}
 	harness.step(0, PeerReports{Cleared: []string{"w3"}})
 	if w := harness.router.workers["w3"]; harness.router.now < w.probationAt {
-		t.Error("not probed at once though a peer has had an answer")
+		t.Error("not to be probed at once, though a peer has had an answer")
 	}
-	harness = harnessWithPeers(t, 8)
+	harness = harnessAfterAnswers(t, 8)
 	harness.wait(2 * time.Second)
 	harness.step(0, confirmedReports("w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7"))
-	out := 0
+	ejected := 0
 	for _, w := range harness.router.workerList {
 		if w.ejected {
-			out++
+			ejected++
 		}
 	}
-	if out == len(harness.router.workerList) {
+	if ejected == len(harness.router.workerList) {
 		t.Error("all workers are ejected on reports of peers")
 	}
 }
 
-// A single report only diverts requests that must not be repeated, and not if all workers are reported.
+// A worker that some peers report, too few to eject it, gets no requests that must not be repeated, unless all workers
+// are reported.
 func TestSingleReportDivertsNonIdempotent(t *testing.T) {
-	harness := harnessWithPeers(t, 4, nonIdempotent)
+	harness := harnessAfterAnswers(t, 4, nonIdempotent)
 	harness.wait(2 * time.Second)
 	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported}})
 	for i := range 20 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
 		if s.Worker == "w0" {
-			t.Fatal("a request that must not be repeated went to a worker that one peer reports")
+			t.Fatal("a request that must not be repeated went to a worker that peers report")
 		}
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if harness.router.workers["w0"].ejected {
-		t.Error("ejected on the report of one peer")
+		t.Error("ejected though too few peers report it")
 	}
 	harness.wait(2 * time.Second)
-	harness.step(0, PeerReports{Verdicts: map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}})
+	allReported := map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}
+	harness.step(0, PeerReports{Verdicts: allReported})
 	harness.send("last", "f0")
 }
 
-// Faults are reported: an unresponsive worker with the newest evidence, and its recovery; without peers nothing is.
+// An unresponsive worker is reported with the time of the newest evidence, and later its recovery. Where nobody reads
+// the reports, there are none.
 func TestReportsFaults(t *testing.T) {
 	for _, reporting := range []bool{true, false} {
 		harness := newHarness(t, settings(func(s *Settings) { s.FaultReporting = reporting }), readyWorkers(1)...)
 		s := harness.send("a", "f")
-		seen := actionsOf[ReportFault](harness.step(30*millisecond, attemptEnd(s, 0, Served)))
-		var sent time.Duration
+		observed := actionsOf[ReportFault](harness.step(30*millisecond, attemptEnd(s, 0, Served)))
+		var sentAt time.Duration
 		for i := range 2 {
 			harness.send(fmt.Sprintf("b%d", i), "f")
-			sent = harness.now
+			sentAt = harness.now
 		}
-		seen = append(seen, actionsOf[ReportFault](harness.wait(time.Second))...)
-		back := harness.now
-		seen = append(seen, actionsOf[ReportFault](harness.step(0, attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)))...)
-		want := []ReportFault{{"w0", Unresponsive, sent}, {"w0", Healthy, back}} // both are overdue in the same sweep
+		observed = append(observed, actionsOf[ReportFault](harness.wait(time.Second))...)
+		answeredAt := harness.now
+		lateAnswer := attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)
+		observed = append(observed, actionsOf[ReportFault](harness.step(0, lateAnswer))...)
+		// Both attempts are overdue in the same sweep, so there is one report with the time of the newer.
+		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}}
 		if !reporting {
 			want = nil
 		}
-		if !reflect.DeepEqual(seen, want) {
-			t.Errorf("peers %v: observed %v, want %v", reporting, seen, want)
+		if !reflect.DeepEqual(observed, want) {
+			t.Errorf("fault reporting %v: reported %v, want %v", reporting, observed, want)
 		}
 	}
 }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Requests go to the worker where the function was found loaded.
 func TestPrefersWarmInstance(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(8)...)
 	s := harness.send("a", "f")
@@ -14,16 +15,18 @@
 	for i := range 10 {
 		again := harness.send(fmt.Sprint("b", i), "f")
 		if again.Worker != s.Worker {
-			t.Fatalf("sent to %s, found warm at %s", again.Worker, s.Worker)
+			t.Fatalf("sent to %s, but the function is warm at %s", again.Worker, s.Worker)
 		}
 		harness.step(50*millisecond, attemptEnd(again, 0, Served))
 	}
 }
 
+// Schedulers with different seeds choose the same worker for the first instance of a function.
 func TestSchedulersAgreeOnFirstLoad(t *testing.T) {
 	for i := range 10 {
 		f := fmt.Sprint("f", i)
-		one, two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...), newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
+		one := newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
+		two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
 		two.router.rng = rand.New(rand.NewPCG(99, 0))
 		if a, b := one.send("a", f), two.send("b", f); a.Worker != b.Worker {
 			t.Errorf("%s goes to %s and to %s", f, a.Worker, b.Worker)
@@ -43,28 +46,25 @@
 	}
 }
 
-// A much called function is spread over several workers, the same ones at all schedulers; others prefer one.
+// A function that gets many requests prefers several workers, the same ones at all schedulers; a rare one prefers one.
 func TestSchedulersAgreeOnPreferredWorkers(t *testing.T) {
 	var first []*worker
 	for seed := range uint64(3) {
-		r, err := New(settings(manySchedulers), seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b := &testHarness{t: t, router: r, now: time.Hour}
-		b.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(20)})
+		harness := newSeededHarness(t, settings(manySchedulers), seed, readyWorkers(20)...)
 		for i := range 200 {
 			f := "hot"
 			if i%2 == 0 {
 				f = fmt.Sprint("f", i)
 			}
-			for _, s := range actionsOf[Send](b.step(20*millisecond, newTestRequest(fmt.Sprint("r", i), f))) {
-				b.step(0, attemptEnd(s, 0, Served))
+			for _, s := range actionsOf[Send](harness.step(20*millisecond, newTestRequest(fmt.Sprint("r", i), f))) {
+				harness.step(0, attemptEnd(s, 0, Served))
 			}
 		}
-		hot, rare := b.router.preferredWorkers(b.router.functions["hot"]), b.router.preferredWorkers(b.router.functions["f198"])
+		hot := harness.router.preferredWorkers(harness.router.functions["hot"])
+		rare := harness.router.preferredWorkers(harness.router.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
-			t.Fatalf("%d preferred workers for half of all requests and %d for a rare function, want many and 1", len(hot), len(rare))
+			t.Fatalf("%d preferred workers for the function with half of all requests and %d for a rare one, want at least 5 and 1",
+				len(hot), len(rare))
 		}
 		if first == nil {
 			first = hot
@@ -77,47 +77,55 @@
 	}
 }
 
-// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, the
-// same ones first at every scheduler. Each scheduler alone once held on to its preferred workers while a third of the
-// workers idled.
+// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and
+// those that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler
+// alone.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
-	leaving := func(change func(*Settings), util float64, took time.Duration) map[string]bool {
+	// displacedFunctions returns those of 100 functions that leave w0, where answers take this long and it reports this
+	// utilization, while three other workers are at ease.
+	displacedFunctions := func(change func(*Settings), utilization float64, latency time.Duration) map[string]bool {
 		harness := newHarness(t, settings(change), readyWorkers(6)...)
-		w := harness.router.workers["w0"]
+		workers := harness.router.workers
+		pressed := workers["w0"]
 		for range 8 {
-			for _, a := range []*worker{w, harness.router.workers["w1"], harness.router.workers["w2"], harness.router.workers["w3"]} {
-				e := AttemptEnded{Outcome: Served, Latency: 50 * millisecond, Report: &LoadReport{InFlight: -1, Utilization: 0.5}}
-				if a == w {
-					e.Latency, e.Report.Utilization = took, util
+			for _, sampled := range []*worker{pressed, workers["w1"], workers["w2"], workers["w3"]} {
+				end := AttemptEnded{
+					Outcome: Served,
+					Latency: 50 * millisecond,
+					Report:  &LoadReport{InFlight: -1, Utilization: 0.5},
+				}
+				if sampled == pressed {
+					end.Latency, end.Report.Utilization = latency, utilization
 				}
-				harness.router.observeLoad(&attempt{worker: a}, e)
+				harness.router.observeLoad(&attempt{worker: sampled}, end)
 			}
 		}
-		gone := map[string]bool{}
+		displaced := map[string]bool{}
 		for i := range 100 {
-			if f := (&function{name: fmt.Sprint("f", i)}); harness.router.isDisplaced(f.placementAt(w)) {
-				gone[f.name] = true
+			if fn := (&function{name: fmt.Sprint("f", i)}); harness.router.isDisplaced(fn.placementAt(pressed)) {
+				displaced[fn.name] = true
 			}
 		}
-		return gone
+		return displaced
 	}
-	calm, busy, late := leaving(manySchedulers, 0.4, 50*millisecond), leaving(manySchedulers, 1, 50*millisecond), leaving(manySchedulers, 1, 900*millisecond)
+	calm := displacedFunctions(manySchedulers, 0.4, 50*millisecond)
+	busy := displacedFunctions(manySchedulers, 1, 50*millisecond)
+	late := displacedFunctions(manySchedulers, 1, 900*millisecond)
 	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
-		t.Errorf("of 100 functions %d leave a calm worker, %d a busy and %d a late one, want none, some and most",
+		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want 0, 5 to 60 and at least 90",
 			len(calm), len(busy), len(late))
 	}
-	for f := range busy {
-		if !late[f] {
-			t.Errorf("%s leaves a busy worker and stays at one that is late too", f)
+	for name := range busy {
+		if !late[name] {
+			t.Errorf("%s leaves a busy worker and stays at a busy one that answers late", name)
 		}
 	}
-	if own := leaving(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
-		t.Errorf("%d functions leave a worker that is under pressure by our own requests", len(own))
+	if own := displacedFunctions(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
+		t.Errorf("%d functions leave a worker that only this scheduler puts under pressure", len(own))
 	}
 }
 
-// Requests of a pool stay in it, and go to its fallback where it has no capacity: by their estimate on arrival, or when
-// half their time has passed.
+// Requests of a pool stay in it, and go to its fallback where it has no capacity. A change of the pool holds at once.
 func TestFallbackPool(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
@@ -135,31 +143,31 @@
 		t.Errorf("sent outside the pools: %v", sentTo)
 	}
 	if sentTo["w0"]+sentTo["w1"] == 0 || sentTo["w2"]+sentTo["w3"] == 0 {
-		t.Errorf("sent to one pool alone: %v", sentTo)
+		t.Errorf("sent to only one of pool and fallback: %v", sentTo)
 	}
 	first.Workers = map[string]bool{"w4": true}
 	q := newTestRequest("late", "g\x00lane")
 	q.Pool = first
 	if got := actionsOf[Send](harness.step(0, PoolsChanged{}, q)); len(got) != 1 || got[0].Worker != "w4" {
-		t.Errorf("after a change: %v", got)
+		t.Errorf("after a change of the pool: %v, want one request sent to w4", got)
 	}
 }
 
-// Of two workers with nothing in flight that many schedulers share, the one that answered here lately is taken.
+// Of two idle workers that many schedulers share, the one that answered this scheduler lately counts as less busy.
 func TestPrefersWorkerThatAnsweredLately(t *testing.T) {
 	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
-	met := harness.router.workers[s.Worker]
+	answeredLately := harness.router.workers[s.Worker]
 	other := harness.router.workerList[0]
-	if other == met {
+	if other == answeredLately {
 		other = harness.router.workerList[1]
 	}
-	if !harness.router.busier(other, met) || harness.router.busier(met, other) {
-		t.Error("a worker that never answered is taken before one that did")
+	if !harness.router.busier(other, answeredLately) || harness.router.busier(answeredLately, other) {
+		t.Error("a worker that never answered counts as less busy than one that did")
 	}
 	harness.wait(harness.router.settings.InstanceKeepAlive + time.Second)
-	if harness.router.relativeLoad(met) != harness.router.relativeLoad(other) {
-		t.Error("an answer counts for ever")
+	if harness.router.relativeLoad(answeredLately) != harness.router.relativeLoad(other) {
+		t.Error("an old answer still counts")
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Rule 4: the budget of a warming worker holds in every window, with bursts, and falls with the number of schedulers.
+// Slow-start budget: under steady traffic a warming worker is never sent more than it bears, in any second.
 func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
-	n := 0
-	serve := func(d time.Duration) (sentAt []time.Duration) {
-		for end0 := harness.now + d; harness.now < end0; n++ {
-			for _, s := range actionsOf[Send](harness.step(tickInterval, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%7)),
-				TimerFired{tickToken})) {
+	requests := 0
+	serve := func(period time.Duration) (sentAt []time.Duration) {
+		for until := harness.now + period; harness.now < until; requests++ {
+			arrival := newTestRequest(fmt.Sprint("r", requests), fmt.Sprint("f", requests%7))
+			for _, s := range actionsOf[Send](harness.step(tickInterval, arrival, TimerFired{tickToken})) {
 				if s.Worker == "w1" {
 					sentAt = append(sentAt, harness.now)
 				}
@@ -34,38 +34,38 @@
 	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
-// checkSlowStartBudget checks that requests were sent to a warming worker, and in no second more than overload it: it
-// can do as much as rate, in requests a second, when it is warm.
+// checkSlowStartBudget fails the test if nothing was sent to a warming worker, or in any second more than overloads it.
+// It serves rate requests a second when warm; the fractions and the overload multiple of 2 are those of settings.
 func checkSlowStartBudget(t *testing.T, sentAt []time.Duration, started time.Duration, rate float64) {
 	t.Helper()
 	if len(sentAt) == 0 {
 		t.Fatal("nothing was sent to the warming worker")
 	}
-	for i, t0 := range sentAt {
-		in := 0
-		for _, u := range sentAt[i:] {
-			if u-t0 < time.Second {
-				in++
+	for i, from := range sentAt {
+		sent := 0
+		for _, at := range sentAt[i:] {
+			if at-from < time.Second {
+				sent++
 			}
 		}
-		capacityFraction := 0.25 + 0.75*(t0+time.Second-started).Seconds()/10
-		if limit := 2 * capacityFraction * rate; float64(in) > limit {
-			t.Fatalf("%d sends in the second from %v, the worker is overloaded at %.0f", in, t0-started, limit)
+		capacityFraction := 0.25 + 0.75*(from+time.Second-started).Seconds()/10
+		if limit := 2 * capacityFraction * rate; float64(sent) > limit {
+			t.Fatalf("%d sends in the second from %v after the start, the worker is overloaded at %.0f", sent, from-started, limit)
 		}
 	}
 }
 
-// The budget holds for any window, not only for those that it is drawn for: what is saved until the end of one is not
-// followed by all of the next.
+// Slow-start budget: it holds in any window, not only in those that a quota is drawn for. A quota that is used at the
+// end of one window is not followed at once by that of the next.
 func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
-	n := 0
+	requests := 0
 	var sentAt []time.Duration
-	step := func(calls int) {
+	step := func(count int) {
 		events := []Event{TimerFired{tickToken}}
-		for range calls {
-			events = append(events, newTestRequest(fmt.Sprint("r", n), fmt.Sprint("f", n%50)))
-			n++
+		for range count {
+			events = append(events, newTestRequest(fmt.Sprint("r", requests), fmt.Sprint("f", requests%50)))
+			requests++
 		}
 		for _, s := range actionsOf[Send](harness.step(tickInterval, events...)) {
 			if s.Worker == "w1" {
@@ -78,9 +78,12 @@
 		step(1)
 	}
 	rate := float64(harness.router.throughputPerWeight)
-	harness.step(0, WorkerList{Workers: []Worker{{ID: "w1", State: Ready, Weight: 1, Started: harness.now}, {ID: "w0", State: Draining}}})
+	harness.step(0, WorkerList{Workers: []Worker{
+		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
+		{ID: "w0", State: Draining},
+	}})
 	started := harness.now
-	for range 6 { // a few requests begin a window, most come around its end
+	for range 6 { // one request begins a window, bursts come around its end
 		step(1)
 		for harness.now < harness.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
 			step(0)
@@ -92,15 +95,14 @@
 	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
-// Where nothing overloads a warming worker, it is sent requests like any other.
+// Where nothing overloads a warming worker, it is sent requests like a warm one.
 func TestNoSlowStartBudgetWithoutOverload(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no multiple": func(s *Settings) { s.OverloadMultiple = 0 },
-		"no time":     func(s *Settings) { s.OverloadDuration = 0 },
+		"no overload multiple": func(s *Settings) { s.OverloadMultiple = 0 },
+		"no overload duration": func(s *Settings) { s.OverloadDuration = 0 },
 	} {
-		set := settings()
-		change(&set)
-		harness := newHarness(t, set, Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second})
+		warming := Worker{ID: "w0", State: Ready, Weight: 1, Started: time.Hour - time.Second}
+		harness := newHarness(t, settings(change), warming)
 		for i := range 5 {
 			acts := harness.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
 			if len(actionsOf[Send](acts)) != 1 {
@@ -111,28 +113,27 @@
 	}
 }
 
-// Rule 4 with many schedulers: a quota of less than one request must not be rounded up by each of them.
+// Slow-start budget of many schedulers: what they send together stays within it, though the quota of each is less than
+// one request and would exceed it if each rounded up.
 func TestSlowStartBudgetOfManySchedulers(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
 		for seed := range schedulers {
-			r, err := New(settings(func(s *Settings) { s.Schedulers = schedulers }), uint64(seed))
-			if err != nil {
-				t.Fatal(err)
-			}
-			b := &testHarness{t: t, router: r, now: time.Hour}
-			b.step(0, WorkerList{Kind: ListCached, Workers: readyWorkers(4)})
-			b.warmUp(50, time.Second)
-			b.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{{ID: "new", State: Ready, Weight: 1, Started: b.now}}})
-			budget += b.router.settings.OverloadMultiple * b.router.settings.SlowStartFraction * float64(b.router.throughputPerWeight) * b.router.settings.OverloadDuration.Seconds()
+			deployed := settings(func(s *Settings) { s.Schedulers = schedulers })
+			harness := newSeededHarness(t, deployed, uint64(seed), readyWorkers(4)...)
+			harness.warmUp(50, time.Second)
+			warming := Worker{ID: "new", State: Ready, Weight: 1, Started: harness.now}
+			harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{warming}})
+			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * float64(harness.router.throughputPerWeight) *
+				deployed.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
-				for k := range 10 { // new functions: a fifth of them have the new worker as their first
+				for k := range 10 { // new functions: one in five has the new worker first in its rendezvous order
 					id := fmt.Sprint("c", i, "-", k)
-					for _, s := range actionsOf[Send](b.step(5*millisecond, newTestRequest(id, "n"+id))) {
+					for _, s := range actionsOf[Send](harness.step(5*millisecond, newTestRequest(id, "n"+id))) {
 						if s.Worker == "new" {
 							total++
 						}
-						b.step(0, attemptEnd(s, 0, Served))
+						harness.step(0, attemptEnd(s, 0, Served))
 					}
 				}
 			}
@@ -141,7 +142,7 @@
 			t.Errorf("%d schedulers sent %v requests to a warming worker within a window, %v are allowed", schedulers, got, allowed)
 		}
 		if schedulers >= 80 && total == 0 {
-			t.Errorf("%d schedulers sent nothing at all to a warming worker", schedulers)
+			t.Errorf("%d schedulers sent nothing to a warming worker", schedulers)
 		}
 	}
 }
