--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -20,7 +20,7 @@
 
 // Whatever fault 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their polls
 // over the time that the protocol allows: 2 s after connections broke; 1 s, for a drain, where the service is healthy.
-func TestSpread(t *testing.T) {
+func TestPollsSpreadAfterFaults(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		bound int
@@ -133,7 +133,7 @@
 
 // Alone before a healthy service a scheduler polls as soon as it can: at the start, after each response, after its
 // connection broke.
-func TestAlone(t *testing.T) {
+func TestLoneSchedulerPollsAtOnce(t *testing.T) {
 	fleet := testbed.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
 	fleet.Run(time.Second)
@@ -154,7 +154,7 @@
 
 // A process that was stopped does not know what was published meanwhile. The list counts as stale until the service has
 // answered a poll made after that, unless one waits there still: its response would be there to be read.
-func TestStalled(t *testing.T) {
+func TestStaleAfterProcessStall(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		stop func(*pollplan.Planner, time.Duration) time.Duration // returns when the process goes on
@@ -201,9 +201,10 @@
 	}
 }
 
-// Over any order of faults: events are known 2 s after the service has recovered, at most two connections are open, polls
-// are bounded, and events are neither missed nor applied twice.
-func TestBounds(t *testing.T) {
+// Whatever the order of faults: once the service has been healthy again for 7 s, a new event reaches every scheduler within
+// 2 s. After each step at most two polls a scheduler are pending over the fleet, and no scheduler ever sends more than 60 polls
+// within a second.
+func TestAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
 		fleet := testbed.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
@@ -222,7 +223,7 @@
 				rt.Fatalf("%d polls pending of %d schedulers", fleet.Queue.Len(), schedulers)
 			}
 		}
-		// Events from the time of the fault are known 7 s later at the latest, and those of a healthy service at once.
+		// A poll lasts for 7 s at most, so none that a fault has delayed is left after this.
 		fleet.SetFault(testbed.ListHealthy)
 		fleet.Run(7 * time.Second)
 		fleet.Publish()
@@ -233,7 +234,7 @@
 			}
 			for k := range max(len(node.Polls)-60, 0) {
 				if node.Polls[k+60]-node.Polls[k] < time.Second {
-					rt.Fatalf("scheduler %d polls 60 times a second", i)
+					rt.Fatalf("scheduler %d sends more than 60 polls within a second", i)
 				}
 			}
 		}
