--- a/internal/stats/decay/decay_test.go
+++ b/internal/stats/decay/decay_test.go
@@ -6,12 +6,15 @@
 	"time"
 )
 
-func TestFigures(t *testing.T) {
+func TestValueDecays(t *testing.T) {
 	var value Value
 	value.Set(time.Second, 2)
 	if got := value.At(3*time.Second, 2*time.Second); math.Abs(got-2/math.E) > 1e-12 {
 		t.Errorf("after its time constant %v is left of 2", got)
 	}
+}
+
+func TestPeakIsReplacedWhenOld(t *testing.T) {
 	var peak Peak
 	for _, c := range []struct {
 		at   time.Duration
@@ -26,17 +29,23 @@
 	if got := peak.Within(24, 10); got != 0 {
 		t.Errorf("an old peak is %v", got)
 	}
+}
+
+func TestMeanStartsAtFirstObservation(t *testing.T) {
 	var mean Mean
 	mean.Update(4, 0.5)
 	mean.Update(8, 0.5)
 	if mean != 6 {
 		t.Errorf("the mean is %v, want 6", mean)
 	}
+}
+
+func TestWindowCountsRecentEvents(t *testing.T) {
 	var window Window
 	for i := range 10 {
 		window.Add(time.Duration(i))
 	}
 	if got := window.Within(10, 4); got != 4 {
-		t.Errorf("%d within 4, want 4", got)
+		t.Errorf("%d events within 4, want 4", got)
 	}
 }
--- a/internal/stats/ratelimit/token_bucket_test.go
+++ b/internal/stats/ratelimit/token_bucket_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Over any stretch of time no more is taken than the burst and what was filled in.
-func TestBounds(t *testing.T) {
+// No more tokens are taken than the burst and what the rate has added since the start.
+func TestTokenBucketNeverExceedsLimit(t *testing.T) {
 	const roundingError = 1e-6
 	rapid.Check(t, func(rt *rapid.T) {
 		rate := rapid.Float64Range(0.1, 100).Draw(rt, "rate")
@@ -23,12 +23,12 @@
 				taken++
 			}
 			if limit := burst + rate*(now-start).Seconds() + roundingError; taken > limit {
-				rt.Fatalf("%v taken in %v, at most %v are there", taken, now-start, limit)
+				rt.Fatalf("%v taken in %v, at most %v may be", taken, now-start, limit)
 			}
 		}
 		refilled := now + time.Duration(float64(time.Second)/rate) + time.Millisecond
 		if !bucket.Take(refilled, 1, rate, burst) {
-			rt.Fatal("what was filled in since is not there")
+			rt.Fatal("the token that was added since is not there")
 		}
 	})
 }
--- a/internal/stats/ratelimit/window_limiter_test.go
+++ b/internal/stats/ratelimit/window_limiter_test.go
@@ -16,12 +16,12 @@
 		arrivals []time.Duration // before now
 		want     int
 	}{
-		"no arrivals":                {nil, 1},
-		"one arrival":                {[]time.Duration{time.Second}, 3},
-		"arrival at the margin":      {[]time.Duration{window - margin}, 3},
-		"arrival within the margin":  {[]time.Duration{window - margin + 1}, 1},
-		"arrival before the window":  {[]time.Duration{window + 1}, 1},
-		"two arrivals, one too long": {[]time.Duration{window + 1, time.Second}, 3},
+		"no arrivals":               {nil, 1},
+		"one arrival":               {[]time.Duration{time.Second}, 3},
+		"arrival at the margin":     {[]time.Duration{window - margin}, 3},
+		"arrival within the margin": {[]time.Duration{window - margin + 1}, 1},
+		"arrival before the window": {[]time.Duration{window + 1}, 1},
+		"two arrivals, one too old": {[]time.Duration{window + 1, time.Second}, 3},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/stats/rendezvous/rendezvous_test.go
+++ b/internal/stats/rendezvous/rendezvous_test.go
@@ -11,8 +11,9 @@
 
 func equalWeight(member string) (string, float64) { return member, 1 }
 
-// Removing a member moves no other, whatever the members are and in whichever order they come.
-func TestMovesOnlyWhatItMust(t *testing.T) {
+// Removing a member leaves the order of the others as it was, whatever the members are and in whichever order they are
+// given.
+func TestRemovalKeepsOrderOfOthers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringN(1, 8, 8), 1, 20, rapid.ID[string]).Draw(rt, "members")
 		key := rapid.String().Draw(rt, "key")
@@ -28,8 +29,8 @@
 	})
 }
 
-// A member comes first for as many keys as its weight warrants.
-func TestSizes(t *testing.T) {
+// The fraction of keys for which a member comes first is its share of the total weight.
+func TestWeights(t *testing.T) {
 	const (
 		keys        = 20000
 		totalWeight = 8
