--- a/internal/nodeagent/fuzz_test.go
+++ b/internal/nodeagent/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzParse reads any bytes as answers: one that is taken is whole, and no longer than the limits.
+// FuzzParse parses any bytes as answers: one that is accepted is complete, and no longer than the limits.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("9b1f03aa5c7e2d41 OK depth=2,l=inflight:7;util:0.61 4\r\nbody\r\n"))
 	f.Add([]byte("p1 UP l=util:NaN\r\n"))
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -14,8 +14,8 @@
 	short.Timeout = 999 * time.Microsecond
 	for _, tt := range []struct {
 		name   string
-		before func(*Pool) // the connection is up
-		after  func(*Pool)
+		before func(*Pool) // while no connection is up
+		after  func(*Pool) // once one is up; nil for nothing
 		want   string
 	}{
 		{
--- a/internal/nodeagent/pool_test.go
+++ b/internal/nodeagent/pool_test.go
@@ -9,7 +9,7 @@
 	"calicohill/routing"
 )
 
-// A call that is written to a connection with unsent data would be sent when it cannot be taken back any more: its
+// A request that is written to a connection with unsent data would be sent when it can't be taken back any more: its
 // client may have left by then, or its worker begun to drain. It goes to another connection.
 func TestNothingWaitsBehindABlockedConnection(t *testing.T) {
 	pool, loop, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
@@ -30,7 +30,7 @@
 }
 
 // A worker without a connection gets one at the limit of connections, as long as another is idle.
-func TestRestingConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionIsClosedAtLimit(t *testing.T) {
 	pool, loop, sink := newPool(Options{MaxConns: 2, MaxDescriptors: 30}, "a", "b", "c")
 	var conns []*fakeConn
 	for i, id := range []string{"a", "b"} {
@@ -41,10 +41,10 @@
 	pool.Cancel(1)
 	pool.Send(attempt(3, "c"))
 	if len(loop.dials) != 1 || !conns[0].closed || conns[1].closed {
-		t.Fatalf("%d dials, closed: %v and %v, want one dial in place of the connection that rests", len(loop.dials), conns[0].closed, conns[1].closed)
+		t.Fatalf("%d dials, closed: %v and %v, want one dial in place of the connection that is idle", len(loop.dials), conns[0].closed, conns[1].closed)
 	}
 	if c := loop.completeDial(); !strings.HasPrefix(c.sent.String(), "go "+attempt(3, "c").ID) || len(sink) != 0 {
-		t.Errorf("%q was sent, ends %v", c.sent.String(), sink)
+		t.Errorf("%q was sent, outcomes %v", c.sent.String(), sink)
 	}
 }
 
@@ -61,7 +61,7 @@
 	loop.dials = loop.dials[1:]
 	failed(errors.New("no"))
 	if len(loop.dials) != 2 || loop.dials[1].addr != "c" || sink[1] != routing.ConnectFailed {
-		t.Fatalf("dials %v after one failed, ends %v", loop.dials, sink)
+		t.Fatalf("dials %v after one failed, outcomes %v", loop.dials, sink)
 	}
 	b := loop.completeDial() // a connection and a dial leave one descriptor: d waits on
 	if len(loop.dials) != 1 {
@@ -78,21 +78,21 @@
 	}
 }
 
-// A dial that fails ends only the calls that no other connection can carry by then.
+// A dial that fails ends only the requests that no other connection can carry by then.
 func TestDialFailsBesideAConnection(t *testing.T) {
 	pool, loop, sink := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	pool.Send(attempt(1, "a"))
 	first := loop.completeDial()
 	first.blocked = true
-	first.buffered.WriteString("x") // it takes nothing for a while
+	first.buffered.WriteString("x") // nothing more can be sent for a while
 	pool.Send(attempt(2, "a"))
 	if len(loop.dials) != 1 {
-		t.Fatalf("%d dials, want one for what can't be written", len(loop.dials))
+		t.Fatalf("%d dials, want one for the request that can't be written", len(loop.dials))
 	}
 	first.blocked = false
 	first.buffered.Reset()
 	loop.dials[0].onFailure(errors.New("late"))
 	if !strings.Contains(first.sent.String(), "go "+attempt(2, "a").ID) || len(sink) != 0 {
-		t.Errorf("sent %q, ends %v, want it on the connection that there is", first.sent.String(), sink)
+		t.Errorf("sent %q, outcomes %v, want the request on the other connection", first.sent.String(), sink)
 	}
 }
