--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -13,8 +13,12 @@
 // deepCondition is brackets within brackets.
 var deepCondition = strings.Repeat("(", 200) + "true" + strings.Repeat(")", 200)
 
-// refusedConditions are conditions with a part of the fault that each is refused with.
-var refusedConditions = map[string]string{
+// accepted stands in rejectedConditions in place of an error text.
+const accepted = "ok"
+
+// rejectedConditions maps conditions to a part of the error text that each is rejected with. A condition beside them that
+// must load has accepted instead.
+var rejectedConditions = map[string]string{
 	`handlr == "a"`:               "unknown",
 	`handler == 1`:                "mismatched",
 	`handler`:                     "expected bool",
@@ -49,16 +53,17 @@
 	`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst cost",
 	`path ==`: "",
 	`"`:       "",
-	``:        "ok", // no condition
+	``:        accepted, // no condition
 }
 
-// What has no bound or is invalid is refused at load: all faults in one pass, each with its position.
-func TestRefused(t *testing.T) {
-	for when, want := range refusedConditions {
+// Rules that are invalid, or have no bound on their cost, are rejected at load. All errors are reported in one pass, each
+// with its position.
+func TestInvalidRulesAreRejected(t *testing.T) {
+	for when, want := range rejectedConditions {
 		table, faults := Load([]Rule{ruleWhen(when)}, classes)
-		if want == "ok" {
+		if want == accepted {
 			if table == nil {
-				t.Errorf("%q is refused: %v", when, faults)
+				t.Errorf("%q is rejected: %v", when, faults)
 			}
 			continue
 		}
@@ -93,7 +98,7 @@
 	var got []string
 	for _, f := range faults {
 		if !f.Warning {
-			t.Errorf("a fault: %v", f)
+			t.Errorf("an error instead of a warning: %v", f)
 		}
 		got = append(got, f.Directive)
 	}
@@ -119,7 +124,7 @@
 		}
 		if table == nil {
 			if len(faults) == 0 || faults[0].Column < 1 {
-				t.Errorf("refused without a place: %v", faults)
+				t.Errorf("rejected without a position: %v", faults)
 			}
 			return
 		}
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -116,7 +116,7 @@
 }
 
 // A table with its index gives the results of one that evaluates all rules, for any rules and requests.
-func TestIndexedAsPlain(t *testing.T) {
+func TestIndexDoesNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var rules []Rule
 		for i := range rapid.IntRange(0, 12).Draw(rt, "rules") {
@@ -127,11 +127,11 @@
 			rules = append(rules, r)
 		}
 		indexed, faults := Load(rules, classes)
-		plain, _ := Load(rules, classes)
+		unindexed, _ := Load(rules, classes)
 		if indexed == nil {
 			rt.Skip(faults)
 		}
-		plain.unindexed = true
+		unindexed.unindexed = true
 		texts := []string{"", "a", "ab", "abc", "abcd", "b", "bcd", "c"}
 		for range 8 {
 			params := map[string]string{}
@@ -144,11 +144,11 @@
 			for _, f := range []*string{&q.Class, &q.Handler, &q.Path, &q.Method} {
 				*f = rapid.SampledFrom(texts).Draw(rt, "text")
 			}
-			a, b := indexed.Match(q), plain.Match(q)
+			a, b := indexed.Match(q), unindexed.Match(q)
 			if a.Cost > indexed.Limit() {
 				rt.Fatalf("cost %d over the limit of %d", a.Cost, indexed.Limit())
 			}
-			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // the plain one also evaluates what can't hold
+			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // without the index conditions that can't hold are evaluated too
 			if d := cmp.Diff(b, a); d != "" {
 				rt.Fatal(d)
 			}
@@ -174,7 +174,7 @@
 }
 
 // The evaluation ends at the cost limit, with what was decided until then.
-func TestMeter(t *testing.T) {
+func TestEvaluationEndsAtCostLimit(t *testing.T) {
 	table := load(t, Rule{Name: "a", Key: expression(`"a"`)}, Rule{Name: "b", Route: expression("b")}, Rule{Name: "c", Route: expression("c")})
 	table.costLimit = table.rules[0].maxCost + table.rules[1].maxCost - 1 // as if the estimate had been too low
 	got := table.Match(newRequest(table, nil))
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+// Every error of the definitions is reported, with the directive that it is in.
+func TestLoadReportsAllErrors(t *testing.T) {
 	_, faults := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
 		[]Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
 	var got []string
@@ -99,8 +100,8 @@
 	}
 }
 
-// A live set never leaves the route's pools, and has no healthy worker only if none of the route's workers is healthy.
-func TestProperties(t *testing.T) {
+// A live set holds only workers of the route's pools, and a healthy one as long as any of them is healthy.
+func TestLiveSetHoldsHealthyWorker(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		core := load(rt)
 		now := time.Hour
