--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -29,18 +29,19 @@
 	return dir
 }
 
-const completeFile = `log
+// mainFile includes includedFile.
+const mainFile = `log
     format json   # for the collector
     level  warning
     level  debug gossip
 include peers.conf
 `
 
-const peers = "gossip\r\n\tlisten 127.0.0.1:7946\r\n\tfleet \"gt-registros\"\r\n\tkey n1.key\r\n\tauthority fleet.crt\r\n" +
+const includedFile = "gossip\r\n\tlisten 127.0.0.1:7946\r\n\tfleet \"gt-registros\"\r\n\tkey n1.key\r\n\tauthority fleet.crt\r\n" +
 	"\tseed 127.0.0.1:7947\r\n\tseed [::1]:7948\r\n\tprobe-every 500ms\r\n\tleave-out 12.5%\r\n\tliars 2\r\n"
 
 func TestRead(t *testing.T) {
-	dir := files(t, map[string]string{"a.conf": completeFile, "peers.conf": peers, "n1.key": "", "fleet.crt": ""})
+	dir := files(t, map[string]string{"a.conf": mainFile, "peers.conf": includedFile, "n1.key": "", "fleet.crt": ""})
 	got, err := Read(filepath.Join(dir, "a.conf"))
 	if err != nil {
 		t.Fatal(err)
@@ -61,21 +62,21 @@
 	}
 }
 
-// checkFaults reads a file and compares its errors, with the names of files relative to dir.
-func checkFaults(t *testing.T, dir, file string, want ...string) {
+// checkErrors reads a file and compares its errors, with the names of files relative to dir.
+func checkErrors(t *testing.T, dir, file string, want ...string) {
 	t.Helper()
 	_, err := Read(filepath.Join(dir, file))
-	var faults ParseErrors
-	if !errors.As(err, &faults) {
+	var errs ParseErrors
+	if !errors.As(err, &errs) {
 		t.Fatalf("%s: error %v", file, err)
 	}
-	if d := cmp.Diff(want, strings.Split(strings.ReplaceAll(faults.Error(), dir+"/", ""), "\n")); d != "" {
+	if d := cmp.Diff(want, strings.Split(strings.ReplaceAll(errs.Error(), dir+"/", ""), "\n")); d != "" {
 		t.Error(d)
 	}
 }
 
-// Every error of a file is reported in one pass, with its place.
-func TestFaults(t *testing.T) {
+// Every error of a file is reported in one pass, with its position.
+func TestAllErrorsAreReported(t *testing.T) {
 	dir := files(t, map[string]string{"a.conf": `    format text
 log
     formt json
@@ -99,7 +100,7 @@
 log
 `, "open.key": "", "b.conf": "gossip\n  listen 127.0.0.1:1\n  fleet f\n  key open.key\n  authority f.crt\n" +
 		"  probe-every 200ms\n  advertise 0.0.0.0:1\n"})
-	checkFaults(t, dir, "a.conf",
+	checkErrors(t, dir, "a.conf",
 		`a.conf:1:5: format: stands in no section`,
 		`a.conf:3:5: formt: section log has no such directive: is "format" meant?`,
 		`a.conf:4:11: level: "loud" is none of debug, info, warning, error`,
@@ -120,7 +121,7 @@
 	if err := os.Chmod(filepath.Join(dir, "open.key"), 0o640); err != nil {
 		t.Fatal(err)
 	}
-	checkFaults(t, dir, "b.conf",
+	checkErrors(t, dir, "b.conf",
 		`b.conf:1:1: probe-timeout: must be under probe-every`,
 		`b.conf:7:3: advertise: peers can't reach 0.0.0.0: name an address of this machine`,
 		`b.conf:4:3: key: mode 0640 lets others read it: 0600 is needed`,
@@ -129,7 +130,7 @@
 
 // The example and the page in the repository are those generated from the directives, and the example changes no
 // setting.
-func TestWrittenFromTheTable(t *testing.T) {
+func TestGeneratedFilesAreCurrent(t *testing.T) {
 	for file, want := range map[string]string{
 		"../../../deploy/calicohill.conf":     Example(),
 		"../../../docs/operators/settings.md": Page(),
@@ -139,7 +140,7 @@
 			t.Fatal(err)
 		}
 		if d := cmp.Diff(want, string(got)); d != "" {
-			t.Errorf("%s is not what the table makes; run make generate:\n%s", file, d)
+			t.Errorf("%s is not what is generated from the directives; run make generate:\n%s", file, d)
 		}
 	}
 	got, err := Read("../../../deploy/calicohill.conf")
@@ -147,7 +148,7 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(Defaults(), got); d != "" {
-		t.Errorf("the example changes something: %s", d)
+		t.Errorf("the example changes settings: %s", d)
 	}
 	for _, directive := range Directives {
 		for _, text := range []string{directive.Default, directive.Example} {
@@ -164,10 +165,10 @@
 	}
 }
 
-// FuzzParse reads any bytes: every error is a ParseErrors whose members have a place and a reason.
+// FuzzParse parses any bytes: an error is always a ParseErrors, and each error in it has a position and a reason.
 func FuzzParse(f *testing.F) {
-	f.Add(completeFile)
-	f.Add(peers)
+	f.Add(mainFile)
+	f.Add(includedFile)
 	f.Add("log\n level \"a\\\"b\" # c\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		file := filepath.Join(t.TempDir(), "f")
@@ -175,13 +176,13 @@
 			t.Fatal(err)
 		}
 		_, err := parse(file)
-		var faults ParseErrors
-		if err != nil && !errors.As(err, &faults) {
+		var errs ParseErrors
+		if err != nil && !errors.As(err, &errs) {
 			t.Fatalf("error %v", err)
 		}
-		for _, one := range faults {
-			if one.Line < 1 || one.Column < 1 || one.Reason == "" {
-				t.Errorf("fault without a place or a reason: %+v", one)
+		for _, parseError := range errs {
+			if parseError.Line < 1 || parseError.Column < 1 || parseError.Reason == "" {
+				t.Errorf("error without a position or a reason: %+v", parseError)
 			}
 		}
 	})
@@ -226,8 +227,8 @@
 		t.Fatal(err)
 	}
 	_, _, _, err = set.Compile(nil)
-	var faults ParseErrors
-	if !errors.As(err, &faults) || len(faults) != 2 || faults[0].Line != 2 || faults[0].Column != 8 || faults[1].Line != 3 || faults[1].Column != 11 {
-		t.Errorf("faults %v", err)
+	var errs ParseErrors
+	if !errors.As(err, &errs) || len(errs) != 2 || errs[0].Line != 2 || errs[0].Column != 8 || errs[1].Line != 3 || errs[1].Column != 11 {
+		t.Errorf("errors %v", err)
 	}
 }
--- a/internal/config/operatorfile/rules.go
+++ b/internal/config/operatorfile/rules.go
@@ -65,19 +65,19 @@
 // Compile compiles the file's rules for the classes of a site, nil where those are not known, and its pools and routes.
 // The error is ParseErrors. Warnings are returned in either case.
 func (s *Settings) Compile(classes []match.Class) (*match.Table, *pools.Core, ParseErrors, error) {
-	table, ruleFaults := match.Load(s.Rules, classes)
-	routes, routeFaults := pools.Load(s.Pools, s.Routes)
-	var warnings, faults ParseErrors
-	for _, fault := range append(ruleFaults, routeFaults...) {
-		parseError := ParseError{Position: fault.Position, Directive: fault.Directive, Reason: fault.Reason}
-		if fault.Warning {
+	table, ruleErrors := match.Load(s.Rules, classes)
+	routes, routeErrors := pools.Load(s.Pools, s.Routes)
+	var warnings, errs ParseErrors
+	for _, ruleError := range append(ruleErrors, routeErrors...) {
+		parseError := ParseError{Position: ruleError.Position, Directive: ruleError.Directive, Reason: ruleError.Reason}
+		if ruleError.Warning {
 			warnings = append(warnings, parseError)
 		} else {
-			faults = append(faults, parseError)
+			errs = append(errs, parseError)
 		}
 	}
-	if len(faults) > 0 {
-		return nil, nil, warnings, faults
+	if len(errs) > 0 {
+		return nil, nil, warnings, errs
 	}
 	return table, routes, warnings, nil
 }
