--- a/internal/fleet/quota/core.go
+++ b/internal/fleet/quota/core.go
@@ -25,7 +25,7 @@
 const maxBudgetTotal = math.MaxInt64 / 4
 
 // ErrInvalidConfig is wrapped by every error of New.
-var ErrInvalidConfig = errors.New("allowance: unusable settings")
+var ErrInvalidConfig = errors.New("quota: invalid settings")
 
 // Budget is a resource of which all members together may have a number of units in use.
 type Budget struct {
--- a/internal/fleet/quota/core_test.go
+++ b/internal/fleet/quota/core_test.go
@@ -67,14 +67,14 @@
 		if !member.stopped {
 			f.step(member)
 		}
-		// A member that has more in use than it may gives none back sooner.
+		// A member that has more units in use than it may does not give them back sooner.
 		for len(member.inUse) > 0 && member.inUse[0] <= member.clock {
 			member.inUse = member.inUse[1:]
 		}
 	}
 }
 
-// use has the running members take all that they need and may use, and returns the units in use at all of them.
+// use has the running members take all units that they demand and may use, and returns how many are in use at all members.
 func (f *simulatedFleet) use() int64 {
 	sum := 0
 	for _, member := range f.members {
@@ -94,9 +94,9 @@
 func drawFleet(rt *rapid.T) *simulatedFleet {
 	fleetSize := rapid.IntRange(2, 7).Draw(rt, "members")
 	fleet := &simulatedFleet{tb: rt}
-	fleet.total = rapid.Int64Range(0, 60).Draw(rt, "whole")
+	fleet.total = rapid.Int64Range(0, 60).Draw(rt, "total")
 	fleet.drift = rapid.SampledFrom([]float64{0, 0.01, 0.3}).Draw(rt, "drift")
-	fleet.holdTime = time.Duration(rapid.IntRange(0, longestDrawnHold).Draw(rt, "hold")) * time.Second
+	fleet.holdTime = time.Duration(rapid.IntRange(0, longestDrawnHold).Draw(rt, "hold time")) * time.Second
 	for i := range fleetSize {
 		member := &simulatedMember{epoch: 1, rate: 1 + fleet.drift*rapid.Float64Range(-1, 1).Draw(rt, "rate")}
 		fleet.start(member, i, fleetSize)
@@ -126,12 +126,12 @@
 		"pass": func(rt *rapid.T) {
 			f.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
 		},
-		"need": func(rt *rapid.T) {
+		"demand": func(rt *rapid.T) {
 			member := f.drawRunning(rt)
 			demand := rapid.SampledFrom([]int64{0, f.total}).Draw(rt, "units")
 			f.step(member, DemandChanged{"b", max(demand, int64(len(member.inUse)))})
 		},
-		"hear": func(rt *rapid.T) {
+		"deliver": func(rt *rapid.T) {
 			member := f.drawRunning(rt)
 			if len(f.sent) == 0 {
 				rt.Skip("no statement sent")
@@ -232,23 +232,37 @@
 	}
 }
 
-// A member that lacks units borrows what others can spare, and again before that expires; a member that lends more than
-// it owns is distrusted.
-func TestLends(t *testing.T) {
-	fleet := newInstantFleet(t)
-	borrower := fleet.cores[0]
-	fleet.step(borrower, DemandChanged{"b", 22})
+// borrowerDemand is what the first member of an instantFleet demands: it owns 10 units, and the others can lend 5 each.
+const borrowerDemand = 22
+
+// borrow has the first member of a fleet demand units that it has to borrow, lets 10 s go by, and returns the fewest units
+// that the member could use at any moment.
+func (f *instantFleet) borrow() int64 {
+	borrower := f.cores[0]
+	f.step(borrower, DemandChanged{"b", borrowerDemand})
 	minUsable := int64(40)
 	for range 100 {
-		fleet.now += 100 * time.Millisecond
-		for _, core := range fleet.cores {
-			fleet.step(core)
+		f.now += 100 * time.Millisecond
+		for _, core := range f.cores {
+			f.step(core)
 		}
 		minUsable = min(minUsable, borrower.usableUnits(borrower.accounts[0]))
 	}
-	if minUsable < 22 {
-		t.Errorf("%d units at some moment, 22 are requested and 30 can be lent", minUsable)
+	return minUsable
+}
+
+// A member that lacks units borrows what others can spare, and renews the leases before they expire.
+func TestLeasesCoverDemand(t *testing.T) {
+	if minUsable := newInstantFleet(t).borrow(); minUsable < borrowerDemand {
+		t.Errorf("%d units at some moment, %d are demanded and can be had", minUsable, borrowerDemand)
 	}
+}
+
+// A member that lends more than it owns is reported, and what it lends is not used.
+func TestOverlendingIsDetected(t *testing.T) {
+	fleet := newInstantFleet(t)
+	borrower := fleet.cores[0]
+	fleet.borrow()
 	for from, leases := range map[string][]int64{"n3": {30}, "n2": {math.MaxInt64, math.MaxInt64}, "n1": {1, math.MaxInt64}} {
 		overlending := StatementReceived{From: from, Epoch: 1, Statement: Statement{FleetSize: 4}}
 		for _, units := range leases {
@@ -258,12 +272,12 @@
 		actions := borrower.Step(fleet.now, []Event{overlending})
 		after := borrower.usableUnits(borrower.accounts[0])
 		if len(actions) == 0 || actions[0] != (OverlendingDetected{from}) || after > before {
-			t.Errorf("%v for leases of %v, %d units and %d before", actions, leases, after, before)
+			t.Errorf("actions %v for leases of %v, %d usable units after and %d before", actions, leases, after, before)
 		}
 	}
 }
 
-// Asking for the usable units costs next to nothing beside a request.
+// The usable units are computed for each request.
 func BenchmarkUsable(b *testing.B) {
 	core, err := New(Config{
 		Self:          "n0",
@@ -279,7 +293,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if core.usableUnits(core.accounts[0]) != 0 {
-			b.Fatal("a new start may use all")
+			b.Fatal("a new start has usable units")
 		}
 	}
 }
