--- a/internal/fleet/faultreport/codec.go
+++ b/internal/fleet/faultreport/codec.go
@@ -26,7 +26,7 @@
 )
 
 // ErrMalformed is wrapped by every error of Decode.
-var ErrMalformed = errors.New("suspicion: malformed statement")
+var ErrMalformed = errors.New("faultreport: malformed statement")
 
 // Report is one scheduler's report of a fault of a worker. Times are ages in milliseconds at the time of the
 // statement, so that the members' clocks need not agree.
--- a/internal/fleet/faultreport/core_test.go
+++ b/internal/fleet/faultreport/core_test.go
@@ -12,8 +12,7 @@
 
 const second = time.Second
 
-// Colluding byzantine members up to the configured number have no worker ejected; one more than that does, which is
-// what the number means.
+// Colluding byzantine members up to the configured number can't have a worker ejected; one more than that can.
 func TestByzantineLimit(t *testing.T) {
 	for byzantine, want := range map[int]routing.PeerVerdict{1: routing.Reported, 3: routing.Reported, 4: routing.Confirmed} {
 		fleet := newFleet(t, 12, byzantine, 20)
@@ -159,28 +158,28 @@
 }
 
 // Whatever up to f byzantine members report, also different things to different members: no healthy worker is Confirmed,
-// the tables stay bounded, and an outage that f+1 honest members observe is Confirmed at those that got no response.
-func TestProperties(t *testing.T) {
+// the tables stay bounded, and an outage that f+1 honest members observe is Confirmed at a member that observes nothing.
+func TestByzantineReportsConfirmNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		members := rapid.IntRange(4, 13).Draw(rt, "members")
-		byzantine := rapid.IntRange(0, (members-1)/3).Draw(rt, "liars")
+		byzantine := rapid.IntRange(0, (members-1)/3).Draw(rt, "byzantine members")
 		workers := rapid.IntRange(4, 30).Draw(rt, "workers")
 		fleet := newFleet(rt, members, byzantine, workers)
-		for range rapid.IntRange(1, 40).Draw(rt, "moves") {
+		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			worker := fmt.Sprintf("w%d", rapid.IntRange(1, workers-1).Draw(rt, "worker")) // w0 is left for the genuine outage
-			switch move := rapid.IntRange(0, 3).Draw(rt, "move"); {
-			case move <= 1 && byzantine > 0:
-				var lies []Report
-				for i := range rapid.IntRange(0, MaxReports).Draw(rt, "lies") {
+			switch step := rapid.IntRange(0, 3).Draw(rt, "step"); {
+			case step <= 1 && byzantine > 0:
+				var falseReports []Report
+				for i := range rapid.IntRange(0, MaxReports).Draw(rt, "reports") {
 					first := rapid.Uint32().Draw(rt, "first")
-					lies = append(lies, Report{
+					falseReports = append(falseReports, Report{
 						Worker: fmt.Sprintf("w%d", 1+i), FirstSeenAgo: first, LastSeenAgo: rapid.Uint32Range(0, first).Draw(rt, "last"),
-						Fault: routing.Fault(rapid.IntRange(1, 4).Draw(rt, "trouble")),
+						Fault: routing.Fault(rapid.IntRange(1, 4).Draw(rt, "fault")),
 					})
 				}
 				honest := fleet.names[rapid.IntRange(byzantine, members-1).Draw(rt, "to")]
-				fleet.deliver(fleet.names[rapid.IntRange(0, byzantine-1).Draw(rt, "liar")], lies, honest)
-			case move == 2:
+				fleet.deliver(fleet.names[rapid.IntRange(0, byzantine-1).Draw(rt, "byzantine")], falseReports, honest)
+			case step == 2:
 				fleet.step(fleet.names[rapid.IntRange(byzantine, members-1).Draw(rt, "by")], FaultObserved{worker, routing.Healthy, fleet.now})
 			default:
 				fleet.run(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "wait")) * time.Millisecond)
--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -61,9 +61,9 @@
 		body []byte
 		want string
 	}{
-		{whole[:len(whole)-1], "suspicion: malformed statement: unexpected EOF"},
-		{wrongFault, "suspicion: malformed statement"},
-		{make([]byte, maxStatementBytes+1), "suspicion: malformed statement"},
+		{whole[:len(whole)-1], "faultreport: malformed statement: unexpected EOF"},
+		{wrongFault, "faultreport: malformed statement"},
+		{make([]byte, maxStatementBytes+1), "faultreport: malformed statement"},
 	} {
 		if _, err := Decode(tt.body); err == nil || err.Error() != tt.want || !errors.Is(err, ErrMalformed) {
 			t.Errorf("error %v, want %s", err, tt.want)
