--- a/internal/fleet/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -134,14 +134,14 @@
 		{"cut in the header", fresh[:20], ErrMalformed},
 		{"cut in the message", fresh[:len(fresh)-3], ErrMalformed},
 		{"a bit of the message", flip(fresh, len(fresh)-1), ErrSignature},
-		{"a bit of the number", flip(fresh, 2+cookieBytes+8+4+6), ErrSignature},
+		{"a bit of the sequence number", flip(fresh, 2+cookieBytes+8+4+6), ErrSignature},
 		{"to another", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
 		{"certificate of another key", fleet.seal(forged, "b", noon, Message{Kind: Gossip}), ErrSignature},
 		{"another authority", fleet.seal(stranger, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
 		{"another fleet", fleet.seal(fleet.guardOf(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), pki.ErrWrongFleet},
 		{"expired", fleet.seal(fleet.guardOf(expired, 500), "b", noon, Message{Kind: Gossip}), pki.ErrExpired},
 		{"sent too long ago", fleet.seal(sender, "b", noon.Add(-8*time.Second), Message{Kind: Gossip}), ErrClock},
-		{"not yet sent", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
+		{"sent in the future", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
 		{"an earlier epoch", fleet.seal(fleet.guardOf(sender.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
 		{"clocks 5 s apart", fleet.seal(sender, "b", noon.Add(-5*time.Second), Message{Kind: Gossip}), nil},
 		{"a later epoch", fleet.seal(fleet.guardOf(sender.own, 101), "b", noon, Message{Kind: Gossip}), nil},
@@ -212,7 +212,7 @@
 }
 
 // Records and statements are accepted only with their author's signature, and equivocation is detected.
-func TestSignedBySelf(t *testing.T) {
+func TestRecordsNeedAuthorsSignature(t *testing.T) {
 	fleet := newTestFleet(t)
 	relay, receiver, author := fleet.guard("a", 100), fleet.guard("b", 200), fleet.guard("d", 300)
 	fleet.acquaint(relay, receiver)
@@ -284,7 +284,7 @@
 }
 
 // Every message that a Core may send fits into a datagram, its certificate included.
-func TestFits(t *testing.T) {
+func TestMessageFitsDatagram(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender := fleet.guard("a-scheduler-with-quite-a-long-name-1", 100)
 	if n := len(sender.Certificate()); n > maxCertBytes {
