--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -10,7 +10,7 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// errConnectionClosed stands for a connection that the service closed in order.
+// errConnectionClosed is logged for a connection that the service closed without an error.
 var errConnectionClosed = errors.New("closed")
 
 // connection is a connection to the list service, with one poll at a time. It is its own eventloop.ConnHandler.
@@ -20,7 +20,7 @@
 	socket  gnet.Conn // nil until it is up and once it is gone
 }
 
-// isOpen reports whether the connection has not been given up.
+// isOpen reports whether the Watcher still uses the connection.
 func (c *connection) isOpen() bool { return c.watcher.connections[c.number] == c }
 
 // poll sends a poll.
@@ -36,10 +36,11 @@
 	}
 }
 
-// closeSocket closes a socket that nothing is expected of any more; an error would say that it is closed already.
+// closeSocket closes a socket that is no longer used. The only error is that it is closed already.
 func closeSocket(socket gnet.Conn) { _ = socket.EventLoop().Close(socket) }
 
-// fail gives up the connection. retryAfter is how long the service asked not to be polled; 0 if it did not.
+// fail reports to the planner that the connection failed, unless it is no longer used. retryAfter is how long the service
+// asked not to be polled; 0 if it did not.
 func (c *connection) fail(err error, retryAfter time.Duration) {
 	if !c.isOpen() {
 		return
@@ -55,14 +56,14 @@
 // Opened is called by the event loop when the connection is up.
 func (c *connection) Opened(socket gnet.Conn) {
 	c.socket = socket
-	if !c.isOpen() { // given up before it was up
+	if !c.isOpen() { // the planner closed it during the dial
 		closeSocket(socket)
 		return
 	}
 	c.watcher.step(pollplan.Connected{Conn: c.number})
 }
 
-// Readable is called by the event loop when bytes have come; it reads the response to a poll once that is complete.
+// Readable is called by the event loop when bytes were received. It handles the response to a poll once it is complete.
 func (c *connection) Readable(socket gnet.Conn) error {
 	buffered, err := socket.Peek(-1)
 	if err != nil || len(buffered) == 0 {
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -52,7 +52,7 @@
 	if err := json.Unmarshal(body, &feed); err != nil {
 		return err
 	}
-	// A service that was set up anew since the snapshot numbers its events from 1 again: the whole list is asked for.
+	// A service that was replaced since the snapshot numbers its events from 1 again: request the complete list.
 	restarted := w.restored && feed.Number < w.lastEvent
 	w.restored = false
 	if restarted {
@@ -64,9 +64,9 @@
 	return w.applyEvents(&feed)
 }
 
-// applyEvents applies events in order, each once. An invalid event is an error, and is polled for again; if it comes the
-// same it is read leniently, since later events may say which workers drain. Where events are missing, a drain may be
-// among these: the whole list is asked for, once for each such gap.
+// applyEvents applies events in order, each once. An invalid event is an error, and is requested again; if it is still
+// invalid, it is read leniently, since later events may say which workers drain. If events are missing, a drain may be
+// among them: the complete list is requested, once for each such gap.
 func (w *Watcher) applyEvents(feed *Feed) error {
 	before := w.lastEvent
 	defer func() {
@@ -91,13 +91,13 @@
 		}
 		w.lastEvent = event.Number
 	}
-	if len(feed.Events) == 0 { // otherwise events that the response left out are polled for next
+	if len(feed.Events) == 0 { // otherwise the next poll requests events that the response left out
 		w.lastEvent = max(w.lastEvent, feed.Number)
 	}
 	return nil
 }
 
-// missesEvents reports whether events between the last one applied and this one are missing. One with the whole list
+// missesEvents reports whether events between the last one applied and this one are missing. An event with the complete list
 // needs none before it.
 func (w *Watcher) missesEvents(event *event) bool {
 	if event.Roster != nil && event.Roster.All {
--- a/internal/discovery/pollplan/messages.go
+++ b/internal/discovery/pollplan/messages.go
@@ -48,9 +48,9 @@
 // Close closes a connection. No event of it is expected any more.
 type Close struct{ Conn int }
 
-// PollOverdue says that a poll is overdue and another is made beside it.
+// PollOverdue says that a poll is overdue and that a new one is made beside it.
 type PollOverdue struct{}
 
-// MarkStale says that from now on the list may be outdated for a while, unless another MarkStale says 0 before: nobody
-// polled the service, and its changes meanwhile count as delivered.
+// MarkStale says that the list may be outdated for this long from now on, or until a MarkStale of 0: this scheduler did not
+// poll, and the protocol counts changes published meanwhile as delivered.
 type MarkStale struct{ Duration time.Duration }
--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -2,10 +2,11 @@
 // same moment do not all come back at the same moment. It has no clock and does no I/O: Step takes events and returns
 // actions.
 //
-// A scheduler comes back to the service at times of its own: each reconnect window of the clock has one, at an offset that
-// it draws at its start. So no fault, however often it strikes the whole fleet, brings more than the fleet's size within a
-// window, or synchronizes schedulers that were not. An offset by rank would be more even, but hundreds of schedulers that
-// were all given the same rank would come as one; see docs/design/coldstart.md.
+// A scheduler reconnects to the service in a slot of its own: time is divided into reconnect windows, and each window has
+// the scheduler's slot at the offset that it drew at its start. So a fault that hits the whole fleet, however often, brings
+// no more than one connection of each scheduler within a window, and does not synchronize schedulers that were not. Offsets
+// by rank would be more even, but hundreds of schedulers that were all given the same rank would connect at the same moment;
+// see docs/design/coldstart.md.
 package pollplan
 
 import (
@@ -23,16 +24,16 @@
 	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
 	// polls of the whole fleet at once, and polls that all last as long would stay synchronized for good.
 	firstPollJitter = time.Second
-	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet do whenever the last response was
-	// late or missing: the service may be behind, and more polls help it as little as they help against silence.
+	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet wait that long after a response that
+	// was late or missing: the service may be overloaded, and polling it more often would only add to that.
 	maxPollTimeout = 5 * time.Second
 	// overdueAfter is how long after the end of its wait a poll is overdue, and another is made beside it.
 	overdueAfter = 500 * time.Millisecond
 	// maxOverdueAfter is the same where the service may be behind. A change counts as delivered 2 s after the end of the
 	// wait, whether it was polled or not, so that the longest poll may be late for longer.
 	maxOverdueAfter = 1500 * time.Millisecond
-	// abandonAfter is the age at which an overdue poll is closed to make way for the next. Until then it keeps its place in the
-	// queue of a service that is behind.
+	// abandonAfter is the age at which an overdue poll is closed to make way for the next. Until then it keeps its position
+	// in the queue of a service that is behind.
 	abandonAfter = 20 * time.Second
 	// minPollInterval is how long after a poll the next may be made if the response brought nothing.
 	minPollInterval = 500 * time.Millisecond
@@ -45,13 +46,13 @@
 
 // The spread over the fleet.
 const (
-	// maxReconnectWindow is how far apart at most the times are at which a scheduler of a fleet may come back: a change
-	// has to be known 2 s after a connection broke.
+	// maxReconnectWindow is the longest reconnect window: a change has to be known 2 s after a connection broke.
 	maxReconnectWindow = 1900 * time.Millisecond
 	// reconnectWindowPerPeer is what each other scheduler adds to the window.
 	reconnectWindowPerPeer = 20 * time.Millisecond
-	// maxUpdateWindow is the same where nothing shows that the service is faulty: at a start, and when it has just answered
-	// the whole fleet. Its next change may be a drain, which counts as delivered whether anybody polls or not.
+	// maxUpdateWindow is the longest time over which polls are spread where nothing shows that the service is faulty: at a
+	// start, and when it has just answered the whole fleet. Its next change may be a drain, which counts as delivered
+	// whether anybody polls or not.
 	maxUpdateWindow = 700 * time.Millisecond
 	// updateWindowPerPeer is what each other scheduler adds to the update window.
 	updateWindowPerPeer = 3 * time.Millisecond
@@ -98,9 +99,9 @@
 	updateWindow     time.Duration
 	pollInterval     time.Duration // least time from a poll whose response brought nothing to the next
 	slowPollTimeout  time.Duration // of polls while the service may be behind
-	slowOverdueAfter time.Duration // the same of overdueAfter
+	slowOverdueAfter time.Duration // in place of overdueAfter while the service may be behind
 	rng              *rand.Rand
-	slot             time.Duration // offset of the scheduler's own times within the reconnect window
+	slot             time.Duration // offset of the scheduler's slot within each reconnect window
 
 	current      *connection   // nil while the next one waits for its time
 	dialAt       time.Duration // that time; 0 if none
@@ -114,8 +115,8 @@
 	actions      []Action // returned by Step, and reused by the next
 }
 
-// New returns the Planner of one of so many schedulers, which have to obey a drain within the grace after it was told. The
-// seed is the scheduler's own.
+// New returns the Planner of one scheduler of a fleet of that size. The fleet has to obey a drain within drainGrace after it
+// was published. The seed must differ between the schedulers.
 func New(schedulers int, drainGrace time.Duration, seed uint64) *Planner {
 	peers := time.Duration(max(schedulers, 1) - 1)
 	ofGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drainGrace)) }
@@ -137,7 +138,7 @@
 	return low + (high-low)*p.reconnectWindow/maxReconnectWindow
 }
 
-// Step takes in events and returns what is to be done, in order; the slice is valid until the next Step. now never goes
+// Step applies events and returns the actions to carry out, in order; the slice is valid until the next Step. now never goes
 // back; it is Unix time, or any other that began long ago.
 func (p *Planner) Step(now time.Duration, events ...Event) []Action {
 	p.actions = p.actions[:0]
@@ -150,13 +151,13 @@
 	return p.actions
 }
 
-// handle takes in one event.
+// handle applies one event.
 func (p *Planner) handle(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case Started:
 		p.started(now, event)
 	case Connected:
-		if p.current.is(event.Conn) {
+		if p.current.hasNumber(event.Conn) {
 			p.poll(now)
 		}
 	case Answered:
@@ -185,14 +186,14 @@
 	}
 }
 
-// is reports whether a connection, which may be nil, has a number.
-func (c *connection) is(number int) bool { return c != nil && c.number == number }
+// hasNumber reports whether c, which may be nil, is the connection of that number.
+func (c *connection) hasNumber(number int) bool { return c != nil && c.number == number }
 
 // started plans the first poll.
 func (p *Planner) started(now time.Duration, event Started) {
 	p.dialAt = now
 	p.synchronized = true
-	if event.HasEndpoints { // a scheduler without any is of no use to anybody, and polls first
+	if event.HasEndpoints { // without endpoints a scheduler can serve nothing, and polls before the others
 		p.dialAt += p.draw(p.updateWindow)
 	}
 	if event.Restored {
@@ -201,7 +202,7 @@
 	}
 }
 
-// timerExpired does what the time that Next returned was for.
+// timerExpired does what is due at the time that Next returned.
 func (p *Planner) timerExpired(now time.Duration) {
 	switch {
 	case p.current == nil:
@@ -216,8 +217,8 @@
 	}
 }
 
-// pollOverdue has another poll made beside one that is overdue, which keeps its place in the service's queue. Where one
-// that was overdue before has that place still, it is kept instead until it is abandoned.
+// pollOverdue replaces a poll that is overdue by a new one. The overdue poll stays open, since it keeps its position in the
+// service's queue; if an earlier overdue poll is still open, that one is kept instead until it is abandoned.
 func (p *Planner) pollOverdue(now time.Duration) {
 	if p.overdue != nil && now-p.overdue.at >= abandonAfter {
 		p.closeConnection(&p.overdue)
@@ -263,11 +264,11 @@
 
 // answered plans the poll after a response.
 func (p *Planner) answered(now time.Duration, event Answered) {
-	if p.overdue.is(event.Conn) && !p.resume() {
+	if p.overdue.hasNumber(event.Conn) && !p.resume() {
 		return
 	}
 	conn := p.current
-	if !conn.is(event.Conn) || conn.phase != polling {
+	if !conn.hasNumber(event.Conn) || conn.phase != polling {
 		return
 	}
 	if p.stale {
@@ -317,8 +318,8 @@
 	return next
 }
 
-// stalled has the service polled at once, unless a poll waits there still: what the service told meanwhile would be there to
-// be read.
+// stalled polls the service at once, unless a poll is still waiting there: what the service published meanwhile would have
+// answered it.
 func (p *Planner) stalled(now time.Duration) {
 	conn := p.current
 	if conn != nil && conn.phase == polling && now < conn.timeoutAt {
@@ -338,11 +339,11 @@
 
 // failed plans the next connection after the current one failed.
 func (p *Planner) failed(now time.Duration, event Failed) {
-	if p.overdue.is(event.Conn) {
+	if p.overdue.hasNumber(event.Conn) {
 		p.closeConnection(&p.overdue)
 		return
 	}
-	if !p.current.is(event.Conn) {
+	if !p.current.hasNumber(event.Conn) {
 		return
 	}
 	p.closeConnection(&p.current)
@@ -351,7 +352,7 @@
 	p.dialAt = p.nextSlot(now + max(p.backoff, min(event.RetryAfter, maxRetryAfter)))
 }
 
-// nextSlot is the scheduler's first own time at or after another.
+// nextSlot returns the time of the scheduler's first slot at or after a time.
 func (p *Planner) nextSlot(from time.Duration) time.Duration {
 	if p.reconnectWindow == 0 {
 		return from
@@ -359,15 +360,15 @@
 	return from + (p.slot-from%p.reconnectWindow+p.reconnectWindow)%p.reconnectWindow
 }
 
-// closeConnection closes a connection and clears its place, if there is one.
-func (p *Planner) closeConnection(place **connection) {
-	if *place != nil {
-		p.actions = append(p.actions, Close{(*place).number})
-		*place = nil
+// closeConnection closes the connection that a field of the Planner holds, if any, and clears the field.
+func (p *Planner) closeConnection(field **connection) {
+	if *field != nil {
+		p.actions = append(p.actions, Close{(*field).number})
+		*field = nil
 	}
 }
 
-// draw draws a time from 0 to longest, both included.
+// draw returns a random time from 0 to longest, both included.
 func (p *Planner) draw(longest time.Duration) time.Duration {
 	return time.Duration(p.rng.Int64N(int64(longest) + 1))
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -24,7 +24,7 @@
 	headerTerminator = []byte("\r\n\r\n")
 )
 
-// errMalformedResponse is a response that is not HTTP/1 as this package reads it, or over its bounds.
+// errMalformedResponse is wrapped by the error of a response that is not valid HTTP/1, or exceeds the bounds above.
 var errMalformedResponse = errors.New("answer cannot be read")
 
 // statusError is a response with another status than 200.
@@ -89,7 +89,7 @@
 	return header, nil
 }
 
-// parseField takes in a field of the header; where one stands twice the later counts.
+// parseField applies one field of the header. Of a repeated field the last one counts.
 func (h *responseHeader) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// retryAfter is the Retry-After of a header in seconds (RFC 9110, 10.2.3); 0 without it, and where it gives a date, since
+// retryAfter returns the Retry-After of a header (RFC 9110, 10.2.3), or 0 if there is none. A date counts as none, since
 // clocks differ.
 func retryAfter(fields []string) time.Duration {
 	for _, line := range fields {
@@ -124,7 +124,7 @@
 	return 0
 }
 
-// incomplete is the size of a body that has not all come yet.
+// incomplete is returned as the size of a body of which a part has not been received yet.
 const incomplete = -1
 
 // parseBody returns the body at the beginning of a buffer and how many bytes it takes there, or incomplete.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -24,7 +24,7 @@
 // Loop is what a Watcher needs of the event loop.
 type Loop interface {
 	dispatch.Loop
-	// Dial opens a connection whose events go to the handler; failed is called instead if it doesn't come up in time.
+	// Dial opens a connection and passes its events to the handler, or calls failed if that does not succeed in time.
 	Dial(addr string, timeout time.Duration, handler eventloop.ConnHandler, failed func(error))
 }
 
@@ -50,9 +50,9 @@
 	initial        Feed              // what Start applies: configured or restored
 	restored       bool              // the list is an earlier process's, and the service has not answered yet
 	targets        map[string]target // current list by UID; kept only where OnChange is set
-	lastEvent      int               // number of the last event applied; 0 asks for the whole list
-	malformedEvent int               // number of an event that was rejected once; it is read leniently if it comes again
-	acceptedGap    int               // events up to this number may be missing: the service doesn't have them any more
+	lastEvent      int               // number of the last event applied; 0 requests the complete list
+	malformedEvent int               // number of the latest event that was rejected; the next time it is read leniently
+	acceptedGap    int               // events up to this number may be missing: the service no longer has them
 }
 
 // New returns a Watcher that does nothing until Start. The known events come in the form of a poll's response; an error
@@ -78,7 +78,7 @@
 
 // Start applies the events known already and begins to poll.
 func (w *Watcher) Start() {
-	if n := len(w.initial.Events); n > 0 { // events missing among these can't be had from anybody
+	if n := len(w.initial.Events); n > 0 { // nobody can supply events that are missing among these
 		w.acceptedGap = w.initial.Events[n-1].Number
 	}
 	if err := w.applyEvents(&w.initial); err != nil {
@@ -88,8 +88,8 @@
 	w.step(pollplan.Started{HasEndpoints: w.lastEvent > 0, Restored: w.restored})
 }
 
-// SetAddress has the list service polled at another address from now on; the numbers of its events continue. Polls at the
-// old address end at once: it has no more to say, and one still waiting would keep the new one from being polled.
+// SetAddress polls the list service at another address from now on; the numbers of its events continue. Polls at the old
+// address end at once: one that still waited there would delay the first poll at the new address.
 func (w *Watcher) SetAddress(addr string) {
 	if addr == w.addr {
 		return
@@ -105,7 +105,7 @@
 func (w *Watcher) step(events ...pollplan.Event) {
 	// An action may lead to another step, which reuses the planner's slice.
 	for _, action := range slices.Clone(w.planner.Step(w.loop.Now(), events...)) {
-		w.do(action)
+		w.perform(action)
 	}
 	if at, ok := w.planner.Next(); ok {
 		w.loop.SetDeadline(&w.pollTimer, at)
@@ -114,8 +114,8 @@
 	}
 }
 
-// do carries out an action of the planner.
-func (w *Watcher) do(action pollplan.Action) {
+// perform carries out an action of the planner.
+func (w *Watcher) perform(action pollplan.Action) {
 	switch action := action.(type) {
 	case pollplan.Dial:
 		w.dial(action.Conn)
