--- a/internal/config/operatorfile/document.go
+++ b/internal/config/operatorfile/document.go
@@ -22,13 +22,13 @@
 
 // section is a section of a file.
 type section struct {
-	place   match.Position     // of its heading; the last one if it was repeated in error
-	entries map[string][]entry // by directive
+	position match.Position     // of its heading; the last one if it was repeated in error
+	entries  map[string][]entry // by directive
 }
 
 // entry is one occurrence of a directive in a file.
 type entry struct {
-	place     match.Position
+	position  match.Position
 	directive string
 	values    []value
 }
@@ -49,18 +49,18 @@
 // has reports whether a section without a name of its own is present.
 func (d *document) has(kind string) bool { return d.sections[unnamed(kind)] != nil }
 
-// written returns the occurrences of a directive, none if its section is not present.
-func (d *document) written(key sectionKey, directive string) []entry {
+// occurrences returns the occurrences of a directive, none if its section is not present.
+func (d *document) occurrences(key sectionKey, directive string) []entry {
 	if s := d.sections[key]; s != nil {
 		return s.entries[directive]
 	}
 	return nil
 }
 
-// entries returns the occurrences of a directive in a section without a name of its own, or its default.
+// entries returns the occurrences of a directive in a section without a name of its own or, if there are none, its default.
 func (d *document) entries(kind, name string) []entry {
-	if written := d.written(unnamed(kind), name); len(written) > 0 {
-		return written
+	if occurrences := d.occurrences(unnamed(kind), name); len(occurrences) > 0 {
+		return occurrences
 	}
 	directive, ok := Lookup(kind, name)
 	if !ok || directive.Default == "" {
@@ -104,17 +104,18 @@
 	return seconds(number)
 }
 
-// expression returns the first argument of a directive with its place, or the zero Expression if the directive is not present.
+// expression returns the first argument of a directive with its position, or the zero Expression if the directive is not
+// present.
 func (d *document) expression(key sectionKey, directive string) match.Expression {
-	if written := d.written(key, directive); len(written) > 0 {
-		return written[0].expression(0)
+	if occurrences := d.occurrences(key, directive); len(occurrences) > 0 {
+		return occurrences[0].expression(0)
 	}
 	return match.Expression{}
 }
 
-// expression returns an argument with its place.
+// expression returns an argument with its position.
 func (e entry) expression(arg int) match.Expression {
-	place := e.place
-	place.Column = e.values[arg].column
-	return match.Expression{Position: place, Source: e.values[arg].text}
+	position := e.position
+	position.Column = e.values[arg].column
+	return match.Expression{Position: position, Source: e.values[arg].text}
 }
--- a/internal/config/operatorfile/errors.go
+++ b/internal/config/operatorfile/errors.go
@@ -46,9 +46,9 @@
 }
 
 // add appends an error, unless there are maxErrors already.
-func (e *ParseErrors) add(place match.Position, directive, format string, args ...any) {
+func (e *ParseErrors) add(position match.Position, directive, format string, args ...any) {
 	if len(*e) < maxErrors {
-		*e = append(*e, ParseError{Position: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+		*e = append(*e, ParseError{Position: position, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/config/operatorfile/gossip.go
+++ b/internal/config/operatorfile/gossip.go
@@ -65,7 +65,7 @@
 		r.addGossipError("advertise", "peers can't reach %s: name an address of this machine", address)
 	}
 	for _, directive := range []string{"key", "authority", "revoked"} {
-		for _, e := range r.document.written(unnamed(sectionGossip), directive) {
+		for _, e := range r.document.occurrences(unnamed(sectionGossip), directive) {
 			r.checkGossipFile(e)
 		}
 	}
@@ -77,22 +77,22 @@
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
-		r.errors.add(e.place, e.directive, "%v", errors.Unwrap(err))
+		r.errors.add(e.position, e.directive, "%v", errors.Unwrap(err))
 	case !info.Mode().IsRegular():
-		r.errors.add(e.place, e.directive, "%s is not a file", path)
+		r.errors.add(e.position, e.directive, "%s is not a file", path)
 	case e.directive == "key" && info.Mode().Perm()&^maxKeyMode != 0:
-		r.errors.add(e.place, e.directive, "mode %04o lets others read it: 0600 is needed", info.Mode().Perm())
+		r.errors.add(e.position, e.directive, "mode %04o lets others read it: 0600 is needed", info.Mode().Perm())
 	}
 }
 
 // addGossipError adds an error at a directive, or, where its default is in effect, at the section.
 func (r *settingsReader) addGossipError(directive, format string, args ...any) {
 	key := unnamed(sectionGossip)
-	place := r.document.sections[key].place
-	if written := r.document.written(key, directive); len(written) > 0 {
-		place = written[0].place
+	position := r.document.sections[key].position
+	if occurrences := r.document.occurrences(key, directive); len(occurrences) > 0 {
+		position = occurrences[0].position
 	}
-	r.errors.add(place, directive, format, args...)
+	r.errors.add(position, directive, format, args...)
 }
 
 // parseAddress converts an Address, which was checked when the file was parsed.
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -46,21 +46,21 @@
 	return p.document, nil
 }
 
-// parseFile reads a file. place and directive are those that name it, and ancestors the files that include it, the
-// outermost first.
-func (p *parser) parseFile(path string, place match.Position, directive string, ancestors []string) {
+// parseFile reads a file. position and directive are those of the line that names it, ancestors the files that include
+// it, the outermost first.
+func (p *parser) parseFile(path string, position match.Position, directive string, ancestors []string) {
 	if slices.Contains(ancestors, path) {
-		p.errors.add(place, directive, "%s includes itself", path)
+		p.errors.add(position, directive, "%s includes itself", path)
 		return
 	}
 	p.filesRead++
 	if len(ancestors) >= maxIncludeDepth || p.filesRead > maxFiles {
-		p.errors.add(place, directive, "too many files are included")
+		p.errors.add(position, directive, "too many files are included")
 		return
 	}
 	text, err := readFile(path)
 	if err != nil {
-		p.errors.add(place, directive, "%v", err)
+		p.errors.add(position, directive, "%v", err)
 		return
 	}
 	fp := fileParser{parser: p, path: path, ancestors: ancestors}
@@ -97,10 +97,10 @@
 			continue
 		}
 		for _, key := range keys {
-			if key.kind != directive.Section || len(p.document.written(key, directive.Name)) > 0 || p.hasErrorIn(directive.Name) {
+			if key.kind != directive.Section || len(p.document.occurrences(key, directive.Name)) > 0 || p.hasErrorIn(directive.Name) {
 				continue
 			}
-			p.errors.add(p.document.sections[key].place, directive.Name, "section %s needs it: %s", key, directive.usage())
+			p.errors.add(p.document.sections[key].position, directive.Name, "section %s needs it: %s", key, directive.usage())
 		}
 	}
 }
@@ -122,41 +122,41 @@
 	skipping bool
 }
 
-// parseLine reads a line. place has its file and number, the column is set here.
-func (p *fileParser) parseLine(line string, place match.Position) {
+// parseLine reads a line. position has its file and number, the column is set here.
+func (p *fileParser) parseLine(line string, position match.Position) {
 	tokens, err := splitLine(p.current.kind, line)
 	var lexical *lexicalError
 	if errors.As(err, &lexical) {
-		place.Column = lexical.column
-		p.errors.add(place, "", "%s", lexical.reason)
+		position.Column = lexical.column
+		p.errors.add(position, "", "%s", lexical.reason)
 		return
 	}
 	if len(tokens) == 0 {
 		return
 	}
-	place.Column = tokens[0].column
+	position.Column = tokens[0].column
 	switch {
 	case tokens[0].column > 1:
-		p.parseDirective(tokens, place)
+		p.parseDirective(tokens, position)
 	case tokens[0].text == includeDirective:
-		p.parseInclude(tokens, place)
+		p.parseInclude(tokens, position)
 	default:
-		p.parseHeading(tokens, place)
+		p.parseHeading(tokens, position)
 	}
 }
 
 // parseInclude reads the file that an include line names.
-func (p *fileParser) parseInclude(tokens []token, place match.Position) {
+func (p *fileParser) parseInclude(tokens []token, position match.Position) {
 	if len(tokens) != 2 {
-		p.errors.add(place, includeDirective, "takes the name of a file")
+		p.errors.add(position, includeDirective, "takes the name of a file")
 		return
 	}
 	ancestors := append(slices.Clone(p.ancestors), p.path)
-	p.parseFile(resolvePath(p.path, tokens[1].text), place, includeDirective, ancestors)
+	p.parseFile(resolvePath(p.path, tokens[1].text), position, includeDirective, ancestors)
 }
 
 // parseHeading reads the heading of a section, which becomes the current one.
-func (p *fileParser) parseHeading(tokens []token, place match.Position) {
+func (p *fileParser) parseHeading(tokens []token, position match.Position) {
 	kind := tokens[0].text
 	declared, known := lookupSection(kind)
 	p.current = sectionKey{}
@@ -167,115 +167,115 @@
 		for _, s := range Sections {
 			names = append(names, s.Name)
 		}
-		p.errors.add(place, "", "no section has the name %q%s; directives are indented", kind, suggestion(kind, names))
+		p.errors.add(position, "", "no section has the name %q%s; directives are indented", kind, suggestion(kind, names))
 	case declared.Named == "":
-		p.beginUnnamed(kind, tokens, place)
+		p.beginUnnamed(kind, tokens, position)
 	case len(tokens) != 2:
-		p.errors.add(place, "", "section %s needs a name: %s %s", kind, kind, declared.Named)
+		p.errors.add(position, "", "section %s needs a name: %s %s", kind, kind, declared.Named)
 	default:
-		p.beginNamed(kind, tokens[1], place)
+		p.beginNamed(kind, tokens[1], position)
 	}
 }
 
 // beginUnnamed begins a section that has no name of its own and may appear once. It becomes the current section even
 // with an error in its heading.
-func (p *fileParser) beginUnnamed(kind string, tokens []token, place match.Position) {
+func (p *fileParser) beginUnnamed(kind string, tokens []token, position match.Position) {
 	key := unnamed(kind)
 	before := p.document.sections[key]
 	switch {
 	case len(tokens) > 1:
-		place.Column = tokens[1].column
-		p.errors.add(place, "", "section %s takes no arguments", kind)
+		position.Column = tokens[1].column
+		p.errors.add(position, "", "section %s takes no arguments", kind)
 	case before != nil:
-		p.errors.add(place, "", "section %s began in %s:%d already", kind, before.place.File, before.place.Line)
+		p.errors.add(position, "", "section %s began in %s:%d already", kind, before.position.File, before.position.Line)
 	}
-	p.begin(key, place)
+	p.begin(key, position)
 }
 
 // beginNamed begins a section with a name of its own, which must differ from those of its kind before it.
-func (p *fileParser) beginNamed(kind string, name token, place match.Position) {
-	if _, err := (Arg{Type: Identifier}).parse(name, place.File); err != nil {
-		place.Column = name.column
-		p.errors.add(place, "", "section %s: %v", kind, err)
+func (p *fileParser) beginNamed(kind string, name token, position match.Position) {
+	if _, err := (Arg{Type: Identifier}).parse(name, position.File); err != nil {
+		position.Column = name.column
+		p.errors.add(position, "", "section %s: %v", kind, err)
 		return
 	}
 	key := sectionKey{kind: kind, name: name.text}
 	if before := p.document.sections[key]; before != nil {
-		p.errors.add(place, "", "section %s began in %s:%d already", key, before.place.File, before.place.Line)
+		p.errors.add(position, "", "section %s began in %s:%d already", key, before.position.File, before.position.Line)
 	} else {
 		p.document.names[kind] = append(p.document.names[kind], name.text)
 	}
-	p.begin(key, place)
+	p.begin(key, position)
 }
 
 // begin makes a section the current one.
-func (p *fileParser) begin(key sectionKey, place match.Position) {
+func (p *fileParser) begin(key sectionKey, position match.Position) {
 	p.current = key
 	p.skipping = false
 	if s := p.document.sections[key]; s != nil {
-		s.place = place
+		s.position = position
 		return
 	}
-	p.document.sections[key] = &section{place: place, entries: map[string][]entry{}}
+	p.document.sections[key] = &section{position: position, entries: map[string][]entry{}}
 }
 
 // parseDirective reads a directive of the current section.
-func (p *fileParser) parseDirective(tokens []token, place match.Position) {
+func (p *fileParser) parseDirective(tokens []token, position match.Position) {
 	name := tokens[0].text
 	if p.skipping {
 		return // the heading is reported already
 	}
 	if p.current == (sectionKey{}) {
-		p.errors.add(place, name, "stands in no section")
+		p.errors.add(position, name, "stands in no section")
 		return
 	}
 	directive, ok := Lookup(p.current.kind, name)
 	if !ok {
-		p.reportUnknownDirective(name, place)
+		p.reportUnknownDirective(name, position)
 		return
 	}
 	entries := p.document.sections[p.current].entries
 	if before := entries[name]; len(before) > 0 && !directive.Repeated {
-		p.errors.add(place, name, "stands twice, first in %s:%d", before[0].place.File, before[0].place.Line)
+		p.errors.add(position, name, "stands twice, first in %s:%d", before[0].position.File, before[0].position.Line)
 		return
 	}
-	values, ok := p.parseArguments(directive, tokens[1:], place)
+	values, ok := p.parseArguments(directive, tokens[1:], position)
 	if ok {
-		entries[name] = append(entries[name], entry{place: place, directive: name, values: values})
+		entries[name] = append(entries[name], entry{position: position, directive: name, values: values})
 	}
 }
 
-func (p *fileParser) reportUnknownDirective(name string, place match.Position) {
+func (p *fileParser) reportUnknownDirective(name string, position match.Position) {
 	var known []string
 	for _, directive := range directivesOf(p.current.kind) {
 		known = append(known, directive.Name)
 	}
-	p.errors.add(place, name, "section %s has no such directive%s", p.current.kind, suggestion(name, known))
+	p.errors.add(position, name, "section %s has no such directive%s", p.current.kind, suggestion(name, known))
 }
 
 // parseArguments reads the arguments of a directive and reports whether they are correct.
-func (p *fileParser) parseArguments(directive Directive, tokens []token, place match.Position) ([]value, bool) {
+func (p *fileParser) parseArguments(directive Directive, tokens []token, position match.Position) ([]value, bool) {
 	var values []value
 	for i, arg := range directive.Args {
 		if i >= len(tokens) {
 			if !arg.Optional {
-				p.errors.add(place, directive.Name, "%s is missing: %s", arg.Name, arg.describe())
+				p.errors.add(position, directive.Name, "%s is missing: %s", arg.Name, arg.describe())
 				return nil, false
 			}
 			break
 		}
-		parsed, err := arg.parse(tokens[i], place.File)
+		parsed, err := arg.parse(tokens[i], position.File)
 		if err != nil {
-			place.Column = tokens[i].column
-			p.errors.add(place, directive.Name, "%v", err)
+			position.Column = tokens[i].column
+			p.errors.add(position, directive.Name, "%v", err)
 			return nil, false
 		}
 		values = append(values, parsed)
 	}
 	if len(tokens) > len(directive.Args) {
 		extra := tokens[len(directive.Args)]
-		place.Column = extra.column
-		p.errors.add(place, directive.Name, "%q is too much: it takes %s", extra.text, directive.usage())
+		position.Column = extra.column
+		p.errors.add(position, directive.Name, "%q is too much: it takes %s", extra.text, directive.usage())
 		return nil, false
 	}
 	return values, true
--- a/internal/config/operatorfile/rules.go
+++ b/internal/config/operatorfile/rules.go
@@ -16,19 +16,19 @@
 
 func (r *settingsReader) rule(key sectionKey) match.Rule {
 	rule := match.Rule{
-		Position: r.document.sections[key].place,
+		Position: r.document.sections[key].position,
 		Name:     key.name,
 		When:     r.document.expression(key, "when"),
 		Class:    r.document.expression(key, "class"),
 		Key:      r.document.expression(key, "key"),
 		Route:    r.document.expression(key, "route"),
-		Stop:     len(r.document.written(key, "stop")) > 0,
+		Stop:     len(r.document.occurrences(key, "stop")) > 0,
 	}
-	for _, e := range r.document.written(key, "label") {
+	for _, e := range r.document.occurrences(key, "label") {
 		rule.Labels = append(rule.Labels, match.Label{Name: e.values[0].text, Value: e.expression(1)})
 	}
-	for _, e := range r.document.written(key, "split") {
-		split := match.Split{Position: e.place, Route: e.values[0].text, PerMille: int(e.values[1].number)}
+	for _, e := range r.document.occurrences(key, "split") {
+		split := match.Split{Position: e.position, Route: e.values[0].text, PerMille: int(e.values[1].number)}
 		rule.Splits = append(rule.Splits, split)
 	}
 	return rule
@@ -40,7 +40,7 @@
 	for _, name := range r.document.names[sectionPool] {
 		key := sectionKey{sectionPool, name}
 		definitions = append(definitions, pools.Pool{
-			Position: r.document.sections[key].place,
+			Position: r.document.sections[key].position,
 			Name:     name,
 			Workers:  r.document.expression(key, "workers"),
 		})
@@ -53,8 +53,8 @@
 	var definitions []pools.Route
 	for _, name := range r.document.names[sectionRoute] {
 		key := sectionKey{sectionRoute, name}
-		route := pools.Route{Position: r.document.sections[key].place, Name: name}
-		for _, e := range r.document.written(key, "pool") {
+		route := pools.Route{Position: r.document.sections[key].position, Name: name}
+		for _, e := range r.document.occurrences(key, "pool") {
 			route.Pools = append(route.Pools, e.expression(0))
 		}
 		definitions = append(definitions, route)
--- a/internal/config/operatorfile/settings.go
+++ b/internal/config/operatorfile/settings.go
@@ -49,8 +49,8 @@
 	ProbeInterval               time.Duration
 	ProbeTimeout                time.Duration
 	SuspicionTimeout            time.Duration
-	MaxMessagesPerSecond        int // sent a second
-	MaxSignatureChecksPerSecond int // of signatures, a second
+	MaxMessagesPerSecond        int // sent
+	MaxSignatureChecksPerSecond int
 	ClockSkew                   time.Duration
 	AuthorityOverlap            time.Duration
 	MaxByzantine                int     // -1: the largest number below a third of the members
