--- a/internal/rules/match/compile.go
+++ b/internal/rules/match/compile.go
@@ -42,20 +42,20 @@
 }
 
 // Error returns the reason.
-func (r *ExpressionError) Error() string { return r.Reason }
+func (e *ExpressionError) Error() string { return e.Reason }
 
-// refusalAt returns a ExpressionError at the position of a node.
-func refusalAt(node ast.Node, format string, args ...any) *ExpressionError {
+// errorAt returns an ExpressionError at the position of a node.
+func errorAt(node ast.Node, format string, args ...any) *ExpressionError {
 	return &ExpressionError{Offset: node.Location().From, Reason: fmt.Sprintf(format, args...)}
 }
 
-// refusalOf returns an ExpressionError that concerns the complete expression.
-func refusalOf(format string, args ...any) *ExpressionError {
+// expressionError returns an ExpressionError about the expression as a whole.
+func expressionError(format string, args ...any) *ExpressionError {
 	return &ExpressionError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// libraryRefusal returns the ExpressionError for an error of the expression library.
-func libraryRefusal(err error) *ExpressionError {
+// libraryError converts an error of the expression library.
+func libraryError(err error) *ExpressionError {
 	var positioned *file.Error
 	if errors.As(err, &positioned) {
 		return &ExpressionError{Offset: positioned.From, Reason: positioned.Message}
@@ -111,35 +111,35 @@
 // compile loads an expression: it parses and rewrites it, estimates its worst-case cost, and compiles it.
 func (c *compiler) compile(source string, want resultKind) (*compiledExpr, *ExpressionError) {
 	if len(source) > maxSourceBytes {
-		return nil, refusalOf("%d bytes are over %d", len(source), maxSourceBytes)
+		return nil, expressionError("%d bytes are over %d", len(source), maxSourceBytes)
 	}
 	tree, err := parser.Parse(source)
 	if err != nil {
-		return nil, libraryRefusal(err)
+		return nil, libraryError(err)
 	}
 	slotsBefore := len(c.slots)
 	checked := &rewriter{compiler: c, firstPass: true}
 	ast.Walk(&tree.Node, checked)
-	if checked.refusal != nil {
-		return nil, checked.refusal
+	if checked.err != nil {
+		return nil, checked.err
 	}
 	if len(c.slots) > maxParams {
 		c.slots = c.slots[:slotsBefore]
-		return nil, refusalOf("over %d different parameters are read", maxParams)
+		return nil, expressionError("over %d different parameters are read", maxParams)
 	}
 	costs := estimator{schema: c.schema}
-	worst, refusal := costs.estimate(tree.Node, 0)
-	if refusal != nil {
-		return nil, refusal
+	worst, exprErr := costs.estimate(tree.Node, 0)
+	if exprErr != nil {
+		return nil, exprErr
 	}
 	if worst.cost > MaxCost {
-		return nil, refusalOf("its worst cost is %d, at most %d is allowed", worst.cost, MaxCost)
+		return nil, expressionError("its worst cost is %d, at most %d is allowed", worst.cost, MaxCost)
 	}
 	// The library parses the source anew, so the same rewriting is applied once more.
 	program, err := expr.Compile(source, expr.Env(c.environment), want.option(), expr.DisableAllBuiltins(),
 		expr.Patch(&rewriter{compiler: c}), expr.MaxNodes(nodesPerSourceNode*maxNodes))
 	if err != nil {
-		return nil, libraryRefusal(err)
+		return nil, libraryError(err)
 	}
 	return &compiledExpr{program: program, cost: worst.cost, requirements: requirementsOf(tree.Node)}, nil
 }
--- a/internal/rules/match/estimate.go
+++ b/internal/rules/match/estimate.go
@@ -7,7 +7,7 @@
 )
 
 // The costs of operations, in units, without those of their operands. Where the time depends on the length of texts,
-// so many bytes of their longest form add one unit.
+// the ...BytesPerUnit constants say how many bytes of the longest possible text add one unit.
 const (
 	constantCost   = 1
 	fieldCost      = 1
@@ -28,8 +28,8 @@
 	listBytesPerUnit     = 16
 	concatBytesPerUnit   = 8
 	containsBytesPerUnit = 2
-	// A regular expression is linear in the text and, at the worst, in the pattern: each byte of the text costs one
-	// unit, and another one for so many bytes of the pattern.
+	// A regular expression is linear in the text and, at the worst, in the pattern: each byte of the text costs one unit,
+	// and one more for every patternBytesPerUnit bytes of the pattern.
 	patternBytesPerUnit = 8
 )
 
@@ -39,8 +39,8 @@
 	maxBytes int // longest text that it yields; 0 if it yields none
 }
 
-// estimator estimates the worst case of an expression from the bounds in the schema. It refuses whatever it does not
-// know, so that there are no loops, no calls and no texts without a bound.
+// estimator estimates the worst case of an expression from the bounds in the schema. It rejects every kind of node that it
+// has no estimate for, so that there are no loops, no calls and no texts without a bound.
 type estimator struct {
 	schema []Field
 	nodes  int // so far
@@ -50,7 +50,7 @@
 func (e *estimator) estimate(node ast.Node, depth int) (estimate, *ExpressionError) {
 	e.nodes++
 	if e.nodes > maxNodes || depth > maxNesting {
-		return estimate{}, refusalAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
+		return estimate{}, errorAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
 	}
 	switch operation := node.(type) {
 	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.ConstantNode:
@@ -62,8 +62,8 @@
 	case *ast.MemberNode:
 		return parameterAccess(operation)
 	case *ast.UnaryNode:
-		operand, refusal := e.estimate(operation.Node, depth+1)
-		return estimate{cost: unaryCost + operand.cost}, refusal
+		operand, exprErr := e.estimate(operation.Node, depth+1)
+		return estimate{cost: unaryCost + operand.cost}, exprErr
 	case *ast.ConditionalNode:
 		return e.conditional(operation, depth)
 	case *ast.ArrayNode:
@@ -71,15 +71,15 @@
 	case *ast.BinaryNode:
 		return e.binary(operation, depth)
 	}
-	return estimate{}, refusalAt(node, "this has no place in a rule: no loops, calls, variables or slices")
+	return estimate{}, errorAt(node, "this has no place in a rule: no loops, calls, variables or slices")
 }
 
 // operands estimates the operands of a node and sums up their costs.
-func (e *estimator) operands(depth int, nodes ...ast.Node) (each []estimate, cost int, refusal *ExpressionError) {
+func (e *estimator) operands(depth int, nodes ...ast.Node) (each []estimate, cost int, exprErr *ExpressionError) {
 	for _, node := range nodes {
-		operand, refusal := e.estimate(node, depth+1)
-		if refusal != nil {
-			return nil, 0, refusal
+		operand, exprErr := e.estimate(node, depth+1)
+		if exprErr != nil {
+			return nil, 0, exprErr
 		}
 		each = append(each, operand)
 		cost += operand.cost
@@ -90,12 +90,12 @@
 func (e *estimator) field(identifier *ast.IdentifierNode) (estimate, *ExpressionError) {
 	i := slices.IndexFunc(e.schema, func(f Field) bool { return f.Name == identifier.Value })
 	if i < 0 || identifier.Value == paramName {
-		return estimate{}, refusalAt(identifier, "no field %q that could stand here", identifier.Value)
+		return estimate{}, errorAt(identifier, "no field %q that could stand here", identifier.Value)
 	}
 	return estimate{cost: fieldCost, maxBytes: e.schema[i].MaxBytes}, nil
 }
 
-// parameterAccess estimates the two forms that the rewriter makes of param, and refuses all others.
+// parameterAccess estimates the two forms that the rewriter makes of param, and rejects all others.
 func parameterAccess(member *ast.MemberNode) (estimate, *ExpressionError) {
 	if isIdentifier(member.Node, hasName) {
 		return estimate{cost: hasParamCost}, nil
@@ -103,13 +103,13 @@
 	if values, ok := member.Node.(*ast.MemberNode); ok && isIdentifier(values.Node, slotsName) {
 		return estimate{cost: readParamCost, maxBytes: maxValueBytes}, nil
 	}
-	return estimate{}, refusalAt(member, "only param has parts that can be read")
+	return estimate{}, errorAt(member, "only param has parts that can be read")
 }
 
 func (e *estimator) conditional(node *ast.ConditionalNode, depth int) (estimate, *ExpressionError) {
-	operands, cost, refusal := e.operands(depth, node.Cond, node.Exp1, node.Exp2)
-	if refusal != nil {
-		return estimate{}, refusal
+	operands, cost, exprErr := e.operands(depth, node.Cond, node.Exp1, node.Exp2)
+	if exprErr != nil {
+		return estimate{}, exprErr
 	}
 	return estimate{cost: branchCost + cost, maxBytes: max(operands[1].maxBytes, operands[2].maxBytes)}, nil
 }
@@ -120,12 +120,12 @@
 		switch element.(type) {
 		case *ast.StringNode, *ast.IntegerNode:
 		default:
-			return estimate{}, refusalAt(element, "a list holds constants alone")
+			return estimate{}, errorAt(element, "a list holds constants alone")
 		}
 	}
-	elements, _, refusal := e.operands(depth, array.Nodes...)
-	if refusal != nil {
-		return estimate{}, refusal
+	elements, _, exprErr := e.operands(depth, array.Nodes...)
+	if exprErr != nil {
+		return estimate{}, exprErr
 	}
 	longest := 0
 	for _, element := range elements {
@@ -135,9 +135,9 @@
 }
 
 func (e *estimator) binary(node *ast.BinaryNode, depth int) (estimate, *ExpressionError) {
-	operands, cost, refusal := e.operands(depth, node.Left, node.Right)
-	if refusal != nil {
-		return estimate{}, refusal
+	operands, cost, exprErr := e.operands(depth, node.Left, node.Right)
+	if exprErr != nil {
+		return estimate{}, exprErr
 	}
 	left := operands[0].maxBytes
 	right := operands[1].maxBytes
@@ -153,21 +153,21 @@
 	case "matches":
 		pattern, ok := node.Right.(*ast.StringNode)
 		if !ok {
-			return estimate{}, refusalAt(node, "a regular expression must be a constant")
+			return estimate{}, errorAt(node, "a regular expression must be a constant")
 		}
 		return estimate{cost: regexpCost + cost + left*(1+len(pattern.Value)/patternBytesPerUnit)}, nil
 	case "in", "not in":
 		if _, ok := node.Right.(*ast.ArrayNode); !ok {
-			return estimate{}, refusalAt(node, "%s takes a list of constants, or param", node.Operator)
+			return estimate{}, errorAt(node, "%s takes a list of constants, or param", node.Operator)
 		}
 		return estimate{cost: listCost + cost + left/listBytesPerUnit}, nil
 	case "+":
 		if left+right > maxTextBytes {
-			return estimate{}, refusalAt(node, "a text of up to %d bytes is over %d", left+right, maxTextBytes)
+			return estimate{}, errorAt(node, "a text of up to %d bytes is over %d", left+right, maxTextBytes)
 		}
 		return estimate{cost: concatCost + cost + (left+right)/concatBytesPerUnit, maxBytes: left + right}, nil
 	case "-", "*", "/", "%":
 		return estimate{cost: arithmeticCost + cost}, nil
 	}
-	return estimate{}, refusalAt(node, "no operator %q here", node.Operator)
+	return estimate{}, errorAt(node, "no operator %q here", node.Operator)
 }
--- a/internal/rules/match/evaluate.go
+++ b/internal/rules/match/evaluate.go
@@ -14,7 +14,7 @@
 // errCostLimit is the failure of a rule that would take a request over the table's limit.
 var errCostLimit = errors.New("the limit of a request's cost is reached")
 
-// evaluate runs an expression. The library reports failures as errors; a panic, which would be a fault of its own,
+// evaluate runs an expression. The library reports failures as errors; a panic, which would be a bug in the library,
 // becomes one too, since it must not end the scheduler.
 func (x *compiledExpr) evaluate(machine *vm.VM, env any) (value any, err error) {
 	defer func() {
@@ -26,7 +26,7 @@
 	return machine.Run(x.program, env)
 }
 
-// evaluation is the state of one request's way through the table.
+// evaluation is the state of the evaluation of a table for one request.
 type evaluation struct {
 	table   *Table
 	request *Request
--- a/internal/rules/match/helpers_test.go
+++ b/internal/rules/match/helpers_test.go
@@ -21,12 +21,12 @@
 	return Rule{Position: Position{"f", 1, 1}, Name: "r", When: expression(when)}
 }
 
-// load loads rules that must have no faults but warnings.
+// load loads rules that must have no errors but warnings.
 func load(t testing.TB, rules ...Rule) *Table {
 	t.Helper()
-	table, faults := Load(rules, classes)
+	table, errs := Load(rules, classes)
 	if table == nil {
-		t.Fatal(faults)
+		t.Fatal(errs)
 	}
 	return table
 }
--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -8,8 +8,8 @@
 // How mostSelective ranks requirements.
 const (
 	minSelectivePrefixBytes = 4    // shorter prefixes hold for many requests
-	prefixRank              = 4    // of a prefix, where that of a value is 1
-	shortPrefixRank         = 1000 // is added for a short one
+	prefixRank              = 4    // of each prefix; each value ranks 1
+	shortPrefixRank         = 1000 // added for each prefix below minSelectivePrefixBytes
 )
 
 // ruleIndex finds the few rules that can match a request, by one requirement of each rule.
--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// loader compiles rules and collects their faults.
+// loader compiles rules and collects their errors.
 type loader struct {
 	compiler compiler
 	classes  []Class // nil if unknown
 	byName   map[string]Class
-	faults   []RuleError
+	errs     []RuleError
 }
 
 // Load loads rules for the classes of a site. Where the classes are not known (nil), no class name is checked. All
-// faults are reported at once; if one of them is no warning, there is no Table.
+// errors are reported at once; unless they are all warnings, there is no Table.
 func Load(rules []Rule, classes []Class) (*Table, []RuleError) {
 	ruleLoader := &loader{
 		compiler: compiler{schema: Schema, environment: &environment{}},
@@ -25,22 +25,22 @@
 		ruleLoader.byName[class.Name] = class
 	}
 	if len(rules) > MaxRules {
-		ruleLoader.fault(rules[MaxRules].Position, "match", "%d rules are over %d", len(rules), MaxRules)
-		return nil, ruleLoader.faults
+		ruleLoader.addError(rules[MaxRules].Position, "match", "%d rules are over %d", len(rules), MaxRules)
+		return nil, ruleLoader.errs
 	}
 	table := &Table{classes: ruleLoader.byName}
 	for _, source := range rules {
 		table.rules = append(table.rules, ruleLoader.loadRule(source))
 	}
-	if len(ruleLoader.faults) > 0 {
-		return nil, ruleLoader.faults
+	if len(ruleLoader.errs) > 0 {
+		return nil, ruleLoader.errs
 	}
 	table.index = newRuleIndex(table.rules)
 	worst := table.index.worstCost(table.rules)
 	if worst > MaxPath {
 		last := rules[len(rules)-1]
-		ruleLoader.fault(last.Position, "match", "the rules that one request can meet cost up to %d, at most %d is allowed", worst, MaxPath)
-		return nil, ruleLoader.faults
+		ruleLoader.addError(last.Position, "match", "the rules that one request can meet cost up to %d, at most %d is allowed", worst, MaxPath)
+		return nil, ruleLoader.errs
 	}
 	table.costLimit = worst
 	table.machine.MemoryBudget = evaluationMemoryBudget
@@ -50,8 +50,8 @@
 	return table, warnings(table.rules)
 }
 
-func (l *loader) fault(at Position, directive, format string, args ...any) {
-	l.faults = append(l.faults, RuleError{Position: at, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+func (l *loader) addError(at Position, directive, format string, args ...any) {
+	l.errs = append(l.errs, RuleError{Position: at, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (l *loader) loadRule(source Rule) *compiledRule {
@@ -76,16 +76,16 @@
 }
 
 // loadExpression compiles an expression and adds its cost to the rule's. It returns nil for one that was left out or
-// is refused.
+// is rejected.
 func (l *loader) loadExpression(r *compiledRule, directive string, expression Expression, want resultKind) *compiledExpr {
 	if expression.Source == "" {
 		return nil
 	}
-	compiled, refusal := l.compiler.compile(expression.Source, want)
-	if refusal != nil {
+	compiled, exprErr := l.compiler.compile(expression.Source, want)
+	if exprErr != nil {
 		at := expression.Position
-		at.Column += refusal.Offset
-		l.fault(at, directive, "%s", refusal.Reason)
+		at.Column += exprErr.Offset
+		l.addError(at, directive, "%s", exprErr.Reason)
 		return nil
 	}
 	r.maxCost += compiled.cost
@@ -100,7 +100,7 @@
 		return
 	}
 	if _, ok := l.byName[class.Source]; !ok && l.classes != nil {
-		l.fault(class.Position, "class", "no class %q is among the site's%s", class.Source, classList(l.classes))
+		l.addError(class.Position, "class", "no class %q is among the site's%s", class.Source, classList(l.classes))
 	}
 	r.constantClass = class.Source
 }
@@ -110,7 +110,7 @@
 	for _, split := range splits {
 		total += split.PerMille
 		if total > totalShares {
-			l.fault(split.Position, "split", "the parts add up to %d of 1,000", total)
+			l.addError(split.Position, "split", "the parts add up to %d of 1,000", total)
 		}
 	}
 }
--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -60,35 +60,35 @@
 // with its position.
 func TestInvalidRulesAreRejected(t *testing.T) {
 	for when, want := range rejectedConditions {
-		table, faults := Load([]Rule{ruleWhen(when)}, classes)
+		table, errs := Load([]Rule{ruleWhen(when)}, classes)
 		if want == accepted {
 			if table == nil {
-				t.Errorf("%q is rejected: %v", when, faults)
+				t.Errorf("%q is rejected: %v", when, errs)
 			}
 			continue
 		}
 		if when == deepCondition && table != nil {
 			continue // brackets leave nothing behind once they are read
 		}
-		if table != nil || len(faults) != 1 || !strings.Contains(faults[0].Reason, want) || faults[0].Column < 1 {
-			t.Errorf("%.60q: %v, want one with %q", when, faults, want)
+		if table != nil || len(errs) != 1 || !strings.Contains(errs[0].Reason, want) || errs[0].Column < 1 {
+			t.Errorf("%.60q: %v, want one with %q", when, errs, want)
 		}
 	}
 	r := ruleWhen(`handler == "a" && nope == 1`)
 	r.Class, r.Key = Expression{Position{"f", 2, 9}, "certificada"}, Expression{Position{"f", 3, 9}, `lanes`}
 	r.Labels = []Label{{"centre", Expression{Position{"f", 4, 16}, `param["A"] + 1`}}}
-	_, faults := Load([]Rule{r, ruleWhen("true")}, classes)
+	_, errs := Load([]Rule{r, ruleWhen("true")}, classes)
 	var got []string
-	for _, f := range faults {
+	for _, f := range errs {
 		got = append(got, fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Directive))
 	}
 	if d := cmp.Diff([]string{"1:19 when", "2:9 class", "3:9 key", "4:27 label"}, got); d != "" {
-		t.Errorf("%s\n%v", d, faults)
+		t.Errorf("%s\n%v", d, errs)
 	}
 }
 
 func TestWarnings(t *testing.T) {
-	_, faults := Load([]Rule{
+	_, errs := Load([]Rule{
 		{Name: "a", When: expression(`class == "x" && class == "y"`)},
 		{Name: "b", When: expression(`lanes == 1`), Stop: true},
 		{Name: "c", When: expression(`lanes == 1`)},
@@ -96,7 +96,7 @@
 		{Name: "e", When: expression(`lanes == 2`)},
 	}, classes)
 	var got []string
-	for _, f := range faults {
+	for _, f := range errs {
 		if !f.Warning {
 			t.Errorf("an error instead of a warning: %v", f)
 		}
@@ -118,13 +118,13 @@
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		began := time.Now()
-		table, faults := Load([]Rule{ruleWhen(s)}, classes)
+		table, errs := Load([]Rule{ruleWhen(s)}, classes)
 		if d := time.Since(began); d > 5*time.Second { // 50 ms is the aim; a busy machine must not fail this
 			t.Errorf("loading took %v", d)
 		}
 		if table == nil {
-			if len(faults) == 0 || faults[0].Column < 1 {
-				t.Errorf("rejected without a position: %v", faults)
+			if len(errs) == 0 || errs[0].Column < 1 {
+				t.Errorf("rejected without a position: %v", errs)
 			}
 			return
 		}
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -93,9 +93,9 @@
 			}
 			rules = append(rules, r)
 		}
-		table, faults := Load(rules, classes)
+		table, errs := Load(rules, classes)
 		if table == nil {
-			rt.Fatal(faults)
+			rt.Fatal(errs)
 		}
 		q := newRequest(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(rt, "param")})
 		q.Class = rapid.SampledFrom(append(names, "")).Draw(rt, "asked")
@@ -126,10 +126,10 @@
 			}
 			rules = append(rules, r)
 		}
-		indexed, faults := Load(rules, classes)
+		indexed, errs := Load(rules, classes)
 		unindexed, _ := Load(rules, classes)
 		if indexed == nil {
-			rt.Skip(faults)
+			rt.Skip(errs)
 		}
 		unindexed.unindexed = true
 		texts := []string{"", "a", "ab", "abc", "abcd", "b", "bcd", "c"}
@@ -200,7 +200,7 @@
 			t.Errorf("%d of 10000 keys went to %s, want about %d", got, route, want)
 		}
 	}
-	if _, faults := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(faults) != 1 {
-		t.Errorf("splits of more than all requests: %v", faults)
+	if _, errs := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(errs) != 1 {
+		t.Errorf("splits of more than all requests: %v", errs)
 	}
 }
--- a/internal/rules/match/predicate.go
+++ b/internal/rules/match/predicate.go
@@ -9,9 +9,9 @@
 // each with its name in an expr tag.
 func NewPredicate(schema []Field, env any, source string) (*Predicate, *ExpressionError) {
 	c := &compiler{schema: schema, environment: env}
-	condition, refusal := c.compile(source, boolResult)
-	if refusal != nil {
-		return nil, refusal
+	condition, exprErr := c.compile(source, boolResult)
+	if exprErr != nil {
+		return nil, exprErr
 	}
 	return &Predicate{condition: condition}, nil
 }
--- a/internal/rules/match/rewrite.go
+++ b/internal/rules/match/rewrite.go
@@ -20,16 +20,16 @@
 var textOperators = []string{"startsWith", "endsWith", "contains", "matches"}
 
 // rewriter turns an expression as operators write it into one that is evaluated: method calls into operators, reads
-// of param into reads of slots, durations into constants. It refuses unknown names and functions.
+// of param into reads of slots, durations into constants. It rejects unknown names and functions.
 type rewriter struct {
 	compiler  *compiler
 	firstPass bool             // the tree is as written, so that names which the rewriter itself puts there are unknown
-	refusal   *ExpressionError // the first one
+	err       *ExpressionError // the first one
 }
 
-func (r *rewriter) refuse(node ast.Node, format string, args ...any) {
-	if r.refusal == nil {
-		r.refusal = refusalAt(node, format, args...)
+func (r *rewriter) reject(node ast.Node, format string, args ...any) {
+	if r.err == nil {
+		r.err = errorAt(node, format, args...)
 	}
 }
 
@@ -38,7 +38,7 @@
 	switch visited := (*node).(type) {
 	case *ast.IdentifierNode:
 		if r.firstPass && !r.compiler.hasField(visited.Value) && visited.Value != durationName {
-			r.refuse(visited, "unknown field %s", visited.Value)
+			r.reject(visited, "unknown field %s", visited.Value)
 		}
 	case *ast.BuiltinNode:
 		r.rewriteCall(node, visited.Name, visited.Arguments)
@@ -63,7 +63,7 @@
 	}
 	name, ok := parameterName(member.Property)
 	if !ok {
-		r.refuse(member, "param takes the name of a parameter, as in param[\"HTTP_X_CENTRE\"]")
+		r.reject(member, "param takes the name of a parameter, as in param[\"HTTP_X_CENTRE\"]")
 		return
 	}
 	values := elementOf(&ast.IdentifierNode{Value: slotsName}, r.compiler.slot(name))
@@ -79,7 +79,7 @@
 		}
 		name, ok := parameterName(binary.Left)
 		if !ok {
-			r.refuse(binary, "what is looked for in param must be a constant name")
+			r.reject(binary, "what is looked for in param must be a constant name")
 			return
 		}
 		var has ast.Node = elementOf(&ast.IdentifierNode{Value: hasName}, r.compiler.slot(name))
@@ -90,10 +90,10 @@
 	case "matches":
 		pattern, ok := binary.Right.(*ast.StringNode)
 		if !ok {
-			return // the estimator refuses it
+			return // the estimator rejects it
 		}
 		if err := checkRegexp(pattern.Value); err != nil {
-			r.refuse(pattern, "%v", err)
+			r.reject(pattern, "%v", err)
 		}
 	}
 }
@@ -102,26 +102,26 @@
 func (r *rewriter) rewriteMethod(node *ast.Node, call *ast.CallNode, callee *ast.MemberNode) {
 	name, ok := callee.Property.(*ast.StringNode)
 	if !ok || !slices.Contains(textOperators, name.Value) || len(call.Arguments) != 1 {
-		r.refuse(call, "no such function: there are %s, and duration(...)", strings.Join(textOperators, ", "))
+		r.reject(call, "no such function: there are %s, and duration(...)", strings.Join(textOperators, ", "))
 		return
 	}
 	ast.Patch(node, &ast.BinaryNode{Operator: name.Value, Left: callee.Node, Right: call.Arguments[0]})
 	r.Visit(node)
 }
 
-// rewriteCall turns duration("500ms") into a constant and refuses any other function.
+// rewriteCall turns duration("500ms") into a constant and rejects any other function.
 func (r *rewriter) rewriteCall(node *ast.Node, name string, args []ast.Node) {
 	var text *ast.StringNode
 	if len(args) == 1 {
 		text, _ = args[0].(*ast.StringNode)
 	}
 	if name != durationName || text == nil {
-		r.refuse(*node, "no such function: the only one is duration, of a constant as in duration(\"500ms\")")
+		r.reject(*node, "no such function: the only one is duration, of a constant as in duration(\"500ms\")")
 		return
 	}
 	value, err := time.ParseDuration(text.Value)
 	if err != nil {
-		r.refuse(text, "%q is no duration", text.Value)
+		r.reject(text, "%q is no duration", text.Value)
 		return
 	}
 	ast.Patch(node, &ast.ConstantNode{Value: value})
--- a/internal/rules/match/rule.go
+++ b/internal/rules/match/rule.go
@@ -19,7 +19,7 @@
 	Source string
 }
 
-// Rule is a rule as the operator wrote it. A Text with an empty Source was left out.
+// Rule is a rule as the operator wrote it. An Expression with an empty Source was left out.
 type Rule struct {
 	Position
 	Name   string
@@ -60,8 +60,8 @@
 }
 
 // Error returns the position, the directive and the reason on one line.
-func (f RuleError) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Directive, f.Reason)
+func (e RuleError) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Reason)
 }
 
 // Result is the outcome of all rules for a request. A string is empty where no rule gives one.
--- a/internal/rules/pools/load.go
+++ b/internal/rules/pools/load.go
@@ -10,20 +10,20 @@
 
 const maxPools = 256
 
-// The directives that faults name.
+// The directives that errors name.
 const (
 	poolDirective    = "pool"
 	workersDirective = "workers"
 )
 
-// loader builds a Core and collects the faults of the definitions.
+// loader builds a Core and collects the errors of the definitions.
 type loader struct {
 	core       *Core
 	poolByName map[string]*pool
-	faults     []match.RuleError
+	errs       []match.RuleError
 }
 
-// Load compiles the definitions of pools and routes. It returns either a Core or all faults of the definitions.
+// Load compiles the definitions of pools and routes. It returns either a Core or all errors of the definitions.
 func Load(pools []Pool, routes []Route) (*Core, []match.RuleError) {
 	loading := loader{
 		core: &Core{
@@ -34,8 +34,8 @@
 		poolByName: map[string]*pool{},
 	}
 	if len(pools) > maxPools {
-		loading.addFault(pools[maxPools].Position, poolDirective, "%d pools are over %d", len(pools), maxPools)
-		return nil, loading.faults
+		loading.addError(pools[maxPools].Position, poolDirective, "%d pools are over %d", len(pools), maxPools)
+		return nil, loading.errs
 	}
 	for _, definition := range pools {
 		loading.addPool(definition)
@@ -43,22 +43,22 @@
 	for _, definition := range routes {
 		loading.addRoute(definition)
 	}
-	if len(loading.faults) > 0 {
-		return nil, loading.faults
+	if len(loading.errs) > 0 {
+		return nil, loading.errs
 	}
 	return loading.core, nil
 }
 
-func (l *loader) addFault(place match.Position, directive, format string, args ...any) {
-	l.faults = append(l.faults, match.RuleError{Position: place, Directive: directive, Reason: fmt.Sprintf(format, args...)})
+func (l *loader) addError(position match.Position, directive, format string, args ...any) {
+	l.errs = append(l.errs, match.RuleError{Position: position, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (l *loader) addPool(definition Pool) {
-	condition, refusal := match.NewPredicate(Schema, &Attributes{}, definition.Workers.Source)
-	if refusal != nil {
-		place := definition.Workers.Position
-		place.Column += refusal.Offset
-		l.addFault(place, workersDirective, "%s", refusal.Reason)
+	condition, exprErr := match.NewPredicate(Schema, &Attributes{}, definition.Workers.Source)
+	if exprErr != nil {
+		position := definition.Workers.Position
+		position.Column += exprErr.Offset
+		l.addError(position, workersDirective, "%s", exprErr.Reason)
 	}
 	p := &pool{condition: condition, members: map[string]bool{}}
 	l.poolByName[definition.Name] = p
@@ -70,9 +70,9 @@
 	for _, name := range definition.Pools {
 		p := l.poolByName[name.Source]
 		if p == nil {
-			l.addFault(name.Position, poolDirective, "no pool %q is defined", name.Source)
+			l.addError(name.Position, poolDirective, "no pool %q is defined", name.Source)
 		} else if i := slices.Index(r.pools, p); i >= 0 {
-			l.addFault(name.Position, poolDirective, "%q is pool %d of route %s already", name.Source, i+1, definition.Name)
+			l.addError(name.Position, poolDirective, "%q is pool %d of route %s already", name.Source, i+1, definition.Name)
 		}
 		r.pools = append(r.pools, p)
 	}
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -19,7 +19,7 @@
 }
 
 func load(tb interface{ Fatal(...any) }) *Core {
-	core, faults := Load([]Pool{
+	core, errs := Load([]Pool{
 		{Name: "fast", Workers: text(`model == "std" && zone in ["a", "b"]`)},
 		{Name: "slow", Workers: text(`id.startsWith("s")`)},
 		{Name: "rest", Workers: text(`group != 7`)},
@@ -28,7 +28,7 @@
 		{Name: "any", Pools: []match.Expression{text("rest")}},
 	})
 	if core == nil {
-		tb.Fatal(faults)
+		tb.Fatal(errs)
 	}
 	return core
 }
@@ -89,14 +89,14 @@
 
 // Every error of the definitions is reported, with the directive that it is in.
 func TestLoadReportsAllErrors(t *testing.T) {
-	_, faults := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
+	_, errs := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
 		[]Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
 	var got []string
-	for _, f := range faults {
+	for _, f := range errs {
 		got = append(got, f.Directive)
 	}
 	if want := []string{"workers", "workers", "pool", "pool"}; !slices.Equal(got, want) {
-		t.Errorf("faults %v", faults)
+		t.Errorf("errors %v", errs)
 	}
 }
 
