--- a/internal/nodeagent/answer.go
+++ b/internal/nodeagent/answer.go
@@ -48,12 +48,12 @@
 	return fmt.Errorf("%w: %s", errMalformedAnswer, fmt.Sprintf(format, args...))
 }
 
-// parseAnswer parses the answer at the start of a buffer and tells how many bytes it takes, 0 if it is not complete.
+// parseAnswer parses the answer at the start of a buffer and returns its size in bytes, 0 if it is not complete.
 // The body is part of the buffer and at most maxBody bytes long. After an error the connection is of no use.
 //
-// It guards against agents that write without end, or garbage: lines and bodies are bounded and every word must be as
-// the protocol has it. Garbage that runs into the next line must not pass for an unknown id, or the answer on that
-// line would be lost.
+// It guards against agents that write without end, or garbage: lines and bodies are bounded and every word must be
+// valid. Garbage that runs into the next line must not be taken for an unknown id, or the answer on that line would be
+// lost.
 func parseAnswer(buffer []byte, maxBody int) (ans answer, size int, err error) {
 	lineEnd := bytes.Index(buffer[:min(len(buffer), maxAnswerLineBytes)], crlf)
 	if lineEnd < 0 {
@@ -142,15 +142,17 @@
 	return nil
 }
 
-// parseLoadReport parses a load report, as in inflight:7;util:0.61. Unknown names are skipped; figures that are
-// missing are -1.
+// unknownFigure is the value of a figure that a load report lacks.
+const unknownFigure = -1
+
+// parseLoadReport parses a load report, as in inflight:7;util:0.61. Unknown names are skipped.
 func parseLoadReport(list string) (*routing.LoadReport, error) {
 	report := &routing.LoadReport{
-		InFlight:           -1,
-		QueueLength:        -1,
-		Utilization:        -1,
-		MemoryHeldFraction: -1,
-		LoadsInProgress:    -1,
+		InFlight:           unknownFigure,
+		QueueLength:        unknownFigure,
+		Utilization:        unknownFigure,
+		MemoryHeldFraction: unknownFigure,
+		LoadsInProgress:    unknownFigure,
 	}
 	figures := map[string]*float64{
 		"inflight": &report.InFlight,
--- a/internal/nodeagent/call.go
+++ b/internal/nodeagent/call.go
@@ -32,7 +32,7 @@
 	p.assign(check)
 }
 
-// Cancel abandons an attempt, whose end is then not reported. It tells whether any of the attempt was written.
+// Cancel abandons an attempt, whose end is then not reported. It returns whether any of the attempt was written.
 func (p *Pool) Cancel(ref slotmap.Ref) (written bool) {
 	canceled := p.attempts[ref]
 	if canceled == nil {
@@ -63,7 +63,7 @@
 	p.sink.AttemptEnded(ended.Ref, result)
 }
 
-// detach removes a call from its connection or from its worker's queue. It tells whether any of it was written.
+// detach removes a call from its connection or from its worker's queue. It returns whether any of it was written.
 func (p *Pool) detach(canceled *call) (written bool) {
 	if canceled.conn != nil {
 		canceled.conn.abandon(canceled)
--- a/internal/nodeagent/connection.go
+++ b/internal/nodeagent/connection.go
@@ -57,7 +57,7 @@
 	partialAnswerTimer deadline.Timer // for the rest of that answer
 }
 
-// Opened takes over a connection that is established.
+// Opened adds the established connection to those of its worker, or closes it if the worker is gone by now.
 func (c *conn) Opened(socket gnet.Conn) {
 	pool, target := c.pool, c.target
 	target.dialsInProgress--
@@ -106,7 +106,7 @@
 	pool.startQueuedDials()
 }
 
-// drain has a connection get no new calls. closeIfDrained closes it after the last one in flight.
+// drain stops new calls on the connection. closeIfDrained closes it after the last one in flight.
 func (c *conn) drain(reason drainReason) {
 	if c.draining {
 		return
@@ -168,7 +168,7 @@
 }
 
 // recordIdleReuse records whether a connection survived its first use after being idle. If that changes how long
-// connections may be idle, all are checked at once.
+// connections may be idle, it checks all of them at once.
 func (p *Pool) recordIdleReuse(used *conn, reset bool) {
 	used.idleReuseUnresolved = false
 	now := p.loop.Now()
--- a/internal/nodeagent/connection_pool.go
+++ b/internal/nodeagent/connection_pool.go
@@ -24,7 +24,7 @@
 	descriptorsPerDial = 2
 )
 
-// assign writes a call to a connection, or queues it and dials. It fails a call that neither is possible for.
+// assign writes a call to a connection, or queues it and dials. If neither is possible, it ends the call as failed.
 func (p *Pool) assign(outgoing *call) {
 	target := outgoing.target
 	if target == nil || target.state != routing.Ready {
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The commands as a node agent receives them, byte for byte, with a clock that stands still. They were written down
-// before the code's names were changed, and are not changed to get a pass.
+// The commands as a node agent receives them, byte for byte, with a clock that stands still. They are the wire
+// format, and are not changed to get a pass.
 func TestGoldenCommands(t *testing.T) {
 	keyed := attempt(2, "a")
 	keyed.IdempotencyKey, keyed.Timeout, keyed.Body = "k-1", 2500*time.Millisecond+999*time.Microsecond, []byte("two\r\nlines")
@@ -27,11 +27,11 @@
 			"go 0000000000000002 sort=consulta,asset=f,patience=2500,op=k-1 10\r\ntwo\r\nlines\r\n",
 		},
 		{
-			"attempt with hardly any time", func(p *Pool) { p.Send(short) }, nil,
+			"attempt with less than a millisecond", func(p *Pool) { p.Send(short) }, nil,
 			"go 0000000000000003 sort=consulta,asset=f,patience=1 0\r\n\r\n",
 		},
 		{
-			"attempt that is given up", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Cancel(1) },
+			"attempt that is canceled", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Cancel(1) },
 			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\nhalt 0000000000000001\r\n",
 		},
 		{"probe", func(p *Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
--- a/internal/nodeagent/idle_reset.go
+++ b/internal/nodeagent/idle_reset.go
@@ -26,8 +26,9 @@
 	minResetsToHold      = 1.0
 )
 
-// idleResetDetector learns how long connections may be idle until something on the way (a firewall, a proxy) forgets
-// them, long before the time of the settings: a command that meets such a reset may have run, and nobody can tell.
+// idleResetDetector learns how long connections may be idle until something on the path (a firewall, a proxy) drops them,
+// which may be long before Options.IdleCloseAfter. It matters because a command that meets such a reset may or may not have
+// run.
 type idleResetDetector struct {
 	reuses      [idleBuckets]float64 // first uses after being idle, decayed, by idle time
 	resets      [idleBuckets]float64 // how many of them met a reset
--- a/internal/nodeagent/pipeline.go
+++ b/internal/nodeagent/pipeline.go
@@ -190,7 +190,7 @@
 	c.pool.loop.SetDeadline(&c.partialAnswerTimer, c.lastReadAt+partialAnswerTimeout)
 }
 
-// answerComplete stops that timer.
+// answerComplete stops the timer of awaitRestOfAnswer.
 func (c *conn) answerComplete() {
 	if !c.partialAnswer {
 		return
--- a/internal/nodeagent/pool_test.go
+++ b/internal/nodeagent/pool_test.go
@@ -9,7 +9,7 @@
 	"calicohill/routing"
 )
 
-// A request that is written to a connection with unsent data would be sent when it can't be taken back any more: its
+// An attempt that is written to a connection with unsent data would be sent when it can't be taken back any more: its
 // client may have left by then, or its worker begun to drain. It goes to another connection.
 func TestNothingWaitsBehindABlockedConnection(t *testing.T) {
 	pool, loop, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
@@ -25,7 +25,7 @@
 	pool.Cancel(2)
 	pool.Send(attempt(3, "a"))
 	if first.buffered.Len() == 0 || strings.Contains(first.buffered.String(), "go "+attempt(3, "a").ID) {
-		t.Errorf("%q waits to be sent, after %q, want no further request", first.buffered.String(), unsent)
+		t.Errorf("%q waits to be sent, after %q, want no further attempt", first.buffered.String(), unsent)
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// A dial that fails ends only the requests that no other connection can carry by then.
+// A dial that fails ends only the attempts that no other connection can carry by then.
 func TestDialFailsBesideAConnection(t *testing.T) {
 	pool, loop, sink := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	pool.Send(attempt(1, "a"))
@@ -87,12 +87,12 @@
 	first.buffered.WriteString("x") // nothing more can be sent for a while
 	pool.Send(attempt(2, "a"))
 	if len(loop.dials) != 1 {
-		t.Fatalf("%d dials, want one for the request that can't be written", len(loop.dials))
+		t.Fatalf("%d dials, want one for the attempt that can't be written", len(loop.dials))
 	}
 	first.blocked = false
 	first.buffered.Reset()
 	loop.dials[0].onFailure(errors.New("late"))
 	if !strings.Contains(first.sent.String(), "go "+attempt(2, "a").ID) || len(sink) != 0 {
-		t.Errorf("sent %q, outcomes %v, want the request on the other connection", first.sent.String(), sink)
+		t.Errorf("sent %q, outcomes %v, want the attempt on the other connection", first.sent.String(), sink)
 	}
 }
