--- a/internal/fleet/faultreport/core.go
+++ b/internal/fleet/faultreport/core.go
@@ -5,8 +5,8 @@
 // no clock: Step is given the events and the current time.
 //
 // The following holds whatever is received, as long as no more than the configured number of members are byzantine:
-// no worker has the verdict Confirmed unless an honest member finds it unhealthy; never more than Config.MaxEjectedFraction of
-// the listed workers are Confirmed; and no report counts for longer than Config.ReportTTL unless it is repeated.
+// no worker has the verdict Confirmed unless an honest member finds it unhealthy; never more than Config.MaxEjectedFraction
+// of the listed workers are Confirmed; and no report counts for longer than Config.ReportTTL unless it is repeated.
 package faultreport
 
 import (
@@ -19,7 +19,7 @@
 // reporters and findings still expire.
 const idleStepInterval = time.Second
 
-// reasonEquivocation is why a member is muted that signed two statements under one number.
+// reasonEquivocation is why a member is muted that signed two statements with one sequence number.
 const reasonEquivocation = "it tells different stories"
 
 // Core is one scheduler's view of the fault reports in the fleet. It is not safe for concurrent use.
--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -53,15 +53,15 @@
 
 // The error texts of malformed bodies.
 func TestGoldenErrors(t *testing.T) {
-	whole := golden.Read(t, "all.cbor")
+	complete := golden.Read(t, "all.cbor")
 	wrongFault := bytes.Clone(golden.Read(t, "silent.cbor"))
-	place := bytes.Index(wrongFault, []byte("w-1")) + len("w-1")
-	wrongFault[place] = byte(routing.Unreachable) + 1
+	faultOffset := bytes.Index(wrongFault, []byte("w-1")) + len("w-1")
+	wrongFault[faultOffset] = byte(routing.Unreachable) + 1
 	for _, tt := range []struct {
 		body []byte
 		want string
 	}{
-		{whole[:len(whole)-1], "faultreport: malformed statement: unexpected EOF"},
+		{complete[:len(complete)-1], "faultreport: malformed statement: unexpected EOF"},
 		{wrongFault, "faultreport: malformed statement"},
 		{make([]byte, maxStatementBytes+1), "faultreport: malformed statement"},
 	} {
--- a/internal/fleet/faultreport/messages.go
+++ b/internal/fleet/faultreport/messages.go
@@ -17,7 +17,7 @@
 // StatementReceived, EquivocationDetected and Configure.
 type Event interface{ event() }
 
-// FaultObserved brings this scheduler's own finding on a worker; the fault Healthy stands for a response. At is when
+// FaultObserved carries this scheduler's own finding on a worker; the fault Healthy stands for a response. At is when
 // the request that shows it was sent.
 type FaultObserved struct {
 	Worker string
@@ -25,20 +25,19 @@
 	At     time.Duration
 }
 
-// EndpointsChanged brings the workers of the current endpoint list, in place of those before.
+// EndpointsChanged carries the workers of the current endpoint list, in place of those before.
 type EndpointsChanged struct{ Workers []string }
 
-// MembersChanged brings the names of the live members, without this one, in place of those before.
+// MembersChanged carries the names of the live members, without this one, in place of those before.
 type MembersChanged struct{ Names []string }
 
-// StatementReceived brings a statement of a member, which was verified to be its own. Body is what Encode returned there.
+// StatementReceived carries a statement of another member, whose signature was verified. Body is what Encode returned there.
 type StatementReceived struct {
 	From string
 	Body []byte
 }
 
-// EquivocationDetected reports that a member was caught at equivocation: it signed two different statements under one
-// number.
+// EquivocationDetected reports that a member equivocated: it signed two different statements with one sequence number.
 type EquivocationDetected struct{ From string }
 
 // Configure replaces the settings.
--- a/internal/fleet/faultreport/quorum.go
+++ b/internal/fleet/faultreport/quorum.go
@@ -15,8 +15,8 @@
 	verdictRefreshInterval = 500 * time.Millisecond // how often unchanged verdicts are published again
 )
 
-// Quorum is the quorum: how many reporters it takes to have a worker ejected. It is one more than may be byzantine, and
-// minQuorum at least.
+// Quorum returns how many reporters it takes to have a worker ejected: one more than may be byzantine, and at least
+// minQuorum.
 func (c *Core) Quorum() int {
 	byzantine := c.config.MaxByzantine
 	if byzantine < 0 {
@@ -71,8 +71,8 @@
 	c.cleared = nil
 }
 
-// confirmedWorkers returns the workers with a quorum, at most Config.MaxEjectedFraction of the list. Where not all fit, those
-// that are Confirmed already come first, so that the choice is stable, then those with the most reporters.
+// confirmedWorkers returns the workers with a quorum, at most Config.MaxEjectedFraction of the list. Where not all fit,
+// those that are Confirmed already come first, so that the choice is stable, then those with the most reporters.
 func (c *Core) confirmedWorkers(reporters map[string]int) []string {
 	quorum := c.Quorum()
 	limit := int(c.config.MaxEjectedFraction * float64(len(c.endpoints)))
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -41,7 +41,7 @@
 	mutedUntil         time.Duration
 	discreditAnnounced bool
 	reports            map[string]peerReport    // by worker
-	clearedAt          map[string]time.Duration // when it last withdrew a report so that it counted, by worker
+	clearedAt          map[string]time.Duration // when its withdrawal of a report last counted, by worker
 }
 
 // peerReport is a received report, with times by this scheduler's clock.
--- a/internal/fleet/gossip/awareness.go
+++ b/internal/fleet/gossip/awareness.go
@@ -16,12 +16,12 @@
 	c.healthScore = min(c.healthScore+penalty, maxHealthScore)
 }
 
-// lowerHealthScore records evidence that this member is well.
+// lowerHealthScore records evidence that this member is healthy.
 func (c *Core) lowerHealthScore() {
 	c.healthScore = max(c.healthScore-1, 0)
 }
 
-// scaleByHealth scales a duration by the local health: a member that is in trouble itself waits longer for others.
+// scaleByHealth scales a duration by the local health: a member that may be slow or cut off itself waits longer for others.
 func (c *Core) scaleByHealth(d time.Duration) time.Duration {
 	return d * time.Duration(1+c.healthScore)
 }
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -47,6 +47,12 @@
 	return nil
 }
 
+// Bounds of the decoder, which reads bytes of senders that may be hostile.
+const (
+	maxNestedLevels = 6
+	maxMapPairs     = 16
+)
+
 // The codec: definite lengths, no tags, bounded arrays and nesting. The bounds of a message are checked after decoding.
 var (
 	encoder = newEncoder()
@@ -64,9 +70,9 @@
 func newDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels:   6,
+		MaxNestedLevels:   maxNestedLevels,
 		MaxArrayElements:  maxItems,
-		MaxMapPairs:       16,
+		MaxMapPairs:       maxMapPairs,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
--- a/internal/fleet/gossip/doc.go
+++ b/internal/fleet/gossip/doc.go
@@ -5,7 +5,7 @@
 // Core makes every decision and does no I/O: Step is given the events that arrived and the time, and returns what is
 // to be sent and what changed. Guard authenticates datagrams, rejects replays, and bounds the work spent on both.
 //
-// Whatever is received, these invariants hold: a Core sends at most Config.MaxMessagesPerSecond in any second, none of them over
-// MaxDatagram; it holds at most Config.MaxMembers members; and a member is declared dead only after it failed to
-// answer this member, or one that reported it, and did not refute the suspicion within Config.SuspicionTimeout.
+// Whatever is received, these invariants hold: a Core sends at most Config.MaxMessagesPerSecond messages in any second, none
+// of them longer than MaxDatagram; it holds at most Config.MaxMembers members; and a member is declared dead only after it
+// failed to answer this member, or one that reported it, and did not refute the suspicion within Config.SuspicionTimeout.
 package gossip
--- a/internal/fleet/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -18,6 +18,9 @@
 	unknownAddr = netip.MustParseAddrPort("127.0.0.9:9")
 )
 
+// seqOffset is the offset of the sequence number in a datagram.
+const seqOffset = versionBytes + cookieBytes + epochBytes + incarnationBytes
+
 // testFleet is the authority of a fleet, and makes guards of its members.
 type testFleet struct {
 	t         testing.TB
@@ -134,7 +137,7 @@
 		{"cut in the header", fresh[:20], ErrMalformed},
 		{"cut in the message", fresh[:len(fresh)-3], ErrMalformed},
 		{"a bit of the message", flip(fresh, len(fresh)-1), ErrSignature},
-		{"a bit of the sequence number", flip(fresh, 2+cookieBytes+8+4+6), ErrSignature},
+		{"a bit of the sequence number", flip(fresh, seqOffset+6), ErrSignature},
 		{"to another", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
 		{"certificate of another key", fleet.seal(forged, "b", noon, Message{Kind: Gossip}), ErrSignature},
 		{"another authority", fleet.seal(stranger, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
@@ -182,10 +185,10 @@
 		before, start := receiver.SignaturesChecked, time.Duration(n+2)*time.Hour
 		for i := range 50000 { // 10 s of 5,000 a second
 			forged := bytes.Clone(fake)
-			forged[2] ^= byte(i)%255 + 1                  // no cookie
-			forged[len(forged)-1] ^= 1                    // nor the signature
-			forged[2+cookieBytes+8+4+4] = byte(i>>16) + 1 // numbers never seen
-			forged[2+cookieBytes+8+4+5], forged[2+cookieBytes+8+4+6] = byte(i>>8), byte(i)
+			forged[versionBytes] ^= byte(i)%255 + 1 // an invalid cookie
+			forged[len(forged)-1] ^= 1              // an invalid signature
+			forged[seqOffset+4] = byte(i>>16) + 1   // sequence numbers never seen
+			forged[seqOffset+5], forged[seqOffset+6] = byte(i>>8), byte(i)
 			now := start + time.Duration(i)*200*time.Microsecond
 			if _, err := receiver.Open(now, noon, from, forged); err == nil {
 				t.Fatal("a forged message was opened")
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -8,26 +8,26 @@
 	sendBurstFraction   = 0.4
 	gossipRateFraction  = 0.2 // gossip takes a part only, so that pings and acks always find some budget
 	gossipBurstFraction = 0.3
-	answerFraction      = 0.3 // acks and other answers to all members together
+	answerFraction      = 0.3 // acks and other answers to all senders together
 	noticeFraction      = 0.1 // notices to suspects, see notifySuspect
 )
 
 // Limits per member, in messages per second and messages at once.
 const (
-	claimRate        = 1.0 // claims that are applied
-	claimBurst       = 4.0
-	answerRate       = 1.0 // requests that are answered
-	answerBurst      = 4.0
-	strangersAllowed = 3.0 // senders that are not members are answered as often as this many members
+	claimRate       = 1.0 // claims that are applied
+	claimBurst      = 4.0
+	answerRate      = 1.0 // requests that are answered
+	answerBurst     = 4.0
+	nonMembersShare = 3.0 // senders that are not members are answered as often as this many members
 )
 
 // budgets limits what a Core sends, by purpose.
 type budgets struct {
-	send      ratelimit.TokenBucket // all messages
-	gossip    ratelimit.TokenBucket
-	notices   ratelimit.TokenBucket
-	answers   ratelimit.TokenBucket // to all members together
-	strangers ratelimit.TokenBucket // answers to senders that are not members
+	send             ratelimit.TokenBucket // all messages
+	gossip           ratelimit.TokenBucket
+	notices          ratelimit.TokenBucket
+	answers          ratelimit.TokenBucket // to all senders together
+	nonMemberAnswers ratelimit.TokenBucket // to senders that are not members
 }
 
 // takeFraction takes one message from a bucket that holds a fraction of Config.MaxMessagesPerSecond.
@@ -45,12 +45,12 @@
 // budget of all. Without these limits a member that sends requests all the time would use up what this member's own
 // pings and its answers to others need.
 func (c *Core) mayAnswer(from *member) bool {
-	bucket := &c.budgets.strangers
-	allowance := strangersAllowed
+	bucket := &c.budgets.nonMemberAnswers
+	share := nonMembersShare
 	if from != nil {
 		bucket = &from.answerBudget
-		allowance = 1
+		share = 1
 	}
-	return bucket.Take(c.now, 1, allowance*answerRate, allowance*answerBurst) &&
+	return bucket.Take(c.now, 1, share*answerRate, share*answerBurst) &&
 		c.takeFraction(&c.budgets.answers, answerFraction, answerFraction)
 }
--- a/internal/fleet/gossip/member.go
+++ b/internal/fleet/gossip/member.go
@@ -126,7 +126,7 @@
 	c.broadcastRecord(&known.Record)
 }
 
-// insertMember adds a member at a random place of the probe order. It is dead until its record has been applied, so
+// insertMember adds a member at a random position of the probe order. It is dead until its record has been applied, so
 // that this shows as a change of state.
 func (c *Core) insertMember(record Record) *member {
 	inserted := &member{Member: Member{Record: record, State: Dead}}
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -10,8 +10,8 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither forged addresses nor one member can
-// use up what the members need that have shown a cookie.
+// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither datagrams with forged
+// addresses nor one member can use up what is needed for the members that have shown a cookie.
 const (
 	peerCheckFraction    = 0.2  // for each member that shows a cookie
 	knownCheckFraction   = 0.25 // for all datagrams without one from addresses of members and seeds
--- a/internal/fleet/gossip/ratemeter.go
+++ b/internal/fleet/gossip/ratemeter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RateMeter measures how many messages a member sends in a second, to compare with Config.MaxMessagesPerSecond. The zero RateMeter
-// is ready for use.
+// RateMeter measures how many messages a member sends in a second, to compare with Config.MaxMessagesPerSecond. The zero
+// RateMeter is ready for use.
 type RateMeter struct {
 	peak   int
 	recent []time.Duration // when the messages of the last second were sent
--- a/internal/fleet/pki/authority.go
+++ b/internal/fleet/pki/authority.go
@@ -22,7 +22,7 @@
 const (
 	serialNumberBits = 63
 
-	// Revocation lists are brought out by hand and hold until the next one.
+	// Revocation lists are issued by hand, and each is valid until the next one.
 	revocationListYears = 100
 )
 
@@ -53,7 +53,7 @@
 // Name is the member's name.
 func (m *Member) Name() string { return m.Cert.Subject.CommonName }
 
-// NewAuthority makes a key and a self-signed certificate for the authority of a fleet, valid from now on. The fleet
+// NewAuthority generates a key and a self-signed certificate for the authority of a fleet, valid from now on. The fleet
 // must have a ValidName.
 func NewAuthority(fleet string, now time.Time, validity time.Duration) (*Authority, error) {
 	if !ValidName(fleet) {
@@ -78,7 +78,7 @@
 // Fleet is the fleet that the authority signs for.
 func (a *Authority) Fleet() string { return fleetOf(a.Cert) }
 
-// Issue makes a member's key and certificate, valid from now on. The member must have a ValidName.
+// Issue generates a member's key and certificate, valid from now on. The member must have a ValidName.
 func (a *Authority) Issue(name string, now time.Time, validity time.Duration) (*Member, error) {
 	if !ValidName(name) {
 		return nil, fmt.Errorf("name %q: letters, digits, '-', '_' and '.' are allowed, %d at most", name, MaxName)
@@ -96,7 +96,7 @@
 	return &Member{Cert: cert, Key: key}, nil
 }
 
-// Revoke makes a revocation list: the entries of the previous list, nil if there is none, and more serial numbers.
+// Revoke returns a revocation list with the entries of the previous one, which may be nil, and more serial numbers.
 func (a *Authority) Revoke(previous *x509.RevocationList, now time.Time, more ...*big.Int) (*x509.RevocationList, error) {
 	list := &x509.RevocationList{
 		Number:     big.NewInt(1),
@@ -118,7 +118,7 @@
 	return x509.ParseRevocationList(der)
 }
 
-// newCertificate makes a key and a certificate for it after the template, with a random serial number. The certificate is
+// newCertificate generates a key, and a certificate for it by a template and with a random serial number. The certificate is
 // signed by the issuer, or by its own key if there is none.
 func newCertificate(template *x509.Certificate, issuer *Authority) (*x509.Certificate, ed25519.PrivateKey, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -24,7 +24,7 @@
 	otherUsersPerms fs.FileMode = 0o077 // of group and others; a key file must have none of them
 )
 
-// Errors of the content of a file, found behind its path.
+// Errors of the content of a file. They are wrapped with its path.
 var (
 	errNotEd25519    = errors.New("the key is not of Ed25519")
 	errIncomplete    = errors.New("a key and its certificate are needed")
--- a/internal/fleet/pki/trust.go
+++ b/internal/fleet/pki/trust.go
@@ -31,7 +31,7 @@
 // trustedRoot is the certificate of an authority.
 type trustedRoot struct {
 	cert         *x509.Certificate
-	trustedUntil time.Time // when the overlap ends of an authority that is no longer configured; zero for one that is
+	trustedUntil time.Time // end of the overlap of an authority that is no longer configured; zero if it is configured
 }
 
 // isTrusted reports whether the authority is configured or within its overlap.
@@ -75,8 +75,8 @@
 	return string(authority.RawSubjectPublicKeyInfo) + serial.String()
 }
 
-// MergePrevious returns this trust merged with the one before a reload: authorities that are no longer configured are
-// trusted for the overlap more, and what was revoked before stays revoked.
+// MergePrevious returns this trust merged with the one before a reload: authorities that are no longer configured stay
+// trusted for the overlap, and what was revoked before stays revoked.
 func (t *Trust) MergePrevious(before *Trust, now time.Time, overlap time.Duration) *Trust {
 	merged := &Trust{Fleet: t.Fleet, ClockSkew: t.ClockSkew, roots: slices.Clone(t.roots), revoked: map[string]bool{}}
 	maps.Copy(merged.revoked, t.revoked)
@@ -94,8 +94,8 @@
 	return merged
 }
 
-// Verify parses the DER encoding of a member's certificate and checks that it is accepted now. It costs a signature
-// check for each authority that the certificate may be of; Current costs none.
+// Verify parses the DER encoding of a member's certificate and checks that it is accepted now. It checks one signature for
+// each authority that may have issued the certificate; Current checks none.
 func (t *Trust) Verify(der []byte, now time.Time) (*x509.Certificate, error) {
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
--- a/internal/fleet/quota/messages.go
+++ b/internal/fleet/quota/messages.go
@@ -51,23 +51,23 @@
 // MemberForgotten.
 type Event interface{ event() }
 
-// DemandChanged tells how many units of a budget this member has a use for, those in use included.
+// DemandChanged says how many units of a budget this member has a use for, those in use included.
 type DemandChanged struct {
 	Budget string
 	Units  int64
 }
 
-// StatementReceived brings the statement of another member, which was verified to be its own.
+// StatementReceived carries a statement of another member, whose signature was verified.
 type StatementReceived struct {
 	From  string
 	Epoch int64 // of the start of the member that made the statement
 	Statement
 }
 
-// FleetResized brings another configured size of the fleet.
+// FleetResized carries a new configured size of the fleet.
 type FleetResized struct{ FleetSize int }
 
-// MemberForgotten tells that a member is no longer known. What it has lent stays borrowed until it expires.
+// MemberForgotten says that a member is no longer known. What it has lent stays borrowed until it expires.
 type MemberForgotten struct{ Name string }
 
 func (MemberForgotten) event()   {}
@@ -81,7 +81,7 @@
 // Broadcast asks for a statement to be sent to all members, in place of the one before.
 type Broadcast struct{ Statement }
 
-// LimitChanged tells how many units of a budget this member may have in use from now on.
+// LimitChanged says how many units of a budget this member may have in use from now on.
 type LimitChanged struct {
 	Budget string
 	Units  int64
