--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -202,8 +202,8 @@
 }
 
 // Whatever the order of faults: once the service has been healthy again for 7 s, a new event reaches every scheduler within
-// 2 s. After each step at most two polls a scheduler are pending over the fleet, and no scheduler ever sends more than 60 polls
-// within a second.
+// 2 s. After each step, the fleet has at most twice as many pending polls as schedulers, and no scheduler sends more than 60
+// polls within a second.
 func TestAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
--- a/internal/fleet/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -173,7 +173,7 @@
 }
 
 // A flood gets no more signature checks than its budget, and members that show a cookie are still opened.
-func TestFlood(t *testing.T) {
+func TestFloodStaysWithinCheckBudget(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
 	fleet.acquaint(sender, receiver)
--- a/internal/fleet/quota/checker_test.go
+++ b/internal/fleet/quota/checker_test.go
@@ -257,7 +257,7 @@
 }
 
 // No history of up to maxDepth events exceeds the budget, with clocks at the bounds of the configured drift.
-func TestEveryHistory(t *testing.T) {
+func TestNoHistoryExceedsTotal(t *testing.T) {
 	for _, rates := range clockRateSets {
 		t.Run(fmt.Sprint(rates), func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/quota/seeded_test.go
+++ b/internal/fleet/quota/seeded_test.go
@@ -9,7 +9,7 @@
 )
 
 // The checker finds each seeded fault.
-func TestFaultsAreFound(t *testing.T) {
+func TestSeededFaultsAreFound(t *testing.T) {
 	defer func() { seeded = noFault }()
 	for seeded = ignoresPreviousStart; seeded <= usesLentUnits; seeded++ {
 		found := false
--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -134,8 +134,8 @@
 	})
 }
 
-// The operators' page has the schema as it is declared.
-func TestPage(t *testing.T) {
+// The operators' page shows the fields as Schema declares them.
+func TestPageShowsSchema(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/matching.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -77,7 +77,7 @@
 
 // Whatever a rule yields, no request moves to a class that is less strict about retries, nor to one by idempotency
 // key without a key.
-func TestSafety(t *testing.T) {
+func TestClassIsNeverLessStrict(t *testing.T) {
 	strict := map[string]routing.Idempotency{}
 	for _, c := range classes {
 		strict[c.Name] = c.Idempotency
--- a/internal/runtime/eventloop/event_loop_test.go
+++ b/internal/runtime/eventloop/event_loop_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestStalled(t *testing.T) {
+func TestStallIsReportedBeforeTimers(t *testing.T) {
 	loop := New()
 	loop.StallThreshold = 20 * time.Millisecond
 	calls := make(chan string, 2)
