--- a/internal/runtime/eventloop/event_loop.go
+++ b/internal/runtime/eventloop/event_loop.go
@@ -51,7 +51,7 @@
 	startTime  time.Time     // carries the monotonic clock reading that Now is measured from
 	startUnix  time.Duration // startTime since the Unix epoch
 	engine     gnet.Engine
-	gnetLoop   gnet.EventLoop // nil until the first connection brings it; see enrollSelf
+	gnetLoop   gnet.EventLoop // nil until the first connection is opened; see enrollSelf
 
 	timers      deadline.Queue
 	wakeup      *time.Timer   // wakes the loop for the earliest timer
--- a/internal/runtime/eventloop/gnet_events.go
+++ b/internal/runtime/eventloop/gnet_events.go
@@ -36,8 +36,9 @@
 	return tickInterval, gnet.None
 }
 
-// enrollSelf registers a UDP socket, which is closed as soon as it has brought the event loop: nothing is ever sent or
-// read there. A pair of Unix sockets would need no address, but the platform knows TCP and UDP alone.
+// enrollSelf registers a UDP socket, whose connection gives OnOpen access to gnet's event loop. The socket is closed at
+// once: nothing is ever sent or read there. A pair of Unix sockets would need no address, but the platform knows TCP and UDP
+// alone.
 func (l *Loop) enrollSelf() error {
 	conn, err := net.Dial("udp", l.listenAddr)
 	if err != nil {
@@ -58,8 +59,8 @@
 func (selfHandler) Readable(gnet.Conn) error { return nil }
 func (selfHandler) Closed(gnet.Conn, error)  {}
 
-// OnOpen implements gnet.EventHandler. The first connection, the one of enrollSelf, brings gnet's event loop and starts
-// the program on it. Accept is asked for the handler of a connection that came in from outside.
+// OnOpen implements gnet.EventHandler. The first connection, the one of enrollSelf, gives access to gnet's event loop, and
+// the program is started on it. A connection that was accepted gets its handler from Accept.
 func (l *Loop) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	if l.gnetLoop == nil {
 		l.gnetLoop = conn.EventLoop()
@@ -95,7 +96,7 @@
 	return gnet.None
 }
 
-// OnClose implements gnet.EventHandler. It tells the connection's handler that the connection has ended.
+// OnClose implements gnet.EventHandler. It notifies the connection's handler.
 func (l *Loop) OnClose(conn gnet.Conn, err error) gnet.Action {
 	if handler, ok := conn.Context().(ConnHandler); ok {
 		handler.Closed(conn, err)
--- a/internal/runtime/eventloop/timers.go
+++ b/internal/runtime/eventloop/timers.go
@@ -25,8 +25,8 @@
 
 // endTurn ends a turn of the loop: it schedules the timers that are due, or the wakeup for the earliest one.
 //
-// Due timers fire only after the connections that have something to read in this pass: after a stall, a response may
-// lie there unread that its timer would give up on.
+// Due timers fire only after the connections that have something to read in this pass: after a stall, a response may have
+// arrived that is not read yet, and its timer would report a timeout.
 func (l *Loop) endTurn() {
 	earliest, ok := l.timers.Next()
 	if !ok || l.firePending {
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -1,5 +1,5 @@
-// Package snapshotfile writes and reads the file of a snapshot. internal/snapshot decides when it is written; the disk
-// is waited for on goroutines beside the event loop.
+// Package snapshotfile writes and reads the file of a snapshot. internal/snapshot decides when it is written; writes run on
+// goroutines of their own, so that the event loop never waits for the disk.
 package snapshotfile
 
 import (
@@ -167,6 +167,6 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // a file that was read whole is good, whatever becomes of its descriptor
+	defer func() { _ = file.Close() }() // an error of Close does not affect what was read
 	return io.ReadAll(io.LimitReader(file, snapshot.MaxSize+1))
 }
--- a/internal/stats/ratelimit/quotas.go
+++ b/internal/stats/ratelimit/quotas.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Quotas limits the rate of each of several tenants by a token bucket. Each may take as many at once as it may in a
+// Quotas limits the rate of each of several tenants by a token bucket. The burst of a tenant is what its rate allows in a
 // second, and at least one.
 type Quotas struct {
 	rates   []float64 // a second, by tenant
@@ -14,7 +14,7 @@
 	return &Quotas{rates: rates, buckets: make([]TokenBucket, len(rates))}
 }
 
-// Exceeded takes one out of a tenant's quota and reports whether none was left. A tenant without a quota, or out of
+// Exceeded takes one token of a tenant, and reports whether there was none. A tenant without a quota, or out of
 // range, never exceeds it.
 func (q *Quotas) Exceeded(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(q.rates) || q.rates[tenant] <= 0 {
