--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,10 +8,12 @@
 	"calicohill/routing"
 )
 
-// unknownCount is the value of a count that the simulator did not tell.
+// unknownCount is the value of a figure that a line or a load report lacks.
 const unknownCount = -1
 
-// eventParsers has the parser of each message that is an event on one line.
+// eventParsers has the parser of each message that is an event on one line. A parser reads the values in the order of the
+// line: where it returns a composite literal, the order of the fields in it is that order, since Go evaluates the calls in a
+// literal from left to right.
 var eventParsers = map[string]func(*fields) routing.Event{
 	"call":       parseRequest,
 	"first":      parseStreamStarted,
@@ -38,27 +40,27 @@
 const retryFlag = 2
 
 func parseRequest(f *fields) routing.Event {
-	var request routing.Request
-	request.ID = f.text()
-	request.Class = f.integer()
-	request.Tenant = f.optionalInteger()
-	request.Function = f.text()
-	request.TimeLeft = f.millis()
-	request.ExpectedWork = f.optionalMillis()
-	request.MemoryMB = f.optionalNumber(0)
-	request.Concurrency = f.optionalInteger()
-	request.LoadTime = f.optionalMillis()
-	request.MarkedRetry = f.optionalInteger()&retryFlag != 0
-	return request
+	return routing.Request{
+		ID:           f.text(),
+		Class:        f.integer(),
+		Tenant:       f.optionalInteger(),
+		Function:     f.text(),
+		TimeLeft:     f.millis(),
+		ExpectedWork: f.optionalMillis(),
+		MemoryMB:     f.optionalNumber(0),
+		Concurrency:  f.optionalInteger(),
+		LoadTime:     f.optionalMillis(),
+		MarkedRetry:  f.optionalInteger()&retryFlag != 0,
+	}
 }
 
 func parseStreamStarted(f *fields) routing.Event {
-	var event routing.StreamStarted
-	event.ID = f.text()
-	event.Attempt = f.integer()
-	event.Worker = f.text()
-	event.Latency = f.millis()
-	return event
+	return routing.StreamStarted{
+		ID:      f.text(),
+		Attempt: f.integer(),
+		Worker:  f.text(),
+		Latency: f.millis(),
+	}
 }
 
 // startInfoRadix separates the two values in what an answer tells about its function: the remainder is the start type,
@@ -92,22 +94,22 @@
 func parseTimerFired(f *fields) routing.Event { return routing.TimerFired{Token: f.unsigned()} }
 
 func parseProbeEnded(f *fields) routing.Event {
-	var event routing.ProbeEnded
-	event.Outcome = f.outcome()
-	event.Worker = f.text()
-	event.Latency = f.optionalMillis()
-	event.Report = f.loadReport()
-	return event
+	return routing.ProbeEnded{
+		Outcome: f.outcome(),
+		Worker:  f.text(),
+		Latency: f.optionalMillis(),
+		Report:  f.loadReport(),
+	}
 }
 
 func parseLoadEnded(f *fields) routing.Event {
-	var event routing.LoadEnded
-	event.Worker = f.text()
-	event.Latency = f.optionalMillis()
-	event.Instances = f.optionalInteger()
-	event.Function = f.text()
-	event.Outcome = f.outcome()
-	return event
+	return routing.LoadEnded{
+		Worker:    f.text(),
+		Latency:   f.optionalMillis(),
+		Instances: f.optionalInteger(),
+		Function:  f.text(),
+		Outcome:   f.outcome(),
+	}
 }
 
 func parsePeerMessage(f *fields) routing.Event {
