--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -14,11 +14,11 @@
 
 // Limits per member, in messages per second and messages at once.
 const (
-	claimRate       = 1.0 // claims that are applied
-	claimBurst      = 4.0
-	answerRate      = 1.0 // requests that are answered
-	answerBurst     = 4.0
-	nonMembersShare = 3.0 // senders that are not members are answered as often as this many members
+	claimRate        = 1.0 // claims that are applied
+	claimBurst       = 4.0
+	answerRate       = 1.0 // requests that are answered
+	answerBurst      = 4.0
+	nonMembersFactor = 3.0 // senders that are not members are answered as often as this many members
 )
 
 // budgets limits what a Core sends, by purpose.
@@ -46,11 +46,11 @@
 // pings and its answers to others need.
 func (c *Core) mayAnswer(from *member) bool {
 	bucket := &c.budgets.nonMemberAnswers
-	share := nonMembersShare
+	factor := nonMembersFactor
 	if from != nil {
 		bucket = &from.answerBudget
-		share = 1
+		factor = 1
 	}
-	return bucket.Take(c.now, 1, share*answerRate, share*answerBurst) &&
+	return bucket.Take(c.now, 1, factor*answerRate, factor*answerBurst) &&
 		c.takeFraction(&c.budgets.answers, answerFraction, answerFraction)
 }
--- a/internal/fleet/quota/account.go
+++ b/internal/fleet/quota/account.go
@@ -7,9 +7,9 @@
 )
 
 // fixedQuota is what a member owns of a budget. It follows from the configured size of the fleet and never from the
-// members that were heard, so that a partition doesn't change it.
+// members that are reachable, so that a partition doesn't change it.
 func (c *Core) fixedQuota(account *budgetAccount) int64 {
-	if seeded == quotaFromHeardMembers {
+	if seeded == quotaFromSeenMembers {
 		return account.Total / int64(len(account.answered)+1)
 	}
 	return account.Total / int64(c.config.FleetSize)
