--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -10,7 +10,7 @@
 	"calicohill/routing"
 )
 
-// Settings is what a settings object says, about routing decisions and about the connections to workers.
+// Settings is the content of a settings object: settings of routing decisions and of the connections to workers.
 type Settings struct {
 	routing.Settings
 
@@ -26,7 +26,7 @@
 const (
 	discoveryOnRequest = "on_request" // endpoint lists are sent to subscribers only
 	reportPiggyback    = "piggyback"  // load reports are part of answers
-	reportPull         = "pull"       // load reports are asked for by probes
+	reportPull         = "pull"       // load reports are requested by probes
 	absentIsMiss       = "miss"       // a request for a function that is not loaded fails
 	weightsSilent      = "silent"     // the list service reports no weights
 )
--- a/internal/config/operatorfile/argument.go
+++ b/internal/config/operatorfile/argument.go
@@ -30,7 +30,7 @@
 	factor float64
 }
 
-// durationUnits are the units of a Duration in seconds. A unit that is a suffix of others stands after them.
+// durationUnits are the units of a Duration in seconds. A unit that is a suffix of others comes after them.
 var durationUnits = []unit{{"d", 86400}, {"h", 3600}, {"m", 60}, {"ms", 1e-3}, {"us", 1e-6}, {"s", 1}}
 
 // percentageUnits are the units of a Percentage.
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Restore takes the list of an earlier process as the initial one if it is newer than the configured events; newer says
-// whether it was. It must be called before Start.
+// Restore makes the list of an earlier process the initial one if it is newer than the configured events, and returns
+// whether it is. It must be called before Start.
 func (w *Watcher) Restore(snapshot []byte) (newer bool, err error) {
 	var feed Feed
 	if err := json.Unmarshal(snapshot, &feed); err != nil {
@@ -35,7 +35,7 @@
 	return true, nil
 }
 
-// Snapshot returns the number of the last event and an encoder of the whole list, in the form of a poll's response and
+// Snapshot returns the number of the last event and an encoder of the complete list, in the form of a poll's response and
 // ordered by UID. The encoder owns its data: it may be called on another goroutine, later.
 func (w *Watcher) Snapshot() (number int, encode func() ([]byte, error)) {
 	number = w.lastEvent
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -27,7 +27,7 @@
 	Roster *roster `json:"roster"`
 }
 
-// roster is the whole endpoint list (All) or the targets that changed.
+// roster is the complete endpoint list (All) or the targets that changed.
 type roster struct {
 	All     bool     `json:"all"`
 	Targets []target `json:"targets"`
--- a/internal/discovery/pollplan/messages.go
+++ b/internal/discovery/pollplan/messages.go
@@ -17,7 +17,7 @@
 // Answered reports a complete response to a poll.
 type Answered struct {
 	Conn              int
-	HasUpdates        bool // it brought events not known before
+	HasUpdates        bool // it had events that were not known before
 	ConnectionClosing bool // the service closes the connection after it
 }
 
--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -1,5 +1,5 @@
 // Package pollplan decides when a scheduler polls the list service, so that hundreds of schedulers which all lost it at the
-// same moment do not all come back at the same moment. It has no clock and does no I/O: Step takes events and returns
+// same moment do not all reconnect at the same moment. It has no clock and does no I/O: Step takes events and returns
 // actions.
 //
 // A scheduler reconnects to the service in a slot of its own: time is divided into reconnect windows, and each window has
@@ -18,24 +18,24 @@
 
 // The long poll.
 const (
-	// PollTimeout is how long a poll has the service wait for an update, in the mean. It is short so that a service which
-	// has become unresponsive is noticed well before a change that it has to announce counts as delivered.
+	// PollTimeout is how long the service waits for an update before it answers a poll, in the mean. It is short so that an
+	// unresponsive service is noticed well before a change that it should have delivered counts as delivered.
 	PollTimeout = 2 * time.Second
 	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
-	// polls of the whole fleet at once, and polls that all last as long would stay synchronized for good.
+	// polls of the whole fleet at once, and if all polls lasted equally long they would stay synchronized.
 	firstPollJitter = time.Second
 	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet wait that long after a response that
 	// was late or missing: the service may be overloaded, and polling it more often would only add to that.
 	maxPollTimeout = 5 * time.Second
 	// overdueAfter is how long after the end of its wait a poll is overdue, and another is made beside it.
 	overdueAfter = 500 * time.Millisecond
-	// maxOverdueAfter is the same where the service may be behind. A change counts as delivered 2 s after the end of the
+	// maxOverdueAfter is the same where the service may be overloaded. A change counts as delivered 2 s after the end of the
 	// wait, whether it was polled or not, so that the longest poll may be late for longer.
 	maxOverdueAfter = 1500 * time.Millisecond
 	// abandonAfter is the age at which an overdue poll is closed to make way for the next. Until then it keeps its position
-	// in the queue of a service that is behind.
+	// in the queue of a service that is overloaded.
 	abandonAfter = 20 * time.Second
-	// minPollInterval is how long after a poll the next may be made if the response brought nothing.
+	// minPollInterval is the least time from a poll to the next if the response had no updates.
 	minPollInterval = 500 * time.Millisecond
 	// pollIntervalGraceFraction bounds that interval by a fraction of the drain grace.
 	pollIntervalGraceFraction = 0.5
@@ -72,7 +72,8 @@
 	staleAfterStall = 250 * time.Millisecond
 )
 
-// pollStream is the second word of the random generator's seed: it sets these draws apart from a scheduler's others.
+// pollStream is the second word of the random generator's seed, so that these draws are independent of the scheduler's
+// other draws from the same seed.
 const pollStream = 0x706f6c6c // "poll"
 
 // phase is what a connection is used for at the moment.
@@ -97,9 +98,9 @@
 type Planner struct {
 	reconnectWindow  time.Duration
 	updateWindow     time.Duration
-	pollInterval     time.Duration // least time from a poll whose response brought nothing to the next
-	slowPollTimeout  time.Duration // of polls while the service may be behind
-	slowOverdueAfter time.Duration // in place of overdueAfter while the service may be behind
+	pollInterval     time.Duration // least time from a poll whose response had no updates to the next
+	slowPollTimeout  time.Duration // of polls while the service may be overloaded
+	slowOverdueAfter time.Duration // in place of overdueAfter while the service may be overloaded
 	rng              *rand.Rand
 	slot             time.Duration // offset of the scheduler's slot within each reconnect window
 
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// What a healthy service publishes counts as told to all, also to schedulers that have just started or are between two
+// What a healthy service publishes counts as delivered to all, also to schedulers that have just started or are between two
 // polls: each knows it in time to send nothing to a draining worker after the drain grace, however long that is.
 func TestHealthyServiceUpdatesInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
@@ -104,8 +104,8 @@
 	}
 }
 
-// A service that answers a tenth of what the fleet polls in its 2 s brings all schedulers the list in 1.3 times the time
-// that this takes at best, and none polls much oftener than the 7 s of the protocol demand.
+// With a service that answers a tenth of what the fleet polls in its 2 s, all schedulers have the list after 1.3 times the
+// least possible time, and all together make at most 1.2 times the polls that the protocol's 7 s require.
 func TestRateLimitedService(t *testing.T) {
 	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.SetFault(testbed.ListRateLimited)
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -42,7 +42,7 @@
 	closing bool // the service closes the connection after it
 }
 
-// responseHeader is what the header of a response with status 200 says.
+// responseHeader holds the fields that count of the header of a response with status 200.
 type responseHeader struct {
 	contentLength int // bytes, or lengthUnknown
 	chunked       bool
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -28,7 +28,7 @@
 	Dial(addr string, timeout time.Duration, handler eventloop.ConnHandler, failed func(error))
 }
 
-// Watcher polls the list service when its Planner says so, and hands each change of the endpoint list to a sink.
+// Watcher polls the list service when its Planner decides so, and passes each change of the endpoint list to a sink.
 type Watcher struct {
 	loop    Loop
 	addr    string
@@ -40,7 +40,7 @@
 
 	// OnChange, if set, is called after a response whose events changed the list, never between two of them.
 	OnChange func()
-	// OnStale, if set, is told for how long the list may be outdated after a stall; 0 says that it is current again.
+	// OnStale, if set, is called with how long the list may be outdated after a stall, and with 0 once it is current again.
 	OnStale func(time.Duration)
 
 	connections map[int]*connection // open or being opened, by the planner's number
@@ -141,7 +141,7 @@
 	w.loop.Dial(w.addr, connectTimeout, conn, func(err error) { conn.fail(err, 0) })
 }
 
-// pollRequest is the HTTP request that asks for events after the last one.
+// pollRequest returns the HTTP request for the events after the last one.
 func (w *Watcher) pollRequest(timeout time.Duration) []byte {
 	return fmt.Appendf(nil, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		w.lastEvent, timeout.Milliseconds(), w.addr)
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -12,7 +12,7 @@
 const (
 	// gossipFanout is how many random members a round of gossip goes to.
 	gossipFanout = 3
-	// leaveFanout is how many members are told directly that this one leaves.
+	// leaveFanout is how many members this one notifies directly when it leaves.
 	leaveFanout = 2 * gossipFanout
 	// gossipInterval is the pause between rounds of gossip.
 	gossipInterval = 200 * time.Millisecond
@@ -99,7 +99,7 @@
 		}
 	}
 	if len(c.probeOrder) == 0 {
-		clear(c.broadcasts) // there is no member to receive them; one that joins asks for what it lacks
+		clear(c.broadcasts) // there is no member to receive them; one that joins requests what it lacks
 	}
 }
 
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -165,7 +165,7 @@
 }
 
 // filterRecords keeps the records that are new and signed by their author. Those of members whose certificate is not
-// known are accepted without their signature: they only tell where a member may be found.
+// known are accepted without their signature: they are only used as addresses at which a member may be found.
 func (g *Guard) filterRecords(opened *Opened, checks checkBudget) {
 	accepted := opened.Records[:0]
 	for _, record := range opened.Records {
--- a/internal/nodeagent/connection_pool.go
+++ b/internal/nodeagent/connection_pool.go
@@ -62,7 +62,7 @@
 	return len(w.conns)+w.dialsInProgress >= maxConnsPerWorker
 }
 
-// pickConn picks the least loaded of a worker's connections that may carry a call, or nil. It also tells how many
+// pickConn picks the least loaded of a worker's connections that may carry a call, or nil. It also returns how many
 // connections are usable, whether or not they may carry this call.
 func (p *Pool) pickConn(outgoing *call) (best *conn, usable int) {
 	now := p.loop.Now()
--- a/internal/nodeagent/pipeline.go
+++ b/internal/nodeagent/pipeline.go
@@ -19,7 +19,7 @@
 	// meanwhile: the calls of impatient clients end before unresponsiveTimeout.
 	maxUnansweredCancels = 3
 	// minUnansweredCancelAge is how long a canceled call must have been in flight to count as unanswered. Clients that
-	// cancel hundreds at once say nothing about the worker.
+	// cancel hundreds at once are no evidence of a fault of the worker.
 	minUnansweredCancelAge = 200 * time.Millisecond
 	// lateAnswerWindow is how long after a call was canceled, or answered, another answer to it may still come.
 	lateAnswerWindow = 3 * time.Second
--- a/internal/nodeagent/pool.go
+++ b/internal/nodeagent/pool.go
@@ -66,7 +66,8 @@
 	writeBuffer []byte // reused by each command that is written
 }
 
-// worker is a process at an address. A changed address, or an id that comes back after it was gone, makes a new one.
+// worker is a process at an address. A changed address is a new worker, and so is an id that is listed again after it
+// was gone.
 type worker struct {
 	id              string
 	addr            string
--- a/internal/rules/pools/core.go
+++ b/internal/rules/pools/core.go
@@ -5,7 +5,7 @@
 // there are still probed with requests now and then, which shows when they have recovered. The pools after it are the
 // fallback where the live set has no capacity.
 //
-// Core does no I/O and reads no clock: Step is told what happened and at what time.
+// Core does no I/O and reads no clock: Step is given the events and the current time.
 package pools
 
 import (
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// startInfoRadix separates the two values in what an answer tells about its function: the remainder is the start type,
+// startInfoRadix separates the two values of the number that an answer carries: the remainder is the start type,
 // the quotient the number of other requests for the function at the worker.
 const startInfoRadix = 8
 
