--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -125,7 +125,11 @@
 }
 
 func faultReportConfig(settings operatorfile.Gossip) faultreport.Config {
-	return faultreport.Config{MaxByzantine: settings.MaxByzantine, MaxEjectedFraction: settings.MaxEjectedFraction, ReportTTL: settings.FaultReportExpiry}
+	return faultreport.Config{
+		MaxByzantine:       settings.MaxByzantine,
+		MaxEjectedFraction: settings.MaxEjectedFraction,
+		ReportTTL:          settings.FaultReportExpiry,
+	}
 }
 
 // now is the time that the cores are given: Unix time at the start, continued by the monotonic clock.
--- a/internal/rules/match/environment.go
+++ b/internal/rules/match/environment.go
@@ -84,12 +84,19 @@
 // totalShares is the number of values of the field share, and what the parts of splits are fractions of.
 const totalShares = 1000
 
+// The parameters of the first two steps of SplitMix64's finalizer (Steele, Lea and Flood, 2014).
+const (
+	mixShift1     = 30
+	mixMultiplier = 0xbf58476d1ce4e5b9
+	mixShift2     = 27
+)
+
 // stableShare returns a number from 0 to 999 that is the same each time for a key.
 func stableShare(key string) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
 	mixed := hash.Sum64()
-	// The first two steps of the finalizer of SplitMix64.
-	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
-	return int((mixed ^ mixed>>27) % totalShares)
+	// FNV mixes its last bytes badly.
+	mixed = (mixed ^ mixed>>mixShift1) * mixMultiplier
+	return int((mixed ^ mixed>>mixShift2) % totalShares)
 }
