--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -104,8 +104,8 @@
 	rng              *rand.Rand
 	slot             time.Duration // offset of the scheduler's slot within each reconnect window
 
-	current      *connection   // nil while the next one waits for its time
-	dialAt       time.Duration // that time; 0 if none
+	current      *connection   // nil while the next dial is waited for
+	dialAt       time.Duration // when to dial next; 0 if no dial is planned
 	overdue      *connection   // the one whose poll got no response in time; nil if none
 	lastConn     int           // number of the last connection dialed
 	backoff      time.Duration // pause after the last failure; 0 if the last poll succeeded
@@ -116,8 +116,8 @@
 	actions      []Action // returned by Step, and reused by the next
 }
 
-// New returns the Planner of one scheduler of a fleet of that size. The fleet has to obey a drain within drainGrace after it
-// was published. The seed must differ between the schedulers.
+// New returns the Planner of one of a number of schedulers, which have to obey a drain within drainGrace after it was
+// published. The seed must differ between the schedulers.
 func New(schedulers int, drainGrace time.Duration, seed uint64) *Planner {
 	peers := time.Duration(max(schedulers, 1) - 1)
 	ofGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drainGrace)) }
@@ -139,8 +139,8 @@
 	return low + (high-low)*p.reconnectWindow/maxReconnectWindow
 }
 
-// Step applies events and returns the actions to carry out, in order; the slice is valid until the next Step. now never goes
-// back; it is Unix time, or any other that began long ago.
+// Step applies events and returns the actions to carry out, in order; the slice is valid until the next Step. now must not
+// decrease between calls, and counts from long ago, as Unix time does.
 func (p *Planner) Step(now time.Duration, events ...Event) []Action {
 	p.actions = p.actions[:0]
 	for _, event := range events {
@@ -175,7 +175,7 @@
 	}
 }
 
-// Next returns when Step is to be called at the latest though nothing happens; false if it need not be.
+// Next returns by when Step has to be called if there is no event before; false if it need not be.
 func (p *Planner) Next() (time.Duration, bool) {
 	switch {
 	case p.current == nil:
@@ -273,7 +273,7 @@
 		return
 	}
 	if p.stale {
-		p.stale = conn.at < conn.timeoutAt // a poll that waits was made before the stall
+		p.stale = conn.at < conn.timeoutAt // a poll with a wait was made before the stall
 		if !p.stale {
 			p.actions = append(p.actions, MarkStale{0})
 		}
@@ -291,8 +291,8 @@
 	conn.at = next
 }
 
-// resume makes the connection whose overdue poll was answered after all the current one. It returns false where the poll
-// made beside it is in flight already: then the overdue one is closed instead.
+// resume makes the connection of the overdue poll, which was answered after all, the current one again. It returns false if
+// the poll that was to replace it is already in flight: then it closes the connection of the overdue poll.
 func (p *Planner) resume() bool {
 	if p.current != nil && p.current.phase == polling {
 		p.closeConnection(&p.overdue)
--- a/internal/fleet/faultreport/messages.go
+++ b/internal/fleet/faultreport/messages.go
@@ -8,7 +8,7 @@
 
 // Config holds the settings of a Core.
 type Config struct {
-	MaxByzantine       int           // byzantine members to tolerate; negative: the most that are less than a third of the fleet
+	MaxByzantine       int           // byzantine members to tolerate; negative: as many as are under a third of the fleet
 	MaxEjectedFraction float64       // largest fraction of the listed workers that may be Confirmed
 	ReportTTL          time.Duration // how long a report counts after the newest request that shows the fault
 }
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -15,7 +15,9 @@
 	minReputation               = 0.6 // below it a reporter is ignored
 	contradictionFactor         = 0.5 // applied to the reputation for each contradicted report
 	reputationRecoveryPerSecond = 0.02
-	contradictionMargin         = 300 * time.Millisecond // by which a response must lie within the time of a report on both sides
+	// contradictionMargin is by how much the request of a response must be later than the first, and earlier than the last,
+	// that a report is about to contradict the report.
+	contradictionMargin = 300 * time.Millisecond
 )
 
 // A reporter with a fault report on more than massReportFraction of the listed workers and on more than
