--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -20,7 +20,7 @@
 
 // Whatever fault 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their polls
 // over the time that the protocol allows: 2 s after connections broke; 1 s, for a drain, where the service is healthy.
-func TestSpread(t *testing.T) {
+func TestPollsSpreadAfterFaults(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		bound int
@@ -68,7 +68,7 @@
 	}
 }
 
-// What a healthy service publishes counts as told to all, also to schedulers that have just started or are between two
+// What a healthy service publishes counts as delivered to all, also to schedulers that have just started or are between two
 // polls: each knows it in time to send nothing to a draining worker after the drain grace, however long that is.
 func TestHealthyServiceUpdatesInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
@@ -104,8 +104,8 @@
 	}
 }
 
-// A service that answers a tenth of what the fleet polls in its 2 s brings all schedulers the list in 1.3 times the time
-// that this takes at best, and none polls much oftener than the 7 s of the protocol demand.
+// With a service that answers a tenth of what the fleet polls in its 2 s, all schedulers have the list after 1.3 times the
+// least possible time, and all together make at most 1.2 times the polls that the protocol's 7 s require.
 func TestRateLimitedService(t *testing.T) {
 	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.SetFault(testbed.ListRateLimited)
@@ -133,7 +133,7 @@
 
 // Alone before a healthy service a scheduler polls as soon as it can: at the start, after each response, after its
 // connection broke.
-func TestAlone(t *testing.T) {
+func TestLoneSchedulerPollsAtOnce(t *testing.T) {
 	fleet := testbed.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
 	fleet.Run(time.Second)
@@ -154,7 +154,7 @@
 
 // A process that was stopped does not know what was published meanwhile. The list counts as stale until the service has
 // answered a poll made after that, unless one waits there still: its response would be there to be read.
-func TestStalled(t *testing.T) {
+func TestStaleAfterProcessStall(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		stop func(*pollplan.Planner, time.Duration) time.Duration // returns when the process goes on
@@ -201,9 +201,10 @@
 	}
 }
 
-// Over any order of faults: events are known 2 s after the service has recovered, at most two connections are open, polls
-// are bounded, and events are neither missed nor applied twice.
-func TestBounds(t *testing.T) {
+// Whatever the order of faults: once the service has been healthy again for 7 s, a new event reaches every scheduler within
+// 2 s. After each step, the fleet has at most twice as many pending polls as schedulers, and no scheduler sends more than 60
+// polls within a second.
+func TestAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
 		fleet := testbed.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
@@ -222,7 +223,7 @@
 				rt.Fatalf("%d polls pending of %d schedulers", fleet.Queue.Len(), schedulers)
 			}
 		}
-		// Events from the time of the fault are known 7 s later at the latest, and those of a healthy service at once.
+		// A poll lasts for 7 s at most, so none that a fault has delayed is left after this.
 		fleet.SetFault(testbed.ListHealthy)
 		fleet.Run(7 * time.Second)
 		fleet.Publish()
@@ -233,7 +234,7 @@
 			}
 			for k := range max(len(node.Polls)-60, 0) {
 				if node.Polls[k+60]-node.Polls[k] < time.Second {
-					rt.Fatalf("scheduler %d polls 60 times a second", i)
+					rt.Fatalf("scheduler %d sends more than 60 polls within a second", i)
 				}
 			}
 		}
--- a/internal/fleet/faultreport/golden_test.go
+++ b/internal/fleet/faultreport/golden_test.go
@@ -53,17 +53,17 @@
 
 // The error texts of malformed bodies.
 func TestGoldenErrors(t *testing.T) {
-	whole := golden.Read(t, "all.cbor")
+	complete := golden.Read(t, "all.cbor")
 	wrongFault := bytes.Clone(golden.Read(t, "silent.cbor"))
-	place := bytes.Index(wrongFault, []byte("w-1")) + len("w-1")
-	wrongFault[place] = byte(routing.Unreachable) + 1
+	faultOffset := bytes.Index(wrongFault, []byte("w-1")) + len("w-1")
+	wrongFault[faultOffset] = byte(routing.Unreachable) + 1
 	for _, tt := range []struct {
 		body []byte
 		want string
 	}{
-		{whole[:len(whole)-1], "suspicion: malformed statement: unexpected EOF"},
-		{wrongFault, "suspicion: malformed statement"},
-		{make([]byte, maxStatementBytes+1), "suspicion: malformed statement"},
+		{complete[:len(complete)-1], "faultreport: malformed statement: unexpected EOF"},
+		{wrongFault, "faultreport: malformed statement"},
+		{make([]byte, maxStatementBytes+1), "faultreport: malformed statement"},
 	} {
 		if _, err := Decode(tt.body); err == nil || err.Error() != tt.want || !errors.Is(err, ErrMalformed) {
 			t.Errorf("error %v, want %s", err, tt.want)
--- a/internal/fleet/gossip/guard_test.go
+++ b/internal/fleet/gossip/guard_test.go
@@ -18,6 +18,9 @@
 	unknownAddr = netip.MustParseAddrPort("127.0.0.9:9")
 )
 
+// seqOffset is the offset of the sequence number in a datagram.
+const seqOffset = versionBytes + cookieBytes + epochBytes + incarnationBytes
+
 // testFleet is the authority of a fleet, and makes guards of its members.
 type testFleet struct {
 	t         testing.TB
@@ -134,14 +137,14 @@
 		{"cut in the header", fresh[:20], ErrMalformed},
 		{"cut in the message", fresh[:len(fresh)-3], ErrMalformed},
 		{"a bit of the message", flip(fresh, len(fresh)-1), ErrSignature},
-		{"a bit of the number", flip(fresh, 2+cookieBytes+8+4+6), ErrSignature},
+		{"a bit of the sequence number", flip(fresh, seqOffset+6), ErrSignature},
 		{"to another", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
 		{"certificate of another key", fleet.seal(forged, "b", noon, Message{Kind: Gossip}), ErrSignature},
 		{"another authority", fleet.seal(stranger, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
 		{"another fleet", fleet.seal(fleet.guardOf(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), pki.ErrWrongFleet},
 		{"expired", fleet.seal(fleet.guardOf(expired, 500), "b", noon, Message{Kind: Gossip}), pki.ErrExpired},
 		{"sent too long ago", fleet.seal(sender, "b", noon.Add(-8*time.Second), Message{Kind: Gossip}), ErrClock},
-		{"not yet sent", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
+		{"sent in the future", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
 		{"an earlier epoch", fleet.seal(fleet.guardOf(sender.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
 		{"clocks 5 s apart", fleet.seal(sender, "b", noon.Add(-5*time.Second), Message{Kind: Gossip}), nil},
 		{"a later epoch", fleet.seal(fleet.guardOf(sender.own, 101), "b", noon, Message{Kind: Gossip}), nil},
@@ -170,7 +173,7 @@
 }
 
 // A flood gets no more signature checks than its budget, and members that show a cookie are still opened.
-func TestFlood(t *testing.T) {
+func TestFloodStaysWithinCheckBudget(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
 	fleet.acquaint(sender, receiver)
@@ -182,10 +185,10 @@
 		before, start := receiver.SignaturesChecked, time.Duration(n+2)*time.Hour
 		for i := range 50000 { // 10 s of 5,000 a second
 			forged := bytes.Clone(fake)
-			forged[2] ^= byte(i)%255 + 1                  // no cookie
-			forged[len(forged)-1] ^= 1                    // nor the signature
-			forged[2+cookieBytes+8+4+4] = byte(i>>16) + 1 // numbers never seen
-			forged[2+cookieBytes+8+4+5], forged[2+cookieBytes+8+4+6] = byte(i>>8), byte(i)
+			forged[versionBytes] ^= byte(i)%255 + 1 // an invalid cookie
+			forged[len(forged)-1] ^= 1              // an invalid signature
+			forged[seqOffset+4] = byte(i>>16) + 1   // sequence numbers never seen
+			forged[seqOffset+5], forged[seqOffset+6] = byte(i>>8), byte(i)
 			now := start + time.Duration(i)*200*time.Microsecond
 			if _, err := receiver.Open(now, noon, from, forged); err == nil {
 				t.Fatal("a forged message was opened")
@@ -212,7 +215,7 @@
 }
 
 // Records and statements are accepted only with their author's signature, and equivocation is detected.
-func TestSignedBySelf(t *testing.T) {
+func TestRecordsNeedAuthorsSignature(t *testing.T) {
 	fleet := newTestFleet(t)
 	relay, receiver, author := fleet.guard("a", 100), fleet.guard("b", 200), fleet.guard("d", 300)
 	fleet.acquaint(relay, receiver)
@@ -284,7 +287,7 @@
 }
 
 // Every message that a Core may send fits into a datagram, its certificate included.
-func TestFits(t *testing.T) {
+func TestMessageFitsDatagram(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender := fleet.guard("a-scheduler-with-quite-a-long-name-1", 100)
 	if n := len(sender.Certificate()); n > maxCertBytes {
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -10,8 +10,8 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither forged addresses nor one member can
-// use up what the members need that have shown a cookie.
+// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither datagrams with forged
+// addresses nor one member can use up what is needed for the members that have shown a cookie.
 const (
 	peerCheckFraction    = 0.2  // for each member that shows a cookie
 	knownCheckFraction   = 0.25 // for all datagrams without one from addresses of members and seeds
@@ -165,7 +165,7 @@
 }
 
 // filterRecords keeps the records that are new and signed by their author. Those of members whose certificate is not
-// known are accepted without their signature: they only tell where a member may be found.
+// known are accepted without their signature: they are only used as addresses at which a member may be found.
 func (g *Guard) filterRecords(opened *Opened, checks checkBudget) {
 	accepted := opened.Records[:0]
 	for _, record := range opened.Records {
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -77,7 +77,7 @@
 
 // Whatever a rule yields, no request moves to a class that is less strict about retries, nor to one by idempotency
 // key without a key.
-func TestSafety(t *testing.T) {
+func TestClassIsNeverLessStrict(t *testing.T) {
 	strict := map[string]routing.Idempotency{}
 	for _, c := range classes {
 		strict[c.Name] = c.Idempotency
@@ -93,9 +93,9 @@
 			}
 			rules = append(rules, r)
 		}
-		table, faults := Load(rules, classes)
+		table, errs := Load(rules, classes)
 		if table == nil {
-			rt.Fatal(faults)
+			rt.Fatal(errs)
 		}
 		q := newRequest(table, map[string]string{"CLASS": rapid.SampledFrom(append(names, "zzz", "")).Draw(rt, "param")})
 		q.Class = rapid.SampledFrom(append(names, "")).Draw(rt, "asked")
@@ -116,7 +116,7 @@
 }
 
 // A table with its index gives the results of one that evaluates all rules, for any rules and requests.
-func TestIndexedAsPlain(t *testing.T) {
+func TestIndexDoesNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var rules []Rule
 		for i := range rapid.IntRange(0, 12).Draw(rt, "rules") {
@@ -126,12 +126,12 @@
 			}
 			rules = append(rules, r)
 		}
-		indexed, faults := Load(rules, classes)
-		plain, _ := Load(rules, classes)
+		indexed, errs := Load(rules, classes)
+		unindexed, _ := Load(rules, classes)
 		if indexed == nil {
-			rt.Skip(faults)
+			rt.Skip(errs)
 		}
-		plain.unindexed = true
+		unindexed.unindexed = true
 		texts := []string{"", "a", "ab", "abc", "abcd", "b", "bcd", "c"}
 		for range 8 {
 			params := map[string]string{}
@@ -144,11 +144,11 @@
 			for _, f := range []*string{&q.Class, &q.Handler, &q.Path, &q.Method} {
 				*f = rapid.SampledFrom(texts).Draw(rt, "text")
 			}
-			a, b := indexed.Match(q), plain.Match(q)
+			a, b := indexed.Match(q), unindexed.Match(q)
 			if a.Cost > indexed.Limit() {
 				rt.Fatalf("cost %d over the limit of %d", a.Cost, indexed.Limit())
 			}
-			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // the plain one also evaluates what can't hold
+			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // without the index conditions that can't hold are evaluated too
 			if d := cmp.Diff(b, a); d != "" {
 				rt.Fatal(d)
 			}
@@ -174,7 +174,7 @@
 }
 
 // The evaluation ends at the cost limit, with what was decided until then.
-func TestMeter(t *testing.T) {
+func TestEvaluationEndsAtCostLimit(t *testing.T) {
 	table := load(t, Rule{Name: "a", Key: expression(`"a"`)}, Rule{Name: "b", Route: expression("b")}, Rule{Name: "c", Route: expression("c")})
 	table.costLimit = table.rules[0].maxCost + table.rules[1].maxCost - 1 // as if the estimate had been too low
 	got := table.Match(newRequest(table, nil))
@@ -200,7 +200,7 @@
 			t.Errorf("%d of 10000 keys went to %s, want about %d", got, route, want)
 		}
 	}
-	if _, faults := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(faults) != 1 {
-		t.Errorf("splits of more than all requests: %v", faults)
+	if _, errs := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(errs) != 1 {
+		t.Errorf("splits of more than all requests: %v", errs)
 	}
 }
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -19,7 +19,7 @@
 }
 
 func load(tb interface{ Fatal(...any) }) *Core {
-	core, faults := Load([]Pool{
+	core, errs := Load([]Pool{
 		{Name: "fast", Workers: text(`model == "std" && zone in ["a", "b"]`)},
 		{Name: "slow", Workers: text(`id.startsWith("s")`)},
 		{Name: "rest", Workers: text(`group != 7`)},
@@ -28,7 +28,7 @@
 		{Name: "any", Pools: []match.Expression{text("rest")}},
 	})
 	if core == nil {
-		tb.Fatal(faults)
+		tb.Fatal(errs)
 	}
 	return core
 }
@@ -87,20 +87,21 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
-	_, faults := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
+// Every error of the definitions is reported, with the directive that it is in.
+func TestLoadReportsAllErrors(t *testing.T) {
+	_, errs := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
 		[]Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
 	var got []string
-	for _, f := range faults {
+	for _, f := range errs {
 		got = append(got, f.Directive)
 	}
 	if want := []string{"workers", "workers", "pool", "pool"}; !slices.Equal(got, want) {
-		t.Errorf("faults %v", faults)
+		t.Errorf("errors %v", errs)
 	}
 }
 
-// A live set never leaves the route's pools, and has no healthy worker only if none of the route's workers is healthy.
-func TestProperties(t *testing.T) {
+// A live set holds only workers of the route's pools, and a healthy one as long as any of them is healthy.
+func TestLiveSetHoldsHealthyWorker(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		core := load(rt)
 		now := time.Hour
