--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -82,9 +82,9 @@
 	if err != nil {
 		return err
 	}
-	_, _, warnings, err := settings.Compile(classes)
-	if len(warnings) > 0 {
-		fmt.Fprintf(out, "warning: %s\n", strings.ReplaceAll(warnings.Error(), "\n", "\nwarning: "))
+	compiled, err := settings.Compile(classes)
+	if len(compiled.Warnings) > 0 {
+		fmt.Fprintf(out, "warning: %s\n", strings.ReplaceAll(compiled.Warnings.Error(), "\n", "\nwarning: "))
 	}
 	return err
 }
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -75,18 +75,18 @@
 	if err != nil {
 		return err
 	}
-	table, _, warnings, err := settings.Compile(classes)
+	compiled, err := settings.Compile(classes)
 	if err != nil {
 		return err
 	}
-	for _, warning := range warnings {
+	for _, warning := range compiled.Warnings {
 		fmt.Fprintln(warningsOut, "warning:", warning)
 	}
 	requests, err := o.readRequests()
 	if err != nil {
 		return err
 	}
-	results, err := matchRequests(table, requests)
+	results, err := matchRequests(compiled.Rules, requests)
 	if err != nil {
 		return err
 	}
--- a/cmd/calicohill/reload.go
+++ b/cmd/calicohill/reload.go
@@ -6,16 +6,13 @@
 
 	"calicohill/internal/config"
 	"calicohill/internal/config/operatorfile"
-	"calicohill/internal/rules/match"
-	"calicohill/internal/rules/pools"
 )
 
 // reloadedConfig is a configuration that was read by a reload and is valid.
 type reloadedConfig struct {
 	platform *config.Config
 	operator *operatorfile.Settings
-	rules    *match.Table
-	routes   *pools.Core
+	rules    operatorfile.Compiled
 }
 
 // reload reads the configuration again and takes it into use. Only the endpoint list service's address is taken from
@@ -40,7 +37,7 @@
 	s.statusFile.Store(&next.operator.Log.Status)
 	s.loop.Post(func() {
 		s.watcher.SetAddress(next.platform.DiscoveryAddress)
-		s.useRules(next.rules, next.routes)
+		s.useRules(next.rules)
 	})
 	s.log.WithField("bulletin", next.platform.DiscoveryAddress).Info("configuration reloaded")
 }
@@ -52,11 +49,11 @@
 	if err != nil {
 		return nil, err
 	}
-	rules, routes, _, err := operator.Compile(ruleClasses(&s.platform.Deployment))
+	rules, err := operator.Compile(ruleClasses(&s.platform.Deployment))
 	if err != nil {
 		return nil, err
 	}
-	return &reloadedConfig{platform: platform, operator: operator, rules: rules, routes: routes}, nil
+	return &reloadedConfig{platform: platform, operator: operator, rules: rules}, nil
 }
 
 // applyOffLoop takes into use what does not belong to the loop, gossip and logging. If it fails, nothing has changed:
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -16,8 +16,6 @@
 	"calicohill/internal/fleet/transport"
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/nodeagent"
-	"calicohill/internal/rules/match"
-	"calicohill/internal/rules/pools"
 	"calicohill/internal/runtime/bufferpool"
 	"calicohill/internal/runtime/eventloop"
 	"calicohill/internal/runtime/logging"
@@ -74,11 +72,11 @@
 		log:      loggers.Part("scheduler"),
 	}
 	sched.statusFile.Store(&operator.Log.Status)
-	rules, routes, warnings, err := operator.Compile(ruleClasses(&platform.Deployment))
+	rules, err := operator.Compile(ruleClasses(&platform.Deployment))
 	if err != nil {
 		return nil, err
 	}
-	for _, warning := range warnings {
+	for _, warning := range rules.Warnings {
 		loggers.Part("rules").WithError(warning).Warn("rule without effect")
 	}
 	// Faults are reported to peers and to routes. Routes may be added by a reload, so that an operator's file is enough.
@@ -87,7 +85,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	sched.assemble(router, rules, routes)
+	sched.assemble(router, rules)
 	if err := sched.openPeers(); err != nil {
 		return nil, err
 	}
@@ -98,7 +96,7 @@
 }
 
 // assemble sets the limits of the process, and connects the event loop, the dispatcher, the node agents and the server.
-func (s *scheduler) assemble(router *routing.Router, rules *match.Table, routes *pools.Core) {
+func (s *scheduler) assemble(router *routing.Router, rules operatorfile.Compiled) {
 	limits := resourceLimitsOf(s.platform)
 	runtime.GOMAXPROCS(1) // the machine has one core
 	debug.SetMemoryLimit(limits.processMemory)
@@ -129,12 +127,13 @@
 		Log:            s.loggers.Part("clients"),
 		RulesLog:       s.loggers.Part("rules"),
 	})
-	s.useRules(rules, routes)
+	s.useRules(rules)
 }
 
 // useRules has the rules of an operator's file decide on requests from now on.
-func (s *scheduler) useRules(rules *match.Table, routes *pools.Core) {
-	s.server.SetRules(fastcgi.NewRules(rules))
+func (s *scheduler) useRules(compiled operatorfile.Compiled) {
+	s.server.SetRules(fastcgi.NewRules(compiled.Rules))
+	routes := compiled.Routes
 	if routes.Len() == 0 {
 		routes = nil
 	}
@@ -167,9 +166,15 @@
 // openWatcher creates the watcher of the endpoint list.
 func (s *scheduler) openWatcher() error {
 	deployment := &s.platform.Deployment
-	polling := pollplan.New(deployment.Schedulers, deployment.DrainGrace, s.platform.Seed)
-	watcher, err := discovery.New(s.loop, s.platform.DiscoveryAddress, s.platform.KnownEndpoints, deployment.Zones,
-		deployment.WorkerKinds, polling, s.updateEndpoints, s.loggers.Part("bulletin"))
+	watcher, err := discovery.New(s.loop, discovery.Options{
+		Address:        s.platform.DiscoveryAddress,
+		KnownEndpoints: s.platform.KnownEndpoints,
+		Zones:          deployment.Zones,
+		WorkerKinds:    deployment.WorkerKinds,
+		Planner:        pollplan.New(deployment.Schedulers, deployment.DrainGrace, s.platform.Seed),
+		Sink:           s.updateEndpoints,
+		Log:            s.loggers.Part("bulletin"),
+	})
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", s.sources.platformFile, err)
 	}
@@ -208,6 +213,12 @@
 			"age": (s.loop.Now() - record.CreatedAt).Round(time.Second),
 		}).Info("snapshot restored")
 	}
-	file := snapshotfile.New(s.loop, state.Snapshot, state.Fleet, s.watcher.Snapshot, s.dispatcher.LearnedState, log)
+	file := snapshotfile.New(s.loop, snapshotfile.Options{
+		Path:      state.Snapshot,
+		Fleet:     state.Fleet,
+		Endpoints: s.watcher.Snapshot,
+		State:     s.dispatcher.LearnedState,
+		Log:       log,
+	})
 	s.watcher.OnChange = file.Changed
 }
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -226,7 +226,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _, _, err = set.Compile(nil)
+	_, err = set.Compile(nil)
 	var errs ParseErrors
 	if !errors.As(err, &errs) || len(errs) != 2 || errs[0].Line != 2 || errs[0].Column != 8 || errs[1].Line != 3 || errs[1].Column != 11 {
 		t.Errorf("errors %v", err)
--- a/internal/config/operatorfile/rules.go
+++ b/internal/config/operatorfile/rules.go
@@ -62,9 +62,16 @@
 	return definitions
 }
 
+// Compiled is what the sections match, pool and route of an operator's file are compiled to.
+type Compiled struct {
+	Rules    *match.Table
+	Routes   *pools.Core
+	Warnings ParseErrors // what is valid, but has no effect
+}
+
 // Compile compiles the file's rules for the classes of a site, nil where those are not known, and its pools and routes.
-// The error is ParseErrors. Warnings are returned in either case.
-func (s *Settings) Compile(classes []match.Class) (*match.Table, *pools.Core, ParseErrors, error) {
+// The error is ParseErrors; with it only the warnings are returned.
+func (s *Settings) Compile(classes []match.Class) (Compiled, error) {
 	table, ruleErrors := match.Load(s.Rules, classes)
 	routes, routeErrors := pools.Load(s.Pools, s.Routes)
 	var warnings, errs ParseErrors
@@ -77,7 +84,7 @@
 		}
 	}
 	if len(errs) > 0 {
-		return nil, nil, warnings, errs
+		return Compiled{Warnings: warnings}, errs
 	}
-	return table, routes, warnings, nil
+	return Compiled{Rules: table, Routes: routes, Warnings: warnings}, nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -55,24 +55,32 @@
 	acceptedGap    int               // events up to this number may be missing: the service no longer has them
 }
 
-// New returns a Watcher that does nothing until Start. The known events come in the form of a poll's response; an error
-// names the first invalid one. zones and kinds are the platform's names in the order of their numbers.
-func New(loop Loop, addr string, known []byte, zones, kinds []string, planner *pollplan.Planner,
-	sink func(dispatch.EndpointList), log logrus.FieldLogger,
-) (*Watcher, error) {
+// Options are the settings of a Watcher and what it works with.
+type Options struct {
+	Address        string   // of the list service, host:port
+	KnownEndpoints []byte   // configured events in the form of a poll's response
+	Zones          []string // the platform's names, by number
+	WorkerKinds    []string // the platform's names, by number
+	Planner        *pollplan.Planner
+	Sink           func(dispatch.EndpointList) // is called with each change of the list
+	Log            logrus.FieldLogger
+}
+
+// New returns a Watcher that does nothing until Start. The error names the first of the known events that is invalid.
+func New(loop Loop, options Options) (*Watcher, error) {
 	watcher := &Watcher{
 		loop:        loop,
-		addr:        addr,
-		zones:       zones,
-		kinds:       kinds,
-		sink:        sink,
-		log:         log,
-		planner:     planner,
+		addr:        options.Address,
+		zones:       options.Zones,
+		kinds:       options.WorkerKinds,
+		sink:        options.Sink,
+		log:         options.Log,
+		planner:     options.Planner,
 		connections: map[int]*connection{},
 	}
 	watcher.pollTimer.Fire = func() { watcher.step() }
 	var err error
-	watcher.initial, err = parseKnown(known, zones, kinds)
+	watcher.initial, err = parseKnown(options.KnownEndpoints, options.Zones, options.WorkerKinds)
 	return watcher, err
 }
 
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -31,26 +31,29 @@
 	Post(func())
 }
 
+// Options are the settings of a File and the sources of what it saves. Both sources are called on the loop.
+type Options struct {
+	Path  string
+	Fleet string // the file is valid for this fleet alone
+	// Endpoints captures the endpoint list. It returns the number of the list's last event and a function that encodes
+	// the list, which is called off the loop.
+	Endpoints func() (eventNumber int, encode func() ([]byte, error))
+	State     func() routing.LearnedState
+	Log       logrus.FieldLogger
+}
+
 // File keeps the snapshot file of a scheduler up to date. Its methods are called on the event loop.
 type File struct {
-	path  string
-	fleet string
-	loop  Loop
-	log   logrus.FieldLogger
-
-	captureEndpoints func() (eventNumber int, encode func() ([]byte, error)) // encode runs off the loop
-	captureState     func() routing.LearnedState
+	loop    Loop
+	options Options
 
 	scheduler snapshot.Scheduler
 	timer     deadline.Timer
 }
 
-// New returns a File that saves what endpoints and state return. Both are called on the loop; the function that
-// endpoints returns beside the number of the list's last event encodes the list, and is called off the loop.
-func New(loop Loop, path, fleet string, endpoints func() (int, func() ([]byte, error)), state func() routing.LearnedState,
-	log logrus.FieldLogger,
-) *File {
-	f := &File{path: path, fleet: fleet, loop: loop, log: log, captureEndpoints: endpoints, captureState: state}
+// New returns a File that writes nothing until Changed is called.
+func New(loop Loop, options Options) *File {
+	f := &File{loop: loop, options: options}
 	f.timer.Fire = func() { f.step() }
 	return f
 }
@@ -76,8 +79,8 @@
 
 // startWrite captures a record and writes it on a goroutine of its own.
 func (f *File) startWrite(now time.Duration) {
-	eventNumber, encodeEndpoints := f.captureEndpoints()
-	record := snapshot.Record{Fleet: f.fleet, EventNumber: eventNumber, CreatedAt: now, State: f.captureState()}
+	eventNumber, encodeEndpoints := f.options.Endpoints()
+	record := snapshot.Record{Fleet: f.options.Fleet, EventNumber: eventNumber, CreatedAt: now, State: f.options.State()}
 	go func() {
 		err := f.write(record, encodeEndpoints)
 		f.loop.Post(func() { f.step(snapshot.Written{Err: err}) })
@@ -86,10 +89,10 @@
 
 func (f *File) reportStatus(err error) {
 	if err != nil {
-		f.log.WithError(err).Error("snapshot write failed, keeping the previous file")
+		f.options.Log.WithError(err).Error("snapshot write failed, keeping the previous file")
 		return
 	}
-	f.log.Info("snapshot writes succeed again")
+	f.options.Log.Info("snapshot writes succeed again")
 }
 
 // write replaces the file by one with the record. Whatever fails, and whenever the machine goes down, the file is
@@ -104,14 +107,14 @@
 	if err != nil {
 		return err
 	}
-	temporary := f.path + temporarySuffix
+	temporary := f.options.Path + temporarySuffix
 	if err := writeSynced(temporary, data); err != nil {
 		return err
 	}
-	if err := os.Rename(temporary, f.path); err != nil {
+	if err := os.Rename(temporary, f.options.Path); err != nil {
 		return err
 	}
-	return syncDirectory(filepath.Dir(f.path))
+	return syncDirectory(filepath.Dir(f.options.Path))
 }
 
 // writeSynced writes a file and waits until it is on the disk.
--- a/internal/snapshot/snapshotfile/golden_test.go
+++ b/internal/snapshot/snapshotfile/golden_test.go
@@ -22,7 +22,7 @@
 	path := filepath.Join(t.TempDir(), goldenName)
 	r := snapshottest.Record()
 	r.Endpoints = nil
-	f := &File{path: path, fleet: snapshottest.Fleet}
+	f := &File{options: Options{Path: path, Fleet: snapshottest.Fleet}}
 	if err := f.write(r, func() ([]byte, error) { return []byte(snapshottest.Feed), nil }); err != nil {
 		t.Fatal(err)
 	}
