--- /dev/null
+++ b/internal/dispatch/dispatcher_test.go
@@ -0,0 +1,162 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
+
+	"pgregory.net/rapid"
+)
+
+// randomRun is a run in which calls, answers, cancellations, endpoint lists and time come in any order.
+type randomRun struct {
+	*testHarness
+	rt       *rapid.T
+	workers  []string
+	calls    []submitted
+	inFlight []Attempt // sent, and neither ended nor canceled
+	sent     int       // how many attempts of fakeWorkers.sent have been taken into inFlight
+}
+
+// submitted is a call of a randomRun.
+type submitted struct {
+	ref, tag        slotmap.Ref
+	clientLeft      bool
+	answersWhenLeft int
+}
+
+// TestRandomOrders holds a Dispatcher to its contract whatever the order of events: one final answer to each call and
+// none after its client has left, each body buffer returned once, and nothing kept of what is done.
+func TestRandomOrders(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		settings := testSettings()
+		settings.CancelAllowed = rapid.Bool().Draw(rt, "cancel allowed")
+		settings.HedgingAllowed = rapid.Bool().Draw(rt, "hedging allowed")
+		run := &randomRun{rt: rt, workers: []string{"w1", "w2", "w3"}}
+		run.testHarness = newHarness(rt, settings, 0, run.workers...)
+		for range rapid.IntRange(1, 100).Draw(rt, "events") {
+			run.randomEvent()
+			run.check()
+		}
+		run.loop.advance(2 * timeLeft)
+		run.check()
+		run.endAttempts()
+		run.checkEnd()
+	})
+}
+
+// randomEvent has one event happen, in the present pass of the loop or at its end.
+func (r *randomRun) randomEvent() {
+	switch rapid.IntRange(0, 6).Draw(r.rt, "event") {
+	case 0:
+		r.submitCall()
+	case 1:
+		r.endAttempt()
+	case 2:
+		r.clientLeaves()
+	case 3:
+		worker := rapid.SampledFrom(r.workers).Draw(r.rt, "worker")
+		state := rapid.SampledFrom([]routing.WorkerState{routing.Ready, routing.Draining, routing.Gone}).Draw(r.rt, "state")
+		r.setState(worker, state)
+	case 4:
+		r.testHarness.workers.written = rapid.Bool().Draw(r.rt, "written")
+	case 5:
+		r.loop.advance(time.Duration(rapid.IntRange(1, 500).Draw(r.rt, "ms")) * time.Millisecond)
+	default:
+		r.loop.runPosted()
+	}
+}
+
+func (r *randomRun) submitCall() {
+	if len(r.calls) == poolLimit {
+		return // no body buffer might be left
+	}
+	class := rapid.IntRange(idempotent, nonIdempotent).Draw(r.rt, "class")
+	call := r.call(fmt.Sprint(len(r.calls)), class)
+	call.Function = fmt.Sprint("function ", rapid.IntRange(0, 2).Draw(r.rt, "function"))
+	call.TimeLeft = time.Duration(rapid.IntRange(1, int(timeLeft/time.Millisecond)).Draw(r.rt, "time left")) * time.Millisecond
+	ref, tag := r.submit(call)
+	r.calls = append(r.calls, submitted{ref: ref, tag: tag})
+}
+
+// endAttempt ends an attempt as a transport would: once, and only if it was not canceled.
+func (r *randomRun) endAttempt() {
+	r.updateInFlight()
+	if len(r.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(r.inFlight)-1).Draw(r.rt, "attempt")
+	outcome := routing.Outcome(rapid.IntRange(int(routing.Served), int(routing.NotLoaded)).Draw(r.rt, "outcome"))
+	ref := r.inFlight[i].Ref
+	r.inFlight = slices.Delete(r.inFlight, i, i+1)
+	r.AttemptEnded(ref, ended(outcome))
+	if r.MaySend(ref) {
+		r.rt.Errorf("MaySend of an attempt that has ended = true")
+	}
+	r.AttemptEnded(ref, served("a second end, which is ignored"))
+}
+
+// clientLeaves cancels a call, perhaps one that was answered or canceled before.
+func (r *randomRun) clientLeaves() {
+	if len(r.calls) == 0 {
+		return
+	}
+	call := &r.calls[rapid.IntRange(0, len(r.calls)-1).Draw(r.rt, "call")]
+	r.Cancel(call.ref)
+	if !call.clientLeft {
+		call.clientLeft = true
+		call.answersWhenLeft = len(r.responder.answers[call.tag])
+	}
+}
+
+// updateInFlight takes in the attempts that were sent and canceled meanwhile.
+func (r *randomRun) updateInFlight() {
+	r.inFlight = append(r.inFlight, r.testHarness.workers.sent[r.sent:]...)
+	r.sent = len(r.testHarness.workers.sent)
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(attempt Attempt) bool {
+		return slices.Contains(r.testHarness.workers.canceled, attempt.Ref)
+	})
+}
+
+// endAttempts ends the attempts that are still in flight, and the pass.
+func (r *randomRun) endAttempts() {
+	r.updateInFlight()
+	for _, attempt := range r.inFlight {
+		r.AttemptEnded(attempt.Ref, served("late"))
+	}
+	r.inFlight = nil
+	r.loop.runPosted()
+}
+
+// check checks that no call has more than one final answer, and that none came after its client had left.
+func (r *randomRun) check() {
+	for i, call := range r.calls {
+		answers := len(r.responder.answers[call.tag])
+		if answers > 1 {
+			r.rt.Fatalf("call %d has %d answers", i, answers)
+		}
+		if call.clientLeft && answers > call.answersWhenLeft {
+			r.rt.Fatalf("call %d was answered after its client had left", i)
+		}
+	}
+}
+
+// checkEnd checks that every call was answered whose client had not left, and that nothing remains of any.
+func (r *randomRun) checkEnd() {
+	for i, call := range r.calls {
+		if !call.clientLeft && len(r.responder.answers[call.tag]) != 1 {
+			r.rt.Errorf("call %d has %d answers, want 1", i, len(r.responder.answers[call.tag]))
+		}
+	}
+	if got := r.OpenRequests(); got != 0 {
+		r.rt.Errorf("%d requests are open, want 0", got)
+	}
+	if r.requests.Len() != 0 || len(r.byID) != 0 || r.attempts.Len() != 0 {
+		r.rt.Errorf("%d requests, %d IDs and %d attempts remain, want none", r.requests.Len(), len(r.byID), r.attempts.Len())
+	}
+	r.wantLent(0)
+}
--- /dev/null
+++ b/internal/dispatch/endpoints_test.go
@@ -0,0 +1,207 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"calicohill/internal/rules/match"
+	"calicohill/internal/rules/pools"
+	"calicohill/routing"
+)
+
+func TestUpdateEndpoints(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0)
+	for _, tt := range []struct {
+		name string
+		list EndpointList
+		want []string // WorkerIDs, the lists before included
+	}{
+		{"full list", EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "b", "a")}, []string{"a", "b"}},
+		{"a worker is added", EndpointList{Endpoints: endpoints(routing.Ready, "c")}, []string{"a", "b", "c"}},
+		{"a worker drains", EndpointList{Endpoints: endpoints(routing.Draining, "a")}, []string{"a", "b", "c"}},
+		{"a worker is gone", EndpointList{Endpoints: endpoints(routing.Gone, "b")}, []string{"a", "c"}},
+		{"an unknown worker is gone", EndpointList{Endpoints: endpoints(routing.Gone, "x")}, []string{"a", "c"}},
+		{"no changes", EndpointList{}, []string{"a", "c"}},
+		{"full list replaces all", EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "d")}, []string{"d"}},
+		{"empty full list", EndpointList{Full: true}, nil},
+	} {
+		harness.UpdateEndpoints(tt.list)
+		if got := harness.WorkerIDs(); !slices.Equal(got, tt.want) {
+			t.Errorf("%s: workers %v, want %v", tt.name, got, tt.want)
+		}
+	}
+}
+
+// A worker that is missing in a full list is gone for the Router too: a request waits for another instead of using up its
+// attempts there.
+func TestFullListReachesRouter(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0, "old")
+	harness.UpdateEndpoints(EndpointList{Full: true})
+	_, tag := harness.submit(harness.call("a", idempotent))
+	harness.loop.advance(timeLeft / 10)
+	harness.wantAnswers(tag)
+	harness.UpdateEndpoints(EndpointList{Endpoints: endpoints(routing.Ready, "new")})
+	harness.loop.runPosted()
+	if len(harness.workers.sent) != 1 || harness.workers.sent[0].Worker != "new" {
+		t.Errorf("attempts sent: %v, want one to the new worker", harness.workers.sent)
+	}
+}
+
+func TestHasEndpoints(t *testing.T) {
+	dispatcher := New(&fakeLoop{}, nil, nil, 0)
+	dispatcher.SetWorkers(&fakeWorkers{})
+	if dispatcher.HasEndpoints() {
+		t.Error("before the first list: HasEndpoints = true, want false")
+	}
+	dispatcher.UpdateEndpoints(EndpointList{Full: true}) // no workers, but known to be none
+	if !dispatcher.HasEndpoints() {
+		t.Error("after an empty list: HasEndpoints = false, want true")
+	}
+}
+
+// The transport ends attempts because of a list. The Router learns of the list first: a worker's failure belongs to its
+// new state.
+func TestRouterLearnsOfListBeforeTransport(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0, "w")
+	attempt, _, _ := harness.send("a", idempotent)
+	harness.workers.onUpdate = func() {
+		if harness.MaySend(attempt.Ref) {
+			t.Error("during UpdateEndpoints: MaySend = true, want false")
+		}
+		harness.AttemptEnded(attempt.Ref, ended(routing.NotSent))
+	}
+	harness.setState("w", routing.Draining)
+	var got []string
+	for _, event := range harness.events {
+		got = append(got, fmt.Sprintf("%T", event))
+	}
+	if want := []string{"routing.WorkerList", "routing.AttemptEnded"}; !slices.Equal(got, want) {
+		t.Errorf("events of the next step: %v, want %v", got, want)
+	}
+}
+
+// An attempt that the transport gives up because its worker drains is retried elsewhere, in the step of the list.
+func TestRetriedElsewhereWhenWorkerDrains(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0, "w1", "w2")
+	first, _, tag := harness.send("a", nonIdempotent)
+	harness.workers.onUpdate = func() { harness.AttemptEnded(first.Ref, ended(routing.NotSent)) }
+	harness.setState(first.Worker, routing.Draining)
+	harness.loop.runPosted()
+	if len(harness.workers.sent) != 2 || harness.workers.sent[1].Worker == first.Worker {
+		t.Fatalf("attempts sent: %v, want a retry at the other worker", harness.workers.sent)
+	}
+	harness.AttemptEnded(harness.workers.sent[1].Ref, served("answer"))
+	harness.wantAnswers(tag, Served)
+}
+
+// What peers report of a worker counts for a request that is submitted after it in the same pass.
+func TestPeerReportsReachRouterBeforeSend(t *testing.T) {
+	for _, tt := range []struct {
+		name      string
+		verdict   routing.PeerVerdict
+		elsewhere bool
+	}{
+		{"not reported", routing.NotReported, false}, // the function is loaded there
+		{"confirmed", routing.Confirmed, true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			harness := newHarness(t, testSettings(), 0, "w1", "w2")
+			first, _, _ := harness.send("a", idempotent)
+			harness.AttemptEnded(first.Ref, served("answer"))
+			harness.loop.advance(2 * time.Second) // the worker's own answer no longer outweighs the reports
+
+			harness.ApplyPeerReports(routing.PeerReports{
+				Verdicts: map[string]routing.PeerVerdict{first.Worker: tt.verdict},
+			})
+			call := harness.call("b", idempotent)
+			call.Function = first.Function
+			second, _, _ := harness.sendCall(call)
+			if elsewhere := second.Worker != first.Worker; elsewhere != tt.elsewhere {
+				t.Errorf("sent to %s after %s, want another worker: %v", second.Worker, first.Worker, tt.elsewhere)
+			}
+		})
+	}
+}
+
+// A request whose route has pools goes to the workers of these only, as the routes were when it was submitted.
+func TestSetRoutes(t *testing.T) {
+	workers := []string{"w1", "w2", "w3"}
+	expression := func(source string) match.Expression { return match.Expression{Source: source} }
+	for _, worker := range workers {
+		t.Run(worker, func(t *testing.T) {
+			harness := newHarness(t, testSettings(), 0, workers...)
+			routes, faults := pools.Load(
+				[]pools.Pool{{Name: "pool", Workers: expression(fmt.Sprintf("id == %q", worker))}},
+				[]pools.Route{{Name: "route", Pools: []match.Expression{expression("pool")}}})
+			if routes == nil {
+				t.Fatal(faults)
+			}
+			harness.SetRoutes(routes)
+			call := harness.call("routed", idempotent)
+			call.Route = "route"
+			if attempt, _, _ := harness.sendCall(call); attempt.Worker != worker || attempt.Function != call.Function {
+				t.Errorf("sent %s to %s, want %s to %s", attempt.Function, attempt.Worker, call.Function, worker)
+			}
+
+			harness.setState(worker, routing.Draining) // nobody else may have what is routed
+			waiting := harness.call("waiting", idempotent)
+			waiting.Route = "route"
+			_, tag := harness.submit(waiting)
+			harness.loop.runPosted()
+			harness.SetRoutes(nil)
+			again := harness.call("without routes", idempotent)
+			again.Route = "route"
+			if attempt, _, _ := harness.sendCall(again); attempt.Worker == worker {
+				t.Errorf("sent to %s, which drains", worker)
+			}
+			harness.loop.advance(timeLeft)
+			harness.wantAnswers(tag, Rejected)
+		})
+	}
+}
+
+// While the endpoint list may be stale, requests wait.
+func TestMarkStale(t *testing.T) {
+	const stale = 100 * time.Millisecond
+	for _, tt := range []struct {
+		name   string
+		list   func(harness *testHarness) // what is heard of the list
+		sentAt time.Duration              // when the request is sent, at the latest; nothing is sent before
+	}{
+		{"until the time is over", func(*testHarness) {}, stale + 20*time.Millisecond},
+		{"until the list is current", func(harness *testHarness) { harness.MarkStale(0) }, 0},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			harness := newHarness(t, testSettings(), 0, "w")
+			harness.MarkStale(stale)
+			harness.submit(harness.call("a", idempotent))
+			harness.loop.advance(stale / 2)
+			if len(harness.workers.sent) != 0 {
+				t.Fatalf("attempts sent: %v, want none yet", harness.workers.sent)
+			}
+			tt.list(harness)
+			harness.loop.advance(max(0, tt.sentAt-stale/2))
+			if len(harness.workers.sent) != 1 {
+				t.Errorf("attempts sent: %v, want one", harness.workers.sent)
+			}
+		})
+	}
+}
+
+// The observer is notified of faults that the Router finds, as the operator's peers are to know of them.
+func TestFaultObserver(t *testing.T) {
+	settings := testSettings()
+	settings.FaultReporting = true
+	harness := newHarness(t, settings, 0, "w")
+	var observed []routing.ReportFault
+	harness.SetFaultObserver(func(report routing.ReportFault) { observed = append(observed, report) })
+	attempt, _, _ := harness.send("a", idempotent)
+	harness.AttemptEnded(attempt.Ref, ended(routing.ConnectFailed))
+	harness.loop.runPosted()
+	want := []routing.ReportFault{{Worker: "w", Fault: routing.Unreachable, ObservedAt: harness.loop.Now()}}
+	if !slices.Equal(observed, want) {
+		t.Errorf("observed %v, want %v", observed, want)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/fakes_test.go
@@ -0,0 +1,278 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"calicohill/internal/runtime/bufferpool"
+	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
+
+	"pgregory.net/rapid"
+)
+
+// fakeLoop is an event loop with a clock that the test sets. A pass of the loop ends when the test says so, with
+// runPosted: what a test does before it happens in one pass.
+type fakeLoop struct {
+	now       time.Duration
+	deadlines deadline.Queue
+	posted    []func()
+}
+
+func (l *fakeLoop) Now() time.Duration { return l.now }
+
+func (l *fakeLoop) Post(fn func()) { l.posted = append(l.posted, fn) }
+
+func (l *fakeLoop) SetDeadline(timer *deadline.Timer, at time.Duration) { l.deadlines.Set(timer, at) }
+
+func (l *fakeLoop) ClearDeadline(timer *deadline.Timer) { l.deadlines.Remove(timer) }
+
+// runPosted ends the pass: it calls what was posted, and what that posts in turn.
+func (l *fakeLoop) runPosted() {
+	for len(l.posted) > 0 {
+		next := l.posted[0]
+		l.posted = l.posted[1:]
+		next()
+	}
+}
+
+// skipTo sets the clock and fires the timers that are due then, all in the present pass.
+func (l *fakeLoop) skipTo(at time.Duration) {
+	l.now = at
+	for timer := l.deadlines.PopDue(l.now); timer != nil; timer = l.deadlines.PopDue(l.now) {
+		timer.Fire()
+	}
+}
+
+// advance lets time pass: each timer fires when it is due, in a pass of its own.
+func (l *fakeLoop) advance(duration time.Duration) {
+	l.runPosted()
+	end := l.now + duration
+	for at, ok := l.deadlines.Next(); ok && at <= end; at, ok = l.deadlines.Next() {
+		l.now = max(l.now, at)
+		l.deadlines.PopDue(l.now).Fire()
+		l.runPosted()
+	}
+	l.now = end
+}
+
+// fakeWorkers is a transport that keeps the attempts for the test to end.
+type fakeWorkers struct {
+	written  bool // what Cancel returns: attempts have been written
+	sent     []Attempt
+	canceled []slotmap.Ref
+	onUpdate func() // called by UpdateEndpoints; nil means nothing
+}
+
+func (w *fakeWorkers) UpdateEndpoints(EndpointList) {
+	if w.onUpdate != nil {
+		w.onUpdate()
+	}
+}
+
+func (w *fakeWorkers) Send(attempt Attempt) { w.sent = append(w.sent, attempt) }
+
+func (w *fakeWorkers) Cancel(ref slotmap.Ref) bool {
+	w.canceled = append(w.canceled, ref)
+	return w.written
+}
+
+func (*fakeWorkers) Probe(string) {}
+
+// fakeResponder is a front end that keeps the answers by tag, bodies copied, as they are valid during the call only.
+type fakeResponder struct {
+	answers map[slotmap.Ref][]Answer
+	// onRespond is called with each answer that is given; nil means nothing.
+	onRespond func(tag slotmap.Ref)
+}
+
+func (r *fakeResponder) Respond(tag slotmap.Ref, answer Answer) {
+	answer.Body = slices.Clone(answer.Body)
+	r.answers[tag] = append(r.answers[tag], answer)
+	if r.onRespond != nil {
+		r.onRespond(tag)
+	}
+}
+
+// Classes of the harness.
+const (
+	idempotent = iota
+	idempotentByKey
+	nonIdempotent
+)
+
+const (
+	timeLeft            = time.Second            // of the harness's calls
+	deduplicationWindow = 600 * time.Millisecond // of class idempotentByKey
+	poolLimit           = 20                     // body buffers of the harness
+)
+
+// testSettings returns settings of a small deployment, which allows a retry and a hedge.
+func testSettings() routing.Settings {
+	class := routing.Class{
+		LatencyObjective:    500 * time.Millisecond,
+		Deadline:            timeLeft,
+		PriorityWeight:      1,
+		DeduplicationWindow: deduplicationWindow,
+	}
+	settings := routing.Settings{
+		Schedulers:     1,
+		Tick:           2 * time.Millisecond,
+		MaxAttempts:    2,
+		CancelAllowed:  true,
+		HedgingAllowed: true,
+		LoadOnDemand:   true,
+	}
+	for _, kind := range []routing.Idempotency{routing.Idempotent, routing.IdempotentByKey, routing.NonIdempotent} {
+		class.Idempotency = kind
+		settings.Classes = append(settings.Classes, class)
+	}
+	return settings
+}
+
+// testHarness is a Dispatcher with the real Router between a fake front end and fake workers.
+type testHarness struct {
+	*Dispatcher
+	t         rapid.TB
+	loop      *fakeLoop
+	workers   *fakeWorkers
+	responder *fakeResponder
+	pool      *bufferpool.Pool
+	lastTag   slotmap.Ref
+}
+
+// newHarness returns a harness whose endpoint list has these workers, all of them ready.
+func newHarness(t rapid.TB, settings routing.Settings, maxOpenRequests int, workers ...string) *testHarness {
+	t.Helper()
+	router, err := routing.New(settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := &testHarness{
+		t:         t,
+		loop:      &fakeLoop{now: time.Hour},
+		workers:   &fakeWorkers{written: true},
+		responder: &fakeResponder{answers: map[slotmap.Ref][]Answer{}},
+		pool:      bufferpool.NewPool(poolLimit),
+	}
+	h.Dispatcher = New(h.loop, router, h.pool, maxOpenRequests)
+	h.SetWorkers(h.workers)
+	h.UpdateEndpoints(EndpointList{Full: true, Endpoints: endpoints(routing.Ready, workers...)})
+	h.loop.runPosted()
+	return h
+}
+
+// endpoints returns an endpoint in this state for each ID.
+func endpoints(state routing.WorkerState, ids ...string) []Endpoint {
+	var list []Endpoint
+	for _, id := range ids {
+		list = append(list, Endpoint{Worker: routing.Worker{ID: id, State: state, Weight: 1}, Addr: id})
+	}
+	return list
+}
+
+// call returns a call of a function of its own, with a body out of the harness's pool.
+func (h *testHarness) call(id string, class int) Call {
+	h.t.Helper()
+	body := h.pool.Get()
+	if body == nil {
+		h.t.Fatal("no body buffer is left")
+	}
+	body.Append([]byte("body of " + id))
+	return Call{ID: id, Class: class, Function: "function " + id, IdempotencyKey: "key " + id, TimeLeft: timeLeft, Body: body}
+}
+
+// submit submits a call under a new tag, which must succeed.
+func (h *testHarness) submit(call Call) (ref, tag slotmap.Ref) {
+	h.t.Helper()
+	h.lastTag++
+	ref, err := h.Submit(call, h.responder, h.lastTag)
+	if err != nil {
+		h.t.Fatalf("Submit(%s): %v", call.ID, err)
+	}
+	return ref, h.lastTag
+}
+
+// send submits a call of this class, ends the pass and returns the attempt that was sent for it.
+func (h *testHarness) send(id string, class int) (attempt Attempt, ref, tag slotmap.Ref) {
+	h.t.Helper()
+	return h.sendCall(h.call(id, class))
+}
+
+// sendCall submits a call, ends the pass and returns the attempt that was sent for it.
+func (h *testHarness) sendCall(call Call) (attempt Attempt, ref, tag slotmap.Ref) {
+	h.t.Helper()
+	before := len(h.workers.sent)
+	ref, tag = h.submit(call)
+	h.loop.runPosted()
+	if sent := h.workers.sent[before:]; len(sent) != 1 || sent[0].ID != call.ID {
+		h.t.Fatalf("request %s: attempts sent: %v, want one", call.ID, sent)
+	}
+	return h.workers.sent[before], ref, tag
+}
+
+// hedge submits an idempotent call and has a second attempt sent for it while the first is in flight.
+func (h *testHarness) hedge() (first, hedge Attempt, tag slotmap.Ref) {
+	h.t.Helper()
+	first, _, tag = h.send("a", idempotent)
+	before := len(h.workers.sent)
+	h.setState(first.Worker, routing.Gone) // its attempt may still be answered
+	h.loop.advance(timeLeft / 10)
+	if sent := h.workers.sent[before:]; len(sent) != 1 {
+		h.t.Fatalf("attempts sent: %v, want a hedge", sent)
+	}
+	return first, h.workers.sent[before], tag
+}
+
+// setState lists a worker in another state.
+func (h *testHarness) setState(worker string, state routing.WorkerState) {
+	h.UpdateEndpoints(EndpointList{Endpoints: endpoints(state, worker)})
+}
+
+// served is the result of an attempt that was answered with this body.
+func served(body string) AttemptResult {
+	return AttemptResult{Outcome: routing.Served, Body: []byte(body), InFlightForFunction: InFlightUnknown}
+}
+
+// ended is the result of an attempt that ended without a body.
+func ended(outcome routing.Outcome) AttemptResult {
+	return AttemptResult{Outcome: outcome, InFlightForFunction: InFlightUnknown}
+}
+
+// wantAnswers checks which final answers a request was given: there should be one, or none.
+func (h *testHarness) wantAnswers(tag slotmap.Ref, want ...Status) {
+	h.t.Helper()
+	var got []Status
+	for _, answer := range h.responder.answers[tag] {
+		got = append(got, answer.Status)
+	}
+	if !slices.Equal(got, want) {
+		h.t.Errorf("answers %s, want %s", statusNames(got), statusNames(want))
+	}
+}
+
+func statusNames(statuses []Status) string {
+	var names []string
+	for _, status := range statuses {
+		names = append(names, [...]string{Served: "served", Rejected: "rejected", Failed: "failed"}[status])
+	}
+	return fmt.Sprint(names)
+}
+
+// wantLent checks how many body buffers have not been returned to the pool. A buffer that is returned twice makes it
+// one less.
+func (h *testHarness) wantLent(want int) {
+	h.t.Helper()
+	var free []*bufferpool.Buffer
+	for buffer := h.pool.Get(); buffer != nil; buffer = h.pool.Get() {
+		free = append(free, buffer)
+	}
+	for _, buffer := range free {
+		h.pool.Put(buffer)
+	}
+	if got := poolLimit - len(free); got != want {
+		h.t.Errorf("%d body buffers are lent, want %d", got, want)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/requests_test.go
@@ -0,0 +1,311 @@
+package dispatch
+
+import (
+	"errors"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
+)
+
+// A request has one attempt in flight when its answer, its expiry and the client's leaving come, in any order. The first
+// that takes effect decides; an expiry does so at the end of its pass, since the Router might retry the request.
+func TestOneFinalAnswer(t *testing.T) {
+	const (
+		answer = "answer"
+		leave  = "client leaves"
+		expire = "expiry"
+	)
+	for _, tt := range []struct {
+		order          []string
+		onePass        []Status // final answers if all come in one pass of the loop
+		separatePasses []Status // if each comes in a pass of its own
+	}{
+		{[]string{answer, leave, expire}, []Status{Served}, []Status{Served}},
+		{[]string{answer, expire, leave}, []Status{Served}, []Status{Served}},
+		{[]string{leave, answer, expire}, nil, nil},
+		{[]string{leave, expire, answer}, nil, nil},
+		{[]string{expire, answer, leave}, nil, []Status{Rejected}},
+		{[]string{expire, leave, answer}, nil, []Status{Rejected}},
+		{[]string{expire, answer}, []Status{Rejected}, []Status{Rejected}},
+		{[]string{answer, answer}, []Status{Served}, []Status{Served}},
+		{[]string{leave, leave}, nil, nil},
+		{[]string{expire}, []Status{Rejected}, []Status{Rejected}},
+	} {
+		play := func(t *testing.T, settings routing.Settings, onePass bool) {
+			t.Helper()
+			harness := newHarness(t, settings, 0, "w")
+			attempt, ref, tag := harness.send("a", idempotent)
+			for _, event := range tt.order {
+				switch event {
+				case answer:
+					harness.AttemptEnded(attempt.Ref, served("answer"))
+				case leave:
+					harness.Cancel(ref)
+				case expire:
+					harness.loop.skipTo(harness.loop.Now() + timeLeft)
+				}
+				if !onePass {
+					harness.loop.runPosted()
+				}
+			}
+			harness.loop.advance(2 * timeLeft)
+			if onePass {
+				harness.wantAnswers(tag, tt.onePass...)
+			} else {
+				harness.wantAnswers(tag, tt.separatePasses...)
+			}
+			if got := harness.OpenRequests(); got != 0 {
+				t.Errorf("%d requests are open, want 0", got)
+			}
+			harness.wantLent(0)
+		}
+		cancelForbidden := testSettings()
+		cancelForbidden.CancelAllowed = false
+		name := strings.Join(tt.order, ", then ")
+		t.Run(name+"/one pass", func(t *testing.T) { play(t, testSettings(), true) })
+		t.Run(name+"/separate passes", func(t *testing.T) { play(t, testSettings(), false) })
+		t.Run(name+"/one pass, cancel forbidden", func(t *testing.T) { play(t, cancelForbidden, true) })
+		t.Run(name+"/separate passes, cancel forbidden", func(t *testing.T) { play(t, cancelForbidden, false) })
+	}
+}
+
+// A request that was not served is rejected, for the client to retry, where that is harmless; otherwise it has failed.
+func TestUnservedAnswer(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		class   int
+		outcome routing.Outcome
+		want    Status
+	}{
+		{"idempotent, connection reset", idempotent, routing.ConnectionReset, Rejected},
+		{"idempotent, error", idempotent, routing.Errored, Rejected},
+		{"non-idempotent, connection reset", nonIdempotent, routing.ConnectionReset, Failed},
+		{"non-idempotent, error", nonIdempotent, routing.Errored, Failed},
+		{"non-idempotent, shed unseen", nonIdempotent, routing.Shed, Rejected},
+		{"non-idempotent, never sent", nonIdempotent, routing.NotSent, Rejected},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.MaxAttempts = 1
+			harness := newHarness(t, settings, 0, "w")
+			attempt, _, tag := harness.send("a", tt.class)
+			harness.AttemptEnded(attempt.Ref, ended(tt.outcome))
+			harness.loop.runPosted()
+			harness.wantAnswers(tag, tt.want)
+			harness.wantLent(0)
+		})
+	}
+}
+
+func TestAnswerCarriesBody(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0, "w")
+	attempt, _, tag := harness.send("a", idempotent)
+	if got, want := string(attempt.Body), "body of a"; got != want {
+		t.Errorf("sent body %q, want %q", got, want)
+	}
+	harness.AttemptEnded(attempt.Ref, served("answer to a"))
+	harness.wantAnswers(tag, Served) // at once, without waiting for the end of the pass
+	if got, want := string(harness.responder.answers[tag][0].Body), "answer to a"; got != want {
+		t.Errorf("answered %q, want %q", got, want)
+	}
+}
+
+// After the client has left, nothing more is sent for its request: neither its first attempt nor a retry.
+func TestNothingSentAfterCancel(t *testing.T) {
+	t.Run("in the pass of Submit", func(t *testing.T) {
+		harness := newHarness(t, testSettings(), 0, "w1", "w2")
+		ref, tag := harness.submit(harness.call("a", idempotent))
+		harness.Cancel(ref)
+		harness.loop.advance(2 * timeLeft)
+		if len(harness.workers.sent) != 0 {
+			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
+		}
+		harness.wantAnswers(tag)
+		harness.wantLent(0)
+	})
+	t.Run("while it waits for a worker", func(t *testing.T) {
+		harness := newHarness(t, testSettings(), 0)
+		ref, tag := harness.submit(harness.call("a", idempotent))
+		harness.loop.runPosted()
+		harness.Cancel(ref)
+		harness.UpdateEndpoints(EndpointList{Endpoints: endpoints(routing.Ready, "w")})
+		harness.loop.advance(2 * timeLeft)
+		if len(harness.workers.sent) != 0 {
+			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
+		}
+		harness.wantAnswers(tag)
+		harness.wantLent(0)
+	})
+	t.Run("before its attempt fails", func(t *testing.T) {
+		settings := testSettings()
+		settings.CancelAllowed = false
+		harness := newHarness(t, settings, 0, "w1", "w2")
+		attempt, ref, tag := harness.send("a", idempotent)
+		harness.Cancel(ref)
+		harness.loop.runPosted()
+		harness.AttemptEnded(attempt.Ref, ended(routing.ConnectFailed))
+		harness.loop.advance(2 * timeLeft)
+		if len(harness.workers.sent) != 1 {
+			t.Errorf("attempts sent: %v, want the first only", harness.workers.sent)
+		}
+		harness.wantAnswers(tag)
+		harness.wantLent(0)
+	})
+}
+
+// A front end may learn that clients have left while it writes an answer. Attempts for these that the Router decided on
+// in the same step are not sent.
+func TestNothingSentAfterCancelWithinRespond(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0)
+	late := harness.call("late", idempotent)
+	late.TimeLeft = 10 * time.Millisecond // too short for any attempt: rejected by the step that sends the other
+	ref, tag := harness.submit(harness.call("other", idempotent))
+	harness.loop.runPosted() // it waits, as there is no worker
+	_, lateTag := harness.submit(late)
+	harness.UpdateEndpoints(EndpointList{Endpoints: endpoints(routing.Ready, "w")})
+	harness.responder.onRespond = func(answered slotmap.Ref) {
+		if answered == lateTag {
+			harness.Cancel(ref)
+		}
+	}
+	harness.loop.advance(2 * timeLeft)
+	harness.wantAnswers(lateTag, Rejected)
+	harness.wantAnswers(tag)
+	if len(harness.workers.sent) != 0 {
+		t.Errorf("attempts sent: %v, want none", harness.workers.sent)
+	}
+	harness.wantLent(0)
+}
+
+func TestSubmitRejectsOpenID(t *testing.T) {
+	settings := testSettings()
+	settings.CancelAllowed = false
+	harness := newHarness(t, settings, 0, "w")
+	attempt, ref, tag := harness.send("a", idempotent)
+	wantDuplicate := func(when string) {
+		t.Helper()
+		call := harness.call("a", idempotent)
+		if _, err := harness.Submit(call, harness.responder, tag+1); !errors.Is(err, ErrDuplicateID) {
+			t.Errorf("Submit %s: %v, want %v", when, err, ErrDuplicateID)
+		}
+		harness.pool.Put(call.Body) // still the caller's
+		harness.loop.runPosted()
+	}
+	wantDuplicate("while the request is open")
+	harness.Cancel(ref)
+	wantDuplicate("while an attempt is in flight")
+	harness.AttemptEnded(attempt.Ref, served("late"))
+	harness.loop.runPosted()
+	harness.wantLent(0)
+	again, _, againTag := harness.send("a", idempotent) // released: the ID is free
+	harness.AttemptEnded(again.Ref, served("answer"))
+	harness.wantAnswers(tag)
+	harness.wantAnswers(againTag, Served)
+}
+
+// A request that is answered no longer counts as open, though it is kept while an attempt is in flight.
+func TestMaxOpenRequests(t *testing.T) {
+	const limit = 2
+	settings := testSettings()
+	settings.CancelAllowed = false
+	harness := newHarness(t, settings, limit, "w")
+	submit := func(id string) error {
+		t.Helper()
+		call := harness.call(id, idempotent)
+		_, err := harness.Submit(call, harness.responder, 100)
+		if err != nil {
+			harness.pool.Put(call.Body) // still the caller's
+		}
+		harness.loop.runPosted()
+		return err
+	}
+	attempt, _, _ := harness.send("a", idempotent)
+	_, ref, _ := harness.send("b", idempotent)
+	if err := submit("c"); !errors.Is(err, ErrTooManyRequests) {
+		t.Errorf("Submit beyond the limit: %v, want %v", err, ErrTooManyRequests)
+	}
+	harness.wantLent(limit)
+	harness.AttemptEnded(attempt.Ref, served("answer"))
+	if err := submit("c"); err != nil {
+		t.Errorf("Submit after an answer: %v, want success", err)
+	}
+	harness.Cancel(ref) // its attempt stays in flight, as cancellation is forbidden
+	if err := submit("d"); err != nil {
+		t.Errorf("Submit after a client left: %v, want success", err)
+	}
+	if err := submit("e"); !errors.Is(err, ErrTooManyRequests) {
+		t.Errorf("Submit beyond the limit: %v, want %v", err, ErrTooManyRequests)
+	}
+	if got := harness.OpenRequests(); got != limit {
+		t.Errorf("%d requests are open, want %d", got, limit)
+	}
+}
+
+// The body of a request is lent to its attempts, so that it is returned to the pool after the last of them.
+func TestBodyReturnedAfterLastAttempt(t *testing.T) {
+	t.Run("not while a hedge is in flight", func(t *testing.T) {
+		settings := testSettings()
+		settings.CancelAllowed = false
+		harness := newHarness(t, settings, 0, "w1", "w2")
+		first, hedge, tag := harness.hedge()
+		harness.AttemptEnded(hedge.Ref, served("answer of the hedge"))
+		harness.loop.runPosted()
+		harness.wantAnswers(tag, Served)
+		harness.wantLent(1)
+		if got, want := string(first.Body), "body of a"; got != want {
+			t.Errorf("body of the attempt in flight is %q, want %q", got, want)
+		}
+		harness.AttemptEnded(first.Ref, served("answer of the first"))
+		harness.loop.runPosted()
+		harness.wantAnswers(tag, Served)
+		harness.wantLent(0)
+	})
+	t.Run("when the attempt is canceled", func(t *testing.T) {
+		harness := newHarness(t, testSettings(), 0, "w")
+		attempt, ref, _ := harness.send("a", idempotent)
+		harness.Cancel(ref)
+		harness.wantLent(1)
+		harness.loop.runPosted()
+		if want := []slotmap.Ref{attempt.Ref}; !slices.Equal(harness.workers.canceled, want) {
+			t.Errorf("canceled %v, want %v", harness.workers.canceled, want)
+		}
+		harness.wantLent(0)
+	})
+	t.Run("without attempts", func(t *testing.T) {
+		harness := newHarness(t, testSettings(), 0)
+		_, tag := harness.submit(harness.call("a", idempotent))
+		harness.loop.advance(timeLeft)
+		harness.wantAnswers(tag, Rejected)
+		harness.wantLent(0)
+	})
+	t.Run("no body", func(t *testing.T) {
+		harness := newHarness(t, testSettings(), 0)
+		_, tag := harness.submit(Call{ID: "a", Function: "function", TimeLeft: timeLeft})
+		harness.loop.advance(timeLeft)
+		harness.wantAnswers(tag, Rejected)
+		harness.wantLent(0)
+	})
+}
+
+// Shutdown has every open request answered at once; what comes for it later is ignored.
+func TestShutdown(t *testing.T) {
+	harness := newHarness(t, testSettings(), 0, "w")
+	inFlight, _, tag := harness.send("in flight", nonIdempotent)
+	_, ref, leftTag := harness.send("left", idempotent)
+	harness.setState("w", routing.Draining)
+	_, waitingTag := harness.submit(harness.call("waiting", nonIdempotent))
+	harness.loop.runPosted()
+	harness.Cancel(ref)
+	harness.Shutdown()
+	harness.loop.runPosted()
+	harness.AttemptEnded(inFlight.Ref, served("late"))
+	harness.loop.advance(2 * timeLeft)
+	harness.wantAnswers(tag, Failed)
+	harness.wantAnswers(waitingTag, Rejected)
+	harness.wantAnswers(leftTag)
+	harness.wantLent(0)
+}
