--- /dev/null
+++ b/internal/fleet/transport/node_test.go
@@ -0,0 +1,375 @@
+package transport
+
+import (
+	"errors"
+	"io/fs"
+	"net"
+	"net/netip"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"calicohill/internal/config/operatorfile"
+	"calicohill/internal/fleet/gossip"
+	"calicohill/internal/fleet/pki"
+	"calicohill/routing"
+
+	"github.com/sirupsen/logrus"
+	logtest "github.com/sirupsen/logrus/hooks/test"
+)
+
+// A Node does not open with keys that the fleet would not accept. The error names the file or the reason.
+func TestOpenErrors(t *testing.T) {
+	now := time.Now()
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("valid", now)
+	fleet.issue("expired", now.Add(-3*validity))
+	revoked := fleet.issue("revoked", now)
+	list := fleet.revoke(revoked)
+	if err := pki.WriteKeyFile(fleet.path("authority.key"), fleet.authority.Key, fleet.authority.Cert); err != nil {
+		t.Fatal(err)
+	}
+	other := newTestFleet(t, "other")
+	other.issue("foreign", now)
+	foreignList := other.revoke(other.issue("stranger", now))
+
+	for _, tt := range []struct {
+		name   string
+		member string
+		change func(*operatorfile.Gossip)
+		want   error  // wrapped by the error; nil if only its text counts
+		text   string // part of the error
+	}{
+		{"no key file", "nobody", nil, fs.ErrNotExist, fleet.path("nobody.key")},
+		{"key file of an authority", "authority", nil, nil, "the key of an authority"},
+		{
+			"expired certificate", "expired", func(s *operatorfile.Gossip) { s.ClockSkew = time.Minute }, pki.ErrExpired,
+			fleet.path("expired.key"),
+		},
+		{
+			"revoked certificate", "revoked", func(s *operatorfile.Gossip) { s.Revoked = list }, pki.ErrRevoked,
+			fleet.path("revoked.key"),
+		},
+		{
+			"no authority file", "valid", func(s *operatorfile.Gossip) { s.Authorities = []string{fleet.path("none.crt")} },
+			fs.ErrNotExist, fleet.path("none.crt"),
+		},
+		{"no authority", "valid", func(s *operatorfile.Gossip) { s.Authorities = nil }, pki.ErrUnknownAuthority, "key"},
+		{
+			"authority of another fleet", "valid",
+			func(s *operatorfile.Gossip) { s.Authorities = []string{other.path("authority.crt")} }, pki.ErrWrongFleet, "other",
+		},
+		{
+			"member of another fleet", "valid", func(s *operatorfile.Gossip) { s.Key = other.path("foreign.key") },
+			pki.ErrWrongFleet, "foreign.key",
+		},
+		{
+			"no revocation list", "valid", func(s *operatorfile.Gossip) { s.Revoked = fleet.path("none.crl") },
+			fs.ErrNotExist, fleet.path("none.crl"),
+		},
+		{
+			"revocation list of another fleet", "valid", func(s *operatorfile.Gossip) { s.Revoked = foreignList },
+			pki.ErrUnknownAuthority, "list of revoked certificates",
+		},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			settings := fleet.settings(tt.member)
+			if tt.change != nil {
+				tt.change(&settings)
+			}
+			_, err := Open(settings, nil, nil)
+			if err == nil || !strings.HasPrefix(err.Error(), "gossip: ") || !strings.Contains(err.Error(), tt.text) {
+				t.Errorf("Open: %v, want an error of gossip with %q", err, tt.text)
+			}
+			if tt.want != nil && !errors.Is(err, tt.want) {
+				t.Errorf("Open: %v, want it to wrap %v", err, tt.want)
+			}
+		})
+	}
+}
+
+func TestOpenAddressInUse(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	settings := fleet.settings("a")
+	settings.Listen = fleet.open("a").addr
+	if _, err := Open(settings, nil, nil); !errors.Is(err, syscall.EADDRINUSE) {
+		t.Errorf("Open: %v, want %v", err, syscall.EADDRINUSE)
+	}
+}
+
+// A member that is given the address of another joins its fleet, and leaves it again.
+func TestJoinAndLeave(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	fleet.issue("b", time.Now())
+	nodeA, nodeB := fleet.join("a", "b")
+	if got, want := nodeA.messages(), []string{"peer alive"}; !slices.Equal(got, want) {
+		t.Errorf("log of a: %q, want %q", got, want)
+	}
+	nodeB.leave()
+	nodeA.receiveFrom(nodeB)
+	nodeA.wantMember("b", gossip.Left)
+	if got, want := nodeA.messages(), []string{"peer left"}; !slices.Equal(got, want) {
+		t.Errorf("log of a: %q, want %q", got, want)
+	}
+}
+
+// A stranger is not let in, even if its authority calls its fleet the same: this fleet's did not sign its certificate.
+func TestStrangerIsNotLetIn(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	nodeA := fleet.open("a")
+	stranger := newTestFleet(t, testFleetName)
+	stranger.issue("b", time.Now())
+	nodeB := stranger.open("b", nodeA.addr)
+	nodeB.step(nil)
+	if nodeB.messagesSent == 0 {
+		t.Fatal("nothing was sent")
+	}
+	nodeA.receiveFrom(nodeB)
+	if members := nodeA.core.Members(); len(members) != 0 || nodeA.messagesSent != 0 {
+		t.Errorf("members %v and %d datagrams sent, want none", members, nodeA.messagesSent)
+	}
+	if got, want := nodeA.messages(), []string{"gossip datagram dropped"}; !slices.Equal(got, want) {
+		t.Errorf("log %q, want %q", got, want)
+	}
+}
+
+// What does not come from a member is dropped, whatever it is, and costs no event.
+func TestMalformedDatagramIsDropped(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	nodeA := fleet.open("a")
+	nodeA.datagrams <- datagram{nodeA.addr, []byte("second")}
+	nodeA.datagrams <- datagram{nodeA.addr, make([]byte, gossip.MaxDatagram)}
+	if events := nodeA.openQueued(datagram{nodeA.addr, []byte("first")}); len(events) != 0 || len(nodeA.datagrams) != 0 {
+		t.Errorf("events %v and %d datagrams left, want none", events, len(nodeA.datagrams))
+	}
+}
+
+// A fault that one scheduler observes reaches the Router of another as a report of a peer.
+func TestFaultObservedReachesPeer(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	fleet.issue("b", time.Now())
+	nodeA, nodeB := fleet.join("a", "b")
+	for _, node := range []*testNode{nodeA, nodeB} {
+		node.EndpointsChanged([]string{"w1", "w2"})
+		node.runCalls()
+		node.step(nil)
+	}
+	nodeA.FaultObserved(routing.ReportFault{Worker: "w1", Fault: routing.Unreachable, ObservedAt: nodeA.now()})
+	nodeA.runCalls()
+	nodeA.step(nil)
+	exchange(nodeA, nodeB)
+	if len(nodeA.reports) != 0 {
+		t.Errorf("a was notified of %v, want nothing: it is its own report", nodeA.reports)
+	}
+	if len(nodeB.reports) == 0 {
+		t.Fatal("b was notified of nothing")
+	}
+	verdicts := nodeB.reports[len(nodeB.reports)-1].Verdicts
+	if len(verdicts) != 1 || verdicts["w1"] != routing.Reported {
+		t.Errorf("b was notified of verdicts %v, want w1 to be reported", verdicts)
+	}
+}
+
+// The log says when peers confirm a fault and when they withdraw that, each once; the Router gets every report.
+func TestPublishPeerReports(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	node := fleet.open("a")
+	for _, tt := range []struct {
+		name     string
+		verdicts map[string]routing.PeerVerdict
+		want     []string // of the log
+	}{
+		{"reported", map[string]routing.PeerVerdict{"w": routing.Reported}, nil},
+		{"confirmed", map[string]routing.PeerVerdict{"w": routing.Confirmed}, []string{"worker confirmed faulty by peers"}},
+		{"still confirmed", map[string]routing.PeerVerdict{"w": routing.Confirmed}, nil},
+		{"withdrawn", nil, []string{"worker no longer confirmed faulty by peers"}},
+		{"still withdrawn", nil, nil},
+	} {
+		node.reports = nil
+		node.publishPeerReports(routing.PeerReports{Verdicts: tt.verdicts})
+		if got := node.messages(); !slices.Equal(got, tt.want) {
+			t.Errorf("%s: log %q, want %q", tt.name, got, tt.want)
+		}
+		if len(node.reports) != 1 {
+			t.Errorf("%s: %d reports were passed on, want 1", tt.name, len(node.reports))
+		}
+	}
+}
+
+// The request loop calls these while the Node's goroutine may be behind: they drop what finds no space rather than wait.
+func TestCallsDoNotWait(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	node := fleet.open("a") // nothing takes calls out of its queue
+	node.fillCalls()
+	node.FaultObserved(routing.ReportFault{Worker: "w", Fault: routing.Unreachable})
+	node.EndpointsChanged([]string{"old"})
+	node.EndpointsChanged([]string{"new"})
+	if got := len(node.calls); got != queueLength {
+		t.Errorf("%d calls are queued, want %d", got, queueLength)
+	}
+	node.runCalls()
+	if len(node.faultEvents) != 0 {
+		t.Errorf("events %v, want none: the call was dropped", node.faultEvents)
+	}
+	// The endpoint list is not dropped, as it is not repeated: the next step takes the latest.
+	if got := node.endpoints.Load(); got == nil || !slices.Equal(*got, []string{"new"}) {
+		t.Errorf("endpoints for the next step: %v, want the latest", got)
+	}
+	node.step(nil)
+	if got := node.endpoints.Load(); got != nil {
+		t.Errorf("endpoints after the step: %v, want none", *got)
+	}
+}
+
+func TestPrepareErrors(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	fleet.issue("b", time.Now())
+	other := newTestFleet(t, "other")
+	other.issue("a", time.Now())
+	otherFleet := other.settings("a")
+	otherFleet.Fleet = "other"
+	missing := fleet.settings("a")
+	missing.Authorities = []string{fleet.path("none.crt")}
+	node := fleet.open("a")
+	for _, tt := range []struct {
+		name     string
+		settings operatorfile.Gossip
+		want     string // part of the error
+	}{
+		{"no key file", fleet.settings("nobody"), fleet.path("nobody.key")},
+		{"no authority file", missing, fleet.path("none.crt")},
+		{"another name", fleet.settings("b"), "without a restart"},
+		{"another fleet", otherFleet, "without a restart"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			apply, err := node.Prepare(tt.settings)
+			if apply != nil || err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("Prepare: %v, want an error with %q", err, tt.want)
+			}
+		})
+	}
+	if len(node.calls) != 0 {
+		t.Errorf("%d calls are queued, want none", len(node.calls))
+	}
+}
+
+// Prepared settings change nothing until they are applied. Then a member whose certificate they revoke is removed.
+func TestReload(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	revoked := fleet.issue("b", time.Now())
+	nodeA, _ := fleet.join("a", "b")
+	nodeA.messages()
+
+	settings := fleet.settings("a")
+	settings.Revoked = fleet.revoke(revoked)
+	settings.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}
+	settings.AuthorityOverlap = time.Minute
+	apply, err := nodeA.Prepare(settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	nodeA.runCalls()
+	nodeA.step(nil)
+	nodeA.wantMember("b", gossip.Alive)
+
+	if err := apply(); err != nil {
+		t.Fatal(err)
+	}
+	nodeA.runCalls()
+	if members := nodeA.core.Members(); len(members) != 0 {
+		t.Errorf("members %v, want none", members)
+	}
+	if !slices.Equal(nodeA.settings.Seeds, settings.Seeds) || nodeA.settings.AuthorityOverlap != settings.AuthorityOverlap {
+		t.Errorf("seeds %v and overlap %v, want %v and %v",
+			nodeA.settings.Seeds, nodeA.settings.AuthorityOverlap, settings.Seeds, settings.AuthorityOverlap)
+	}
+	want := []string{"peer removed: its certificate is no longer valid", "peer left", "gossip settings reloaded"}
+	if got := nodeA.messages(); !slices.Equal(got, want) {
+		t.Errorf("log %q, want %q", got, want)
+	}
+}
+
+func TestReloadWhileBusy(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	node := fleet.open("a")
+	apply, err := node.Prepare(fleet.settings("a"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	node.fillCalls()
+	if err := apply(); !errors.Is(err, ErrBusy) {
+		t.Errorf("apply with a full queue: %v, want %v", err, ErrBusy)
+	}
+	node.runCalls()
+	if err := apply(); err != nil {
+		t.Errorf("apply with an empty queue: %v, want success", err)
+	}
+}
+
+// Datagrams that no member sends, because they are empty or too long, are not queued.
+func TestReceive(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	node := fleet.open("a")
+	returned := make(chan struct{})
+	go func() {
+		node.receive()
+		close(returned)
+	}()
+	sender, err := net.Dial("udp", node.addr.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer sender.Close()
+	longest := strings.Repeat("x", gossip.MaxDatagram)
+	for _, content := range []string{"", longest + "x", "first", longest} {
+		if _, err := sender.Write([]byte(content)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, want := range []string{"first", longest} {
+		got := <-node.datagrams
+		if string(got.content) != want {
+			t.Errorf("received %d bytes, want %d", len(got.content), len(want))
+		}
+		if got.from.String() != sender.LocalAddr().String() {
+			t.Errorf("received from %v, want %v", got.from, sender.LocalAddr())
+		}
+	}
+	if err := node.conn.Close(); err != nil { // ends receive
+		t.Error(err)
+	}
+	<-returned
+}
+
+// Close returns once the Node has announced that it leaves and has closed its socket.
+func TestClose(t *testing.T) {
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("a", time.Now())
+	log, hook := logtest.NewNullLogger()
+	node, err := Open(fleet.settings("a"), nil, logrus.NewEntry(log))
+	if err != nil {
+		t.Fatal(err)
+	}
+	node.Run()
+	node.Close()
+	if _, err := node.conn.Write(nil); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("writing to the socket: %v, want %v", err, net.ErrClosed)
+	}
+	if last := hook.LastEntry(); last == nil || last.Message != "gossip ended" {
+		t.Errorf("last entry of the log: %v, want that gossip ended", last)
+	}
+	node.FaultObserved(routing.ReportFault{Worker: "w"}) // the request loop may outlive the Node: still no wait
+}
