--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,7 +26,8 @@
 	Deployment       deployment.Settings
 }
 
-// file is the configuration file. Errors of encoding/json quote the names of this type and of its fields.
+// file is the configuration file. Errors of encoding/json quote the names of this type and of its fields. Keys that are
+// not here are ignored: the platform writes some, like limits.cores, that a scheduler has no use for.
 type file struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -35,9 +36,9 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Bulletin string          `json:"bulletin"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Bulletin string          `json:"bulletin"` // the endpoint list service
+	Known    json.RawMessage `json:"known"`    // read by package discovery
+	Settings json.RawMessage `json:"settings"` // read by package deployment
 }
 
 const (
@@ -73,7 +74,7 @@
 	return config, nil
 }
 
-// config returns the configuration in a file, with defaults filled in, if it is valid.
+// config returns the configuration in a file, with defaults filled in, if it is valid. A limit of 0 counts as absent.
 func (f *file) config() (*Config, error) {
 	config := &Config{
 		Name:             f.Name,
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// checkDeployment checks the settings that a scheduler needs but the simulator does not.
+// checkDeployment checks the settings that a scheduler needs but the simulator does not. What both need, such as at least
+// one class with a latency objective, is checked by routing.New.
 func checkDeployment(settings *deployment.Settings) error {
 	for i, name := range settings.ClassNames {
 		if !isClassName(name) || slices.Contains(settings.ClassNames[:i], name) {
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -20,7 +20,8 @@
 	timer         deadline.Timer
 }
 
-// send starts an attempt that the Router decided on.
+// send starts an attempt that the Router decided on. One that may not be sent any more is recorded and ended all the same:
+// the Router numbers the attempts by its Sends, and each Send is owed an AttemptEnded.
 func (d *Dispatcher) send(action routing.Send) {
 	req, ok := d.requestByID(action.ID)
 	if !ok {
@@ -83,6 +84,8 @@
 	if !ok {
 		return
 	}
+	// The client gets its answer now, not after the Router's step, since the body is valid only during this call. The
+	// Router learns of it by RequestAnswered.
 	if result.Outcome == routing.Served {
 		d.respond(att.request, Answer{Status: Served, Body: result.Body})
 	}
@@ -101,7 +104,8 @@
 }
 
 // cancelAttempt abandons an attempt, with an outcome for one that was written, at least in part, and one for an attempt
-// that was not: that one has not run, whatever the reason for the cancellation.
+// that was not: that one has not run, whatever the reason for the cancellation. An attempt that timed out before it was
+// written found no connection in time, and counts as a failure to connect.
 func (d *Dispatcher) cancelAttempt(att *attempt, ifWritten, ifNotWritten routing.Outcome) {
 	outcome := ifNotWritten
 	if d.workers.Cancel(att.ref) {
@@ -110,7 +114,7 @@
 	d.finishAttempt(att, AttemptResult{Outcome: outcome, InFlightForFunction: InFlightUnknown})
 }
 
-// finishAttempt removes an attempt and notifies the Router.
+// finishAttempt removes an attempt and notifies the Router. Its request is released by the step, if nothing else is owed.
 func (d *Dispatcher) finishAttempt(att *attempt, result AttemptResult) {
 	d.loop.ClearDeadline(&att.timer)
 	d.attempts.Remove(att.ref)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,6 +2,10 @@
 // and their deadlines. It collects the events of one pass of the event loop into one Router step, and carries out the
 // Router's actions.
 //
+// So the Router decides at the end of a pass only, and while its actions are carried out the state may change already: a
+// front end may cancel one request while it is given the answer to another. This is why an attempt is checked once more
+// with MaySend before it is sent, and again before it is written.
+//
 // The package knows no protocol. A front end submits Calls and is a Responder, the transport to the workers implements
 // Workers, and whatever discovers workers passes on EndpointLists.
 package dispatch
@@ -92,7 +96,8 @@
 	}
 }
 
-// step passes the enqueued events to the Router, performs its actions, and releases the requests that are done.
+// step passes the enqueued events to the Router, performs its actions, and releases the requests that are done. What the
+// actions enqueue is for another step. Requests are released last, because actions name them by ID.
 func (d *Dispatcher) step() {
 	d.stepPosted = false
 	events := d.events
@@ -122,6 +127,7 @@
 	case routing.Fail:
 		d.respondByID(action.ID, Answer{Status: Failed})
 	case routing.SetTimer:
+		// The Router never stops a timer, so that nothing has to keep it.
 		timer := &deadline.Timer{Fire: func() { d.enqueue(routing.TimerFired{Token: action.Token}) }}
 		d.loop.SetDeadline(timer, d.loop.Now()+action.After)
 	case routing.ReportFault:
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -74,7 +74,9 @@
 	return function + poolSeparator + call.Route, pool
 }
 
-// Cancel withdraws a request whose client has left. It gets no answer.
+// Cancel withdraws a request whose client has left. It gets no answer, and no attempt is written for it from now on. An
+// attempt in flight is canceled by the Router at the end of the pass, if the settings allow that; until it has ended, the
+// request keeps its ID and its body.
 func (d *Dispatcher) Cancel(ref slotmap.Ref) {
 	req, ok := d.requests.Get(ref)
 	if !ok || req.answered {
@@ -106,6 +108,7 @@
 	d.openRequests--
 }
 
+// requestByID returns the request with an ID. One that is not in byID has the zero Ref, which refers to nothing.
 func (d *Dispatcher) requestByID(id string) (*request, bool) { return d.requests.Get(d.byID[id]) }
 
 func (d *Dispatcher) releaseByID(id string) {
@@ -114,7 +117,8 @@
 	}
 }
 
-// releaseIfDone frees a request that is answered and has no attempt in flight.
+// releaseIfDone frees a request that is answered and has no attempt in flight. It is the only place that returns a body to
+// the pool: attempts in flight have the body lent, also those that nobody waits for any more.
 func (d *Dispatcher) releaseIfDone(req *request) {
 	if !req.answered || req.attemptsInFlight > 0 {
 		return
