--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -3,15 +3,14 @@
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
+	"calicohill/internal/testbed"
+
 	"golang.org/x/sys/unix"
 )
 
@@ -26,9 +25,10 @@
 // nodeAgent is a node agent that answers by a script. reply is called for each request with its number, from 1, and returns
 // the bytes of the answer; an empty one leaves the request unanswered.
 type nodeAgent struct {
+	t        *testing.T
 	addr     string
 	listener net.Listener
-	reply    func(n int, g agentRequest) string
+	reply    func(n int, request agentRequest) string
 	// idleReset is the idle time after which the next request resets its connection; 0 for never.
 	idleReset time.Duration
 
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent := &nodeAgent{addr: listener.Addr().String(), listener: listener, reply: reply}
+	agent := &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply}
 	t.Cleanup(func() { listener.Close() })
 	go agent.accept()
 	return agent
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent = &nodeAgent{addr: listener.Addr().String(), listener: listener, reply: reply}
+	agent = &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply}
 	return agent, func() {
 		fill.Close()
 		if conn, err := listener.Accept(); err == nil { // what filled the queue
@@ -125,7 +125,10 @@
 	var writing sync.Mutex
 	last := time.Now()
 	for reader := bufio.NewReader(conn); ; last = time.Now() {
-		line, err := reader.ReadString('\n')
+		command, err := testbed.ReadAgentCommand(reader)
+		if errors.Is(err, testbed.ErrMalformedCommand) {
+			a.t.Error(err)
+		}
 		if err != nil {
 			return
 		}
@@ -133,28 +136,16 @@
 			resetOnClose(conn)
 			return
 		}
-		words := strings.Split(strings.TrimSuffix(line, "\r\n"), " ")
-		if words[0] == "halt" {
-			a.mu.Lock()
-			a.halted = append(a.halted, words[1])
-			a.mu.Unlock()
+		if command.Verb == testbed.AgentCancel {
+			a.noteCanceled(command.ID)
 			continue
 		}
-		request := agentRequest{id: words[1], conn: number, fields: map[string]string{}}
-		for f := range strings.SplitSeq(words[2], ",") {
-			name, value, _ := strings.Cut(f, "=")
-			request.fields[name] = value
-		}
-		size, _ := strconv.Atoi(words[3])
-		body := make([]byte, size+2)
-		if _, err := io.ReadFull(reader, body); err != nil || string(body[size:]) != "\r\n" {
+		if command.Verb != testbed.AgentStart {
+			a.t.Errorf("command %q, which scripted agents do not answer", command.Verb)
 			return
 		}
-		request.body = string(body[:size])
-		a.mu.Lock()
-		a.seen = append(a.seen, request)
-		n := len(a.seen)
-		a.mu.Unlock()
+		request := agentRequest{id: command.ID, fields: command.Fields, body: command.Body, conn: number}
+		n := a.noteReceived(request)
 		go func() {
 			text := a.reply(n, request)
 			if text == resetConnection {
@@ -168,6 +159,21 @@
 	}
 }
 
+// noteCanceled notes that the scheduler canceled a request.
+func (a *nodeAgent) noteCanceled(id string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.halted = append(a.halted, id)
+}
+
+// noteReceived notes a request, and returns its number.
+func (a *nodeAgent) noteReceived(request agentRequest) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.seen = append(a.seen, request)
+	return len(a.seen)
+}
+
 // received returns the requests that have arrived so far.
 func (a *nodeAgent) received() []agentRequest {
 	a.mu.Lock()
@@ -177,7 +183,7 @@
 
 // answerLine returns an answer in the agents' protocol.
 func answerLine(id, status, fields, body string) string {
-	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, status, fields, len(body), body)
+	return testbed.AgentAnswer{ID: id, Status: testbed.AnswerStatus(status), Fields: fields, Body: body}.String()
 }
 
 // echo is a reply with the request's own body.
--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
@@ -13,9 +12,8 @@
 
 // poll answers a poll as the endpoint list service does.
 func (s *testScheduler) poll(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	wait, _ := strconv.Atoi(r.URL.Query().Get("patience"))
-	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	request := testbed.ParsePollRequest(r)
+	timeout := time.After(request.Timeout)
 	address := r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
 	s.countPoll(address, 1)
 	defer s.countPoll(address, -1)
@@ -28,7 +26,7 @@
 			answer(w)
 			return
 		}
-		text, updated, changed := s.feed(after), after < len(s.events), s.changed
+		text, updated, changed := s.feed(request.After), request.After < len(s.events), s.changed
 		s.mu.Unlock()
 		if updated {
 			fmt.Fprint(w, text)
--- a/internal/testbed/endpointlist.go
+++ b/internal/testbed/endpointlist.go
@@ -2,7 +2,10 @@
 
 import (
 	"fmt"
+	"net/http"
+	"strconv"
 	"strings"
+	"time"
 )
 
 // Endpoint is a worker as an event of the endpoint list names it.
@@ -27,3 +30,17 @@
 func EndpointFeed(last int, events []string) string {
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(events, ","))
 }
+
+// PollRequest is what a scheduler asks of the list service: the events after one, as soon as there are any.
+type PollRequest struct {
+	After   int           // number of the last event that the scheduler has
+	Timeout time.Duration // after which it is answered without an update
+}
+
+// ParsePollRequest returns the poll that an HTTP request makes. Parameters that can't be parsed count as 0.
+func ParsePollRequest(request *http.Request) PollRequest {
+	query := request.URL.Query()
+	after, _ := strconv.Atoi(query.Get("after"))
+	timeoutMillis, _ := strconv.Atoi(query.Get("patience"))
+	return PollRequest{After: after, Timeout: time.Duration(timeoutMillis) * time.Millisecond}
+}
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/listservice.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"os"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -266,21 +265,19 @@
 		if err != nil {
 			return
 		}
-		pending = s.addPoll(own.scheduler, conn, request)
+		pending = s.addPoll(own.scheduler, conn, ParsePollRequest(request))
 	}
 }
 
-// addPoll adds a poll to the queue. Parameters that can't be parsed count as 0.
-func (s *ListService) addPoll(scheduler string, conn net.Conn, request *http.Request) *PendingPoll {
-	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
-	waitMillis, _ := strconv.Atoi(request.URL.Query().Get("patience"))
+// addPoll adds a poll to the queue.
+func (s *ListService) addPoll(scheduler string, conn net.Conn, poll PollRequest) *PendingPoll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	index := len(s.polls)
-	s.polls = append(s.polls, Poll{Scheduler: scheduler, At: time.Now(), After: after})
+	s.polls = append(s.polls, Poll{Scheduler: scheduler, At: time.Now(), After: poll.After})
 	pending := &PendingPoll{
-		After:    after,
-		Deadline: time.Since(s.startedAt) + time.Duration(waitMillis)*time.Millisecond,
+		After:    poll.After,
+		Deadline: time.Since(s.startedAt) + poll.Timeout,
 		Answer:   func() { s.respond(index, conn) },
 	}
 	s.queue.Add(pending)
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/workerprotocol.go
@@ -3,21 +3,15 @@
 import (
 	"bufio"
 	"context"
-	"errors"
-	"fmt"
 	"io"
 	"net"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 )
 
-// maxCommandBody bounds the body of a command, in bytes.
-const maxCommandBody = 16 << 10
-
-// errMalformedCommand is a line that is no command of the agents' protocol.
-var errMalformedCommand = errors.New("not a command")
+// workerLoadReport is the load report of every worker, as a field of an answer.
+const workerLoadReport = "l=util:0.10"
 
 // workerConnection is a scheduler's connection to a worker.
 type workerConnection struct {
@@ -27,10 +21,10 @@
 }
 
 // write writes an answer; a failed write is seen by the reader.
-func (c *workerConnection) write(text string) {
+func (c *workerConnection) write(answer AgentAnswer) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	_, _ = io.WriteString(c.conn, text)
+	_, _ = io.WriteString(c.conn, answer.String())
 }
 
 // serve reads commands from a connection until it is closed.
@@ -40,123 +34,73 @@
 	defer cancel()
 	reader := bufio.NewReader(conn)
 	for {
-		line, err := reader.ReadString('\n')
+		command, err := ReadAgentCommand(reader)
 		if err != nil {
 			return err
 		}
-		words := strings.Fields(line)
-		if len(words) < 2 {
-			return errMalformedCommand
-		}
-		if err := connection.command(ctx, words, reader); err != nil {
-			return err
-		}
+		connection.execute(ctx, command)
 	}
 }
 
-// command carries out one command; its body, if it has one, is read from the reader.
-func (c *workerConnection) command(ctx context.Context, words []string, reader io.Reader) error {
-	switch words[0] {
-	case "halt":
-	case "stat", "ping":
+// execute carries out one command. A canceled request is run and answered all the same, as if the command came too late.
+func (c *workerConnection) execute(ctx context.Context, command AgentCommand) {
+	switch command.Verb {
+	case AgentStart:
+		go c.handle(ctx, command)
+	case AgentPing, AgentStatus:
 		if c.worker.currentFault() != WorkerUnresponsive {
-			c.write(words[1] + " UP l=util:0.10 0\r\n\r\n")
-		}
-	case "go":
-		if len(words) != 4 {
-			return errMalformedCommand
-		}
-		body, err := readBody(reader, words[3])
-		if err != nil {
-			return err
-		}
-		go c.handle(ctx, newCall(words[1], words[2], body))
-	default:
-		return errMalformedCommand
-	}
-	return nil
-}
-
-// readBody reads a command's body and the line's end after it.
-func readBody(reader io.Reader, sizeText string) (string, error) {
-	size, err := strconv.Atoi(sizeText)
-	if err != nil || size < 0 || size > maxCommandBody {
-		return "", errMalformedCommand
-	}
-	body := make([]byte, size+len("\r\n"))
-	if _, err := io.ReadFull(reader, body); err != nil {
-		return "", err
-	}
-	return string(body[:size]), nil
-}
-
-// call is a request that a scheduler sent.
-type call struct {
-	id       string
-	function string
-	class    string
-	body     string
-}
-
-// newCall parses the fields of a command.
-func newCall(id, fields, body string) call {
-	parsed := call{id: id, body: body}
-	for field := range strings.SplitSeq(fields, ",") {
-		switch name, value, _ := strings.Cut(field, "="); name {
-		case "asset":
-			parsed.function = value
-		case "sort":
-			parsed.class = value
+			c.write(AgentAnswer{ID: command.ID, Status: AnswerUp, Fields: workerLoadReport})
 		}
+	case AgentCancel:
 	}
-	return parsed
 }
 
-// handle answers a call as the worker's fault has it.
-func (c *workerConnection) handle(ctx context.Context, call call) {
-	admitted := c.worker.receive(call)
+// handle runs a request and answers it, as the worker's fault has it.
+func (c *workerConnection) handle(ctx context.Context, command AgentCommand) {
+	admitted := c.worker.receive(command)
 	switch admitted.fault {
 	case WorkerUnresponsive:
 		return
 	case WorkerFailing:
-		c.write(call.id + " ERR - 0\r\n\r\n")
+		c.write(AgentAnswer{ID: command.ID, Status: AnswerError})
 		return
 	case WorkerSlow:
 		sleep(ctx, slowWorkerDelay)
 	}
-	if !c.worker.execute(ctx, admitted) {
+	if !c.worker.runFunction(ctx, admitted) {
 		return
 	}
 	if c.worker.currentFault() != WorkerUnresponsive {
-		c.write(fmt.Sprintf("%s OK depth=0,l=util:0.10 %d\r\n%s\r\n", call.id, len(call.body), call.body))
+		c.write(AgentAnswer{ID: command.ID, Status: AnswerOK, Fields: "depth=0," + workerLoadReport, Body: command.Body})
 	}
 }
 
-// admittedCall is what a worker does with a call.
-type admittedCall struct {
-	fault       WorkerFault     // of the worker when the call came
+// admittedRequest is what a worker does with a request.
+type admittedRequest struct {
+	fault       WorkerFault     // of the worker when the request came
 	loaded      <-chan struct{} // closed once the function is loaded
 	serviceTime time.Duration
 }
 
-// receive notes a call, begins to load its function if nobody has, and crashes if it was one too many.
-func (w *Worker) receive(call call) admittedCall {
+// receive notes a request, begins to load its function if nobody has, and crashes if it was one too many.
+func (w *Worker) receive(command AgentCommand) admittedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	scheduler, _, _ := strings.Cut(call.body, " ")
-	loaded, known := w.loaded[call.function]
+	scheduler, _, _ := strings.Cut(command.Body, " ") // as the load writes it
+	function := command.Function()
+	loaded, known := w.loaded[function]
 	w.arrivals = append(w.arrivals, Arrival{
 		At:       time.Now(),
 		From:     scheduler,
 		Fault:    w.fault,
-		ID:       call.id,
-		Class:    call.class,
-		Function: call.function,
+		ID:       command.ID,
+		Class:    command.Class(),
+		Function: function,
 		Load:     !known,
 	})
 	if !known {
 		loaded = make(chan struct{})
-		w.loaded[call.function] = loaded
+		w.loaded[function] = loaded
 		go func() {
 			w.store.fetch(w.profile.LoadTime)
 			close(loaded)
@@ -164,17 +108,17 @@
 	}
 	now := time.Now()
 	w.crashIfOverloaded(now)
-	return admittedCall{
+	return admittedRequest{
 		fault:       w.fault,
 		loaded:      loaded,
 		serviceTime: time.Duration(float64(w.profile.ServiceTime) / capacityFraction(w.age(now))),
 	}
 }
 
-// execute waits for the function and a slot and runs the call; false if the connection was closed meanwhile.
-func (w *Worker) execute(ctx context.Context, call admittedCall) bool {
+// runFunction waits for the function and a slot and runs the request; false if the connection was closed meanwhile.
+func (w *Worker) runFunction(ctx context.Context, request admittedRequest) bool {
 	select {
-	case <-call.loaded:
+	case <-request.loaded:
 	case <-ctx.Done():
 		return false
 	}
@@ -184,5 +128,5 @@
 		return false
 	}
 	defer func() { <-w.slots }()
-	return sleep(ctx, call.serviceTime)
+	return sleep(ctx, request.serviceTime)
 }
