--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -50,22 +50,21 @@
 // addFlags adds the flags to the command.
 func (o *coldstartOptions) addFlags(cmd *cobra.Command) {
 	experiment := &o.experiment
+	addCommonFlags(cmd, &experiment.Program, &o.asJSON)
+	fleetFlags{
+		workers: &experiment.Workers, defaultWorkers: 14,
+		seconds: &experiment.Seconds, rate: &experiment.Rate, seed: &experiment.Seed,
+	}.addTo(cmd)
 	flags := cmd.Flags()
-	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
 	flags.StringVar(&experiment.Baseline, "baseline", "", "an earlier build that plays the same first")
 	flags.IntVar(&experiment.Instances, "instances", 24, "schedulers")
 	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "schedulers by the settings; as many as run if not set")
-	flags.IntVar(&experiment.Workers, "workers", 14, "stand-in workers")
 	flags.StringVar(&o.scenario, "scenario", "well", "a name, or a `FILE`")
-	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
-	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
 	flags.StringVar(&experiment.Profile, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
 	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their list and what they learned over a restart")
 	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' fractions of the load are: scheduler i has one in 1 + skew x i")
-	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
 	flags.BoolVar(&o.virtual, "virtual", false, "the poll planners and the Routers alone, in virtual time")
 	flags.StringVar(&o.plotPath, "plot", "", "`FILE`, .svg or .png, for a plot of polls and connections over time")
-	flags.BoolVar(&o.asJSON, "json", false, "print one JSON object in a line")
 }
 
 // validate returns an error where the experiment makes no sense.
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -34,21 +34,25 @@
 			return options.run(cmd)
 		},
 	}
-	experiment := &options.experiment
+	options.addFlags(cmd)
+	return cmd
+}
+
+// addFlags adds the flags to the command.
+func (o *gossipOptions) addFlags(cmd *cobra.Command) {
+	experiment := &o.experiment
+	addCommonFlags(cmd, &experiment.Program, &o.asJSON)
+	fleetFlags{
+		workers: &experiment.Workers, defaultWorkers: 40,
+		seconds: &experiment.Seconds, rate: &experiment.Rate, seed: &experiment.Seed,
+	}.addTo(cmd)
 	flags := cmd.Flags()
-	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
 	flags.IntVar(&experiment.Instances, "instances", 12, "schedulers; with --virtual the most of them")
 	flags.IntVar(&experiment.Hostile, "hostile", 1, "further members that are byzantine")
-	flags.IntVar(&experiment.Workers, "workers", 40, "stand-in workers")
 	flags.IntVar(&experiment.Silent, "silent", 0, "workers that become unresponsive; one in twelve if not set")
-	flags.Float64Var(&experiment.Seconds, "seconds", 20, "how long each run lasts")
-	flags.Float64Var(&experiment.Rate, "rate", 240, "requests a second, of all instances")
-	flags.Uint64Var(&experiment.Seed, "seed", 1, "of load and faults")
 	flags.BoolVar(&experiment.MeasureFlood, "flood", true, "measure a flood of forged datagrams too")
-	flags.BoolVar(&options.virtual, "virtual", false, "only the membership, in virtual time, from 12 instances up")
-	flags.StringVar(&options.plotPath, "plot", "", "with --virtual: `FILE`, .svg or .png, for a plot")
-	flags.BoolVar(&options.asJSON, "json", false, "print one JSON object in a line")
-	return cmd
+	flags.BoolVar(&o.virtual, "virtual", false, "only the membership, in virtual time, from 12 instances up")
+	flags.StringVar(&o.plotPath, "plot", "", "with --virtual: `FILE`, .svg or .png, for a plot")
 }
 
 // validate returns an error where the experiment makes no sense.
--- a/cmd/testbed/match.go
+++ b/cmd/testbed/match.go
@@ -31,13 +31,12 @@
 			return show(cmd.OutOrStdout(), asJSON, result)
 		},
 	}
+	addCommonFlags(cmd, &experiment.Program, &asJSON)
 	flags := cmd.Flags()
-	flags.StringVar(&experiment.Program, "program", "", "the scheduler; the one beside this program if not set")
 	flags.IntVar(&experiment.Rules, "rules", 1000, "rules in the operator's file")
 	flags.Float64Var(&experiment.Rate, "rate", 190, "requests a second")
 	flags.BoolVar(&experiment.Hostile, "hostile", false, "the longest legal texts, many parameters, near misses of prefixes")
 	flags.Float64Var(&experiment.Seconds, "seconds", 8, "how long each run lasts")
 	flags.Uint64Var(&experiment.Seed, "seed", 1, "of the load")
-	flags.BoolVar(&asJSON, "json", false, "print one JSON object in a line")
 	return cmd
 }
