--- a/internal/testbed/byzantine.go
+++ b/internal/testbed/byzantine.go
@@ -48,7 +48,7 @@
 	}
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("hostile member: %w", err)
+		return nil, fmt.Errorf("byzantine member: %w", err)
 	}
 	member := &ByzantineMember{
 		socket:    socket,
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -75,7 +75,7 @@
 
 // fleet prepares a fleet that is not started yet.
 func (d ColdStartExperiment) fleet() (*Fleet, error) {
-	dir, err := os.MkdirTemp(d.Dir, "calicohill-lab-")
+	dir, err := os.MkdirTemp(d.Dir, "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -162,7 +162,7 @@
 func (f *Fleet) startWorker(id string, startedAt time.Time) (*Worker, error) {
 	profile, ok := WorkerProfiles[cmp.Or(f.Profile, "roomy")]
 	if !ok {
-		return nil, fmt.Errorf("no workers of body %q", f.Profile)
+		return nil, fmt.Errorf("no worker profile %q", f.Profile)
 	}
 	return NewWorker(id, profile, f.Store, startedAt)
 }
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// closeRaceWindow is how soon a request that met the close of its connection is sent again, and later on a machine that
-	// wakes goroutines late.
+	// closeRaceWindow is how long after it was sent a failed request may have met the close of its idle connection. It
+	// grows with the machine's wake delay, and is also the tolerance for counting a request as interrupted.
 	closeRaceWindow = 50 * time.Millisecond
-	// answerTimeout is how long after its timeout a response is waited for, before the request counts as lost.
+	// answerTimeout is how long after the request's own time has run out a response is waited for, before the request
+	// counts as lost.
 	answerTimeout = 8 * time.Second
 	// restartedLately is how long after a disruption a request that fails on a used connection is not sent again.
 	restartedLately = time.Second
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -2,8 +2,8 @@
 // flag -record to the program that imports it.
 //
 // A golden file lies in the directory testdata/golden of the package under test. The files of the wire and file formats
-// were made by the version before the renames of the readability work, and show that a later version reads and writes
-// the same bytes. They are never made anew to get a pass: a file that exists is not overwritten.
+// were recorded once, by an earlier version, and show that a later version reads and writes the same bytes. They are
+// never recorded again to get a pass: a file that exists is not overwritten.
 package golden
 
 import (
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -110,7 +110,7 @@
 
 // fleet prepares and starts the schedulers of a run. The caller closes it and removes its folder.
 func (e GossipExperiment) fleet(ctx context.Context, sharing bool) (*Fleet, error) {
-	dir, err := os.MkdirTemp("", "calicohill-lab-")
+	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -49,7 +49,7 @@
 		t.Errorf("the sender notices the cut: %v", err)
 	}
 	if err := echo(50 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("over a cut link comes %v", err)
+		t.Errorf("read over a cut link: %v", err)
 	}
 	if another, err := net.DialTimeout("tcp", link.Addr, 50*time.Millisecond); err == nil {
 		another.Close()
@@ -104,7 +104,7 @@
 		if tt.want == "" {
 			_ = receiver.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 			if size, _, err := receiver.ReadFromUDP(buf); err == nil {
-				t.Errorf("%+v: %q comes", tt.condition, buf[:size])
+				t.Errorf("%+v: received %q", tt.condition, buf[:size])
 			}
 			continue
 		}
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -195,7 +195,7 @@
 
 // fleet starts a scheduler with an operator's file. The caller closes it and removes its folder.
 func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*Fleet, error) {
-	dir, err := os.MkdirTemp("", "calicohill-lab-")
+	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -12,7 +12,7 @@
 	"calicohill/routing"
 )
 
-// VirtualExperiment is schedulers before workers in virtual time: the Routers, and nothing else of a scheduler.
+// VirtualExperiment is schedulers in front of workers in virtual time: the Routers, and nothing else of a scheduler.
 type VirtualExperiment struct {
 	Schedulers        int
 	Workers           int
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// millisUntilKnown is how long after a time knownShare of so many nodes knew, in milliseconds; infinite where they
-// didn't.
+// millisUntilKnown is how long after a time knownFraction of so many nodes knew, in milliseconds; infinite where they did
+// not.
 func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
 	needed := int(math.Ceil(knownFraction * float64(nodes)))
 	if len(k) < needed {
