--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -135,14 +135,14 @@
 	metrics.setLoad(load)
 	worstDelay := <-wakeDelay
 	metrics.Late = float64(worstDelay.Milliseconds())
-	metrics.RulesBroken = fleet.violations(load, worstDelay)
+	metrics.RulesBroken = fleet.allViolations(load, worstDelay)
 	d.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
 	return metrics, nil
 }
 
-// violations is all that was against the rules, where the machine woke goroutines late by so much at the worst.
-func (f *Fleet) violations(load LoadResult, worstDelay time.Duration) []string {
-	violations := f.brokenRules(load, ruleSlack+machineSlack+2*worstDelay)
+// allViolations is all that was against the rules, where the machine woke goroutines late by so much at the worst.
+func (f *Fleet) allViolations(load LoadResult, worstDelay time.Duration) []string {
+	violations := f.ruleViolations(load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
 		violations = append(violations, fmt.Sprintf("an answer came %v after its time", load.MaxOverrun.Round(time.Millisecond)))
 	}
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -17,8 +17,8 @@
 	// answerTimeout is how long after the request's own time has run out a response is waited for, before the request
 	// counts as lost.
 	answerTimeout = 8 * time.Second
-	// restartedLately is how long after a disruption a request that fails on a used connection is not sent again.
-	restartedLately = time.Second
+	// disruptionWindow is how long after a disruption a request that fails on a used connection is not sent again.
+	disruptionWindow = time.Second
 	// healthCheckInterval is how often a scheduler that is not up yet is probed.
 	healthCheckInterval = 20 * time.Millisecond
 )
@@ -137,7 +137,7 @@
 // idle connection, which says nothing of the request.
 func (f *front) closedMeanwhile(sentAt time.Time) bool {
 	window := closeRaceWindow + 2*time.Duration(f.fleet.wakeDelay.Load())
-	return time.Since(sentAt) < window && !f.instance.disruptedSince(sentAt.Add(-restartedLately))
+	return time.Since(sentAt) < window && !f.instance.disruptedSince(sentAt.Add(-disruptionWindow))
 }
 
 // Wait waits until all instances serve.
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -21,8 +21,8 @@
 	nonIdempotentClass = "certificado"
 )
 
-// history checks what a fleet did against the rules.
-type history struct {
+// ruleChecker checks what a fleet did against the rules.
+type ruleChecker struct {
 	fleet      *Fleet
 	slack      time.Duration // beyond each time limit
 	polls      map[string][]Poll
@@ -31,11 +31,11 @@
 	violations []string
 }
 
-// brokenRules checks the history of a fleet against the rules: nothing new to a worker later than 1 s after its scheduler
+// ruleViolations checks what a fleet did against the rules: nothing new to a worker later than 1 s after its scheduler
 // was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming
 // up, a response to each request.
-func (f *Fleet) brokenRules(load LoadResult, slack time.Duration) []string {
-	past := &history{
+func (f *Fleet) ruleViolations(load LoadResult, slack time.Duration) []string {
+	checker := &ruleChecker{
 		fleet:      f,
 		slack:      slack,
 		polls:      map[string][]Poll{},
@@ -43,78 +43,78 @@
 		executions: map[string]int{},
 	}
 	if load.Lost > 0 {
-		past.violation("%d requests without an answer", load.Lost)
+		checker.addViolation("%d requests without an answer", load.Lost)
 	}
 	for _, poll := range f.List.Polls() {
-		past.polls[poll.Scheduler] = append(past.polls[poll.Scheduler], poll)
+		checker.polls[poll.Scheduler] = append(checker.polls[poll.Scheduler], poll)
 	}
 	for _, worker := range f.Workers {
-		past.checkWorker(worker)
+		checker.checkWorker(worker)
 	}
-	for id, count := range past.attempts {
+	for id, count := range checker.attempts {
 		if count > maxAttempts {
-			past.violation("%d attempts of %s", count, id)
+			checker.addViolation("%d attempts of %s", count, id)
 		}
 	}
-	for id, count := range past.executions {
+	for id, count := range checker.executions {
 		if count > 1 {
-			past.violation("certificado %s reached workers %d times", id, count)
+			checker.addViolation("certificado %s reached workers %d times", id, count)
 		}
 	}
-	sort.Strings(past.violations)
-	return past.violations
+	sort.Strings(checker.violations)
+	return checker.violations
 }
 
-// violation notes that a rule was broken.
-func (h *history) violation(format string, args ...any) {
-	h.violations = append(h.violations, fmt.Sprintf(format, args...))
+// addViolation notes that a rule was broken.
+func (c *ruleChecker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // checkWorker checks what reached a worker.
-func (h *history) checkWorker(worker *Worker) {
+func (c *ruleChecker) checkWorker(worker *Worker) {
 	if !worker.CrashedAt().IsZero() {
-		h.violation("%s was overloaded while it was warming up and crashed", worker.ID)
+		c.addViolation("%s was overloaded while it was warming up and crashed", worker.ID)
 	}
-	departure, leaves := h.fleet.departures[worker]
+	departure, leaves := c.fleet.departures[worker]
 	for _, arrival := range worker.Arrivals() {
-		h.attempts[arrival.ID]++
+		c.attempts[arrival.ID]++
 		if arrival.Class == nonIdempotentClass {
-			h.executions[arrival.ID]++
+			c.executions[arrival.ID]++
 		}
 		if leaves {
-			h.checkDrain(worker, departure, arrival)
+			c.checkDrain(worker, departure, arrival)
 		}
 	}
 }
 
 // checkDrain checks that a request for a worker that leaves was sent in time.
-func (h *history) checkDrain(worker *Worker, departure departure, arrival Arrival) {
-	notifiedAt := h.notifiedAt(departure, arrival)
+func (c *ruleChecker) checkDrain(worker *Worker, departure departure, arrival Arrival) {
+	notifiedAt := c.notifiedAt(departure, arrival)
 	if notifiedAt.IsZero() {
 		return
 	}
 	sentAt := arrival.At
-	if link := h.fleet.linkTo(arrival.From, worker.ID); link != nil {
+	if link := c.fleet.linkTo(arrival.From, worker.ID); link != nil {
 		sentAt = link.sentAt(arrival.At)
 	}
-	if late := sentAt.Sub(notifiedAt.Add(drainGrace + h.slack)); late > 0 {
-		h.violation("%s sent %s to %s %v too late after its drain", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
+	if late := sentAt.Sub(notifiedAt.Add(drainGrace + c.slack)); late > 0 {
+		c.addViolation("%s sent %s to %s %v too late after its drain", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
 	}
 }
 
 // notifiedAt is when the scheduler of a request counts as notified of a departure: once it received it, and where the
 // list service was healthy in time even if it did not; the zero time if neither. A process that did not run then is
 // notified with its start.
-func (h *history) notifiedAt(departure departure, arrival Arrival) time.Time {
-	notified := h.fleet.List.effectiveAt(departure.at)
-	received := receivedAt(h.polls[arrival.From], departure.event)
+func (c *ruleChecker) notifiedAt(departure departure, arrival Arrival) time.Time {
+	notified := c.fleet.List.effectiveAt(departure.at)
+	received := receivedAt(c.polls[arrival.From], departure.event)
 	if !received.IsZero() && (notified.IsZero() || received.Before(notified)) {
 		notified = received
 	}
 	if notified.IsZero() {
 		return notified
 	}
-	if start := h.fleet.processStart(arrival.From, arrival.At); start.After(notified) {
+	if start := c.fleet.processStart(arrival.From, arrival.At); start.After(notified) {
 		notified = start
 	}
 	return notified
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -123,7 +123,7 @@
 			defer mu.Unlock()
 			result.count(reply, err, took, instance.disruptedSince(time.Now().Add(-took-closeRaceWindow)))
 		})
-		clients := client{load: load, instance: instance, index: i, rate: load.Rate * load.weight(i) / total}
+		clients := instanceClients{load: load, instance: instance, index: i, rate: load.Rate * load.weight(i) / total}
 		wg.Go(func() {
 			if instance.waitHealthy(ctx) != nil {
 				return
@@ -136,8 +136,8 @@
 	return result
 }
 
-// client is the clients of one instance.
-type client struct {
+// instanceClients is the clients that send their requests to one instance.
+type instanceClients struct {
 	load     Load
 	instance *Instance
 	index    int     // the instance's
@@ -145,7 +145,7 @@
 }
 
 // run sends requests until the context ends.
-func (c client) run(ctx context.Context, front *front) {
+func (c instanceClients) run(ctx context.Context, front *front) {
 	rng := rand.New(rand.NewPCG(c.load.Seed, uint64(c.index)))
 	zipf := newFunctionDistribution(rng, c.load.Functions)
 	start := time.Now()
@@ -160,7 +160,7 @@
 }
 
 // request draws a request.
-func (c client) request(rng *rand.Rand, zipf *rand.Zipf) fastcgi.Request {
+func (c instanceClients) request(rng *rand.Rand, zipf *rand.Zipf) fastcgi.Request {
 	const idBits = 48
 	class := classes[pickClass(rng.Float64())].name
 	request := fastcgi.Request{
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -18,7 +18,7 @@
 	matchWorkers        = 14
 	matchFunctions      = 14
 	matchWarmUp         = 2 * time.Second
-	maxLabelPadding     = 252 // bytes after "zona" in the longest legal value
+	maxValuePadding     = 252 // bytes after "zona" in the longest legal value
 	maxPathPadding      = 251
 	hostileParameters   = 40 // near misses of a parameter's name
 	matchParameter      = "HTTP_X_CENTRE"
@@ -152,7 +152,7 @@
 }
 
 // longestParameterValue is the longest legal value that the rules' prefix matches.
-func longestParameterValue() string { return "zona" + strings.Repeat("z", maxLabelPadding) }
+func longestParameterValue() string { return "zona" + strings.Repeat("z", maxValuePadding) }
 
 // loadMeasurement is what became of a load.
 type loadMeasurement struct {
