--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -217,7 +217,7 @@
 				ID:            worker.ID,
 				State:         state,
 				Address:       f.workerAddress(scheduler, worker),
-				StartedMillis: max(worker.startedAt.UnixMilli(), 0),
+				StartedMillis: worker.startedMillis(),
 			})
 		}
 		return EndpointEvent(number, all, endpoints)
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"strconv"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -40,17 +41,29 @@
 	fleet        *Fleet
 	configPath   string // the platform's file
 	operatorPath string // the operator's file
-	cmd          *exec.Cmd
-	exited       chan processExit // nil while no process runs
 
 	outOfRotation atomic.Bool  // the front sends it nothing
 	disruptedAt   atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the greatest while it is stopped
 	incarnation   atomic.Int32 // counts its starts
-	startedAt     []time.Time  // guarded by Log.mu
+
+	mu        sync.Mutex
+	latest    *process    // nil before the first start
+	running   bool        // the latest process was started, and neither Stop nor Kill has seen its end
+	startedAt []time.Time // of each process
+}
+
+// process is a process of a scheduler.
+type process struct {
+	cmd    *exec.Cmd
+	exited chan struct{} // closed once the process has ended
+	err    error         // how it ended; set before exited is closed
 }
 
-// processExit is how a process ended.
-type processExit struct{ err error }
+// wait waits until the process has ended.
+func (p *process) wait() {
+	p.err = p.cmd.Wait()
+	close(p.exited)
+}
 
 // configure writes the files of an instance: the platform's, its key and the operator's.
 func (in *Instance) configure() error {
@@ -166,16 +179,33 @@
 
 // Start starts the scheduler's process, which serves once waitHealthy says so.
 func (in *Instance) Start() error {
-	in.cmd = exec.Command(in.fleet.Program, "run", "--config", in.configPath, "--operator", in.operatorPath)
-	in.cmd.Env = append(append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN="), in.fleet.Env...)
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.start()
+}
+
+// startIfStopped starts the scheduler unless it runs.
+func (in *Instance) startIfStopped() error {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.running {
+		return nil
+	}
+	return in.start()
+}
+
+// start is Start for a caller that holds the lock.
+func (in *Instance) start() error {
+	cmd := exec.Command(in.fleet.Program, "run", "--config", in.configPath, "--operator", in.operatorPath)
+	cmd.Env = append(append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN="), in.fleet.Env...)
 	if in.Log == nil {
 		in.Log = &Log{}
 	}
 	in.Log.startProcess()
-	in.noteStart(time.Now())
-	in.cmd.Stdout = in.Log
-	in.cmd.Stderr = in.Log
-	if err := in.cmd.Start(); err != nil {
+	in.startedAt = append(in.startedAt, time.Now())
+	cmd.Stdout = in.Log
+	cmd.Stderr = in.Log
+	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("scheduler %s: %w", in.Name, err)
 	}
 	in.incarnation.Add(1)
@@ -184,22 +214,42 @@
 			in.outOfRotation.Store(false)
 		}
 	}()
-	in.exited = make(chan processExit, 1)
-	go func(cmd *exec.Cmd, exited chan<- processExit) { exited <- processExit{cmd.Wait()} }(in.cmd, in.exited)
+	in.latest = &process{cmd: cmd, exited: make(chan struct{})}
+	in.running = true
+	go in.latest.wait()
 	return nil
 }
 
-// noteStart notes when a process was started.
-func (in *Instance) noteStart(at time.Time) {
-	in.Log.mu.Lock()
-	defer in.Log.mu.Unlock()
-	in.startedAt = append(in.startedAt, at)
+// runningProcess is the process that runs; nil if none does.
+func (in *Instance) runningProcess() *process {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if !in.running {
+		return nil
+	}
+	return in.latest
+}
+
+// latestProcess is the process that was started last; nil before the first start.
+func (in *Instance) latestProcess() *process {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.latest
+}
+
+// noteEnd notes that a process has ended.
+func (in *Instance) noteEnd(ended *process) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.latest == ended {
+		in.running = false
+	}
 }
 
 // lastStartBefore is when the process that ran at a time had been started; the zero time if none ran before.
 func (in *Instance) lastStartBefore(at time.Time) time.Time {
-	in.Log.mu.Lock()
-	defer in.Log.mu.Unlock()
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	var last time.Time
 	for _, start := range in.startedAt {
 		if start.Before(at) {
@@ -209,14 +259,6 @@
 	return last
 }
 
-// startIfStopped starts the scheduler unless it runs.
-func (in *Instance) startIfStopped() error {
-	if in.exited != nil {
-		return nil
-	}
-	return in.Start()
-}
-
 // Signal sends a signal to a scheduler.
 func (in *Instance) Signal(signal syscall.Signal) error {
 	switch signal {
@@ -225,30 +267,32 @@
 	case syscall.SIGCONT:
 		in.disruptedAt.Store(time.Now().UnixNano())
 	}
-	return in.cmd.Process.Signal(signal)
+	return in.latestProcess().cmd.Process.Signal(signal)
 }
 
 // disruptedSince reports whether the process was killed or stopped after a time.
 func (in *Instance) disruptedSince(at time.Time) bool { return in.disruptedAt.Load() >= at.UnixNano() }
 
-// Pid is the process of a scheduler that runs.
-func (in *Instance) Pid() int { return in.cmd.Process.Pid }
+// Pid is the latest process of a scheduler, which has been started.
+func (in *Instance) Pid() int { return in.latestProcess().cmd.Process.Pid }
 
 // Kill ends a scheduler with SIGKILL.
 func (in *Instance) Kill() {
-	if in.exited == nil {
+	running := in.runningProcess()
+	if running == nil {
 		return
 	}
 	in.outOfRotation.Store(true)
 	in.disruptedAt.Store(time.Now().UnixNano())
-	_ = in.cmd.Process.Kill() // it may have ended
-	<-in.exited
-	in.exited = nil
+	_ = running.cmd.Process.Kill() // it may have ended
+	<-running.exited
+	in.noteEnd(running)
 }
 
 // Stop ends a scheduler as a planned restart does. An error says that it did not end, or not with success.
 func (in *Instance) Stop() error {
-	if in.exited == nil {
+	running := in.runningProcess()
+	if running == nil {
 		return nil
 	}
 	if err := in.Signal(syscall.SIGTERM); err != nil {
@@ -261,10 +305,10 @@
 		}
 	})
 	select {
-	case exit := <-in.exited:
-		in.exited = nil
-		if exit.err != nil {
-			return fmt.Errorf("scheduler %s ended with %w", in.Name, exit.err)
+	case <-running.exited:
+		in.noteEnd(running)
+		if running.err != nil {
+			return fmt.Errorf("scheduler %s ended with %w", in.Name, running.err)
 		}
 		return nil
 	case <-time.After(stopTimeout):
--- /dev/null
+++ b/internal/testbed/instance_test.go
@@ -0,0 +1,84 @@
+package testbed
+
+import (
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// newStandInScheduler returns an instance whose program is a shell script. It does not run yet.
+func newStandInScheduler(t *testing.T, script string) *Instance {
+	t.Helper()
+	fleet := &Fleet{Program: filepath.Join(t.TempDir(), "scheduler")}
+	if err := os.WriteFile(fleet.Program, []byte("#!/bin/sh\n"+script+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := fleet.addInstance("n0"); err != nil {
+		t.Fatal(err)
+	}
+	return fleet.Instances[0]
+}
+
+// A scheduler that is killed while it shuts down ends for both callers, and can be started again. Guards against a fault:
+// one of the callers took the process's exit from the other, which waited for it.
+func TestKillDuringStop(t *testing.T) {
+	t.Parallel()
+	instance := newStandInScheduler(t, `trap "" TERM; while :; do sleep 0.02; done`)
+	for range 3 {
+		if err := instance.startIfStopped(); err != nil {
+			t.Fatal(err)
+		}
+		pid := instance.Pid()
+		ended := make(chan string, 2)
+		go func() {
+			_ = instance.Stop() // an error if it was killed first
+			ended <- "Stop"
+		}()
+		time.Sleep(100 * time.Millisecond) // most likely Stop waits now; the test holds in any order
+		go func() {
+			instance.Kill()
+			ended <- "Kill"
+		}()
+		for range 2 {
+			select {
+			case <-ended:
+			case <-time.After(stopTimeout / 2):
+				t.Fatal("Stop and Kill do not both return")
+			}
+		}
+		if err := syscall.Kill(pid, 0); err == nil {
+			t.Errorf("process %d runs after Kill", pid)
+		}
+		if started := instance.lastStartBefore(time.Now()); started.IsZero() {
+			t.Error("no start is known after one")
+		}
+	}
+}
+
+// The endpoint list names a worker's latest start, also while the worker restarts.
+func TestListNamesLatestStart(t *testing.T) {
+	t.Parallel()
+	worker, err := NewWorker("w00", WorkerProfiles["roomy"], newStore(), time.Time{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer worker.Close()
+	fleet := &Fleet{List: NewListService(), Workers: []*Worker{worker}, departures: map[*Worker]departure{}}
+	defer fleet.List.Close()
+	fleet.Publish(true, fleet.Workers, "SERVING")
+	warm := fleet.List.Feed("n0", -1)
+	restarted := make(chan struct{})
+	go func() {
+		worker.restart()
+		close(restarted)
+	}()
+	for range 100 {
+		fleet.List.Feed("n0", -1) // races with the restart unless both lock
+	}
+	<-restarted
+	if listed := fleet.List.Feed("n0", -1); listed == warm {
+		t.Errorf("after the restart the list is still %s", listed)
+	}
+}
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -224,6 +224,13 @@
 	w.closeConnections()
 }
 
+// startedMillis is when the worker started, in Unix milliseconds; 0 for one that is warm.
+func (w *Worker) startedMillis() int64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return max(w.startedAt.UnixMilli(), 0)
+}
+
 // age is how long ago the worker started; long ago for one that is warm. The caller holds the lock.
 func (w *Worker) age(now time.Time) time.Duration { return now.Sub(w.startedAt) }
 
