--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -263,8 +263,12 @@
 	if err != nil {
 		return err
 	}
+	fault, ok := workerFaults[r.Args[0]]
+	if !ok {
+		return r.invalid()
+	}
 	for _, worker := range workers {
-		worker.Set(workerFaults[r.Args[0]])
+		worker.Set(fault)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/testbed/steps_test.go
@@ -0,0 +1,25 @@
+package testbed
+
+import (
+	"errors"
+	"testing"
+)
+
+// A step that names a fault of workers which does not exist is an error, and leaves them as they are.
+func TestUnknownWorkerFault(t *testing.T) {
+	t.Parallel()
+	fleet := &Fleet{Workers: []*Worker{{ID: "w00"}, {ID: "w01"}}}
+	if err := fleet.execute(Step{Verb: "workers", Args: []string{"mute", "1"}}, 1); err != nil {
+		t.Fatal(err)
+	}
+	for _, args := range [][]string{{"asleep", "1"}, {"", "1"}, {"mute"}, {}} {
+		if err := fleet.execute(Step{Verb: "workers", Args: args}, 1); !errors.Is(err, errInvalidStep) {
+			t.Errorf("workers %q: %v, want %v", args, err, errInvalidStep)
+		}
+	}
+	for _, worker := range fleet.Workers {
+		if fault := worker.currentFault(); fault != WorkerUnresponsive {
+			t.Errorf("%s has fault %d, want the %d of the valid step", worker.ID, fault, WorkerUnresponsive)
+		}
+	}
+}
