--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -95,10 +95,10 @@
 	if o.experiment.Scenario, err = parseScenario(o.scenario); err != nil {
 		return err
 	}
-	if err := setScheduler(&o.experiment.Program); err != nil {
+	if err := setDefaultProgram(&o.experiment.Program); err != nil {
 		return err
 	}
-	o.experiment.Progress = reportTo(cmd)
+	o.experiment.Progress = progressWriter(cmd)
 	result, err := o.experiment.Run(cmd.Context())
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 			return err
 		}
 	}
-	return show(cmd.OutOrStdout(), o.asJSON, result)
+	return printReport(cmd.OutOrStdout(), o.asJSON, result)
 }
 
 // runVirtual runs the simulations of the planners and the Routers.
@@ -118,5 +118,5 @@
 		return err
 	}
 	polls := testbed.SimulatePolls([]int{o.experiment.Instances}, o.experiment.Seed)
-	return show(cmd.OutOrStdout(), o.asJSON, testbed.VirtualColdStartResult{List: polls, Workers: workers})
+	return printReport(cmd.OutOrStdout(), o.asJSON, testbed.VirtualColdStartResult{List: polls, Workers: workers})
 }
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -66,15 +66,15 @@
 
 // run runs the experiment with real schedulers.
 func (o *gossipOptions) run(cmd *cobra.Command) error {
-	if err := setScheduler(&o.experiment.Program); err != nil {
+	if err := setDefaultProgram(&o.experiment.Program); err != nil {
 		return err
 	}
-	o.experiment.Progress = reportTo(cmd)
+	o.experiment.Progress = progressWriter(cmd)
 	result, err := o.experiment.Run(cmd.Context())
 	if err != nil {
 		return err
 	}
-	return show(cmd.OutOrStdout(), o.asJSON, result)
+	return printReport(cmd.OutOrStdout(), o.asJSON, result)
 }
 
 // runVirtual runs fleets of growing size in virtual time.
@@ -91,5 +91,5 @@
 			return err
 		}
 	}
-	return show(cmd.OutOrStdout(), o.asJSON, result)
+	return printReport(cmd.OutOrStdout(), o.asJSON, result)
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// setScheduler sets the path of the scheduler to the one beside this program, unless it is set.
-func setScheduler(program *string) error {
+// setDefaultProgram sets the path of the scheduler to the one beside this program, unless it is set.
+func setDefaultProgram(program *string) error {
 	if *program != "" {
 		return nil
 	}
@@ -38,13 +38,13 @@
 	return err
 }
 
-// reportTo returns a function that writes lines to where a command's errors go.
-func reportTo(cmd *cobra.Command) func(line string) {
+// progressWriter returns a function that writes lines to where a command's errors go.
+func progressWriter(cmd *cobra.Command) func(line string) {
 	return func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 }
 
-// show prints a report, as one line or indented.
-func show(out io.Writer, oneLine bool, report testbed.Report) error {
+// printReport prints a report, as one line or indented.
+func printReport(out io.Writer, oneLine bool, report testbed.Report) error {
 	encoder := json.NewEncoder(out)
 	if !oneLine {
 		encoder.SetIndent("", "  ")
--- a/cmd/testbed/match.go
+++ b/cmd/testbed/match.go
@@ -20,15 +20,15 @@
 			if experiment.Rules < 1 || experiment.Rules > 10000 || experiment.Rate <= 0 || experiment.Seconds < 1 {
 				return errors.New("1 to 10000 rules, a rate and 1 second are needed")
 			}
-			if err := setScheduler(&experiment.Program); err != nil {
+			if err := setDefaultProgram(&experiment.Program); err != nil {
 				return err
 			}
-			experiment.Progress = reportTo(cmd)
+			experiment.Progress = progressWriter(cmd)
 			result, err := experiment.Run(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return show(cmd.OutOrStdout(), asJSON, result)
+			return printReport(cmd.OutOrStdout(), asJSON, result)
 		},
 	}
 	addCommonFlags(cmd, &experiment.Program, &asJSON)
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -57,11 +57,11 @@
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
-func (d ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
+func (e ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
 	var result ColdStartResult
-	if d.Baseline != "" {
-		earlier := d
-		earlier.Program = d.Baseline
+	if e.Baseline != "" {
+		earlier := e
+		earlier.Program = e.Baseline
 		metrics, err := earlier.runProgram(ctx, "baseline")
 		if err != nil {
 			return result, err
@@ -69,63 +69,63 @@
 		result.Baseline = &metrics
 	}
 	var err error
-	result.Program, err = d.runProgram(ctx, "program")
+	result.Program, err = e.runProgram(ctx, "program")
 	return result, err
 }
 
 // fleet prepares a fleet that is not started yet.
-func (d ColdStartExperiment) fleet() (*Fleet, error) {
-	dir, err := os.MkdirTemp(d.Dir, "calicohill-testbed-")
+func (e ColdStartExperiment) fleet() (*Fleet, error) {
+	dir, err := os.MkdirTemp(e.Dir, "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
-	gossips := d.Scenario.has("talk")
+	gossips := e.Scenario.has("talk")
 	fleet := &Fleet{
-		Program:           d.Program,
-		Env:               d.Env,
+		Program:           e.Program,
+		Env:               e.Env,
 		Dir:               dir,
-		ClaimedSchedulers: d.ClaimedSchedulers,
-		LinkedWorkers:     d.Scenario.has("link"),
+		ClaimedSchedulers: e.ClaimedSchedulers,
+		LinkedWorkers:     e.Scenario.has("link"),
 		Sharing:           gossips,
 		GossipThroughHub:  gossips,
-		Profile:           d.Profile,
-		KeepState:         d.Keep,
+		Profile:           e.Profile,
+		KeepState:         e.Keep,
 	}
-	if err := fleet.Prepare(d.Instances, d.Workers); err != nil {
+	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		fleet.closeAndRemove()
 		return nil, err
 	}
 	return fleet, nil
 }
 
-// played is how a scenario ended.
-type played struct {
+// scenarioEnd is how a scenario ended.
+type scenarioEnd struct {
 	lastStep time.Time // when its last step had been executed
 	err      error
 }
 
 // runProgram runs the experiment with one build.
-func (d ColdStartExperiment) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
+func (e ColdStartExperiment) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
 	var metrics ColdStartMetrics
-	fleet, err := d.fleet()
+	fleet, err := e.fleet()
 	if err != nil {
 		return metrics, err
 	}
 	defer fleet.closeAndRemove()
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(d.Seconds*float64(time.Second))))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(e.Seconds*float64(time.Second))))
 	defer cancel()
-	scenario := make(chan played, 1)
+	scenario := make(chan scenarioEnd, 1)
 	go func() {
-		lastStep, err := fleet.play(ctx, d.Scenario, began, d.Seed)
-		scenario <- played{lastStep, err}
+		lastStep, err := fleet.play(ctx, e.Scenario, began, e.Seed)
+		scenario <- scenarioEnd{lastStep, err}
 	}()
 	wakeDelay := fleet.measureWakeDelay(ctx)
 	load := fleet.Offer(ctx, Load{
-		Rate:      d.Rate,
-		Functions: functionsFor(d.Workers),
-		Skew:      cmp.Or(d.Skew, defaultSkew),
-		Seed:      d.Seed,
+		Rate:      e.Rate,
+		Functions: functionsFor(e.Workers),
+		Skew:      cmp.Or(e.Skew, defaultSkew),
+		Seed:      e.Seed,
 	})
 	end := <-scenario
 	if end.err != nil {
@@ -136,7 +136,7 @@
 	worstDelay := <-wakeDelay
 	metrics.Late = float64(worstDelay.Milliseconds())
 	metrics.RulesBroken = fleet.allViolations(load, worstDelay)
-	d.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
+	e.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
 	return metrics, nil
 }
 
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -49,7 +49,7 @@
 	}
 	m.PollsPeak = PeakPer100ms(m.pollTimes, 0)
 	m.PollsEven = float64(schedulers) / tenthsPerPoll
-	m.Limit = pollPeriod * 1000
+	m.Limit = float64(pollPeriod.Milliseconds())
 	if rate := fleet.List.answersPerSecond(); rate > 0 {
 		m.Limit = float64(schedulers) / rate * 1000
 	}
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -63,7 +63,7 @@
 		}
 		run.keep(&result, metrics)
 		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
-			run.name, metrics.load.ServedShare(), metrics.load.Offered, metrics.lost, metrics.noticeMillis, metrics.messages))
+			run.name, metrics.load.ServedShare(), metrics.load.Offered, metrics.lost, metrics.detectionMillis, metrics.messages))
 	}
 	if e.MeasureFlood {
 		flood, err := e.measureFlood(ctx)
@@ -81,7 +81,7 @@
 func (r *GossipResult) setAlone(metrics gossipMetrics) {
 	r.ServedAlone = metrics.load.ServedShare()
 	r.LostAlone = metrics.lost
-	r.NoticeAlone = metrics.noticeMillis
+	r.NoticeAlone = metrics.detectionMillis
 }
 
 // setHonest keeps what the fleet with gossip and without byzantine members gave.
@@ -105,7 +105,7 @@
 	r.Messages = max(r.Messages, metrics.messages)
 	r.Bytes = max(r.Bytes, metrics.bytes)
 	r.Peak = max(r.Peak, metrics.peak)
-	r.Notice = metrics.noticeMillis
+	r.Notice = metrics.detectionMillis
 }
 
 // fleet prepares and starts the schedulers of a run. The caller closes it and removes its folder.
@@ -152,8 +152,8 @@
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	run := newGossipRun(fleet, e.unresponsive(fleet))
-	closeLiars, err := run.addLiars(ctx, byzantine, duration)
-	defer closeLiars()
+	closeMembers, err := run.addByzantineMembers(ctx, byzantine, duration)
+	defer closeMembers()
 	if err != nil {
 		return gossipMetrics{}, err
 	}
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -46,50 +46,51 @@
 	}
 }
 
-// addLiars has byzantine members join. For the first quarter of the run they accuse all workers, then a few that are
-// healthy and the same for all liars, to collude. closeLiars ends those that have joined, also where there is an error.
-func (r *gossipRun) addLiars(ctx context.Context, count int, duration time.Duration) (closeLiars func(), err error) {
-	var liars []*ByzantineMember
-	closeLiars = func() {
-		for _, liar := range slices.Backward(liars) {
-			liar.Close()
+// addByzantineMembers has byzantine members join. For the first quarter of the run they accuse all workers, then a few
+// healthy ones, the same for all members, so that they collude. closeMembers ends those that have joined, also where there
+// is an error.
+func (r *gossipRun) addByzantineMembers(ctx context.Context, count int, duration time.Duration) (closeMembers func(), err error) {
+	var members []*ByzantineMember
+	closeMembers = func() {
+		for _, member := range slices.Backward(members) {
+			member.Close()
 		}
 	}
 	for i := range count {
-		liar, err := r.fleet.NewByzantineMember(fmt.Sprintf("liar%d", i))
+		member, err := r.fleet.NewByzantineMember(fmt.Sprintf("liar%d", i))
 		if err != nil {
-			return closeLiars, err
+			return closeMembers, err
 		}
-		liars = append(liars, liar)
+		members = append(members, member)
 	}
 	all := workerIDs(r.fleet.Workers)
 	few := r.healthy[:min(len(r.healthy), max(2, len(all)/8))]
-	for _, liar := range liars {
-		liar.Accuse(all)
+	for _, member := range members {
+		member.Accuse(all)
 		go func() {
 			if sleep(ctx, duration/4) {
-				liar.Accuse(few)
+				member.Accuse(few)
 			}
 		}()
 	}
-	return closeLiars, nil
+	return closeMembers, nil
 }
 
 // gossipMetrics is what a run gave.
 type gossipMetrics struct {
-	load           LoadResult
-	lost           int     // requests to unresponsive workers
-	noticeMillis   float64 // until the last request to an unresponsive worker, the median over these workers
-	messages       float64 // a second, sent by the worst instance
-	bytes          float64 // a second, sent by the worst instance
-	peak           float64 // messages, the most of any second and instance
-	wronglyEjected float64 // worker-seconds, by instances
-	ignoredPeers   int     // times that an instance stopped to believe a peer
+	load            LoadResult
+	lost            int     // requests to unresponsive workers
+	detectionMillis float64 // until the last request to an unresponsive worker, the median over these workers
+	messages        float64 // a second, sent by the worst instance
+	bytes           float64 // a second, sent by the worst instance
+	peak            float64 // messages, the most of any second and instance
+	wronglyEjected  float64 // worker-seconds, by instances
+	ignoredPeers    int     // times that an instance stopped to believe a peer
 }
 
 // countArrivals counts the requests that went to unresponsive workers.
 func (m *gossipMetrics) countArrivals(run *gossipRun) {
-	var notices []float64
+	var detections []float64
 	for _, worker := range run.unresponsive {
 		last := run.faultFrom
 		for _, arrival := range worker.Arrivals() {
@@ -98,10 +99,10 @@
 				last = arrival.At
 			}
 		}
-		notices = append(notices, float64(last.Sub(run.faultFrom).Milliseconds()))
+		detections = append(detections, float64(last.Sub(run.faultFrom).Milliseconds()))
 	}
-	slices.Sort(notices)
-	m.noticeMillis = notices[len(notices)/2]
+	slices.Sort(detections)
+	m.detectionMillis = detections[len(detections)/2]
 }
 
 // readLogs fills in what the schedulers' logs say.
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -8,11 +8,12 @@
 	simulatedFault      = 8 * time.Second
 	simulatedRecovery   = 20 * time.Second // after it
 	rateLimitedDuration = 40 * time.Second
+	rateLimitedPeriod   = 20 * time.Second // in which a ListRateLimited answers one poll of each scheduler
 )
 
 const (
-	// tenthsPerPoll is how many tenths of a second the protocol's 2 s have, in which each scheduler polls once.
-	tenthsPerPoll = 20
+	// tenthsPerPoll is how many tenths of a second a pollPeriod has.
+	tenthsPerPoll = float64(pollPeriod / (100 * time.Millisecond))
 	// maxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
 	maxPollDuration = 7 * time.Second
 )
@@ -52,18 +53,18 @@
 	return results
 }
 
-// simulateRateLimited plays a start before a service that answers a tenth of what the fleet polls in its 2 s, and has an
-// update for all.
+// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a pollPeriod, and
+// has an update for all.
 func simulateRateLimited(size int, seed uint64) VirtualPollResult {
 	result := VirtualPollResult{
 		Schedulers:  size,
 		EvenPeak:    float64(size) / tenthsPerPoll,
 		Peaks:       map[string]int{},
-		LimitMillis: 20000, // all answered at a twentieth of the fleet a second
+		LimitMillis: float64(rateLimitedPeriod.Milliseconds()),
 	}
 	sim := NewPollSimulation(size, time.Second, seed, true)
 	sim.SetFault(ListRateLimited)
-	sim.Queue.AnswersPerSecond = float64(size) / 20
+	sim.Queue.AnswersPerSecond = float64(size) / rateLimitedPeriod.Seconds()
 	sim.Queue.LastEvent = 2
 	began := sim.Now
 	sim.Run(rateLimitedDuration)
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -12,8 +12,8 @@
 // scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
-// pollPeriod is the time in which each scheduler of a healthy fleet polls once, in seconds.
-const pollPeriod = 2
+// pollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
+const pollPeriod = 2 * time.Second
 
 // workerFaults is the faults of workers by their names in scenarios.
 var workerFaults = map[string]WorkerFault{
@@ -49,7 +49,7 @@
 
 // stepVerbs is what the verbs do.
 var stepVerbs = map[string]func(stepRun) error{
-	"start":   func(r stepRun) error { return r.eachInstance((*Instance).startIfStopped) },
+	"start":   func(r stepRun) error { return r.forEachInstance((*Instance).startIfStopped) },
 	"kill":    stepRun.kill,
 	"stop":    func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
 	"cont":    func(r stepRun) error { return r.signal(syscall.SIGCONT) },
@@ -81,8 +81,8 @@
 	return do(run)
 }
 
-// someInstances is the instances that the share at an argument means.
-func (r stepRun) someInstances(argument int) ([]*Instance, error) {
+// selectedInstances is the instances that the share at an argument means.
+func (r stepRun) selectedInstances(argument int) ([]*Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
 		return nil, err
@@ -94,8 +94,8 @@
 	return instances, nil
 }
 
-// someWorkers is the workers that the share at an argument means.
-func (r stepRun) someWorkers(argument int) ([]*Worker, error) {
+// selectedWorkers is the workers that the share at an argument means.
+func (r stepRun) selectedWorkers(argument int) ([]*Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
 		return nil, err
@@ -107,9 +107,9 @@
 	return workers, nil
 }
 
-// eachInstance does something to the instances of the first argument, until it fails.
-func (r stepRun) eachInstance(do func(*Instance) error) error {
-	instances, err := r.someInstances(0)
+// forEachInstance does something to the instances of the first argument, until it fails.
+func (r stepRun) forEachInstance(do func(*Instance) error) error {
+	instances, err := r.selectedInstances(0)
 	if err != nil {
 		return err
 	}
@@ -122,19 +122,19 @@
 }
 
 func (r stepRun) kill() error {
-	return r.eachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *Instance) error {
 		in.Kill()
 		return nil
 	})
 }
 
 func (r stepRun) signal(signal syscall.Signal) error {
-	return r.eachInstance(func(in *Instance) error { return in.Signal(signal) })
+	return r.forEachInstance(func(in *Instance) error { return in.Signal(signal) })
 }
 
 // terminate has instances shut down, and does not wait for it.
 func (r stepRun) terminate() error {
-	return r.eachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *Instance) error {
 		go func() { _ = in.Stop() }() // one that does not end in order is detected by the checks
 		return nil
 	})
@@ -177,7 +177,7 @@
 		if err != nil || fraction <= 0 {
 			return r.invalid()
 		}
-		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / pollPeriod
+		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / pollPeriod.Seconds()
 	}
 	return r.fleet.List.SetFault(ListFault(fault), answersPerSecond)
 }
@@ -199,7 +199,7 @@
 }
 
 func (r stepRun) drain() error {
-	workers, err := r.someWorkers(0)
+	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 
 // replace deletes workers from the list and lists as many new ones.
 func (r stepRun) replace() error {
-	gone, err := r.someWorkers(0)
+	gone, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 
 // restartWorkers has workers start anew at their address.
 func (r stepRun) restartWorkers() error {
-	workers, err := r.someWorkers(0)
+	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
@@ -259,7 +259,7 @@
 
 // setWorkerFault gives workers a fault, or none.
 func (r stepRun) setWorkerFault() error {
-	workers, err := r.someWorkers(1)
+	workers, err := r.selectedWorkers(1)
 	if err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 
 // setPartition changes the links between some schedulers and the others.
 func (r stepRun) setPartition() error {
-	instances, err := r.someInstances(1)
+	instances, err := r.selectedInstances(1)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
@@ -295,11 +295,11 @@
 
 // setLinks changes the links between some schedulers and some workers, or resets their connections.
 func (r stepRun) setLinks() error {
-	instances, err := r.someInstances(1)
+	instances, err := r.selectedInstances(1)
 	if err != nil {
 		return err
 	}
-	workers, err := r.someWorkers(2)
+	workers, err := r.selectedWorkers(2)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
--- a/internal/testbed/virtualscheduler.go
+++ b/internal/testbed/virtualscheduler.go
@@ -60,12 +60,12 @@
 // step passes events to the Router and carries out its actions.
 func (s *virtualScheduler) step(events ...routing.Event) {
 	for _, action := range s.router.Step(s.now, events) {
-		s.do(action)
+		s.perform(action)
 	}
 }
 
-// do carries out an action of the Router.
-func (s *virtualScheduler) do(action routing.Action) {
+// perform carries out an action of the Router.
+func (s *virtualScheduler) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.SetTimer:
 		wait := action.After
