--- a/internal/testbed/agentprotocol.go
+++ b/internal/testbed/agentprotocol.go
@@ -42,10 +42,10 @@
 	Body   string
 }
 
-// Class is the class of the request that is to be run.
+// Class returns the class of the request that is to be run.
 func (c AgentCommand) Class() string { return c.Fields[fieldClass] }
 
-// Function is the function that is to be run.
+// Function returns the function that is to be run.
 func (c AgentCommand) Function() string { return c.Fields[fieldFunction] }
 
 // ErrMalformedCommand is the error of ReadAgentCommand for bytes that are no command.
@@ -75,7 +75,7 @@
 	return command, err
 }
 
-// takesWords reports whether a line with this verb may have so many words. One with an unknown verb may have none.
+// takesWords reports whether a line with this verb has that many words. No number is right for an unknown verb.
 func (v AgentVerb) takesWords(words int) bool {
 	switch v {
 	case AgentStart:
@@ -97,7 +97,7 @@
 	return fields
 }
 
-// readCommandBody reads a command's body and the line end after it.
+// readCommandBody reads the body of a command, whose size the line gave, and the line end after it.
 func readCommandBody(reader io.Reader, sizeText string) (string, error) {
 	size, err := strconv.Atoi(sizeText)
 	if err != nil || size < 0 || size > maxCommandBody {
--- a/internal/testbed/agentprotocol_test.go
+++ b/internal/testbed/agentprotocol_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Whatever is no command is an error of its own, and what ends too soon is not.
+// Bytes that are no command give ErrMalformedCommand, and a connection that ends too soon the error of reading.
 func TestReadMalformedAgentCommand(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
--- a/internal/testbed/byzantine.go
+++ b/internal/testbed/byzantine.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// now is the time of the gossip core: Unix time that never goes back.
+// now returns the time of the gossip core: Unix time that never goes back.
 func (m *ByzantineMember) now() time.Duration {
 	return time.Duration(m.startedAt.UnixNano()) + time.Since(m.startedAt)
 }
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// ColdStartScenarios is the scenarios of 'testbed coldstart' by name.
+// ColdStartScenarios has the scenarios of 'testbed coldstart' by name.
 var ColdStartScenarios = map[string]string{
 	"well":    "0s known full\n0s start 1\n8s tell",
 	"empty":   "0s known empty\n0s start 1\n8s tell",
@@ -33,16 +33,15 @@
 	"slow":    "0s known full\n0s start 1\n5s workers stalls 0.3\n5s list crowded 0.2\n6s drain 0.1\n12s workers sound 0.3",
 }
 
-// defaultSkew is how uneven the schedulers' parts of the load are if nothing else is said.
+// defaultSkew is how uneven the schedulers' fractions of the load are if no skew is given.
 const defaultSkew = 0.1
 
-// ColdStartExperiment is an experiment: a fleet's cold start, or another fault that makes all its schedulers poll at
-// once.
+// ColdStartExperiment measures a fleet's cold start, or another fault that makes all its schedulers poll at once.
 type ColdStartExperiment struct {
 	Program           string
 	Baseline          string // an earlier build that plays the same first; "" for none
 	Env               []string
-	Dir               string // for files; a new one if not set
+	Dir               string // in which a directory for files is created; the system's for temporary files if not set
 	Instances         int
 	ClaimedSchedulers int // how many schedulers there are by their settings; 0 for as many as there are
 	Workers           int
@@ -53,7 +52,7 @@
 	Skew              float64 // of the load; see Load
 	Rate              float64 // requests a second, of all
 	Seed              uint64
-	Progress          func(string) // is called with a summary of each run
+	Progress          func(string) // called with a summary of each run
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
@@ -140,7 +139,8 @@
 	return metrics, nil
 }
 
-// allViolations is all that was against the rules, where the machine woke goroutines late by so much at the worst.
+// allViolations returns every violation of a rule. worstDelay is by how much the machine woke goroutines late at the worst;
+// time limits are longer by it.
 func (f *Fleet) allViolations(load LoadResult, worstDelay time.Duration) []string {
 	violations := f.ruleViolations(load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
@@ -155,15 +155,15 @@
 	return violations
 }
 
-// measureWakeDelay measures how late this machine wakes who sleeps, until the context ends: the schedulers were woken no
-// sooner.
+// measureWakeDelay measures by how much this machine wakes sleeping goroutines late, until the context ends. Schedulers are
+// woken as late.
 func (f *Fleet) measureWakeDelay(ctx context.Context) <-chan time.Duration {
-	const nap = 5 * time.Millisecond
+	const interval = 5 * time.Millisecond
 	measured := make(chan time.Duration, 1)
 	go func() {
 		worst := time.Duration(0)
-		for at := time.Now(); sleep(ctx, nap); at = time.Now() {
-			worst = max(worst, time.Since(at)-nap)
+		for at := time.Now(); sleep(ctx, interval); at = time.Now() {
+			worst = max(worst, time.Since(at)-interval)
 			f.wakeDelay.Store(int64(worst))
 		}
 		measured <- worst
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// summary is the metrics in a sentence.
+// summary describes the metrics in a sentence.
 func (m *ColdStartMetrics) summary() string {
 	return fmt.Sprintf("served %.4f of %d, at most %d polls and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
 		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
@@ -55,8 +55,8 @@
 	}
 }
 
-// listedTimes is when each scheduler first had the last event, or showed by a poll that it had it, after the last step of
-// the scenario.
+// listedTimes returns when each scheduler first had the last event after the last step of the scenario, by a response or by
+// a poll that shows that it has it.
 func listedTimes(polls []Poll, lastEvent int, lastStep time.Time) map[string]time.Time {
 	listedAt := map[string]time.Time{}
 	for _, poll := range polls {
@@ -64,7 +64,7 @@
 		switch {
 		case poll.After == lastEvent && (at.IsZero() || at.After(lastStep)):
 			at = poll.At
-			if at.Before(lastStep) { // it waits
+			if at.Before(lastStep) { // the poll was pending already
 				at = lastStep
 			}
 		case poll.LastEvent != lastEvent:
@@ -139,7 +139,7 @@
 	return len(pairs)
 }
 
-// offsets is how long after another time each of some times was.
+// offsets returns how long each of these times is after from.
 func offsets(times []time.Time, from time.Time) []time.Duration {
 	var list []time.Duration
 	for _, at := range times {
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -15,7 +15,7 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// Fleet is schedulers as real processes, the workers that they share, and the list service that tells them of these.
+// Fleet runs schedulers as real processes, the workers that they share, and the list service that names these workers.
 type Fleet struct {
 	Program           string   // the scheduler
 	Env               []string // environment variables besides the testbed's own
@@ -41,8 +41,8 @@
 	wakeDelay atomic.Int64   // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
 	restarts  sync.WaitGroup // of schedulers, by a rolling restart
 
-	// departures is the workers that drain or are gone. Prepare and the scenario write it; it is read after the
-	// scenario's end.
+	// departures has the workers that drain or were deleted. Prepare and the scenario write it; the checks read it after
+	// the scenario's end.
 	departures map[*Worker]departure
 
 	mu                 sync.Mutex
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// prepare is Prepare without the cleaning up.
+// prepare does what Prepare does, but leaves running what it started where it fails.
 func (f *Fleet) prepare(instances, workers int) error {
 	f.List = NewListService()
 	f.Store = newStore()
@@ -144,7 +144,7 @@
 	return err
 }
 
-// gossipCondition is the condition of the link from one scheduler to another, by their gossip addresses.
+// gossipCondition returns the condition of the link from one scheduler to another, by their gossip addresses.
 func (f *Fleet) gossipCondition(from, to string) LinkCondition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,16 +170,15 @@
 // fleetCount counts the fleets of this process.
 var fleetCount atomic.Uint32
 
-// freeAddress is an address of loopback that nobody listens on. Each fleet has a host of its own: schedulers open
-// their port so that a restart may share it, and of two fleets that were given the same one each would serve the
-// other's clients.
+// freeAddress returns a loopback address that nobody listens on. Each fleet has a host of its own: schedulers share their
+// port with the process of a restart, so that two fleets with the same address would serve each other's clients.
 func (f *Fleet) freeAddress(network string) (string, error) {
 	if f.host == "" {
 		f.host = fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+fleetCount.Add(1)%250)
 	}
 	for {
 		addr, err := unusedAddress(network, f.host)
-		// The system may name a port again that was let go a moment ago.
+		// The system may return a port again that was released a moment ago.
 		taken := func(in *Instance) bool { return in.Addr == addr || in.Gossip == addr }
 		if err != nil || !slices.ContainsFunc(f.Instances, taken) {
 			return addr, err
@@ -187,7 +186,7 @@
 	}
 }
 
-// unusedAddress is an address of a host that nobody listens on.
+// unusedAddress returns an address of a host that nobody listens on.
 func unusedAddress(network, host string) (string, error) {
 	if network == "udp" {
 		socket, err := net.ListenPacket("udp", host)
@@ -224,7 +223,7 @@
 	})
 }
 
-// knownEvents is the events that a scheduler is configured with.
+// knownEvents returns the events that a scheduler is configured with.
 func (f *Fleet) knownEvents(scheduler string) string {
 	switch f.KnownEvents {
 	case "old":
@@ -236,7 +235,7 @@
 	}
 }
 
-// workerAddress is the address at which a scheduler reaches a worker: that of a link of its own where the fleet has them.
+// workerAddress returns the address at which a scheduler reaches a worker: that of a link of its own if the fleet has links.
 func (f *Fleet) workerAddress(scheduler string, worker *Worker) string {
 	if !f.LinkedWorkers {
 		return worker.Addr
@@ -249,13 +248,13 @@
 	}
 	link, err := NewLink(worker.Addr)
 	if err != nil {
-		return worker.Addr // for want of descriptors: a scenario that changes the link fails for it
+		return worker.Addr // out of descriptors; a scenario that changes the link fails
 	}
 	f.links[key] = link
 	return link.Addr
 }
 
-// linkTo is the link of a scheduler to a worker; nil without.
+// linkTo returns the link of a scheduler to a worker; nil without.
 func (f *Fleet) linkTo(scheduler, worker string) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -292,7 +291,7 @@
 	}
 }
 
-// closeAndRemove ends the fleet and removes its files.
+// closeAndRemove ends the fleet and removes its directory.
 func (f *Fleet) closeAndRemove() {
 	f.Close()
 	_ = os.RemoveAll(f.Dir) // what can't be removed is left for the system to clean
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -19,14 +19,15 @@
 	answerTimeout = 8 * time.Second
 	// disruptionWindow is how long after a disruption a request that fails on a used connection is not sent again.
 	disruptionWindow = time.Second
-	// healthCheckInterval is how often a scheduler that is not up yet is probed.
+	// healthCheckInterval is the pause between two health checks of a scheduler that does not serve yet.
 	healthCheckInterval = 20 * time.Millisecond
 )
 
-// errNotAccepted is a request that no scheduler took: no connection came up, or the instance was out of rotation.
-var errNotAccepted = errors.New("not taken")
+// errNotAccepted is the error of a request that no scheduler accepted: no connection was established, or the instance was
+// out of rotation.
+var errNotAccepted = errors.New("not accepted")
 
-// front sends requests to one instance as the web server before it does, over as many connections as that takes.
+// front sends requests to one instance as the web server in front of it does, over as many connections as it needs.
 type front struct {
 	fleet    *Fleet
 	instance *Instance
@@ -35,7 +36,7 @@
 	wg          sync.WaitGroup // of requests in flight
 	mu          sync.Mutex
 	idle        []*fastcgi.Client
-	incarnation int32 // of the process that they lead to
+	incarnation int32 // of the process that the idle connections lead to
 }
 
 // newFront returns the front of an instance. ended is called at the end of each request.
@@ -109,7 +110,7 @@
 	sentAt := time.Now()
 	reply, err := client.Do(ctx, request)
 	if err != nil && reused && f.closedMeanwhile(sentAt) {
-		_ = client.Close() // the scheduler closed it just then: sent again, once, on a new one
+		_ = client.Close() // the scheduler closed it at that moment: the request is sent again, once, on a new connection
 		if client, err = f.dial(ctx); err != nil {
 			f.ended(fastcgi.Reply{}, err, 0)
 			return
@@ -133,8 +134,8 @@
 	return client, nil
 }
 
-// closedMeanwhile reports whether a request on a used connection failed so soon that it met the scheduler's close of an
-// idle connection, which says nothing of the request.
+// closedMeanwhile reports whether a request on a reused connection failed so soon that the scheduler may have closed the
+// idle connection at that moment, which says nothing of the request.
 func (f *front) closedMeanwhile(sentAt time.Time) bool {
 	window := closeRaceWindow + 2*time.Duration(f.fleet.wakeDelay.Load())
 	return time.Since(sentAt) < window && !f.instance.disruptedSince(sentAt.Add(-disruptionWindow))
@@ -165,7 +166,7 @@
 	}
 }
 
-// errUnhealthy is a health check that was answered otherwise than with success.
+// errUnhealthy is the error of a health check that was answered, but not with success.
 var errUnhealthy = errors.New("unhealthy")
 
 // checkHealth makes one health check.
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -15,7 +15,7 @@
 	maxMessagesPerSecond = 20
 	// reportLifetime is how long after a worker's recovery peers' reports of its fault may last.
 	reportLifetime = 10 * time.Second
-	// gossipSkew is how uneven the schedulers' parts of the load are, so that some learn of a fault late by themselves.
+	// gossipSkew is how uneven the schedulers' fractions of the load are, so that some learn of a fault late by themselves.
 	gossipSkew = 0.3
 	// floodRate is the forged datagrams a second of a flood.
 	floodRate = 5000
@@ -108,7 +108,7 @@
 	r.Notice = metrics.detectionMillis
 }
 
-// fleet prepares and starts the schedulers of a run. The caller closes it and removes its folder.
+// fleet prepares and starts the schedulers of a run. The caller ends it with closeAndRemove.
 func (e GossipExperiment) fleet(ctx context.Context, sharing bool) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
@@ -173,7 +173,7 @@
 	return metrics, nil
 }
 
-// unresponsive is the workers that become unresponsive, chosen by the seed.
+// unresponsive returns the workers that become unresponsive, chosen by the seed.
 func (e GossipExperiment) unresponsive(fleet *Fleet) []*Worker {
 	var chosen []*Worker
 	for i := range e.Silent {
@@ -220,7 +220,7 @@
 	return metrics, fleet.nobodyDead()
 }
 
-// nobodyDead returns an error if an instance took another for dead.
+// nobodyDead returns an error if an instance declared another dead.
 func (f *Fleet) nobodyDead() error {
 	for _, instance := range f.Instances {
 		for _, line := range instance.Log.Lines() {
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// SchedulerBeside is the path of the scheduler beside the running program.
+// SchedulerBeside returns the path of the scheduler beside the running program.
 func SchedulerBeside() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -241,7 +241,7 @@
 	return filepath.Join(filepath.Dir(self), "calicohill"), nil
 }
 
-// workerIDs is the IDs of workers.
+// workerIDs returns the IDs of workers.
 func workerIDs(workers []*Worker) []string {
 	var ids []string
 	for _, worker := range workers {
@@ -250,7 +250,7 @@
 	return ids
 }
 
-// without is the workers that are not among others.
+// without returns the workers that are not among others.
 func without(workers, others []*Worker) []*Worker {
 	return slices.DeleteFunc(slices.Clone(workers), func(worker *Worker) bool { return slices.Contains(others, worker) })
 }
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// playFault has workers be unresponsive from two tenths of the run on, for half of it.
+// playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
 	if !sleep(ctx, duration/5) {
 		return
@@ -76,7 +76,7 @@
 	return closeMembers, nil
 }
 
-// gossipMetrics is what a run gave.
+// gossipMetrics is what a run measured.
 type gossipMetrics struct {
 	load            LoadResult
 	lost            int     // requests to unresponsive workers
@@ -85,7 +85,7 @@
 	bytes           float64 // a second, sent by the worst instance
 	peak            float64 // messages, the most of any second and instance
 	wronglyEjected  float64 // worker-seconds, by instances
-	ignoredPeers    int     // times that an instance stopped to believe a peer
+	ignoredPeers    int     // times that an instance began to ignore a peer's reports
 }
 
 // countArrivals counts the requests that went to unresponsive workers.
@@ -137,8 +137,8 @@
 	}
 }
 
-// wrongSeconds is for how many seconds of an ejection the worker was healthy: all of them for one that had no fault; for
-// another those before its fault, and those after the time that reports of it may last.
+// wrongSeconds returns how many seconds of an ejection were wrong: all of them for a worker without a fault; for another
+// those before its fault, and those after reports of it may have lasted.
 func (r *gossipRun) wrongSeconds(worker string, from, until time.Time) float64 {
 	if slices.Contains(r.healthy, worker) {
 		return until.Sub(from).Seconds()
--- a/internal/testbed/hub.go
+++ b/internal/testbed/hub.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Hub is the network among schedulers over UDP: each member has an address there under which the others reach it.
+// Hub is the UDP network between schedulers: each member has an address there at which the others reach it.
 type Hub struct {
 	mu        sync.Mutex
 	sockets   map[string]*net.UDPConn // by the member's own address
 	condition func(from, to string) LinkCondition
 }
 
-// NewHub opens a hub for members at these addresses. condition returns what the link from one of them to another does.
+// NewHub opens a hub for members at these addresses. condition returns the condition of the link from one to another.
 func NewHub(members []string, condition func(from, to string) LinkCondition) (*Hub, error) {
 	hub := &Hub{sockets: map[string]*net.UDPConn{}, condition: condition}
 	for _, member := range members {
@@ -32,7 +32,7 @@
 	return hub, nil
 }
 
-// Addr is where the others reach a member.
+// Addr returns the address at which the others reach a member.
 func (h *Hub) Addr(member string) string { return h.sockets[member].LocalAddr().String() }
 
 // serve passes on to a member what is sent to its address at the hub, until the hub is closed.
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -24,7 +24,7 @@
 	frontDrainDelay = 200 * time.Millisecond
 	// stopTimeout is how long a scheduler may take for a graceful shutdown.
 	stopTimeout = 20 * time.Second
-	// maxSeeds is how many instances the others join through.
+	// maxSeeds is how many instances are seeds, through which the others join.
 	maxSeeds = 3
 	// clockTick is the unit of processor times in /proc.
 	clockTick = 10 * time.Millisecond
@@ -43,7 +43,7 @@
 	operatorPath string // the operator's file
 
 	outOfRotation atomic.Bool  // the front sends it nothing
-	disruptedAt   atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the greatest while it is stopped
+	disruptedAt   atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the maximum while it is stopped
 	incarnation   atomic.Int32 // counts its starts
 
 	mu        sync.Mutex
@@ -109,7 +109,7 @@
 	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
 }
 
-// Operator is the operator's file of an instance, with more lines of the section gossip.
+// Operator returns the text of an instance's operator's file, with more lines at the end of its section gossip.
 func (in *Instance) Operator(more string) string {
 	text := "log\n  format json\n"
 	if in.fleet.KeepState {
@@ -135,7 +135,7 @@
 	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
 }
 
-// Duplicate is another instance with the name and the files of this one, which does not run yet.
+// Duplicate returns another instance with the name and the files of this one. It does not run yet.
 func (in *Instance) Duplicate() *Instance {
 	return &Instance{
 		Name:         in.Name,
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// runningProcess is the process that runs; nil if none does.
+// runningProcess returns the process that runs, or nil.
 func (in *Instance) runningProcess() *process {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -230,7 +230,7 @@
 	return in.latest
 }
 
-// latestProcess is the process that was started last; nil before the first start.
+// latestProcess returns the process that was started last; nil before the first start.
 func (in *Instance) latestProcess() *process {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -246,7 +246,7 @@
 	}
 }
 
-// lastStartBefore is when the process that ran at a time had been started; the zero time if none ran before.
+// lastStartBefore returns when the process that ran at a time had been started; the zero time if none ran before.
 func (in *Instance) lastStartBefore(at time.Time) time.Time {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -259,7 +259,7 @@
 	return last
 }
 
-// Signal sends a signal to a scheduler.
+// Signal sends a signal to a scheduler that has been started.
 func (in *Instance) Signal(signal syscall.Signal) error {
 	switch signal {
 	case syscall.SIGSTOP:
@@ -273,7 +273,7 @@
 // disruptedSince reports whether the process was killed or stopped after a time.
 func (in *Instance) disruptedSince(at time.Time) bool { return in.disruptedAt.Load() >= at.UnixNano() }
 
-// Pid is the latest process of a scheduler, which has been started.
+// Pid returns the ID of the latest process of a scheduler that has been started.
 func (in *Instance) Pid() int { return in.latestProcess().cmd.Process.Pid }
 
 // Kill ends a scheduler with SIGKILL.
@@ -317,7 +317,7 @@
 	}
 }
 
-// CPU is the processor time that a scheduler has used; 0 where the system doesn't say.
+// CPU returns the processor time that a scheduler has used; 0 where the system doesn't say.
 func (in *Instance) CPU() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", in.Pid()))
 	if err != nil {
@@ -337,7 +337,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Memory is the resident memory of a scheduler in kB; 0 where the system doesn't say.
+// Memory returns the resident memory of a scheduler in kB; 0 where the system doesn't say.
 func (in *Instance) Memory() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", in.Pid()))
 	if err != nil {
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// ruleSlack is what a rule's time limits are longer by on sockets.
+	// ruleSlack extends the rules' time limits by what sockets may delay.
 	ruleSlack = 50 * time.Millisecond
-	// machineSlack is what one machine may take for the processes of a whole fleet on top.
+	// machineSlack extends them further, as one machine runs the processes of a whole fleet.
 	machineSlack = 150 * time.Millisecond
 	// maxAnswerDelay is by how much a response may come after its client's time, as in docs: later it counts as lost.
 	maxAnswerDelay = 500 * time.Millisecond
@@ -102,9 +102,9 @@
 	}
 }
 
-// notifiedAt is when the scheduler of a request counts as notified of a departure: once it received it, and where the
-// list service was healthy in time even if it did not; the zero time if neither. A process that did not run then is
-// notified with its start.
+// notifiedAt returns when the scheduler of a request counts as notified of a departure: when it received the event, or when
+// a healthy list service should have delivered it, whichever is earlier; the zero time if neither happened. A process that
+// was started later counts as notified at its start.
 func (c *ruleChecker) notifiedAt(departure departure, arrival Arrival) time.Time {
 	notified := c.fleet.List.effectiveAt(departure.at)
 	received := receivedAt(c.polls[arrival.From], departure.event)
@@ -120,7 +120,7 @@
 	return notified
 }
 
-// processStart is when the process of a scheduler that ran at a time had been started.
+// processStart returns when the process of a scheduler that ran at a time was started.
 func (f *Fleet) processStart(scheduler string, at time.Time) time.Time {
 	for _, instance := range f.Instances {
 		if instance.Name == scheduler {
@@ -130,14 +130,15 @@
 	return time.Time{}
 }
 
-// receivedAt is when a scheduler was given an event, by its polls: the last response with it before a poll that shows it
-// known. A response may go to a connection that was just given up.
+// receivedAt returns when a scheduler received an event: with the last response that had it before the first poll that shows
+// it known. An earlier response may have gone to a connection that the scheduler had just closed. The zero time if no poll
+// shows it known.
 func receivedAt(polls []Poll, event int) time.Time {
 	var at time.Time
 	for _, poll := range polls {
 		if poll.After >= event {
 			if at.IsZero() {
-				at = poll.At // configured with it
+				at = poll.At // the scheduler was configured with it
 			}
 			return at
 		}
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// LinkCondition is what a link does to what goes over it. The zero value does nothing.
+// LinkCondition is what a link does to the bytes or datagrams that it carries. The zero value passes them on unchanged.
 type LinkCondition struct {
 	Delay          time.Duration // each way
 	Jitter         time.Duration // each way, up to so much more than Delay
 	BytesPerSecond float64       // each way; 0 means no bound
 	Loss           float64       // fraction of the datagrams that is lost
-	Duplicate      float64       // fraction of the datagrams that comes twice; those that Jitter delays come out of order
-	CutForward     bool          // drops what goes there, without a sign
-	CutBackward    bool          // drops what comes back, without a sign
+	Duplicate      float64       // fraction of the datagrams that arrives twice; those that Jitter delays arrive out of order
+	CutForward     bool          // drops what goes to the target, without any error
+	CutBackward    bool          // drops what comes back, without any error
 	Hang           bool          // accepts new connections and passes nothing on
 }
 
@@ -29,7 +29,7 @@
 // stopsBackward reports whether nothing is passed on in the backward direction.
 func (c LinkCondition) stopsBackward() bool { return c.CutBackward || c.Hang }
 
-// delay is how long so many bytes are under way.
+// delay returns how long this many bytes are in transit.
 func (c LinkCondition) delay(bytes int) time.Duration {
 	delay := c.Delay
 	if c.Jitter > 0 {
@@ -41,7 +41,7 @@
 	return delay
 }
 
-// minRecordedDelay is from which delay on a link records what it delays.
+// minRecordedDelay is the delay from which on a link records it.
 const minRecordedDelay = 20 * time.Millisecond
 
 // linkListenAddress is where links are reached: an address of loopback from which nothing connects.
@@ -53,7 +53,7 @@
 	backlogFullAfter  = 200 * time.Millisecond
 )
 
-// Link is a way from one peer to another over TCP, on loopback.
+// Link carries TCP connections from one peer to another on loopback, under a condition.
 type Link struct {
 	Addr string
 
@@ -71,7 +71,7 @@
 	acceptResumed  chan struct{}
 }
 
-// delayedSegment is bytes that were under way for minRecordedDelay or longer.
+// delayedSegment is bytes that were in transit for longer than minRecordedDelay.
 type delayedSegment struct {
 	sentAt    time.Time
 	arrivedAt time.Time
@@ -96,7 +96,7 @@
 	return link, nil
 }
 
-// sentAt is when what arrived at a time was sent.
+// sentAt returns when what arrived at a time was sent.
 func (l *Link) sentAt(arrivedAt time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// blockNewConnections stops accepting and fills the queue of new connections: the system drops the next without a sign.
+// blockNewConnections stops accepting and fills the queue of new connections: the system drops further ones silently.
 func (l *Link) blockNewConnections() error {
 	if err := l.listener.SetDeadline(time.Now()); err != nil {
 		return err
@@ -144,7 +144,7 @@
 		}
 		l.backlogFillers = append(l.backlogFillers, conn)
 	}
-	return fmt.Errorf("link %s: connections still come up", l.Addr)
+	return fmt.Errorf("link %s: connections are still established", l.Addr)
 }
 
 // admitNewConnections undoes blockNewConnections.
@@ -169,7 +169,7 @@
 	return errors.Join(err, failed)
 }
 
-// Reset resets all connections, in the middle of what goes over them.
+// Reset resets all connections at once, also where data is in transit.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 	l.mu.Unlock()
 	l.Reset()
-	_ = l.Set(LinkCondition{}) // sets goroutines free that wait; of a closed link it returns nil
+	_ = l.Set(LinkCondition{}) // releases goroutines that wait; for a closed link it returns nil
 }
 
 // accept accepts connections until the link is closed. It pauses while the link is cut.
@@ -218,7 +218,7 @@
 	defer l.track(conn)()
 	dialed, err := net.Dial("tcp", l.target)
 	if err != nil {
-		_ = conn.SetLinger(0) // as one that is refused, a moment late
+		_ = conn.SetLinger(0) // so that the peer sees a reset, like a refusal a moment later
 		return
 	}
 	target := dialed.(*net.TCPConn)
@@ -248,7 +248,7 @@
 	}
 }
 
-// current is the condition now, and what is closed when it changes.
+// current returns the condition, and a channel that is closed when it changes.
 func (l *Link) current() (LinkCondition, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -277,7 +277,7 @@
 	}
 }
 
-// recordDelay keeps that bytes were under way, if they were for long.
+// recordDelay records how long bytes were in transit, if that was long.
 func (l *Link) recordDelay(sentAt, arrivedAt time.Time) {
 	if arrivedAt.Sub(sentAt) <= minRecordedDelay {
 		return
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/listservice.go
@@ -33,7 +33,7 @@
 	closed      bool
 }
 
-// Poll is a poll that came.
+// Poll is a poll that a scheduler sent.
 type Poll struct {
 	Scheduler  string
 	At         time.Time
@@ -72,7 +72,7 @@
 	return service
 }
 
-// Address is the address at which a scheduler polls.
+// Address returns the address at which a scheduler polls.
 func (s *ListService) Address(scheduler string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +175,7 @@
 	s.answer()
 }
 
-// Feed is the first events in the form of a response to a scheduler; all with a number below 0.
+// Feed returns the first events as the body of a response to a scheduler; all events if first is negative.
 func (s *ListService) Feed(scheduler string, first int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +185,7 @@
 	return s.feedText(scheduler, 0, first)
 }
 
-// feedText is the events after one up to another, as the body of a response.
+// feedText returns the events after the number after, up to last, as the body of a response. The caller holds the lock.
 func (s *ListService) feedText(scheduler string, after, last int) string {
 	var items []string
 	for _, event := range s.events[min(after, last):last] {
@@ -194,8 +194,8 @@
 	return EndpointFeed(last, items)
 }
 
-// effectiveAt is from when on what was published at a time counts as delivered to all: at once where the service is
-// healthy, settledAfter the end of its fault where it is not; the zero time if that has not ended.
+// effectiveAt returns when an event that was published at a time counts as delivered to all: at once if the service was
+// healthy, settledAfter after the end of its fault if not; the zero time if the fault has not ended.
 func (s *ListService) effectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,28 +208,28 @@
 	return publishedAt
 }
 
-// answersPerSecond is the last bound on responses; 0 if it never had one.
+// answersPerSecond returns the last rate limit on responses; 0 if there never was one.
 func (s *ListService) answersPerSecond() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.AnswersPerSecond
 }
 
-// Polls is the polls so far.
+// Polls returns the polls so far.
 func (s *ListService) Polls() []Poll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Poll(nil), s.polls...)
 }
 
-// AcceptedAt is when connections came up.
+// AcceptedAt returns when each connection was accepted.
 func (s *ListService) AcceptedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.acceptedAt...)
 }
 
-// PublishedAt is when each event was published.
+// PublishedAt returns when each event was published.
 func (s *ListService) PublishedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,7 +285,7 @@
 	return pending
 }
 
-// respond answers a poll, or does what the fault makes of that. The caller holds the lock.
+// respond answers a poll as the fault has it. The caller holds the lock.
 func (s *ListService) respond(index int, conn net.Conn) {
 	poll := &s.polls[index]
 	poll.AnsweredAt = time.Now()
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -18,7 +18,7 @@
 type Load struct {
 	Rate      float64 // requests a second, of all instances together
 	Functions int     // how many are called
-	Skew      float64 // how uneven the instances' parts are: instance i gets 1 part in 1 + Skew x i; 0 means equal ones
+	Skew      float64 // how uneven the instances' fractions are: instance i has a weight of 1 / (1 + Skew x i); 0 means equal ones
 	Seed      uint64
 	Modify    func(*fastcgi.Request) // changes each request before it goes; nil for none
 }
@@ -30,13 +30,13 @@
 	Rejected      int
 	Failed        int
 	Lost          int             // without any response
-	NotAccepted   int             // no connection came up, or the front had taken the instance out of rotation; not Offered
-	Interrupted   int             // without a response of a process that was killed or stopped meanwhile
+	NotAccepted   int             // no connection was established, or the instance was out of rotation; not Offered
+	Interrupted   int             // without a response, of a process that was killed or stopped meanwhile
 	ResponseTimes []time.Duration // of those that were answered
 	MaxOverrun    time.Duration   // the most by which a response came after requestTimeout
 }
 
-// ServedShare is the fraction of the requests that were served.
+// ServedShare returns the fraction of the requests that were served.
 func (r LoadResult) ServedShare() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -82,7 +82,7 @@
 	{"certificado", 0.26},
 }
 
-// pickClass is the number of the class that a draw from 0 to 1 falls on.
+// pickClass returns the number of the class that a draw from 0 to 1 falls on.
 func pickClass(draw float64) int {
 	for i, class := range classes {
 		if draw < class.fraction {
@@ -105,7 +105,7 @@
 // functionName draws the name of a function.
 func functionName(zipf *rand.Zipf) string { return fmt.Sprintf("%016x", zipf.Uint64()+1) }
 
-// weight is how much of the load an instance gets, relative to the first one's 1.
+// weight returns how much of the load an instance gets, relative to the first one's 1.
 func (l Load) weight(instance int) float64 { return 1 / (1 + l.Skew*float64(instance)) }
 
 // Offer offers load to the instances until the context ends, and counts what became of it.
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -37,8 +37,8 @@
 	Progress func(string)
 }
 
-// operatorFileWithRules is an operator's file with rules that tell requests apart by function, and two that are tried for
-// every request.
+// operatorFileWithRules returns an operator's file with rules that match the requests of one function each, and two that are
+// evaluated for every request.
 func operatorFileWithRules(rules int) string {
 	var file strings.Builder
 	file.WriteString(plainOperatorFile)
@@ -53,7 +53,7 @@
 	return file.String()
 }
 
-// generateRules is the rules of operatorFileWithRules.
+// generateRules returns the rules of operatorFileWithRules in the form that match.Load takes.
 func generateRules(count int) []match.Rule {
 	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
@@ -76,7 +76,7 @@
 	return rules
 }
 
-// timeEvaluations is how long an evaluation takes in nanoseconds: the median and the 99th percentile.
+// timeEvaluations returns how long an evaluation takes in nanoseconds: the median and the 99th percentile.
 func timeEvaluations(table *match.Table, request *match.Request) (p50, p99 float64) {
 	const (
 		batchSize = 50 // timed as one: a clock is slower than an evaluation
@@ -151,7 +151,7 @@
 	return size, nil
 }
 
-// longestParameterValue is the longest legal value that the rules' prefix matches.
+// longestParameterValue returns the longest legal value that the rules' prefix matches.
 func longestParameterValue() string { return "zona" + strings.Repeat("z", maxValuePadding) }
 
 // loadMeasurement is what became of a load.
@@ -193,7 +193,7 @@
 	return measured, scheduler.Stop()
 }
 
-// fleet starts a scheduler with an operator's file. The caller closes it and removes its folder.
+// fleet starts a scheduler with an operator's file. The caller ends it with closeAndRemove.
 func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
@@ -222,7 +222,7 @@
 	return fleet.Wait(ctx, schedulerStartWithin)
 }
 
-// load is the load, whose requests carry the parameter that the rules look at.
+// load returns a load whose requests carry the parameter that the rules look at.
 func (e MatchExperiment) load() Load {
 	value := matchParameterValue
 	nearMisses := 0
--- a/internal/testbed/plot.go
+++ b/internal/testbed/plot.go
@@ -17,8 +17,8 @@
 // histogramBin is the resolution of plots over time.
 const histogramBin = 100 * time.Millisecond
 
-// PlotVirtualGossip draws cost and speed against the size of a fleet. The ending of the file's name, .svg or .png, says
-// in which format.
+// PlotVirtualGossip draws cost and speed against the size of a fleet. The extension of the path, .svg or .png, decides
+// the format.
 func PlotVirtualGossip(result VirtualGossipResult, path string) error {
 	chart := plot.New()
 	chart.Title.Text = "Gossip in virtual time"
@@ -50,18 +50,18 @@
 	return chart.Save(16*vg.Centimeter, plotHeight, path)
 }
 
-// Plot draws polls at the list service and connections at the workers over time, of both builds. The ending of the file's
-// name, .svg or .png, says in which format.
+// Plot draws polls at the list service and connections at the workers over time, of both builds. The extension of the
+// path, .svg or .png, decides the format.
 func (r ColdStartResult) Plot(path string) error {
 	chart := plot.New()
-	chart.Title.Text = "Asks and connections"
+	chart.Title.Text = "Polls and connections"
 	chart.X.Label.Text = "seconds"
 	chart.Y.Label.Text = "in 100 ms"
 	chart.Legend.Top = true
 	var lines []any
 	add := func(build string, metrics ColdStartMetrics) {
 		lines = append(lines,
-			build+": asks", histogram(metrics.pollTimes),
+			build+": polls", histogram(metrics.pollTimes),
 			build+": connections to workers", histogram(metrics.agentConnectTimes))
 	}
 	add("program", r.Program)
--- a/internal/testbed/pollqueue.go
+++ b/internal/testbed/pollqueue.go
@@ -11,7 +11,7 @@
 // The faults of the list service.
 const (
 	ListHealthy      ListFault = "well"
-	ListRefusing     ListFault = "refuse"  // no connection comes up, and those that are open break
+	ListRefusing     ListFault = "refuse"  // refuses new connections, and closes those that are open
 	ListUnresponsive ListFault = "silent"  // accepts connections and polls, and answers none
 	ListOverloaded   ListFault = "busy"    // answers 503 with a Retry-After of 2 s
 	ListTruncating   ListFault = "torn"    // closes in the middle of each response that has an update
@@ -19,7 +19,7 @@
 )
 
 // PollQueue is the stand-in list service without clock and sockets: which polls are pending and when each is to be
-// answered. It serves on loopback (ListService) and in virtual time (PollSimulation). It is not safe for concurrent use.
+// answered. ListService uses it on loopback, PollSimulation in virtual time. It is not safe for concurrent use.
 type PollQueue struct {
 	Fault            ListFault
 	AnswersPerSecond float64 // while ListRateLimited
@@ -55,7 +55,7 @@
 // RemoveAll forgets every poll.
 func (q *PollQueue) RemoveAll() { clear(q.pending) }
 
-// Len is how many polls are pending.
+// Len returns how many polls are pending.
 func (q *PollQueue) Len() int { return len(q.pending) }
 
 // Due removes and returns the polls to be answered by now, in the order of their arrival, and when to call it again; 0 if
--- a/internal/testbed/pollsim.go
+++ b/internal/testbed/pollsim.go
@@ -14,13 +14,13 @@
 // overloadRetryAfter is the Retry-After of a list service that is overloaded.
 const overloadRetryAfter = 2 * time.Second
 
-// PollSimulation is a fleet of schedulers before a list service, in virtual time: the planners that decide when to poll,
+// PollSimulation is a fleet of schedulers in front of a list service, in virtual time: the planners that decide when to poll,
 // and nothing else of a scheduler.
 type PollSimulation struct {
 	Now        time.Duration
 	Queue      PollQueue
 	Schedulers []*VirtualPoller
-	Dials      []time.Duration // when connections came up
+	Dials      []time.Duration // when connections were established
 	Polls      []time.Duration // when polls reached the service
 
 	timers      deadline.Queue
@@ -39,8 +39,8 @@
 	connections map[int]*PendingPoll // by the planner's number; nil where no poll is in flight
 }
 
-// NewPollSimulation returns a fleet that starts at one o'clock and has to obey drains within the grace. With listed set
-// each scheduler knows the first event.
+// NewPollSimulation returns a fleet that starts at the virtual time of one hour, and has to obey drains within drainGrace.
+// With listed set each scheduler has the first event.
 func NewPollSimulation(schedulers int, drainGrace time.Duration, seed uint64, listed bool) *PollSimulation {
 	sim := &PollSimulation{Now: time.Hour, Queue: PollQueue{Fault: ListHealthy, LastEvent: 1}}
 	sim.answerTimer.Fire = sim.answer
@@ -115,7 +115,7 @@
 	}
 }
 
-// receive brings a scheduler a response with the events up to one, or what the service's fault makes of it.
+// receive delivers a response with the events up to lastEvent, as the service's fault has it.
 func (p *VirtualPoller) receive(conn, lastEvent int) {
 	fault := p.simulation.Queue.Fault
 	p.simulation.After(networkDelay, func() {
@@ -163,7 +163,7 @@
 	}
 }
 
-// connect has a connection come up, or fail.
+// connect establishes a connection, or has it fail.
 func (p *VirtualPoller) connect(dial pollplan.Dial) {
 	sim := p.simulation
 	if sim.Queue.Fault == ListRefusing {
@@ -197,7 +197,7 @@
 	})
 }
 
-// PeakPer100ms is the most of these times within a tenth of a second, which begins no sooner than from.
+// PeakPer100ms returns the largest number of these times within any 100 ms that begin no earlier than from.
 func PeakPer100ms(times []time.Duration, from time.Duration) int {
 	times = slices.Sorted(slices.Values(times))
 	peak := 0
--- a/internal/testbed/processlog.go
+++ b/internal/testbed/processlog.go
@@ -22,7 +22,7 @@
 	return l.text.Write(text)
 }
 
-// String is all so far.
+// String returns the text so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,10 +39,10 @@
 // Line is a line of a scheduler's log, by its fields.
 type Line map[string]any
 
-// Lines is the lines so far, those that are no JSON left out.
+// Lines returns the lines so far that are JSON.
 func (l *Log) Lines() []Line { return parseLog(l.String()) }
 
-// Latest is the lines of the latest process.
+// Latest returns those lines that the latest process wrote.
 func (l *Log) Latest() []Line {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,19 +61,19 @@
 	return lines
 }
 
-// Text is a field as text; empty without it.
+// Text returns a field as text; empty without it.
 func (l Line) Text(name string) string {
 	text, _ := l[name].(string)
 	return text
 }
 
-// Number is a field as a number; 0 without it.
+// Number returns a field as a number; 0 without it.
 func (l Line) Number(name string) float64 {
 	number, _ := l[name].(float64)
 	return number
 }
 
-// Time is when the line was written; the zero time where it doesn't say.
+// Time returns when the line was written; the zero time where it doesn't say.
 func (l Line) Time() time.Time {
 	at, _ := time.Parse("2006-01-02T15:04:05.000Z07:00", l.Text("time"))
 	return at
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -24,7 +24,7 @@
 //	4s roll SHARE PAUSE            a rolling restart of all schedulers, a share at a time
 //	4s link CONDITION SHARE SHARE  of schedulers and workers, between them: whole, cut, cut-there, cut-back, hang, slow
 //	                               (4,000 bytes a second), far (100 to 200 ms each way) or reset
-//	4s boot SHARE                  has workers start anew at their address, without functions loaded and warming up
+//	4s boot SHARE                  restarts workers at their address, without functions loaded and warming up
 //	4s jam PAUSE                   the store that all workers load from serves nothing for so long
 //	4s talk CONDITION SHARE        of schedulers, between them and the others, who gossip: whole, cut, cut-there,
 //	                               cut-back, far or lossy (one datagram in three lost, one in ten twice, out of order)
@@ -38,10 +38,10 @@
 	Args []string
 }
 
-// errInvalidStep is a line that is no step of a scenario, or one whose arguments are invalid.
+// errInvalidStep is the error of a line that is no step of a scenario, or whose arguments are invalid.
 var errInvalidStep = errors.New("not a step of a scenario")
 
-// ParseScenario parses a script. Verbs and arguments are looked at when their time has come.
+// ParseScenario parses a script. Verbs and arguments are checked when the step is executed.
 func ParseScenario(text string) (Scenario, error) {
 	var scenario Scenario
 	for line := range strings.Lines(text) {
@@ -69,10 +69,10 @@
 	return false
 }
 
-// invalid is the error of a step whose arguments are invalid.
+// invalid returns the error of a step whose arguments are invalid.
 func (s Step) invalid() error { return fmt.Errorf("%w: %v", errInvalidStep, s) }
 
-// argument is one of the arguments, or an error.
+// argument returns the argument at an index; an error if there are fewer.
 func (s Step) argument(index int) (string, error) {
 	if index >= len(s.Args) {
 		return "", s.invalid()
@@ -80,7 +80,7 @@
 	return s.Args[index], nil
 }
 
-// count is how many of a total a share among the arguments means.
+// count returns how many of a total the share at an index means.
 func (s Step) count(index, total int) (int, error) {
 	text, err := s.argument(index)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return int(fraction*float64(total) + 0.5), nil
 }
 
-// duration is a duration among the arguments.
+// duration returns the duration at an index of the arguments.
 func (s Step) duration(index int) (time.Duration, error) {
 	text, err := s.argument(index)
 	if err != nil {
--- a/internal/testbed/schedulerconfig.go
+++ b/internal/testbed/schedulerconfig.go
@@ -51,7 +51,7 @@
 	return fmt.Appendf(nil, platformSettingsFormat, s.Schedulers, s.Rank, s.IdleCloseMillis, s.InstanceIdleMillis)
 }
 
-// fleetSettings is the platform's settings of a scheduler of a fleet, real or virtual.
+// fleetSettings returns the platform's settings of a scheduler of a fleet, real or virtual.
 func fleetSettings(schedulers, rank int) PlatformSettings {
 	return PlatformSettings{
 		Schedulers:         schedulers,
--- a/internal/testbed/schedulerlog.go
+++ b/internal/testbed/schedulerlog.go
@@ -26,7 +26,7 @@
 	fleetJoinWithin      = 30 * time.Second
 )
 
-// Peers is the members that are there by the log of the latest process of an instance.
+// Peers returns the members that the latest process of an instance holds alive or suspect, by its log.
 func (in *Instance) Peers() map[string]bool {
 	peers := map[string]bool{}
 	for _, line := range in.Log.Latest() {
@@ -51,7 +51,7 @@
 	return count
 }
 
-// Joined waits until each instance has logged of members-1 others that they are there.
+// Joined waits until each instance holds members-1 others alive or suspect.
 func (f *Fleet) Joined(ctx context.Context, members int, within time.Duration) error {
 	for end := time.Now().Add(within); ; {
 		missing := ""
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -44,10 +44,10 @@
 	Step
 	fleet      *Fleet
 	schedulers []int // all instances in the order in which shares take them
-	workers    []int // the same of workers
+	workers    []int // the same for the workers
 }
 
-// stepVerbs is what the verbs do.
+// stepVerbs has the function that carries out each verb.
 var stepVerbs = map[string]func(stepRun) error{
 	"start":   func(r stepRun) error { return r.forEachInstance((*Instance).startIfStopped) },
 	"kill":    stepRun.kill,
@@ -81,7 +81,7 @@
 	return do(run)
 }
 
-// selectedInstances is the instances that the share at an argument means.
+// selectedInstances returns the instances that the share at an argument means.
 func (r stepRun) selectedInstances(argument int) ([]*Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
@@ -94,7 +94,7 @@
 	return instances, nil
 }
 
-// selectedWorkers is the workers that the share at an argument means.
+// selectedWorkers returns the workers that the share at an argument means.
 func (r stepRun) selectedWorkers(argument int) ([]*Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
@@ -135,7 +135,7 @@
 // terminate has instances shut down, and does not wait for it.
 func (r stepRun) terminate() error {
 	return r.forEachInstance(func(in *Instance) error {
-		go func() { _ = in.Stop() }() // one that does not end in order is detected by the checks
+		go func() { _ = in.Stop() }() // the checks detect one that does not end in order
 		return nil
 	})
 }
@@ -155,7 +155,7 @@
 			instance := r.fleet.Instances[i]
 			r.fleet.restarts.Go(func() {
 				if err := instance.Stop(); err == nil {
-					_ = instance.Start() // one that does not start is detected by the checks
+					_ = instance.Start() // the checks detect one that does not start
 				}
 			})
 		}
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// repeatEvent publishes an event that says again what the list has, of the first worker that stays.
+// repeatEvent publishes an event that repeats what the list has of the first worker that does not leave.
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.departures[worker]; !leaves {
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// restartWorkers has workers start anew at their address.
+// restartWorkers restarts workers at their address.
 func (r stepRun) restartWorkers() error {
 	workers, err := r.selectedWorkers(0)
 	if err != nil {
@@ -325,7 +325,7 @@
 	return errs
 }
 
-// setKnownEvents writes the schedulers' files anew, with other events in them.
+// setKnownEvents rewrites the schedulers' files with other events.
 func (r stepRun) setKnownEvents() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -19,7 +19,7 @@
 	Profile           string  // of the workers, by name
 	WarmingWorkers    bool    // they start with the experiment, without functions loaded and warming up
 	KilledFraction    float64 // of the schedulers, which lose what they learned at half time
-	RestartedFraction float64 // of the workers, which start anew then, without functions loaded and warming up
+	RestartedFraction float64 // of the workers, which restart then, without functions loaded and warming up
 	Rate              float64 // as a Load's
 	Skew              float64 // as a Load's
 	Seconds           int
@@ -42,7 +42,7 @@
 	metrics VirtualMetrics
 	offered []int // requests by second of their arrival
 	served  []int // of these
-	failed  error // of a scheduler that did not start again
+	failed  error // of schedulers that did not restart
 }
 
 // Run runs the experiment. An error is one of the settings.
@@ -68,7 +68,7 @@
 	return fleet.metrics, fleet.failed
 }
 
-// duration is how long the experiment lasts.
+// duration returns how long the experiment lasts.
 func (f *virtualFleet) duration() time.Duration { return time.Duration(f.Seconds) * time.Second }
 
 // addWorkers starts the workers.
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// functionsFor is how many functions the clients of so many workers call.
+// functionsFor returns how many functions the clients of so many workers call.
 func functionsFor(workers int) int { return 3 * workers / 2 }
 
 // restartWorkers restarts some workers, and notifies the schedulers.
@@ -170,7 +170,7 @@
 	f.timers.Set(&deadline.Timer{Fire: call}, f.now+delay)
 }
 
-// secondOf is the second of the experiment that a time is in.
+// secondOf returns the second of the experiment that a time is in.
 func (f *virtualFleet) secondOf(at time.Duration) int {
 	return min(int((at-f.startedAt)/time.Second), len(f.offered)-1)
 }
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -61,7 +61,7 @@
 	return size
 }
 
-// heapBytes is the memory that live objects take.
+// heapBytes returns the size of the live objects on the heap.
 func heapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -72,15 +72,15 @@
 // firstKnown is when each node first knew of something, by its name.
 type firstKnown map[string]time.Duration
 
-// note notes that a node knows now.
+// note records that a node knows of it now.
 func (k firstKnown) note(net *gossipsim.Network, node *gossipsim.Node) {
 	if _, ok := k[node.Name]; !ok {
 		k[node.Name] = net.Now
 	}
 }
 
-// millisUntilKnown is how long after a time knownFraction of so many nodes knew, in milliseconds; infinite where they did
-// not.
+// millisUntilKnown returns how long after a time knownFraction of this many nodes knew, in milliseconds; infinite if they
+// did not.
 func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
 	needed := int(math.Ceil(knownFraction * float64(nodes)))
 	if len(k) < needed {
--- a/internal/testbed/virtualscheduler.go
+++ b/internal/testbed/virtualscheduler.go
@@ -24,7 +24,7 @@
 	attemptInFlight []bool // by the attempt's number
 }
 
-// start starts the scheduler, or starts it anew without what it learned.
+// start starts the scheduler, or restarts it without what it learned.
 func (s *virtualScheduler) start() error {
 	seed := s.Seed<<20 + uint64(s.index)<<1 + uint64(s.incarnation)
 	router, err := routing.New(s.settings, seed)
@@ -69,7 +69,7 @@
 	switch action := action.(type) {
 	case routing.SetTimer:
 		wait := action.After
-		if len(s.inFlight) == 0 { // there is nothing that the timer could find
+		if len(s.inFlight) == 0 { // the timer would find nothing to do
 			wait *= 10
 		}
 		s.whileRunning(wait, func() { s.step(routing.TimerFired{Token: action.Token}) })
@@ -87,7 +87,7 @@
 	}
 }
 
-// whileRunning calls a function after a delay, unless the scheduler was started anew meanwhile.
+// whileRunning calls a function after a delay, unless the scheduler was restarted meanwhile.
 func (s *virtualScheduler) whileRunning(delay time.Duration, call func()) {
 	incarnation := s.incarnation
 	s.schedule(delay, func() {
--- a/internal/testbed/virtualworker.go
+++ b/internal/testbed/virtualworker.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// report is the load report: the fraction of the slots that is busy.
+// report returns the load report, with the fraction of the slots that are busy.
 func (w *virtualWorker) report(now time.Duration) *routing.LoadReport {
 	busy := 0.0
 	for _, freeAt := range w.slotFreeAt {
@@ -75,7 +75,7 @@
 	return done - now + 2*networkDelay, len(unfinished), !w.crashed
 }
 
-// connect notes that a scheduler uses its connection, a new one where the last was idle for too long.
+// connect records that a scheduler uses its connection, or a new one if the last was idle for too long.
 func (w *virtualWorker) connect(scheduler int, now time.Duration) {
 	last, ok := w.lastUsed[scheduler]
 	if !ok || now-last > idleConnectionLifetime {
@@ -84,7 +84,7 @@
 	w.lastUsed[scheduler] = now
 }
 
-// age is how long ago the worker started; the full warm-up time for one that is warm.
+// age returns how long ago the worker started; the full warm-up time for one that is warm.
 func (w *virtualWorker) age(now time.Duration) time.Duration {
 	if w.startedAt == 0 {
 		return warmUpTime
@@ -92,7 +92,7 @@
 	return now - w.startedAt
 }
 
-// nextSlot is the first slot to be free.
+// nextSlot returns the index of the slot that is free first.
 func (w *virtualWorker) nextSlot() int {
 	first := 0
 	for i, freeAt := range w.slotFreeAt {
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -14,7 +14,7 @@
 // The faults of workers.
 const (
 	WorkerHealthy      WorkerFault = iota // none
-	WorkerUnresponsive                    // takes requests and answers none
+	WorkerUnresponsive                    // accepts requests and answers none
 	WorkerSlow                            // answers half a second late
 	WorkerFailing                         // answers errors
 	WorkerRefusing                        // closes every connection at once
@@ -36,14 +36,14 @@
 // newStore returns a healthy store.
 func newStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
 
-// Jam has the store serve nothing for a while.
+// Jam makes the store serve nothing for a while.
 func (s *Store) Jam(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.jammedUntil = time.Now().Add(duration)
 }
 
-// fetch waits until a function is loaded, which takes so long once it is its turn.
+// fetch waits until it is a function's turn, and then as long as it takes to load.
 func (s *Store) fetch(loadTime time.Duration) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
@@ -178,43 +178,43 @@
 	w.fault = fault
 }
 
-// currentFault is the fault now.
+// currentFault returns the fault now.
 func (w *Worker) currentFault() WorkerFault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault
 }
 
-// AcceptedAt is when connections came up.
+// AcceptedAt returns when each connection was accepted.
 func (w *Worker) AcceptedAt() []time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]time.Time(nil), w.acceptedAt...)
 }
 
-// Arrivals is the requests so far.
+// Arrivals returns the requests so far.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-// CrashedAt is when the worker was overloaded while it was warming up; zero if it was not.
+// CrashedAt returns when the worker was overloaded while it was warming up; zero if it was not.
 func (w *Worker) CrashedAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.crashedAt
 }
 
-// overload is how many connections it refused, and the most that it was sent while warming up as a fraction of what it
-// survives.
+// overload returns how many connections the worker refused, and the most that it was sent while warming up, as a fraction
+// of what it survives.
 func (w *Worker) overload() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refusedConnections, w.peakLoadFraction
 }
 
-// restart starts the worker anew: without functions loaded, warming up, its connections closed.
+// restart restarts the worker: without functions loaded, warming up, its connections closed.
 func (w *Worker) restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -224,14 +224,14 @@
 	w.closeConnections()
 }
 
-// startedMillis is when the worker started, in Unix milliseconds; 0 for one that is warm.
+// startedMillis returns when the worker started, in Unix milliseconds; 0 for one that is warm.
 func (w *Worker) startedMillis() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return max(w.startedAt.UnixMilli(), 0)
 }
 
-// age is how long ago the worker started; long ago for one that is warm. The caller holds the lock.
+// age returns how long ago the worker started; long ago for one that is warm. The caller holds the lock.
 func (w *Worker) age(now time.Time) time.Duration { return now.Sub(w.startedAt) }
 
 // crashIfOverloaded has the worker crash if it was sent more since its start than it survives while warming up. The
--- a/internal/testbed/workerprofile.go
+++ b/internal/testbed/workerprofile.go
@@ -38,13 +38,13 @@
 	crashMultiple           = 3 // times what it can serve within crashWindow make it crash
 )
 
-// capacityFraction is the fraction of its capacity that a worker has so long after its start. It grows linearly.
+// capacityFraction returns the fraction of its capacity that a worker of this age has. It grows linearly.
 func capacityFraction(age time.Duration) float64 {
 	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/warmUpTime.Seconds())
 }
 
-// maxRequests is how many requests within crashWindow a worker survives so long after its start: N + 2 x root of N + 2, N
-// being crashMultiple times what it can serve. One that is warm survives any number.
+// maxRequests returns how many requests within crashWindow a worker of this age survives: N + 2 sqrt(N) + 2, where N is
+// crashMultiple times what it can serve. One that is warm survives any number.
 func (p WorkerProfile) maxRequests(age time.Duration) float64 {
 	if age >= warmUpTime {
 		return math.Inf(1)
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/workerprotocol.go
@@ -82,7 +82,8 @@
 	serviceTime time.Duration
 }
 
-// receive notes a request, begins to load its function if nobody has, and crashes if it was one too many.
+// receive records a request, begins to load its function unless that has begun, and makes the worker crash if it is
+// overloaded.
 func (w *Worker) receive(command AgentCommand) admittedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
