--- a/internal/testbed/byzantine.go
+++ b/internal/testbed/byzantine.go
@@ -197,9 +197,14 @@
 	floodTick          = 10 * time.Millisecond
 	floodTicksASecond  = int(time.Second / floodTick)
 	floodDatagramBytes = 700
-	// floodHeaderBytes is the fixed part of a datagram's header: magic and format, cookie, epoch, incarnation and
-	// sequence number.
-	floodHeaderBytes = 2 + 8 + 8 + 4 + 8
+	floodMagic         = 0xca // first byte of every datagram
+	floodFormat        = 1    // second byte
+
+	// floodSequenceOffset is the length of what precedes the sequence number in a datagram's header: magic and format,
+	// cookie, epoch and incarnation.
+	floodSequenceOffset = 2 + 8 + 8 + 4
+	// floodHeaderBytes is the length of the fixed part of the header, which the sequence number ends.
+	floodHeaderBytes = floodSequenceOffset + 8
 )
 
 // Flood sends forged datagrams that look like a member's to an address, at a rate a second, until stop is closed.
@@ -215,8 +220,8 @@
 	defer func() { _ = conn.Close() }() // nothing is left to do about an error
 	forged := make([]byte, floodDatagramBytes)
 	_, _ = rand.Read(forged) // never fails
-	forged[0] = 0xca
-	forged[1] = 1
+	forged[0] = floodMagic
+	forged[1] = floodFormat
 	tick := time.NewTicker(floodTick)
 	defer tick.Stop()
 	for number := 0; ; {
@@ -227,13 +232,21 @@
 		}
 		for range rate / floodTicksASecond {
 			number++
-			// A valid header, from one member of many to any, under a number never seen.
-			copy(forged[floodHeaderBytes:], []byte{2, 'n', byte('0' + number%10), 0})
-			forged[22] = 1
-			forged[27] = byte(number >> 16)
-			forged[28] = byte(number >> 8)
-			forged[29] = byte(number)
+			forgeHeader(forged, number)
 			_, _ = conn.Write(forged) // lost like any datagram
 		}
 	}
 }
+
+// forgeHeader gives a datagram a header that looks valid: from one of ten members, with a sequence number that the
+// receiver has not seen.
+func forgeHeader(datagram []byte, number int) {
+	sequence := datagram[floodSequenceOffset:floodHeaderBytes]
+	sequence[0] = 1
+	sequence[5] = byte(number >> 16)
+	sequence[6] = byte(number >> 8)
+	sequence[7] = byte(number)
+	sender := []byte{2, 'n', byte('0' + number%10)} // the length of the name, and the name
+	receiver := []byte{0}                           // an empty name, as from a sender that does not know it yet
+	copy(datagram[floodHeaderBytes:], append(sender, receiver...))
+}
