--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -33,28 +33,35 @@
 	idleReset time.Duration
 
 	mu     sync.Mutex
-	seen   []agentRequest
-	halted []string
-	conns  int
-	closed int
+	seen   []agentRequest // in the order of their arrival
+	halted []string       // IDs of canceled requests
+	conns  int            // connections accepted so far
+	closed int            // of these, those that have ended
 	open   map[net.Conn]bool
 }
 
 // resetConnection is a reply that resets the connection.
 const resetConnection = "\x00"
 
+// newAgent starts an agent for the length of the test.
 func newAgent(t *testing.T, reply func(n int, request agentRequest) string) *nodeAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent := &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply}
 	t.Cleanup(func() { listener.Close() })
+	agent := listeningAgent(t, listener, reply)
 	go agent.accept()
 	return agent
 }
 
+// listeningAgent returns an agent that accepts no connection yet.
+func listeningAgent(t *testing.T, listener net.Listener, reply func(n int, request agentRequest) string) *nodeAgent {
+	return &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply, open: map[net.Conn]bool{}}
+}
+
+// accept accepts connections until the listener is closed.
 func (a *nodeAgent) accept() {
 	for {
 		conn, err := a.listener.Accept()
@@ -79,20 +86,22 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	raw, err := listener.(*net.TCPListener).SyscallConn()
-	if err == nil {
-		err = errors.Join(err, raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 0) }), err)
-	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	fill, err := net.Dial("tcp", listener.Addr().String())
+	var listenErr error
+	controlErr := raw.Control(func(fd uintptr) { listenErr = unix.Listen(int(fd), 0) })
+	if err := errors.Join(controlErr, listenErr); err != nil {
+		t.Fatal(err)
+	}
+	filler, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent = &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply}
+	agent = listeningAgent(t, listener, reply)
 	return agent, func() {
-		fill.Close()
-		if conn, err := listener.Accept(); err == nil { // what filled the queue
+		filler.Close()
+		if conn, err := listener.Accept(); err == nil { // the filler's
 			conn.Close()
 		}
 		go agent.accept()
@@ -108,21 +117,17 @@
 	}
 }
 
+// agentConnection is a connection that a node agent accepted.
+type agentConnection struct {
+	net.Conn
+	agent   *nodeAgent
+	writing sync.Mutex
+}
+
+// serve reads commands from a connection until it is closed, and has each request answered.
 func (a *nodeAgent) serve(conn net.Conn, number int) {
-	a.mu.Lock()
-	if a.open == nil {
-		a.open = map[net.Conn]bool{}
-	}
-	a.open[conn] = true
-	a.mu.Unlock()
-	defer func() {
-		conn.Close()
-		a.mu.Lock()
-		delete(a.open, conn)
-		a.closed++
-		a.mu.Unlock()
-	}()
-	var writing sync.Mutex
+	defer a.track(conn)()
+	connection := &agentConnection{Conn: conn, agent: a}
 	last := time.Now()
 	for reader := bufio.NewReader(conn); ; last = time.Now() {
 		command, err := testbed.ReadAgentCommand(reader)
@@ -136,26 +141,44 @@
 			resetOnClose(conn)
 			return
 		}
-		if command.Verb == testbed.AgentCancel {
+		switch command.Verb {
+		case testbed.AgentCancel:
 			a.noteCanceled(command.ID)
-			continue
-		}
-		if command.Verb != testbed.AgentStart {
+		case testbed.AgentStart:
+			request := agentRequest{id: command.ID, fields: command.Fields, body: command.Body, conn: number}
+			n := a.noteReceived(request)
+			go connection.answer(n, request)
+		default:
 			a.t.Errorf("command %q, which scripted agents do not answer", command.Verb)
 			return
 		}
-		request := agentRequest{id: command.ID, fields: command.Fields, body: command.Body, conn: number}
-		n := a.noteReceived(request)
-		go func() {
-			text := a.reply(n, request)
-			if text == resetConnection {
-				resetOnClose(conn)
-				conn.Close()
-			}
-			writing.Lock()
-			defer writing.Unlock()
-			_, _ = io.WriteString(conn, text) // fails if the scheduler has closed the connection
-		}()
+	}
+}
+
+// answer writes the agent's reply to a request.
+func (c *agentConnection) answer(n int, request agentRequest) {
+	text := c.agent.reply(n, request)
+	if text == resetConnection {
+		resetOnClose(c.Conn)
+		c.Close()
+		return
+	}
+	c.writing.Lock()
+	defer c.writing.Unlock()
+	_, _ = io.WriteString(c, text) // fails if the scheduler has closed the connection
+}
+
+// track notes a connection that is open. release closes it and counts it as closed.
+func (a *nodeAgent) track(conn net.Conn) (release func()) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.open[conn] = true
+	return func() {
+		conn.Close()
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		delete(a.open, conn)
+		a.closed++
 	}
 }
 
@@ -204,8 +227,9 @@
 	return sched, agent
 }
 
-func answerWith(name string) func(int, agentRequest) string {
-	return func(_ int, request agentRequest) string { return answerLine(request.id, "OK", "-", name) }
+// answerWith returns a reply with this text as the body.
+func answerWith(text string) func(int, agentRequest) string {
+	return func(_ int, request agentRequest) string { return answerLine(request.id, "OK", "-", text) }
 }
 
 // startWithLateAgent starts a scheduler with one worker, whose connections are established only after open is called, long
