--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -26,9 +26,11 @@
 			answer(w)
 			return
 		}
-		text, updated, changed := s.feed(request.After), request.After < len(s.events), s.changed
+		text := s.feed(request.After)
+		hasUpdate := request.After < len(s.events)
+		changed := s.changed
 		s.mu.Unlock()
-		if updated {
+		if hasUpdate {
 			fmt.Fprint(w, text)
 			return
 		}
@@ -51,7 +53,7 @@
 	return s.openPolls[address]
 }
 
-// feed returns the events after one in the form of an answer. s.mu is held.
+// feed returns the events after one as the body of a response. The caller holds s.mu.
 func (s *testScheduler) feed(after int) string {
 	return testbed.EndpointFeed(len(s.events), s.events[min(after, len(s.events)):])
 }
@@ -63,7 +65,11 @@
 	var endpoints []testbed.Endpoint
 	for _, target := range targets {
 		fields := strings.Fields(target)
-		endpoints = append(endpoints, testbed.Endpoint{ID: fields[0], State: fields[1], Address: fields[2]})
+		endpoints = append(endpoints, testbed.Endpoint{
+			ID:      fields[0],
+			State:   testbed.EndpointState(fields[1]),
+			Address: fields[2],
+		})
 	}
 	s.events = append(s.events, testbed.EndpointEvent(len(s.events)+1, all, endpoints))
 	close(s.changed)
--- a/internal/testbed/endpointlist.go
+++ b/internal/testbed/endpointlist.go
@@ -8,10 +8,20 @@
 	"time"
 )
 
+// EndpointState is the state of a worker in the endpoint list.
+type EndpointState string
+
+// The states that the testbed publishes.
+const (
+	EndpointServing  EndpointState = "SERVING"
+	EndpointDraining EndpointState = "DRAINING"
+	EndpointDeleted  EndpointState = "DELETED"
+)
+
 // Endpoint is a worker as an event of the endpoint list names it.
 type Endpoint struct {
 	ID            string
-	State         string // SERVING, DRAINING or another state of the list service
+	State         EndpointState
 	Address       string
 	StartedMillis int64 // Unix time in milliseconds; 0 for a worker that is warm
 }
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -30,7 +30,7 @@
 	ClaimedSchedulers int  // how many schedulers there are by their settings; 0 for as many as there are
 
 	List        *ListService
-	KnownEvents string // which events schedulers are configured with: full (as ""), old (the first alone) or empty
+	KnownEvents KnownEvents // "" as KnownAll
 
 	Profile string // of its workers, by name; "" for roomy
 	Store   *Store
@@ -51,6 +51,16 @@
 	partitioned        map[string]bool // gossip addresses
 }
 
+// KnownEvents says which events of the list service schedulers are configured with. Its values are names in scenarios.
+type KnownEvents string
+
+// The events that schedulers may be configured with.
+const (
+	KnownAll   KnownEvents = "full"
+	KnownFirst KnownEvents = "old" // the first event alone
+	KnownNone  KnownEvents = "empty"
+)
+
 // linkKey names a link from a scheduler to a worker.
 type linkKey struct {
 	scheduler string
@@ -89,7 +99,7 @@
 		}
 		f.Workers = append(f.Workers, worker)
 	}
-	f.Publish(true, f.Workers, "SERVING")
+	f.Publish(true, f.Workers, EndpointServing)
 	for i := range instances {
 		if err := f.addInstance(fmt.Sprintf("n%d", i)); err != nil {
 			return err
@@ -160,7 +170,7 @@
 
 // startWorker starts a worker, one that is warming up if startedAt is not zero.
 func (f *Fleet) startWorker(id string, startedAt time.Time) (*Worker, error) {
-	profile, ok := WorkerProfiles[cmp.Or(f.Profile, "roomy")]
+	profile, ok := WorkerProfiles[cmp.Or(f.Profile, profileRoomy)]
 	if !ok {
 		return nil, fmt.Errorf("no worker profile %q", f.Profile)
 	}
@@ -203,9 +213,9 @@
 }
 
 // Publish publishes an event with the state of some workers; with all set they are the whole list.
-func (f *Fleet) Publish(all bool, workers []*Worker, state string) {
+func (f *Fleet) Publish(all bool, workers []*Worker, state EndpointState) {
 	for _, worker := range workers {
-		if _, leaves := f.departures[worker]; state != "SERVING" && !leaves {
+		if _, leaves := f.departures[worker]; state != EndpointServing && !leaves {
 			f.departures[worker] = departure{at: time.Now(), event: len(f.List.PublishedAt()) + 1}
 		}
 	}
@@ -226,9 +236,9 @@
 // knownEvents returns the events that a scheduler is configured with.
 func (f *Fleet) knownEvents(scheduler string) string {
 	switch f.KnownEvents {
-	case "old":
+	case KnownFirst:
 		return f.List.Feed(scheduler, 1)
-	case "empty":
+	case KnownNone:
 		return f.List.Feed(scheduler, 0)
 	default:
 		return f.List.Feed(scheduler, -1)
--- a/internal/testbed/instance_test.go
+++ b/internal/testbed/instance_test.go
@@ -60,14 +60,14 @@
 // The endpoint list names a worker's latest start, also while the worker restarts.
 func TestListNamesLatestStart(t *testing.T) {
 	t.Parallel()
-	worker, err := NewWorker("w00", WorkerProfiles["roomy"], newStore(), time.Time{})
+	worker, err := NewWorker("w00", WorkerProfiles[profileRoomy], newStore(), time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
 	fleet := &Fleet{List: NewListService(), Workers: []*Worker{worker}, departures: map[*Worker]departure{}}
 	defer fleet.List.Close()
-	fleet.Publish(true, fleet.Workers, "SERVING")
+	fleet.Publish(true, fleet.Workers, EndpointServing)
 	warm := fleet.List.Feed("n0", -1)
 	restarted := make(chan struct{})
 	go func() {
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -17,18 +17,18 @@
 //	4s list FAULT [SHARE]          fault of the list service: well (none), refuse, silent, busy, torn or crowded, which
 //	                               answers SHARE of what the fleet polls
 //	4s break                       breaks all connections of the list service
-//	4s tell                        an event that says again what the list has
-//	4s drain SHARE                 has workers drain
+//	4s tell                        publishes an event that repeats what the list has
+//	4s drain SHARE                 drains workers
 //	4s replace SHARE [cold]        deletes workers and lists new ones; with cold these are warming up
-//	4s kill|stop|cont|term SHARE   of schedulers: SIGKILL, SIGSTOP, SIGCONT, SIGTERM
+//	4s kill|stop|cont|term SHARE   sends schedulers SIGKILL, SIGSTOP, SIGCONT or SIGTERM
 //	4s roll SHARE PAUSE            a rolling restart of all schedulers, a share at a time
-//	4s link CONDITION SHARE SHARE  of schedulers and workers, between them: whole, cut, cut-there, cut-back, hang, slow
-//	                               (4,000 bytes a second), far (100 to 200 ms each way) or reset
+//	4s link CONDITION SHARE SHARE  changes the links between schedulers and workers: whole, cut, cut-there, cut-back, hang,
+//	                               slow (4,000 bytes a second), far (100 to 200 ms each way) or reset
 //	4s boot SHARE                  restarts workers at their address, without functions loaded and warming up
-//	4s jam PAUSE                   the store that all workers load from serves nothing for so long
-//	4s talk CONDITION SHARE        of schedulers, between them and the others, who gossip: whole, cut, cut-there,
+//	4s jam PAUSE                   the store that all workers load from serves nothing for that long
+//	4s talk CONDITION SHARE        changes the links between schedulers and the others, who gossip: whole, cut, cut-there,
 //	                               cut-back, far or lossy (one datagram in three lost, one in ten twice, out of order)
-//	4s workers FAULT SHARE         sound (none), mute, stalls, fails or refuses
+//	4s workers FAULT SHARE         gives workers a fault: sound (none), mute, stalls, fails or refuses
 type Scenario []Step
 
 // Step is a line of a Scenario.
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -191,7 +191,7 @@
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.departures[worker]; !leaves {
-			r.fleet.Publish(false, []*Worker{worker}, "SERVING")
+			r.fleet.Publish(false, []*Worker{worker}, EndpointServing)
 			break
 		}
 	}
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet.Publish(false, workers, "DRAINING")
+	r.fleet.Publish(false, workers, EndpointDraining)
 	return nil
 }
 
@@ -217,7 +217,7 @@
 	if len(r.Args) > 1 && r.Args[1] == "cold" {
 		startedAt = time.Now()
 	}
-	r.fleet.Publish(false, gone, "DELETED")
+	r.fleet.Publish(false, gone, EndpointDeleted)
 	var added []*Worker
 	for _, worker := range gone {
 		replacement, err := r.fleet.startWorker(worker.ID+"x", startedAt)
@@ -227,7 +227,7 @@
 		added = append(added, replacement)
 	}
 	r.fleet.Workers = append(r.fleet.Workers, added...)
-	r.fleet.Publish(false, added, "SERVING")
+	r.fleet.Publish(false, added, EndpointServing)
 	return nil
 }
 
@@ -240,7 +240,7 @@
 	for _, worker := range workers {
 		worker.restart()
 	}
-	r.fleet.Publish(false, workers, "SERVING")
+	r.fleet.Publish(false, workers, EndpointServing)
 	return nil
 }
 
@@ -330,7 +330,7 @@
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
-	r.fleet.KnownEvents = r.Args[0]
+	r.fleet.KnownEvents = KnownEvents(r.Args[0])
 	for _, instance := range r.fleet.Instances {
 		if err := instance.configure(); err != nil {
 			return err
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -196,7 +196,7 @@
 	for name, experiment := range experiments {
 		experiment.Schedulers = schedulers
 		experiment.Workers = workers
-		experiment.Profile = "small"
+		experiment.Profile = profileSmall
 		experiment.Seconds = seconds
 		experiment.Seed = seed
 		experiment.Rate = ratePerWorker * float64(workers)
--- a/internal/testbed/workerprofile.go
+++ b/internal/testbed/workerprofile.go
@@ -14,14 +14,20 @@
 	HandshakeTime  time.Duration // for which a new connection occupies a slot
 }
 
-// WorkerProfiles is the profiles by name.
+// The names of the profiles.
+const (
+	profileRoomy = "roomy"
+	profileSmall = "small" // few requests at a time, and scarce connections
+)
+
+// WorkerProfiles has the profiles by name.
 var WorkerProfiles = map[string]WorkerProfile{
-	"roomy": {
+	profileRoomy: {
 		Concurrency: 8,
 		ServiceTime: 15 * time.Millisecond,
 		LoadTime:    60 * time.Millisecond,
 	},
-	"small": {
+	profileSmall: {
 		Concurrency:    2,
 		ServiceTime:    80 * time.Millisecond,
 		LoadTime:       300 * time.Millisecond,
