--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -162,7 +162,7 @@
 		return LinkCondition{}
 	}
 	condition := f.partitionCondition
-	if f.partitioned[to] { // cut the other way round
+	if f.partitioned[to] { // the condition is that from partitioned schedulers to the others
 		condition.CutForward, condition.CutBackward = condition.CutBackward, condition.CutForward
 	}
 	return condition
--- a/internal/testbed/gossipsim/network.go
+++ b/internal/testbed/gossipsim/network.go
@@ -95,7 +95,7 @@
 	node.Core = gossip.New(config)
 	node.Paused = false
 	node.pending = nil
-	node.sendRate = gossip.RateMeter{} // the Core's budgets start anew too
+	node.sendRate = gossip.RateMeter{} // as the new Core's budgets are
 	n.step(node, nil)
 }
 
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -14,7 +14,7 @@
 // LinkCondition is what a link does to the bytes or datagrams that it carries. The zero value passes them on unchanged.
 type LinkCondition struct {
 	Delay          time.Duration // each way
-	Jitter         time.Duration // each way, up to so much more than Delay
+	Jitter         time.Duration // each way, a random addition to Delay of up to this
 	BytesPerSecond float64       // each way; 0 means no bound
 	Loss           float64       // fraction of the datagrams that is lost
 	Duplicate      float64       // fraction of the datagrams that arrives twice; those that Jitter delays arrive out of order
@@ -213,7 +213,7 @@
 	}
 }
 
-// connect connects to the target and passes on both ways until either end closes.
+// connect connects to the target and passes on data both ways until either end closes.
 func (l *Link) connect(conn *net.TCPConn) {
 	defer l.track(conn)()
 	dialed, err := net.Dial("tcp", l.target)
@@ -255,7 +255,7 @@
 	return l.condition, l.changed
 }
 
-// forward passes on what comes, in order and under the link's condition, until either end closes.
+// forward passes on what it reads, in order and under the link's condition, until either end closes.
 func (l *Link) forward(from, target net.Conn, stopped func(LinkCondition) bool) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -53,7 +53,7 @@
 	}
 	if another, err := net.DialTimeout("tcp", link.Addr, 50*time.Millisecond); err == nil {
 		another.Close()
-		t.Error("a connection comes up over a cut link")
+		t.Error("a connection is established over a cut link")
 	}
 	if err := link.Set(LinkCondition{}); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -20,7 +20,7 @@
 	Functions int     // how many are called
 	Skew      float64 // how uneven the instances' fractions are: instance i has a weight of 1 / (1 + Skew x i); 0 means equal ones
 	Seed      uint64
-	Modify    func(*fastcgi.Request) // changes each request before it goes; nil for none
+	Modify    func(*fastcgi.Request) // changes each request before it is sent; may be nil
 }
 
 // LoadResult counts what became of requests.
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -128,8 +128,8 @@
 		Name: speaker.Name, Epoch: 1, Seq: 1,
 		Body: make([]byte, 100), Cert: make([]byte, 340), Sig: make([]byte, 64),
 	}})
-	saidAt := net.Now
+	broadcastAt := net.Now
 	net.Run(statementDuration)
 	listeners := len(net.Nodes) - deathCount - 1
-	return known.millisUntilKnown(listeners, saidAt)
+	return known.millisUntilKnown(listeners, broadcastAt)
 }
