--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// ColdStartScenarios is the scenarios of 'testbed coldstart' by name.
+// ColdStartScenarios has the scenarios of 'testbed coldstart' by name.
 var ColdStartScenarios = map[string]string{
 	"well":    "0s known full\n0s start 1\n8s tell",
 	"empty":   "0s known empty\n0s start 1\n8s tell",
@@ -33,16 +33,15 @@
 	"slow":    "0s known full\n0s start 1\n5s workers stalls 0.3\n5s list crowded 0.2\n6s drain 0.1\n12s workers sound 0.3",
 }
 
-// defaultSkew is how uneven the schedulers' parts of the load are if nothing else is said.
+// defaultSkew is how uneven the schedulers' fractions of the load are if no skew is given.
 const defaultSkew = 0.1
 
-// ColdStartExperiment is an experiment: a fleet's cold start, or another fault that makes all its schedulers poll at
-// once.
+// ColdStartExperiment measures a fleet's cold start, or another fault that makes all its schedulers poll at once.
 type ColdStartExperiment struct {
 	Program           string
 	Baseline          string // an earlier build that plays the same first; "" for none
 	Env               []string
-	Dir               string // for files; a new one if not set
+	Dir               string // in which a directory for files is created; the system's for temporary files if not set
 	Instances         int
 	ClaimedSchedulers int // how many schedulers there are by their settings; 0 for as many as there are
 	Workers           int
@@ -53,15 +52,15 @@
 	Skew              float64 // of the load; see Load
 	Rate              float64 // requests a second, of all
 	Seed              uint64
-	Progress          func(string) // is called with a summary of each run
+	Progress          func(string) // called with a summary of each run
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
-func (d ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
+func (e ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
 	var result ColdStartResult
-	if d.Baseline != "" {
-		earlier := d
-		earlier.Program = d.Baseline
+	if e.Baseline != "" {
+		earlier := e
+		earlier.Program = e.Baseline
 		metrics, err := earlier.runProgram(ctx, "baseline")
 		if err != nil {
 			return result, err
@@ -69,63 +68,63 @@
 		result.Baseline = &metrics
 	}
 	var err error
-	result.Program, err = d.runProgram(ctx, "program")
+	result.Program, err = e.runProgram(ctx, "program")
 	return result, err
 }
 
 // fleet prepares a fleet that is not started yet.
-func (d ColdStartExperiment) fleet() (*Fleet, error) {
-	dir, err := os.MkdirTemp(d.Dir, "calicohill-lab-")
+func (e ColdStartExperiment) fleet() (*Fleet, error) {
+	dir, err := os.MkdirTemp(e.Dir, "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
-	gossips := d.Scenario.has("talk")
+	gossips := e.Scenario.has("talk")
 	fleet := &Fleet{
-		Program:           d.Program,
-		Env:               d.Env,
+		Program:           e.Program,
+		Env:               e.Env,
 		Dir:               dir,
-		ClaimedSchedulers: d.ClaimedSchedulers,
-		LinkedWorkers:     d.Scenario.has("link"),
+		ClaimedSchedulers: e.ClaimedSchedulers,
+		LinkedWorkers:     e.Scenario.has("link"),
 		Sharing:           gossips,
 		GossipThroughHub:  gossips,
-		Profile:           d.Profile,
-		KeepState:         d.Keep,
+		Profile:           e.Profile,
+		KeepState:         e.Keep,
 	}
-	if err := fleet.Prepare(d.Instances, d.Workers); err != nil {
+	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		fleet.closeAndRemove()
 		return nil, err
 	}
 	return fleet, nil
 }
 
-// played is how a scenario ended.
-type played struct {
+// scenarioEnd is how a scenario ended.
+type scenarioEnd struct {
 	lastStep time.Time // when its last step had been executed
 	err      error
 }
 
 // runProgram runs the experiment with one build.
-func (d ColdStartExperiment) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
+func (e ColdStartExperiment) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
 	var metrics ColdStartMetrics
-	fleet, err := d.fleet()
+	fleet, err := e.fleet()
 	if err != nil {
 		return metrics, err
 	}
 	defer fleet.closeAndRemove()
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(d.Seconds*float64(time.Second))))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(e.Seconds*float64(time.Second))))
 	defer cancel()
-	scenario := make(chan played, 1)
+	scenario := make(chan scenarioEnd, 1)
 	go func() {
-		lastStep, err := fleet.play(ctx, d.Scenario, began, d.Seed)
-		scenario <- played{lastStep, err}
+		lastStep, err := fleet.play(ctx, e.Scenario, began, e.Seed)
+		scenario <- scenarioEnd{lastStep, err}
 	}()
 	wakeDelay := fleet.measureWakeDelay(ctx)
 	load := fleet.Offer(ctx, Load{
-		Rate:      d.Rate,
-		Functions: functionsFor(d.Workers),
-		Skew:      cmp.Or(d.Skew, defaultSkew),
-		Seed:      d.Seed,
+		Rate:      e.Rate,
+		Functions: functionsFor(e.Workers),
+		Skew:      cmp.Or(e.Skew, defaultSkew),
+		Seed:      e.Seed,
 	})
 	end := <-scenario
 	if end.err != nil {
@@ -135,14 +134,15 @@
 	metrics.setLoad(load)
 	worstDelay := <-wakeDelay
 	metrics.Late = float64(worstDelay.Milliseconds())
-	metrics.RulesBroken = fleet.violations(load, worstDelay)
-	d.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
+	metrics.RulesBroken = fleet.allViolations(load, worstDelay)
+	e.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
 	return metrics, nil
 }
 
-// violations is all that was against the rules, where the machine woke goroutines late by so much at the worst.
-func (f *Fleet) violations(load LoadResult, worstDelay time.Duration) []string {
-	violations := f.brokenRules(load, ruleSlack+machineSlack+2*worstDelay)
+// allViolations returns every violation of a rule. worstDelay is by how much the machine woke goroutines late at the worst;
+// time limits are longer by it.
+func (f *Fleet) allViolations(load LoadResult, worstDelay time.Duration) []string {
+	violations := f.ruleViolations(load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
 		violations = append(violations, fmt.Sprintf("an answer came %v after its time", load.MaxOverrun.Round(time.Millisecond)))
 	}
@@ -155,15 +155,15 @@
 	return violations
 }
 
-// measureWakeDelay measures how late this machine wakes who sleeps, until the context ends: the schedulers were woken no
-// sooner.
+// measureWakeDelay measures by how much this machine wakes sleeping goroutines late, until the context ends. Schedulers are
+// woken as late.
 func (f *Fleet) measureWakeDelay(ctx context.Context) <-chan time.Duration {
-	const nap = 5 * time.Millisecond
+	const interval = 5 * time.Millisecond
 	measured := make(chan time.Duration, 1)
 	go func() {
 		worst := time.Duration(0)
-		for at := time.Now(); sleep(ctx, nap); at = time.Now() {
-			worst = max(worst, time.Since(at)-nap)
+		for at := time.Now(); sleep(ctx, interval); at = time.Now() {
+			worst = max(worst, time.Since(at)-interval)
 			f.wakeDelay.Store(int64(worst))
 		}
 		measured <- worst
--- a/internal/testbed/endpointlist.go
+++ b/internal/testbed/endpointlist.go
@@ -2,13 +2,26 @@
 
 import (
 	"fmt"
+	"net/http"
+	"strconv"
 	"strings"
+	"time"
+)
+
+// EndpointState is the state of a worker in the endpoint list.
+type EndpointState string
+
+// The states that the testbed publishes.
+const (
+	EndpointServing  EndpointState = "SERVING"
+	EndpointDraining EndpointState = "DRAINING"
+	EndpointDeleted  EndpointState = "DELETED"
 )
 
 // Endpoint is a worker as an event of the endpoint list names it.
 type Endpoint struct {
 	ID            string
-	State         string // SERVING, DRAINING or another state of the list service
+	State         EndpointState
 	Address       string
 	StartedMillis int64 // Unix time in milliseconds; 0 for a worker that is warm
 }
@@ -27,3 +40,17 @@
 func EndpointFeed(last int, events []string) string {
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(events, ","))
 }
+
+// PollRequest is what a scheduler asks of the list service: the events after one, as soon as there are any.
+type PollRequest struct {
+	After   int           // number of the last event that the scheduler has
+	Timeout time.Duration // after which it is answered without an update
+}
+
+// ParsePollRequest returns the poll that an HTTP request makes. Parameters that can't be parsed count as 0.
+func ParsePollRequest(request *http.Request) PollRequest {
+	query := request.URL.Query()
+	after, _ := strconv.Atoi(query.Get("after"))
+	timeoutMillis, _ := strconv.Atoi(query.Get("patience"))
+	return PollRequest{After: after, Timeout: time.Duration(timeoutMillis) * time.Millisecond}
+}
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -15,7 +15,7 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// Fleet is schedulers as real processes, the workers that they share, and the list service that tells them of these.
+// Fleet runs schedulers as real processes, the workers that they share, and the list service that names these workers.
 type Fleet struct {
 	Program           string   // the scheduler
 	Env               []string // environment variables besides the testbed's own
@@ -30,7 +30,7 @@
 	ClaimedSchedulers int  // how many schedulers there are by their settings; 0 for as many as there are
 
 	List        *ListService
-	KnownEvents string // which events schedulers are configured with: full (as ""), old (the first alone) or empty
+	KnownEvents KnownEvents // "" as KnownAll
 
 	Profile string // of its workers, by name; "" for roomy
 	Store   *Store
@@ -41,8 +41,8 @@
 	wakeDelay atomic.Int64   // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
 	restarts  sync.WaitGroup // of schedulers, by a rolling restart
 
-	// departures is the workers that drain or are gone. Prepare and the scenario write it; it is read after the
-	// scenario's end.
+	// departures has the workers that drain or were deleted. Prepare and the scenario write it; the checks read it after
+	// the scenario's end.
 	departures map[*Worker]departure
 
 	mu                 sync.Mutex
@@ -51,6 +51,16 @@
 	partitioned        map[string]bool // gossip addresses
 }
 
+// KnownEvents says which events of the list service schedulers are configured with. Its values are names in scenarios.
+type KnownEvents string
+
+// The events that schedulers may be configured with.
+const (
+	KnownAll   KnownEvents = "full"
+	KnownFirst KnownEvents = "old" // the first event alone
+	KnownNone  KnownEvents = "empty"
+)
+
 // linkKey names a link from a scheduler to a worker.
 type linkKey struct {
 	scheduler string
@@ -73,7 +83,7 @@
 	return nil
 }
 
-// prepare is Prepare without the cleaning up.
+// prepare does what Prepare does, but leaves running what it started where it fails.
 func (f *Fleet) prepare(instances, workers int) error {
 	f.List = NewListService()
 	f.Store = newStore()
@@ -89,7 +99,7 @@
 		}
 		f.Workers = append(f.Workers, worker)
 	}
-	f.Publish(true, f.Workers, "SERVING")
+	f.Publish(true, f.Workers, EndpointServing)
 	for i := range instances {
 		if err := f.addInstance(fmt.Sprintf("n%d", i)); err != nil {
 			return err
@@ -144,7 +154,7 @@
 	return err
 }
 
-// gossipCondition is the condition of the link from one scheduler to another, by their gossip addresses.
+// gossipCondition returns the condition of the link from one scheduler to another, by their gossip addresses.
 func (f *Fleet) gossipCondition(from, to string) LinkCondition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +162,7 @@
 		return LinkCondition{}
 	}
 	condition := f.partitionCondition
-	if f.partitioned[to] { // cut the other way round
+	if f.partitioned[to] { // the condition is that from partitioned schedulers to the others
 		condition.CutForward, condition.CutBackward = condition.CutBackward, condition.CutForward
 	}
 	return condition
@@ -160,9 +170,9 @@
 
 // startWorker starts a worker, one that is warming up if startedAt is not zero.
 func (f *Fleet) startWorker(id string, startedAt time.Time) (*Worker, error) {
-	profile, ok := WorkerProfiles[cmp.Or(f.Profile, "roomy")]
+	profile, ok := WorkerProfiles[cmp.Or(f.Profile, profileRoomy)]
 	if !ok {
-		return nil, fmt.Errorf("no workers of body %q", f.Profile)
+		return nil, fmt.Errorf("no worker profile %q", f.Profile)
 	}
 	return NewWorker(id, profile, f.Store, startedAt)
 }
@@ -170,16 +180,15 @@
 // fleetCount counts the fleets of this process.
 var fleetCount atomic.Uint32
 
-// freeAddress is an address of loopback that nobody listens on. Each fleet has a host of its own: schedulers open
-// their port so that a restart may share it, and of two fleets that were given the same one each would serve the
-// other's clients.
+// freeAddress returns a loopback address that nobody listens on. Each fleet has a host of its own: schedulers share their
+// port with the process of a restart, so that two fleets with the same address would serve each other's clients.
 func (f *Fleet) freeAddress(network string) (string, error) {
 	if f.host == "" {
 		f.host = fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+fleetCount.Add(1)%250)
 	}
 	for {
 		addr, err := unusedAddress(network, f.host)
-		// The system may name a port again that was let go a moment ago.
+		// The system may return a port again that was released a moment ago.
 		taken := func(in *Instance) bool { return in.Addr == addr || in.Gossip == addr }
 		if err != nil || !slices.ContainsFunc(f.Instances, taken) {
 			return addr, err
@@ -187,7 +196,7 @@
 	}
 }
 
-// unusedAddress is an address of a host that nobody listens on.
+// unusedAddress returns an address of a host that nobody listens on.
 func unusedAddress(network, host string) (string, error) {
 	if network == "udp" {
 		socket, err := net.ListenPacket("udp", host)
@@ -204,9 +213,9 @@
 }
 
 // Publish publishes an event with the state of some workers; with all set they are the whole list.
-func (f *Fleet) Publish(all bool, workers []*Worker, state string) {
+func (f *Fleet) Publish(all bool, workers []*Worker, state EndpointState) {
 	for _, worker := range workers {
-		if _, leaves := f.departures[worker]; state != "SERVING" && !leaves {
+		if _, leaves := f.departures[worker]; state != EndpointServing && !leaves {
 			f.departures[worker] = departure{at: time.Now(), event: len(f.List.PublishedAt()) + 1}
 		}
 	}
@@ -217,26 +226,26 @@
 				ID:            worker.ID,
 				State:         state,
 				Address:       f.workerAddress(scheduler, worker),
-				StartedMillis: max(worker.startedAt.UnixMilli(), 0),
+				StartedMillis: worker.startedMillis(),
 			})
 		}
 		return EndpointEvent(number, all, endpoints)
 	})
 }
 
-// knownEvents is the events that a scheduler is configured with.
+// knownEvents returns the events that a scheduler is configured with.
 func (f *Fleet) knownEvents(scheduler string) string {
 	switch f.KnownEvents {
-	case "old":
+	case KnownFirst:
 		return f.List.Feed(scheduler, 1)
-	case "empty":
+	case KnownNone:
 		return f.List.Feed(scheduler, 0)
 	default:
 		return f.List.Feed(scheduler, -1)
 	}
 }
 
-// workerAddress is the address at which a scheduler reaches a worker: that of a link of its own where the fleet has them.
+// workerAddress returns the address at which a scheduler reaches a worker: that of a link of its own if the fleet has links.
 func (f *Fleet) workerAddress(scheduler string, worker *Worker) string {
 	if !f.LinkedWorkers {
 		return worker.Addr
@@ -249,13 +258,13 @@
 	}
 	link, err := NewLink(worker.Addr)
 	if err != nil {
-		return worker.Addr // for want of descriptors: a scenario that changes the link fails for it
+		return worker.Addr // out of descriptors; a scenario that changes the link fails
 	}
 	f.links[key] = link
 	return link.Addr
 }
 
-// linkTo is the link of a scheduler to a worker; nil without.
+// linkTo returns the link of a scheduler to a worker; nil without.
 func (f *Fleet) linkTo(scheduler, worker string) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -292,7 +301,7 @@
 	}
 }
 
-// closeAndRemove ends the fleet and removes its files.
+// closeAndRemove ends the fleet and removes its directory.
 func (f *Fleet) closeAndRemove() {
 	f.Close()
 	_ = os.RemoveAll(f.Dir) // what can't be removed is left for the system to clean
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"strconv"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -23,7 +24,7 @@
 	frontDrainDelay = 200 * time.Millisecond
 	// stopTimeout is how long a scheduler may take for a graceful shutdown.
 	stopTimeout = 20 * time.Second
-	// maxSeeds is how many instances the others join through.
+	// maxSeeds is how many instances are seeds, through which the others join.
 	maxSeeds = 3
 	// clockTick is the unit of processor times in /proc.
 	clockTick = 10 * time.Millisecond
@@ -40,17 +41,29 @@
 	fleet        *Fleet
 	configPath   string // the platform's file
 	operatorPath string // the operator's file
-	cmd          *exec.Cmd
-	exited       chan processExit // nil while no process runs
 
 	outOfRotation atomic.Bool  // the front sends it nothing
-	disruptedAt   atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the greatest while it is stopped
+	disruptedAt   atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the maximum while it is stopped
 	incarnation   atomic.Int32 // counts its starts
-	startedAt     []time.Time  // guarded by Log.mu
+
+	mu        sync.Mutex
+	latest    *process    // nil before the first start
+	running   bool        // the latest process was started, and neither Stop nor Kill has seen its end
+	startedAt []time.Time // of each process
+}
+
+// process is a process of a scheduler.
+type process struct {
+	cmd    *exec.Cmd
+	exited chan struct{} // closed once the process has ended
+	err    error         // how it ended; set before exited is closed
 }
 
-// processExit is how a process ended.
-type processExit struct{ err error }
+// wait waits until the process has ended.
+func (p *process) wait() {
+	p.err = p.cmd.Wait()
+	close(p.exited)
+}
 
 // configure writes the files of an instance: the platform's, its key and the operator's.
 func (in *Instance) configure() error {
@@ -96,7 +109,7 @@
 	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
 }
 
-// Operator is the operator's file of an instance, with more lines of the section gossip.
+// Operator returns the text of an instance's operator's file, with more lines at the end of its section gossip.
 func (in *Instance) Operator(more string) string {
 	text := "log\n  format json\n"
 	if in.fleet.KeepState {
@@ -122,7 +135,7 @@
 	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
 }
 
-// Duplicate is another instance with the name and the files of this one, which does not run yet.
+// Duplicate returns another instance with the name and the files of this one. It does not run yet.
 func (in *Instance) Duplicate() *Instance {
 	return &Instance{
 		Name:         in.Name,
@@ -166,16 +179,33 @@
 
 // Start starts the scheduler's process, which serves once waitHealthy says so.
 func (in *Instance) Start() error {
-	in.cmd = exec.Command(in.fleet.Program, "run", "--config", in.configPath, "--operator", in.operatorPath)
-	in.cmd.Env = append(append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN="), in.fleet.Env...)
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.start()
+}
+
+// startIfStopped starts the scheduler unless it runs.
+func (in *Instance) startIfStopped() error {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.running {
+		return nil
+	}
+	return in.start()
+}
+
+// start is Start for a caller that holds the lock.
+func (in *Instance) start() error {
+	cmd := exec.Command(in.fleet.Program, "run", "--config", in.configPath, "--operator", in.operatorPath)
+	cmd.Env = append(append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN="), in.fleet.Env...)
 	if in.Log == nil {
 		in.Log = &Log{}
 	}
 	in.Log.startProcess()
-	in.noteStart(time.Now())
-	in.cmd.Stdout = in.Log
-	in.cmd.Stderr = in.Log
-	if err := in.cmd.Start(); err != nil {
+	in.startedAt = append(in.startedAt, time.Now())
+	cmd.Stdout = in.Log
+	cmd.Stderr = in.Log
+	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("scheduler %s: %w", in.Name, err)
 	}
 	in.incarnation.Add(1)
@@ -184,22 +214,42 @@
 			in.outOfRotation.Store(false)
 		}
 	}()
-	in.exited = make(chan processExit, 1)
-	go func(cmd *exec.Cmd, exited chan<- processExit) { exited <- processExit{cmd.Wait()} }(in.cmd, in.exited)
+	in.latest = &process{cmd: cmd, exited: make(chan struct{})}
+	in.running = true
+	go in.latest.wait()
 	return nil
 }
 
-// noteStart notes when a process was started.
-func (in *Instance) noteStart(at time.Time) {
-	in.Log.mu.Lock()
-	defer in.Log.mu.Unlock()
-	in.startedAt = append(in.startedAt, at)
+// runningProcess returns the process that runs, or nil.
+func (in *Instance) runningProcess() *process {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if !in.running {
+		return nil
+	}
+	return in.latest
+}
+
+// latestProcess returns the process that was started last; nil before the first start.
+func (in *Instance) latestProcess() *process {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.latest
+}
+
+// noteEnd notes that a process has ended.
+func (in *Instance) noteEnd(ended *process) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.latest == ended {
+		in.running = false
+	}
 }
 
-// lastStartBefore is when the process that ran at a time had been started; the zero time if none ran before.
+// lastStartBefore returns when the process that ran at a time had been started; the zero time if none ran before.
 func (in *Instance) lastStartBefore(at time.Time) time.Time {
-	in.Log.mu.Lock()
-	defer in.Log.mu.Unlock()
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	var last time.Time
 	for _, start := range in.startedAt {
 		if start.Before(at) {
@@ -209,15 +259,7 @@
 	return last
 }
 
-// startIfStopped starts the scheduler unless it runs.
-func (in *Instance) startIfStopped() error {
-	if in.exited != nil {
-		return nil
-	}
-	return in.Start()
-}
-
-// Signal sends a signal to a scheduler.
+// Signal sends a signal to a scheduler that has been started.
 func (in *Instance) Signal(signal syscall.Signal) error {
 	switch signal {
 	case syscall.SIGSTOP:
@@ -225,30 +267,32 @@
 	case syscall.SIGCONT:
 		in.disruptedAt.Store(time.Now().UnixNano())
 	}
-	return in.cmd.Process.Signal(signal)
+	return in.latestProcess().cmd.Process.Signal(signal)
 }
 
 // disruptedSince reports whether the process was killed or stopped after a time.
 func (in *Instance) disruptedSince(at time.Time) bool { return in.disruptedAt.Load() >= at.UnixNano() }
 
-// Pid is the process of a scheduler that runs.
-func (in *Instance) Pid() int { return in.cmd.Process.Pid }
+// Pid returns the ID of the latest process of a scheduler that has been started.
+func (in *Instance) Pid() int { return in.latestProcess().cmd.Process.Pid }
 
 // Kill ends a scheduler with SIGKILL.
 func (in *Instance) Kill() {
-	if in.exited == nil {
+	running := in.runningProcess()
+	if running == nil {
 		return
 	}
 	in.outOfRotation.Store(true)
 	in.disruptedAt.Store(time.Now().UnixNano())
-	_ = in.cmd.Process.Kill() // it may have ended
-	<-in.exited
-	in.exited = nil
+	_ = running.cmd.Process.Kill() // it may have ended
+	<-running.exited
+	in.noteEnd(running)
 }
 
 // Stop ends a scheduler as a planned restart does. An error says that it did not end, or not with success.
 func (in *Instance) Stop() error {
-	if in.exited == nil {
+	running := in.runningProcess()
+	if running == nil {
 		return nil
 	}
 	if err := in.Signal(syscall.SIGTERM); err != nil {
@@ -261,10 +305,10 @@
 		}
 	})
 	select {
-	case exit := <-in.exited:
-		in.exited = nil
-		if exit.err != nil {
-			return fmt.Errorf("scheduler %s ended with %w", in.Name, exit.err)
+	case <-running.exited:
+		in.noteEnd(running)
+		if running.err != nil {
+			return fmt.Errorf("scheduler %s ended with %w", in.Name, running.err)
 		}
 		return nil
 	case <-time.After(stopTimeout):
@@ -273,7 +317,7 @@
 	}
 }
 
-// CPU is the processor time that a scheduler has used; 0 where the system doesn't say.
+// CPU returns the processor time that a scheduler has used; 0 where the system doesn't say.
 func (in *Instance) CPU() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", in.Pid()))
 	if err != nil {
@@ -293,7 +337,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Memory is the resident memory of a scheduler in kB; 0 where the system doesn't say.
+// Memory returns the resident memory of a scheduler in kB; 0 where the system doesn't say.
 func (in *Instance) Memory() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", in.Pid()))
 	if err != nil {
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -49,11 +49,11 @@
 		t.Errorf("the sender notices the cut: %v", err)
 	}
 	if err := echo(50 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("over a cut link comes %v", err)
+		t.Errorf("read over a cut link: %v", err)
 	}
 	if another, err := net.DialTimeout("tcp", link.Addr, 50*time.Millisecond); err == nil {
 		another.Close()
-		t.Error("a connection comes up over a cut link")
+		t.Error("a connection is established over a cut link")
 	}
 	if err := link.Set(LinkCondition{}); err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 		if tt.want == "" {
 			_ = receiver.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 			if size, _, err := receiver.ReadFromUDP(buf); err == nil {
-				t.Errorf("%+v: %q comes", tt.condition, buf[:size])
+				t.Errorf("%+v: received %q", tt.condition, buf[:size])
 			}
 			continue
 		}
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -12,8 +12,8 @@
 // scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
-// pollPeriod is the time in which each scheduler of a healthy fleet polls once, in seconds.
-const pollPeriod = 2
+// pollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
+const pollPeriod = 2 * time.Second
 
 // workerFaults is the faults of workers by their names in scenarios.
 var workerFaults = map[string]WorkerFault{
@@ -44,12 +44,12 @@
 	Step
 	fleet      *Fleet
 	schedulers []int // all instances in the order in which shares take them
-	workers    []int // the same of workers
+	workers    []int // the same for the workers
 }
 
-// stepVerbs is what the verbs do.
+// stepVerbs has the function that carries out each verb.
 var stepVerbs = map[string]func(stepRun) error{
-	"start":   func(r stepRun) error { return r.eachInstance((*Instance).startIfStopped) },
+	"start":   func(r stepRun) error { return r.forEachInstance((*Instance).startIfStopped) },
 	"kill":    stepRun.kill,
 	"stop":    func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
 	"cont":    func(r stepRun) error { return r.signal(syscall.SIGCONT) },
@@ -81,8 +81,8 @@
 	return do(run)
 }
 
-// someInstances is the instances that the share at an argument means.
-func (r stepRun) someInstances(argument int) ([]*Instance, error) {
+// selectedInstances returns the instances that the share at an argument means.
+func (r stepRun) selectedInstances(argument int) ([]*Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
 		return nil, err
@@ -94,8 +94,8 @@
 	return instances, nil
 }
 
-// someWorkers is the workers that the share at an argument means.
-func (r stepRun) someWorkers(argument int) ([]*Worker, error) {
+// selectedWorkers returns the workers that the share at an argument means.
+func (r stepRun) selectedWorkers(argument int) ([]*Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
 		return nil, err
@@ -107,9 +107,9 @@
 	return workers, nil
 }
 
-// eachInstance does something to the instances of the first argument, until it fails.
-func (r stepRun) eachInstance(do func(*Instance) error) error {
-	instances, err := r.someInstances(0)
+// forEachInstance does something to the instances of the first argument, until it fails.
+func (r stepRun) forEachInstance(do func(*Instance) error) error {
+	instances, err := r.selectedInstances(0)
 	if err != nil {
 		return err
 	}
@@ -122,20 +122,20 @@
 }
 
 func (r stepRun) kill() error {
-	return r.eachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *Instance) error {
 		in.Kill()
 		return nil
 	})
 }
 
 func (r stepRun) signal(signal syscall.Signal) error {
-	return r.eachInstance(func(in *Instance) error { return in.Signal(signal) })
+	return r.forEachInstance(func(in *Instance) error { return in.Signal(signal) })
 }
 
 // terminate has instances shut down, and does not wait for it.
 func (r stepRun) terminate() error {
-	return r.eachInstance(func(in *Instance) error {
-		go func() { _ = in.Stop() }() // one that does not end in order is detected by the checks
+	return r.forEachInstance(func(in *Instance) error {
+		go func() { _ = in.Stop() }() // the checks detect one that does not end in order
 		return nil
 	})
 }
@@ -155,7 +155,7 @@
 			instance := r.fleet.Instances[i]
 			r.fleet.restarts.Go(func() {
 				if err := instance.Stop(); err == nil {
-					_ = instance.Start() // one that does not start is detected by the checks
+					_ = instance.Start() // the checks detect one that does not start
 				}
 			})
 		}
@@ -177,7 +177,7 @@
 		if err != nil || fraction <= 0 {
 			return r.invalid()
 		}
-		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / pollPeriod
+		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / pollPeriod.Seconds()
 	}
 	return r.fleet.List.SetFault(ListFault(fault), answersPerSecond)
 }
@@ -187,11 +187,11 @@
 	return nil
 }
 
-// repeatEvent publishes an event that says again what the list has, of the first worker that stays.
+// repeatEvent publishes an event that repeats what the list has of the first worker that does not leave.
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.departures[worker]; !leaves {
-			r.fleet.Publish(false, []*Worker{worker}, "SERVING")
+			r.fleet.Publish(false, []*Worker{worker}, EndpointServing)
 			break
 		}
 	}
@@ -199,17 +199,17 @@
 }
 
 func (r stepRun) drain() error {
-	workers, err := r.someWorkers(0)
+	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
-	r.fleet.Publish(false, workers, "DRAINING")
+	r.fleet.Publish(false, workers, EndpointDraining)
 	return nil
 }
 
 // replace deletes workers from the list and lists as many new ones.
 func (r stepRun) replace() error {
-	gone, err := r.someWorkers(0)
+	gone, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
@@ -217,7 +217,7 @@
 	if len(r.Args) > 1 && r.Args[1] == "cold" {
 		startedAt = time.Now()
 	}
-	r.fleet.Publish(false, gone, "DELETED")
+	r.fleet.Publish(false, gone, EndpointDeleted)
 	var added []*Worker
 	for _, worker := range gone {
 		replacement, err := r.fleet.startWorker(worker.ID+"x", startedAt)
@@ -227,20 +227,20 @@
 		added = append(added, replacement)
 	}
 	r.fleet.Workers = append(r.fleet.Workers, added...)
-	r.fleet.Publish(false, added, "SERVING")
+	r.fleet.Publish(false, added, EndpointServing)
 	return nil
 }
 
-// restartWorkers has workers start anew at their address.
+// restartWorkers restarts workers at their address.
 func (r stepRun) restartWorkers() error {
-	workers, err := r.someWorkers(0)
+	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
 	for _, worker := range workers {
 		worker.restart()
 	}
-	r.fleet.Publish(false, workers, "SERVING")
+	r.fleet.Publish(false, workers, EndpointServing)
 	return nil
 }
 
@@ -259,19 +259,23 @@
 
 // setWorkerFault gives workers a fault, or none.
 func (r stepRun) setWorkerFault() error {
-	workers, err := r.someWorkers(1)
+	workers, err := r.selectedWorkers(1)
 	if err != nil {
 		return err
 	}
+	fault, ok := workerFaults[r.Args[0]]
+	if !ok {
+		return r.invalid()
+	}
 	for _, worker := range workers {
-		worker.Set(workerFaults[r.Args[0]])
+		worker.Set(fault)
 	}
 	return nil
 }
 
 // setPartition changes the links between some schedulers and the others.
 func (r stepRun) setPartition() error {
-	instances, err := r.someInstances(1)
+	instances, err := r.selectedInstances(1)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
@@ -291,11 +295,11 @@
 
 // setLinks changes the links between some schedulers and some workers, or resets their connections.
 func (r stepRun) setLinks() error {
-	instances, err := r.someInstances(1)
+	instances, err := r.selectedInstances(1)
 	if err != nil {
 		return err
 	}
-	workers, err := r.someWorkers(2)
+	workers, err := r.selectedWorkers(2)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
@@ -321,12 +325,12 @@
 	return errs
 }
 
-// setKnownEvents writes the schedulers' files anew, with other events in them.
+// setKnownEvents rewrites the schedulers' files with other events.
 func (r stepRun) setKnownEvents() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
-	r.fleet.KnownEvents = r.Args[0]
+	r.fleet.KnownEvents = KnownEvents(r.Args[0])
 	for _, instance := range r.fleet.Instances {
 		if err := instance.configure(); err != nil {
 			return err
--- a/internal/testbed/workerprofile.go
+++ b/internal/testbed/workerprofile.go
@@ -14,14 +14,20 @@
 	HandshakeTime  time.Duration // for which a new connection occupies a slot
 }
 
-// WorkerProfiles is the profiles by name.
+// The names of the profiles.
+const (
+	profileRoomy = "roomy"
+	profileSmall = "small" // few requests at a time, and scarce connections
+)
+
+// WorkerProfiles has the profiles by name.
 var WorkerProfiles = map[string]WorkerProfile{
-	"roomy": {
+	profileRoomy: {
 		Concurrency: 8,
 		ServiceTime: 15 * time.Millisecond,
 		LoadTime:    60 * time.Millisecond,
 	},
-	"small": {
+	profileSmall: {
 		Concurrency:    2,
 		ServiceTime:    80 * time.Millisecond,
 		LoadTime:       300 * time.Millisecond,
@@ -38,13 +44,13 @@
 	crashMultiple           = 3 // times what it can serve within crashWindow make it crash
 )
 
-// capacityFraction is the fraction of its capacity that a worker has so long after its start. It grows linearly.
+// capacityFraction returns the fraction of its capacity that a worker of this age has. It grows linearly.
 func capacityFraction(age time.Duration) float64 {
 	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/warmUpTime.Seconds())
 }
 
-// maxRequests is how many requests within crashWindow a worker survives so long after its start: N + 2 x root of N + 2, N
-// being crashMultiple times what it can serve. One that is warm survives any number.
+// maxRequests returns how many requests within crashWindow a worker of this age survives: N + 2 sqrt(N) + 2, where N is
+// crashMultiple times what it can serve. One that is warm survives any number.
 func (p WorkerProfile) maxRequests(age time.Duration) float64 {
 	if age >= warmUpTime {
 		return math.Inf(1)
