--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -128,7 +128,7 @@
 
 // addInstance adds a scheduler with addresses of its own.
 func (f *Fleet) addInstance(name string) error {
-	instance := &Instance{Name: name, fleet: f}
+	instance := &Instance{Name: name, fleet: f, Log: &Log{}}
 	var err error
 	if instance.Addr, err = f.freeAddress("tcp"); err != nil {
 		return err
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -36,7 +36,7 @@
 	Addr   string // for the front
 	Gossip string // for the other schedulers
 	Key    string // file with its key and certificate
-	Log    *Log   // nil before the first start
+	Log    *Log   // empty before the first start
 
 	fleet        *Fleet
 	configPath   string // the platform's file
@@ -142,6 +142,7 @@
 		Addr:         in.Addr,
 		Gossip:       in.Gossip,
 		Key:          in.Key,
+		Log:          &Log{},
 		fleet:        in.fleet,
 		configPath:   in.configPath,
 		operatorPath: in.operatorPath,
@@ -198,9 +199,6 @@
 func (in *Instance) start() error {
 	cmd := exec.Command(in.fleet.Program, "run", "--config", in.configPath, "--operator", in.operatorPath)
 	cmd.Env = append(append(os.Environ(), "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN="), in.fleet.Env...)
-	if in.Log == nil {
-		in.Log = &Log{}
-	}
 	in.Log.startProcess()
 	in.startedAt = append(in.startedAt, time.Now())
 	cmd.Stdout = in.Log
--- a/internal/testbed/instance_test.go
+++ b/internal/testbed/instance_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -25,18 +26,28 @@
 // one of the callers took the process's exit from the other, which waited for it.
 func TestKillDuringStop(t *testing.T) {
 	t.Parallel()
-	instance := newStandInScheduler(t, `trap "" TERM; while :; do sleep 0.02; done`)
-	for range 3 {
+	const ready, terminating = "handles SIGTERM", "got SIGTERM"
+	instance := newStandInScheduler(t, `trap "echo `+terminating+`" TERM; echo `+ready+`; while :; do sleep 0.02; done`)
+	waitForLog := func(text string, times int) {
+		t.Helper()
+		for end := time.Now().Add(stopTimeout / 2); strings.Count(instance.Log.String(), text) < times; time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatalf("the log lacks %q: %s", text, instance.Log.String())
+			}
+		}
+	}
+	for round := range 3 {
 		if err := instance.startIfStopped(); err != nil {
 			t.Fatal(err)
 		}
+		waitForLog(ready, round+1)
 		pid := instance.Pid()
 		ended := make(chan string, 2)
 		go func() {
 			_ = instance.Stop() // an error if it was killed first
 			ended <- "Stop"
 		}()
-		time.Sleep(100 * time.Millisecond) // most likely Stop waits now; the test holds in any order
+		waitForLog(terminating, round+1) // Stop waits now
 		go func() {
 			instance.Kill()
 			ended <- "Kill"
@@ -82,3 +93,15 @@
 		t.Errorf("after the restart the list is still %s", listed)
 	}
 }
+
+// An instance that was never started has an empty log. Guards against a fault: on a machine so busy that a scenario ended
+// before it had started its schedulers, counting their log lines panicked, and the processes of other scenarios ran on.
+func TestLogBeforeStart(t *testing.T) {
+	t.Parallel()
+	instance := newStandInScheduler(t, "exit 0")
+	for _, one := range []*Instance{instance, instance.Duplicate()} {
+		if got := one.Count(logSchedulerStarted); got != 0 || one.Log.String() != "" {
+			t.Errorf("%d starts in the log %q, want none", got, one.Log.String())
+		}
+	}
+}
