--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -3,13 +3,14 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
 
+	"calicohill/internal/testbed"
+
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -89,6 +90,22 @@
 	}
 }
 
+// echoByteByByte answers the requests on a connection with their bodies, one byte a write.
+func echoByteByByte(conn net.Conn) {
+	defer conn.Close()
+	for reader := bufio.NewReader(conn); ; {
+		command, err := testbed.ReadAgentCommand(reader)
+		if err != nil || command.Verb != testbed.AgentStart {
+			return
+		}
+		for _, b := range []byte(answerLine(command.ID, "OK", "depth=0,l=util:0.5", command.Body)) {
+			if _, err := conn.Write([]byte{b}); err != nil {
+				return
+			}
+		}
+	}
+}
+
 // Requests and answers that arrive a byte at a time, those of two clients in turn, are reassembled.
 func TestFragments(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,32 +113,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	go func() { // a worker that echoes, one byte at a time
+	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer conn.Close()
-				for reader := bufio.NewReader(conn); ; {
-					line, err := reader.ReadString('\n')
-					words := strings.Fields(line)
-					if err != nil || len(words) != 4 {
-						return
-					}
-					size, _ := strconv.Atoi(words[3])
-					body := make([]byte, size+2)
-					if _, err := io.ReadFull(reader, body); err != nil {
-						return
-					}
-					for _, b := range []byte(answerLine(words[1], "OK", "depth=0,l=util:0.5", string(body[:size]))) {
-						if _, err := conn.Write([]byte{b}); err != nil {
-							return
-						}
-					}
-				}
-			}()
+			go echoByteByByte(conn)
 		}
 	}()
 	sched := newTestScheduler(t)
