--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -16,11 +16,11 @@
 
 // Why a datagram is dropped. Open returns ErrMalformed, one of these, or an error of package pki, possibly wrapped.
 var (
-	ErrBudget    = errors.New("gossip: the budget of signature checks is spent")
+	ErrBudget    = errors.New("gossip: signature check budget exhausted")
 	ErrReplayed  = errors.New("gossip: replayed")
-	ErrSignature = errors.New("gossip: the signature is not right")
-	ErrUnknown   = errors.New("gossip: the sender is not known and brings no certificate")
-	ErrClock     = errors.New("gossip: sent too long ago, or not yet")
+	ErrSignature = errors.New("gossip: invalid signature")
+	ErrUnknown   = errors.New("gossip: unknown sender without a certificate")
+	ErrClock     = errors.New("gossip: sent too long ago or in the future")
 	ErrNotForUs  = errors.New("gossip: for another member")
 )
 
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -179,7 +179,7 @@
 }
 
 // ErrBusy is returned when a prepared reload is not applied because the queue of the Node is full.
-var ErrBusy = errors.New("gossip: too much waits to be taken in")
+var ErrBusy = errors.New("gossip: too many events are waiting")
 
 // Prepare reads and checks the keys that new settings name, and returns a function that applies both. Until that is
 // called nothing changes. A different name or fleet is an error, since it takes a restart.
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -17,8 +17,8 @@
 
 // Reasons to reject a request, as they are logged.
 var (
-	errRequestTimeout   = errors.New("not whole in time")
-	errBuffersNeeded    = errors.New("not whole when others needed its buffers")
+	errRequestTimeout   = errors.New("request not complete in time")
+	errBuffersNeeded    = errors.New("incomplete request dropped, its buffers were needed")
 	errParamsTooLong    = errors.New("parameters too long")
 	errBodyBeforeParams = errors.New("body ended before the parameters")
 )
--- a/internal/snapshot/record.go
+++ b/internal/snapshot/record.go
@@ -36,12 +36,12 @@
 
 // The reasons for which Decode rejects a snapshot, and Encode a record; found with errors.Is.
 var (
-	ErrIncomplete = errors.New("not whole")          // truncated, damaged, or no snapshot at all
-	ErrVersion    = errors.New("of another version") // of the file format
+	ErrIncomplete = errors.New("incomplete or damaged") // truncated, damaged, or no snapshot at all
+	ErrVersion    = errors.New("of another version")    // of the file format
 	ErrWrongFleet = errors.New("of another fleet")
 	ErrExpired    = errors.New("too old")
-	ErrFromFuture = errors.New("of a time to come") // made further ahead of the clock than maxClockSkew
-	ErrTooLarge   = errors.New("too large")         // more than MaxSize bytes
+	ErrFromFuture = errors.New("created in the future") // made further ahead of the clock than maxClockSkew
+	ErrTooLarge   = errors.New("too large")             // more than MaxSize bytes
 )
 
 const (
