--- a/cmd/calicohill/unread_answers_test.go
+++ b/cmd/calicohill/unread_answers_test.go
@@ -65,6 +65,23 @@
 	readAll()
 }
 
+// unhurried gives the classes of a scheduler so much time that it rejects no request and ejects no worker because answers
+// are late: large ones are, on a busy machine. Requests need unhurriedBudget for that.
+func unhurried(sched *testScheduler) {
+	sched.settingsEdits = append(sched.settingsEdits,
+		[2]string{`"aimMs":750`, `"aimMs":60000`},
+		[2]string{`"aimMs":600,`, `"aimMs":60000,`},
+		[2]string{`"hardLimitMs":3000`, `"hardLimitMs":600000`},
+		[2]string{`"hardLimitMs":2500`, `"hardLimitMs":600000`},
+		[2]string{`"lateWorth":0.1`, `"lateWorth":1`},
+		[2]string{`"lateWorth":0.2`, `"lateWorth":1`},
+		[2]string{`"lateWorth":0.3`, `"lateWorth":1`},
+	)
+}
+
+// unhurriedBudget is the time of a request to an unhurried scheduler.
+var unhurriedBudget = [2]string{"HTTP_BUDGET_MS", "600000"}
+
 // Unread answers are bounded for all clients together, also where each client stays within its own bound.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	big := strings.Repeat("0123456789", 25_000)
@@ -76,13 +93,14 @@
 	})
 	sched := newTestScheduler(t)
 	sched.maxSockets, sched.memoryMB = 90, 32
+	unhurried(sched)
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
 	const closed = "too much waits for clients that do not read"
 	waitUntil(t, "a slow reader is disconnected", func() bool {
 		client := sched.connectSlowReader()
 		for id := uint16(1); id <= 20 && !strings.Contains(sched.log.String(), closed); id++ {
-			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"})
+			request := newCall("consulta", "big", [2]string{"HTTP_X_SPEC", "lanes:30"}, unhurriedBudget)
 			request.id = id
 			had := len(agent.received())
 			_, _ = client.conn.Write(request.bytes()) // fails if this client was disconnected
@@ -91,7 +109,7 @@
 		return strings.Contains(sched.log.String(), closed)
 	})
 	client := sched.connect()
-	client.send(newCall("consulta", "x"))
+	client.send(newCall("consulta", "x", unhurriedBudget))
 	if got := client.readAnswer(); got.body != "re:x" {
 		t.Errorf("status %d for a client that reads", got.status)
 	}
