--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/testbed/fault"
+
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/testbed"
 )
@@ -187,7 +189,7 @@
 
 // expectMassAccuserIgnored has a byzantine member accuse every worker: all schedulers ignore its reports, and none
 // ejects a worker.
-func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *testbed.ByzantineMember, ids []string) {
+func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *fault.ByzantineMember, ids []string) {
 	t.Helper()
 	byzantine.Accuse(ids)
 	waitForAll(t, fleet, "the reports of a mass accuser are ignored", func(instance *testbed.Instance) bool {
@@ -249,7 +251,7 @@
 func expectServedDuringFlood(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
-	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
+	go func() { flooded <- fault.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
 		func(instance *testbed.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
 	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != fastcgi.OutcomeServed {
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -7,6 +7,8 @@
 	"os"
 	"strings"
 	"time"
+
+	"calicohill/internal/testbed/wait"
 )
 
 // ColdStartScenarios has the scenarios of 'testbed coldstart' by name.
@@ -162,7 +164,7 @@
 	measured := make(chan time.Duration, 1)
 	go func() {
 		worst := time.Duration(0)
-		for at := time.Now(); sleep(ctx, interval); at = time.Now() {
+		for at := time.Now(); wait.Sleep(ctx, interval); at = time.Now() {
 			worst = max(worst, time.Since(at)-interval)
 			f.wakeDelay.Store(int64(worst))
 		}
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -48,7 +48,7 @@
 		m.AllListed = -1
 	}
 	m.PollsPeak = PeakPer100ms(m.pollTimes, 0)
-	m.PollsEven = float64(schedulers) / tenthsPerPoll
+	m.PollsEven = evenPollsPer100ms(schedulers)
 	m.Limit = float64(pollPeriod.Milliseconds())
 	if rate := fleet.List.answersPerSecond(); rate > 0 {
 		m.Limit = float64(schedulers) / rate * 1000
--- a/internal/testbed/link.go
+++ b/internal/testbed/fault/link.go
@@ -1,4 +1,4 @@
-package testbed
+package fault
 
 import (
 	"errors"
@@ -96,8 +96,8 @@
 	return link, nil
 }
 
-// sentAt returns when what arrived at a time was sent.
-func (l *Link) sentAt(arrivedAt time.Time) time.Time {
+// SentAt returns when what arrived at a time was sent.
+func (l *Link) SentAt(arrivedAt time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	earliest := arrivedAt
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/netip"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,6 +13,8 @@
 	"sync/atomic"
 	"time"
 
+	"calicohill/internal/testbed/fault"
+
 	"calicohill/internal/fleet/pki"
 )
 
@@ -35,8 +38,8 @@
 	Profile string // of its workers, by name; "" for roomy
 	Store   *Store
 
-	host string // of all its schedulers
-	hub  *Hub   // nil where schedulers reach one another without one
+	host string     // of all its schedulers
+	hub  *fault.Hub // nil where schedulers reach one another without one
 
 	wakeDelay atomic.Int64   // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
 	restarts  sync.WaitGroup // of schedulers, by a rolling restart
@@ -46,9 +49,9 @@
 	departures map[*Worker]departure
 
 	mu                 sync.Mutex
-	links              map[linkKey]*Link
-	partitionCondition LinkCondition   // between the schedulers of partitioned and the others
-	partitioned        map[string]bool // gossip addresses
+	links              map[linkKey]*fault.Link
+	partitionCondition fault.LinkCondition // between the schedulers of partitioned and the others
+	partitioned        map[string]bool     // gossip addresses
 }
 
 // KnownEvents says which events of the list service schedulers are configured with. Its values are names in scenarios.
@@ -88,7 +91,7 @@
 	f.List = NewListService()
 	f.Store = newStore()
 	f.departures = map[*Worker]departure{}
-	f.links = map[linkKey]*Link{}
+	f.links = map[linkKey]*fault.Link{}
 	if err := f.createAuthority(); err != nil {
 		return err
 	}
@@ -150,16 +153,16 @@
 		members = append(members, instance.Gossip)
 	}
 	var err error
-	f.hub, err = NewHub(members, f.gossipCondition)
+	f.hub, err = fault.NewHub(members, f.gossipCondition)
 	return err
 }
 
 // gossipCondition returns the condition of the link from one scheduler to another, by their gossip addresses.
-func (f *Fleet) gossipCondition(from, to string) LinkCondition {
+func (f *Fleet) gossipCondition(from, to string) fault.LinkCondition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.partitioned[from] == f.partitioned[to] {
-		return LinkCondition{}
+		return fault.LinkCondition{}
 	}
 	condition := f.partitionCondition
 	if f.partitioned[to] { // the condition is that from partitioned schedulers to the others
@@ -212,6 +215,15 @@
 	return listener.Addr().String(), listener.Close()
 }
 
+// NewByzantineMember has a byzantine member join the fleet under a name.
+func (f *Fleet) NewByzantineMember(name string) (*fault.ByzantineMember, error) {
+	var seeds []netip.AddrPort
+	for _, instance := range f.Instances[:min(maxSeeds, len(f.Instances))] {
+		seeds = append(seeds, netip.MustParseAddrPort(instance.Gossip))
+	}
+	return fault.NewByzantineMember(name, f.Authority, seeds)
+}
+
 // Publish publishes an event with the state of some workers; with all set they are the whole list.
 func (f *Fleet) Publish(all bool, workers []*Worker, state EndpointState) {
 	for _, worker := range workers {
@@ -256,7 +268,7 @@
 	if link := f.links[key]; link != nil {
 		return link.Addr
 	}
-	link, err := NewLink(worker.Addr)
+	link, err := fault.NewLink(worker.Addr)
 	if err != nil {
 		return worker.Addr // out of descriptors; a scenario that changes the link fails
 	}
@@ -265,7 +277,7 @@
 }
 
 // linkTo returns the link of a scheduler to a worker; nil without.
-func (f *Fleet) linkTo(scheduler, worker string) *Link {
+func (f *Fleet) linkTo(scheduler, worker string) *fault.Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.links[linkKey{scheduler: scheduler, worker: worker}]
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -7,6 +7,8 @@
 	"sync"
 	"time"
 
+	"calicohill/internal/testbed/wait"
+
 	"calicohill/internal/frontend/fastcgi"
 )
 
@@ -160,7 +162,7 @@
 		if err == nil {
 			return nil
 		}
-		if !sleep(ctx, healthCheckInterval) {
+		if !wait.Sleep(ctx, healthCheckInterval) {
 			return errors.Join(ctx.Err(), err)
 		}
 	}
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -8,6 +8,10 @@
 	"path/filepath"
 	"slices"
 	"time"
+
+	"calicohill/internal/testbed/fault"
+
+	"calicohill/internal/testbed/wait"
 )
 
 const (
@@ -201,13 +205,13 @@
 	measureCPU := func() float64 {
 		before := target.CPU()
 		began := time.Now()
-		sleep(ctx, duration)
+		wait.Sleep(ctx, duration)
 		return (target.CPU() - before).Seconds() / time.Since(began).Seconds()
 	}
 	idle := measureCPU()
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
-	go func() { ended <- Flood(target.Gossip, floodRate, stop) }()
+	go func() { ended <- fault.Flood(target.Gossip, floodRate, stop) }()
 	flooded := measureCPU()
 	memory := target.Memory()
 	flooded = (flooded + measureCPU()) / 2
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -5,6 +5,10 @@
 	"fmt"
 	"slices"
 	"time"
+
+	"calicohill/internal/testbed/fault"
+
+	"calicohill/internal/testbed/wait"
 )
 
 // gossipRun is a run of a GossipExperiment with one fleet.
@@ -27,12 +31,12 @@
 
 // playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
-	if !sleep(ctx, duration/5) {
+	if !wait.Sleep(ctx, duration/5) {
 		return
 	}
 	r.faultFrom = time.Now()
 	r.setFault(WorkerUnresponsive)
-	if !sleep(ctx, duration/2) {
+	if !wait.Sleep(ctx, duration/2) {
 		return
 	}
 	r.faultUntil = time.Now()
@@ -50,7 +54,7 @@
 // healthy ones, the same for all members, so that they collude. closeMembers ends those that have joined, also where there
 // is an error.
 func (r *gossipRun) addByzantineMembers(ctx context.Context, count int, duration time.Duration) (closeMembers func(), err error) {
-	var members []*ByzantineMember
+	var members []*fault.ByzantineMember
 	closeMembers = func() {
 		for _, member := range slices.Backward(members) {
 			member.Close()
@@ -68,7 +72,7 @@
 	for _, member := range members {
 		member.Accuse(all)
 		go func() {
-			if sleep(ctx, duration/4) {
+			if wait.Sleep(ctx, duration/4) {
 				member.Accuse(few)
 			}
 		}()
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -95,7 +95,7 @@
 	}
 	sentAt := arrival.At
 	if link := c.fleet.linkTo(arrival.From, worker.ID); link != nil {
-		sentAt = link.sentAt(arrival.At)
+		sentAt = link.SentAt(arrival.At)
 	}
 	if late := sentAt.Sub(notifiedAt.Add(drainGrace + c.slack)); late > 0 {
 		c.addViolation("%s sent %s to %s %v too late after its drain", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
--- /dev/null
+++ b/internal/testbed/listservice_test.go
@@ -0,0 +1,38 @@
+package testbed
+
+import (
+	"net"
+	"testing"
+
+	"calicohill/internal/testbed/fault"
+)
+
+// A list service that refused connections opens its address again, whoever was given the port elsewhere meanwhile.
+func TestListServiceReopensAddress(t *testing.T) {
+	service := NewListService()
+	defer service.Close()
+	addr, err := service.Address("n0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := service.SetFault(ListRefusing, 0); err != nil {
+		t.Fatal(err)
+	}
+	_, port, _ := net.SplitHostPort(addr)
+	link, err := fault.NewLink(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer link.Close()
+	host, _, _ := net.SplitHostPort(link.Addr)
+	for _, taken := range []string{host, "127.0.0.1"} {
+		listener, err := net.Listen("tcp", net.JoinHostPort(taken, port))
+		if err != nil {
+			continue // somebody has it there already, which is the same to this test
+		}
+		defer listener.Close()
+	}
+	if err := service.SetFault(ListHealthy, 0); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -8,6 +8,8 @@
 	"sync"
 	"time"
 
+	"calicohill/internal/testbed/wait"
+
 	"calicohill/internal/frontend/fastcgi"
 )
 
@@ -152,7 +154,7 @@
 	due := 0.0 // seconds from the start
 	for {
 		due += rng.ExpFloat64() / c.rate
-		if !sleep(ctx, time.Until(start.Add(time.Duration(due*float64(time.Second))))) {
+		if !wait.Sleep(ctx, time.Until(start.Add(time.Duration(due*float64(time.Second))))) {
 			return
 		}
 		front.send(ctx, c.request(rng, zipf))
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -11,13 +11,6 @@
 	rateLimitedPeriod   = 20 * time.Second // in which a ListRateLimited answers one poll of each scheduler
 )
 
-const (
-	// tenthsPerPoll is how many tenths of a second a pollPeriod has.
-	tenthsPerPoll = float64(pollPeriod / (100 * time.Millisecond))
-	// maxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
-	maxPollDuration = 7 * time.Second
-)
-
 // SimulatePolls plays the faults of a list service with fleets of these sizes.
 func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
 	withFault := func(fault ListFault) func(*PollSimulation) {
@@ -58,7 +51,7 @@
 func simulateRateLimited(size int, seed uint64) VirtualPollResult {
 	result := VirtualPollResult{
 		Schedulers:  size,
-		EvenPeak:    float64(size) / tenthsPerPoll,
+		EvenPeak:    evenPollsPer100ms(size),
 		Peaks:       map[string]int{},
 		LimitMillis: float64(rateLimitedPeriod.Milliseconds()),
 	}
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"calicohill/internal/testbed/wait"
 )
 
 // Scenario is a script of what happens to a fleet: lines "TIME VERB ARGUMENTS" in the order of their times, each
@@ -107,7 +109,7 @@
 func (f *Fleet) play(ctx context.Context, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
 	lastStep = began
 	for _, step := range scenario {
-		if !sleep(ctx, time.Until(began.Add(step.At))) {
+		if !wait.Sleep(ctx, time.Until(began.Add(step.At))) {
 			break
 		}
 		if err := f.execute(step, seed); err != nil {
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -7,14 +7,13 @@
 	"strconv"
 	"syscall"
 	"time"
+
+	"calicohill/internal/testbed/fault"
 )
 
 // scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
-// pollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
-const pollPeriod = 2 * time.Second
-
 // workerFaults is the faults of workers by their names in scenarios.
 var workerFaults = map[string]WorkerFault{
 	"sound":   WorkerHealthy,
@@ -25,7 +24,7 @@
 }
 
 // linkConditions is the conditions of links by their names in scenarios.
-var linkConditions = map[string]LinkCondition{
+var linkConditions = map[string]fault.LinkCondition{
 	"whole":     {},
 	"cut":       {CutForward: true, CutBackward: true},
 	"cut-there": {CutForward: true},
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"context"
 	"fmt"
 	"net"
 	"sync"
@@ -23,36 +22,6 @@
 // slowWorkerDelay is by how much a WorkerSlow answers later.
 const slowWorkerDelay = 500 * time.Millisecond
 
-// storeConcurrency is how many functions the store serves at a time.
-const storeConcurrency = 12
-
-// Store is the store that all workers load functions from: a few at a time, and none while it is jammed.
-type Store struct {
-	mu          sync.Mutex
-	jammedUntil time.Time
-	slots       chan struct{}
-}
-
-// newStore returns a healthy store.
-func newStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
-
-// Jam makes the store serve nothing for a while.
-func (s *Store) Jam(duration time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.jammedUntil = time.Now().Add(duration)
-}
-
-// fetch waits until it is a function's turn, and then as long as it takes to load.
-func (s *Store) fetch(loadTime time.Duration) {
-	s.slots <- struct{}{}
-	defer func() { <-s.slots }()
-	s.mu.Lock()
-	jammedFor := time.Until(s.jammedUntil)
-	s.mu.Unlock()
-	time.Sleep(max(jammedFor, 0) + loadTime)
-}
-
 // Worker is a stand-in node agent. It loads functions, runs a few requests at a time and has faults.
 type Worker struct {
 	ID       string
@@ -255,18 +224,3 @@
 		w.closeConnections()
 	}
 }
-
-// sleep waits, and reports whether the context still lives.
-func sleep(ctx context.Context, duration time.Duration) bool {
-	if duration <= 0 {
-		return ctx.Err() == nil
-	}
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/workerprotocol.go
@@ -8,6 +8,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"calicohill/internal/testbed/wait"
 )
 
 // workerLoadReport is the load report of every worker, as a field of an answer.
@@ -65,7 +67,7 @@
 		c.write(AgentAnswer{ID: command.ID, Status: AnswerError})
 		return
 	case WorkerSlow:
-		sleep(ctx, slowWorkerDelay)
+		wait.Sleep(ctx, slowWorkerDelay)
 	}
 	if !c.worker.runFunction(ctx, admitted) {
 		return
@@ -129,5 +131,5 @@
 		return false
 	}
 	defer func() { <-w.slots }()
-	return sleep(ctx, request.serviceTime)
+	return wait.Sleep(ctx, request.serviceTime)
 }
