--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/standin"
 
 	"golang.org/x/sys/unix"
 )
@@ -130,8 +130,8 @@
 	connection := &agentConnection{Conn: conn, agent: a}
 	last := time.Now()
 	for reader := bufio.NewReader(conn); ; last = time.Now() {
-		command, err := testbed.ReadAgentCommand(reader)
-		if errors.Is(err, testbed.ErrMalformedCommand) {
+		command, err := standin.ReadAgentCommand(reader)
+		if errors.Is(err, standin.ErrMalformedCommand) {
 			a.t.Error(err)
 		}
 		if err != nil {
@@ -142,9 +142,9 @@
 			return
 		}
 		switch command.Verb {
-		case testbed.AgentCancel:
+		case standin.AgentCancel:
 			a.noteCanceled(command.ID)
-		case testbed.AgentStart:
+		case standin.AgentStart:
 			request := agentRequest{id: command.ID, fields: command.Fields, body: command.Body, conn: number}
 			n := a.noteReceived(request)
 			go connection.answer(n, request)
@@ -206,7 +206,7 @@
 
 // answerLine returns an answer in the agents' protocol.
 func answerLine(id, status, fields, body string) string {
-	return testbed.AgentAnswer{ID: id, Status: testbed.AnswerStatus(status), Fields: fields, Body: body}.String()
+	return standin.AgentAnswer{ID: id, Status: standin.AnswerStatus(status), Fields: fields, Body: body}.String()
 }
 
 // echo is a reply with the request's own body.
--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/standin"
 )
 
 // poll answers a poll as the endpoint list service does.
 func (s *testScheduler) poll(w http.ResponseWriter, r *http.Request) {
-	request := testbed.ParsePollRequest(r)
+	request := standin.ParsePollRequest(r)
 	timeout := time.After(request.Timeout)
 	address := r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
 	s.countPoll(address, 1)
@@ -55,23 +55,23 @@
 
 // feed returns the events after one as the body of a response. The caller holds s.mu.
 func (s *testScheduler) feed(after int) string {
-	return testbed.EndpointFeed(len(s.events), s.events[min(after, len(s.events)):])
+	return standin.EndpointFeed(len(s.events), s.events[min(after, len(s.events)):])
 }
 
 // addEvent adds an event to the endpoint list; targets have the form "uid state address".
 func (s *testScheduler) addEvent(all bool, targets ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var endpoints []testbed.Endpoint
+	var endpoints []standin.Endpoint
 	for _, target := range targets {
 		fields := strings.Fields(target)
-		endpoints = append(endpoints, testbed.Endpoint{
+		endpoints = append(endpoints, standin.Endpoint{
 			ID:      fields[0],
-			State:   testbed.EndpointState(fields[1]),
+			State:   standin.EndpointState(fields[1]),
 			Address: fields[2],
 		})
 	}
-	s.events = append(s.events, testbed.EndpointEvent(len(s.events)+1, all, endpoints))
+	s.events = append(s.events, standin.EndpointEvent(len(s.events)+1, all, endpoints))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/standin"
 )
 
 // testSettings returns the platform's settings for a scheduler that runs alone.
@@ -65,7 +66,7 @@
 	s.mu.Lock()
 	known := s.feed(0)
 	if s.knownEvents > 0 {
-		known = testbed.EndpointFeed(s.knownEvents, s.events[:s.knownEvents])
+		known = standin.EndpointFeed(s.knownEvents, s.events[:s.knownEvents])
 	}
 	settings := string(s.settings.JSON())
 	for _, c := range s.settingsEdits {
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/testbed/fault"
-
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
 )
 
 const fleetSize = 12
@@ -225,7 +225,7 @@
 		}
 		return len(from) >= fleetSize/2
 	})
-	fleet.Workers[5].Set(testbed.WorkerUnresponsive)
+	fleet.Workers[5].Set(standin.WorkerUnresponsive)
 	idle := fleet.Instances[fleetSize-1]
 	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineConfirmedFaulty, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -239,7 +239,7 @@
 			}
 		}
 	}
-	fleet.Workers[5].Set(testbed.WorkerHealthy)
+	fleet.Workers[5].Set(standin.WorkerHealthy)
 	waitForAll(t, fleet, "the worker is readmitted", func(instance *testbed.Instance) bool {
 		n := instance.Count(lineConfirmedFaulty)
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/standin"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -94,8 +94,8 @@
 func echoByteByByte(conn net.Conn) {
 	defer conn.Close()
 	for reader := bufio.NewReader(conn); ; {
-		command, err := testbed.ReadAgentCommand(reader)
-		if err != nil || command.Verb != testbed.AgentStart {
+		command, err := standin.ReadAgentCommand(reader)
+		if err != nil || command.Verb != standin.AgentStart {
 			return
 		}
 		for _, b := range []byte(answerLine(command.ID, "OK", "depth=0,l=util:0.5", command.Body)) {
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -7,6 +7,7 @@
 
 	"calicohill/internal/discovery/pollplan"
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/standin"
 
 	"pgregory.net/rapid"
 )
@@ -27,20 +28,20 @@
 		do    func(*testbed.PollSimulation)
 	}{
 		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
-			fleet.SetFault(testbed.ListRefusing)
+			fleet.SetFault(standin.ListRefusing)
 			fleet.Run(8 * time.Second)
-			fleet.SetFault(testbed.ListHealthy)
+			fleet.SetFault(standin.ListHealthy)
 		}},
 		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
-			fleet.SetFault(testbed.ListOverloaded)
+			fleet.SetFault(standin.ListOverloaded)
 			fleet.Run(8 * time.Second)
-			fleet.SetFault(testbed.ListHealthy)
+			fleet.SetFault(standin.ListHealthy)
 		}},
 		// Answered all at once, they have to poll again within the second that a drain allows.
 		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.PollSimulation) {
-			fleet.SetFault(testbed.ListUnresponsive)
+			fleet.SetFault(standin.ListUnresponsive)
 			fleet.Run(8 * time.Second)
-			fleet.SetFault(testbed.ListHealthy)
+			fleet.SetFault(standin.ListHealthy)
 		}},
 		{"broken", 2 * evenPeak, (*testbed.PollSimulation).BreakConnections},
 		{"broken twice", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
@@ -108,7 +109,7 @@
 // least possible time, and all together make at most 1.2 times the polls that the protocol's 7 s require.
 func TestRateLimitedService(t *testing.T) {
 	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
-	fleet.SetFault(testbed.ListRateLimited)
+	fleet.SetFault(standin.ListRateLimited)
 	fleet.Queue.AnswersPerSecond = fleetSize / 20.
 	fleet.Queue.LastEvent = 2
 	limit := 20 * time.Second
@@ -216,7 +217,7 @@
 				fleet.Publish()
 			case "run":
 			default:
-				fleet.SetFault(testbed.ListFault(do))
+				fleet.SetFault(standin.ListFault(do))
 			}
 			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
 			if fleet.Queue.Len() > 2*schedulers {
@@ -224,7 +225,7 @@
 			}
 		}
 		// A poll lasts for 7 s at most, so none that a fault has delayed is left after this.
-		fleet.SetFault(testbed.ListHealthy)
+		fleet.SetFault(standin.ListHealthy)
 		fleet.Run(7 * time.Second)
 		fleet.Publish()
 		fleet.Run(2 * time.Second)
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"time"
+
+	"calicohill/internal/testbed/standin"
 )
 
 // summary describes the metrics in a sentence.
@@ -42,22 +44,22 @@
 	}
 	for _, at := range listedAt {
 		m.AllListed = max(m.AllListed, float64(at.Sub(lastStep).Milliseconds()))
-		m.PollsNeeded += 1 + int(at.Sub(lastStep)/maxPollDuration)
+		m.PollsNeeded += 1 + int(at.Sub(lastStep)/standin.MaxPollDuration)
 	}
 	if len(listedAt) < schedulers {
 		m.AllListed = -1
 	}
 	m.PollsPeak = PeakPer100ms(m.pollTimes, 0)
-	m.PollsEven = evenPollsPer100ms(schedulers)
-	m.Limit = float64(pollPeriod.Milliseconds())
-	if rate := fleet.List.answersPerSecond(); rate > 0 {
+	m.PollsEven = standin.EvenPollsPer100ms(schedulers)
+	m.Limit = float64(standin.PollPeriod.Milliseconds())
+	if rate := fleet.List.AnswersPerSecond(); rate > 0 {
 		m.Limit = float64(schedulers) / rate * 1000
 	}
 }
 
 // listedTimes returns when each scheduler first had the last event after the last step of the scenario, by a response or by
 // a poll that shows that it has it.
-func listedTimes(polls []Poll, lastEvent int, lastStep time.Time) map[string]time.Time {
+func listedTimes(polls []standin.Poll, lastEvent int, lastStep time.Time) map[string]time.Time {
 	listedAt := map[string]time.Time{}
 	for _, poll := range polls {
 		at := poll.AnsweredAt
@@ -90,7 +92,7 @@
 		if !worker.CrashedAt().IsZero() {
 			m.Crashed++
 		}
-		refused, peakLoad := worker.overload()
+		refused, peakLoad := worker.Overload()
 		m.RefusedConnections += refused
 		m.PeakWarmUpLoadShare = max(m.PeakWarmUpLoadShare, peakLoad)
 		schedulers := map[string]bool{}
@@ -114,7 +116,7 @@
 
 // countPreferredPairs counts the pairs of a scheduler and a worker that follow from the preferred workers which all
 // schedulers share: the scheduler received a call of a function most of whose calls went to the worker.
-func countPreferredPairs(workers []*Worker) int {
+func countPreferredPairs(workers []*standin.Worker) int {
 	calls := map[string]map[string]int{}
 	preferred := map[string]string{}
 	for _, worker := range workers {
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"calicohill/internal/testbed/fault"
-
 	"calicohill/internal/fleet/pki"
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
 )
 
 // Fleet runs schedulers as real processes, the workers that they share, and the list service that names these workers.
@@ -24,7 +24,7 @@
 	Env               []string // environment variables besides the testbed's own
 	Dir               string   // for files; the caller's to remove
 	Instances         []*Instance
-	Workers           []*Worker
+	Workers           []*standin.Worker
 	Authority         *pki.Authority
 	Sharing           bool // schedulers gossip
 	GossipThroughHub  bool // over links that scenarios change
@@ -32,11 +32,11 @@
 	KeepState         bool // schedulers keep their list and what they learned over a restart
 	ClaimedSchedulers int  // how many schedulers there are by their settings; 0 for as many as there are
 
-	List        *ListService
+	List        *standin.ListService
 	KnownEvents KnownEvents // "" as KnownAll
 
 	Profile string // of its workers, by name; "" for roomy
-	Store   *Store
+	Store   *standin.Store
 
 	host string     // of all its schedulers
 	hub  *fault.Hub // nil where schedulers reach one another without one
@@ -46,7 +46,7 @@
 
 	// departures has the workers that drain or were deleted. Prepare and the scenario write it; the checks read it after
 	// the scenario's end.
-	departures map[*Worker]departure
+	departures map[*standin.Worker]departure
 
 	mu                 sync.Mutex
 	links              map[linkKey]*fault.Link
@@ -88,9 +88,9 @@
 
 // prepare does what Prepare does, but leaves running what it started where it fails.
 func (f *Fleet) prepare(instances, workers int) error {
-	f.List = NewListService()
-	f.Store = newStore()
-	f.departures = map[*Worker]departure{}
+	f.List = standin.NewListService()
+	f.Store = standin.NewStore()
+	f.departures = map[*standin.Worker]departure{}
 	f.links = map[linkKey]*fault.Link{}
 	if err := f.createAuthority(); err != nil {
 		return err
@@ -102,7 +102,7 @@
 		}
 		f.Workers = append(f.Workers, worker)
 	}
-	f.Publish(true, f.Workers, EndpointServing)
+	f.Publish(true, f.Workers, standin.EndpointServing)
 	for i := range instances {
 		if err := f.addInstance(fmt.Sprintf("n%d", i)); err != nil {
 			return err
@@ -172,12 +172,12 @@
 }
 
 // startWorker starts a worker, one that is warming up if startedAt is not zero.
-func (f *Fleet) startWorker(id string, startedAt time.Time) (*Worker, error) {
-	profile, ok := WorkerProfiles[cmp.Or(f.Profile, profileRoomy)]
+func (f *Fleet) startWorker(id string, startedAt time.Time) (*standin.Worker, error) {
+	profile, ok := standin.WorkerProfiles[cmp.Or(f.Profile, standin.ProfileRoomy)]
 	if !ok {
 		return nil, fmt.Errorf("no worker profile %q", f.Profile)
 	}
-	return NewWorker(id, profile, f.Store, startedAt)
+	return standin.NewWorker(id, profile, f.Store, startedAt)
 }
 
 // fleetCount counts the fleets of this process.
@@ -225,23 +225,23 @@
 }
 
 // Publish publishes an event with the state of some workers; with all set they are the whole list.
-func (f *Fleet) Publish(all bool, workers []*Worker, state EndpointState) {
+func (f *Fleet) Publish(all bool, workers []*standin.Worker, state standin.EndpointState) {
 	for _, worker := range workers {
-		if _, leaves := f.departures[worker]; state != EndpointServing && !leaves {
+		if _, leaves := f.departures[worker]; state != standin.EndpointServing && !leaves {
 			f.departures[worker] = departure{at: time.Now(), event: len(f.List.PublishedAt()) + 1}
 		}
 	}
 	f.List.Publish(func(number int, scheduler string) string {
-		var endpoints []Endpoint
+		var endpoints []standin.Endpoint
 		for _, worker := range workers {
-			endpoints = append(endpoints, Endpoint{
+			endpoints = append(endpoints, standin.Endpoint{
 				ID:            worker.ID,
 				State:         state,
 				Address:       f.workerAddress(scheduler, worker),
-				StartedMillis: worker.startedMillis(),
+				StartedMillis: worker.StartedMillis(),
 			})
 		}
-		return EndpointEvent(number, all, endpoints)
+		return standin.EndpointEvent(number, all, endpoints)
 	})
 }
 
@@ -258,7 +258,7 @@
 }
 
 // workerAddress returns the address at which a scheduler reaches a worker: that of a link of its own if the fleet has links.
-func (f *Fleet) workerAddress(scheduler string, worker *Worker) string {
+func (f *Fleet) workerAddress(scheduler string, worker *standin.Worker) string {
 	if !f.LinkedWorkers {
 		return worker.Addr
 	}
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -7,9 +7,8 @@
 	"sync"
 	"time"
 
-	"calicohill/internal/testbed/wait"
-
 	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/testbed/wait"
 )
 
 const (
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"calicohill/internal/testbed/fault"
-
+	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
 )
 
@@ -178,8 +178,8 @@
 }
 
 // unresponsive returns the workers that become unresponsive, chosen by the seed.
-func (e GossipExperiment) unresponsive(fleet *Fleet) []*Worker {
-	var chosen []*Worker
+func (e GossipExperiment) unresponsive(fleet *Fleet) []*standin.Worker {
+	var chosen []*standin.Worker
 	for i := range e.Silent {
 		chosen = append(chosen, fleet.Workers[(int(e.Seed)*7+i*5)%len(fleet.Workers)])
 	}
@@ -246,7 +246,7 @@
 }
 
 // workerIDs returns the IDs of workers.
-func workerIDs(workers []*Worker) []string {
+func workerIDs(workers []*standin.Worker) []string {
 	var ids []string
 	for _, worker := range workers {
 		ids = append(ids, worker.ID)
@@ -255,6 +255,6 @@
 }
 
 // without returns the workers that are not among others.
-func without(workers, others []*Worker) []*Worker {
-	return slices.DeleteFunc(slices.Clone(workers), func(worker *Worker) bool { return slices.Contains(others, worker) })
+func without(workers, others []*standin.Worker) []*standin.Worker {
+	return slices.DeleteFunc(slices.Clone(workers), func(worker *standin.Worker) bool { return slices.Contains(others, worker) })
 }
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -7,21 +7,21 @@
 	"time"
 
 	"calicohill/internal/testbed/fault"
-
+	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
 )
 
 // gossipRun is a run of a GossipExperiment with one fleet.
 type gossipRun struct {
 	fleet        *Fleet
-	unresponsive []*Worker // for a while
-	healthy      []string  // IDs of the others
+	unresponsive []*standin.Worker // for a while
+	healthy      []string          // IDs of the others
 	faultFrom    time.Time
 	faultUntil   time.Time
 }
 
 // newGossipRun returns a run in which these workers become unresponsive.
-func newGossipRun(fleet *Fleet, unresponsive []*Worker) *gossipRun {
+func newGossipRun(fleet *Fleet, unresponsive []*standin.Worker) *gossipRun {
 	return &gossipRun{
 		fleet:        fleet,
 		unresponsive: unresponsive,
@@ -35,16 +35,16 @@
 		return
 	}
 	r.faultFrom = time.Now()
-	r.setFault(WorkerUnresponsive)
+	r.setFault(standin.WorkerUnresponsive)
 	if !wait.Sleep(ctx, duration/2) {
 		return
 	}
 	r.faultUntil = time.Now()
-	r.setFault(WorkerHealthy)
+	r.setFault(standin.WorkerHealthy)
 }
 
 // setFault gives the workers of the run a fault, or none.
-func (r *gossipRun) setFault(fault WorkerFault) {
+func (r *gossipRun) setFault(fault standin.WorkerFault) {
 	for _, worker := range r.unresponsive {
 		worker.Set(fault)
 	}
@@ -98,7 +98,7 @@
 	for _, worker := range run.unresponsive {
 		last := run.faultFrom
 		for _, arrival := range worker.Arrivals() {
-			if arrival.Fault == WorkerUnresponsive {
+			if arrival.Fault == standin.WorkerUnresponsive {
 				m.lost++
 				last = arrival.At
 			}
--- a/internal/testbed/instance_test.go
+++ b/internal/testbed/instance_test.go
@@ -7,6 +7,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"calicohill/internal/testbed/standin"
 )
 
 // newStandInScheduler returns an instance whose program is a shell script. It does not run yet.
@@ -71,18 +73,18 @@
 // The endpoint list names a worker's latest start, also while the worker restarts.
 func TestListNamesLatestStart(t *testing.T) {
 	t.Parallel()
-	worker, err := NewWorker("w00", WorkerProfiles[profileRoomy], newStore(), time.Time{})
+	worker, err := standin.NewWorker("w00", standin.WorkerProfiles[standin.ProfileRoomy], standin.NewStore(), time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	fleet := &Fleet{List: NewListService(), Workers: []*Worker{worker}, departures: map[*Worker]departure{}}
+	fleet := &Fleet{List: standin.NewListService(), Workers: []*standin.Worker{worker}, departures: map[*standin.Worker]departure{}}
 	defer fleet.List.Close()
-	fleet.Publish(true, fleet.Workers, EndpointServing)
+	fleet.Publish(true, fleet.Workers, standin.EndpointServing)
 	warm := fleet.List.Feed("n0", -1)
 	restarted := make(chan struct{})
 	go func() {
-		worker.restart()
+		worker.Restart()
 		close(restarted)
 	}()
 	for range 100 {
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"sort"
 	"time"
+
+	"calicohill/internal/testbed/standin"
 )
 
 const (
@@ -25,7 +27,7 @@
 type ruleChecker struct {
 	fleet      *Fleet
 	slack      time.Duration // beyond each time limit
-	polls      map[string][]Poll
+	polls      map[string][]standin.Poll
 	attempts   map[string]int // by request
 	executions map[string]int // of requests of nonIdempotentClass
 	violations []string
@@ -38,7 +40,7 @@
 	checker := &ruleChecker{
 		fleet:      f,
 		slack:      slack,
-		polls:      map[string][]Poll{},
+		polls:      map[string][]standin.Poll{},
 		attempts:   map[string]int{},
 		executions: map[string]int{},
 	}
@@ -71,7 +73,7 @@
 }
 
 // checkWorker checks what reached a worker.
-func (c *ruleChecker) checkWorker(worker *Worker) {
+func (c *ruleChecker) checkWorker(worker *standin.Worker) {
 	if !worker.CrashedAt().IsZero() {
 		c.addViolation("%s was overloaded while it was warming up and crashed", worker.ID)
 	}
@@ -88,7 +90,7 @@
 }
 
 // checkDrain checks that a request for a worker that leaves was sent in time.
-func (c *ruleChecker) checkDrain(worker *Worker, departure departure, arrival Arrival) {
+func (c *ruleChecker) checkDrain(worker *standin.Worker, departure departure, arrival standin.Arrival) {
 	notifiedAt := c.notifiedAt(departure, arrival)
 	if notifiedAt.IsZero() {
 		return
@@ -105,8 +107,8 @@
 // notifiedAt returns when the scheduler of a request counts as notified of a departure: when it received the event, or when
 // a healthy list service should have delivered it, whichever is earlier; the zero time if neither happened. A process that
 // was started later counts as notified at its start.
-func (c *ruleChecker) notifiedAt(departure departure, arrival Arrival) time.Time {
-	notified := c.fleet.List.effectiveAt(departure.at)
+func (c *ruleChecker) notifiedAt(departure departure, arrival standin.Arrival) time.Time {
+	notified := c.fleet.List.EffectiveAt(departure.at)
 	received := receivedAt(c.polls[arrival.From], departure.event)
 	if !received.IsZero() && (notified.IsZero() || received.Before(notified)) {
 		notified = received
@@ -133,7 +135,7 @@
 // receivedAt returns when a scheduler received an event: with the last response that had it before the first poll that shows
 // it known. An earlier response may have gone to a connection that the scheduler had just closed. The zero time if no poll
 // shows it known.
-func receivedAt(polls []Poll, event int) time.Time {
+func receivedAt(polls []standin.Poll, event int) time.Time {
 	var at time.Time
 	for _, poll := range polls {
 		if poll.After >= event {
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -8,9 +8,8 @@
 	"sync"
 	"time"
 
-	"calicohill/internal/testbed/wait"
-
 	"calicohill/internal/frontend/fastcgi"
+	"calicohill/internal/testbed/wait"
 )
 
 // requestTimeout is the time that a client gives a request.
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -1,6 +1,10 @@
 package testbed
 
-import "time"
+import (
+	"time"
+
+	"calicohill/internal/testbed/standin"
+)
 
 // The course of the poll simulations.
 const (
@@ -13,17 +17,17 @@
 
 // SimulatePolls plays the faults of a list service with fleets of these sizes.
 func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
-	withFault := func(fault ListFault) func(*PollSimulation) {
+	withFault := func(fault standin.ListFault) func(*PollSimulation) {
 		return func(sim *PollSimulation) {
 			sim.SetFault(fault)
 			sim.Run(simulatedFault)
-			sim.SetFault(ListHealthy)
+			sim.SetFault(standin.ListHealthy)
 		}
 	}
 	disturbances := map[string]func(*PollSimulation){
-		"refused_8s":    withFault(ListRefusing),
-		"overloaded_8s": withFault(ListOverloaded),
-		"silent_8s":     withFault(ListUnresponsive),
+		"refused_8s":    withFault(standin.ListRefusing),
+		"overloaded_8s": withFault(standin.ListOverloaded),
+		"silent_8s":     withFault(standin.ListUnresponsive),
 		"broken":        (*PollSimulation).BreakConnections,
 		"event":         (*PollSimulation).Publish,
 	}
@@ -46,17 +50,17 @@
 	return results
 }
 
-// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a pollPeriod, and
+// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a PollPeriod, and
 // has an update for all.
 func simulateRateLimited(size int, seed uint64) VirtualPollResult {
 	result := VirtualPollResult{
 		Schedulers:  size,
-		EvenPeak:    evenPollsPer100ms(size),
+		EvenPeak:    standin.EvenPollsPer100ms(size),
 		Peaks:       map[string]int{},
 		LimitMillis: float64(rateLimitedPeriod.Milliseconds()),
 	}
 	sim := NewPollSimulation(size, time.Second, seed, true)
-	sim.SetFault(ListRateLimited)
+	sim.SetFault(standin.ListRateLimited)
 	sim.Queue.AnswersPerSecond = float64(size) / rateLimitedPeriod.Seconds()
 	sim.Queue.LastEvent = 2
 	began := sim.Now
@@ -75,7 +79,7 @@
 			}
 		}
 		took := scheduler.UpdatedAt - began
-		result.Needed += 1 + int(took/maxPollDuration)
+		result.Needed += 1 + int(took/standin.MaxPollDuration)
 		allListed = max(allListed, took)
 	}
 	result.AllListedMillis = float64(allListed.Milliseconds())
--- a/internal/testbed/pollsim.go
+++ b/internal/testbed/pollsim.go
@@ -6,6 +6,7 @@
 
 	"calicohill/internal/discovery/pollplan"
 	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/testbed/standin"
 )
 
 // networkDelay is how long a message takes in virtual time.
@@ -18,7 +19,7 @@
 // and nothing else of a scheduler.
 type PollSimulation struct {
 	Now        time.Duration
-	Queue      PollQueue
+	Queue      standin.PollQueue
 	Schedulers []*VirtualPoller
 	Dials      []time.Duration // when connections were established
 	Polls      []time.Duration // when polls reached the service
@@ -36,19 +37,19 @@
 	planner     *pollplan.Planner
 	simulation  *PollSimulation
 	timer       deadline.Timer
-	connections map[int]*PendingPoll // by the planner's number; nil where no poll is in flight
+	connections map[int]*standin.PendingPoll // by the planner's number; nil where no poll is in flight
 }
 
 // NewPollSimulation returns a fleet that starts at the virtual time of one hour, and has to obey drains within drainGrace.
 // With listed set each scheduler has the first event.
 func NewPollSimulation(schedulers int, drainGrace time.Duration, seed uint64, listed bool) *PollSimulation {
-	sim := &PollSimulation{Now: time.Hour, Queue: PollQueue{Fault: ListHealthy, LastEvent: 1}}
+	sim := &PollSimulation{Now: time.Hour, Queue: standin.PollQueue{Fault: standin.ListHealthy, LastEvent: 1}}
 	sim.answerTimer.Fire = sim.answer
 	for i := range schedulers {
 		scheduler := &VirtualPoller{
 			simulation:  sim,
 			planner:     pollplan.New(schedulers, drainGrace, seed<<20+uint64(i)),
-			connections: map[int]*PendingPoll{},
+			connections: map[int]*standin.PendingPoll{},
 		}
 		scheduler.timer.Fire = func() { scheduler.step() }
 		sim.Schedulers = append(sim.Schedulers, scheduler)
@@ -79,9 +80,9 @@
 }
 
 // SetFault gives the list service a fault, or none.
-func (s *PollSimulation) SetFault(fault ListFault) {
+func (s *PollSimulation) SetFault(fault standin.ListFault) {
 	s.Queue.Fault = fault
-	if fault == ListRefusing {
+	if fault == standin.ListRefusing {
 		s.BreakConnections()
 	}
 	s.answer()
@@ -124,10 +125,10 @@
 		}
 		hasUpdates := lastEvent > p.LastEvent
 		switch {
-		case fault == ListOverloaded:
+		case fault == standin.ListOverloaded:
 			delete(p.connections, conn)
 			p.step(pollplan.Failed{Conn: conn, RetryAfter: overloadRetryAfter})
-		case fault == ListTruncating && hasUpdates:
+		case fault == standin.ListTruncating && hasUpdates:
 			delete(p.connections, conn)
 			p.step(pollplan.Failed{Conn: conn})
 		default:
@@ -166,7 +167,7 @@
 // connect establishes a connection, or has it fail.
 func (p *VirtualPoller) connect(dial pollplan.Dial) {
 	sim := p.simulation
-	if sim.Queue.Fault == ListRefusing {
+	if sim.Queue.Fault == standin.ListRefusing {
 		p.step(pollplan.Failed{Conn: dial.Conn})
 		return
 	}
@@ -179,7 +180,7 @@
 func (p *VirtualPoller) poll(action pollplan.Poll) {
 	sim := p.simulation
 	p.Polls = append(p.Polls, sim.Now)
-	poll := &PendingPoll{
+	poll := &standin.PendingPoll{
 		After:    p.LastEvent,
 		Deadline: sim.Now + networkDelay + action.Timeout,
 		Answer: func() {
--- a/internal/testbed/listservice.go
+++ b/internal/testbed/standin/listservice.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"bufio"
@@ -114,7 +114,7 @@
 	}
 }
 
-// SetFault gives the service a fault, or none; answersPerSecond, if not 0, bounds it while ListRateLimited.
+// SetFault gives the service a fault, or none; AnswersPerSecond, if not 0, bounds it while ListRateLimited.
 func (s *ListService) SetFault(fault ListFault, answersPerSecond float64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,9 +194,9 @@
 	return EndpointFeed(last, items)
 }
 
-// effectiveAt returns when an event that was published at a time counts as delivered to all: at once if the service was
+// EffectiveAt returns when an event that was published at a time counts as delivered to all: at once if the service was
 // healthy, settledAfter after the end of its fault if not; the zero time if the fault has not ended.
-func (s *ListService) effectiveAt(publishedAt time.Time) time.Time {
+func (s *ListService) EffectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.queue.Fault != ListHealthy {
@@ -208,8 +208,8 @@
 	return publishedAt
 }
 
-// answersPerSecond returns the last rate limit on responses; 0 if there never was one.
-func (s *ListService) answersPerSecond() float64 {
+// AnswersPerSecond returns the last rate limit on responses; 0 if there never was one.
+func (s *ListService) AnswersPerSecond() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.AnswersPerSecond
--- a/internal/testbed/pollqueue.go
+++ b/internal/testbed/standin/pollqueue.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"slices"
@@ -6,15 +6,15 @@
 )
 
 const (
-	// pollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
-	pollPeriod = 2 * time.Second
-	// maxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
-	maxPollDuration = 7 * time.Second
+	// PollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
+	PollPeriod = 2 * time.Second
+	// MaxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
+	MaxPollDuration = 7 * time.Second
 )
 
-// evenPollsPer100ms returns how many polls come within 100 ms where those of all schedulers are spread out evenly.
-func evenPollsPer100ms(schedulers int) float64 {
-	const tenthsPerPoll = float64(pollPeriod / (100 * time.Millisecond))
+// EvenPollsPer100ms returns how many polls come within 100 ms where those of all schedulers are spread out evenly.
+func EvenPollsPer100ms(schedulers int) float64 {
+	const tenthsPerPoll = float64(PollPeriod / (100 * time.Millisecond))
 	return float64(schedulers) / tenthsPerPoll
 }
 
--- a/internal/testbed/store.go
+++ b/internal/testbed/standin/store.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"sync"
@@ -15,8 +15,8 @@
 	slots       chan struct{}
 }
 
-// newStore returns a healthy store.
-func newStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
+// NewStore returns a healthy store.
+func NewStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
 
 // Jam makes the store serve nothing for a while.
 func (s *Store) Jam(duration time.Duration) {
--- a/internal/testbed/worker.go
+++ b/internal/testbed/standin/worker.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"fmt"
@@ -147,8 +147,8 @@
 	w.fault = fault
 }
 
-// currentFault returns the fault now.
-func (w *Worker) currentFault() WorkerFault {
+// Fault returns the fault now.
+func (w *Worker) Fault() WorkerFault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault
@@ -177,14 +177,14 @@
 
 // overload returns how many connections the worker refused, and the most that it was sent while warming up, as a fraction
 // of what it survives.
-func (w *Worker) overload() (refusedConnections int, peakLoadFraction float64) {
+func (w *Worker) Overload() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refusedConnections, w.peakLoadFraction
 }
 
 // restart restarts the worker: without functions loaded, warming up, its connections closed.
-func (w *Worker) restart() {
+func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.startedAt = time.Now()
@@ -193,8 +193,8 @@
 	w.closeConnections()
 }
 
-// startedMillis returns when the worker started, in Unix milliseconds; 0 for one that is warm.
-func (w *Worker) startedMillis() int64 {
+// StartedMillis returns when the worker started, in Unix milliseconds; 0 for one that is warm.
+func (w *Worker) StartedMillis() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return max(w.startedAt.UnixMilli(), 0)
@@ -212,12 +212,12 @@
 	received := 0
 	for i := len(w.arrivals) - 1; i >= 0; i-- {
 		at := w.arrivals[i].At
-		if now.Sub(at) > crashWindow || at.Before(w.startedAt) {
+		if now.Sub(at) > CrashWindow || at.Before(w.startedAt) {
 			break
 		}
 		received++
 	}
-	loadFraction := float64(received) / w.profile.maxRequests(w.age(now))
+	loadFraction := float64(received) / w.profile.MaxRequests(w.age(now))
 	w.peakLoadFraction = max(w.peakLoadFraction, loadFraction)
 	if loadFraction > 1 {
 		w.crashedAt = now
--- a/internal/testbed/workerprofile.go
+++ b/internal/testbed/standin/workerprofile.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"math"
@@ -16,18 +16,18 @@
 
 // The names of the profiles.
 const (
-	profileRoomy = "roomy"
-	profileSmall = "small" // few requests at a time, and scarce connections
+	ProfileRoomy = "roomy"
+	ProfileSmall = "small" // few requests at a time, and scarce connections
 )
 
 // WorkerProfiles has the profiles by name.
 var WorkerProfiles = map[string]WorkerProfile{
-	profileRoomy: {
+	ProfileRoomy: {
 		Concurrency: 8,
 		ServiceTime: 15 * time.Millisecond,
 		LoadTime:    60 * time.Millisecond,
 	},
-	profileSmall: {
+	ProfileSmall: {
 		Concurrency:    2,
 		ServiceTime:    80 * time.Millisecond,
 		LoadTime:       300 * time.Millisecond,
@@ -38,23 +38,23 @@
 
 // What a worker that is warming up can take, as the settings of the testbed say it.
 const (
-	warmUpTime              = 17 * time.Second
+	WarmUpTime              = 17 * time.Second
 	initialCapacityFraction = 0.25 // of its capacity, when it starts
-	crashWindow             = 2 * time.Second
-	crashMultiple           = 3 // times what it can serve within crashWindow make it crash
+	CrashWindow             = 2 * time.Second
+	crashMultiple           = 3 // times what it can serve within CrashWindow make it crash
 )
 
-// capacityFraction returns the fraction of its capacity that a worker of this age has. It grows linearly.
-func capacityFraction(age time.Duration) float64 {
-	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/warmUpTime.Seconds())
+// CapacityFraction returns the fraction of its capacity that a worker of this age has. It grows linearly.
+func CapacityFraction(age time.Duration) float64 {
+	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/WarmUpTime.Seconds())
 }
 
-// maxRequests returns how many requests within crashWindow a worker of this age survives: N + 2 sqrt(N) + 2, where N is
+// MaxRequests returns how many requests within CrashWindow a worker of this age survives: N + 2 sqrt(N) + 2, where N is
 // crashMultiple times what it can serve. One that is warm survives any number.
-func (p WorkerProfile) maxRequests(age time.Duration) float64 {
-	if age >= warmUpTime {
+func (p WorkerProfile) MaxRequests(age time.Duration) float64 {
+	if age >= WarmUpTime {
 		return math.Inf(1)
 	}
-	expected := crashMultiple * capacityFraction(age) * float64(p.Concurrency) / p.ServiceTime.Seconds() * crashWindow.Seconds()
+	expected := crashMultiple * CapacityFraction(age) * float64(p.Concurrency) / p.ServiceTime.Seconds() * CrashWindow.Seconds()
 	return expected + 2*math.Sqrt(expected) + 2
 }
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"bufio"
@@ -50,7 +50,7 @@
 	case AgentStart:
 		go c.handle(ctx, command)
 	case AgentPing, AgentStatus:
-		if c.worker.currentFault() != WorkerUnresponsive {
+		if c.worker.Fault() != WorkerUnresponsive {
 			c.write(AgentAnswer{ID: command.ID, Status: AnswerUp, Fields: workerLoadReport})
 		}
 	case AgentCancel:
@@ -72,7 +72,7 @@
 	if !c.worker.runFunction(ctx, admitted) {
 		return
 	}
-	if c.worker.currentFault() != WorkerUnresponsive {
+	if c.worker.Fault() != WorkerUnresponsive {
 		c.write(AgentAnswer{ID: command.ID, Status: AnswerOK, Fields: "depth=0," + workerLoadReport, Body: command.Body})
 	}
 }
@@ -114,7 +114,7 @@
 	return admittedRequest{
 		fault:       w.fault,
 		loaded:      loaded,
-		serviceTime: time.Duration(float64(w.profile.ServiceTime) / capacityFraction(w.age(now))),
+		serviceTime: time.Duration(float64(w.profile.ServiceTime) / CapacityFraction(w.age(now))),
 	}
 }
 
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -9,18 +9,19 @@
 	"time"
 
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
 )
 
 // scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
 // workerFaults is the faults of workers by their names in scenarios.
-var workerFaults = map[string]WorkerFault{
-	"sound":   WorkerHealthy,
-	"mute":    WorkerUnresponsive,
-	"stalls":  WorkerSlow,
-	"fails":   WorkerFailing,
-	"refuses": WorkerRefusing,
+var workerFaults = map[string]standin.WorkerFault{
+	"sound":   standin.WorkerHealthy,
+	"mute":    standin.WorkerUnresponsive,
+	"stalls":  standin.WorkerSlow,
+	"fails":   standin.WorkerFailing,
+	"refuses": standin.WorkerRefusing,
 }
 
 // linkConditions is the conditions of links by their names in scenarios.
@@ -94,12 +95,12 @@
 }
 
 // selectedWorkers returns the workers that the share at an argument means.
-func (r stepRun) selectedWorkers(argument int) ([]*Worker, error) {
+func (r stepRun) selectedWorkers(argument int) ([]*standin.Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
 		return nil, err
 	}
-	var workers []*Worker
+	var workers []*standin.Worker
 	for _, i := range r.workers[:count] {
 		workers = append(workers, r.fleet.Workers[i])
 	}
@@ -176,9 +177,9 @@
 		if err != nil || fraction <= 0 {
 			return r.invalid()
 		}
-		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / pollPeriod.Seconds()
+		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / standin.PollPeriod.Seconds()
 	}
-	return r.fleet.List.SetFault(ListFault(fault), answersPerSecond)
+	return r.fleet.List.SetFault(standin.ListFault(fault), answersPerSecond)
 }
 
 func (r stepRun) breakList() error {
@@ -190,7 +191,7 @@
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.departures[worker]; !leaves {
-			r.fleet.Publish(false, []*Worker{worker}, EndpointServing)
+			r.fleet.Publish(false, []*standin.Worker{worker}, standin.EndpointServing)
 			break
 		}
 	}
@@ -202,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet.Publish(false, workers, EndpointDraining)
+	r.fleet.Publish(false, workers, standin.EndpointDraining)
 	return nil
 }
 
@@ -216,8 +217,8 @@
 	if len(r.Args) > 1 && r.Args[1] == "cold" {
 		startedAt = time.Now()
 	}
-	r.fleet.Publish(false, gone, EndpointDeleted)
-	var added []*Worker
+	r.fleet.Publish(false, gone, standin.EndpointDeleted)
+	var added []*standin.Worker
 	for _, worker := range gone {
 		replacement, err := r.fleet.startWorker(worker.ID+"x", startedAt)
 		if err != nil {
@@ -226,7 +227,7 @@
 		added = append(added, replacement)
 	}
 	r.fleet.Workers = append(r.fleet.Workers, added...)
-	r.fleet.Publish(false, added, EndpointServing)
+	r.fleet.Publish(false, added, standin.EndpointServing)
 	return nil
 }
 
@@ -237,9 +238,9 @@
 		return err
 	}
 	for _, worker := range workers {
-		worker.restart()
+		worker.Restart()
 	}
-	r.fleet.Publish(false, workers, EndpointServing)
+	r.fleet.Publish(false, workers, standin.EndpointServing)
 	return nil
 }
 
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -9,6 +9,7 @@
 
 	"calicohill/internal/config/deployment"
 	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/testbed/standin"
 	"calicohill/routing"
 )
 
@@ -33,7 +34,7 @@
 	now        time.Duration
 	startedAt  time.Duration
 	timers     deadline.Queue
-	profile    WorkerProfile
+	profile    standin.WorkerProfile
 	settings   routing.Settings
 	list       routing.WorkerList
 	workers    map[string]*virtualWorker
@@ -51,7 +52,7 @@
 		VirtualExperiment: e,
 		now:               time.Hour,
 		startedAt:         time.Hour,
-		profile:           WorkerProfiles[e.Profile],
+		profile:           standin.WorkerProfiles[e.Profile],
 		list:              routing.WorkerList{Kind: routing.ListFull},
 		workers:           map[string]*virtualWorker{},
 		metrics:           VirtualMetrics{Schedulers: e.Schedulers, Workers: e.Workers},
@@ -196,7 +197,7 @@
 	for name, experiment := range experiments {
 		experiment.Schedulers = schedulers
 		experiment.Workers = workers
-		experiment.Profile = profileSmall
+		experiment.Profile = standin.ProfileSmall
 		experiment.Seconds = seconds
 		experiment.Seed = seed
 		experiment.Rate = ratePerWorker * float64(workers)
--- a/internal/testbed/virtualworker.go
+++ b/internal/testbed/virtualworker.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"calicohill/internal/testbed/standin"
 	"calicohill/routing"
 )
 
@@ -17,13 +18,13 @@
 	loadedAt    map[string]time.Duration   // when each function is loaded
 	slotFreeAt  []time.Duration            // when each slot, of as many requests at a time, is free
 	doneAt      map[string][]time.Duration // by function, when its requests are done
-	received    []time.Duration            // requests of the last crashWindow
+	received    []time.Duration            // requests of the last CrashWindow
 	lastUsed    map[int]time.Duration      // by scheduler, when its connection was last used
 	connectedAt []time.Duration
 }
 
 // newVirtualWorker returns a warm worker without functions loaded.
-func newVirtualWorker(profile WorkerProfile) *virtualWorker {
+func newVirtualWorker(profile standin.WorkerProfile) *virtualWorker {
 	return &virtualWorker{
 		loadedAt:   map[string]time.Duration{},
 		slotFreeAt: make([]time.Duration, profile.Concurrency),
@@ -56,10 +57,10 @@
 	w.connect(scheduler.index, now)
 	age := w.age(now)
 	w.received = append(w.received, now)
-	for now-w.received[0] > crashWindow {
+	for now-w.received[0] > standin.CrashWindow {
 		w.received = w.received[1:]
 	}
-	w.crashed = w.crashed || float64(len(w.received)) > scheduler.profile.maxRequests(age)
+	w.crashed = w.crashed || float64(len(w.received)) > scheduler.profile.MaxRequests(age)
 	loadedAt, loaded := w.loadedAt[function]
 	if !loaded {
 		scheduler.metrics.Loads++
@@ -67,7 +68,7 @@
 		w.loadedAt[function] = loadedAt
 	}
 	slot := w.nextSlot()
-	serviceTime := time.Duration(float64(scheduler.profile.ServiceTime) / capacityFraction(age))
+	serviceTime := time.Duration(float64(scheduler.profile.ServiceTime) / standin.CapacityFraction(age))
 	done := max(now, loadedAt, w.slotFreeAt[slot]) + serviceTime
 	w.slotFreeAt[slot] = done
 	unfinished := slices.DeleteFunc(w.doneAt[function], func(at time.Duration) bool { return at <= now })
@@ -87,7 +88,7 @@
 // age returns how long ago the worker started; the full warm-up time for one that is warm.
 func (w *virtualWorker) age(now time.Duration) time.Duration {
 	if w.startedAt == 0 {
-		return warmUpTime
+		return standin.WarmUpTime
 	}
 	return now - w.startedAt
 }
