--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -18,12 +18,13 @@
 	"time"
 
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/platform"
 	"calicohill/internal/testbed/standin"
 )
 
 // testSettings returns the platform's settings for a scheduler that runs alone.
-func testSettings() testbed.PlatformSettings {
-	return testbed.PlatformSettings{Schedulers: 1, IdleCloseMillis: 15_000, InstanceIdleMillis: 9_000}
+func testSettings() platform.Settings {
+	return platform.Settings{Schedulers: 1, IdleCloseMillis: 15_000, InstanceIdleMillis: 9_000}
 }
 
 // testScheduler is a process of the program with its configuration, and with the endpoint list service that it polls.
@@ -36,8 +37,8 @@
 	started bool
 
 	// The configuration, which can be changed before the start.
-	knownEvents   int                      // number of events in the configuration file; 0 for all
-	settings      testbed.PlatformSettings // changed by settingsEdits
+	knownEvents   int               // number of events in the configuration file; 0 for all
+	settings      platform.Settings // changed by settingsEdits
 	maxSockets    int
 	memoryMB      int
 	configFile    string      // path, once launched
@@ -75,10 +76,10 @@
 		}
 		settings = strings.ReplaceAll(settings, c[0], c[1])
 	}
-	text, err := json.Marshal(testbed.SchedulerConfig{
+	text, err := json.Marshal(platform.Config{
 		Bulletin: s.listServer.Listener.Addr().String(),
 		Known:    json.RawMessage(known),
-		Limits:   testbed.SchedulerLimits{Cores: 1, MemoryMB: s.memoryMB, Sockets: s.maxSockets},
+		Limits:   platform.Limits{Cores: 1, MemoryMB: s.memoryMB, Sockets: s.maxSockets},
 		Listen:   s.addr,
 		Name:     "n0",
 		Seed:     "8c1f30d27a5be964",
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 // ColdStartScenarios has the scenarios of 'testbed coldstart' by name.
@@ -122,9 +123,9 @@
 		scenario <- scenarioEnd{lastStep, err}
 	}()
 	wakeDelay := fleet.measureWakeDelay(ctx)
-	load := fleet.Offer(ctx, Load{
+	load := fleet.Offer(ctx, workload.Load{
 		Rate:      e.Rate,
-		Functions: functionsFor(e.Workers),
+		Functions: workload.FunctionsFor(e.Workers),
 		Skew:      cmp.Or(e.Skew, defaultSkew),
 		Seed:      e.Seed,
 	})
@@ -143,7 +144,7 @@
 
 // allViolations returns every violation of a rule. worstDelay is by how much the machine woke goroutines late at the worst;
 // time limits are longer by it.
-func (f *Fleet) allViolations(load LoadResult, worstDelay time.Duration) []string {
+func (f *Fleet) allViolations(load workload.Result, worstDelay time.Duration) []string {
 	violations := f.ruleViolations(load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
 		violations = append(violations, fmt.Sprintf("an answer came %v after its time", load.MaxOverrun.Round(time.Millisecond)))
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/workload"
 )
 
 // summary describes the metrics in a sentence.
@@ -14,7 +15,7 @@
 }
 
 // setLoad fills in what became of the load.
-func (m *ColdStartMetrics) setLoad(load LoadResult) {
+func (m *ColdStartMetrics) setLoad(load workload.Result) {
 	m.Served = load.ServedShare()
 	m.Requests = load.Offered
 	m.Lost = load.Lost
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -5,7 +5,7 @@
 // members lie to the fleet (ByzantineMember). A Scenario says when which fault happens, a Load what clients send, and the
 // experiments (ColdStartExperiment, GossipExperiment, MatchExperiment, VirtualExperiment) measure what became of it.
 //
-// The tests of cmd/calicohill use the same configuration (SchedulerConfig, PlatformSettings), wire formats (AgentCommand,
+// The tests of cmd/calicohill use the same configuration (Config, Settings), wire formats (AgentCommand,
 // AgentAnswer, PollRequest, EndpointEvent, EndpointFeed) and Log. Their list service and agents are their own: they answer
 // by a script, request by request, where those here answer by a fault and a profile.
 package testbed
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -9,6 +9,7 @@
 
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 const (
@@ -24,10 +25,6 @@
 	healthCheckInterval = 20 * time.Millisecond
 )
 
-// errNotAccepted is the error of a request that no scheduler accepted: no connection was established, or the instance was
-// out of rotation.
-var errNotAccepted = errors.New("not accepted")
-
 // front sends requests to one instance as the web server in front of it does, over as many connections as it needs.
 type front struct {
 	fleet    *Fleet
@@ -48,7 +45,7 @@
 // send sends a request, and returns at once.
 func (f *front) send(ctx context.Context, request fastcgi.Request) {
 	if f.instance.outOfRotation.Load() {
-		f.ended(fastcgi.Reply{}, errNotAccepted, 0)
+		f.ended(fastcgi.Reply{}, workload.ErrNotAccepted, 0)
 		return
 	}
 	f.wg.Go(func() {
@@ -126,11 +123,11 @@
 	f.putIdle(client)
 }
 
-// dial opens a connection to the instance. An error is errNotAccepted.
+// dial opens a connection to the instance. An error is ErrNotAccepted.
 func (f *front) dial(ctx context.Context) (*fastcgi.Client, error) {
 	client, err := fastcgi.Dial(ctx, f.instance.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotAccepted, err)
+		return nil, fmt.Errorf("%w: %w", workload.ErrNotAccepted, err)
 	}
 	return client, nil
 }
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/platform"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 const (
-	// maxMessagesPerSecond is the default of the operator's file for gossip.
-	maxMessagesPerSecond = 20
 	// reportLifetime is how long after a worker's recovery peers' reports of its fault may last.
 	reportLifetime = 10 * time.Second
 	// gossipSkew is how uneven the schedulers' fractions of the load are, so that some learn of a fault late by themselves.
@@ -48,7 +48,7 @@
 		Workers:   e.Workers,
 		Hostile:   e.Hostile,
 		Seconds:   e.Seconds,
-		Limit:     maxMessagesPerSecond,
+		Limit:     platform.MaxGossipMessagesPerSecond,
 	}
 	e.Silent = cmp.Or(e.Silent, max(1, e.Workers/12))
 	for _, run := range []struct {
@@ -166,7 +166,7 @@
 		defer close(faultEnded)
 		run.playFault(ctx, duration)
 	}()
-	load := fleet.Offer(ctx, Load{Rate: e.Rate, Functions: functionsFor(e.Workers), Skew: gossipSkew, Seed: e.Seed})
+	load := fleet.Offer(ctx, workload.Load{Rate: e.Rate, Functions: workload.FunctionsFor(e.Workers), Skew: gossipSkew, Seed: e.Seed})
 	<-faultEnded
 	metrics := gossipMetrics{load: load}
 	metrics.countArrivals(run)
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -9,6 +9,7 @@
 	"calicohill/internal/testbed/fault"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 // gossipRun is a run of a GossipExperiment with one fleet.
@@ -82,7 +83,7 @@
 
 // gossipMetrics is what a run measured.
 type gossipMetrics struct {
-	load            LoadResult
+	load            workload.Result
 	lost            int     // requests to unresponsive workers
 	detectionMillis float64 // until the last request to an unresponsive worker, the median over these workers
 	messages        float64 // a second, sent by the worst instance
--- a/internal/testbed/instance.go
+++ b/internal/testbed/instance.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"calicohill/internal/fleet/pki"
+	"calicohill/internal/testbed/platform"
 )
 
 const (
@@ -73,14 +74,14 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(SchedulerConfig{
+	text, err := json.Marshal(platform.Config{
 		Bulletin: listAddress,
 		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
-		Limits:   SchedulerLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Limits:   platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Listen:   in.Addr,
 		Name:     in.Name,
 		Seed:     fmt.Sprintf("%016x", rank+1),
-		Settings: fleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
+		Settings: platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
 	})
 	if err != nil {
 		return err
@@ -162,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	var config SchedulerConfig
+	var config platform.Config
 	if err := json.Unmarshal(text, &config); err != nil {
 		return err
 	}
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/workload"
 )
 
 const (
@@ -36,7 +37,7 @@
 // ruleViolations checks what a fleet did against the rules: nothing new to a worker later than 1 s after its scheduler
 // was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming
 // up, a response to each request.
-func (f *Fleet) ruleViolations(load LoadResult, slack time.Duration) []string {
+func (f *Fleet) ruleViolations(load workload.Result, slack time.Duration) []string {
 	checker := &ruleChecker{
 		fleet:      f,
 		slack:      slack,
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -10,6 +10,7 @@
 
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/rules/match"
+	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
 )
 
@@ -170,7 +171,7 @@
 	}
 	defer fleet.closeAndRemove()
 	load := e.load()
-	offerFor := func(duration time.Duration) LoadResult {
+	offerFor := func(duration time.Duration) workload.Result {
 		ctx, cancel := context.WithTimeout(ctx, duration)
 		defer cancel()
 		return fleet.Offer(ctx, load)
@@ -223,7 +224,7 @@
 }
 
 // load returns a load whose requests carry the parameter that the rules look at.
-func (e MatchExperiment) load() Load {
+func (e MatchExperiment) load() workload.Load {
 	value := matchParameterValue
 	nearMisses := 0
 	if e.Hostile {
@@ -236,5 +237,5 @@
 			request.Params = append(request.Params, fastcgi.Param{Name: fmt.Sprintf("HTTP_X_CENTR%d", i), Value: value[:100]})
 		}
 	}
-	return Load{Rate: e.Rate, Functions: matchFunctions, Seed: e.Seed, Modify: addParameters}
+	return workload.Load{Rate: e.Rate, Functions: matchFunctions, Seed: e.Seed, Modify: addParameters}
 }
--- a/internal/testbed/schedulerconfig.go
+++ b/internal/testbed/platform/config.go
@@ -1,39 +1,40 @@
-package testbed
+// Package platform has the files that the platform writes for a scheduler: its configuration and the settings in it.
+package platform
 
 import (
 	"encoding/json"
 	"fmt"
 )
 
-// SchedulerConfig is the configuration file that the platform writes for a scheduler.
-type SchedulerConfig struct {
+// Config is the configuration file that the platform writes for a scheduler.
+type Config struct {
 	Bulletin string          `json:"bulletin"` // address of the list service
 	Known    json.RawMessage `json:"known"`    // endpoint list at the start, as EndpointFeed returns it
-	Limits   SchedulerLimits `json:"limits"`
+	Limits   Limits          `json:"limits"`
 	Listen   string          `json:"listen"` // address for the front
 	Name     string          `json:"name"`
 	Seed     string          `json:"seed"`     // 16 hexadecimal digits
-	Settings json.RawMessage `json:"settings"` // as PlatformSettings.JSON returns it
+	Settings json.RawMessage `json:"settings"` // as Settings.JSON returns it
 }
 
-// SchedulerLimits is what the platform lets a scheduler use.
-type SchedulerLimits struct {
+// Limits is what the platform lets a scheduler use.
+type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// PlatformSettings is the platform's settings of a scheduler, as far as they differ between the schedulers of the testbed
+// Settings is the platform's settings of a scheduler, as far as they differ between the schedulers of the testbed
 // and of the program's tests.
-type PlatformSettings struct {
+type Settings struct {
 	Schedulers         int // number of schedulers
 	Rank               int // of this scheduler among them
 	IdleCloseMillis    int // idle time after which a connection to a worker is closed
 	InstanceIdleMillis int // idle time after which a worker unloads an instance of a function
 }
 
-// platformSettingsFormat is the text of PlatformSettings, with a verb for each of its fields in their order.
-const platformSettingsFormat = `{"balancers":%d,"rank":%d,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
+// settingsFormat is the text of Settings, with a verb for each of its fields in their order.
+const settingsFormat = `{"balancers":%d,"rank":%d,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
  "ceilings":{"attemptsCap":4,"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterMs":500,
   "multiplex":100,"idleCloseMs":%d,"connectTimeoutMs":250},
  "classes":[
@@ -46,14 +47,17 @@
  "safety":{"answerSlackMs":16,"coldMs":17000,"coldShare":0.25,"overloadForMs":2000,"stopSendingWithinMs":1000,
   "tipMultiple":3}}`
 
-// JSON returns the settings as the settings object of a SchedulerConfig.
-func (s PlatformSettings) JSON() []byte {
-	return fmt.Appendf(nil, platformSettingsFormat, s.Schedulers, s.Rank, s.IdleCloseMillis, s.InstanceIdleMillis)
+// JSON returns the settings as the settings object of a Config.
+func (s Settings) JSON() []byte {
+	return fmt.Appendf(nil, settingsFormat, s.Schedulers, s.Rank, s.IdleCloseMillis, s.InstanceIdleMillis)
 }
 
-// fleetSettings returns the platform's settings of a scheduler of a fleet, real or virtual.
-func fleetSettings(schedulers, rank int) PlatformSettings {
-	return PlatformSettings{
+// MaxGossipMessagesPerSecond is how many messages a member sends at most, by the default of the operator's file.
+const MaxGossipMessagesPerSecond = 20
+
+// FleetSettings returns the platform's settings of a scheduler of a fleet, real or virtual.
+func FleetSettings(schedulers, rank int) Settings {
+	return Settings{
 		Schedulers:         schedulers,
 		Rank:               rank,
 		IdleCloseMillis:    15_000,
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -9,7 +9,9 @@
 
 	"calicohill/internal/config/deployment"
 	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/testbed/platform"
 	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
 )
 
@@ -92,15 +94,15 @@
 
 // addSchedulers starts the schedulers and their clients.
 func (f *virtualFleet) addSchedulers() error {
-	site, err := deployment.Parse(fleetSettings(f.Schedulers, 0).JSON())
+	site, err := deployment.Parse(platform.FleetSettings(f.Schedulers, 0).JSON())
 	if err != nil {
 		return err
 	}
 	f.settings = site.Settings
-	load := Load{Skew: f.Skew}
+	load := workload.Load{Skew: f.Skew}
 	total := 0.0
 	for i := range f.Schedulers {
-		total += load.weight(i)
+		total += load.Weight(i)
 	}
 	for i := range f.Schedulers {
 		scheduler := &virtualScheduler{virtualFleet: f, index: i}
@@ -112,14 +114,11 @@
 			f.schedule(f.duration()/2, func() { f.failed = errors.Join(f.failed, scheduler.start()) })
 		}
 		rng := rand.New(rand.NewPCG(f.Seed, uint64(i)))
-		scheduler.offerLoad(rng, f.Rate*load.weight(i)/total, functionsFor(f.Workers))
+		scheduler.offerLoad(rng, f.Rate*load.Weight(i)/total, workload.FunctionsFor(f.Workers))
 	}
 	return nil
 }
 
-// functionsFor returns how many functions the clients of so many workers call.
-func functionsFor(workers int) int { return 3 * workers / 2 }
-
 // restartWorkers restarts some workers, and notifies the schedulers.
 func (f *virtualFleet) restartWorkers() {
 	restarted := int(f.RestartedFraction * float64(f.Workers))
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -8,6 +8,7 @@
 
 	"calicohill/internal/fleet/gossip"
 	"calicohill/internal/testbed/gossipsim"
+	"calicohill/internal/testbed/platform"
 )
 
 // The course of a gossip simulation.
@@ -42,7 +43,7 @@
 		ProbeInterval:        time.Second,
 		ProbeTimeout:         300 * time.Millisecond,
 		SuspicionTimeout:     5 * time.Second,
-		MaxMessagesPerSecond: maxMessagesPerSecond,
+		MaxMessagesPerSecond: platform.MaxGossipMessagesPerSecond,
 		MaxMembers:           maxVirtualMembers,
 	})
 	for _, node := range net.Nodes {
--- a/internal/testbed/virtualscheduler.go
+++ b/internal/testbed/virtualscheduler.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
 )
 
@@ -40,18 +41,18 @@
 
 // offerLoad has clients send requests to the scheduler for as long as the experiment lasts.
 func (s *virtualScheduler) offerLoad(rng *rand.Rand, rate float64, functions int) {
-	zipf := newFunctionDistribution(rng, functions)
+	zipf := workload.NewFunctionDistribution(rng, functions)
 	pause := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
 	number := 0
 	var next func()
 	next = func() {
 		number++
-		class := pickClass(rng.Float64())
-		function := functionName(zipf)
+		class := workload.PickClass(rng.Float64())
+		function := workload.FunctionName(zipf)
 		id := fmt.Sprintf("%d-%d", s.index, number)
 		s.inFlight[id] = &virtualRequest{function: function, arrivedAt: s.now}
 		s.offered[s.secondOf(s.now)]++
-		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: requestTimeout, Concurrency: 4})
+		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: workload.RequestTimeout, Concurrency: 4})
 		s.schedule(pause(), next)
 	}
 	s.schedule(pause(), next)
