--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/report"
 
 	"github.com/spf13/cobra"
 )
@@ -118,5 +119,5 @@
 		return err
 	}
 	polls := testbed.SimulatePolls([]int{o.experiment.Instances}, o.experiment.Seed)
-	return printReport(cmd.OutOrStdout(), o.asJSON, testbed.VirtualColdStartResult{List: polls, Workers: workers})
+	return printReport(cmd.OutOrStdout(), o.asJSON, report.VirtualColdStartResult{List: polls, Workers: workers})
 }
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -4,6 +4,7 @@
 	"errors"
 
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/report"
 
 	"github.com/spf13/cobra"
 )
@@ -87,7 +88,7 @@
 	}
 	result := testbed.SimulateGossip(append(sizes, o.experiment.Instances), o.experiment.Seed)
 	if o.plotPath != "" {
-		if err := testbed.PlotVirtualGossip(result, o.plotPath); err != nil {
+		if err := report.PlotVirtualGossip(result, o.plotPath); err != nil {
 			return err
 		}
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -12,6 +12,7 @@
 	"syscall"
 
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/report"
 
 	"github.com/spf13/cobra"
 )
@@ -44,10 +45,10 @@
 }
 
 // printReport prints a report, as one line or indented.
-func printReport(out io.Writer, oneLine bool, report testbed.Report) error {
+func printReport(out io.Writer, oneLine bool, result report.Report) error {
 	encoder := json.NewEncoder(out)
 	if !oneLine {
 		encoder.SetIndent("", "  ")
 	}
-	return encoder.Encode(report)
+	return encoder.Encode(result)
 }
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -7,6 +7,7 @@
 
 	"calicohill/internal/discovery/pollplan"
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 
 	"pgregory.net/rapid"
@@ -53,16 +54,16 @@
 		for seed := range uint64(5) {
 			fleet := testbed.NewPollSimulation(fleetSize, time.Second, seed, true)
 			fleet.Run(10 * time.Second)
-			if got := testbed.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
+			if got := report.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
 				t.Errorf("start, seed %d: %d polls within 100 ms", seed, got)
 			}
 			at := fleet.Now
 			tt.do(fleet)
 			fleet.Run(30 * time.Second)
-			if got := testbed.PeakPer100ms(fleet.Polls, at); got > tt.bound {
+			if got := report.PeakPer100ms(fleet.Polls, at); got > tt.bound {
 				t.Errorf("%s, seed %d: %d polls within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
-			if got := testbed.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
+			if got := report.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
 				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
 		}
@@ -97,10 +98,10 @@
 	fleet.Publish()
 	at := fleet.Now
 	fleet.Run(10 * time.Second)
-	if got := testbed.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
+	if got := report.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
 		t.Errorf("%d of %d poll within 100 ms after an event", got, fleetSize)
 	}
-	if got := testbed.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
+	if got := report.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
 		t.Errorf("%d poll within 100 ms a second after an event, even are %d", got, evenPeak)
 	}
 }
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/wait"
 	"calicohill/internal/testbed/workload"
 )
@@ -59,8 +60,8 @@
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
-func (e ColdStartExperiment) Run(ctx context.Context) (ColdStartResult, error) {
-	var result ColdStartResult
+func (e ColdStartExperiment) Run(ctx context.Context) (report.ColdStartResult, error) {
+	var result report.ColdStartResult
 	if e.Baseline != "" {
 		earlier := e
 		earlier.Program = e.Baseline
@@ -107,8 +108,8 @@
 }
 
 // runProgram runs the experiment with one build.
-func (e ColdStartExperiment) runProgram(ctx context.Context, name string) (ColdStartMetrics, error) {
-	var metrics ColdStartMetrics
+func (e ColdStartExperiment) runProgram(ctx context.Context, name string) (report.ColdStartMetrics, error) {
+	var metrics report.ColdStartMetrics
 	fleet, err := e.fleet()
 	if err != nil {
 		return metrics, err
@@ -133,12 +134,12 @@
 	if end.err != nil {
 		return metrics, end.err
 	}
-	metrics.collect(fleet, began, end.lastStep)
-	metrics.setLoad(load)
+	collectMetrics(&metrics, fleet, began, end.lastStep)
+	setLoad(&metrics, load)
 	worstDelay := <-wakeDelay
 	metrics.Late = float64(worstDelay.Milliseconds())
 	metrics.RulesBroken = fleet.allViolations(load, worstDelay)
-	e.Progress(fmt.Sprintf("%-9s %s", name, metrics.summary()))
+	e.Progress(fmt.Sprintf("%-9s %s", name, metrics.Summary()))
 	return metrics, nil
 }
 
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -1,60 +1,55 @@
 package testbed
 
 import (
-	"fmt"
 	"time"
 
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/workload"
 )
 
-// summary describes the metrics in a sentence.
-func (m *ColdStartMetrics) summary() string {
-	return fmt.Sprintf("served %.4f of %d, at most %d polls and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
-		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
-}
-
 // setLoad fills in what became of the load.
-func (m *ColdStartMetrics) setLoad(load workload.Result) {
-	m.Served = load.ServedShare()
-	m.Requests = load.Offered
-	m.Lost = load.Lost
+func setLoad(metrics *report.ColdStartMetrics, load workload.Result) {
+	metrics.Served = load.ServedShare()
+	metrics.Requests = load.Offered
+	metrics.Lost = load.Lost
 }
 
-// collect fills in what reached the list service and the workers.
-func (m *ColdStartMetrics) collect(fleet *Fleet, began, lastStep time.Time) {
-	m.collectPolls(fleet, began, lastStep)
+// collectMetrics fills in what reached the list service and the workers.
+func collectMetrics(metrics *report.ColdStartMetrics, fleet *Fleet, began, lastStep time.Time) {
+	collectPolls(metrics, fleet, began, lastStep)
 	connects := offsets(fleet.List.AcceptedAt(), began)
-	m.ConnectsPeak = PeakPer100ms(connects, 0)
-	m.Connects = len(connects)
-	m.collectWorkers(fleet, began)
+	metrics.ConnectsPeak = report.PeakPer100ms(connects, 0)
+	metrics.Connects = len(connects)
+	collectWorkers(metrics, fleet, began)
 }
 
 // collectPolls fills in what reached the list service, and when each scheduler had the last event.
-func (m *ColdStartMetrics) collectPolls(fleet *Fleet, began, lastStep time.Time) {
+func collectPolls(metrics *report.ColdStartMetrics, fleet *Fleet, began, lastStep time.Time) {
 	schedulers := len(fleet.Instances)
 	polls := fleet.List.Polls()
 	listedAt := listedTimes(polls, len(fleet.List.PublishedAt()), lastStep)
+	var pollTimes []time.Duration
 	for _, poll := range polls {
-		m.pollTimes = append(m.pollTimes, poll.At.Sub(began))
-		m.Bytes += poll.Bytes
+		pollTimes = append(pollTimes, poll.At.Sub(began))
+		metrics.Bytes += poll.Bytes
 		at, ok := listedAt[poll.Scheduler]
 		if poll.At.After(lastStep) && (!ok || !poll.At.After(at)) {
-			m.PollsSent++
+			metrics.PollsSent++
 		}
 	}
 	for _, at := range listedAt {
-		m.AllListed = max(m.AllListed, float64(at.Sub(lastStep).Milliseconds()))
-		m.PollsNeeded += 1 + int(at.Sub(lastStep)/standin.MaxPollDuration)
+		metrics.AllListed = max(metrics.AllListed, float64(at.Sub(lastStep).Milliseconds()))
+		metrics.PollsNeeded += 1 + int(at.Sub(lastStep)/standin.MaxPollDuration)
 	}
 	if len(listedAt) < schedulers {
-		m.AllListed = -1
+		metrics.AllListed = -1
 	}
-	m.PollsPeak = PeakPer100ms(m.pollTimes, 0)
-	m.PollsEven = standin.EvenPollsPer100ms(schedulers)
-	m.Limit = float64(standin.PollPeriod.Milliseconds())
+	metrics.RecordPolls(pollTimes)
+	metrics.PollsEven = standin.EvenPollsPer100ms(schedulers)
+	metrics.Limit = float64(standin.PollPeriod.Milliseconds())
 	if rate := fleet.List.AnswersPerSecond(); rate > 0 {
-		m.Limit = float64(schedulers) / rate * 1000
+		metrics.Limit = float64(schedulers) / rate * 1000
 	}
 }
 
@@ -82,25 +77,24 @@
 }
 
 // collectWorkers fills in what reached the workers.
-func (m *ColdStartMetrics) collectWorkers(fleet *Fleet, began time.Time) {
+func collectWorkers(metrics *report.ColdStartMetrics, fleet *Fleet, began time.Time) {
 	handshakes := 0
 	pairs := 0 // of a scheduler and a worker that it sent anything
 	for _, worker := range fleet.Workers {
 		connects := offsets(worker.AcceptedAt(), began)
-		m.agentConnectTimes = append(m.agentConnectTimes, connects...)
-		m.AgentConnects = max(m.AgentConnects, PeakPer100ms(connects, 0))
+		metrics.RecordAgentConnects(connects)
 		handshakes += len(connects)
 		if !worker.CrashedAt().IsZero() {
-			m.Crashed++
+			metrics.Crashed++
 		}
 		refused, peakLoad := worker.Overload()
-		m.RefusedConnections += refused
-		m.PeakWarmUpLoadShare = max(m.PeakWarmUpLoadShare, peakLoad)
+		metrics.RefusedConnections += refused
+		metrics.PeakWarmUpLoadShare = max(metrics.PeakWarmUpLoadShare, peakLoad)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
 			schedulers[arrival.From] = true
 			if arrival.Load {
-				m.Loads++
+				metrics.Loads++
 			}
 		}
 		pairs += len(schedulers)
@@ -110,9 +104,9 @@
 		starts += instance.Count(logSchedulerStarted)
 	}
 	schedulers := float64(len(fleet.Instances))
-	m.Handshakes = float64(handshakes) / float64(max(starts, 1))
-	m.PreferredWorkers = float64(countPreferredPairs(fleet.Workers)) / schedulers
-	m.Workers = float64(pairs) / schedulers
+	metrics.Handshakes = float64(handshakes) / float64(max(starts, 1))
+	metrics.PreferredWorkers = float64(countPreferredPairs(fleet.Workers)) / schedulers
+	metrics.Workers = float64(pairs) / schedulers
 }
 
 // countPreferredPairs counts the pairs of a scheduler and a worker that follow from the preferred workers which all
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -11,6 +11,7 @@
 
 	"calicohill/internal/testbed/fault"
 	"calicohill/internal/testbed/platform"
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
 	"calicohill/internal/testbed/workload"
@@ -42,8 +43,8 @@
 }
 
 // Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
-func (e GossipExperiment) Run(ctx context.Context) (GossipResult, error) {
-	result := GossipResult{
+func (e GossipExperiment) Run(ctx context.Context) (report.GossipResult, error) {
+	result := report.GossipResult{
 		Instances: e.Instances,
 		Workers:   e.Workers,
 		Hostile:   e.Hostile,
@@ -55,11 +56,11 @@
 		name      string
 		sharing   bool
 		byzantine int
-		keep      func(*GossipResult, gossipMetrics)
+		keep      func(*report.GossipResult, gossipMetrics)
 	}{
-		{"alone", false, 0, (*GossipResult).setAlone},
-		{"shared", true, 0, (*GossipResult).setHonest},
-		{"shared, with liars", true, e.Hostile, (*GossipResult).setByzantine},
+		{"alone", false, 0, setAlone},
+		{"shared", true, 0, setHonest},
+		{"shared, with liars", true, e.Hostile, setByzantine},
 	} {
 		metrics, err := e.runOnce(ctx, run.sharing, run.byzantine)
 		if err != nil {
@@ -82,34 +83,34 @@
 }
 
 // setAlone keeps what the fleet without gossip gave.
-func (r *GossipResult) setAlone(metrics gossipMetrics) {
-	r.ServedAlone = metrics.load.ServedShare()
-	r.LostAlone = metrics.lost
-	r.NoticeAlone = metrics.detectionMillis
+func setAlone(result *report.GossipResult, metrics gossipMetrics) {
+	result.ServedAlone = metrics.load.ServedShare()
+	result.LostAlone = metrics.lost
+	result.NoticeAlone = metrics.detectionMillis
 }
 
 // setHonest keeps what the fleet with gossip and without byzantine members gave.
-func (r *GossipResult) setHonest(metrics gossipMetrics) {
-	r.ServedHonest = metrics.load.ServedShare()
-	r.LostHonest = metrics.lost
-	r.setTraffic(metrics)
+func setHonest(result *report.GossipResult, metrics gossipMetrics) {
+	result.ServedHonest = metrics.load.ServedShare()
+	result.LostHonest = metrics.lost
+	setTraffic(result, metrics)
 }
 
 // setByzantine keeps what the fleet with byzantine members gave.
-func (r *GossipResult) setByzantine(metrics gossipMetrics) {
-	r.Served = metrics.load.ServedShare()
-	r.Lost = metrics.lost
-	r.WronglyEjected = metrics.wronglyEjected
-	r.PeersIgnored = metrics.ignoredPeers
-	r.setTraffic(metrics)
+func setByzantine(result *report.GossipResult, metrics gossipMetrics) {
+	result.Served = metrics.load.ServedShare()
+	result.Lost = metrics.lost
+	result.WronglyEjected = metrics.wronglyEjected
+	result.PeersIgnored = metrics.ignoredPeers
+	setTraffic(result, metrics)
 }
 
 // setTraffic keeps the worst traffic of all runs with gossip, and how soon the last of them noticed the fault.
-func (r *GossipResult) setTraffic(metrics gossipMetrics) {
-	r.Messages = max(r.Messages, metrics.messages)
-	r.Bytes = max(r.Bytes, metrics.bytes)
-	r.Peak = max(r.Peak, metrics.peak)
-	r.Notice = metrics.detectionMillis
+func setTraffic(result *report.GossipResult, metrics gossipMetrics) {
+	result.Messages = max(result.Messages, metrics.messages)
+	result.Bytes = max(result.Bytes, metrics.bytes)
+	result.Peak = max(result.Peak, metrics.peak)
+	result.Notice = metrics.detectionMillis
 }
 
 // fleet prepares and starts the schedulers of a run. The caller ends it with closeAndRemove.
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -10,6 +10,7 @@
 
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/rules/match"
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
 )
@@ -96,8 +97,8 @@
 }
 
 // Run runs the experiment.
-func (e MatchExperiment) Run(ctx context.Context) (MatchResult, error) {
-	result := MatchResult{Rules: e.Rules, Rate: e.Rate, Hostile: e.Hostile}
+func (e MatchExperiment) Run(ctx context.Context) (report.MatchResult, error) {
+	result := report.MatchResult{Rules: e.Rules, Rate: e.Rate, Hostile: e.Hostile}
 	medians := map[int]float64{}
 	for _, rules := range []int{1, 10, 100, 1000, 10000} {
 		size, err := measureEvaluations(rules)
@@ -131,14 +132,14 @@
 }
 
 // measureEvaluations measures evaluations by themselves.
-func measureEvaluations(rules int) (MatchSize, error) {
+func measureEvaluations(rules int) (report.MatchSize, error) {
 	classes := []match.Class{{Name: "consulta", Idempotency: routing.Idempotent}}
 	began := time.Now()
 	table, faults := match.Load(generateRules(rules), classes)
 	if table == nil {
-		return MatchSize{}, fmt.Errorf("rules: %v", faults)
+		return report.MatchSize{}, fmt.Errorf("rules: %v", faults)
 	}
-	size := MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
+	size := report.MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
 		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: [][]string{{matchParameterValue}},
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/pollexperiment.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 )
 
@@ -16,7 +17,7 @@
 )
 
 // SimulatePolls plays the faults of a list service with fleets of these sizes.
-func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
+func SimulatePolls(sizes []int, seed uint64) []report.VirtualPollResult {
 	withFault := func(fault standin.ListFault) func(*PollSimulation) {
 		return func(sim *PollSimulation) {
 			sim.SetFault(fault)
@@ -31,19 +32,19 @@
 		"broken":        (*PollSimulation).BreakConnections,
 		"event":         (*PollSimulation).Publish,
 	}
-	var results []VirtualPollResult
+	var results []report.VirtualPollResult
 	for _, size := range sizes {
 		result := simulateRateLimited(size, seed)
 		start := NewPollSimulation(size, time.Second, seed, true)
 		start.Run(simulatedWarmUp)
-		result.Peaks["start"] = PeakPer100ms(start.Polls, 0)
+		result.Peaks["start"] = report.PeakPer100ms(start.Polls, 0)
 		for name, disturb := range disturbances {
 			sim := NewPollSimulation(size, time.Second, seed, true)
 			sim.Run(simulatedWarmUp)
 			from := sim.Now
 			disturb(sim)
 			sim.Run(simulatedRecovery)
-			result.Peaks[name] = PeakPer100ms(sim.Polls, from)
+			result.Peaks[name] = report.PeakPer100ms(sim.Polls, from)
 		}
 		results = append(results, result)
 	}
@@ -52,8 +53,8 @@
 
 // simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a PollPeriod, and
 // has an update for all.
-func simulateRateLimited(size int, seed uint64) VirtualPollResult {
-	result := VirtualPollResult{
+func simulateRateLimited(size int, seed uint64) report.VirtualPollResult {
+	result := report.VirtualPollResult{
 		Schedulers:  size,
 		EvenPeak:    standin.EvenPollsPer100ms(size),
 		Peaks:       map[string]int{},
--- a/internal/testbed/plot.go
+++ b/internal/testbed/report/plot.go
@@ -1,4 +1,4 @@
-package testbed
+package report
 
 import (
 	"fmt"
--- a/internal/testbed/report.go
+++ b/internal/testbed/report/report.go
@@ -1,6 +1,10 @@
-package testbed
+// Package report has what the experiments of the testbed measured, as the command testbed prints and plots it.
+package report
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // Report is what an experiment measured, as the command testbed prints it in JSON: a GossipResult, VirtualGossipResult,
 // ColdStartResult, VirtualColdStartResult or MatchResult.
@@ -95,6 +99,24 @@
 	agentConnectTimes []time.Duration
 }
 
+// Summary describes the metrics in a sentence.
+func (m *ColdStartMetrics) Summary() string {
+	return fmt.Sprintf("served %.4f of %d, at most %d polls and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
+		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
+}
+
+// RecordPolls records when polls reached the list service, counted from the beginning.
+func (m *ColdStartMetrics) RecordPolls(times []time.Duration) {
+	m.pollTimes = times
+	m.PollsPeak = PeakPer100ms(times, 0)
+}
+
+// RecordAgentConnects records when connections to one more worker were established, counted from the beginning.
+func (m *ColdStartMetrics) RecordAgentConnects(times []time.Duration) {
+	m.agentConnectTimes = append(m.agentConnectTimes, times...)
+	m.AgentConnects = max(m.AgentConnects, PeakPer100ms(times, 0))
+}
+
 // VirtualColdStartResult is what the planners of polls and the Routers of a fleet did in virtual time.
 type VirtualColdStartResult struct {
 	List    []VirtualPollResult       `json:"list_service"`
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtualfleet.go
@@ -10,6 +10,7 @@
 	"calicohill/internal/config/deployment"
 	"calicohill/internal/runtime/deadline"
 	"calicohill/internal/testbed/platform"
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
@@ -42,14 +43,14 @@
 	workers    map[string]*virtualWorker
 	schedulers []*virtualScheduler
 
-	metrics VirtualMetrics
+	metrics report.VirtualMetrics
 	offered []int // requests by second of their arrival
 	served  []int // of these
 	failed  error // of schedulers that did not restart
 }
 
 // Run runs the experiment. An error is one of the settings.
-func (e VirtualExperiment) Run() (VirtualMetrics, error) {
+func (e VirtualExperiment) Run() (report.VirtualMetrics, error) {
 	fleet := &virtualFleet{
 		VirtualExperiment: e,
 		now:               time.Hour,
@@ -57,7 +58,7 @@
 		profile:           standin.WorkerProfiles[e.Profile],
 		list:              routing.WorkerList{Kind: routing.ListFull},
 		workers:           map[string]*virtualWorker{},
-		metrics:           VirtualMetrics{Schedulers: e.Schedulers, Workers: e.Workers},
+		metrics:           report.VirtualMetrics{Schedulers: e.Schedulers, Workers: e.Workers},
 		offered:           make([]int, e.Seconds+1),
 		served:            make([]int, e.Seconds+1),
 	}
@@ -157,7 +158,7 @@
 	handshakes := 0
 	for _, worker := range f.workers {
 		handshakes += len(worker.connectedAt)
-		f.metrics.ConnectsPeak = max(f.metrics.ConnectsPeak, PeakPer100ms(worker.connectedAt, 0))
+		f.metrics.ConnectsPeak = max(f.metrics.ConnectsPeak, report.PeakPer100ms(worker.connectedAt, 0))
 		if worker.crashed {
 			f.metrics.Crashed++
 		}
@@ -177,7 +178,7 @@
 
 // SimulateWorkers plays starts of fleets in virtual time: workers that are warm, and that are warming up, with schedulers
 // that learned nothing yet, and with seven in ten of them killed at half time. Workers grow in number with the load.
-func SimulateWorkers(schedulers, workers int, seed uint64) (map[string]VirtualMetrics, error) {
+func SimulateWorkers(schedulers, workers int, seed uint64) (map[string]report.VirtualMetrics, error) {
 	const (
 		seconds       = 16
 		ratePerWorker = 8 // requests a second: a third of what a worker can do
@@ -190,7 +191,7 @@
 		"reborn":      {RestartedFraction: 0.6},
 	}
 	var mu sync.Mutex // guards all and failed
-	all := map[string]VirtualMetrics{}
+	all := map[string]report.VirtualMetrics{}
 	var failed error
 	var wg sync.WaitGroup
 	for name, experiment := range experiments {
--- a/internal/testbed/virtualgossip.go
+++ b/internal/testbed/virtualgossip.go
@@ -9,6 +9,7 @@
 	"calicohill/internal/fleet/gossip"
 	"calicohill/internal/testbed/gossipsim"
 	"calicohill/internal/testbed/platform"
+	"calicohill/internal/testbed/report"
 )
 
 // The course of a gossip simulation.
@@ -22,9 +23,9 @@
 )
 
 // SimulateGossip plays fleets of these sizes: half a minute of nothing, then some deaths, then a statement.
-func SimulateGossip(sizes []int, seed uint64) VirtualGossipResult {
+func SimulateGossip(sizes []int, seed uint64) report.VirtualGossipResult {
 	began := time.Now()
-	var result VirtualGossipResult
+	var result report.VirtualGossipResult
 	for _, size := range sizes {
 		result.Sizes = append(result.Sizes, simulateGossip(size, seed))
 	}
@@ -36,8 +37,8 @@
 }
 
 // simulateGossip plays a fleet of one size.
-func simulateGossip(instances int, seed uint64) VirtualGossipSize {
-	size := VirtualGossipSize{Instances: instances}
+func simulateGossip(instances int, seed uint64) report.VirtualGossipSize {
+	size := report.VirtualGossipSize{Instances: instances}
 	before := heapBytes()
 	net := gossipsim.New(instances, seed, gossip.Config{
 		ProbeInterval:        time.Second,
