--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -10,6 +10,7 @@
 
 	"calicohill/internal/testbed"
 	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/virtual"
 
 	"github.com/spf13/cobra"
 )
@@ -114,10 +115,10 @@
 
 // runVirtual runs the simulations of the planners and the Routers.
 func (o *coldstartOptions) runVirtual(cmd *cobra.Command) error {
-	workers, err := testbed.SimulateWorkers(o.experiment.Instances, o.experiment.Workers, o.experiment.Seed)
+	workers, err := virtual.SimulateWorkers(o.experiment.Instances, o.experiment.Workers, o.experiment.Seed)
 	if err != nil {
 		return err
 	}
-	polls := testbed.SimulatePolls([]int{o.experiment.Instances}, o.experiment.Seed)
+	polls := virtual.SimulatePolls([]int{o.experiment.Instances}, o.experiment.Seed)
 	return printReport(cmd.OutOrStdout(), o.asJSON, report.VirtualColdStartResult{List: polls, Workers: workers})
 }
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -5,6 +5,7 @@
 
 	"calicohill/internal/testbed"
 	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/virtual"
 
 	"github.com/spf13/cobra"
 )
@@ -86,7 +87,7 @@
 			sizes = append(sizes, size)
 		}
 	}
-	result := testbed.SimulateGossip(append(sizes, o.experiment.Instances), o.experiment.Seed)
+	result := virtual.SimulateGossip(append(sizes, o.experiment.Instances), o.experiment.Seed)
 	if o.plotPath != "" {
 		if err := report.PlotVirtualGossip(result, o.plotPath); err != nil {
 			return err
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"calicohill/internal/discovery/pollplan"
-	"calicohill/internal/testbed"
 	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/virtual"
 
 	"pgregory.net/rapid"
 )
@@ -26,33 +26,33 @@
 	for _, tt := range []struct {
 		name  string
 		bound int
-		do    func(*testbed.PollSimulation)
+		do    func(*virtual.PollSimulation)
 	}{
-		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+		{"refused for 8 s", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
 			fleet.SetFault(standin.ListRefusing)
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
 		}},
-		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+		{"busy for 8 s", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
 			fleet.SetFault(standin.ListOverloaded)
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
 		}},
 		// Answered all at once, they have to poll again within the second that a drain allows.
-		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.PollSimulation) {
+		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *virtual.PollSimulation) {
 			fleet.SetFault(standin.ListUnresponsive)
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
 		}},
-		{"broken", 2 * evenPeak, (*testbed.PollSimulation).BreakConnections},
-		{"broken twice", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+		{"broken", 2 * evenPeak, (*virtual.PollSimulation).BreakConnections},
+		{"broken twice", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
 			fleet.BreakConnections()
 			fleet.Run(time.Second)
 			fleet.BreakConnections()
 		}},
 	} {
 		for seed := range uint64(5) {
-			fleet := testbed.NewPollSimulation(fleetSize, time.Second, seed, true)
+			fleet := virtual.NewPollSimulation(fleetSize, time.Second, seed, true)
 			fleet.Run(10 * time.Second)
 			if got := report.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
 				t.Errorf("start, seed %d: %d polls within 100 ms", seed, got)
@@ -75,7 +75,7 @@
 func TestHealthyServiceUpdatesInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
-			fleet := testbed.NewPollSimulation(300, grace, seed, true)
+			fleet := virtual.NewPollSimulation(300, grace, seed, true)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 20 {
 				fleet.Publish()
@@ -93,7 +93,7 @@
 
 // An event answers all polls at once. The polls after it are spread, and soon no schedulers are synchronized.
 func TestNotSynchronizedAfterUpdate(t *testing.T) {
-	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
+	fleet := virtual.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.Run(10 * time.Second)
 	fleet.Publish()
 	at := fleet.Now
@@ -109,7 +109,7 @@
 // With a service that answers a tenth of what the fleet polls in its 2 s, all schedulers have the list after 1.3 times the
 // least possible time, and all together make at most 1.2 times the polls that the protocol's 7 s require.
 func TestRateLimitedService(t *testing.T) {
-	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
+	fleet := virtual.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.SetFault(standin.ListRateLimited)
 	fleet.Queue.AnswersPerSecond = fleetSize / 20.
 	fleet.Queue.LastEvent = 2
@@ -136,7 +136,7 @@
 // Alone before a healthy service a scheduler polls as soon as it can: at the start, after each response, after its
 // connection broke.
 func TestLoneSchedulerPollsAtOnce(t *testing.T) {
-	fleet := testbed.NewPollSimulation(1, time.Second, 1, true)
+	fleet := virtual.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
 	fleet.Run(time.Second)
 	fleet.Publish()
@@ -209,7 +209,7 @@
 func TestAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
-		fleet := testbed.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
+		fleet := virtual.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(rt, "do"); do {
 			case "break":
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -134,7 +134,7 @@
 	Needed          int            `json:"crowded_polls_needed"`
 }
 
-// VirtualMetrics is what a VirtualExperiment measured.
+// VirtualMetrics is what a Experiment measured.
 type VirtualMetrics struct {
 	Schedulers     int       `json:"schedulers"`
 	Workers        int       `json:"workers"`
--- a/internal/testbed/virtualfleet.go
+++ b/internal/testbed/virtual/experiment.go
@@ -1,4 +1,6 @@
-package testbed
+// Package virtual plays fleets of schedulers in virtual time: their Routers in front of workers (Experiment), their poll
+// planners in front of a list service (PollSimulation) and their membership (SimulateGossip).
+package virtual
 
 import (
 	"errors"
@@ -16,8 +18,8 @@
 	"calicohill/routing"
 )
 
-// VirtualExperiment is schedulers in front of workers in virtual time: the Routers, and nothing else of a scheduler.
-type VirtualExperiment struct {
+// Experiment is schedulers in front of workers in virtual time: the Routers, and nothing else of a scheduler.
+type Experiment struct {
 	Schedulers        int
 	Workers           int
 	Profile           string  // of the workers, by name
@@ -30,9 +32,9 @@
 	Seed              uint64
 }
 
-// virtualFleet is the state of a VirtualExperiment that runs.
-type virtualFleet struct {
-	VirtualExperiment
+// fleet is the state of a Experiment that runs.
+type fleet struct {
+	Experiment
 
 	now        time.Duration
 	startedAt  time.Duration
@@ -40,8 +42,8 @@
 	profile    standin.WorkerProfile
 	settings   routing.Settings
 	list       routing.WorkerList
-	workers    map[string]*virtualWorker
-	schedulers []*virtualScheduler
+	workers    map[string]*worker
+	schedulers []*scheduler
 
 	metrics report.VirtualMetrics
 	offered []int // requests by second of their arrival
@@ -50,17 +52,17 @@
 }
 
 // Run runs the experiment. An error is one of the settings.
-func (e VirtualExperiment) Run() (report.VirtualMetrics, error) {
-	fleet := &virtualFleet{
-		VirtualExperiment: e,
-		now:               time.Hour,
-		startedAt:         time.Hour,
-		profile:           standin.WorkerProfiles[e.Profile],
-		list:              routing.WorkerList{Kind: routing.ListFull},
-		workers:           map[string]*virtualWorker{},
-		metrics:           report.VirtualMetrics{Schedulers: e.Schedulers, Workers: e.Workers},
-		offered:           make([]int, e.Seconds+1),
-		served:            make([]int, e.Seconds+1),
+func (e Experiment) Run() (report.VirtualMetrics, error) {
+	fleet := &fleet{
+		Experiment: e,
+		now:        time.Hour,
+		startedAt:  time.Hour,
+		profile:    standin.WorkerProfiles[e.Profile],
+		list:       routing.WorkerList{Kind: routing.ListFull},
+		workers:    map[string]*worker{},
+		metrics:    report.VirtualMetrics{Schedulers: e.Schedulers, Workers: e.Workers},
+		offered:    make([]int, e.Seconds+1),
+		served:     make([]int, e.Seconds+1),
 	}
 	fleet.addWorkers()
 	if err := fleet.addSchedulers(); err != nil {
@@ -73,12 +75,12 @@
 }
 
 // duration returns how long the experiment lasts.
-func (f *virtualFleet) duration() time.Duration { return time.Duration(f.Seconds) * time.Second }
+func (f *fleet) duration() time.Duration { return time.Duration(f.Seconds) * time.Second }
 
 // addWorkers starts the workers.
-func (f *virtualFleet) addWorkers() {
+func (f *fleet) addWorkers() {
 	for i := range f.Workers {
-		worker := newVirtualWorker(f.profile)
+		worker := newWorker(f.profile)
 		if f.WarmingWorkers {
 			worker.startedAt = f.now
 		}
@@ -94,7 +96,7 @@
 }
 
 // addSchedulers starts the schedulers and their clients.
-func (f *virtualFleet) addSchedulers() error {
+func (f *fleet) addSchedulers() error {
 	site, err := deployment.Parse(platform.FleetSettings(f.Schedulers, 0).JSON())
 	if err != nil {
 		return err
@@ -106,7 +108,7 @@
 		total += load.Weight(i)
 	}
 	for i := range f.Schedulers {
-		scheduler := &virtualScheduler{virtualFleet: f, index: i}
+		scheduler := &scheduler{fleet: f, index: i}
 		f.schedulers = append(f.schedulers, scheduler)
 		if err := scheduler.start(); err != nil {
 			return err
@@ -121,12 +123,12 @@
 }
 
 // restartWorkers restarts some workers, and notifies the schedulers.
-func (f *virtualFleet) restartWorkers() {
+func (f *fleet) restartWorkers() {
 	restarted := int(f.RestartedFraction * float64(f.Workers))
 	for i := range f.list.Workers[:restarted] {
 		listed := &f.list.Workers[i]
 		listed.Started = f.now
-		worker := newVirtualWorker(f.profile)
+		worker := newWorker(f.profile)
 		worker.startedAt = f.now
 		worker.connectedAt = f.workers[listed.ID].connectedAt
 		f.workers[listed.ID] = worker
@@ -137,7 +139,7 @@
 }
 
 // play fires the timers until the end of the experiment.
-func (f *virtualFleet) play() {
+func (f *fleet) play() {
 	end := f.startedAt + f.duration()
 	for at, ok := f.timers.Next(); ok && at <= end; at, ok = f.timers.Next() {
 		f.now = at
@@ -146,7 +148,7 @@
 }
 
 // collect sums up what was measured.
-func (f *virtualFleet) collect() {
+func (f *fleet) collect() {
 	offered, served := 0, 0
 	for second := range f.Seconds {
 		offered += f.offered[second]
@@ -167,12 +169,12 @@
 }
 
 // schedule calls a function after a delay.
-func (f *virtualFleet) schedule(delay time.Duration, call func()) {
+func (f *fleet) schedule(delay time.Duration, call func()) {
 	f.timers.Set(&deadline.Timer{Fire: call}, f.now+delay)
 }
 
 // secondOf returns the second of the experiment that a time is in.
-func (f *virtualFleet) secondOf(at time.Duration) int {
+func (f *fleet) secondOf(at time.Duration) int {
 	return min(int((at-f.startedAt)/time.Second), len(f.offered)-1)
 }
 
@@ -183,7 +185,7 @@
 		seconds       = 16
 		ratePerWorker = 8 // requests a second: a third of what a worker can do
 	)
-	experiments := map[string]VirtualExperiment{
+	experiments := map[string]Experiment{
 		"warm":        {},
 		"cold":        {WarmingWorkers: true},
 		"killed":      {KilledFraction: 0.7},
--- a/internal/testbed/pollsim.go
+++ b/internal/testbed/virtual/pollsim.go
@@ -1,4 +1,4 @@
-package testbed
+package virtual
 
 import (
 	"slices"
@@ -20,7 +20,7 @@
 type PollSimulation struct {
 	Now        time.Duration
 	Queue      standin.PollQueue
-	Schedulers []*VirtualPoller
+	Schedulers []*Poller
 	Dials      []time.Duration // when connections were established
 	Polls      []time.Duration // when polls reached the service
 
@@ -28,8 +28,8 @@
 	answerTimer deadline.Timer
 }
 
-// VirtualPoller is one scheduler of a PollSimulation.
-type VirtualPoller struct {
+// Poller is one scheduler of a PollSimulation.
+type Poller struct {
 	LastEvent int             // number of its last event
 	UpdatedAt time.Duration   // when it had that
 	Polls     []time.Duration // when it sent its polls
@@ -46,7 +46,7 @@
 	sim := &PollSimulation{Now: time.Hour, Queue: standin.PollQueue{Fault: standin.ListHealthy, LastEvent: 1}}
 	sim.answerTimer.Fire = sim.answer
 	for i := range schedulers {
-		scheduler := &VirtualPoller{
+		scheduler := &Poller{
 			simulation:  sim,
 			planner:     pollplan.New(schedulers, drainGrace, seed<<20+uint64(i)),
 			connections: map[int]*standin.PendingPoll{},
@@ -117,7 +117,7 @@
 }
 
 // receive delivers a response with the events up to lastEvent, as the service's fault has it.
-func (p *VirtualPoller) receive(conn, lastEvent int) {
+func (p *Poller) receive(conn, lastEvent int) {
 	fault := p.simulation.Queue.Fault
 	p.simulation.After(networkDelay, func() {
 		if _, open := p.connections[conn]; !open {
@@ -142,7 +142,7 @@
 }
 
 // step passes events to the planner, carries out its actions and sets the timer for the next.
-func (p *VirtualPoller) step(events ...pollplan.Event) {
+func (p *Poller) step(events ...pollplan.Event) {
 	sim := p.simulation
 	for _, action := range slices.Clone(p.planner.Step(sim.Now, events...)) {
 		switch action := action.(type) {
@@ -165,7 +165,7 @@
 }
 
 // connect establishes a connection, or has it fail.
-func (p *VirtualPoller) connect(dial pollplan.Dial) {
+func (p *Poller) connect(dial pollplan.Dial) {
 	sim := p.simulation
 	if sim.Queue.Fault == standin.ListRefusing {
 		p.step(pollplan.Failed{Conn: dial.Conn})
@@ -177,7 +177,7 @@
 }
 
 // poll sends a poll.
-func (p *VirtualPoller) poll(action pollplan.Poll) {
+func (p *Poller) poll(action pollplan.Poll) {
 	sim := p.simulation
 	p.Polls = append(p.Polls, sim.Now)
 	poll := &standin.PendingPoll{
--- a/internal/testbed/virtualscheduler.go
+++ b/internal/testbed/virtual/scheduler.go
@@ -1,4 +1,4 @@
-package testbed
+package virtual
 
 import (
 	"fmt"
@@ -9,24 +9,24 @@
 	"calicohill/routing"
 )
 
-// virtualScheduler is a scheduler in virtual time.
-type virtualScheduler struct {
-	*virtualFleet
+// scheduler is a scheduler in virtual time.
+type scheduler struct {
+	*fleet
 	index       int
 	incarnation int // counts its starts
 	router      *routing.Router
-	inFlight    map[string]*virtualRequest // by the request's ID
+	inFlight    map[string]*request // by the request's ID
 }
 
-// virtualRequest is a request that is not answered yet.
-type virtualRequest struct {
+// request is a request that is not answered yet.
+type request struct {
 	function        string
 	arrivedAt       time.Duration
 	attemptInFlight []bool // by the attempt's number
 }
 
 // start starts the scheduler, or restarts it without what it learned.
-func (s *virtualScheduler) start() error {
+func (s *scheduler) start() error {
 	seed := s.Seed<<20 + uint64(s.index)<<1 + uint64(s.incarnation)
 	router, err := routing.New(s.settings, seed)
 	if err != nil {
@@ -34,13 +34,13 @@
 	}
 	s.incarnation++
 	s.router = router
-	s.inFlight = map[string]*virtualRequest{}
+	s.inFlight = map[string]*request{}
 	s.step(s.list)
 	return nil
 }
 
 // offerLoad has clients send requests to the scheduler for as long as the experiment lasts.
-func (s *virtualScheduler) offerLoad(rng *rand.Rand, rate float64, functions int) {
+func (s *scheduler) offerLoad(rng *rand.Rand, rate float64, functions int) {
 	zipf := workload.NewFunctionDistribution(rng, functions)
 	pause := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
 	number := 0
@@ -50,7 +50,7 @@
 		class := workload.PickClass(rng.Float64())
 		function := workload.FunctionName(zipf)
 		id := fmt.Sprintf("%d-%d", s.index, number)
-		s.inFlight[id] = &virtualRequest{function: function, arrivedAt: s.now}
+		s.inFlight[id] = &request{function: function, arrivedAt: s.now}
 		s.offered[s.secondOf(s.now)]++
 		s.step(routing.Request{ID: id, Class: class, Function: function, TimeLeft: workload.RequestTimeout, Concurrency: 4})
 		s.schedule(pause(), next)
@@ -59,14 +59,14 @@
 }
 
 // step passes events to the Router and carries out its actions.
-func (s *virtualScheduler) step(events ...routing.Event) {
+func (s *scheduler) step(events ...routing.Event) {
 	for _, action := range s.router.Step(s.now, events) {
 		s.perform(action)
 	}
 }
 
 // perform carries out an action of the Router.
-func (s *virtualScheduler) perform(action routing.Action) {
+func (s *scheduler) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.SetTimer:
 		wait := action.After
@@ -89,7 +89,7 @@
 }
 
 // whileRunning calls a function after a delay, unless the scheduler was restarted meanwhile.
-func (s *virtualScheduler) whileRunning(delay time.Duration, call func()) {
+func (s *scheduler) whileRunning(delay time.Duration, call func()) {
 	incarnation := s.incarnation
 	s.schedule(delay, func() {
 		if s.incarnation == incarnation {
@@ -99,7 +99,7 @@
 }
 
 // send sends an attempt to its worker.
-func (s *virtualScheduler) send(action routing.Send) {
+func (s *scheduler) send(action routing.Send) {
 	request := s.inFlight[action.ID]
 	attempt := len(request.attemptInFlight)
 	request.attemptInFlight = append(request.attemptInFlight, true)
@@ -132,7 +132,7 @@
 }
 
 // attemptEnded notifies the Router of an attempt's result, once.
-func (s *virtualScheduler) attemptEnded(id string, attempt int, result routing.AttemptEnded) {
+func (s *scheduler) attemptEnded(id string, attempt int, result routing.AttemptEnded) {
 	request := s.inFlight[id]
 	if request == nil || !request.attemptInFlight[attempt] {
 		return
--- a/internal/testbed/virtualworker.go
+++ b/internal/testbed/virtual/worker.go
@@ -1,4 +1,4 @@
-package testbed
+package virtual
 
 import (
 	"slices"
@@ -11,8 +11,8 @@
 // idleConnectionLifetime is how long a scheduler keeps an idle connection, with the settings of the testbed.
 const idleConnectionLifetime = 12750 * time.Millisecond
 
-// virtualWorker is a worker in virtual time.
-type virtualWorker struct {
+// worker is a worker in virtual time.
+type worker struct {
 	startedAt   time.Duration // 0 for one that is warm
 	crashed     bool
 	loadedAt    map[string]time.Duration   // when each function is loaded
@@ -23,9 +23,9 @@
 	connectedAt []time.Duration
 }
 
-// newVirtualWorker returns a warm worker without functions loaded.
-func newVirtualWorker(profile standin.WorkerProfile) *virtualWorker {
-	return &virtualWorker{
+// newWorker returns a warm worker without functions loaded.
+func newWorker(profile standin.WorkerProfile) *worker {
+	return &worker{
 		loadedAt:   map[string]time.Duration{},
 		slotFreeAt: make([]time.Duration, profile.Concurrency),
 		doneAt:     map[string][]time.Duration{},
@@ -34,7 +34,7 @@
 }
 
 // report returns the load report, with the fraction of the slots that are busy.
-func (w *virtualWorker) report(now time.Duration) *routing.LoadReport {
+func (w *worker) report(now time.Duration) *routing.LoadReport {
 	busy := 0.0
 	for _, freeAt := range w.slotFreeAt {
 		if freeAt > now {
@@ -52,7 +52,7 @@
 
 // serve runs a function for a scheduler. It returns how long the response takes and how many requests for the function
 // were in flight before; false if the worker has crashed.
-func (w *virtualWorker) serve(scheduler *virtualScheduler, function string) (latency time.Duration, inFlight int, ok bool) {
+func (w *worker) serve(scheduler *scheduler, function string) (latency time.Duration, inFlight int, ok bool) {
 	now := scheduler.now
 	w.connect(scheduler.index, now)
 	age := w.age(now)
@@ -77,7 +77,7 @@
 }
 
 // connect records that a scheduler uses its connection, or a new one if the last was idle for too long.
-func (w *virtualWorker) connect(scheduler int, now time.Duration) {
+func (w *worker) connect(scheduler int, now time.Duration) {
 	last, ok := w.lastUsed[scheduler]
 	if !ok || now-last > idleConnectionLifetime {
 		w.connectedAt = append(w.connectedAt, now)
@@ -86,7 +86,7 @@
 }
 
 // age returns how long ago the worker started; the full warm-up time for one that is warm.
-func (w *virtualWorker) age(now time.Duration) time.Duration {
+func (w *worker) age(now time.Duration) time.Duration {
 	if w.startedAt == 0 {
 		return standin.WarmUpTime
 	}
@@ -94,7 +94,7 @@
 }
 
 // nextSlot returns the index of the slot that is free first.
-func (w *virtualWorker) nextSlot() int {
+func (w *worker) nextSlot() int {
 	first := 0
 	for i, freeAt := range w.slotFreeAt {
 		if freeAt < w.slotFreeAt[first] {
