--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/testbed"
 	"calicohill/internal/testbed/platform"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 )
 
@@ -32,7 +32,7 @@
 	t       *testing.T
 	addr    string // for clients
 	cmd     *exec.Cmd
-	log     *testbed.Log
+	log     *process.Log
 	ended   chan error // receives the result of Wait when the process has ended
 	started bool
 
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/process"
 
 	"golang.org/x/sys/unix"
 )
@@ -69,13 +69,13 @@
 }
 
 // program returns a command that runs the program, and the buffer that receives its standard output and error.
-func program(t *testing.T, args ...string) (*exec.Cmd, *testbed.Log) {
+func program(t *testing.T, args ...string) (*exec.Cmd, *process.Log) {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd, log := exec.Command(self, args...), &testbed.Log{}
+	cmd, log := exec.Command(self, args...), &process.Log{}
 	cmd.Env = append(os.Environ(), asProgramVariable+"=1", "ROUTER_CONFIG=", "ROUTER_NAME=", "ROUTER_LISTEN=", "CALICOHILL_OPERATOR=")
 	cmd.Stdout, cmd.Stderr = log, log
 	return cmd, log
--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"calicohill/internal/fleet/pki"
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/process"
 )
 
 // reloadGossip writes more lines into the gossip section of an instance's operator's file and has it read again.
-func reloadGossip(t *testing.T, instance *testbed.Instance, more string) {
+func reloadGossip(t *testing.T, instance *process.Instance, more string) {
 	t.Helper()
 	if err := instance.Rewrite(instance.Operator(more)); err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 }
 
 // expectNewAuthorityApplied adds a new authority beside the old one, and expects a member with a key of it to join.
-func expectNewAuthorityApplied(t *testing.T, fleet, trusting *testbed.Fleet) {
+func expectNewAuthorityApplied(t *testing.T, fleet, trusting *process.Fleet) {
 	t.Helper()
 	next, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
@@ -36,7 +36,7 @@
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	waitForAll(t, trusting, "the new authority is applied", func(instance *testbed.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
+	waitForAll(t, trusting, "the new authority is applied", func(instance *process.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
 	fleet.Instances[3].Kill()
 	if err := fleet.Instances[3].NewKey(next); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 
 // expectEarlierDuplicateStops starts a second scheduler with the name and the key of n1, at other addresses, and
 // expects n1, the earlier of the two, to stop its gossip.
-func expectEarlierDuplicateStops(t *testing.T, fleet *testbed.Fleet) {
+func expectEarlierDuplicateStops(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	duplicate := fleet.Instances[1].Duplicate()
 	if err := duplicate.Move(); err != nil {
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(duplicate.Kill)
-	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two schedulers with one name stops its gossip", func(instance *testbed.Instance) bool {
+	waitForAll(t, &process.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two schedulers with one name stops its gossip", func(instance *process.Instance) bool {
 		return instance.Count("name conflict: another scheduler with this name started later, gossip stopped") == 1
 	})
 }
@@ -83,8 +83,8 @@
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n")
 	}
-	trusting := &testbed.Fleet{Instances: fleet.Instances[:3]}
-	waitForAll(t, trusting, "a revoked member is dropped", func(instance *testbed.Instance) bool {
+	trusting := &process.Fleet{Instances: fleet.Instances[:3]}
+	waitForAll(t, trusting, "a revoked member is dropped", func(instance *process.Instance) bool {
 		return hasLogLine(instance, "peer removed: its certificate is no longer valid", "peer", "n3")
 	})
 
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	reloadGossip(t, fleet.Instances[0], "  revoked fleet.revoked\n")
-	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "a key that others may read is refused", func(instance *testbed.Instance) bool {
+	waitForAll(t, &process.Fleet{Instances: fleet.Instances[:1]}, "a key that others may read is refused", func(instance *process.Instance) bool {
 		return strings.Contains(instance.Log.String(), "0600 is needed")
 	})
 
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -12,21 +12,21 @@
 	"time"
 
 	"calicohill/internal/frontend/fastcgi"
-	"calicohill/internal/testbed"
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 )
 
 const fleetSize = 12
 
 // startFleet starts schedulers, as processes, that share fault reports about a few workers.
-func startFleet(t *testing.T, instances, workers int) *testbed.Fleet {
+func startFleet(t *testing.T, instances, workers int) *process.Fleet {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet := &testbed.Fleet{Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Sharing: true}
+	fleet := &process.Fleet{Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Sharing: true}
 	if err := fleet.Prepare(instances, workers); err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 }
 
 // waitUntilJoined waits until each scheduler knows a number of members.
-func waitUntilJoined(t *testing.T, fleet *testbed.Fleet, members int) {
+func waitUntilJoined(t *testing.T, fleet *process.Fleet, members int) {
 	t.Helper()
 	if err := fleet.Joined(context.Background(), members, 2*waitTimeout); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 }
 
 // waitForAll waits until a condition holds for each scheduler.
-func waitForAll(t *testing.T, fleet *testbed.Fleet, what string, ok func(*testbed.Instance) bool) {
+func waitForAll(t *testing.T, fleet *process.Fleet, what string, ok func(*process.Instance) bool) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
 		for end := time.Now().Add(2 * waitTimeout); !ok(instance); time.Sleep(20 * time.Millisecond) {
@@ -71,7 +71,7 @@
 }
 
 // hasLogLine reports whether a line of a scheduler's log has a message and a field.
-func hasLogLine(instance *testbed.Instance, msg, field, value string) bool {
+func hasLogLine(instance *process.Instance, msg, field, value string) bool {
 	for _, line := range instance.Log.Lines() {
 		if line.Text("msg") == msg && line.Text(field) == value {
 			return true
@@ -81,7 +81,7 @@
 }
 
 // faultHistory returns the log lines of all schedulers about a member, in the order of time.
-func faultHistory(fleet *testbed.Fleet, peer string) string {
+func faultHistory(fleet *process.Fleet, peer string) string {
 	var lines []string
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
@@ -104,7 +104,7 @@
 )
 
 // fleetRequest returns a request of a class, whose body names the scheduler that it is sent through.
-func fleetRequest(instance *testbed.Instance, class string, function int) fastcgi.Request {
+func fleetRequest(instance *process.Instance, class string, function int) fastcgi.Request {
 	return fastcgi.Request{
 		Path: "/rpc/" + class, ID: randomHex(8), IdempotencyKey: randomHex(16),
 		Function: fmt.Sprintf("%016x", function), Budget: 1500 * time.Millisecond, Spec: "memory_mb:64;lanes:4",
@@ -113,7 +113,7 @@
 }
 
 // fleetCall sends a request through a scheduler and returns its outcome.
-func fleetCall(t *testing.T, client *fastcgi.Client, instance *testbed.Instance, class string, function int) fastcgi.Outcome {
+func fleetCall(t *testing.T, client *fastcgi.Client, instance *process.Instance, class string, function int) fastcgi.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	reply, err := client.Do(ctx, fleetRequest(instance, class, function))
@@ -126,7 +126,7 @@
 
 // sendLoad sends requests for many functions through schedulers, so that all workers are reached, until stop is called
 // or the test ends.
-func sendLoad(t *testing.T, only []*testbed.Instance) (stop func()) {
+func sendLoad(t *testing.T, only []*process.Instance) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -189,10 +189,10 @@
 
 // expectMassAccuserIgnored has a byzantine member accuse every worker: all schedulers ignore its reports, and none
 // ejects a worker.
-func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *fault.ByzantineMember, ids []string) {
+func expectMassAccuserIgnored(t *testing.T, fleet *process.Fleet, byzantine *fault.ByzantineMember, ids []string) {
 	t.Helper()
 	byzantine.Accuse(ids)
-	waitForAll(t, fleet, "the reports of a mass accuser are ignored", func(instance *testbed.Instance) bool {
+	waitForAll(t, fleet, "the reports of a mass accuser are ignored", func(instance *process.Instance) bool {
 		return hasLogLine(instance, lineReportsIgnored, "peer", byzantineName)
 	})
 	for _, instance := range fleet.Instances {
@@ -203,7 +203,7 @@
 }
 
 // expectServedDespiteByzantine expects calls to be served while a byzantine member alone accuses a few workers.
-func expectServedDespiteByzantine(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
+func expectServedDespiteByzantine(t *testing.T, fleet *process.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	for i := range 20 {
 		if got := fleetCall(t, client, fleet.Instances[0], "certificado", i); got != fastcgi.OutcomeServed {
@@ -215,7 +215,7 @@
 // expectUnresponsiveWorkerShared makes a worker unresponsive, and expects the last scheduler, which has no traffic of
 // its own, to learn of it from the reports of the others. No scheduler ejects another worker, and the unresponsive one
 // is readmitted once it answers again.
-func expectUnresponsiveWorkerShared(t *testing.T, fleet *testbed.Fleet, ids []string) {
+func expectUnresponsiveWorkerShared(t *testing.T, fleet *process.Fleet, ids []string) {
 	t.Helper()
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
 	waitUntil(t, "half of the schedulers have sent requests to the worker", func() bool {
@@ -240,7 +240,7 @@
 		}
 	}
 	fleet.Workers[5].Set(standin.WorkerHealthy)
-	waitForAll(t, fleet, "the worker is readmitted", func(instance *testbed.Instance) bool {
+	waitForAll(t, fleet, "the worker is readmitted", func(instance *process.Instance) bool {
 		n := instance.Count(lineConfirmedFaulty)
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
 	})
@@ -248,12 +248,12 @@
 }
 
 // expectServedDuringFlood sends forged datagrams to a scheduler: it drops them, and serves calls meanwhile.
-func expectServedDuringFlood(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
+func expectServedDuringFlood(t *testing.T, fleet *process.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
 	go func() { flooded <- fault.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
-	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
-		func(instance *testbed.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
+	waitForAll(t, &process.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
+		func(instance *process.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
 	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != fastcgi.OutcomeServed {
 		t.Errorf("a call is %s during a flood", got)
 	}
@@ -265,7 +265,7 @@
 
 // expectPausedMemberBack stops a member for 3 s: the others find it alive afterwards, and until then no scheduler has
 // declared a member other than the byzantine one dead.
-func expectPausedMemberBack(t *testing.T, fleet *testbed.Fleet) {
+func expectPausedMemberBack(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	if err := fleet.Instances[3].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -274,7 +274,7 @@
 	if err := fleet.Instances[3].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	waitForAll(t, fleet, "the member that was stopped is alive again", func(instance *testbed.Instance) bool {
+	waitForAll(t, fleet, "the member that was stopped is alive again", func(instance *process.Instance) bool {
 		last := ""
 		for _, line := range instance.Log.Lines() {
 			switch msg := line.Text("msg"); msg {
@@ -296,7 +296,7 @@
 }
 
 // restartHalf kills half of the members and starts them at once under the same names: all members join again.
-func restartHalf(t *testing.T, fleet *testbed.Fleet) {
+func restartHalf(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances[:fleetSize/2] {
 		instance.Kill()
@@ -310,7 +310,7 @@
 }
 
 // expectMessageRateBounded stops all members, which then log the most messages that they sent in any second.
-func expectMessageRateBounded(t *testing.T, fleet *testbed.Fleet) {
+func expectMessageRateBounded(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
 		if err := instance.Stop(); err != nil {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -11,7 +11,7 @@
 	"os/signal"
 	"syscall"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/report"
 
 	"github.com/spf13/cobra"
@@ -35,7 +35,7 @@
 		return nil
 	}
 	var err error
-	*program, err = testbed.SchedulerBeside()
+	*program, err = process.SchedulerBeside()
 	return err
 }
 
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/report"
-	"calicohill/internal/testbed/wait"
 	"calicohill/internal/testbed/workload"
 )
 
@@ -77,13 +77,13 @@
 }
 
 // fleet prepares a fleet that is not started yet.
-func (e ColdStartExperiment) fleet() (*Fleet, error) {
+func (e ColdStartExperiment) fleet() (*process.Fleet, error) {
 	dir, err := os.MkdirTemp(e.Dir, "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
 	gossips := e.Scenario.has("talk")
-	fleet := &Fleet{
+	fleet := &process.Fleet{
 		Program:           e.Program,
 		Env:               e.Env,
 		Dir:               dir,
@@ -95,7 +95,7 @@
 		KeepState:         e.Keep,
 	}
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
-		fleet.closeAndRemove()
+		fleet.CloseAndRemove()
 		return nil, err
 	}
 	return fleet, nil
@@ -114,16 +114,16 @@
 	if err != nil {
 		return metrics, err
 	}
-	defer fleet.closeAndRemove()
+	defer fleet.CloseAndRemove()
 	began := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(e.Seconds*float64(time.Second))))
 	defer cancel()
 	scenario := make(chan scenarioEnd, 1)
 	go func() {
-		lastStep, err := fleet.play(ctx, e.Scenario, began, e.Seed)
+		lastStep, err := play(ctx, fleet, e.Scenario, began, e.Seed)
 		scenario <- scenarioEnd{lastStep, err}
 	}()
-	wakeDelay := fleet.measureWakeDelay(ctx)
+	wakeDelay := fleet.MeasureWakeDelay(ctx)
 	load := fleet.Offer(ctx, workload.Load{
 		Rate:      e.Rate,
 		Functions: workload.FunctionsFor(e.Workers),
@@ -138,19 +138,19 @@
 	setLoad(&metrics, load)
 	worstDelay := <-wakeDelay
 	metrics.Late = float64(worstDelay.Milliseconds())
-	metrics.RulesBroken = fleet.allViolations(load, worstDelay)
+	metrics.RulesBroken = allViolations(fleet, load, worstDelay)
 	e.Progress(fmt.Sprintf("%-9s %s", name, metrics.Summary()))
 	return metrics, nil
 }
 
-// allViolations returns every violation of a rule. worstDelay is by how much the machine woke goroutines late at the worst;
+// allViolations returns every violation of a rule by a fleet. worstDelay is by how much the machine woke goroutines late at the worst;
 // time limits are longer by it.
-func (f *Fleet) allViolations(load workload.Result, worstDelay time.Duration) []string {
-	violations := f.ruleViolations(load, ruleSlack+machineSlack+2*worstDelay)
+func allViolations(fleet *process.Fleet, load workload.Result, worstDelay time.Duration) []string {
+	violations := ruleViolations(fleet, load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
 		violations = append(violations, fmt.Sprintf("an answer came %v after its time", load.MaxOverrun.Round(time.Millisecond)))
 	}
-	for _, instance := range f.Instances {
+	for _, instance := range fleet.Instances {
 		text := instance.Log.String()
 		if strings.Contains(text, "panic:") || strings.Contains(text, "DATA RACE") {
 			violations = append(violations, instance.Name+" raced or panicked")
@@ -158,19 +158,3 @@
 	}
 	return violations
 }
-
-// measureWakeDelay measures by how much this machine wakes sleeping goroutines late, until the context ends. Schedulers are
-// woken as late.
-func (f *Fleet) measureWakeDelay(ctx context.Context) <-chan time.Duration {
-	const interval = 5 * time.Millisecond
-	measured := make(chan time.Duration, 1)
-	go func() {
-		worst := time.Duration(0)
-		for at := time.Now(); wait.Sleep(ctx, interval); at = time.Now() {
-			worst = max(worst, time.Since(at)-interval)
-			f.wakeDelay.Store(int64(worst))
-		}
-		measured <- worst
-	}()
-	return measured
-}
--- a/internal/testbed/coldstartmetrics.go
+++ b/internal/testbed/coldstartmetrics.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/workload"
@@ -16,7 +17,7 @@
 }
 
 // collectMetrics fills in what reached the list service and the workers.
-func collectMetrics(metrics *report.ColdStartMetrics, fleet *Fleet, began, lastStep time.Time) {
+func collectMetrics(metrics *report.ColdStartMetrics, fleet *process.Fleet, began, lastStep time.Time) {
 	collectPolls(metrics, fleet, began, lastStep)
 	connects := offsets(fleet.List.AcceptedAt(), began)
 	metrics.ConnectsPeak = report.PeakPer100ms(connects, 0)
@@ -25,7 +26,7 @@
 }
 
 // collectPolls fills in what reached the list service, and when each scheduler had the last event.
-func collectPolls(metrics *report.ColdStartMetrics, fleet *Fleet, began, lastStep time.Time) {
+func collectPolls(metrics *report.ColdStartMetrics, fleet *process.Fleet, began, lastStep time.Time) {
 	schedulers := len(fleet.Instances)
 	polls := fleet.List.Polls()
 	listedAt := listedTimes(polls, len(fleet.List.PublishedAt()), lastStep)
@@ -77,7 +78,7 @@
 }
 
 // collectWorkers fills in what reached the workers.
-func collectWorkers(metrics *report.ColdStartMetrics, fleet *Fleet, began time.Time) {
+func collectWorkers(metrics *report.ColdStartMetrics, fleet *process.Fleet, began time.Time) {
 	handshakes := 0
 	pairs := 0 // of a scheduler and a worker that it sent anything
 	for _, worker := range fleet.Workers {
@@ -101,7 +102,7 @@
 	}
 	starts := 0
 	for _, instance := range fleet.Instances {
-		starts += instance.Count(logSchedulerStarted)
+		starts += instance.Count(process.LogSchedulerStarted)
 	}
 	schedulers := float64(len(fleet.Instances))
 	metrics.Handshakes = float64(handshakes) / float64(max(starts, 1))
@@ -127,10 +128,11 @@
 			}
 		}
 	}
-	pairs := map[linkKey]bool{}
+	type pair struct{ scheduler, worker string }
+	pairs := map[pair]bool{}
 	for _, worker := range workers {
 		for _, arrival := range worker.Arrivals() {
-			pairs[linkKey{scheduler: arrival.From, worker: preferred[arrival.Function]}] = true
+			pairs[pair{scheduler: arrival.From, worker: preferred[arrival.Function]}] = true
 		}
 	}
 	return len(pairs)
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -5,12 +5,12 @@
 	"context"
 	"fmt"
 	"os"
-	"path/filepath"
 	"slices"
 	"time"
 
 	"calicohill/internal/testbed/fault"
 	"calicohill/internal/testbed/platform"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
@@ -113,22 +113,22 @@
 	result.Notice = metrics.detectionMillis
 }
 
-// fleet prepares and starts the schedulers of a run. The caller ends it with closeAndRemove.
-func (e GossipExperiment) fleet(ctx context.Context, sharing bool) (*Fleet, error) {
+// fleet prepares and starts the schedulers of a run. The caller ends it with CloseAndRemove.
+func (e GossipExperiment) fleet(ctx context.Context, sharing bool) (*process.Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Program: e.Program, Env: e.Env, Dir: dir, Sharing: sharing}
+	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir, Sharing: sharing}
 	if err := e.start(ctx, fleet); err != nil {
-		fleet.closeAndRemove()
+		fleet.CloseAndRemove()
 		return nil, err
 	}
 	return fleet, nil
 }
 
 // start prepares and starts a fleet, and waits until it serves and its members know one another.
-func (e GossipExperiment) start(ctx context.Context, fleet *Fleet) error {
+func (e GossipExperiment) start(ctx context.Context, fleet *process.Fleet) error {
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		return err
 	}
@@ -137,13 +137,13 @@
 			return err
 		}
 	}
-	if err := fleet.Wait(ctx, schedulerStartWithin); err != nil {
+	if err := fleet.Wait(ctx, process.StartTimeout); err != nil {
 		return err
 	}
 	if !fleet.Sharing {
 		return nil
 	}
-	return fleet.Joined(ctx, e.Instances, fleetJoinWithin)
+	return fleet.Joined(ctx, e.Instances, process.JoinTimeout)
 }
 
 // runOnce runs the experiment with one fleet.
@@ -152,7 +152,7 @@
 	if err != nil {
 		return gossipMetrics{}, err
 	}
-	defer fleet.closeAndRemove()
+	defer fleet.CloseAndRemove()
 	duration := time.Duration(e.Seconds * float64(time.Second))
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
@@ -179,7 +179,7 @@
 }
 
 // unresponsive returns the workers that become unresponsive, chosen by the seed.
-func (e GossipExperiment) unresponsive(fleet *Fleet) []*standin.Worker {
+func (e GossipExperiment) unresponsive(fleet *process.Fleet) []*standin.Worker {
 	var chosen []*standin.Worker
 	for i := range e.Silent {
 		chosen = append(chosen, fleet.Workers[(int(e.Seed)*7+i*5)%len(fleet.Workers)])
@@ -200,7 +200,7 @@
 	if err != nil {
 		return floodMetrics{}, err
 	}
-	defer fleet.closeAndRemove()
+	defer fleet.CloseAndRemove()
 	target := fleet.Instances[0]
 	duration := time.Duration(max(e.Seconds/4, 2) * float64(time.Second))
 	measureCPU := func() float64 {
@@ -222,14 +222,14 @@
 		return metrics, err
 	}
 	e.Progress(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
-	return metrics, fleet.nobodyDead()
+	return metrics, nobodyDead(fleet)
 }
 
-// nobodyDead returns an error if an instance declared another dead.
-func (f *Fleet) nobodyDead() error {
-	for _, instance := range f.Instances {
+// nobodyDead returns an error if an instance of a fleet declared another dead.
+func nobodyDead(fleet *process.Fleet) error {
+	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
-			if line.Text("msg") == logPeerDead {
+			if line.Text("msg") == process.LogPeerDead {
 				return fmt.Errorf("%s took %s for dead during the flood", instance.Name, line.Text("peer"))
 			}
 		}
@@ -237,15 +237,6 @@
 	return nil
 }
 
-// SchedulerBeside returns the path of the scheduler beside the running program.
-func SchedulerBeside() (string, error) {
-	self, err := os.Executable()
-	if err != nil {
-		return "", err
-	}
-	return filepath.Join(filepath.Dir(self), "calicohill"), nil
-}
-
 // workerIDs returns the IDs of workers.
 func workerIDs(workers []*standin.Worker) []string {
 	var ids []string
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
 	"calicohill/internal/testbed/workload"
@@ -14,7 +15,7 @@
 
 // gossipRun is a run of a GossipExperiment with one fleet.
 type gossipRun struct {
-	fleet        *Fleet
+	fleet        *process.Fleet
 	unresponsive []*standin.Worker // for a while
 	healthy      []string          // IDs of the others
 	faultFrom    time.Time
@@ -22,7 +23,7 @@
 }
 
 // newGossipRun returns a run in which these workers become unresponsive.
-func newGossipRun(fleet *Fleet, unresponsive []*standin.Worker) *gossipRun {
+func newGossipRun(fleet *process.Fleet, unresponsive []*standin.Worker) *gossipRun {
 	return &gossipRun{
 		fleet:        fleet,
 		unresponsive: unresponsive,
@@ -118,19 +119,19 @@
 }
 
 // readLog fills in what one scheduler's log says, which ended at a time.
-func (m *gossipMetrics) readLog(run *gossipRun, lines []Line, end time.Time) {
+func (m *gossipMetrics) readLog(run *gossipRun, lines []process.Line, end time.Time) {
 	ejectedAt := map[string]time.Time{}
 	for _, line := range lines {
 		worker := line.Text("worker")
 		switch line.Text("msg") {
-		case logWorkerEjected:
+		case process.LogWorkerEjected:
 			ejectedAt[worker] = line.Time()
-		case logWorkerReadmitted:
+		case process.LogWorkerReadmitted:
 			m.wronglyEjected += run.wrongSeconds(worker, ejectedAt[worker], line.Time())
 			delete(ejectedAt, worker)
-		case logPeerIgnored:
+		case process.LogPeerIgnored:
 			m.ignoredPeers++
-		case logGossipEnded:
+		case process.LogGossipEnded:
 			seconds := line.Number("seconds")
 			m.messages = max(m.messages, line.Number("sent")/seconds)
 			m.bytes = max(m.bytes, line.Number("bytes")/seconds)
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/workload"
 )
@@ -26,7 +27,7 @@
 
 // ruleChecker checks what a fleet did against the rules.
 type ruleChecker struct {
-	fleet      *Fleet
+	fleet      *process.Fleet
 	slack      time.Duration // beyond each time limit
 	polls      map[string][]standin.Poll
 	attempts   map[string]int // by request
@@ -37,9 +38,9 @@
 // ruleViolations checks what a fleet did against the rules: nothing new to a worker later than 1 s after its scheduler
 // was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming
 // up, a response to each request.
-func (f *Fleet) ruleViolations(load workload.Result, slack time.Duration) []string {
+func ruleViolations(fleet *process.Fleet, load workload.Result, slack time.Duration) []string {
 	checker := &ruleChecker{
-		fleet:      f,
+		fleet:      fleet,
 		slack:      slack,
 		polls:      map[string][]standin.Poll{},
 		attempts:   map[string]int{},
@@ -48,10 +49,10 @@
 	if load.Lost > 0 {
 		checker.addViolation("%d requests without an answer", load.Lost)
 	}
-	for _, poll := range f.List.Polls() {
+	for _, poll := range fleet.List.Polls() {
 		checker.polls[poll.Scheduler] = append(checker.polls[poll.Scheduler], poll)
 	}
-	for _, worker := range f.Workers {
+	for _, worker := range fleet.Workers {
 		checker.checkWorker(worker)
 	}
 	for id, count := range checker.attempts {
@@ -78,7 +79,7 @@
 	if !worker.CrashedAt().IsZero() {
 		c.addViolation("%s was overloaded while it was warming up and crashed", worker.ID)
 	}
-	departure, leaves := c.fleet.departures[worker]
+	departure, leaves := c.fleet.Departure(worker)
 	for _, arrival := range worker.Arrivals() {
 		c.attempts[arrival.ID]++
 		if arrival.Class == nonIdempotentClass {
@@ -91,13 +92,13 @@
 }
 
 // checkDrain checks that a request for a worker that leaves was sent in time.
-func (c *ruleChecker) checkDrain(worker *standin.Worker, departure departure, arrival standin.Arrival) {
+func (c *ruleChecker) checkDrain(worker *standin.Worker, departure process.Departure, arrival standin.Arrival) {
 	notifiedAt := c.notifiedAt(departure, arrival)
 	if notifiedAt.IsZero() {
 		return
 	}
 	sentAt := arrival.At
-	if link := c.fleet.linkTo(arrival.From, worker.ID); link != nil {
+	if link := c.fleet.LinkTo(arrival.From, worker.ID); link != nil {
 		sentAt = link.SentAt(arrival.At)
 	}
 	if late := sentAt.Sub(notifiedAt.Add(drainGrace + c.slack)); late > 0 {
@@ -108,31 +109,21 @@
 // notifiedAt returns when the scheduler of a request counts as notified of a departure: when it received the event, or when
 // a healthy list service should have delivered it, whichever is earlier; the zero time if neither happened. A process that
 // was started later counts as notified at its start.
-func (c *ruleChecker) notifiedAt(departure departure, arrival standin.Arrival) time.Time {
-	notified := c.fleet.List.EffectiveAt(departure.at)
-	received := receivedAt(c.polls[arrival.From], departure.event)
+func (c *ruleChecker) notifiedAt(departure process.Departure, arrival standin.Arrival) time.Time {
+	notified := c.fleet.List.EffectiveAt(departure.At)
+	received := receivedAt(c.polls[arrival.From], departure.Event)
 	if !received.IsZero() && (notified.IsZero() || received.Before(notified)) {
 		notified = received
 	}
 	if notified.IsZero() {
 		return notified
 	}
-	if start := c.fleet.processStart(arrival.From, arrival.At); start.After(notified) {
+	if start := c.fleet.ProcessStart(arrival.From, arrival.At); start.After(notified) {
 		notified = start
 	}
 	return notified
 }
 
-// processStart returns when the process of a scheduler that ran at a time was started.
-func (f *Fleet) processStart(scheduler string, at time.Time) time.Time {
-	for _, instance := range f.Instances {
-		if instance.Name == scheduler {
-			return instance.lastStartBefore(at)
-		}
-	}
-	return time.Time{}
-}
-
 // receivedAt returns when a scheduler received an event: with the last response that had it before the first poll that shows
 // it known. An earlier response may have gone to a connection that the scheduler had just closed. The zero time if no poll
 // shows it known.
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -10,6 +10,7 @@
 
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/rules/match"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
@@ -170,7 +171,7 @@
 	if err != nil {
 		return loadMeasurement{}, err
 	}
-	defer fleet.closeAndRemove()
+	defer fleet.CloseAndRemove()
 	load := e.load()
 	offerFor := func(duration time.Duration) workload.Result {
 		ctx, cancel := context.WithTimeout(ctx, duration)
@@ -195,22 +196,22 @@
 	return measured, scheduler.Stop()
 }
 
-// fleet starts a scheduler with an operator's file. The caller ends it with closeAndRemove.
-func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*Fleet, error) {
+// fleet starts a scheduler with an operator's file. The caller ends it with CloseAndRemove.
+func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*process.Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Program: e.Program, Env: e.Env, Dir: dir}
+	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir}
 	if err := startOne(ctx, fleet, operatorFile); err != nil {
-		fleet.closeAndRemove()
+		fleet.CloseAndRemove()
 		return nil, err
 	}
 	return fleet, nil
 }
 
 // startOne prepares a fleet with one scheduler, and waits until it serves.
-func startOne(ctx context.Context, fleet *Fleet, operatorFile string) error {
+func startOne(ctx context.Context, fleet *process.Fleet, operatorFile string) error {
 	if err := fleet.Prepare(1, matchWorkers); err != nil {
 		return err
 	}
@@ -221,7 +222,7 @@
 	if err := scheduler.Start(); err != nil {
 		return err
 	}
-	return fleet.Wait(ctx, schedulerStartWithin)
+	return fleet.Wait(ctx, process.StartTimeout)
 }
 
 // load returns a load whose requests carry the parameter that the rules look at.
--- /dev/null
+++ b/internal/testbed/process/address.go
@@ -0,0 +1,44 @@
+package process
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"slices"
+	"sync/atomic"
+)
+
+// fleetCount counts the fleets of this process.
+var fleetCount atomic.Uint32
+
+// freeAddress returns a loopback address that nobody listens on. Each fleet has a host of its own: schedulers share their
+// port with the process of a restart, so that two fleets with the same address would serve each other's clients.
+func (f *Fleet) freeAddress(network string) (string, error) {
+	if f.host == "" {
+		f.host = fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+fleetCount.Add(1)%250)
+	}
+	for {
+		addr, err := unusedAddress(network, f.host)
+		// The system may return a port again that was released a moment ago.
+		taken := func(in *Instance) bool { return in.Addr == addr || in.Gossip == addr }
+		if err != nil || !slices.ContainsFunc(f.Instances, taken) {
+			return addr, err
+		}
+	}
+}
+
+// unusedAddress returns an address of a host that nobody listens on.
+func unusedAddress(network, host string) (string, error) {
+	if network == "udp" {
+		socket, err := net.ListenPacket("udp", host)
+		if err != nil {
+			return "", err
+		}
+		return socket.LocalAddr().String(), socket.Close()
+	}
+	listener, err := net.Listen("tcp", host)
+	if err != nil {
+		return "", err
+	}
+	return listener.Addr().String(), listener.Close()
+}
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -1,14 +1,15 @@
-package testbed
+// Package process runs fleets of schedulers as real processes on loopback: a Fleet starts Instances, the workers that they
+// share and the list service that names these, and offers load as the web server in front of each scheduler does. Log is what
+// a scheduler wrote.
+package process
 
 import (
 	"cmp"
 	"errors"
 	"fmt"
-	"net"
 	"net/netip"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -41,12 +42,11 @@
 	host string     // of all its schedulers
 	hub  *fault.Hub // nil where schedulers reach one another without one
 
-	wakeDelay atomic.Int64   // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
-	restarts  sync.WaitGroup // of schedulers, by a rolling restart
+	wakeDelay atomic.Int64 // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
 
 	// departures has the workers that drain or were deleted. Prepare and the scenario write it; the checks read it after
 	// the scenario's end.
-	departures map[*standin.Worker]departure
+	departures map[*standin.Worker]Departure
 
 	mu                 sync.Mutex
 	links              map[linkKey]*fault.Link
@@ -64,16 +64,16 @@
 	KnownNone  KnownEvents = "empty"
 )
 
-// linkKey names a link from a scheduler to a worker.
-type linkKey struct {
-	scheduler string
-	worker    string
+// Departure is when a worker was published as draining or deleted, and by which event.
+type Departure struct {
+	At    time.Time
+	Event int
 }
 
-// departure is when a worker was published as draining or deleted, and by which event.
-type departure struct {
-	at    time.Time
-	event int
+// Departure returns when a worker was published as draining or deleted; false if it was not.
+func (f *Fleet) Departure(worker *standin.Worker) (Departure, bool) {
+	departure, ok := f.departures[worker]
+	return departure, ok
 }
 
 // Prepare starts workers and their list service and writes the files of schedulers, which do not run yet. Where it fails,
@@ -90,13 +90,13 @@
 func (f *Fleet) prepare(instances, workers int) error {
 	f.List = standin.NewListService()
 	f.Store = standin.NewStore()
-	f.departures = map[*standin.Worker]departure{}
+	f.departures = map[*standin.Worker]Departure{}
 	f.links = map[linkKey]*fault.Link{}
 	if err := f.createAuthority(); err != nil {
 		return err
 	}
 	for i := range workers {
-		worker, err := f.startWorker(fmt.Sprintf("w%02d", i), time.Time{})
+		worker, err := f.StartWorker(fmt.Sprintf("w%02d", i), time.Time{})
 		if err != nil {
 			return err
 		}
@@ -112,7 +112,7 @@
 		return err
 	}
 	for _, instance := range f.Instances {
-		if err := instance.configure(); err != nil {
+		if err := instance.Configure(); err != nil {
 			return err
 		}
 	}
@@ -143,36 +143,8 @@
 	return nil
 }
 
-// openHub opens the hub, if the fleet has one.
-func (f *Fleet) openHub() error {
-	if !f.GossipThroughHub {
-		return nil
-	}
-	var members []string
-	for _, instance := range f.Instances {
-		members = append(members, instance.Gossip)
-	}
-	var err error
-	f.hub, err = fault.NewHub(members, f.gossipCondition)
-	return err
-}
-
-// gossipCondition returns the condition of the link from one scheduler to another, by their gossip addresses.
-func (f *Fleet) gossipCondition(from, to string) fault.LinkCondition {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.partitioned[from] == f.partitioned[to] {
-		return fault.LinkCondition{}
-	}
-	condition := f.partitionCondition
-	if f.partitioned[to] { // the condition is that from partitioned schedulers to the others
-		condition.CutForward, condition.CutBackward = condition.CutBackward, condition.CutForward
-	}
-	return condition
-}
-
-// startWorker starts a worker, one that is warming up if startedAt is not zero.
-func (f *Fleet) startWorker(id string, startedAt time.Time) (*standin.Worker, error) {
+// StartWorker starts a worker, one that is warming up if startedAt is not zero.
+func (f *Fleet) StartWorker(id string, startedAt time.Time) (*standin.Worker, error) {
 	profile, ok := standin.WorkerProfiles[cmp.Or(f.Profile, standin.ProfileRoomy)]
 	if !ok {
 		return nil, fmt.Errorf("no worker profile %q", f.Profile)
@@ -180,41 +152,6 @@
 	return standin.NewWorker(id, profile, f.Store, startedAt)
 }
 
-// fleetCount counts the fleets of this process.
-var fleetCount atomic.Uint32
-
-// freeAddress returns a loopback address that nobody listens on. Each fleet has a host of its own: schedulers share their
-// port with the process of a restart, so that two fleets with the same address would serve each other's clients.
-func (f *Fleet) freeAddress(network string) (string, error) {
-	if f.host == "" {
-		f.host = fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+fleetCount.Add(1)%250)
-	}
-	for {
-		addr, err := unusedAddress(network, f.host)
-		// The system may return a port again that was released a moment ago.
-		taken := func(in *Instance) bool { return in.Addr == addr || in.Gossip == addr }
-		if err != nil || !slices.ContainsFunc(f.Instances, taken) {
-			return addr, err
-		}
-	}
-}
-
-// unusedAddress returns an address of a host that nobody listens on.
-func unusedAddress(network, host string) (string, error) {
-	if network == "udp" {
-		socket, err := net.ListenPacket("udp", host)
-		if err != nil {
-			return "", err
-		}
-		return socket.LocalAddr().String(), socket.Close()
-	}
-	listener, err := net.Listen("tcp", host)
-	if err != nil {
-		return "", err
-	}
-	return listener.Addr().String(), listener.Close()
-}
-
 // NewByzantineMember has a byzantine member join the fleet under a name.
 func (f *Fleet) NewByzantineMember(name string) (*fault.ByzantineMember, error) {
 	var seeds []netip.AddrPort
@@ -228,7 +165,7 @@
 func (f *Fleet) Publish(all bool, workers []*standin.Worker, state standin.EndpointState) {
 	for _, worker := range workers {
 		if _, leaves := f.departures[worker]; state != standin.EndpointServing && !leaves {
-			f.departures[worker] = departure{at: time.Now(), event: len(f.List.PublishedAt()) + 1}
+			f.departures[worker] = Departure{At: time.Now(), Event: len(f.List.PublishedAt()) + 1}
 		}
 	}
 	f.List.Publish(func(number int, scheduler string) string {
@@ -257,30 +194,14 @@
 	}
 }
 
-// workerAddress returns the address at which a scheduler reaches a worker: that of a link of its own if the fleet has links.
-func (f *Fleet) workerAddress(scheduler string, worker *standin.Worker) string {
-	if !f.LinkedWorkers {
-		return worker.Addr
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	key := linkKey{scheduler: scheduler, worker: worker.ID}
-	if link := f.links[key]; link != nil {
-		return link.Addr
-	}
-	link, err := fault.NewLink(worker.Addr)
-	if err != nil {
-		return worker.Addr // out of descriptors; a scenario that changes the link fails
+// ProcessStart returns when the process of a scheduler that ran at a time was started.
+func (f *Fleet) ProcessStart(scheduler string, at time.Time) time.Time {
+	for _, instance := range f.Instances {
+		if instance.Name == scheduler {
+			return instance.lastStartBefore(at)
+		}
 	}
-	f.links[key] = link
-	return link.Addr
-}
-
-// linkTo returns the link of a scheduler to a worker; nil without.
-func (f *Fleet) linkTo(scheduler, worker string) *fault.Link {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.links[linkKey{scheduler: scheduler, worker: worker}]
+	return time.Time{}
 }
 
 // Stop ends all schedulers as a planned restart does.
@@ -313,8 +234,8 @@
 	}
 }
 
-// closeAndRemove ends the fleet and removes its directory.
-func (f *Fleet) closeAndRemove() {
+// CloseAndRemove ends the fleet and removes its directory.
+func (f *Fleet) CloseAndRemove() {
 	f.Close()
 	_ = os.RemoveAll(f.Dir) // what can't be removed is left for the system to clean
 }
--- a/internal/testbed/instance.go
+++ b/internal/testbed/process/instance.go
@@ -1,4 +1,4 @@
-package testbed
+package process
 
 import (
 	"context"
@@ -67,7 +67,7 @@
 }
 
 // configure writes the files of an instance: the platform's, its key and the operator's.
-func (in *Instance) configure() error {
+func (in *Instance) Configure() error {
 	fleet := in.fleet
 	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
 	listAddress, err := fleet.List.Address(in.Name)
@@ -186,8 +186,8 @@
 	return in.start()
 }
 
-// startIfStopped starts the scheduler unless it runs.
-func (in *Instance) startIfStopped() error {
+// StartIfStopped starts the scheduler unless it runs.
+func (in *Instance) StartIfStopped() error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.running {
--- a/internal/testbed/instance_test.go
+++ b/internal/testbed/process/instance_test.go
@@ -1,4 +1,4 @@
-package testbed
+package process
 
 import (
 	"os"
@@ -39,7 +39,7 @@
 		}
 	}
 	for round := range 3 {
-		if err := instance.startIfStopped(); err != nil {
+		if err := instance.StartIfStopped(); err != nil {
 			t.Fatal(err)
 		}
 		waitForLog(ready, round+1)
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	fleet := &Fleet{List: standin.NewListService(), Workers: []*standin.Worker{worker}, departures: map[*standin.Worker]departure{}}
+	fleet := &Fleet{List: standin.NewListService(), Workers: []*standin.Worker{worker}, departures: map[*standin.Worker]Departure{}}
 	defer fleet.List.Close()
 	fleet.Publish(true, fleet.Workers, standin.EndpointServing)
 	warm := fleet.List.Feed("n0", -1)
@@ -102,7 +102,7 @@
 	t.Parallel()
 	instance := newStandInScheduler(t, "exit 0")
 	for _, one := range []*Instance{instance, instance.Duplicate()} {
-		if got := one.Count(logSchedulerStarted); got != 0 || one.Log.String() != "" {
+		if got := one.Count(LogSchedulerStarted); got != 0 || one.Log.String() != "" {
 			t.Errorf("%d starts in the log %q, want none", got, one.Log.String())
 		}
 	}
--- /dev/null
+++ b/internal/testbed/process/links.go
@@ -0,0 +1,94 @@
+package process
+
+import (
+	"fmt"
+
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
+)
+
+// linkKey names a link from a scheduler to a worker.
+type linkKey struct {
+	scheduler string
+	worker    string
+}
+
+// openHub opens the hub, if the fleet has one.
+func (f *Fleet) openHub() error {
+	if !f.GossipThroughHub {
+		return nil
+	}
+	var members []string
+	for _, instance := range f.Instances {
+		members = append(members, instance.Gossip)
+	}
+	var err error
+	f.hub, err = fault.NewHub(members, f.gossipCondition)
+	return err
+}
+
+// gossipCondition returns the condition of the link from one scheduler to another, by their gossip addresses.
+func (f *Fleet) gossipCondition(from, to string) fault.LinkCondition {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.partitioned[from] == f.partitioned[to] {
+		return fault.LinkCondition{}
+	}
+	condition := f.partitionCondition
+	if f.partitioned[to] { // the condition is that from partitioned schedulers to the others
+		condition.CutForward, condition.CutBackward = condition.CutBackward, condition.CutForward
+	}
+	return condition
+}
+
+// workerAddress returns the address at which a scheduler reaches a worker: that of a link of its own if the fleet has links.
+func (f *Fleet) workerAddress(scheduler string, worker *standin.Worker) string {
+	if !f.LinkedWorkers {
+		return worker.Addr
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	key := linkKey{scheduler: scheduler, worker: worker.ID}
+	if link := f.links[key]; link != nil {
+		return link.Addr
+	}
+	link, err := fault.NewLink(worker.Addr)
+	if err != nil {
+		return worker.Addr // out of descriptors; a scenario that changes the link fails
+	}
+	f.links[key] = link
+	return link.Addr
+}
+
+// OpenLink returns the link of a scheduler to a worker, which it opens unless it is open.
+func (f *Fleet) OpenLink(scheduler string, worker *standin.Worker) (*fault.Link, error) {
+	f.workerAddress(scheduler, worker)
+	link := f.LinkTo(scheduler, worker.ID)
+	if link == nil {
+		return nil, fmt.Errorf("no link from %s to %s", scheduler, worker.ID)
+	}
+	return link, nil
+}
+
+// Partition gives the links between these schedulers and the others a condition, in place of an earlier partition. It reports
+// whether the fleet has a hub, without which there are no such links.
+func (f *Fleet) Partition(instances []*Instance, condition fault.LinkCondition) bool {
+	if f.hub == nil {
+		return false
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.partitionCondition = condition
+	f.partitioned = map[string]bool{}
+	for _, instance := range instances {
+		f.partitioned[instance.Gossip] = true
+	}
+	return true
+}
+
+// LinkTo returns the link of a scheduler to a worker; nil without.
+func (f *Fleet) LinkTo(scheduler, worker string) *fault.Link {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.links[linkKey{scheduler: scheduler, worker: worker}]
+}
--- a/internal/testbed/schedulerlog.go
+++ b/internal/testbed/process/members.go
@@ -1,4 +1,4 @@
-package testbed
+package process
 
 import (
 	"context"
@@ -8,22 +8,22 @@
 
 // Messages of a scheduler's log that the testbed looks for.
 const (
-	logSchedulerStarted = "scheduler started"
-	logPeerAlive        = "peer alive"
-	logPeerSuspect      = "peer suspect"
-	logPeerDead         = "peer dead"
-	logPeerLeft         = "peer left"
-	logPeerUncertified  = "peer removed: its certificate is no longer valid"
-	logPeerIgnored      = "peer reports ignored for a while"
-	logWorkerEjected    = "worker confirmed faulty by peers"
-	logWorkerReadmitted = "worker no longer confirmed faulty by peers"
-	logGossipEnded      = "gossip ended"
+	LogSchedulerStarted = "scheduler started"
+	LogPeerAlive        = "peer alive"
+	LogPeerSuspect      = "peer suspect"
+	LogPeerDead         = "peer dead"
+	LogPeerLeft         = "peer left"
+	LogPeerUncertified  = "peer removed: its certificate is no longer valid"
+	LogPeerIgnored      = "peer reports ignored for a while"
+	LogWorkerEjected    = "worker confirmed faulty by peers"
+	LogWorkerReadmitted = "worker no longer confirmed faulty by peers"
+	LogGossipEnded      = "gossip ended"
 )
 
 const (
-	joinCheckInterval    = 50 * time.Millisecond
-	schedulerStartWithin = 20 * time.Second
-	fleetJoinWithin      = 30 * time.Second
+	joinCheckInterval = 50 * time.Millisecond
+	StartTimeout      = 20 * time.Second
+	JoinTimeout       = 30 * time.Second
 )
 
 // Peers returns the members that the latest process of an instance holds alive or suspect, by its log.
@@ -31,9 +31,9 @@
 	peers := map[string]bool{}
 	for _, line := range in.Log.Latest() {
 		switch line.Text("msg") {
-		case logPeerAlive, logPeerSuspect:
+		case LogPeerAlive, LogPeerSuspect:
 			peers[line.Text("peer")] = true
-		case logPeerDead, logPeerLeft, logPeerUncertified:
+		case LogPeerDead, LogPeerLeft, LogPeerUncertified:
 			delete(peers, line.Text("peer"))
 		}
 	}
--- a/internal/testbed/offer.go
+++ b/internal/testbed/process/offer.go
@@ -1,4 +1,4 @@
-package testbed
+package process
 
 import (
 	"context"
--- /dev/null
+++ b/internal/testbed/process/wakedelay.go
@@ -0,0 +1,24 @@
+package process
+
+import (
+	"context"
+	"time"
+
+	"calicohill/internal/testbed/wait"
+)
+
+// MeasureWakeDelay measures by how much this machine wakes sleeping goroutines late, until the context ends. Schedulers are
+// woken as late.
+func (f *Fleet) MeasureWakeDelay(ctx context.Context) <-chan time.Duration {
+	const interval = 5 * time.Millisecond
+	measured := make(chan time.Duration, 1)
+	go func() {
+		worst := time.Duration(0)
+		for at := time.Now(); wait.Sleep(ctx, interval); at = time.Now() {
+			worst = max(worst, time.Since(at)-interval)
+			f.wakeDelay.Store(int64(worst))
+		}
+		measured <- worst
+	}()
+	return measured
+}
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/wait"
 )
 
@@ -104,15 +105,15 @@
 	return time.ParseDuration(text)
 }
 
-// play executes the steps, each when its time after the beginning has come, until the context ends. It returns when the
+// play executes the steps on a fleet, each when its time after the beginning has come, until the context ends. It returns when the
 // last step that was executed ended.
-func (f *Fleet) play(ctx context.Context, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
+func play(ctx context.Context, fleet *process.Fleet, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
 	lastStep = began
 	for _, step := range scenario {
 		if !wait.Sleep(ctx, time.Until(began.Add(step.At))) {
 			break
 		}
-		if err := f.execute(step, seed); err != nil {
+		if err := execute(fleet, step, seed); err != nil {
 			return lastStep, err
 		}
 		lastStep = time.Now()
--- a/internal/testbed/steps.go
+++ b/internal/testbed/steps.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"fmt"
 	"math/rand/v2"
 	"strconv"
+	"sync"
 	"syscall"
 	"time"
 
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 )
 
@@ -42,14 +43,14 @@
 // stepRun is a step that is executed on a fleet.
 type stepRun struct {
 	Step
-	fleet      *Fleet
+	fleet      *process.Fleet
 	schedulers []int // all instances in the order in which shares take them
 	workers    []int // the same for the workers
 }
 
 // stepVerbs has the function that carries out each verb.
 var stepVerbs = map[string]func(stepRun) error{
-	"start":   func(r stepRun) error { return r.forEachInstance((*Instance).startIfStopped) },
+	"start":   func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
 	"kill":    stepRun.kill,
 	"stop":    func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
 	"cont":    func(r stepRun) error { return r.signal(syscall.SIGCONT) },
@@ -68,26 +69,26 @@
 	"known":   stepRun.setKnownEvents,
 }
 
-// execute carries out a step.
-func (f *Fleet) execute(step Step, seed uint64) error {
+// execute carries out a step on a fleet.
+func execute(fleet *process.Fleet, step Step, seed uint64) error {
 	do, ok := stepVerbs[step.Verb]
 	if !ok {
 		return step.invalid()
 	}
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
-	run := stepRun{Step: step, fleet: f}
-	run.schedulers = rng.Perm(len(f.Instances))
-	run.workers = rng.Perm(len(f.Workers))
+	run := stepRun{Step: step, fleet: fleet}
+	run.schedulers = rng.Perm(len(fleet.Instances))
+	run.workers = rng.Perm(len(fleet.Workers))
 	return do(run)
 }
 
 // selectedInstances returns the instances that the share at an argument means.
-func (r stepRun) selectedInstances(argument int) ([]*Instance, error) {
+func (r stepRun) selectedInstances(argument int) ([]*process.Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
 		return nil, err
 	}
-	var instances []*Instance
+	var instances []*process.Instance
 	for _, i := range r.schedulers[:count] {
 		instances = append(instances, r.fleet.Instances[i])
 	}
@@ -108,7 +109,7 @@
 }
 
 // forEachInstance does something to the instances of the first argument, until it fails.
-func (r stepRun) forEachInstance(do func(*Instance) error) error {
+func (r stepRun) forEachInstance(do func(*process.Instance) error) error {
 	instances, err := r.selectedInstances(0)
 	if err != nil {
 		return err
@@ -122,19 +123,19 @@
 }
 
 func (r stepRun) kill() error {
-	return r.forEachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *process.Instance) error {
 		in.Kill()
 		return nil
 	})
 }
 
 func (r stepRun) signal(signal syscall.Signal) error {
-	return r.forEachInstance(func(in *Instance) error { return in.Signal(signal) })
+	return r.forEachInstance(func(in *process.Instance) error { return in.Signal(signal) })
 }
 
 // terminate has instances shut down, and does not wait for it.
 func (r stepRun) terminate() error {
-	return r.forEachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *process.Instance) error {
 		go func() { _ = in.Stop() }() // the checks detect one that does not end in order
 		return nil
 	})
@@ -150,10 +151,11 @@
 	if err != nil {
 		return err
 	}
+	var restarts sync.WaitGroup
 	for from := 0; from < len(r.schedulers); from += batch {
 		for _, i := range r.schedulers[from:min(from+batch, len(r.schedulers))] {
 			instance := r.fleet.Instances[i]
-			r.fleet.restarts.Go(func() {
+			restarts.Go(func() {
 				if err := instance.Stop(); err == nil {
 					_ = instance.Start() // the checks detect one that does not start
 				}
@@ -161,7 +163,7 @@
 		}
 		time.Sleep(pause)
 	}
-	r.fleet.restarts.Wait()
+	restarts.Wait()
 	return nil
 }
 
@@ -190,7 +192,7 @@
 // repeatEvent publishes an event that repeats what the list has of the first worker that does not leave.
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
-		if _, leaves := r.fleet.departures[worker]; !leaves {
+		if _, leaves := r.fleet.Departure(worker); !leaves {
 			r.fleet.Publish(false, []*standin.Worker{worker}, standin.EndpointServing)
 			break
 		}
@@ -220,7 +222,7 @@
 	r.fleet.Publish(false, gone, standin.EndpointDeleted)
 	var added []*standin.Worker
 	for _, worker := range gone {
-		replacement, err := r.fleet.startWorker(worker.ID+"x", startedAt)
+		replacement, err := r.fleet.StartWorker(worker.ID+"x", startedAt)
 		if err != nil {
 			return err
 		}
@@ -280,16 +282,9 @@
 		return errors.Join(err, r.invalid())
 	}
 	condition, ok := linkConditions[r.Args[0]]
-	if !ok || r.fleet.hub == nil {
+	if !ok || !r.fleet.Partition(instances, condition) {
 		return r.invalid()
 	}
-	r.fleet.mu.Lock()
-	defer r.fleet.mu.Unlock()
-	r.fleet.partitionCondition = condition
-	r.fleet.partitioned = map[string]bool{}
-	for _, instance := range instances {
-		r.fleet.partitioned[instance.Gossip] = true
-	}
 	return nil
 }
 
@@ -310,10 +305,9 @@
 	var errs error
 	for _, instance := range instances {
 		for _, worker := range workers {
-			r.fleet.workerAddress(instance.Name, worker) // which opens the link
-			link := r.fleet.linkTo(instance.Name, worker.ID)
-			if link == nil {
-				return fmt.Errorf("no link from %s to %s", instance.Name, worker.ID)
+			link, err := r.fleet.OpenLink(instance.Name, worker)
+			if err != nil {
+				return err
 			}
 			if ok {
 				errs = errors.Join(errs, link.Set(condition))
@@ -330,9 +324,9 @@
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
-	r.fleet.KnownEvents = KnownEvents(r.Args[0])
+	r.fleet.KnownEvents = process.KnownEvents(r.Args[0])
 	for _, instance := range r.fleet.Instances {
-		if err := instance.configure(); err != nil {
+		if err := instance.Configure(); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/steps_test.go
+++ b/internal/testbed/steps_test.go
@@ -4,18 +4,19 @@
 	"errors"
 	"testing"
 
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 )
 
 // A step that names a fault of workers which does not exist is an error, and leaves them as they are.
 func TestUnknownWorkerFault(t *testing.T) {
 	t.Parallel()
-	fleet := &Fleet{Workers: []*standin.Worker{{ID: "w00"}, {ID: "w01"}}}
-	if err := fleet.execute(Step{Verb: "workers", Args: []string{"mute", "1"}}, 1); err != nil {
+	fleet := &process.Fleet{Workers: []*standin.Worker{{ID: "w00"}, {ID: "w01"}}}
+	if err := execute(fleet, Step{Verb: "workers", Args: []string{"mute", "1"}}, 1); err != nil {
 		t.Fatal(err)
 	}
 	for _, args := range [][]string{{"asleep", "1"}, {"", "1"}, {"mute"}, {}} {
-		if err := fleet.execute(Step{Verb: "workers", Args: args}, 1); !errors.Is(err, errInvalidStep) {
+		if err := execute(fleet, Step{Verb: "workers", Args: args}, 1); !errors.Is(err, errInvalidStep) {
 			t.Errorf("workers %q: %v, want %v", args, err, errInvalidStep)
 		}
 	}
