--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/scenario"
 )
 
 // A startupScenario is a script of the testbed, how long it runs and how many polls may come together.
@@ -91,7 +92,7 @@
 
 // run plays the scenario with that program.
 func (tt startupScenario) run(t *testing.T, program string) {
-	script, err := testbed.ParseScenario(tt.script)
+	script, err := scenario.Parse(tt.script)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -10,6 +10,7 @@
 
 	"calicohill/internal/testbed"
 	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/scenario"
 	"calicohill/internal/testbed/virtual"
 
 	"github.com/spf13/cobra"
@@ -27,7 +28,7 @@
 // coldstartCommand is the command coldstart.
 func coldstartCommand() *cobra.Command {
 	options := &coldstartOptions{}
-	names := slices.Sorted(maps.Keys(testbed.ColdStartScenarios))
+	names := slices.Sorted(maps.Keys(scenario.ColdStart))
 	cmd := &cobra.Command{
 		Use: "coldstart", Short: "Many schedulers at once before a list service and workers with faults",
 		Long: "Many schedulers at once before a list service and workers with faults.\n\n" +
@@ -79,8 +80,8 @@
 }
 
 // parseScenario returns the scenario of that name, or that of a file.
-func parseScenario(nameOrPath string) (testbed.Scenario, error) {
-	text, ok := testbed.ColdStartScenarios[nameOrPath]
+func parseScenario(nameOrPath string) (scenario.Scenario, error) {
+	text, ok := scenario.ColdStart[nameOrPath]
 	if !ok {
 		file, err := os.ReadFile(nameOrPath)
 		if err != nil {
@@ -88,7 +89,7 @@
 		}
 		text = string(file)
 	}
-	return testbed.ParseScenario(text)
+	return scenario.Parse(text)
 }
 
 // run runs the experiment with real schedulers.
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -10,33 +10,10 @@
 
 	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/scenario"
 	"calicohill/internal/testbed/workload"
 )
 
-// ColdStartScenarios has the scenarios of 'testbed coldstart' by name.
-var ColdStartScenarios = map[string]string{
-	"well":    "0s known full\n0s start 1\n8s tell",
-	"empty":   "0s known empty\n0s start 1\n8s tell",
-	"old":     "0s drain 0.2\n0s known old\n0s start 1\n8s tell",
-	"refused": "0s known full\n0s list refuse\n0s start 1\n10s list well",
-	"busy":    "0s known full\n0s list busy\n0s start 1\n10s list well",
-	"crowded": "0s drain 0.2\n0s known old\n0s list crowded 0.1\n0s start 1",
-	"silent":  "0s known full\n0s start 1\n5s list silent\n19s list well",
-	"broken":  "0s known full\n0s start 1\n6s break\n12s break",
-	"torn":    "0s known full\n0s start 1\n5s list torn\n5s drain 0.1\n9s list well",
-	"roll":    "0s known full\n0s start 1\n5s replace 0.2\n5s roll 0.1 1s\n16s tell",
-	"herd":    "0s known full\n0s start 1\n6s kill 0.7\n7s start 1",
-	"mute":    "0s known full\n0s start 1\n6s workers mute 0.2\n6s kill 0.7\n7s start 1\n12s workers sound 0.2",
-	"cut":     "0s known full\n0s start 1\n6s link cut 1 0.2\n6s kill 0.7\n7s start 1\n12s link whole 1 0.2",
-	"cold":    "0s boot 1\n0s known full\n0s start 1",
-	"zone":    "0s known full\n0s start 1\n6s link cut 0.3 1\n9s link whole 0.3 1",
-	"reborn":  "0s known full\n0s start 1\n6s boot 0.4\n6s kill 0.4\n7s start 1",
-	"jammed":  "0s known full\n0s start 1\n6s boot 0.2\n6s jam 4s\n6s kill 0.7\n7s start 1",
-	"split":   "0s known full\n0s start 1\n4s talk lossy 0.3\n6s talk cut 0.3\n6s workers mute 0.2\n12s talk whole 1\n14s workers sound 0.2",
-	"stopped": "0s known full\n0s start 1\n6s stop 0.5\n11s cont 0.5",
-	"slow":    "0s known full\n0s start 1\n5s workers stalls 0.3\n5s list crowded 0.2\n6s drain 0.1\n12s workers sound 0.3",
-}
-
 // defaultSkew is how uneven the schedulers' fractions of the load are if no skew is given.
 const defaultSkew = 0.1
 
@@ -49,7 +26,7 @@
 	Instances         int
 	ClaimedSchedulers int // how many schedulers there are by their settings; 0 for as many as there are
 	Workers           int
-	Scenario          Scenario
+	Scenario          scenario.Scenario
 	Seconds           float64
 	Profile           string  // the workers' profile, by name
 	Keep              bool    // schedulers keep their list and what they learned over a restart
@@ -82,13 +59,13 @@
 	if err != nil {
 		return nil, err
 	}
-	gossips := e.Scenario.has("talk")
+	gossips := e.Scenario.ChangesGossip()
 	fleet := &process.Fleet{
 		Program:           e.Program,
 		Env:               e.Env,
 		Dir:               dir,
 		ClaimedSchedulers: e.ClaimedSchedulers,
-		LinkedWorkers:     e.Scenario.has("link"),
+		LinkedWorkers:     e.Scenario.ChangesLinks(),
 		Sharing:           gossips,
 		GossipThroughHub:  gossips,
 		Profile:           e.Profile,
@@ -118,10 +95,10 @@
 	began := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, began.Add(time.Duration(e.Seconds*float64(time.Second))))
 	defer cancel()
-	scenario := make(chan scenarioEnd, 1)
+	played := make(chan scenarioEnd, 1)
 	go func() {
-		lastStep, err := play(ctx, fleet, e.Scenario, began, e.Seed)
-		scenario <- scenarioEnd{lastStep, err}
+		lastStep, err := scenario.Play(ctx, fleet, e.Scenario, began, e.Seed)
+		played <- scenarioEnd{lastStep, err}
 	}()
 	wakeDelay := fleet.MeasureWakeDelay(ctx)
 	load := fleet.Offer(ctx, workload.Load{
@@ -130,7 +107,7 @@
 		Skew:      cmp.Or(e.Skew, defaultSkew),
 		Seed:      e.Seed,
 	})
-	end := <-scenario
+	end := <-played
 	if end.err != nil {
 		return metrics, end.err
 	}
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,4 +1,5 @@
-package testbed
+// Package scenario has scripts of what happens to a fleet of processes, and plays them.
+package scenario
 
 import (
 	"context"
@@ -44,8 +45,8 @@
 // errInvalidStep is the error of a line that is no step of a scenario, or whose arguments are invalid.
 var errInvalidStep = errors.New("not a step of a scenario")
 
-// ParseScenario parses a script. Verbs and arguments are checked when the step is executed.
-func ParseScenario(text string) (Scenario, error) {
+// Parse parses a script. Verbs and arguments are checked when the step is executed.
+func Parse(text string) (Scenario, error) {
 	var scenario Scenario
 	for line := range strings.Lines(text) {
 		fields := strings.Fields(line)
@@ -62,6 +63,12 @@
 	return scenario, nil
 }
 
+// ChangesLinks reports whether the scenario changes links between schedulers and workers.
+func (s Scenario) ChangesLinks() bool { return s.has("link") }
+
+// ChangesGossip reports whether the scenario changes links between schedulers.
+func (s Scenario) ChangesGossip() bool { return s.has("talk") }
+
 // has reports whether a step of the scenario has a verb.
 func (s Scenario) has(verb string) bool {
 	for _, step := range s {
@@ -107,7 +114,7 @@
 
 // play executes the steps on a fleet, each when its time after the beginning has come, until the context ends. It returns when the
 // last step that was executed ended.
-func play(ctx context.Context, fleet *process.Fleet, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
+func Play(ctx context.Context, fleet *process.Fleet, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
 	lastStep = began
 	for _, step := range scenario {
 		if !wait.Sleep(ctx, time.Until(began.Add(step.At))) {
