--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"testing"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/experiment"
 	"calicohill/internal/testbed/scenario"
 )
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	day := testbed.ColdStartExperiment{
+	day := experiment.ColdStart{
 		Program: program, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
 		Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Progress: func(s string) { t.Log(s) },
 	}
--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/experiment"
 	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/scenario"
 	"calicohill/internal/testbed/virtual"
@@ -18,7 +18,7 @@
 
 // coldstartOptions is the flags of coldstart.
 type coldstartOptions struct {
-	experiment testbed.ColdStartExperiment
+	experiment experiment.ColdStart
 	scenario   string // a name, or a file
 	virtual    bool
 	asJSON     bool
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/experiment"
 	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/virtual"
 
@@ -12,7 +12,7 @@
 
 // gossipOptions is the flags of gossip.
 type gossipOptions struct {
-	experiment testbed.GossipExperiment
+	experiment experiment.Gossip
 	virtual    bool
 	asJSON     bool
 	plotPath   string
--- a/cmd/testbed/match.go
+++ b/cmd/testbed/match.go
@@ -3,14 +3,14 @@
 import (
 	"errors"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/experiment"
 
 	"github.com/spf13/cobra"
 )
 
 // matchCommand is the command match.
 func matchCommand() *cobra.Command {
-	var experiment testbed.MatchExperiment
+	var experiment experiment.Match
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "match", Short: "What rules cost: an evaluation by itself, and requests through a scheduler",
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,11 +1,20 @@
-// Package testbed has stand-ins of what a scheduler speaks to, faults by schedule, and whole fleets of schedulers: real
-// processes on loopback, or their cores in virtual time. It measures; nothing of it runs in service.
+// Package testbed has no code of its own: it holds the packages that run whole fleets of schedulers, as real processes on
+// loopback or as their cores in virtual time, disturb them and measure them. Nothing of it runs in service.
 //
-// The stand-ins are a list service (ListService), workers (Worker) and the network between them (Link, Hub). Byzantine
-// members lie to the fleet (ByzantineMember). A Scenario says when which fault happens, a Load what clients send, and the
-// experiments (ColdStartExperiment, GossipExperiment, MatchExperiment, Experiment) measure what became of it.
+//	experiment  ColdStart, Gossip and Match: a fleet, a fault, a load, and the checks of what became of it
+//	scenario    scripts of what happens to a fleet, and their steps
+//	process     fleets of real processes, their fronts and their logs
+//	virtual     fleets in virtual time: Routers, poll planners and the membership
+//	gossipsim   a network of gossip cores in virtual time
+//	standin     the list service and the workers that schedulers speak to, and both protocols
+//	fault       links, hubs, byzantine members and floods
+//	report      what experiments measured, in JSON and as plots
+//	workload    what clients send, and what became of it
+//	platform    the configuration that the platform writes for a scheduler
+//	wait        pauses that end with a context
+//	golden      golden files of tests
 //
-// The tests of cmd/calicohill use the same configuration (Config, Settings), wire formats (AgentCommand,
-// AgentAnswer, PollRequest, EndpointEvent, EndpointFeed) and Log. Their list service and agents are their own: they answer
-// by a script, request by request, where those here answer by a fault and a profile.
+// A package imports only those further down. The tests of cmd/calicohill use platform, process and the formats of standin.
+// Their list service and agents are their own: they answer by a script, request by request, where those of standin answer by
+// a fault and a profile.
 package testbed
--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/experiment/coldstart.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 // defaultSkew is how uneven the schedulers' fractions of the load are if no skew is given.
 const defaultSkew = 0.1
 
-// ColdStartExperiment measures a fleet's cold start, or another fault that makes all its schedulers poll at once.
-type ColdStartExperiment struct {
+// ColdStart measures a fleet's cold start, or another fault that makes all its schedulers poll at once.
+type ColdStart struct {
 	Program           string
 	Baseline          string // an earlier build that plays the same first; "" for none
 	Env               []string
@@ -37,7 +37,7 @@
 }
 
 // Run runs the experiment with the program, before that with the baseline if there is one.
-func (e ColdStartExperiment) Run(ctx context.Context) (report.ColdStartResult, error) {
+func (e ColdStart) Run(ctx context.Context) (report.ColdStartResult, error) {
 	var result report.ColdStartResult
 	if e.Baseline != "" {
 		earlier := e
@@ -54,7 +54,7 @@
 }
 
 // fleet prepares a fleet that is not started yet.
-func (e ColdStartExperiment) fleet() (*process.Fleet, error) {
+func (e ColdStart) fleet() (*process.Fleet, error) {
 	dir, err := os.MkdirTemp(e.Dir, "calicohill-testbed-")
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 }
 
 // runProgram runs the experiment with one build.
-func (e ColdStartExperiment) runProgram(ctx context.Context, name string) (report.ColdStartMetrics, error) {
+func (e ColdStart) runProgram(ctx context.Context, name string) (report.ColdStartMetrics, error) {
 	var metrics report.ColdStartMetrics
 	fleet, err := e.fleet()
 	if err != nil {
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/experiment/gossip.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"cmp"
@@ -26,9 +26,9 @@
 	floodRate = 5000
 )
 
-// GossipExperiment has some workers become unresponsive, and compares a fleet that gossips its fault reports with one that
+// Gossip has some workers become unresponsive, and compares a fleet that gossips its fault reports with one that
 // does not.
-type GossipExperiment struct {
+type Gossip struct {
 	Program      string
 	Env          []string
 	Instances    int
@@ -43,7 +43,7 @@
 }
 
 // Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
-func (e GossipExperiment) Run(ctx context.Context) (report.GossipResult, error) {
+func (e Gossip) Run(ctx context.Context) (report.GossipResult, error) {
 	result := report.GossipResult{
 		Instances: e.Instances,
 		Workers:   e.Workers,
@@ -114,7 +114,7 @@
 }
 
 // fleet prepares and starts the schedulers of a run. The caller ends it with CloseAndRemove.
-func (e GossipExperiment) fleet(ctx context.Context, sharing bool) (*process.Fleet, error) {
+func (e Gossip) fleet(ctx context.Context, sharing bool) (*process.Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 }
 
 // start prepares and starts a fleet, and waits until it serves and its members know one another.
-func (e GossipExperiment) start(ctx context.Context, fleet *process.Fleet) error {
+func (e Gossip) start(ctx context.Context, fleet *process.Fleet) error {
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 }
 
 // runOnce runs the experiment with one fleet.
-func (e GossipExperiment) runOnce(ctx context.Context, sharing bool, byzantine int) (gossipMetrics, error) {
+func (e Gossip) runOnce(ctx context.Context, sharing bool, byzantine int) (gossipMetrics, error) {
 	fleet, err := e.fleet(ctx, sharing)
 	if err != nil {
 		return gossipMetrics{}, err
@@ -179,7 +179,7 @@
 }
 
 // unresponsive returns the workers that become unresponsive, chosen by the seed.
-func (e GossipExperiment) unresponsive(fleet *process.Fleet) []*standin.Worker {
+func (e Gossip) unresponsive(fleet *process.Fleet) []*standin.Worker {
 	var chosen []*standin.Worker
 	for i := range e.Silent {
 		chosen = append(chosen, fleet.Workers[(int(e.Seed)*7+i*5)%len(fleet.Workers)])
@@ -195,7 +195,7 @@
 }
 
 // measureFlood measures what a flood costs one of the instances, beside the same time without it.
-func (e GossipExperiment) measureFlood(ctx context.Context) (floodMetrics, error) {
+func (e Gossip) measureFlood(ctx context.Context) (floodMetrics, error) {
 	fleet, err := e.fleet(ctx, true)
 	if err != nil {
 		return floodMetrics{}, err
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"calicohill/internal/testbed/workload"
 )
 
-// gossipRun is a run of a GossipExperiment with one fleet.
+// gossipRun is a run of Gossip with one fleet.
 type gossipRun struct {
 	fleet        *process.Fleet
 	unresponsive []*standin.Worker // for a while
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/experiment/invariants.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"fmt"
--- a/internal/testbed/match.go
+++ b/internal/testbed/experiment/match.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"context"
@@ -28,8 +28,8 @@
 	matchParameterValue = "zona4"
 )
 
-// MatchExperiment measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
-type MatchExperiment struct {
+// Match measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
+type Match struct {
 	Program  string
 	Env      []string
 	Rules    int
@@ -98,7 +98,7 @@
 }
 
 // Run runs the experiment.
-func (e MatchExperiment) Run(ctx context.Context) (report.MatchResult, error) {
+func (e Match) Run(ctx context.Context) (report.MatchResult, error) {
 	result := report.MatchResult{Rules: e.Rules, Rate: e.Rate, Hostile: e.Hostile}
 	medians := map[int]float64{}
 	for _, rules := range []int{1, 10, 100, 1000, 10000} {
@@ -166,7 +166,7 @@
 }
 
 // measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
-func (e MatchExperiment) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
+func (e Match) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
 	fleet, err := e.fleet(ctx, operatorFile)
 	if err != nil {
 		return loadMeasurement{}, err
@@ -197,7 +197,7 @@
 }
 
 // fleet starts a scheduler with an operator's file. The caller ends it with CloseAndRemove.
-func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*process.Fleet, error) {
+func (e Match) fleet(ctx context.Context, operatorFile string) (*process.Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
@@ -226,7 +226,7 @@
 }
 
 // load returns a load whose requests carry the parameter that the rules look at.
-func (e MatchExperiment) load() workload.Load {
+func (e Match) load() workload.Load {
 	value := matchParameterValue
 	nearMisses := 0
 	if e.Hostile {
--- a/internal/testbed/platform/config.go
+++ b/internal/testbed/platform/config.go
@@ -9,7 +9,7 @@
 // Config is the configuration file that the platform writes for a scheduler.
 type Config struct {
 	Bulletin string          `json:"bulletin"` // address of the list service
-	Known    json.RawMessage `json:"known"`    // endpoint list at the start, as EndpointFeed returns it
+	Known    json.RawMessage `json:"known"`    // endpoint list at the start, as standin.EndpointFeed returns it
 	Limits   Limits          `json:"limits"`
 	Listen   string          `json:"listen"` // address for the front
 	Name     string          `json:"name"`
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -21,7 +21,7 @@
 func (VirtualColdStartResult) isReport() {}
 func (MatchResult) isReport()            {}
 
-// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares fractions of 1.
+// GossipResult is what experiment.Gossip measured. Times are in milliseconds, shares fractions of 1.
 type GossipResult struct {
 	Instances      int     `json:"instances"`
 	Workers        int     `json:"workers"`
@@ -64,13 +64,13 @@
 	HeapKB    float64 `json:"heap_kb_per_instance"`
 }
 
-// ColdStartResult is what a ColdStartExperiment measured.
+// ColdStartResult is what experiment.ColdStart measured.
 type ColdStartResult struct {
 	Program  ColdStartMetrics  `json:"program"`
 	Baseline *ColdStartMetrics `json:"baseline,omitempty"`
 }
 
-// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares fractions of 1.
+// ColdStartMetrics is what experiment.ColdStart measured with one build. Times are in milliseconds, shares fractions of 1.
 type ColdStartMetrics struct {
 	PollsPeak           int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
 	PollsEven           float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
@@ -134,7 +134,7 @@
 	Needed          int            `json:"crowded_polls_needed"`
 }
 
-// VirtualMetrics is what a Experiment measured.
+// VirtualMetrics is what virtual.Experiment measured.
 type VirtualMetrics struct {
 	Schedulers     int       `json:"schedulers"`
 	Workers        int       `json:"workers"`
@@ -147,7 +147,7 @@
 	Crashed        int       `json:"workers_crashed"` // overloaded while they were warming up
 }
 
-// MatchResult is what a MatchExperiment measured.
+// MatchResult is what experiment.Match measured.
 type MatchResult struct {
 	Rules        int         `json:"rules"`
 	Rate         float64     `json:"rate"`
--- a/internal/testbed/virtual/experiment.go
+++ b/internal/testbed/virtual/experiment.go
@@ -32,7 +32,7 @@
 	Seed              uint64
 }
 
-// fleet is the state of a Experiment that runs.
+// fleet is the state of an Experiment that runs.
 type fleet struct {
 	Experiment
 
