--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -15,7 +15,12 @@
 
 // layers are the path prefixes of each layer, the highest first. A package imports its own layer and those below it.
 var layers = [][]string{
-	{"cmd/", "example", "internal/testbed"},
+	{"cmd/", "example"},
+	{"internal/testbed/experiment"},
+	{"internal/testbed/scenario"},
+	{"internal/testbed/process", "internal/testbed/virtual"},
+	{"internal/testbed/standin"},
+	{"internal/testbed"},
 	{
 		"internal/frontend/", "internal/nodeagent", "internal/discovery", "internal/fleet/transport",
 		"internal/snapshot/snapshotfile", "internal/simwire",
