--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -3,9 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"os"
-	"slices"
 	"strings"
 
 	"calicohill/internal/testbed/experiment"
@@ -28,12 +26,12 @@
 // coldstartCommand is the command coldstart.
 func coldstartCommand() *cobra.Command {
 	options := &coldstartOptions{}
-	names := slices.Sorted(maps.Keys(scenario.ColdStart))
+	names := scenario.ColdStartNames()
 	cmd := &cobra.Command{
 		Use: "coldstart", Short: "Many schedulers at once before a list service and workers with faults",
 		Long: "Many schedulers at once before a list service and workers with faults.\n\n" +
 			"A scenario is one of " + strings.Join(names, ", ") + ", or a file with a script of the same form.",
-		Example: "  bin/testbed coldstart --instances 300 --workers 60 --scenario crowded --baseline ../earlier/bin/calicohill --json\n" +
+		Example: "  bin/testbed coldstart --instances 300 --workers 60 --scenario rate_limited --baseline ../earlier/bin/calicohill --json\n" +
 			"  bin/testbed coldstart --virtual --instances 5000 --json",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -62,7 +60,7 @@
 	flags.StringVar(&experiment.Baseline, "baseline", "", "an earlier build that plays the same first")
 	flags.IntVar(&experiment.Instances, "instances", 24, "schedulers")
 	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "schedulers by the settings; as many as run if not set")
-	flags.StringVar(&o.scenario, "scenario", "well", "a name, or a `FILE`")
+	flags.StringVar(&o.scenario, "scenario", "healthy", "a name, or a `FILE`")
 	flags.StringVar(&experiment.Profile, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
 	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their list and what they learned over a restart")
 	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' fractions of the load are: scheduler i has one in 1 + skew x i")
@@ -81,7 +79,7 @@
 
 // parseScenario returns the scenario of that name, or that of a file.
 func parseScenario(nameOrPath string) (scenario.Scenario, error) {
-	text, ok := scenario.ColdStart[nameOrPath]
+	text, ok := scenario.ColdStartScript(nameOrPath)
 	if !ok {
 		file, err := os.ReadFile(nameOrPath)
 		if err != nil {
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -203,6 +203,15 @@
 	}
 }
 
+// listFaults has faults of the list service by name.
+var listFaults = map[string]standin.ListFault{
+	"well":   standin.ListHealthy,
+	"refuse": standin.ListRefusing,
+	"silent": standin.ListUnresponsive,
+	"busy":   standin.ListOverloaded,
+	"torn":   standin.ListTruncating,
+}
+
 // Whatever the order of faults: once the service has been healthy again for 7 s, a new event reaches every scheduler within
 // 2 s. After each step, the fleet has at most twice as many pending polls as schedulers, and no scheduler sends more than 60
 // polls within a second.
@@ -218,7 +227,7 @@
 				fleet.Publish()
 			case "run":
 			default:
-				fleet.SetFault(standin.ListFault(do))
+				fleet.SetFault(listFaults[do])
 			}
 			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
 			if fleet.Queue.Len() > 2*schedulers {
--- a/internal/testbed/process/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -34,7 +34,7 @@
 	ClaimedSchedulers int  // how many schedulers there are by their settings; 0 for as many as there are
 
 	List        *standin.ListService
-	KnownEvents KnownEvents // "" as KnownAll
+	KnownEvents KnownEvents
 
 	Profile string // of its workers, by name; "" for roomy
 	Store   *standin.Store
@@ -54,14 +54,14 @@
 	partitioned        map[string]bool     // gossip addresses
 }
 
-// KnownEvents says which events of the list service schedulers are configured with. Its values are names in scenarios.
-type KnownEvents string
+// KnownEvents says which events of the list service schedulers are configured with.
+type KnownEvents int
 
 // The events that schedulers may be configured with.
 const (
-	KnownAll   KnownEvents = "full"
-	KnownFirst KnownEvents = "old" // the first event alone
-	KnownNone  KnownEvents = "empty"
+	KnownAll   KnownEvents = iota
+	KnownFirst             // the first event alone
+	KnownNone
 )
 
 // Departure is when a worker was published as draining or deleted, and by which event.
--- a/internal/testbed/process/instance.go
+++ b/internal/testbed/process/instance.go
@@ -66,7 +66,7 @@
 	close(p.exited)
 }
 
-// configure writes the files of an instance: the platform's, its key and the operator's.
+// Configure writes the files of an instance: the platform's, its key and the operator's.
 func (in *Instance) Configure() error {
 	fleet := in.fleet
 	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -16,23 +16,27 @@
 // Scenario is a script of what happens to a fleet: lines "TIME VERB ARGUMENTS" in the order of their times, each
 // beginning when its time has come. A share is of all schedulers, or workers, the same ones for the same seed.
 //
-//	0s known full|old|empty        the events that schedulers are configured with; before any start
+//	0s known full|stale|empty      the events that schedulers are configured with; before any start
 //	0s start SHARE                 starts those of the first SHARE that do not run
-//	4s list FAULT [SHARE]          fault of the list service: well (none), refuse, silent, busy, torn or crowded, which
-//	                               answers SHARE of what the fleet polls
-//	4s break                       breaks all connections of the list service
-//	4s tell                        publishes an event that repeats what the list has
+//	4s list FAULT [SHARE]          fault of the list service: healthy (none), refusing, unresponsive, overloaded, truncating or
+//	                               rate_limited, which answers SHARE of what the fleet polls
+//	4s disconnect                  closes all connections of the list service
+//	4s publish                     publishes an event that repeats what the list has
 //	4s drain SHARE                 drains workers
-//	4s replace SHARE [cold]        deletes workers and lists new ones; with cold these are warming up
+//	4s replace SHARE [warming_up]  deletes workers and lists new ones, which are warm unless it says that they are warming up
 //	4s kill|stop|cont|term SHARE   sends schedulers SIGKILL, SIGSTOP, SIGCONT or SIGTERM
-//	4s roll SHARE PAUSE            a rolling restart of all schedulers, a share at a time
-//	4s link CONDITION SHARE SHARE  changes the links between schedulers and workers: whole, cut, cut-there, cut-back, hang,
-//	                               slow (4,000 bytes a second), far (100 to 200 ms each way) or reset
-//	4s boot SHARE                  restarts workers at their address, without functions loaded and warming up
-//	4s jam PAUSE                   the store that all workers load from serves nothing for that long
-//	4s talk CONDITION SHARE        changes the links between schedulers and the others, who gossip: whole, cut, cut-there,
-//	                               cut-back, far or lossy (one datagram in three lost, one in ten twice, out of order)
-//	4s workers FAULT SHARE         gives workers a fault: sound (none), mute, stalls, fails or refuses
+//	4s rolling_restart SHARE PAUSE a rolling restart of all schedulers, a share at a time
+//	4s link CONDITION SHARE SHARE  changes the links between schedulers and workers: healthy, partitioned, partitioned_forward,
+//	                               partitioned_backward, hang, throttled (4,000 bytes a second), high_latency (100 to 200 ms
+//	                               each way) or connection_reset
+//	4s restart_workers SHARE       restarts workers at their address, without functions loaded and warming up
+//	4s stall_store PAUSE           the store that all workers load from serves nothing for that long
+//	4s gossip CONDITION SHARE      changes the links between schedulers and the others, who gossip: healthy, partitioned,
+//	                               partitioned_forward, partitioned_backward, high_latency or lossy (one datagram in three lost,
+//	                               one in ten twice, out of order)
+//	4s workers FAULT SHARE         gives workers a fault: healthy (none), unresponsive, slow, failing or refusing
+//
+// Earlier words for the same are accepted too: see verbAliases and argumentAliases.
 type Scenario []Step
 
 // Step is a line of a Scenario.
@@ -45,7 +49,7 @@
 // errInvalidStep is the error of a line that is no step of a scenario, or whose arguments are invalid.
 var errInvalidStep = errors.New("not a step of a scenario")
 
-// Parse parses a script. Verbs and arguments are checked when the step is executed.
+// Parse parses a script, and replaces earlier words by the present ones. Verbs and arguments are checked when the step is executed.
 func Parse(text string) (Scenario, error) {
 	var scenario Scenario
 	for line := range strings.Lines(text) {
@@ -58,7 +62,7 @@
 		if err != nil || len(fields) < 2 || outOfOrder {
 			return nil, fmt.Errorf("%w: %q", errInvalidStep, line)
 		}
-		scenario = append(scenario, Step{At: at, Verb: fields[1], Args: fields[2:]})
+		scenario = append(scenario, Step{At: at, Verb: fields[1], Args: fields[2:]}.canonical())
 	}
 	return scenario, nil
 }
@@ -67,7 +71,7 @@
 func (s Scenario) ChangesLinks() bool { return s.has("link") }
 
 // ChangesGossip reports whether the scenario changes links between schedulers.
-func (s Scenario) ChangesGossip() bool { return s.has("talk") }
+func (s Scenario) ChangesGossip() bool { return s.has("gossip") }
 
 // has reports whether a step of the scenario has a verb.
 func (s Scenario) has(verb string) bool {
@@ -112,7 +116,7 @@
 	return time.ParseDuration(text)
 }
 
-// play executes the steps on a fleet, each when its time after the beginning has come, until the context ends. It returns when the
+// Play executes the steps on a fleet, each when its time after the beginning has come, until the context ends. It returns when the
 // last step that was executed ended.
 func Play(ctx context.Context, fleet *process.Fleet, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
 	lastStep = began
--- a/internal/testbed/scenario/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -8,7 +8,6 @@
 	"syscall"
 	"time"
 
-	"calicohill/internal/testbed/fault"
 	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 )
@@ -16,30 +15,6 @@
 // scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
-// workerFaults is the faults of workers by their names in scenarios.
-var workerFaults = map[string]standin.WorkerFault{
-	"sound":   standin.WorkerHealthy,
-	"mute":    standin.WorkerUnresponsive,
-	"stalls":  standin.WorkerSlow,
-	"fails":   standin.WorkerFailing,
-	"refuses": standin.WorkerRefusing,
-}
-
-// linkConditions is the conditions of links by their names in scenarios.
-var linkConditions = map[string]fault.LinkCondition{
-	"whole":     {},
-	"cut":       {CutForward: true, CutBackward: true},
-	"cut-there": {CutForward: true},
-	"cut-back":  {CutBackward: true},
-	"lossy":     {Loss: 0.33, Duplicate: 0.1, Jitter: 50 * time.Millisecond},
-	"hang":      {Hang: true},
-	"slow":      {BytesPerSecond: 4000},
-	"far":       {Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond},
-}
-
-// resetLink is the condition that resets a link's connections once.
-const resetLink = "reset"
-
 // stepRun is a step that is executed on a fleet.
 type stepRun struct {
 	Step
@@ -50,33 +25,33 @@
 
 // stepVerbs has the function that carries out each verb.
 var stepVerbs = map[string]func(stepRun) error{
-	"start":   func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
-	"kill":    stepRun.kill,
-	"stop":    func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
-	"cont":    func(r stepRun) error { return r.signal(syscall.SIGCONT) },
-	"term":    stepRun.terminate,
-	"roll":    stepRun.rollingRestart,
-	"list":    stepRun.setListFault,
-	"break":   stepRun.breakList,
-	"tell":    stepRun.repeatEvent,
-	"drain":   stepRun.drain,
-	"replace": stepRun.replace,
-	"boot":    stepRun.restartWorkers,
-	"jam":     stepRun.jam,
-	"workers": stepRun.setWorkerFault,
-	"link":    stepRun.setLinks,
-	"talk":    stepRun.setPartition,
-	"known":   stepRun.setKnownEvents,
+	"start":           func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
+	"kill":            stepRun.kill,
+	"stop":            func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
+	"cont":            func(r stepRun) error { return r.signal(syscall.SIGCONT) },
+	"term":            stepRun.terminate,
+	"rolling_restart": stepRun.rollingRestart,
+	"list":            stepRun.setListFault,
+	"disconnect":      stepRun.disconnectList,
+	"publish":         stepRun.repeatEvent,
+	"drain":           stepRun.drain,
+	"replace":         stepRun.replace,
+	"restart_workers": stepRun.restartWorkers,
+	"stall_store":     stepRun.stallStore,
+	"workers":         stepRun.setWorkerFault,
+	"link":            stepRun.setLinks,
+	"gossip":          stepRun.setPartition,
+	"known":           stepRun.setKnownEvents,
 }
 
 // execute carries out a step on a fleet.
 func execute(fleet *process.Fleet, step Step, seed uint64) error {
-	do, ok := stepVerbs[step.Verb]
+	do, ok := stepVerbs[step.canonical().Verb]
 	if !ok {
 		return step.invalid()
 	}
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
-	run := stepRun{Step: step, fleet: fleet}
+	run := stepRun{Step: step.canonical(), fleet: fleet}
 	run.schedulers = rng.Perm(len(fleet.Instances))
 	run.workers = rng.Perm(len(fleet.Workers))
 	return do(run)
@@ -169,10 +144,14 @@
 
 // setListFault gives the list service a fault, or none.
 func (r stepRun) setListFault() error {
-	fault, err := r.argument(0)
+	name, err := r.argument(0)
 	if err != nil {
 		return err
 	}
+	fault, ok := listFaults[name]
+	if !ok {
+		return r.invalid()
+	}
 	answersPerSecond := 0.0
 	if len(r.Args) > 1 {
 		fraction, err := strconv.ParseFloat(r.Args[1], 64)
@@ -181,10 +160,10 @@
 		}
 		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / standin.PollPeriod.Seconds()
 	}
-	return r.fleet.List.SetFault(standin.ListFault(fault), answersPerSecond)
+	return r.fleet.List.SetFault(fault, answersPerSecond)
 }
 
-func (r stepRun) breakList() error {
+func (r stepRun) disconnectList() error {
 	r.fleet.List.BreakConnections()
 	return nil
 }
@@ -216,7 +195,7 @@
 		return err
 	}
 	startedAt := time.Time{}
-	if len(r.Args) > 1 && r.Args[1] == "cold" {
+	if len(r.Args) > 1 && r.Args[1] == warmingUp {
 		startedAt = time.Now()
 	}
 	r.fleet.Publish(false, gone, standin.EndpointDeleted)
@@ -246,8 +225,8 @@
 	return nil
 }
 
-// jam has the store serve nothing for a while.
-func (r stepRun) jam() error {
+// stallStore has the store serve nothing for a while.
+func (r stepRun) stallStore() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
@@ -299,7 +278,7 @@
 		return errors.Join(err, r.invalid())
 	}
 	condition, ok := linkConditions[r.Args[0]]
-	if !ok && r.Args[0] != resetLink || !r.fleet.LinkedWorkers {
+	if !ok && r.Args[0] != connectionReset || !r.fleet.LinkedWorkers {
 		return r.invalid()
 	}
 	var errs error
@@ -324,7 +303,11 @@
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
-	r.fleet.KnownEvents = process.KnownEvents(r.Args[0])
+	known, ok := knownEvents[r.Args[0]]
+	if !ok {
+		return r.invalid()
+	}
+	r.fleet.KnownEvents = known
 	for _, instance := range r.fleet.Instances {
 		if err := instance.Configure(); err != nil {
 			return err
--- a/internal/testbed/scenario/steps_test.go
+++ b/internal/testbed/scenario/steps_test.go
@@ -26,3 +26,26 @@
 		}
 	}
 }
+
+// A step that names a fault of the list service or known events which do not exist is an error. Guards against a fault: an
+// unknown word counted as a healthy service, or as the full list.
+func TestUnknownListFaultAndKnownEvents(t *testing.T) {
+	t.Parallel()
+	service := standin.NewListService()
+	defer service.Close()
+	fleet := &process.Fleet{List: service, KnownEvents: process.KnownNone}
+	for _, step := range []Step{
+		{Verb: "list", Args: []string{"asleep"}},
+		{Verb: "list", Args: []string{"asleep", "0.1"}},
+		{Verb: "list", Args: []string{""}},
+		{Verb: "known", Args: []string{"asleep"}},
+		{Verb: "known", Args: []string{""}},
+	} {
+		if err := execute(fleet, step, 1); !errors.Is(err, errInvalidStep) {
+			t.Errorf("%v: %v, want %v", step, err, errInvalidStep)
+		}
+	}
+	if fleet.KnownEvents != process.KnownNone {
+		t.Errorf("known events are %d, want the %d of before", fleet.KnownEvents, process.KnownNone)
+	}
+}
--- a/internal/testbed/standin/pollqueue.go
+++ b/internal/testbed/standin/pollqueue.go
@@ -18,17 +18,17 @@
 	return float64(schedulers) / tenthsPerPoll
 }
 
-// ListFault is how the stand-in list service behaves. Its values are names in scenarios.
-type ListFault string
+// ListFault is what is wrong with the stand-in list service.
+type ListFault int
 
 // The faults of the list service.
 const (
-	ListHealthy      ListFault = "well"
-	ListRefusing     ListFault = "refuse"  // refuses new connections, and closes those that are open
-	ListUnresponsive ListFault = "silent"  // accepts connections and polls, and answers none
-	ListOverloaded   ListFault = "busy"    // answers 503 with a Retry-After of 2 s
-	ListTruncating   ListFault = "torn"    // closes in the middle of each response that has an update
-	ListRateLimited  ListFault = "crowded" // answers PollQueue.AnswersPerSecond polls a second, in the order of their arrival
+	ListHealthy      ListFault = iota // none
+	ListRefusing                      // refuses new connections, and closes those that are open
+	ListUnresponsive                  // accepts connections and polls, and answers none
+	ListOverloaded                    // answers 503 with a Retry-After of 2 s
+	ListTruncating                    // closes in the middle of each response that has an update
+	ListRateLimited                   // answers PollQueue.AnswersPerSecond polls a second, in the order of their arrival
 )
 
 // PollQueue is the stand-in list service without clock and sockets: which polls are pending and when each is to be
--- a/internal/testbed/standin/worker.go
+++ b/internal/testbed/standin/worker.go
@@ -175,7 +175,7 @@
 	return w.crashedAt
 }
 
-// overload returns how many connections the worker refused, and the most that it was sent while warming up, as a fraction
+// Overload returns how many connections the worker refused, and the most that it was sent while warming up, as a fraction
 // of what it survives.
 func (w *Worker) Overload() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
@@ -183,7 +183,7 @@
 	return w.refusedConnections, w.peakLoadFraction
 }
 
-// restart restarts the worker: without functions loaded, warming up, its connections closed.
+// Restart restarts the worker: without functions loaded, warming up, its connections closed.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/workload/load.go
+++ b/internal/testbed/workload/load.go
@@ -48,7 +48,7 @@
 	return float64(r.Served) / float64(r.Offered)
 }
 
-// count counts the end of a request. interrupted reports that the process was killed or stopped meanwhile.
+// Count counts the end of a request. interrupted reports that the process was killed or stopped meanwhile.
 func (r *Result) Count(reply fastcgi.Reply, err error, took time.Duration, interrupted bool) {
 	if errors.Is(err, ErrNotAccepted) {
 		r.NotAccepted++
@@ -75,13 +75,13 @@
 	}
 }
 
-// class is a request class and its fraction of the load.
+// Class is a request class and its fraction of the load.
 type Class struct {
 	Name     string
 	Fraction float64
 }
 
-// classes are the request classes, as in docs: two in five read, as many file hours, the rest certify.
+// Classes are the request classes, as in docs: two in five read, as many file hours, the rest certify.
 var Classes = []Class{
 	{"consulta", 0.39},
 	{"registro-horas", 0.35},
@@ -114,5 +114,5 @@
 // FunctionsFor returns how many functions the clients of so many workers call.
 func FunctionsFor(workers int) int { return 3 * workers / 2 }
 
-// weight returns how much of the load an instance gets, relative to the first one's 1.
+// Weight returns how much of the load an instance gets, relative to the first one's 1.
 func (l Load) Weight(instance int) float64 { return 1 / (1 + l.Skew*float64(instance)) }
