--- a/internal/testbed/fault/link_test.go
+++ b/internal/testbed/fault/link_test.go
@@ -1,12 +1,15 @@
-package fault
+package fault_test
 
 import (
 	"errors"
 	"io"
 	"net"
 	"os"
+	"sync"
 	"testing"
 	"time"
+
+	"calicohill/internal/testbed/fault"
 )
 
 // A cut link gives no sign: what was sent arrives once it is restored, and a new connection does not come up.
@@ -25,7 +28,7 @@
 			go func() { _, _ = io.Copy(accepted, accepted) }() // until either end closes
 		}
 	}()
-	link, err := NewLink(target.Addr().String())
+	link, err := fault.NewLink(target.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +45,7 @@
 	if _, err := conn.Write([]byte("a")); err != nil || echo(time.Minute) != nil {
 		t.Fatalf("a link without a fault carries nothing: %v", err)
 	}
-	if err := link.Set(LinkCondition{CutForward: true, CutBackward: true}); err != nil {
+	if err := link.Set(fault.LinkCondition{CutForward: true, CutBackward: true}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Write([]byte("b")); err != nil {
@@ -55,7 +58,7 @@
 		another.Close()
 		t.Error("a connection is established over a cut link")
 	}
-	if err := link.Set(LinkCondition{}); err != nil {
+	if err := link.Set(fault.LinkCondition{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := echo(time.Minute); err != nil {
@@ -71,10 +74,15 @@
 func TestHub(t *testing.T) {
 	sender := listenUDP(t)
 	receiver := listenUDP(t)
-	condition := LinkCondition{}
-	hub, err := NewHub(
+	var mu sync.Mutex
+	condition := fault.LinkCondition{} // guarded by mu
+	hub, err := fault.NewHub(
 		[]string{sender.LocalAddr().String(), receiver.LocalAddr().String()},
-		func(string, string) LinkCondition { return condition },
+		func(string, string) fault.LinkCondition {
+			mu.Lock()
+			defer mu.Unlock()
+			return condition
+		},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -83,17 +91,17 @@
 	receiverAddr, _ := net.ResolveUDPAddr("udp", hub.Addr(receiver.LocalAddr().String()))
 	buf := make([]byte, 8)
 	for _, tt := range []struct {
-		condition LinkCondition
+		condition fault.LinkCondition
 		want      string
 	}{
-		{LinkCondition{}, "1"},
-		{LinkCondition{CutForward: true}, ""},
-		{LinkCondition{Loss: 1}, ""},
-		{LinkCondition{Delay: time.Millisecond}, "4"},
+		{fault.LinkCondition{}, "1"},
+		{fault.LinkCondition{CutForward: true}, ""},
+		{fault.LinkCondition{Loss: 1}, ""},
+		{fault.LinkCondition{Delay: time.Millisecond}, "4"},
 	} {
-		hub.mu.Lock()
+		mu.Lock()
 		condition = tt.condition
-		hub.mu.Unlock()
+		mu.Unlock()
 		payload := byte('x')
 		if tt.want != "" {
 			payload = tt.want[0]
--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -1,4 +1,4 @@
-package gossipsim
+package gossipsim_test
 
 import (
 	"fmt"
@@ -7,6 +7,7 @@
 	"time"
 
 	"calicohill/internal/fleet/gossip"
+	"calicohill/internal/testbed/gossipsim"
 
 	"pgregory.net/rapid"
 )
@@ -17,19 +18,19 @@
 }
 
 // newConvergedFleet returns a fleet of n nodes that joined by one seed and agree on the members.
-func newConvergedFleet(t testing.TB, n int, seed uint64) *Network {
-	t.Helper()
-	net := New(n, seed, testConfig)
+func newConvergedFleet(tb testing.TB, n int, seed uint64) *gossipsim.Network {
+	tb.Helper()
+	net := gossipsim.New(n, seed, testConfig)
 	for _, node := range net.Nodes {
 		net.Start(node, net.Nodes[0])
 	}
 	net.Run(30 * time.Second)
-	checkAgreement(t, net)
+	checkAgreement(tb, net)
 	return net
 }
 
 // firstDisagreement describes the first node that is up and does not know the state of another, or is empty.
-func firstDisagreement(net *Network) string {
+func firstDisagreement(net *gossipsim.Network) string {
 	for _, observer := range net.Nodes {
 		if observer.Core == nil {
 			continue
@@ -51,7 +52,7 @@
 
 // isCorrect reports whether what a member knows of a node is right: one that is up is alive, one that is down has no
 // state that counts, or is not known.
-func isCorrect(subject *Node, state gossip.State, known bool) bool {
+func isCorrect(subject *gossipsim.Node, state gossip.State, known bool) bool {
 	if subject.Core != nil {
 		return known && state == gossip.Alive
 	}
@@ -59,19 +60,19 @@
 }
 
 // checkAgreement checks that all nodes that are up know the state of all others.
-func checkAgreement(t testing.TB, net *Network) {
-	t.Helper()
+func checkAgreement(tb testing.TB, net *gossipsim.Network) {
+	tb.Helper()
 	if disagreement := firstDisagreement(net); disagreement != "" {
-		t.Errorf("no agreement: %s", disagreement)
+		tb.Errorf("no agreement: %s", disagreement)
 	}
 }
 
 // checkRateLimit checks that no node has ever sent more messages in a second than are allowed.
-func checkRateLimit(t testing.TB, net *Network) {
-	t.Helper()
+func checkRateLimit(tb testing.TB, net *gossipsim.Network) {
+	tb.Helper()
 	for _, n := range net.Nodes {
 		if n.PeakMessageRate > testConfig.MaxMessagesPerSecond {
-			t.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.PeakMessageRate, testConfig.MaxMessagesPerSecond)
+			tb.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.PeakMessageRate, testConfig.MaxMessagesPerSecond)
 		}
 	}
 }
@@ -122,7 +123,7 @@
 func TestPaused(t *testing.T) {
 	net := newConvergedFleet(t, 12, 3)
 	falseDeaths := 0
-	net.OnMemberChanged = func(n *Node, m gossip.Member) {
+	net.OnMemberChanged = func(n *gossipsim.Node, m gossip.Member) {
 		if m.State == gossip.Dead && m.Name != "n5" {
 			falseDeaths++
 		}
@@ -142,13 +143,13 @@
 func TestRefutationMissesOneMember(t *testing.T) {
 	for seed := range uint64(20) {
 		net := newConvergedFleet(t, 12, seed)
-		net.Intercept = func(n *Node, m *gossip.Transmit) bool {
+		net.Intercept = func(n *gossipsim.Node, m *gossip.Transmit) bool {
 			carriesRefutation := slices.ContainsFunc(m.Message.Records, func(r gossip.Record) bool {
 				return r.Name == "n5" && r.Incarnation > 1
 			})
 			return !carriesRefutation || m.To != "n7" || n.Name == "n5"
 		}
-		net.OnMemberChanged = func(n *Node, m gossip.Member) {
+		net.OnMemberChanged = func(n *gossipsim.Node, m gossip.Member) {
 			if m.State == gossip.Dead {
 				t.Errorf("seed %d: %s declares %s dead", seed, n.Name, m.Name)
 			}
@@ -182,7 +183,7 @@
 func TestFalseDeathClaims(t *testing.T) {
 	net := newConvergedFleet(t, 12, 5)
 	falseDeaths := 0
-	net.OnMemberChanged = func(n *Node, m gossip.Member) {
+	net.OnMemberChanged = func(n *gossipsim.Node, m gossip.Member) {
 		if m.State >= gossip.Dead {
 			falseDeaths++
 		}
@@ -227,7 +228,7 @@
 func TestStatements(t *testing.T) {
 	net := newConvergedFleet(t, 40, 7)
 	received := map[string]int{}
-	net.OnStatement = func(n *Node, s gossip.Statement) { received[n.Name+fmt.Sprint(s.Seq)]++ }
+	net.OnStatement = func(n *gossipsim.Node, s gossip.Statement) { received[n.Name+fmt.Sprint(s.Seq)]++ }
 	for seq := range uint64(10) {
 		net.Deliver(net.Nodes[0], gossip.Broadcast{Statement: gossip.Statement{
 			Name: "n0", Epoch: 1, Seq: seq + 1, Body: make([]byte, 400),
@@ -254,7 +255,7 @@
 }
 
 // injectFault injects a random fault at a node, or ends one.
-func injectFault(rt *rapid.T, net *Network, node *Node) {
+func injectFault(rt *rapid.T, net *gossipsim.Network, node *gossipsim.Node) {
 	switch rapid.IntRange(0, 5).Draw(rt, "fault") {
 	case 0:
 		net.Kill(node)
@@ -279,7 +280,7 @@
 // Whatever faults occur, messages and members are bounded, and after the last fault all agree again.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		net := New(rapid.IntRange(3, 12).Draw(rt, "nodes"), rapid.Uint64().Draw(rt, "seed"), testConfig)
+		net := gossipsim.New(rapid.IntRange(3, 12).Draw(rt, "nodes"), rapid.Uint64().Draw(rt, "seed"), testConfig)
 		net.Loss = rapid.Float64Range(0, 0.2).Draw(rt, "loss")
 		for _, node := range net.Nodes {
 			net.Start(node, net.Nodes...)
@@ -317,7 +318,7 @@
 func TestRequestFlood(t *testing.T) {
 	net := newConvergedFleet(t, 12, 8)
 	suspicions := 0
-	net.OnMemberChanged = func(n *Node, m gossip.Member) {
+	net.OnMemberChanged = func(n *gossipsim.Node, m gossip.Member) {
 		if m.State >= gossip.Suspect {
 			suspicions++
 		}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -1,4 +1,4 @@
-package report
+package report_test
 
 import (
 	"reflect"
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"calicohill/internal/testbed/report"
 )
 
 // Keys of reports are in snake_case, and a unit is their last part, or one before "per".
@@ -40,9 +42,9 @@
 			check(field.Type)
 		}
 	}
-	for _, report := range []Report{
-		GossipResult{}, VirtualGossipResult{}, ColdStartResult{}, VirtualColdStartResult{}, MatchResult{},
+	for _, result := range []report.Report{
+		report.GossipResult{}, report.VirtualGossipResult{}, report.ColdStartResult{}, report.VirtualColdStartResult{}, report.MatchResult{},
 	} {
-		check(reflect.TypeOf(report))
+		check(reflect.TypeOf(result))
 	}
 }
--- a/internal/testbed/standin/agentprotocol_test.go
+++ b/internal/testbed/standin/agentprotocol_test.go
@@ -1,4 +1,4 @@
-package standin
+package standin_test
 
 import (
 	"bufio"
@@ -7,19 +7,21 @@
 	"maps"
 	"strings"
 	"testing"
+
+	"calicohill/internal/testbed/standin"
 )
 
 // A connection's commands are read one after the other, each with its fields and body.
 func TestReadAgentCommand(t *testing.T) {
 	t.Parallel()
 	reader := bufio.NewReader(strings.NewReader("go 1 sort=consulta,asset=f,op=a=b 10\r\ntwo\r\nlines\r\nhalt 1\r\nstat p1\r\nping p2\r\n"))
-	for _, want := range []AgentCommand{
-		{Verb: AgentStart, ID: "1", Fields: map[string]string{"sort": "consulta", "asset": "f", "op": "a=b"}, Body: "two\r\nlines"},
-		{Verb: AgentCancel, ID: "1"},
-		{Verb: AgentStatus, ID: "p1"},
-		{Verb: AgentPing, ID: "p2"},
+	for _, want := range []standin.AgentCommand{
+		{Verb: standin.AgentStart, ID: "1", Fields: map[string]string{"sort": "consulta", "asset": "f", "op": "a=b"}, Body: "two\r\nlines"},
+		{Verb: standin.AgentCancel, ID: "1"},
+		{Verb: standin.AgentStatus, ID: "p1"},
+		{Verb: standin.AgentPing, ID: "p2"},
 	} {
-		got, err := ReadAgentCommand(reader)
+		got, err := standin.ReadAgentCommand(reader)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,7 +29,7 @@
 			t.Errorf("read %+v, want %+v", got, want)
 		}
 	}
-	if _, err := ReadAgentCommand(reader); !errors.Is(err, io.EOF) {
+	if _, err := standin.ReadAgentCommand(reader); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last command: %v, want %v", err, io.EOF)
 	}
 }
@@ -40,20 +42,20 @@
 		text string
 		want error
 	}{
-		{"no CRLF after the body", "go 1 sort=a 2\r\nokXX", ErrMalformedCommand},
-		{"no CR before the line end", "halt 1\n", ErrMalformedCommand},
-		{"unknown verb", "run 1\r\n", ErrMalformedCommand},
-		{"no ID", "halt\r\n", ErrMalformedCommand},
-		{"too few words", "go 1 2\r\nok\r\n", ErrMalformedCommand},
-		{"too many words", "halt 1 2\r\n", ErrMalformedCommand},
-		{"negative size", "go 1 sort=a -2\r\nok\r\n", ErrMalformedCommand},
-		{"size over the limit", "go 1 sort=a 16385\r\n" + strings.Repeat("x", 16385) + "\r\n", ErrMalformedCommand},
+		{"no CRLF after the body", "go 1 sort=a 2\r\nokXX", standin.ErrMalformedCommand},
+		{"no CR before the line end", "halt 1\n", standin.ErrMalformedCommand},
+		{"unknown verb", "run 1\r\n", standin.ErrMalformedCommand},
+		{"no ID", "halt\r\n", standin.ErrMalformedCommand},
+		{"too few words", "go 1 2\r\nok\r\n", standin.ErrMalformedCommand},
+		{"too many words", "halt 1 2\r\n", standin.ErrMalformedCommand},
+		{"negative size", "go 1 sort=a -2\r\nok\r\n", standin.ErrMalformedCommand},
+		{"size over the limit", "go 1 sort=a 16385\r\n" + strings.Repeat("x", 16385) + "\r\n", standin.ErrMalformedCommand},
 		{"line cut off", "halt 1", io.EOF},
 		{"body cut off", "go 1 sort=a 2\r\nok", io.ErrUnexpectedEOF},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			if command, err := ReadAgentCommand(bufio.NewReader(strings.NewReader(tt.text))); !errors.Is(err, tt.want) {
+			if command, err := standin.ReadAgentCommand(bufio.NewReader(strings.NewReader(tt.text))); !errors.Is(err, tt.want) {
 				t.Errorf("read %+v, %v, want %v", command, err, tt.want)
 			}
 		})
--- a/internal/testbed/standin/listservice_test.go
+++ b/internal/testbed/standin/listservice_test.go
@@ -1,21 +1,22 @@
-package standin
+package standin_test
 
 import (
 	"net"
 	"testing"
 
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
 )
 
 // A list service that refused connections opens its address again, whoever was given the port elsewhere meanwhile.
 func TestListServiceReopensAddress(t *testing.T) {
-	service := NewListService()
+	service := standin.NewListService()
 	defer service.Close()
 	addr, err := service.Address("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := service.SetFault(ListRefusing, 0); err != nil {
+	if err := service.SetFault(standin.ListRefusing, 0); err != nil {
 		t.Fatal(err)
 	}
 	_, port, _ := net.SplitHostPort(addr)
@@ -32,7 +33,7 @@
 		}
 		defer listener.Close()
 	}
-	if err := service.SetFault(ListHealthy, 0); err != nil {
+	if err := service.SetFault(standin.ListHealthy, 0); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/testbed/virtual/experiment_test.go
+++ b/internal/testbed/virtual/experiment_test.go
@@ -1,8 +1,10 @@
-package virtual
+package virtual_test
 
 import (
 	"slices"
 	"testing"
+
+	"calicohill/internal/testbed/virtual"
 )
 
 // Starts of fleets whose schedulers have learned nothing yet, in virtual time: what they assume until responses teach them
@@ -10,20 +12,20 @@
 func TestStartWithoutLearnedState(t *testing.T) {
 	for _, tt := range []struct {
 		name              string
-		experiment        Experiment
+		experiment        virtual.Experiment
 		fromSecond        int     // which the check begins with
 		minServedFraction float64 // in each second from then on
 	}{
 		// Guards against a fault: nothing was sent to any worker for as long as all were warming up.
-		{"all warming up", Experiment{Schedulers: 24, Workers: 10, WarmingWorkers: true, Rate: 80, Seconds: 14}, 7, 0.9},
-		{"all warming up, uneven load", Experiment{Schedulers: 24, Workers: 10, WarmingWorkers: true, Rate: 80, Skew: 3, Seconds: 14}, 9, 0.8},
+		{"all warming up", virtual.Experiment{Schedulers: 24, Workers: 10, WarmingWorkers: true, Rate: 80, Seconds: 14}, 7, 0.9},
+		{"all warming up, uneven load", virtual.Experiment{Schedulers: 24, Workers: 10, WarmingWorkers: true, Rate: 80, Skew: 3, Seconds: 14}, 9, 0.8},
 		// Guards against a fault: a budget of less than one call a window was hardly ever used.
-		{"all warming up, many schedulers", Experiment{Schedulers: 120, Workers: 24, WarmingWorkers: true, Rate: 130, Seconds: 14}, 4, 0.5},
+		{"all warming up, many schedulers", virtual.Experiment{Schedulers: 120, Workers: 24, WarmingWorkers: true, Rate: 130, Seconds: 14}, 4, 0.5},
 		// The preferred worker of the function that is called most is called 40 times as much as the mean worker.
-		{"all warming up, hundreds of workers", Experiment{Schedulers: 300, Workers: 400, WarmingWorkers: true, Rate: 3200, Seconds: 3}, 0, 0.3},
+		{"all warming up, hundreds of workers", virtual.Experiment{Schedulers: 300, Workers: 400, WarmingWorkers: true, Rate: 3200, Seconds: 3}, 0, 0.3},
 		// Guards against a fault: the workers that schedulers knew were overloaded, and calls for all others were rejected for it.
-		{"warm, few workers known", Experiment{Schedulers: 400, Workers: 80, Rate: 800, Seconds: 13}, 10, 0.86},
-		{"four in five workers restart", Experiment{Schedulers: 120, Workers: 24, RestartedFraction: 0.8, Rate: 200, Seconds: 18}, 9, 0.7},
+		{"warm, few workers known", virtual.Experiment{Schedulers: 400, Workers: 80, Rate: 800, Seconds: 13}, 10, 0.86},
+		{"four in five workers restart", virtual.Experiment{Schedulers: 120, Workers: 24, RestartedFraction: 0.8, Rate: 200, Seconds: 18}, 9, 0.7},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
