--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -17,16 +17,19 @@
 	"github.com/spf13/cobra"
 )
 
-func main() {
+func main() { os.Exit(run()) }
+
+// run runs the command and returns the exit code.
+func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{Use: "testbed", Short: "Experiments with fleets of calicohill", SilenceErrors: true, SilenceUsage: true}
 	root.AddCommand(gossipCommand(), matchCommand(), coldstartCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
-		stop()
-		os.Exit(1)
+		return 1
 	}
+	return 0
 }
 
 // setDefaultProgram sets the path of the scheduler to the one beside this program, unless it is set.
--- a/internal/testbed/experiment/coldstartmetrics.go
+++ b/internal/testbed/experiment/coldstartmetrics.go
@@ -50,7 +50,7 @@
 	metrics.PollsEven = standin.EvenPollsPer100ms(schedulers)
 	metrics.Limit = float64(standin.PollPeriod.Milliseconds())
 	if rate := fleet.List.AnswersPerSecond(); rate > 0 {
-		metrics.Limit = float64(schedulers) / rate * 1000
+		metrics.Limit = float64(schedulers) / rate * float64(time.Second/time.Millisecond)
 	}
 }
 
--- a/internal/testbed/experiment/gossip.go
+++ b/internal/testbed/experiment/gossip.go
@@ -24,6 +24,12 @@
 	gossipSkew = 0.3
 	// floodRate is the forged datagrams a second of a flood.
 	floodRate = 5000
+	// floodFraction is the fraction of the experiment's duration that each of the three measurements of a flood takes.
+	floodFraction = 0.25
+	// minFloodSeconds is the shortest such measurement.
+	minFloodSeconds = 2
+	// workersPerUnresponsive is how many workers there are for each that becomes unresponsive, unless the experiment says.
+	workersPerUnresponsive = 12
 )
 
 // Gossip has some workers become unresponsive, and compares a fleet that gossips its fault reports with one that
@@ -51,7 +57,7 @@
 		Seconds:   e.Seconds,
 		Limit:     platform.MaxGossipMessagesPerSecond,
 	}
-	e.Silent = cmp.Or(e.Silent, max(1, e.Workers/12))
+	e.Silent = cmp.Or(e.Silent, max(1, e.Workers/workersPerUnresponsive))
 	for _, run := range []struct {
 		name      string
 		sharing   bool
@@ -202,7 +208,7 @@
 	}
 	defer fleet.CloseAndRemove()
 	target := fleet.Instances[0]
-	duration := time.Duration(max(e.Seconds/4, 2) * float64(time.Second))
+	duration := time.Duration(max(e.Seconds*floodFraction, minFloodSeconds) * float64(time.Second))
 	measureCPU := func() float64 {
 		before := target.CPU()
 		began := time.Now()
--- a/internal/testbed/experiment/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -13,6 +13,15 @@
 	"calicohill/internal/testbed/workload"
 )
 
+// The course of a gossipRun, by what its duration is divided by.
+const (
+	untilFault         = 5 // from the beginning to the fault
+	untilRecovery      = 2 // from the fault to its end
+	untilFewAreAccused = 4 // from the beginning, while byzantine members accuse all workers
+	workersPerAccused  = 8 // how many workers there are for each that is accused afterwards
+	minAccused         = 2
+)
+
 // gossipRun is a run of Gossip with one fleet.
 type gossipRun struct {
 	fleet        *process.Fleet
@@ -33,12 +42,12 @@
 
 // playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
-	if !wait.Sleep(ctx, duration/5) {
+	if !wait.Sleep(ctx, duration/untilFault) {
 		return
 	}
 	r.faultFrom = time.Now()
 	r.setFault(standin.WorkerUnresponsive)
-	if !wait.Sleep(ctx, duration/2) {
+	if !wait.Sleep(ctx, duration/untilRecovery) {
 		return
 	}
 	r.faultUntil = time.Now()
@@ -70,11 +79,11 @@
 		members = append(members, member)
 	}
 	all := workerIDs(r.fleet.Workers)
-	few := r.healthy[:min(len(r.healthy), max(2, len(all)/8))]
+	few := r.healthy[:min(len(r.healthy), max(minAccused, len(all)/workersPerAccused))]
 	for _, member := range members {
 		member.Accuse(all)
 		go func() {
-			if wait.Sleep(ctx, duration/4) {
+			if wait.Sleep(ctx, duration/untilFewAreAccused) {
 				member.Accuse(few)
 			}
 		}()
--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -23,6 +23,8 @@
 	matchWarmUp         = 2 * time.Second
 	maxValuePadding     = 252 // bytes after "zona" in the longest legal value
 	maxPathPadding      = 251
+	maxMethodBytes      = 16
+	rulesOfAll          = 2  // rules that are evaluated for every request
 	hostileParameters   = 40 // near misses of a parameter's name
 	matchParameter      = "HTTP_X_CENTRE"
 	matchParameterValue = "zona4"
@@ -45,7 +47,7 @@
 func operatorFileWithRules(rules int) string {
 	var file strings.Builder
 	file.WriteString(plainOperatorFile)
-	for i := range max(rules-2, 0) {
+	for i := range max(rules-rulesOfAll, 0) {
 		fmt.Fprintf(&file, "match f%d\n  when handler == \"%016x\" && param[\"HTTP_X_CENTRE\"].startsWith(\"zona\")\n"+
 			"  key handler + \":\" + param[\"HTTP_X_CENTRE\"]\n  route lane\n", i, i+1)
 	}
@@ -60,7 +62,7 @@
 func generateRules(count int) []match.Rule {
 	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
-	for i := range max(count-2, 0) {
+	for i := range max(count-rulesOfAll, 0) {
 		rules = append(rules, match.Rule{
 			Name:  fmt.Sprint(i),
 			Route: text("lane"),
@@ -132,6 +134,11 @@
 	return result, nil
 }
 
+// millis returns a duration in milliseconds, to the microsecond.
+func millis(duration time.Duration) float64 {
+	return float64(duration.Microseconds()) / float64(time.Millisecond/time.Microsecond)
+}
+
 // measureEvaluations measures evaluations by themselves.
 func measureEvaluations(rules int) (report.MatchSize, error) {
 	classes := []match.Class{{Name: "consulta", Idempotency: routing.Idempotent}}
@@ -140,14 +147,14 @@
 	if table == nil {
 		return report.MatchSize{}, fmt.Errorf("rules: %v", faults)
 	}
-	size := report.MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
+	size := report.MatchSize{Rules: rules, Load: millis(time.Since(began))}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
 		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: [][]string{{matchParameterValue}},
 	}
 	hostile := *plain
 	hostile.Path = "/rpc/" + strings.Repeat("r", maxPathPadding)
-	hostile.Method = strings.Repeat("M", 16)
+	hostile.Method = strings.Repeat("M", maxMethodBytes)
 	hostile.Params = [][]string{{longestParameterValue()}}
 	size.Plain, size.PlainP99 = timeEvaluations(table, plain)
 	size.Hostile, size.HostileP99 = timeEvaluations(table, &hostile)
@@ -189,7 +196,7 @@
 	}
 	slices.Sort(result.ResponseTimes)
 	if count := len(result.ResponseTimes); count > 0 {
-		measured.p99Millis = float64(result.ResponseTimes[count*99/100].Microseconds()) / 1000
+		measured.p99Millis = millis(result.ResponseTimes[count*99/100])
 	}
 	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
 		measured.servedFraction, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
--- a/internal/testbed/fault/byzantine.go
+++ b/internal/testbed/fault/byzantine.go
@@ -17,6 +17,7 @@
 
 const (
 	byzantineTick      = 50 * time.Millisecond
+	secretBytes        = 32
 	accusationInterval = 300 * time.Millisecond // at least, between two statements with accusations
 )
 
@@ -51,6 +52,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("byzantine member: %w", err)
 	}
+	addr, err := netip.ParseAddrPort(socket.LocalAddr().String())
+	if err != nil {
+		_ = socket.Close() // nothing is left to do about an error
+		return nil, fmt.Errorf("byzantine member: %w", err)
+	}
 	member := &ByzantineMember{
 		socket:    socket,
 		startedAt: time.Now(),
@@ -58,14 +64,14 @@
 		done:      make(chan struct{}),
 	}
 	member.epoch = member.startedAt.UnixMilli()
-	secret := make([]byte, 32)
+	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret) // never fails
 	member.guard = gossip.NewGuard(gossip.GuardConfig{
 		Fleet: "lab", Own: identity, Epoch: member.epoch, Trust: trust, Secret: secret,
 		MaxChecksPerSecond: 10000, MaxClockSkew: 5 * time.Second, Seeds: seeds,
 	})
 	member.core = gossip.New(gossip.Config{
-		Name: name, Addr: socket.LocalAddr().(*net.UDPAddr).AddrPort(), Epoch: member.epoch, Seeds: seeds,
+		Name: name, Addr: addr, Epoch: member.epoch, Seeds: seeds,
 		ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, SuspicionTimeout: 5 * time.Second, MaxMessagesPerSecond: 400,
 		MaxMembers: 4096, Seed: 1, Sign: member.guard.SignRecord,
 	})
--- a/internal/testbed/fault/link.go
+++ b/internal/testbed/fault/link.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"net/netip"
 	"os"
 	"sync"
 	"syscall"
@@ -45,7 +46,7 @@
 const minRecordedDelay = 20 * time.Millisecond
 
 // linkListenAddress is where links are reached: an address of loopback from which nothing connects.
-const linkListenAddress = "127.0.1.1:0"
+var linkListenAddress = net.TCPAddrFromAddrPort(netip.MustParseAddrPort("127.0.1.1:0"))
 
 const (
 	linkBacklog       = 1024 // of new connections while the link is not cut
@@ -57,7 +58,7 @@
 type Link struct {
 	Addr string
 
-	target      string
+	target      *net.TCPAddr
 	mu          sync.Mutex
 	condition   LinkCondition
 	changed     chan struct{} // closed at each change of condition
@@ -79,14 +80,18 @@
 
 // NewLink opens a link to an address.
 func NewLink(target string) (*Link, error) {
-	listener, err := net.Listen("tcp", linkListenAddress)
+	targetAddr, err := net.ResolveTCPAddr("tcp", target)
+	if err != nil {
+		return nil, fmt.Errorf("link: %w", err)
+	}
+	listener, err := net.ListenTCP("tcp", linkListenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	link := &Link{
 		Addr:          listener.Addr().String(),
-		target:        target,
-		listener:      listener.(*net.TCPListener),
+		target:        targetAddr,
+		listener:      listener,
 		changed:       make(chan struct{}),
 		connections:   map[*net.TCPConn]bool{},
 		acceptPaused:  make(chan struct{}),
@@ -138,15 +143,23 @@
 		return err
 	}
 	for range maxBacklogFillers {
-		conn, err := net.DialTimeout("tcp", l.Addr, backlogFullAfter)
-		if err != nil {
+		if !l.addBacklogFiller() {
 			return nil
 		}
-		l.backlogFillers = append(l.backlogFillers, conn)
 	}
 	return fmt.Errorf("link %s: connections are still established", l.Addr)
 }
 
+// addBacklogFiller adds a connection to the queue of new ones, and reports whether there was space for it.
+func (l *Link) addBacklogFiller() bool {
+	conn, err := net.DialTimeout("tcp", l.Addr, backlogFullAfter)
+	if err != nil {
+		return false
+	}
+	l.backlogFillers = append(l.backlogFillers, conn)
+	return true
+}
+
 // admitNewConnections undoes blockNewConnections.
 func (l *Link) admitNewConnections() error {
 	for _, conn := range l.backlogFillers {
@@ -216,14 +229,14 @@
 // connect connects to the target and passes on data both ways until either end closes.
 func (l *Link) connect(conn *net.TCPConn) {
 	defer l.track(conn)()
-	dialed, err := net.Dial("tcp", l.target)
+	target, err := net.DialTCP("tcp", nil, l.target)
 	if err != nil {
 		_ = conn.SetLinger(0) // so that the peer sees a reset, like a refusal a moment later
 		return
 	}
-	target := dialed.(*net.TCPConn)
 	defer l.track(target)()
-	ended := make(chan bool, 2)
+	const directions = 2
+	ended := make(chan bool, directions)
 	go func() {
 		l.forward(conn, target, LinkCondition.stopsForward)
 		ended <- true
--- a/internal/testbed/gossipsim/network.go
+++ b/internal/testbed/gossipsim/network.go
@@ -216,7 +216,8 @@
 		return
 	}
 	from.Bytes += transmit.Message.Size()
-	delay := time.Duration((0.5 + n.rng.Float64()) * float64(n.Delay))
+	const minDelayFactor = 0.5 // times the mean
+	delay := time.Duration((minDelayFactor + n.rng.Float64()) * float64(n.Delay))
 	message := *transmit.Message
 	n.push(&event{at: n.Now + delay, node: to, message: &gossip.Received{
 		From:    from.Name,
--- a/internal/testbed/gossipsim/queue.go
+++ b/internal/testbed/gossipsim/queue.go
@@ -22,7 +22,10 @@
 	heap.Push(&n.queue, e)
 }
 
-func (n *Network) pop() *event { return heap.Pop(&n.queue).(*event) }
+func (n *Network) pop() *event {
+	first, _ := heap.Pop(&n.queue).(*event) // it holds nothing else
+	return first
+}
 
 // eventQueue is a heap of events, the earliest first.
 type eventQueue []*event
@@ -39,7 +42,11 @@
 }
 
 // Push appends an event; it is for package heap.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Push(x any) {
+	if last, ok := x.(*event); ok { // as push gives it nothing else
+		*q = append(*q, last)
+	}
+}
 
 // Pop removes the last event; it is for package heap.
 func (q *eventQueue) Pop() any {
--- /dev/null
+++ b/internal/testbed/process/files.go
@@ -0,0 +1,127 @@
+package process
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"time"
+
+	"calicohill/internal/fleet/pki"
+	"calicohill/internal/testbed/platform"
+)
+
+// Configure writes the files of an instance: the platform's, its key and the operator's.
+func (in *Instance) Configure() error {
+	fleet := in.fleet
+	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
+	listAddress, err := fleet.List.Address(in.Name)
+	if err != nil {
+		return err
+	}
+	text, err := json.Marshal(platform.Config{
+		Bulletin: listAddress,
+		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
+		Limits:   platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Listen:   in.Addr,
+		Name:     in.Name,
+		Seed:     fmt.Sprintf("%016x", rank+1),
+		Settings: platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
+	})
+	if err != nil {
+		return err
+	}
+	in.configPath = filepath.Join(fleet.Dir, in.Name+".json")
+	in.operatorPath = filepath.Join(fleet.Dir, in.Name+".conf")
+	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
+		return err
+	}
+	if err := in.NewKey(fleet.Authority); err != nil {
+		return err
+	}
+	return in.Rewrite(in.Operator(""))
+}
+
+// NewKey gives an instance a key of an authority.
+func (in *Instance) NewKey(authority *pki.Authority) error {
+	member, err := authority.Issue(in.Name, time.Now().Add(-time.Hour), 12*time.Hour)
+	if err != nil {
+		return err
+	}
+	in.Key = filepath.Join(in.fleet.Dir, in.Name+".key")
+	if err := os.Remove(in.Key); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return err
+	}
+	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
+}
+
+// Operator returns the text of an instance's operator's file, with more lines at the end of its section gossip.
+func (in *Instance) Operator(more string) string {
+	text := "log\n  format json\n"
+	if in.fleet.KeepState {
+		text += "state\n  snapshot " + in.operatorPath + ".list\n  fleet lab\n"
+	}
+	if !in.fleet.Sharing {
+		return text
+	}
+	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.Gossip, in.Key)
+	reachedAt := func(gossip string) string { return gossip }
+	if hub := in.fleet.hub; hub != nil {
+		reachedAt = hub.Addr
+		text += "  advertise " + hub.Addr(in.Gossip) + "\n"
+	}
+	for _, seed := range in.fleet.Instances[:min(maxSeeds, len(in.fleet.Instances))] {
+		text += "  seed " + reachedAt(seed.Gossip) + "\n"
+	}
+	return text + more
+}
+
+// Rewrite replaces the operator's file.
+func (in *Instance) Rewrite(text string) error {
+	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
+}
+
+// Duplicate returns another instance with the name and the files of this one. It does not run yet.
+func (in *Instance) Duplicate() *Instance {
+	return &Instance{
+		Name:         in.Name,
+		Addr:         in.Addr,
+		Gossip:       in.Gossip,
+		Key:          in.Key,
+		Log:          &Log{},
+		fleet:        in.fleet,
+		configPath:   in.configPath,
+		operatorPath: in.operatorPath,
+	}
+}
+
+// Move gives an instance new addresses and files of its own, under the name and the key that it has.
+func (in *Instance) Move() error {
+	var err error
+	if in.Addr, err = in.fleet.freeAddress("tcp"); err != nil {
+		return err
+	}
+	if in.Gossip, err = in.fleet.freeAddress("udp"); err != nil {
+		return err
+	}
+	text, err := os.ReadFile(in.configPath)
+	if err != nil {
+		return err
+	}
+	var config platform.Config
+	if err := json.Unmarshal(text, &config); err != nil {
+		return err
+	}
+	config.Listen = in.Addr
+	if text, err = json.Marshal(config); err != nil {
+		return err
+	}
+	in.configPath += ".moved"
+	in.operatorPath += ".moved"
+	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
+		return err
+	}
+	return in.Rewrite(in.Operator(""))
+}
--- a/internal/testbed/process/instance.go
+++ b/internal/testbed/process/instance.go
@@ -2,22 +2,14 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"math"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"calicohill/internal/fleet/pki"
-	"calicohill/internal/testbed/platform"
 )
 
 const (
@@ -27,8 +19,6 @@
 	stopTimeout = 20 * time.Second
 	// maxSeeds is how many instances are seeds, through which the others join.
 	maxSeeds = 3
-	// clockTick is the unit of processor times in /proc.
-	clockTick = 10 * time.Millisecond
 )
 
 // Instance is one scheduler of a Fleet: its files, and a process while it runs.
@@ -66,119 +56,6 @@
 	close(p.exited)
 }
 
-// Configure writes the files of an instance: the platform's, its key and the operator's.
-func (in *Instance) Configure() error {
-	fleet := in.fleet
-	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
-	listAddress, err := fleet.List.Address(in.Name)
-	if err != nil {
-		return err
-	}
-	text, err := json.Marshal(platform.Config{
-		Bulletin: listAddress,
-		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
-		Limits:   platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Listen:   in.Addr,
-		Name:     in.Name,
-		Seed:     fmt.Sprintf("%016x", rank+1),
-		Settings: platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
-	})
-	if err != nil {
-		return err
-	}
-	in.configPath = filepath.Join(fleet.Dir, in.Name+".json")
-	in.operatorPath = filepath.Join(fleet.Dir, in.Name+".conf")
-	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
-		return err
-	}
-	if err := in.NewKey(fleet.Authority); err != nil {
-		return err
-	}
-	return in.Rewrite(in.Operator(""))
-}
-
-// NewKey gives an instance a key of an authority.
-func (in *Instance) NewKey(authority *pki.Authority) error {
-	member, err := authority.Issue(in.Name, time.Now().Add(-time.Hour), 12*time.Hour)
-	if err != nil {
-		return err
-	}
-	in.Key = filepath.Join(in.fleet.Dir, in.Name+".key")
-	if err := os.Remove(in.Key); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return err
-	}
-	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
-}
-
-// Operator returns the text of an instance's operator's file, with more lines at the end of its section gossip.
-func (in *Instance) Operator(more string) string {
-	text := "log\n  format json\n"
-	if in.fleet.KeepState {
-		text += "state\n  snapshot " + in.operatorPath + ".list\n  fleet lab\n"
-	}
-	if !in.fleet.Sharing {
-		return text
-	}
-	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.Gossip, in.Key)
-	reachedAt := func(gossip string) string { return gossip }
-	if hub := in.fleet.hub; hub != nil {
-		reachedAt = hub.Addr
-		text += "  advertise " + hub.Addr(in.Gossip) + "\n"
-	}
-	for _, seed := range in.fleet.Instances[:min(maxSeeds, len(in.fleet.Instances))] {
-		text += "  seed " + reachedAt(seed.Gossip) + "\n"
-	}
-	return text + more
-}
-
-// Rewrite replaces the operator's file.
-func (in *Instance) Rewrite(text string) error {
-	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
-}
-
-// Duplicate returns another instance with the name and the files of this one. It does not run yet.
-func (in *Instance) Duplicate() *Instance {
-	return &Instance{
-		Name:         in.Name,
-		Addr:         in.Addr,
-		Gossip:       in.Gossip,
-		Key:          in.Key,
-		Log:          &Log{},
-		fleet:        in.fleet,
-		configPath:   in.configPath,
-		operatorPath: in.operatorPath,
-	}
-}
-
-// Move gives an instance new addresses and files of its own, under the name and the key that it has.
-func (in *Instance) Move() error {
-	var err error
-	if in.Addr, err = in.fleet.freeAddress("tcp"); err != nil {
-		return err
-	}
-	if in.Gossip, err = in.fleet.freeAddress("udp"); err != nil {
-		return err
-	}
-	text, err := os.ReadFile(in.configPath)
-	if err != nil {
-		return err
-	}
-	var config platform.Config
-	if err := json.Unmarshal(text, &config); err != nil {
-		return err
-	}
-	config.Listen = in.Addr
-	if text, err = json.Marshal(config); err != nil {
-		return err
-	}
-	in.configPath += ".moved"
-	in.operatorPath += ".moved"
-	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
-		return err
-	}
-	return in.Rewrite(in.Operator(""))
-}
-
 // Start starts the scheduler's process, which serves once waitHealthy says so.
 func (in *Instance) Start() error {
 	in.mu.Lock()
@@ -265,6 +142,7 @@
 		in.disruptedAt.Store(math.MaxInt64)
 	case syscall.SIGCONT:
 		in.disruptedAt.Store(time.Now().UnixNano())
+	default: // Stop and Kill note what their signals do
 	}
 	return in.latestProcess().cmd.Process.Signal(signal)
 }
@@ -315,34 +193,3 @@
 		return fmt.Errorf("scheduler %s does not end", in.Name)
 	}
 }
-
-// CPU returns the processor time that a scheduler has used; 0 where the system doesn't say.
-func (in *Instance) CPU() time.Duration {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", in.Pid()))
-	if err != nil {
-		return 0
-	}
-	const (
-		userTime   = 11 // fields of proc(5), counted after the program's name
-		systemTime = 12
-	)
-	_, afterName, _ := strings.Cut(string(text), ") ")
-	fields := strings.Fields(afterName)
-	if len(fields) <= systemTime {
-		return 0
-	}
-	user, _ := strconv.Atoi(fields[userTime])
-	system, _ := strconv.Atoi(fields[systemTime])
-	return time.Duration(user+system) * clockTick
-}
-
-// Memory returns the resident memory of a scheduler in kB; 0 where the system doesn't say.
-func (in *Instance) Memory() int {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", in.Pid()))
-	if err != nil {
-		return 0
-	}
-	_, afterName, _ := strings.Cut(string(text), "VmRSS:")
-	kilobytes, _ := strconv.Atoi(strings.Fields(afterName + " 0")[0])
-	return kilobytes
-}
--- a/internal/testbed/process/members.go
+++ b/internal/testbed/process/members.go
@@ -21,9 +21,12 @@
 )
 
 const (
+	// StartTimeout is how long the schedulers of a fleet may take until all serve.
+	StartTimeout = 20 * time.Second
+	// JoinTimeout is how long they may take until all know one another.
+	JoinTimeout = 30 * time.Second
+
 	joinCheckInterval = 50 * time.Millisecond
-	StartTimeout      = 20 * time.Second
-	JoinTimeout       = 30 * time.Second
 )
 
 // Peers returns the members that the latest process of an instance holds alive or suspect, by its log.
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -11,11 +11,21 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotHeight is the height of all plots.
-const plotHeight = 11 * vg.Centimeter
+// The sizes of plots.
+const (
+	plotHeight    = 11 * vg.Centimeter
+	bySizeWidth   = 16 * vg.Centimeter // against the size of a fleet
+	overTimeWidth = 20 * vg.Centimeter
+)
+
+// millisPerSecond is what a time in milliseconds is divided by for seconds.
+const millisPerSecond = float64(time.Second / time.Millisecond)
 
 // histogramBin is the resolution of plots over time.
-const histogramBin = 100 * time.Millisecond
+const (
+	histogramBin  = 100 * time.Millisecond
+	binsPerSecond = float64(time.Second / histogramBin)
+)
 
 // PlotVirtualGossip draws cost and speed against the size of a fleet. The extension of the path, .svg or .png, decides
 // the format.
@@ -35,8 +45,8 @@
 		value func(VirtualGossipSize) float64
 	}{
 		{"messages a second", func(size VirtualGossipSize) float64 { return size.Messages }},
-		{"seconds to know a death", func(size VirtualGossipSize) float64 { return size.Death / 1000 }},
-		{"seconds to know a statement", func(size VirtualGossipSize) float64 { return size.Statement / 1000 }},
+		{"seconds to know a death", func(size VirtualGossipSize) float64 { return size.Death / millisPerSecond }},
+		{"seconds to know a statement", func(size VirtualGossipSize) float64 { return size.Statement / millisPerSecond }},
 	} {
 		var points plotter.XYs
 		for _, size := range result.Sizes {
@@ -47,7 +57,7 @@
 	if err := plotutil.AddLinePoints(chart, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	return chart.Save(16*vg.Centimeter, plotHeight, path)
+	return chart.Save(bySizeWidth, plotHeight, path)
 }
 
 // Plot draws polls at the list service and connections at the workers over time, of both builds. The extension of the
@@ -71,7 +81,7 @@
 	if err := plotutil.AddLines(chart, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	return chart.Save(20*vg.Centimeter, plotHeight, path)
+	return chart.Save(overTimeWidth, plotHeight, path)
 }
 
 // histogram counts times by histogramBin, against seconds.
@@ -81,7 +91,7 @@
 	}
 	points := make(plotter.XYs, slices.Max(times)/histogramBin+1)
 	for i := range points {
-		points[i].X = float64(i) / 10
+		points[i].X = float64(i) / binsPerSecond
 	}
 	for _, at := range times {
 		points[max(at, 0)/histogramBin].Y++
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"math"
 	"strconv"
 	"strings"
 	"time"
@@ -104,7 +105,7 @@
 	if err != nil || fraction < 0 || fraction > 1 {
 		return 0, fmt.Errorf("%w: share %q", errInvalidStep, text)
 	}
-	return int(fraction*float64(total) + 0.5), nil
+	return int(math.Round(fraction * float64(total))), nil
 }
 
 // duration returns the duration at an index of the arguments.
--- a/internal/testbed/scenario/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -269,11 +269,12 @@
 
 // setLinks changes the links between some schedulers and some workers, or resets their connections.
 func (r stepRun) setLinks() error {
-	instances, err := r.selectedInstances(1)
+	const shareOfSchedulers, shareOfWorkers = 1, 2 // which arguments they are
+	instances, err := r.selectedInstances(shareOfSchedulers)
 	if err != nil {
 		return err
 	}
-	workers, err := r.selectedWorkers(2)
+	workers, err := r.selectedWorkers(shareOfWorkers)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
--- a/internal/testbed/standin/agentprotocol.go
+++ b/internal/testbed/standin/agentprotocol.go
@@ -34,6 +34,12 @@
 	fieldFunction = "asset"
 )
 
+// The words of a line.
+const (
+	startWords = 4 // verb, ID, fields and the size of the body
+	otherWords = 2 // verb and ID
+)
+
 // AgentCommand is a command that a scheduler sent to a node agent.
 type AgentCommand struct {
 	Verb   AgentVerb
@@ -79,9 +85,9 @@
 func (v AgentVerb) takesWords(words int) bool {
 	switch v {
 	case AgentStart:
-		return words == 4
+		return words == startWords
 	case AgentCancel, AgentPing, AgentStatus:
-		return words == 2
+		return words == otherWords
 	default:
 		return false
 	}
--- a/internal/testbed/standin/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -68,6 +68,7 @@
 		return
 	case WorkerSlow:
 		wait.Sleep(ctx, slowWorkerDelay)
+	case WorkerHealthy, WorkerRefusing: // the latter concerns new connections alone
 	}
 	if !c.worker.runFunction(ctx, admitted) {
 		return
--- a/internal/testbed/virtual/gossip.go
+++ b/internal/testbed/virtual/gossip.go
@@ -1,6 +1,7 @@
 package virtual
 
 import (
+	"crypto/ed25519"
 	"math"
 	"runtime"
 	"slices"
@@ -19,6 +20,7 @@
 	idleDuration      = 30 * time.Second
 	deathDuration     = 15 * time.Second
 	statementDuration = 5 * time.Second
+	bytesPerKB        = 1024
 	knownFraction     = 0.99 // of the members that have to know of something
 )
 
@@ -52,7 +54,7 @@
 	}
 	net.ConnectAll()
 	net.Run(idleDuration)
-	size.HeapKB = float64(heapBytes()-before) / 1024 / float64(instances)
+	size.HeapKB = float64(heapBytes()-before) / bytesPerKB / float64(instances)
 	for _, node := range net.Nodes {
 		size.Messages += float64(node.Sent) / float64(instances) / idleDuration.Seconds()
 		size.Bytes += float64(node.Bytes) / float64(instances) / idleDuration.Seconds()
@@ -123,12 +125,13 @@
 
 // measureStatement has a node make a statement and returns the time until the others have it, in milliseconds.
 func measureStatement(net *gossipsim.Network) float64 {
+	const bodyBytes, certificateBytes = 100, 340
 	known := firstKnown{}
 	net.OnStatement = func(node *gossipsim.Node, _ gossip.Statement) { known.note(net, node) }
 	speaker := net.Nodes[0]
 	net.Deliver(speaker, gossip.Broadcast{Statement: gossip.Statement{
 		Name: speaker.Name, Epoch: 1, Seq: 1,
-		Body: make([]byte, 100), Cert: make([]byte, 340), Sig: make([]byte, 64),
+		Body: make([]byte, bodyBytes), Cert: make([]byte, certificateBytes), Sig: make([]byte, ed25519.SignatureSize),
 	}})
 	broadcastAt := net.Now
 	net.Run(statementDuration)
--- a/internal/testbed/virtual/pollexperiment.go
+++ b/internal/testbed/virtual/pollexperiment.go
@@ -63,12 +63,13 @@
 	sim := NewPollSimulation(size, time.Second, seed, true)
 	sim.SetFault(standin.ListRateLimited)
 	sim.Queue.AnswersPerSecond = float64(size) / rateLimitedPeriod.Seconds()
-	sim.Queue.LastEvent = 2
+	const update = 2 // number of the event that all have to receive
+	sim.Queue.LastEvent = update
 	began := sim.Now
 	sim.Run(rateLimitedDuration)
 	allListed := time.Duration(0)
 	for _, scheduler := range sim.Schedulers {
-		if scheduler.LastEvent < 2 {
+		if scheduler.LastEvent < update {
 			result.Sent = 0
 			result.Needed = 0
 			result.AllListedMillis = -1
