--- a/internal/testbed/process/instance_internal_test.go
+++ b/internal/testbed/process/instance_internal_test.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"context"
 	"os"
 	"path/filepath"
 	"strings"
@@ -32,10 +33,10 @@
 	instance := newStandInScheduler(t, `trap "echo `+terminating+`" TERM; echo `+ready+`; while :; do sleep 0.02; done`)
 	waitForLog := func(text string, times int) {
 		t.Helper()
-		for end := time.Now().Add(stopTimeout / 2); strings.Count(instance.Log.String(), text) < times; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("the log lacks %q: %s", text, instance.Log.String())
-			}
+		ctx, cancel := context.WithTimeout(t.Context(), stopTimeout/2)
+		defer cancel()
+		if err := instance.Log.WaitFor(ctx, func(log string) bool { return strings.Count(log, text) >= times }); err != nil {
+			t.Fatalf("the log lacks %q: %v: %s", text, err, instance.Log.String())
 		}
 	}
 	for round := range 3 {
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"strings"
 	"sync"
@@ -12,16 +13,46 @@
 type Log struct {
 	mu          sync.Mutex
 	text        bytes.Buffer
-	latestStart int // where the latest process began to write, in bytes
+	latestStart int           // where the latest process began to write, in bytes
+	written     chan struct{} // closed at the next write; nil while nobody waits
 }
 
 // Write implements io.Writer.
 func (l *Log) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	if l.written != nil {
+		close(l.written)
+		l.written = nil
+	}
 	return l.text.Write(text)
 }
 
+// WaitFor waits until the text so far fulfills a condition. The error is that of the context, if it ends first.
+func (l *Log) WaitFor(ctx context.Context, fulfilled func(text string) bool) error {
+	for {
+		text, written := l.snapshot()
+		if fulfilled(text) {
+			return nil
+		}
+		select {
+		case <-written:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// snapshot returns the text so far, and a channel that is closed at the next write.
+func (l *Log) snapshot() (text string, written <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.written == nil {
+		l.written = make(chan struct{})
+	}
+	return l.text.String(), l.written
+}
+
 // String returns the text so far.
 func (l *Log) String() string {
 	l.mu.Lock()
--- a/internal/testbed/process/offer.go
+++ b/internal/testbed/process/offer.go
@@ -20,7 +20,7 @@
 	}
 	var mu sync.Mutex // guards result
 	var result workload.Result
-	var wg sync.WaitGroup
+	var clientsRunning sync.WaitGroup
 	for i, instance := range f.Instances {
 		front := newFront(f, instance, func(reply fastcgi.Reply, err error, took time.Duration) {
 			mu.Lock()
@@ -28,7 +28,7 @@
 			result.Count(reply, err, took, instance.disruptedSince(time.Now().Add(-took-closeRaceWindow)))
 		})
 		clients := instanceClients{load: load, instance: instance, index: i, rate: load.Rate * load.Weight(i) / total}
-		wg.Go(func() {
+		clientsRunning.Go(func() {
 			if instance.waitHealthy(ctx) != nil {
 				return
 			}
@@ -36,7 +36,7 @@
 			clients.run(ctx, front)
 		})
 	}
-	wg.Wait()
+	clientsRunning.Wait()
 	return result
 }
 
--- a/internal/testbed/virtual/experiment.go
+++ b/internal/testbed/virtual/experiment.go
@@ -192,10 +192,10 @@
 		"cold_uneven": {WarmingWorkers: true, Skew: 3},
 		"reborn":      {RestartedFraction: 0.6},
 	}
-	var mu sync.Mutex // guards all and failed
+	var guard sync.Mutex // guards all and failed
 	all := map[string]report.VirtualMetrics{}
 	var failed error
-	var wg sync.WaitGroup
+	var running sync.WaitGroup
 	for name, experiment := range experiments {
 		experiment.Schedulers = schedulers
 		experiment.Workers = workers
@@ -203,16 +203,16 @@
 		experiment.Seconds = seconds
 		experiment.Seed = seed
 		experiment.Rate = ratePerWorker * float64(workers)
-		wg.Go(func() {
+		running.Go(func() {
 			metrics, err := experiment.Run()
-			mu.Lock()
-			defer mu.Unlock()
+			guard.Lock()
+			defer guard.Unlock()
 			if err != nil {
 				failed = errors.Join(failed, fmt.Errorf("%s: %w", name, err))
 			}
 			all[name] = metrics
 		})
 	}
-	wg.Wait()
+	running.Wait()
 	return all, failed
 }
