--- a/routing/admission.go
+++ b/routing/admission.go
@@ -20,11 +20,10 @@
 	missesDeadline := work > 0 && r.missesDeadline(req, target, warm, work)
 	overload := 0.0
 	if target != nil {
-		overload = (r.pressure(target) - 1 - rejectPressureExcess) / rejectPressureExcess
+		overload = r.pressure.Overload(&target.pressure, r.now)
 	}
-	// What peers have in flight ahead of it shows in the pressure of its worker.
 	shed := r.missesObjective(req, work) ||
-		target != nil && r.rng.Float64() < min(overload, maxRejectProbability)*r.peerInfluence()
+		target != nil && r.rng.Float64() < r.pressure.RejectProbability(overload)
 	// Requests over their tenant's quota are worth little: they give way as soon as anything has to wait.
 	overQuota := r.tenantQuotas.Exceeded(r.now, arrival.Tenant)
 	if missesDeadline || shed || overQuota && (len(r.queue) > 0 || overload > 0) {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -61,7 +61,7 @@
 	w.concurrencyLimit = limit
 	w.ejected = false
 	w.probes = 0
-	w.peerInFlight = 0
+	w.pressure.Restart()
 	w.slowStartQuotaUntil = 0
 	w.slowStartSends = nil
 	w.backoffUntil = 0
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -1,6 +1,10 @@
 package routing
 
-import "cmp"
+import (
+	"cmp"
+
+	"calicohill/routing/pressure"
+)
 
 // attemptEnded learns from how an attempt ended, and queues its request again if that may be retried.
 func (r *Router) attemptEnded(end AttemptEnded) {
@@ -13,8 +17,7 @@
 	req.reachedWorker = req.reachedWorker || end.Outcome != ConnectFailed && end.Outcome != NotSent
 	r.recordEnd(ended)
 	if end.Report != nil && end.Report.InFlight >= 0 {
-		peers := max(0, end.Report.InFlight-float64(len(ended.worker.inFlight)))
-		ended.worker.peerInFlight += workerMeanWeight * (peers - ended.worker.peerInFlight)
+		ended.worker.pressure.ObserveInFlight(end.Report.InFlight, len(ended.worker.inFlight))
 	}
 	r.observeLoad(ended, end)
 	r.recordOutcome(ended, end)
@@ -102,30 +105,31 @@
 	r.reportFault(ended.worker, Unreachable, r.now)
 }
 
-// observeLoad learns from the end of an attempt under how much pressure its worker is. An answer that never
-// came counts as a late one; a latency that may include a load says nothing of a queue.
+// observeLoad learns from the end of an attempt under how much pressure its worker is.
 func (r *Router) observeLoad(ended *attempt, end AttemptEnded) {
-	objectives := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds() / r.minObjective
-	sample := min(objectives, 1)
-	if end.Report != nil && end.Report.Utilization >= 0 {
-		sample = end.Report.Utilization
+	sample := pressure.Sample{
+		Result:   pressureResult(ended, end.Outcome),
+		Latency:  cmp.Or(end.Latency, r.now-ended.sentAt),
+		Reported: end.Report != nil,
+	}
+	if end.Report != nil {
+		sample.Utilization = end.Report.Utilization
 	}
+	r.pressure.Observe(&ended.worker.pressure, r.now, sample)
+}
+
+// pressureResult tells what the outcome of an attempt says of the pressure of its worker.
+func pressureResult(ended *attempt, outcome Outcome) pressure.Result {
 	switch {
-	case end.Outcome == TimedOut || end.Outcome == Canceled && ended.superseded:
-		sample = 1 + objectives
-	case end.Outcome == Shed && !ended.mayNeedLoad:
-		sample = shedPressure
-	case end.Outcome == Served && !ended.mayNeedLoad:
-		sample += objectives
-	case end.Report == nil:
-		return
+	case outcome == TimedOut || outcome == Canceled && ended.superseded:
+		return pressure.Lost
+	case outcome == Shed && !ended.mayNeedLoad:
+		return pressure.ShedWarm
+	case outcome == Served && !ended.mayNeedLoad:
+		return pressure.AnsweredWarm
 	default:
-		sample += idleLatencyPressure
+		return pressure.Inconclusive
 	}
-	usual := min(r.meanPressure, leavePressureStart)
-	excess := ended.worker.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
-	ended.worker.pressureExcess.Set(r.now, excess+workerMeanWeight*(sample-usual-excess))
-	r.meanPressure += fleetMeanWeight * (sample - r.meanPressure)
 }
 
 // recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -59,7 +59,7 @@
 		CapturedAt:          r.now,
 		RequestWeight:       r.requestWeight * r.decayFactor(r.lastRequestAt),
 		ThroughputPerWeight: float64(r.throughputPerWeight),
-		MeanPressure:        r.meanPressure,
+		MeanPressure:        r.pressure.Mean(),
 	}
 	index := map[*worker]int{}
 	for _, w := range r.workerList[:min(len(r.workerList), maxLearnedWorkers)] {
@@ -67,7 +67,7 @@
 		state.Workers = append(state.Workers, LearnedWorker{
 			ID:             w.ID,
 			Started:        w.Started,
-			PressureExcess: w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive),
+			PressureExcess: r.pressure.Excess(&w.pressure, r.now),
 			LatencyExcess:  r.latencyRatio(w) - 1,
 		})
 	}
@@ -125,13 +125,13 @@
 	r.requestWeight = state.RequestWeight
 	r.lastRequestAt = state.CapturedAt
 	r.throughputPerWeight = decay.Mean(state.ThroughputPerWeight)
-	r.meanPressure = state.MeanPressure
+	r.pressure.RestoreMean(state.MeanPressure)
 	workers := make([]*worker, len(state.Workers)) // nil where an entry no longer fits
 	for i, learned := range state.Workers {
 		w := r.workers[learned.ID]
 		if w != nil && w.Started == learned.Started && plausible(learned.PressureExcess, learned.LatencyExcess) {
 			workers[i] = w
-			w.pressureExcess.Set(state.CapturedAt, learned.PressureExcess)
+			w.pressure.RestoreExcess(state.CapturedAt, learned.PressureExcess)
 			w.latencyExcess.Set(state.CapturedAt, learned.LatencyExcess)
 		}
 	}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -126,18 +126,15 @@
 
 // relativeLoad is how busy a worker is for its weight.
 func (r *Router) relativeLoad(w *worker) float64 {
-	pressure := max(math.Round(pressureSteps*r.pressure(w)), 1)
-	requests := 1 + float64(len(w.inFlight)) + w.peerInFlight
+	pressure := max(math.Round(pressureSteps*r.pressure.Of(&w.pressure, r.now)), 1)
+	requests := 1 + float64(len(w.inFlight)) + w.pressure.PeerInFlight()
 	// Where many share a worker, meeting one more costs it and shows in none of its reports.
 	if w.answeredAt == 0 || r.now-w.answeredAt > r.settings.InstanceKeepAlive {
-		requests += unansweredPenalty * r.peerInfluence()
+		requests += unansweredPenalty * r.pressure.PeerInfluence()
 	}
 	return requests * pressure / (w.Weight * r.slowStartFactor(w))
 }
 
-// peerInfluence is how much of a worker's load is due to peers: 0 with none, almost 1 with many.
-func (r *Router) peerInfluence() float64 { return math.Pow(r.peerFraction, peerInfluenceExponent) }
-
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
 func (r *Router) hasCapacity(req *request, w *worker) bool {
 	return float64(len(w.inFlight)-w.loadsWaiting) < w.concurrencyLimit && r.now >= w.backoffUntil &&
@@ -195,17 +192,7 @@
 	return fn.workerOrder
 }
 
-// isDisplaced reports whether a function leaves a worker for the next in its order. The same functions leave
-// first at every scheduler: each sees little of a worker, and would hold on to one that all of them press.
-// With few schedulers, each knows the worker's load by its own counts.
+// isDisplaced reports whether a function leaves a worker for the next in its order.
 func (r *Router) isDisplaced(p *placement) bool {
-	return (r.pressure(p.worker)-leavePressureStart)/(leavePressureFull-leavePressureStart)*
-		r.peerInfluence() > p.stickiness
-}
-
-// pressure is the pressure that a worker is believed to be under: as last seen, fading to that of the
-// others, yet to no more than what it keeps its functions with. A scheduler that sees few workers, all under
-// pressure, would reject requests for the rest.
-func (r *Router) pressure(w *worker) float64 {
-	return min(r.meanPressure, leavePressureStart) + w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
+	return r.pressure.Displaces(&p.worker.pressure, r.now, p.stickiness)
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -6,13 +6,13 @@
 
 	"calicohill/internal/stats/decay"
 	"calicohill/internal/stats/ratelimit"
+	"calicohill/routing/pressure"
 )
 
 // Router decides for one scheduler. It is not safe for concurrent use.
 type Router struct {
 	settings     Settings
 	minObjective float64 // shortest latency objective of all classes, in seconds
-	peerFraction float64 // part of what happens at the workers that other schedulers cause, 0 to 1
 	rng          *rand.Rand
 	now          time.Duration // the latest time that Step was given
 	started      bool          // Step was called
@@ -34,12 +34,12 @@
 	requestWeight float64              // count of requests for all functions, decaying; as of lastRequestAt
 	lastRequestAt time.Duration
 
+	pressure       *pressure.Estimator
 	capacity       float64 // summed concurrency limits of the eligible workers
 	utilization    float64 // part of capacity that is in use
 	healthyWorkers int     // eligible workers that are not unhealthy
 	hedgeCredit    int     // single overdue attempts that may be hedged
 	meanLatency    float64 // running mean over all warm answers, in seconds
-	meanPressure   float64 // running mean of the pressure of the workers
 
 	activeWeight        float64       // weight of all workers that are ready and not ejected
 	allWarmingUp        bool          // there is no warm worker
@@ -58,10 +58,10 @@
 	return &Router{
 		settings:          s,
 		minObjective:      shortest.Seconds(),
-		peerFraction:      1 - 1/float64(s.Schedulers),
 		rng:               rand.New(rand.NewPCG(seed, 0)),
 		requests:          map[string]*request{},
 		tenantQuotas:      s.tenantQuotas(),
+		pressure:          pressure.NewEstimator(s.Schedulers, shortest, s.InstanceKeepAlive),
 		workers:           map[string]*worker{},
 		membershipVersion: 1,
 		functions:         map[string]*function{},
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -45,32 +45,19 @@
 
 // Choice of a worker.
 const (
-	maxCandidates         = 4    // workers of the rendezvous order that a first attempt considers
-	presumedWarmRequests  = 4    // peers' requests within a keep-alive that keep an instance loaded
-	maxSpreadUtilization  = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
-	maxWaitingForLoads    = 4    // requests of ours that may wait for loads at a worker that gets another
-	spreadFactor          = 2.0  // preferred workers of a function, as a multiple of its part of all requests
-	spreadKeepAlives      = 2.0  // keep-alives over which that part is counted
-	unansweredPenalty     = 0.25 // requests that a worker with no recent answer counts as busier by
-	pressureSteps         = 4    // steps in which pressure counts; less is noise, and all would follow it
-	peerInfluenceExponent = 4    // how fast what peers cause stops to matter when there are few of them
-)
-
-// Pressure of a worker: the busy fraction of its cores plus a latency in shortest objectives.
-const (
-	leavePressureStart  = 0.9 // from here functions leave it for the next worker in their order
-	leavePressureFull   = 1.7 // from here all have left
-	shedPressure        = 2.0 // of a worker that sheds
-	idleLatencyPressure = 0.2 // latency part of an answer that says nothing of a queue
+	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
+	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
+	maxSpreadUtilization = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
+	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
+	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
+	spreadKeepAlives     = 2.0  // keep-alives over which that part is counted
+	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
+	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
 )
 
 // Admission and queue.
 const (
-	// Requests for workers whose pressure is this far over 1 begin to be rejected, and at twice that the
-	// probability of a rejection is highest. It stays below 1, or no worker would be seen to recover.
-	rejectPressureExcess = 0.5
-	maxRejectProbability = 0.8
-	expiryMargin         = 2 * tickInterval // before the client gives up, when a queued request is ended
+	expiryMargin = 2 * tickInterval // before the client gives up, when a queued request is ended
 	// After n sheds in a row a worker is left alone for 2^n of these parts of a service time.
 	shedBackoffDivisor = 16
 	maxShedDoublings   = 4
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"calicohill/internal/stats/decay"
+	"calicohill/routing/pressure"
 )
 
 // worker is what is known of a worker.
@@ -20,11 +21,11 @@
 	backoffUntil     time.Duration // it gets nothing new until then
 	loadBackoffUntil time.Duration // it gets no new load until then
 
+	pressure pressure.Worker
+
 	// Load.
-	pressureExcess decay.Value // pressure above that of the others
-	peerInFlight   float64     // running mean of requests of other schedulers
-	latencyExcess  decay.Value // running mean of its latency over that of all workers, less 1
-	recentErrors   decay.Value // running share of errors in its answers, 0 to 1
+	latencyExcess decay.Value // running mean of its latency over that of all workers, less 1
+	recentErrors  decay.Value // running share of errors in its answers, 0 to 1
 
 	// Health.
 	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
