--- a/routing/admission.go
+++ b/routing/admission.go
@@ -35,7 +35,7 @@
 
 // missesDeadline reports whether a request with so many seconds of work ahead would end after its deadline.
 func (r *Router) missesDeadline(req *request, target *worker, warm bool, work float64) bool {
-	finish := work/max(r.capacity, 1) + r.serviceTime(req.function)
+	finish := work/r.capacity.Divisor() + r.serviceTime(req.function)
 	if !warm && (target != nil || !slices.ContainsFunc(req.function.placements, r.isWarm)) {
 		finish += r.loadTime(req.function)
 	}
@@ -53,7 +53,7 @@
 // answer is late. The bound is the same for all classes, or those with short objectives would starve. Harm:
 // late answers that are worth much are lost.
 func (r *Router) missesObjective(req *request, work float64) bool {
-	wait := work / max(r.capacity, 1)
+	wait := work / r.capacity.Divisor()
 	return req.class.LateValue < 1 &&
 		wait+min(r.serviceTime(req.function), r.minObjective/2) > r.minObjective
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"calicohill/routing/concurrency"
 )
 
 // A request is rejected on arrival when the work ahead of it makes it miss its deadline.
@@ -57,7 +59,7 @@
 			harness.step(millisecond, attemptEnd(s, 0, Served))
 			objective := harness.router.settings.Classes[class].LatencyObjective.Seconds()
 			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-objective)
-			harness.router.inFlightWork = tt.ahead * harness.router.capacity
+			harness.router.inFlightWork = tt.ahead * harness.router.capacity.Total()
 			q.ID = "b"
 			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.rejected {
 				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.rejected)
@@ -122,8 +124,8 @@
 	harness := harnessAfterAnswers(t, 4)
 	harness.wait(2 * time.Second)
 	for _, w := range harness.router.workerList {
-		w.concurrencyLimit = 2
-		w.inFlight = make([]*attempt, 1) // half of the capacity of each is in use
+		w.limit = concurrency.NewWorker(6) // the limit that 6 schedulers start from is 2
+		w.inFlight = make([]*attempt, 1)   // half of the capacity of each is in use
 		defer func() { w.inFlight = nil }()
 	}
 	harness.router.now += time.Millisecond
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"calicohill/internal/stats/decay"
+	"calicohill/routing/concurrency"
 )
 
 // applyEndpoints takes in an endpoint list. After a failed list call what was known still holds, and the subscription is
@@ -38,13 +39,13 @@
 func (r *Router) applyEndpoint(entry Worker) {
 	known := r.workers[entry.ID]
 	if known == nil {
-		known = &worker{Worker: entry, concurrencyLimit: r.initialLimit(), lastAnswerAt: r.now}
+		known = &worker{Worker: entry, limit: concurrency.NewWorker(r.settings.Schedulers), lastAnswerAt: r.now}
 		r.workers[entry.ID] = known
 		r.workerList = insertSorted(r.workerList, known, func(w *worker) string { return w.ID })
 		return
 	}
 	if entry.Started != known.Started && entry.Started > 0 {
-		known.restarted(r.initialLimit())
+		known.restarted(r.settings.Schedulers)
 	}
 	if entry.State == Gone {
 		// An entry that says Gone need not say anything else: what was known of the worker stays.
@@ -56,17 +57,14 @@
 }
 
 // restarted forgets what a restart makes void: the worker has no instances and is warming up.
-func (w *worker) restarted(limit float64) {
+func (w *worker) restarted(schedulers int) {
 	w.incarnation++
-	w.concurrencyLimit = limit
+	w.limit = concurrency.NewWorker(schedulers)
 	w.ejected = false
 	w.probes = 0
 	w.pressure.Restart()
 	w.slowStartQuotaUntil = 0
 	w.slowStartSends = nil
-	w.backoffUntil = 0
-	w.loadBackoffUntil = 0
-	w.consecutiveSheds = 0
 	w.recentErrors = decay.Value{}
 }
 
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -64,20 +64,10 @@
 	}
 }
 
-// recordShed backs off from a worker. A request for a warm instance met a full queue, one that needed a load
-// perhaps a lack of memory: the worker, or just new loads there, is left alone for part of a service time,
-// doubling, or queued requests use up their attempts.
+// recordShed backs off from a worker that rejected a request unseen.
 func (r *Router) recordShed(ended *attempt) {
-	source := ended.worker
-	r.recordAnswer(source)
-	source.consecutiveSheds = min(source.consecutiveSheds+1, maxShedDoublings)
-	backoff := durationOf(r.serviceTime(ended.request.function) / shedBackoffDivisor)
-	until := r.now + backoff<<source.consecutiveSheds
-	source.loadBackoffUntil = max(source.loadBackoffUntil, until)
-	if !ended.mayNeedLoad {
-		source.backoffUntil = max(source.backoffUntil, until)
-		source.concurrencyLimit = max(minLimit, source.concurrencyLimit*limitDecreaseFactor)
-	}
+	r.recordAnswer(ended.worker)
+	ended.worker.limit.RecordShed(r.now, r.serviceTime(ended.request.function), ended.mayNeedLoad)
 }
 
 // recordReset counts a broken connection. One says little of its worker: an answer that cannot be read
@@ -140,7 +130,7 @@
 	if source.ejected {
 		source.ejected = false
 		source.probes = 0
-		source.concurrencyLimit = max(minLimit, min(source.concurrencyLimit, readmissionLimit))
+		source.limit.Readmit()
 	}
 	fault := Healthy
 	if r.errorRate(source) > maxErrorRate {
@@ -160,7 +150,7 @@
 	}
 	place.setWarm(r.now)
 	place.loading = false
-	source.consecutiveSheds = 0
+	source.limit.RecordServed()
 	called.served = true
 	source.recentErrors.Set(r.now, r.errorRate(source)*(1-errorRateWeight))
 	if r.allWarmingUp || !r.isWarmingUp(source) {
@@ -188,13 +178,7 @@
 	called.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
 		r.settings.Classes[called.class].LatencyObjective.Seconds())
 	objective := ended.request.class.LatencyObjective.Seconds()
-	limit := source.concurrencyLimit
-	switch {
-	case latency > limitObjectiveFraction*objective:
-		source.concurrencyLimit = max(minLimit, limit*limitDecreaseFactor)
-	case latency < limitObjectiveFraction/2*objective && float64(len(source.inFlight)+1) >= limit/2:
-		source.concurrencyLimit = min(maxLimit, limit+1/limit)
-	}
+	source.limit.RecordWarmLatency(latency, objective, len(source.inFlight))
 }
 
 // learnThroughput takes in what workers answered in the last interval, in requests a second per unit of
@@ -206,8 +190,3 @@
 	}
 	r.throughputPerWeight.Update(rate, weight)
 }
-
-// initialLimit is the concurrency limit of a worker of which nothing is known.
-func (r *Router) initialLimit() float64 {
-	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
-}
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -32,7 +32,7 @@
 // that was seen lately, a few are tried elsewhere too, at a warm instance and while there is capacity. Harm:
 // an expensive request runs twice.
 func (r *Router) hedgeSingle(a *attempt) {
-	if r.hedgeCredit <= 0 || r.utilization > maxSpreadUtilization {
+	if r.hedgeCredit <= 0 || !r.capacity.MaySpread() {
 		return
 	}
 	r.hedgeOrRetry(a, true)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -56,9 +56,8 @@
 func (r *Router) applyPeerReports(reports PeerReports) {
 	for _, w := range r.workerList {
 		w.verdict = reports.Verdicts[w.ID]
-		remaining := r.capacity - w.concurrencyLimit
 		if w.verdict == Confirmed && r.now-w.lastAnswerAt > ownObservationLifetime &&
-			r.utilization*r.capacity < maxSpreadUtilization*remaining {
+			r.capacity.CanCarryWithout(&w.limit) {
 			r.eject(w)
 			r.refreshCapacity()
 		}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -31,7 +31,7 @@
 	// A departure from the SCORPIO design: with most capacity in use, a function that is loaded somewhere
 	// waits for capacity there, against load storms in overload. Harm: one much called function in a fleet
 	// that is busy with long requests spreads late.
-	if loaded.exists && r.utilization > maxSpreadUtilization {
+	if loaded.exists && !r.capacity.MaySpread() {
 		return nil, false
 	}
 	target = r.pickForLoad(req, loaded.exists)
@@ -104,7 +104,7 @@
 			if spare == nil || r.busier(spare, candidate) {
 				spare = candidate
 			}
-		case r.now < candidate.loadBackoffUntil, candidate.loadsWaiting >= maxWaitingForLoads,
+		case candidate.limit.BacksOffLoads(r.now), candidate.loadsWaiting >= maxWaitingForLoads,
 			p.inFlight >= req.function.concurrency:
 			continue
 		case first == nil:
@@ -137,8 +137,7 @@
 
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
 func (r *Router) hasCapacity(req *request, w *worker) bool {
-	return float64(len(w.inFlight)-w.loadsWaiting) < w.concurrencyLimit && r.now >= w.backoffUntil &&
-		r.accepts(req, w)
+	return w.limit.HasCapacity(r.now, len(w.inFlight)-w.loadsWaiting) && r.accepts(req, w)
 }
 
 // accepts reports whether a worker may be sent this request.
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -61,9 +61,9 @@
 // retryAfter is the advice that goes with a rejection: when the work that is now ahead will be done, but no
 // longer than clients follow. With no eligible worker that is unknown, and it is the longest advice.
 func (r *Router) retryAfter() time.Duration {
-	if r.capacity == 0 {
+	if r.capacity.Total() == 0 {
 		return r.settings.MaxRetryAfter
 	}
-	drained := durationOf(r.workAhead(math.MaxInt64) / r.capacity)
+	drained := durationOf(r.workAhead(math.MaxInt64) / r.capacity.Total())
 	return min(max(drained, tickInterval), r.settings.MaxRetryAfter)
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -6,6 +6,7 @@
 
 	"calicohill/internal/stats/decay"
 	"calicohill/internal/stats/ratelimit"
+	"calicohill/routing/concurrency"
 	"calicohill/routing/pressure"
 )
 
@@ -35,11 +36,10 @@
 	lastRequestAt time.Duration
 
 	pressure       *pressure.Estimator
-	capacity       float64 // summed concurrency limits of the eligible workers
-	utilization    float64 // part of capacity that is in use
-	healthyWorkers int     // eligible workers that are not unhealthy
-	hedgeCredit    int     // single overdue attempts that may be hedged
-	meanLatency    float64 // running mean over all warm answers, in seconds
+	capacity       concurrency.Capacity // of the eligible workers
+	healthyWorkers int                  // eligible workers that are not unhealthy
+	hedgeCredit    int                  // single overdue attempts that may be hedged
+	meanLatency    float64              // running mean over all warm answers, in seconds
 
 	activeWeight        float64       // weight of all workers that are ready and not ejected
 	allWarmingUp        bool          // there is no warm worker
@@ -76,8 +76,7 @@
 
 // refreshCapacity sums the capacity of the eligible workers and the part of it that is in use.
 func (r *Router) refreshCapacity() {
-	used := 0.0
-	r.capacity = 0
+	r.capacity = concurrency.Capacity{}
 	r.healthyWorkers = 0
 	for _, w := range r.workerList {
 		if !r.eligible(w) {
@@ -86,8 +85,6 @@
 		if !r.isUnhealthy(w) {
 			r.healthyWorkers++
 		}
-		used += float64(len(w.inFlight) - w.loadsWaiting)
-		r.capacity += w.concurrencyLimit
+		r.capacity.Add(&w.limit, len(w.inFlight)-w.loadsWaiting)
 	}
-	r.utilization = used / max(r.capacity, 1)
 }
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -19,19 +19,8 @@
 	errorRateWeight      = 0.1  // of a worker's error rate
 )
 
-// Concurrency limit of a worker, in requests of this scheduler.
-const (
-	initialFleetLimit = 12.0 // requests of all schedulers together that a worker's limit starts from
-	minInitialLimit   = 2    // smallest limit that one scheduler starts from
-	minLimit          = 1.0
-	maxLimit          = 48.0
-	readmissionLimit  = 2 // highest limit of a worker that returns from ejection
-	// An answer of a warm instance that takes longer than limitObjectiveFraction of its latency objective
-	// multiplies the limit by limitDecreaseFactor; one within half of that raises it.
-	limitObjectiveFraction = 0.7
-	limitDecreaseFactor    = 0.8
-	workRoundingError      = 1e-9 // seconds of work in flight that count as none: the sum's rounding error
-)
+// workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
+const workRoundingError = 1e-9
 
 // Overdue attempts. One is overdue after the larger of a fraction of its latency objective and a multiple of
 // the mean service time, but no later than the objective; a load adds a multiple of its time.
@@ -47,7 +36,6 @@
 const (
 	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
 	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
-	maxSpreadUtilization = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
 	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
 	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
 	spreadKeepAlives     = 2.0  // keep-alives over which that part is counted
@@ -58,9 +46,6 @@
 // Admission and queue.
 const (
 	expiryMargin = 2 * tickInterval // before the client gives up, when a queued request is ended
-	// After n sheds in a row a worker is left alone for 2^n of these parts of a service time.
-	shedBackoffDivisor = 16
-	maxShedDoublings   = 4
 )
 
 // Outlier detection and hedging.
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"calicohill/internal/stats/decay"
+	"calicohill/routing/concurrency"
 	"calicohill/routing/pressure"
 )
 
@@ -14,12 +15,9 @@
 	incarnation int           // counts restarts; what was believed of an earlier incarnation is void
 
 	// Attempts of this scheduler, and its limits on them.
-	inFlight         []*attempt    // attempts without an end, oldest first
-	loadsWaiting     int           // those that wait for a load; they don't count against the limit
-	concurrencyLimit float64       // the most that may be in flight beside those
-	consecutiveSheds int           // requests shed in a row, up to maxShedDoublings
-	backoffUntil     time.Duration // it gets nothing new until then
-	loadBackoffUntil time.Duration // it gets no new load until then
+	inFlight     []*attempt // attempts without an end, oldest first
+	loadsWaiting int        // those that wait for a load; they don't count against the limit
+	limit        concurrency.Worker
 
 	pressure pressure.Worker
 
