--- a/routing/admission.go
+++ b/routing/admission.go
@@ -35,9 +35,9 @@
 
 // missesDeadline reports whether a request with so many seconds of work ahead would end after its deadline.
 func (r *Router) missesDeadline(req *request, target *worker, warm bool, work float64) bool {
-	finish := work/r.capacity.Divisor() + r.serviceTime(req.function)
+	finish := work/r.capacity.Divisor() + r.latency.ServiceTime(&req.function.latency, r.now)
 	if !warm && (target != nil || !slices.ContainsFunc(req.function.placements, r.isWarm)) {
-		finish += r.loadTime(req.function)
+		finish += r.latency.LoadTime(&req.function.latency, r.now)
 	}
 	// A departure from the SCORPIO design: the request that would begin a load is admitted, or functions
 	// that load slowly would be rejected for ever.
@@ -55,7 +55,7 @@
 func (r *Router) missesObjective(req *request, work float64) bool {
 	wait := work / r.capacity.Divisor()
 	return req.class.LateValue < 1 &&
-		wait+min(r.serviceTime(req.function), r.minObjective/2) > r.minObjective
+		wait+min(r.latency.ServiceTime(&req.function.latency, r.now), r.minObjective/2) > r.minObjective
 }
 
 // divertOrReject admits a request to the fallback of its pool, and rejects it if there is none.
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -58,7 +58,7 @@
 			s := actionsOf[Send](harness.step(millisecond, q))[0]
 			harness.step(millisecond, attemptEnd(s, 0, Served))
 			objective := harness.router.settings.Classes[class].LatencyObjective.Seconds()
-			harness.router.functions["f"].serviceTimeExcess.Set(harness.router.now, 0.3-objective)
+			harness.router.functions["f"].latency.RestoreExcess(harness.router.now, 0.3-objective)
 			harness.router.inFlightWork = tt.ahead * harness.router.capacity.Total()
 			q.ID = "b"
 			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.rejected {
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -29,7 +29,7 @@
 	objective := a.request.class.LatencyObjective.Seconds()
 	after := min(max(overdueObjectiveFraction*objective, overdueMeanMultiple*a.work), objective)
 	if a.mayNeedLoad {
-		after += overdueLoadMultiple * r.loadTime(a.request.function)
+		after += overdueLoadMultiple * r.latency.LoadTime(&a.request.function.latency, r.now)
 	}
 	return after
 }
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -67,7 +67,8 @@
 // recordShed backs off from a worker that rejected a request unseen.
 func (r *Router) recordShed(ended *attempt) {
 	r.recordAnswer(ended.worker)
-	ended.worker.limit.RecordShed(r.now, r.serviceTime(ended.request.function), ended.mayNeedLoad)
+	serviceTime := r.latency.ServiceTime(&ended.request.function.latency, r.now)
+	ended.worker.limit.RecordShed(r.now, serviceTime, ended.mayNeedLoad)
 }
 
 // recordReset counts a broken connection. One says little of its worker: an answer that cannot be read
@@ -135,7 +136,7 @@
 	fault := Healthy
 	if r.errorRate(source) > maxErrorRate {
 		fault = Failing
-	} else if r.latencyRatio(source) > slowLatencyRatio {
+	} else if r.latency.IsSlow(&source.latency, r.now) {
 		fault = Slow
 	}
 	r.reportFault(source, fault, r.now)
@@ -157,7 +158,7 @@
 		r.servedAnswers++
 	}
 	latency := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds()
-	called.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
+	r.latency.Observe(&called.latency, r.now, latency)
 	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.mayNeedLoad {
 		return
 	}
@@ -169,14 +170,8 @@
 
 // recordWarmLatency learns from the latency, in seconds, of an answer of a warm instance.
 func (r *Router) recordWarmLatency(ended *attempt, latency float64) {
-	source, called := ended.worker, ended.request.function
-	r.meanLatency = cmp.Or(r.meanLatency, latency)
-	ratio := r.latencyRatio(source)
-	source.latencyExcess.Set(r.now, ratio+workerMeanWeight*(latency/r.meanLatency-ratio)-1)
-	r.meanLatency += fleetMeanWeight * (latency - r.meanLatency)
-	mean := r.serviceTime(called)
-	called.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
-		r.settings.Classes[called.class].LatencyObjective.Seconds())
+	source := ended.worker
+	r.latency.ObserveWarm(&ended.request.function.latency, &source.latency, r.now, latency)
 	objective := ended.request.class.LatencyObjective.Seconds()
 	source.limit.RecordWarmLatency(latency, objective, len(source.inFlight))
 }
--- a/routing/function.go
+++ b/routing/function.go
@@ -1,30 +1,27 @@
 package routing
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
 
-	"calicohill/internal/stats/decay"
 	"calicohill/internal/stats/rendezvous"
+	"calicohill/routing/latency"
 )
 
 // function is what is known of a function.
 type function struct {
-	name              string
-	class             int           // index in Settings.Classes, of its latest request
-	concurrency       int           // requests that an instance runs at a time
-	pool              *Pool         // workers that may have it; nil means all
-	declaredLoadTime  time.Duration // usual time of a load as requests say; 0 if unknown
-	requestWeight     float64       // count of its requests, decaying; as of lastRequestAt
-	lastRequestAt     time.Duration
-	served            bool        // some worker answered it
-	serviceTimeExcess decay.Value // running mean of latencies over the class's objective, in seconds
-	slowestLatency    decay.Peak  // the slowest recent one, in seconds
-	placements        []*placement
-	workerOrder       []*worker // rendezvous order
-	orderVersion      int       // Router.membershipVersion that workerOrder was made from
+	name          string
+	class         int     // index in Settings.Classes, of its latest request
+	concurrency   int     // requests that an instance runs at a time
+	pool          *Pool   // workers that may have it; nil means all
+	requestWeight float64 // count of its requests, decaying; as of lastRequestAt
+	lastRequestAt time.Duration
+	served        bool // some worker answered it
+	latency       latency.Function
+	placements    []*placement
+	workerOrder   []*worker // rendezvous order
+	orderVersion  int       // Router.membershipVersion that workerOrder was made from
 }
 
 // placement is what is known of a function at a worker.
@@ -57,7 +54,7 @@
 	called.class = arrival.Class
 	called.concurrency = max(arrival.Concurrency, 1)
 	called.pool = arrival.Pool
-	called.declaredLoadTime = cmp.Or(max(0, arrival.LoadTime), called.declaredLoadTime)
+	called.latency.Declare(r.settings.Classes[arrival.Class].LatencyObjective, arrival.LoadTime)
 	called.requestWeight = called.requestWeight*r.decayFactor(called.lastRequestAt) + 1
 	called.lastRequestAt = r.now
 	r.requestWeight = r.requestWeight*r.decayFactor(r.lastRequestAt) + 1
@@ -102,23 +99,6 @@
 	}
 }
 
-// serviceTime is the running mean of a function's latencies at warm instances, in seconds. It starts at the
-// latency objective of its class and decays back to it while no answers come.
-func (r *Router) serviceTime(fn *function) float64 {
-	return r.settings.Classes[fn.class].LatencyObjective.Seconds() +
-		fn.serviceTimeExcess.At(r.now, r.settings.InstanceKeepAlive)
-}
-
-// loadTime estimates the time of a load, in seconds: as declared, else the function's slowest recent
-// latency, else the latency objective of its class.
-func (r *Router) loadTime(fn *function) float64 {
-	slowest := fn.slowestLatency.Within(r.now, 2*r.settings.InstanceKeepAlive)
-	if fn.declaredLoadTime == 0 && slowest > 0 {
-		return slowest
-	}
-	return cmp.Or(fn.declaredLoadTime, r.settings.Classes[fn.class].LatencyObjective).Seconds()
-}
-
 // isWarm reports whether a function is believed to be loaded at a worker: it was found so within the
 // shortest keep-alive, in this incarnation of the worker.
 func (r *Router) isWarm(p *placement) bool {
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -68,7 +68,7 @@
 			ID:             w.ID,
 			Started:        w.Started,
 			PressureExcess: r.pressure.Excess(&w.pressure, r.now),
-			LatencyExcess:  r.latencyRatio(w) - 1,
+			LatencyExcess:  r.latency.Ratio(&w.latency, r.now) - 1,
 		})
 	}
 	for _, fn := range r.functions {
@@ -88,8 +88,8 @@
 		Class:             fn.class,
 		Concurrency:       fn.concurrency,
 		RequestWeight:     fn.requestWeight * r.decayFactor(fn.lastRequestAt),
-		ServiceTimeExcess: fn.serviceTimeExcess.At(r.now, r.settings.InstanceKeepAlive),
-		LoadTime:          fn.declaredLoadTime,
+		ServiceTimeExcess: r.latency.Excess(&fn.latency, r.now),
+		LoadTime:          fn.latency.DeclaredLoadTime(),
 	}
 	for _, p := range fn.placements {
 		if i, ok := index[p.worker]; ok && r.isWarm(p) {
@@ -132,27 +132,29 @@
 		if w != nil && w.Started == learned.Started && plausible(learned.PressureExcess, learned.LatencyExcess) {
 			workers[i] = w
 			w.pressure.RestoreExcess(state.CapturedAt, learned.PressureExcess)
-			w.latencyExcess.Set(state.CapturedAt, learned.LatencyExcess)
+			w.latency.RestoreExcess(state.CapturedAt, learned.LatencyExcess)
 		}
 	}
 	for _, learned := range state.Functions[:min(len(state.Functions), maxLearnedFunctions)] {
 		if learned.plausible(len(r.settings.Classes)) {
-			r.functions[learned.Name] = restoreFunction(learned, state.CapturedAt, workers)
+			r.functions[learned.Name] = restoreFunction(learned, r.settings.Classes, state.CapturedAt, workers)
 		}
 	}
 }
 
 // restoreFunction makes the record of a function from what was learned of it.
-func restoreFunction(learned LearnedFunction, capturedAt time.Duration, workers []*worker) *function {
+func restoreFunction(
+	learned LearnedFunction, classes []Class, capturedAt time.Duration, workers []*worker,
+) *function {
 	restored := &function{
-		name:             learned.Name,
-		class:            learned.Class,
-		concurrency:      learned.Concurrency,
-		declaredLoadTime: max(learned.LoadTime, 0),
-		requestWeight:    learned.RequestWeight,
-		lastRequestAt:    capturedAt,
+		name:          learned.Name,
+		class:         learned.Class,
+		concurrency:   learned.Concurrency,
+		requestWeight: learned.RequestWeight,
+		lastRequestAt: capturedAt,
 	}
-	restored.serviceTimeExcess.Set(capturedAt, learned.ServiceTimeExcess)
+	restored.latency.Declare(classes[learned.Class].LatencyObjective, learned.LoadTime)
+	restored.latency.RestoreExcess(capturedAt, learned.ServiceTimeExcess)
 	for _, instance := range learned.Instances {
 		i := instance.WorkerIndex
 		if i < 0 || i >= len(workers) || workers[i] == nil || instance.LastWarm > capturedAt {
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -24,7 +24,7 @@
 		if !r.isWarm(next) {
 			return nil, false // its load is under way: what waits here blocks no worker if the load is slow
 		}
-		if r.waitForSlot(next, req.function) < r.loadTime(req.function) {
+		if r.waitForSlot(next, req.function) < r.latency.LoadTime(&req.function.latency, r.now) {
 			return next.worker, true
 		}
 	}
@@ -83,7 +83,7 @@
 // waitForSlot estimates the wait for a slot of a placement whose slots are all taken, in seconds.
 func (r *Router) waitForSlot(p *placement, fn *function) float64 {
 	slots := float64(p.instances * fn.concurrency)
-	return (float64(p.inFlight) - slots + 1) / slots * r.serviceTime(fn)
+	return (float64(p.inFlight) - slots + 1) / slots * r.latency.ServiceTime(&fn.latency, r.now)
 }
 
 // pickForLoad chooses the worker that loads a function: the less busy of the first two with capacity in its
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -53,7 +53,7 @@
 		if queued.dueAt > deadline {
 			break
 		}
-		sum += r.serviceTime(queued.function)
+		sum += r.latency.ServiceTime(&queued.function.latency, r.now)
 	}
 	return sum
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -56,7 +56,7 @@
 		worker:      target,
 		placement:   req.function.placementAt(target),
 		sentAt:      r.now,
-		work:        r.serviceTime(req.function),
+		work:        r.latency.ServiceTime(&req.function.latency, r.now),
 		mayNeedLoad: !warm,
 	}
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -7,6 +7,7 @@
 	"calicohill/internal/stats/decay"
 	"calicohill/internal/stats/ratelimit"
 	"calicohill/routing/concurrency"
+	"calicohill/routing/latency"
 	"calicohill/routing/pressure"
 )
 
@@ -36,10 +37,10 @@
 	lastRequestAt time.Duration
 
 	pressure       *pressure.Estimator
+	latency        *latency.Estimator
 	capacity       concurrency.Capacity // of the eligible workers
 	healthyWorkers int                  // eligible workers that are not unhealthy
 	hedgeCredit    int                  // single overdue attempts that may be hedged
-	meanLatency    float64              // running mean over all warm answers, in seconds
 
 	activeWeight        float64       // weight of all workers that are ready and not ejected
 	allWarmingUp        bool          // there is no warm worker
@@ -61,6 +62,7 @@
 		rng:               rand.New(rand.NewPCG(seed, 0)),
 		requests:          map[string]*request{},
 		tenantQuotas:      s.tenantQuotas(),
+		latency:           latency.NewEstimator(s.InstanceKeepAlive),
 		pressure:          pressure.NewEstimator(s.Schedulers, shortest, s.InstanceKeepAlive),
 		workers:           map[string]*worker{},
 		membershipVersion: 1,
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -12,11 +12,8 @@
 
 // Running means: the weight of a new sample.
 const (
-	functionMeanWeight   = 0.2  // of a function's service time
-	throughputMeanWeight = 0.2  // of the throughput of a warm worker
-	workerMeanWeight     = 0.5  // of what is known of one worker, which is sampled seldom
-	fleetMeanWeight      = 0.05 // of what is known of all workers
-	errorRateWeight      = 0.1  // of a worker's error rate
+	throughputMeanWeight = 0.2 // of the throughput of a warm worker
+	errorRateWeight      = 0.1 // of a worker's error rate
 )
 
 // workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
@@ -55,7 +52,6 @@
 	minProbationJitter     = 0.5         // randomized delays are this to this plus 1 of the longest
 	ownObservationLifetime = time.Second // own answers younger than this outweigh the reports of peers
 	reportRefreshInterval  = ownObservationLifetime / 4
-	slowLatencyRatio       = 4.0  // latency over that of all workers from which a worker is reported as slow
 	maxConnectionResets    = 3    // breaks in a row, with no answer between, that eject a worker
 	maxErrorRate           = 0.15 // a worker above gets no requests that must not be repeated
 	// Hedges of a single overdue attempt at a worker that answers others: how many are allowed.
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -5,6 +5,7 @@
 
 	"calicohill/internal/stats/decay"
 	"calicohill/routing/concurrency"
+	"calicohill/routing/latency"
 	"calicohill/routing/pressure"
 )
 
@@ -21,9 +22,8 @@
 
 	pressure pressure.Worker
 
-	// Load.
-	latencyExcess decay.Value // running mean of its latency over that of all workers, less 1
-	recentErrors  decay.Value // running share of errors in its answers, 0 to 1
+	latency      latency.Worker
+	recentErrors decay.Value // running share of errors in its answers, 0 to 1
 
 	// Health.
 	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
@@ -43,11 +43,6 @@
 	slowStartSends      []time.Duration // when those of the latest window were sent
 }
 
-// latencyRatio is how a worker's latencies compare with those of all workers; 1 is the same.
-func (r *Router) latencyRatio(w *worker) float64 {
-	return 1 + w.latencyExcess.At(r.now, r.settings.InstanceKeepAlive)
-}
-
 // errorRate is the share of a worker's recent answers that are errors, 0 to 1. It fades, since nothing but
 // new requests shows that errors have ceased.
 func (r *Router) errorRate(w *worker) float64 {
