--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -132,7 +132,7 @@
 	harness.router.refreshCapacity()
 	harness.router.applyPeerReports(confirmedReports("w0", "w1", "w2", "w3"))
 	for _, w := range harness.router.workerList {
-		if w.ejected {
+		if w.health.Ejected() {
 			t.Errorf("%s is ejected though half of all capacity is in use", w.ID)
 		}
 	}
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -15,10 +15,7 @@
 	a := r.newAttempt(req, target, warm)
 	a.overdueAt = r.now + durationOf(r.overdueAfter(a))
 	r.recordStart(a)
-	if target.ejected {
-		target.probes++
-		target.probationAt = r.now + r.probationDelay(target)
-	}
+	target.health.RecordSend(r.now, r.rng)
 	timeout := max(req.expiresAt-r.now-r.settings.Tick, minSendTimeout)
 	r.emit(Send{req.ID, target.ID, timeout, startWithin})
 	return true
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"calicohill/internal/stats/decay"
 	"calicohill/routing/concurrency"
+	"calicohill/routing/outlier"
 )
 
 // applyEndpoints takes in an endpoint list. After a failed list call what was known still holds, and the subscription is
@@ -39,7 +39,7 @@
 func (r *Router) applyEndpoint(entry Worker) {
 	known := r.workers[entry.ID]
 	if known == nil {
-		known = &worker{Worker: entry, limit: concurrency.NewWorker(r.settings.Schedulers), lastAnswerAt: r.now}
+		known = &worker{Worker: entry, limit: concurrency.NewWorker(r.settings.Schedulers), health: outlier.NewWorker(r.now)}
 		r.workers[entry.ID] = known
 		r.workerList = insertSorted(r.workerList, known, func(w *worker) string { return w.ID })
 		return
@@ -60,12 +60,10 @@
 func (w *worker) restarted(schedulers int) {
 	w.incarnation++
 	w.limit = concurrency.NewWorker(schedulers)
-	w.ejected = false
-	w.probes = 0
+	w.health.Restart()
 	w.pressure.Restart()
 	w.slowStartQuotaUntil = 0
 	w.slowStartSends = nil
-	w.recentErrors = decay.Value{}
 }
 
 // functionKeepAlives is how many keep-alives a function without requests is remembered.
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 
+	"calicohill/routing/outlier"
 	"calicohill/routing/pressure"
 )
 
@@ -42,7 +43,7 @@
 		r.recordAnswer(ended.worker)
 		// An error for a function that no worker knows says nothing of this worker.
 		if end.Outcome == Errored && ended.request.function.served {
-			r.recordError(ended.worker)
+			r.outliers.RecordError(&ended.worker.health, r.now)
 		}
 		if end.Outcome == NotLoaded || end.StartType == LoadFailed {
 			ended.placement.warm = false
@@ -50,8 +51,8 @@
 		}
 	case TimedOut:
 		r.recordLostAnswer(ended, hedgeCreditPerTimeout)
-		if ended.worker.lastAnswerAt < ended.sentAt {
-			r.reportFault(ended.worker, Unresponsive, ended.sentAt)
+		if ended.worker.health.SilentSince(ended.sentAt) {
+			r.reportFault(ended.worker, outlier.Unresponsive, ended.sentAt)
 		}
 	case Canceled:
 		if ended.superseded { // the other attempt was answered first
@@ -71,29 +72,23 @@
 	ended.worker.limit.RecordShed(r.now, serviceTime, ended.mayNeedLoad)
 }
 
-// recordReset counts a broken connection. One says little of its worker: an answer that cannot be read
-// breaks it too, and after a crash the next connection is refused. A worker whose connections break time and
-// again with no answer between is unhealthy.
+// recordReset learns from a broken connection.
 func (r *Router) recordReset(w *worker) {
-	if w.lastResetAt < r.now { // what was lost with one connection counts once
-		w.connectionResets++
-	}
-	w.lastResetAt = r.now
-	if w.connectionResets >= maxConnectionResets {
-		r.eject(w)
-		r.reportFault(w, Unreachable, r.now)
+	if w.health.RecordReset(r.now) {
+		w.health.Eject(r.now, r.rng)
+		r.reportFault(w, outlier.Unreachable, r.now)
 	}
 }
 
 // recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
 // unless it answered elsewhere meanwhile.
 func (r *Router) recordConnectFailure(ended *attempt) {
-	if ended.worker.lastAnswerAt > ended.sentAt {
+	if ended.worker.health.AnsweredAfter(ended.sentAt) {
 		return
 	}
 	ended.worker.incarnation++
-	r.eject(ended.worker)
-	r.reportFault(ended.worker, Unreachable, r.now)
+	ended.worker.health.Eject(r.now, r.rng)
+	r.reportFault(ended.worker, outlier.Unreachable, r.now)
 }
 
 // observeLoad learns from the end of an attempt under how much pressure its worker is.
@@ -125,21 +120,11 @@
 
 // recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
 func (r *Router) recordAnswer(source *worker) {
-	source.lastAnswerAt = r.now
-	source.answeredAt = r.now
-	source.connectionResets = 0
-	if source.ejected {
-		source.ejected = false
-		source.probes = 0
+	if source.health.RecordAnswer(r.now) {
 		source.limit.Readmit()
 	}
-	fault := Healthy
-	if r.errorRate(source) > maxErrorRate {
-		fault = Failing
-	} else if r.latency.IsSlow(&source.latency, r.now) {
-		fault = Slow
-	}
-	r.reportFault(source, fault, r.now)
+	slow := r.latency.IsSlow(&source.latency, r.now)
+	r.reportFault(source, r.outliers.AnswerFault(&source.health, r.now, slow), r.now)
 }
 
 // recordServed learns from a served answer.
@@ -153,7 +138,7 @@
 	place.loading = false
 	source.limit.RecordServed()
 	called.served = true
-	source.recentErrors.Set(r.now, r.errorRate(source)*(1-errorRateWeight))
+	r.outliers.RecordServed(&source.health, r.now)
 	if r.allWarmingUp || !r.isWarmingUp(source) {
 		r.servedAnswers++
 	}
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -1,5 +1,9 @@
 package routing
 
+import (
+	"calicohill/routing/outlier"
+)
+
 // checkOverdue ejects a worker that takes requests and answers none: two attempts are overdue with no answer
 // since the older was sent; one alone may be an expensive request. This covers network partitions, hangs and
 // lost machines. Its attempts are retried or hedged elsewhere. Harm: a very slow worker loses its traffic
@@ -7,20 +11,21 @@
 func (r *Router) checkOverdue(suspect *worker) {
 	overdue, newest := suspect.unanswered(r.now)
 	if overdue > 0 { // where one alone proves little, peers may have one too
-		r.reportFault(suspect, Unresponsive, newest)
+		r.reportFault(suspect, outlier.Unresponsive, newest)
 	}
-	if overdue >= overdueToEject {
-		r.eject(suspect)
+	unresponsive := outlier.ManyOverdue(overdue)
+	if unresponsive {
+		suspect.health.Eject(r.now, r.rng)
 	}
 	gone := suspect.State == Gone
-	unavailable := gone || suspect.ejected
+	unavailable := gone || suspect.health.Ejected()
 	for _, a := range suspect.inFlight {
 		late := r.now >= a.overdueAt
 		switch {
 		case a.superseded:
-		case unavailable && (gone || late || overdue >= overdueToEject):
+		case unavailable && (gone || late || unresponsive):
 			r.hedgeOrRetry(a, false)
-		case !unavailable && late && suspect.lastAnswerAt > a.sentAt:
+		case !unavailable && late && suspect.health.AnsweredAfter(a.sentAt):
 			r.hedgeSingle(a)
 		}
 	}
@@ -45,9 +50,9 @@
 // allows this many more hedges for it.
 func (r *Router) recordLostAnswer(a *attempt, credit int) {
 	w := a.worker
-	if !w.ejected && w.lastAnswerAt > a.sentAt {
+	if !w.health.Ejected() && w.health.AnsweredAfter(a.sentAt) {
 		r.hedgeCredit = min(r.hedgeCredit+credit, maxHedgeCredit)
-		r.recordError(w)
+		r.outliers.RecordError(&w.health, r.now)
 	}
 }
 
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -129,7 +129,7 @@
 	pressure := max(math.Round(pressureSteps*r.pressure.Of(&w.pressure, r.now)), 1)
 	requests := 1 + float64(len(w.inFlight)) + w.pressure.PeerInFlight()
 	// Where many share a worker, meeting one more costs it and shows in none of its reports.
-	if w.answeredAt == 0 || r.now-w.answeredAt > r.settings.InstanceKeepAlive {
+	if !w.health.AnsweredWithin(r.now, r.settings.InstanceKeepAlive) {
 		requests += unansweredPenalty * r.pressure.PeerInfluence()
 	}
 	return requests * pressure / (w.Weight * r.slowStartFactor(w))
@@ -149,7 +149,8 @@
 // avoids reports whether a worker is not to have this request: it seems unhealthy, and nothing could be
 // retried. Other requests still go there, show when it has recovered, and are retried elsewhere.
 func (r *Router) avoids(req *request, w *worker) bool {
-	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 && r.isUnhealthy(w)
+	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 &&
+		r.outliers.IsUnhealthy(&w.health, r.now)
 }
 
 // lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
--- a/routing/state.go
+++ b/routing/state.go
@@ -8,6 +8,7 @@
 	"calicohill/internal/stats/ratelimit"
 	"calicohill/routing/concurrency"
 	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
 	"calicohill/routing/pressure"
 )
 
@@ -37,6 +38,7 @@
 	lastRequestAt time.Duration
 
 	pressure       *pressure.Estimator
+	outliers       *outlier.Detector
 	latency        *latency.Estimator
 	capacity       concurrency.Capacity // of the eligible workers
 	healthyWorkers int                  // eligible workers that are not unhealthy
@@ -62,6 +64,7 @@
 		rng:               rand.New(rand.NewPCG(seed, 0)),
 		requests:          map[string]*request{},
 		tenantQuotas:      s.tenantQuotas(),
+		outliers:          outlier.NewDetector(s.InstanceKeepAlive, s.FaultReporting),
 		latency:           latency.NewEstimator(s.InstanceKeepAlive),
 		pressure:          pressure.NewEstimator(s.Schedulers, shortest, s.InstanceKeepAlive),
 		workers:           map[string]*worker{},
@@ -84,7 +87,7 @@
 		if !r.eligible(w) {
 			continue
 		}
-		if !r.isUnhealthy(w) {
+		if !r.outliers.IsUnhealthy(&w.health, r.now) {
 			r.healthyWorkers++
 		}
 		r.capacity.Add(&w.limit, len(w.inFlight)-w.loadsWaiting)
--- a/routing/throughput.go
+++ b/routing/throughput.go
@@ -14,7 +14,7 @@
 		if !r.isWarmingUp(w) {
 			warm += w.Weight
 		}
-		if !w.ejected {
+		if !w.health.Ejected() {
 			r.activeWeight += w.Weight
 		}
 	}
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -13,7 +13,6 @@
 // Running means: the weight of a new sample.
 const (
 	throughputMeanWeight = 0.2 // of the throughput of a warm worker
-	errorRateWeight      = 0.1 // of a worker's error rate
 )
 
 // workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
@@ -26,7 +25,6 @@
 	overdueMeanMultiple      = 3.0
 	overdueLoadMultiple      = 2.0
 	minSendTimeout           = time.Millisecond // shortest timeout of an attempt
-	overdueToEject           = 2                // overdue attempts without an answer that eject a worker
 )
 
 // Choice of a worker.
@@ -47,13 +45,6 @@
 
 // Outlier detection and hedging.
 const (
-	baseProbationDelay     = time.Second // before an ejected worker is probed; doubles with each probe
-	maxProbationDoublings  = 3
-	minProbationJitter     = 0.5         // randomized delays are this to this plus 1 of the longest
-	ownObservationLifetime = time.Second // own answers younger than this outweigh the reports of peers
-	reportRefreshInterval  = ownObservationLifetime / 4
-	maxConnectionResets    = 3    // breaks in a row, with no answer between, that eject a worker
-	maxErrorRate           = 0.15 // a worker above gets no requests that must not be repeated
 	// Hedges of a single overdue attempt at a worker that answers others: how many are allowed.
 	hedgeCreditPerTimeout = 4 // for each answer that never came
 	hedgeCreditPerHedge   = 1 // for each hedge that was answered first
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"calicohill/internal/stats/decay"
 	"calicohill/routing/concurrency"
 	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
 	"calicohill/routing/pressure"
 )
 
@@ -22,20 +22,9 @@
 
 	pressure pressure.Worker
 
-	latency      latency.Worker
-	recentErrors decay.Value // running share of errors in its answers, 0 to 1
+	latency latency.Worker
 
-	// Health.
-	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
-	answeredAt       time.Duration // when it answered last; 0 if it never did
-	connectionResets int           // times that connections broke with no answer since
-	lastResetAt      time.Duration // when one broke last
-	ejected          bool          // it gets only probes
-	probes           int           // probes sent since it was ejected
-	probationAt      time.Duration // when the next probe may be sent
-	verdict          PeerVerdict   // what peers together report of it
-	reportedFault    Fault         // what this scheduler reported last
-	reportedAt       time.Duration // when that was observed
+	health outlier.Worker
 
 	// Slow start.
 	slowStartQuota      int             // requests that it may be sent in a window while warming up
@@ -43,22 +32,11 @@
 	slowStartSends      []time.Duration // when those of the latest window were sent
 }
 
-// errorRate is the share of a worker's recent answers that are errors, 0 to 1. It fades, since nothing but
-// new requests shows that errors have ceased.
-func (r *Router) errorRate(w *worker) float64 {
-	return w.recentErrors.At(r.now, r.settings.InstanceKeepAlive)
-}
-
-// recordError counts an error in a worker's error rate.
-func (r *Router) recordError(w *worker) {
-	w.recentErrors.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
-}
-
 // unanswered counts the attempts at a worker that are overdue with no answer since they were sent, and
 // returns when the newest was sent.
 func (w *worker) unanswered(now time.Duration) (overdue int, newest time.Duration) {
 	for _, a := range w.inFlight {
-		if now >= a.overdueAt && w.lastAnswerAt < a.sentAt {
+		if now >= a.overdueAt && w.health.SilentSince(a.sentAt) {
 			overdue++
 			newest = a.sentAt
 		}
