--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -12,7 +12,7 @@
 		return
 	}
 	r.started = true
-	r.servedSince = now
+	r.slowStart.Begin(now)
 	r.emit(SetTimer{tickInterval, tickToken})
 	if r.settings.SubscriptionRequired {
 		r.emit(Subscribe{true})
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -62,8 +62,7 @@
 	w.limit = concurrency.NewWorker(schedulers)
 	w.health.Restart()
 	w.pressure.Restart()
-	w.slowStartQuotaUntil = 0
-	w.slowStartSends = nil
+	w.slowStart.Restart()
 }
 
 // functionKeepAlives is how many keep-alives a function without requests is remembered.
@@ -82,7 +81,7 @@
 		fn.placements = slices.DeleteFunc(fn.placements, func(p *placement) bool {
 			return p.inFlight == 0 && r.isForgotten(p.worker)
 		})
-		return r.now-fn.lastRequestAt >= functionKeepAlives*r.settings.InstanceKeepAlive && !r.inUse(fn)
+		return r.now-fn.demand.LastAt() >= functionKeepAlives*r.settings.InstanceKeepAlive && !r.inUse(fn)
 	})
 }
 
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -139,9 +139,7 @@
 	source.limit.RecordServed()
 	called.served = true
 	r.outliers.RecordServed(&source.health, r.now)
-	if r.allWarmingUp || !r.isWarmingUp(source) {
-		r.servedAnswers++
-	}
+	r.slowStart.RecordServed(r.now, source.Started)
 	latency := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds()
 	r.latency.Observe(&called.latency, r.now, latency)
 	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.mayNeedLoad {
@@ -160,13 +158,3 @@
 	objective := ended.request.class.LatencyObjective.Seconds()
 	source.limit.RecordWarmLatency(latency, objective, len(source.inFlight))
 }
-
-// learnThroughput takes in what workers answered in the last interval, in requests a second per unit of
-// weight.
-func (r *Router) learnThroughput(rate float64) {
-	weight := throughputMeanWeight
-	if r.allWarmingUp && rate > float64(r.throughputPerWeight) {
-		weight = 1 // what warming workers answered they can do, whatever they did before
-	}
-	r.throughputPerWeight.Update(rate, weight)
-}
--- a/routing/function.go
+++ b/routing/function.go
@@ -1,27 +1,26 @@
 package routing
 
 import (
-	"math"
 	"slices"
 	"time"
 
 	"calicohill/internal/stats/rendezvous"
+	"calicohill/routing/demand"
 	"calicohill/routing/latency"
 )
 
 // function is what is known of a function.
 type function struct {
-	name          string
-	class         int     // index in Settings.Classes, of its latest request
-	concurrency   int     // requests that an instance runs at a time
-	pool          *Pool   // workers that may have it; nil means all
-	requestWeight float64 // count of its requests, decaying; as of lastRequestAt
-	lastRequestAt time.Duration
-	served        bool // some worker answered it
-	latency       latency.Function
-	placements    []*placement
-	workerOrder   []*worker // rendezvous order
-	orderVersion  int       // Router.membershipVersion that workerOrder was made from
+	name         string
+	class        int   // index in Settings.Classes, of its latest request
+	concurrency  int   // requests that an instance runs at a time
+	pool         *Pool // workers that may have it; nil means all
+	demand       demand.Count
+	served       bool // some worker answered it
+	latency      latency.Function
+	placements   []*placement
+	workerOrder  []*worker // rendezvous order
+	orderVersion int       // Router.membershipVersion that workerOrder was made from
 }
 
 // placement is what is known of a function at a worker.
@@ -48,25 +47,18 @@
 func (r *Router) functionFor(arrival Request) *function {
 	called := r.functions[arrival.Function]
 	if called == nil {
-		called = &function{name: arrival.Function, lastRequestAt: r.now}
+		called = &function{name: arrival.Function, demand: demand.NewCount(r.now, 0)}
 		r.functions[arrival.Function] = called
 	}
 	called.class = arrival.Class
 	called.concurrency = max(arrival.Concurrency, 1)
 	called.pool = arrival.Pool
 	called.latency.Declare(r.settings.Classes[arrival.Class].LatencyObjective, arrival.LoadTime)
-	called.requestWeight = called.requestWeight*r.decayFactor(called.lastRequestAt) + 1
-	called.lastRequestAt = r.now
-	r.requestWeight = r.requestWeight*r.decayFactor(r.lastRequestAt) + 1
-	r.lastRequestAt = r.now
+	called.demand.Add(r.now, r.demandWindow)
+	r.demand.Add(r.now, r.demandWindow)
 	return called
 }
 
-// decayFactor is what is left of a count of requests as of an earlier time, 0 to 1.
-func (r *Router) decayFactor(countedAt time.Duration) float64 {
-	return math.Exp(-(r.now - countedAt).Seconds() / (spreadKeepAlives * r.settings.InstanceKeepAlive.Seconds()))
-}
-
 // placementAt returns the record of a function at a worker, which it makes if needed.
 func (f *function) placementAt(w *worker) *placement {
 	i := slices.IndexFunc(f.placements, func(p *placement) bool { return p.worker == w })
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"calicohill/internal/stats/decay"
+	"calicohill/routing/demand"
 )
 
 // LearnedState is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them,
@@ -57,8 +57,8 @@
 func (r *Router) LearnedState() LearnedState {
 	state := LearnedState{
 		CapturedAt:          r.now,
-		RequestWeight:       r.requestWeight * r.decayFactor(r.lastRequestAt),
-		ThroughputPerWeight: float64(r.throughputPerWeight),
+		RequestWeight:       r.demand.At(r.now, r.demandWindow),
+		ThroughputPerWeight: r.slowStart.ThroughputPerWeight(),
 		MeanPressure:        r.pressure.Mean(),
 	}
 	index := map[*worker]int{}
@@ -87,7 +87,7 @@
 		Name:              fn.name,
 		Class:             fn.class,
 		Concurrency:       fn.concurrency,
-		RequestWeight:     fn.requestWeight * r.decayFactor(fn.lastRequestAt),
+		RequestWeight:     fn.demand.At(r.now, r.demandWindow),
 		ServiceTimeExcess: r.latency.Excess(&fn.latency, r.now),
 		LoadTime:          fn.latency.DeclaredLoadTime(),
 	}
@@ -122,9 +122,8 @@
 	if len(r.functions) > 0 || !state.plausible(r.now) {
 		return
 	}
-	r.requestWeight = state.RequestWeight
-	r.lastRequestAt = state.CapturedAt
-	r.throughputPerWeight = decay.Mean(state.ThroughputPerWeight)
+	r.demand = demand.NewCount(state.CapturedAt, state.RequestWeight)
+	r.slowStart.RestoreThroughput(state.ThroughputPerWeight)
 	r.pressure.RestoreMean(state.MeanPressure)
 	workers := make([]*worker, len(state.Workers)) // nil where an entry no longer fits
 	for i, learned := range state.Workers {
@@ -147,11 +146,10 @@
 	learned LearnedFunction, classes []Class, capturedAt time.Duration, workers []*worker,
 ) *function {
 	restored := &function{
-		name:          learned.Name,
-		class:         learned.Class,
-		concurrency:   learned.Concurrency,
-		requestWeight: learned.RequestWeight,
-		lastRequestAt: capturedAt,
+		name:        learned.Name,
+		class:       learned.Class,
+		concurrency: learned.Concurrency,
+		demand:      demand.NewCount(capturedAt, learned.RequestWeight),
 	}
 	restored.latency.Declare(classes[learned.Class].LatencyObjective, learned.LoadTime)
 	restored.latency.RestoreExcess(capturedAt, learned.ServiceTimeExcess)
--- a/routing/learned_state_test.go
+++ b/routing/learned_state_test.go
@@ -26,7 +26,7 @@
 	restarted := newHarness(t, settings(manySchedulers), readyWorkers(6)...)
 	restarted.now = harness.now + time.Second
 	restarted.step(0, StateRestored{state})
-	if got, want := restarted.router.throughputPerWeight, harness.router.throughputPerWeight; got != want || want == 0 {
+	if got, want := restarted.router.slowStart.ThroughputPerWeight(), harness.router.slowStart.ThroughputPerWeight(); got != want || want == 0 {
 		t.Errorf("restored throughput of a warm worker is %v a second, want %v", got, want)
 	}
 	for i := range 7 {
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -73,7 +73,7 @@
 // scheduler so: its preferred workers, if peers call it often.
 func (r *Router) presumedWarm(fn *function) []*worker {
 	preferred := r.preferredWorkers(fn)
-	peerRequests := float64(r.settings.Schedulers-1) * fn.requestWeight / spreadKeepAlives
+	peerRequests := float64(r.settings.Schedulers-1) * fn.demand.PerKeepAlive()
 	if len(preferred) > 1 && peerRequests >= presumedWarmRequests*float64(len(preferred)) {
 		return preferred
 	}
@@ -132,7 +132,7 @@
 	if !w.health.AnsweredWithin(r.now, r.settings.InstanceKeepAlive) {
 		requests += unansweredPenalty * r.pressure.PeerInfluence()
 	}
-	return requests * pressure / (w.Weight * r.slowStartFactor(w))
+	return requests * pressure / (w.Weight * r.slowStart.Factor(r.now, w.Started))
 }
 
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
@@ -166,8 +166,8 @@
 func (r *Router) preferredWorkers(fn *function) []*worker {
 	order := r.rendezvousOrder(fn)
 	// Few requests prove little: what chance alone could have brought is left out.
-	requests := fn.requestWeight * r.decayFactor(fn.lastRequestAt)
-	fraction := max(0, requests-math.Sqrt(requests)) / max(r.requestWeight*r.decayFactor(r.lastRequestAt), 1)
+	requests := fn.demand.At(r.now, r.demandWindow)
+	fraction := max(0, requests-math.Sqrt(requests)) / max(r.demand.At(r.now, r.demandWindow), 1)
 	wanted := max(1, int(math.Ceil(fraction*spreadFactor*float64(len(order)))))
 	var preferred []*worker
 	for _, w := range order[:min(len(order), wanted+maxCandidates)] {
--- a/routing/request.go
+++ b/routing/request.go
@@ -67,9 +67,7 @@
 	started.request.inFlight++
 	started.placement.inFlight++
 	started.worker.inFlight = append(started.worker.inFlight, started)
-	if r.isWarmingUp(started.worker) {
-		started.worker.slowStartSends = append(started.worker.slowStartSends, r.now)
-	}
+	r.slowStart.RecordSend(&started.worker.slowStart, r.now, started.worker.Started)
 	if !started.mayNeedLoad {
 		r.inFlightWork += started.work
 		return
--- a/routing/router.go
+++ b/routing/router.go
@@ -33,15 +33,8 @@
 		r.resubscribeAt = 0
 		r.emit(Subscribe{true})
 	}
-	warmWeight := r.sweepWorkers()
-	elapsed := r.now - r.servedSince
-	if elapsed < throughputInterval {
-		return
+	r.sweepWorkers()
+	if r.slowStart.Measure(r.now) {
+		r.evictIdle()
 	}
-	if warmWeight > 0 {
-		r.learnThroughput(r.servedAnswers / elapsed.Seconds() / warmWeight)
-	}
-	r.servedAnswers = 0
-	r.servedSince = r.now
-	r.evictIdle()
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -24,7 +24,7 @@
 		return sentAt
 	}
 	serve(5 * time.Second) // about 100 requests a second on one warm worker
-	rate := float64(harness.router.throughputPerWeight)
+	rate := harness.router.slowStart.ThroughputPerWeight()
 	harness.step(0, WorkerList{Workers: []Worker{
 		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
 		{ID: "w0", State: Draining},
@@ -77,7 +77,7 @@
 	for range 500 { // about 100 requests a second on one warm worker
 		step(1)
 	}
-	rate := float64(harness.router.throughputPerWeight)
+	rate := harness.router.slowStart.ThroughputPerWeight()
 	harness.step(0, WorkerList{Workers: []Worker{
 		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
 		{ID: "w0", State: Draining},
@@ -85,7 +85,7 @@
 	started := harness.now
 	for range 6 { // one request begins a window, bursts come around its end
 		step(1)
-		for harness.now < harness.router.workers["w1"].slowStartQuotaUntil-12*tickInterval {
+		for harness.now < harness.router.workers["w1"].slowStart.QuotaUntil()-12*tickInterval {
 			step(0)
 		}
 		for range 24 {
@@ -124,7 +124,7 @@
 			harness.warmUp(50, time.Second)
 			warming := Worker{ID: "new", State: Ready, Weight: 1, Started: harness.now}
 			harness.step(millisecond, WorkerList{Kind: ListFull, Workers: []Worker{warming}})
-			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * float64(harness.router.throughputPerWeight) *
+			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * harness.router.slowStart.ThroughputPerWeight() *
 				deployed.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
 				for k := range 10 { // new functions: one in five has the new worker first in its rendezvous order
--- a/routing/state.go
+++ b/routing/state.go
@@ -4,12 +4,13 @@
 	"math/rand/v2"
 	"time"
 
-	"calicohill/internal/stats/decay"
 	"calicohill/internal/stats/ratelimit"
 	"calicohill/routing/concurrency"
+	"calicohill/routing/demand"
 	"calicohill/routing/latency"
 	"calicohill/routing/outlier"
 	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
 )
 
 // Router decides for one scheduler. It is not safe for concurrent use.
@@ -33,22 +34,17 @@
 	resubscribeAt       time.Duration      // when to subscribe again after a failed list call; 0 means never
 	endpointsStaleUntil time.Duration      // nothing is sent until then: the endpoint list may be stale
 
-	functions     map[string]*function // by name
-	requestWeight float64              // count of requests for all functions, decaying; as of lastRequestAt
-	lastRequestAt time.Duration
+	functions    map[string]*function // by name
+	demand       demand.Count         // of requests for all functions
+	demandWindow demand.Window
 
 	pressure       *pressure.Estimator
+	slowStart      *slowstart.Budget
 	outliers       *outlier.Detector
 	latency        *latency.Estimator
 	capacity       concurrency.Capacity // of the eligible workers
 	healthyWorkers int                  // eligible workers that are not unhealthy
 	hedgeCredit    int                  // single overdue attempts that may be hedged
-
-	activeWeight        float64       // weight of all workers that are ready and not ejected
-	allWarmingUp        bool          // there is no warm worker
-	servedAnswers       float64       // answers of warm workers since servedSince; of all if all are warming up
-	servedSince         time.Duration // when the present measurement of throughput began
-	throughputPerWeight decay.Mean    // of a warm worker, in answers a second per unit of weight
 }
 
 // New returns a Router for these settings. All its randomness comes from the seed. It returns an error if
@@ -59,12 +55,20 @@
 		return nil, err
 	}
 	return &Router{
-		settings:          s,
-		minObjective:      shortest.Seconds(),
-		rng:               rand.New(rand.NewPCG(seed, 0)),
-		requests:          map[string]*request{},
-		tenantQuotas:      s.tenantQuotas(),
+		settings:     s,
+		minObjective: shortest.Seconds(),
+		rng:          rand.New(rand.NewPCG(seed, 0)),
+		requests:     map[string]*request{},
+		tenantQuotas: s.tenantQuotas(),
+		slowStart: slowstart.NewBudget(slowstart.Config{
+			Fraction:         s.SlowStartFraction,
+			Duration:         s.SlowStartDuration,
+			OverloadMultiple: s.OverloadMultiple,
+			OverloadDuration: s.OverloadDuration,
+			InitialRate:      1 / shortest.Seconds() / float64(s.Schedulers),
+		}),
 		outliers:          outlier.NewDetector(s.InstanceKeepAlive, s.FaultReporting),
+		demandWindow:      demand.NewWindow(s.InstanceKeepAlive),
 		latency:           latency.NewEstimator(s.InstanceKeepAlive),
 		pressure:          pressure.NewEstimator(s.Schedulers, shortest, s.InstanceKeepAlive),
 		workers:           map[string]*worker{},
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -4,15 +4,9 @@
 
 // Periodic work.
 const (
-	tickInterval       = 10 * time.Millisecond // between two sweeps over queued and overdue requests
-	tickToken          = 1                     // token of the sweep's timer
-	throughputInterval = time.Second           // between two measurements of throughput
-	resubscribeDelay   = time.Second           // after a failed list call, before the next subscription
-)
-
-// Running means: the weight of a new sample.
-const (
-	throughputMeanWeight = 0.2 // of the throughput of a warm worker
+	tickInterval     = 10 * time.Millisecond // between two sweeps over queued and overdue requests
+	tickToken        = 1                     // token of the sweep's timer
+	resubscribeDelay = time.Second           // after a failed list call, before the next subscription
 )
 
 // workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
@@ -33,7 +27,6 @@
 	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
 	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
 	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
-	spreadKeepAlives     = 2.0  // keep-alives over which that part is counted
 	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
 	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
 )
@@ -50,15 +43,3 @@
 	hedgeCreditPerHedge   = 1 // for each hedge that was answered first
 	maxHedgeCredit        = 8
 )
-
-// Slow start.
-const (
-	slowStartBudgetMargin = 0.9 // used part of a warming worker's budget
-	// A warming worker may be sent this multiple of the mean request rate, at the least. Per unit of active
-	// weight it is slowStartSkewPerWeight: the preferred worker of a function with a tenth of all requests
-	// receives a tenth of their number times the mean, of which it bears six times minSlowStartSkew.
-	minSlowStartSkew       = 3.0
-	slowStartSkewPerWeight = 0.025
-	maxWarmingWindow       = time.Second // window of the budget while all workers are warming up
-	slowStartOverlap       = 8           // a window is longer by one part in so many
-)
