--- /dev/null
+++ b/internal/fleet/gossip/recording_test.go
@@ -0,0 +1,198 @@
+package gossip_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"net/netip"
+	"testing"
+	"time"
+
+	"calicohill/internal/fleet/gossip"
+)
+
+// The timetable of a recording: a member crashes and restarts, one is partitioned, one pauses, one leaves, one has its
+// key revoked, and one has its name taken.
+const (
+	recordingMembers = 12
+	recordingTick    = 10 * time.Millisecond
+	recordingEnd     = 150 * time.Second
+	recordingLoss    = 0.05 // probability that a message is lost
+	unsignedRecords  = 0.2  // probability that a message arrives with its records unsigned
+
+	seedsUpdatedAt  = 5 * time.Second
+	crashAt         = 10 * time.Second
+	restartAt       = 35 * time.Second
+	partitionFrom   = 20 * time.Second
+	partitionTo     = 45 * time.Second
+	pauseFrom       = 50 * time.Second
+	pauseTo         = 54 * time.Second
+	leaveAt         = 60 * time.Second
+	removalAt       = 70 * time.Second
+	nameTakenAt     = 80 * time.Second
+	statementsEvery = 3 * time.Second
+)
+
+// recordedMember is a member of a recording.
+type recordedMember struct {
+	name    string
+	addr    netip.AddrPort
+	core    *gossip.Core // nil while it is down
+	epoch   int64
+	arrived []gossip.Event
+}
+
+// recording is a fleet in virtual time, of which all actions are hashed in their order.
+type recording struct {
+	config  gossip.Config
+	rng     *rand.Rand
+	members []*recordedMember
+	byAddr  map[netip.AddrPort]*recordedMember
+	hash    hash.Hash
+	actions map[string]int // by type
+}
+
+func newRecording(config gossip.Config, seed uint64) *recording {
+	r := &recording{
+		config:  config,
+		rng:     rand.New(rand.NewPCG(seed, 7)),
+		byAddr:  map[netip.AddrPort]*recordedMember{},
+		hash:    sha256.New(),
+		actions: map[string]int{},
+	}
+	for i := range recordingMembers {
+		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946)
+		m := &recordedMember{name: fmt.Sprintf("m%d", i), addr: addr}
+		r.members = append(r.members, m)
+		r.byAddr[addr] = m
+		r.start(m, 0)
+	}
+	return r
+}
+
+// start starts a member, whose seed is the first one.
+func (r *recording) start(m *recordedMember, now time.Duration) {
+	config := r.config
+	config.Name, config.Addr, config.Seed = m.name, m.addr, r.rng.Uint64()
+	config.Seeds = []netip.AddrPort{r.members[0].addr}
+	m.epoch = 1000 + now.Milliseconds()
+	config.Epoch = m.epoch
+	m.core = gossip.New(config)
+	m.arrived = nil
+}
+
+// schedule applies what the timetable has for a time.
+func (r *recording) schedule(now time.Duration) {
+	deliver := func(i int, event gossip.Event) { r.members[i].arrived = append(r.members[i].arrived, event) }
+	switch now {
+	case seedsUpdatedAt:
+		deliver(2, gossip.UpdateSeeds{Seeds: []netip.AddrPort{r.members[0].addr, r.members[1].addr, netip.MustParseAddrPort("127.0.9.9:1")}})
+	case crashAt:
+		r.members[3].core = nil
+	case restartAt:
+		r.start(r.members[3], now)
+	case leaveAt:
+		deliver(4, gossip.Leave{})
+	case removalAt:
+		for i := range recordingMembers {
+			deliver(i, gossip.RemoveMember{Name: "m5"})
+		}
+	case nameTakenAt:
+		deliver(6, gossip.Received{From: "m6", Addr: r.members[6].addr, Epoch: 1 << 40, Message: &gossip.Message{Kind: gossip.Gossip}})
+	}
+	if now%statementsEvery == 0 {
+		author := int(now/statementsEvery) % recordingMembers
+		deliver(author, gossip.Broadcast{Statement: gossip.Statement{
+			Name: r.members[author].name, Epoch: r.members[author].epoch, Seq: uint64(now), Body: make([]byte, 100),
+		}})
+	}
+}
+
+// step steps a member with what has arrived, if anything has or its timers are due, and hashes its actions.
+func (r *recording) step(now time.Duration, i int) {
+	m := r.members[i]
+	paused := i == 7 && now >= pauseFrom && now < pauseTo
+	if m.core == nil || paused || len(m.arrived) == 0 && m.core.Next() > now {
+		return
+	}
+	events := m.arrived
+	m.arrived = nil
+	for _, action := range m.core.Step(now, events) {
+		r.actions[fmt.Sprintf("%T", action)]++
+		if transmit, ok := action.(gossip.Transmit); ok {
+			fmt.Fprintln(r.hash, now, m.name, transmit.To, transmit.Addr, transmit.Incarnation, *transmit.Message)
+			r.deliver(now, i, transmit)
+			continue
+		}
+		fmt.Fprintf(r.hash, "%v %s %T %v\n", now, m.name, action, action)
+	}
+	fmt.Fprintln(r.hash, m.core.Next(), m.core.NumMembers())
+}
+
+// deliver passes a message to its receiver, which gets it at its next step, unless it is lost.
+func (r *recording) deliver(now time.Duration, from int, transmit gossip.Transmit) {
+	to := r.byAddr[transmit.Addr]
+	lost := r.rng.Float64() < recordingLoss
+	unsigned := r.rng.Float64() < unsignedRecords
+	if to == nil || lost {
+		return
+	}
+	sender := r.members[from]
+	cutOff := (sender == r.members[8]) != (to == r.members[8])
+	if cutOff && now >= partitionFrom && now < partitionTo {
+		return
+	}
+	message := *transmit.Message
+	message.Records = append([]gossip.Record(nil), message.Records...)
+	for i := range message.Records {
+		if unsigned {
+			message.Records[i].Sig = nil
+		}
+	}
+	to.arrived = append(to.arrived, gossip.Received{
+		From: sender.name, Addr: sender.addr, Epoch: sender.epoch, Message: &message, Trusted: r.rng.Float64() < 0.9,
+	})
+}
+
+// The actions of a fleet with fixed seeds, with faults of each kind, are to the bit those that were recorded.
+func TestRecordedActions(t *testing.T) {
+	config := gossip.Config{
+		ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 3 * time.Second,
+		MaxMessagesPerSecond: 30, MaxMembers: 4096,
+	}
+	signed := config
+	signed.Sign = func(record *gossip.Record) { record.Sig = []byte(record.Name) }
+	crowded := signed
+	crowded.MaxMembers = 8
+	frugal := config
+	frugal.MaxMessagesPerSecond = 6
+	for _, tt := range []struct {
+		name   string
+		config gossip.Config
+		seed   uint64
+		want   string // the start of the hash of all actions
+	}{
+		{"unsigned records", config, 1, "e3763a90d4cf5299"},
+		{"signed records", signed, 2, "9a9b765045c6f34f"},
+		{"fewer places than members", crowded, 3, "f707a20d893bb6e3"},
+		{"few messages", frugal, 4, "21a847e01133cb06"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			r := newRecording(tt.config, tt.seed)
+			for now := time.Second; now < recordingEnd; now += recordingTick {
+				r.schedule(now)
+				for i := range r.members {
+					r.step(now, i)
+				}
+			}
+			if got := hex.EncodeToString(r.hash.Sum(nil))[:16]; got != tt.want {
+				t.Errorf("the actions hash to %s, want %s", got, tt.want)
+			}
+			if len(r.actions) != 5 {
+				t.Errorf("actions %v, want all 5 types", r.actions)
+			}
+		})
+	}
+}
