--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -13,6 +13,8 @@
 
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
 )
 
 const fleetSize = 12
@@ -187,7 +189,7 @@
 
 // expectMassAccuserIgnored has a byzantine member accuse every worker: all schedulers ignore its reports, and none
 // ejects a worker.
-func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *testbed.ByzantineMember, ids []string) {
+func expectMassAccuserIgnored(t *testing.T, fleet *testbed.Fleet, byzantine *fault.ByzantineMember, ids []string) {
 	t.Helper()
 	byzantine.Accuse(ids)
 	waitForAll(t, fleet, "the reports of a mass accuser are ignored", func(instance *testbed.Instance) bool {
@@ -223,7 +225,7 @@
 		}
 		return len(from) >= fleetSize/2
 	})
-	fleet.Workers[5].Set(testbed.WorkerUnresponsive)
+	fleet.Workers[5].Set(standin.WorkerUnresponsive)
 	idle := fleet.Instances[fleetSize-1]
 	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineConfirmedFaulty, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -237,7 +239,7 @@
 			}
 		}
 	}
-	fleet.Workers[5].Set(testbed.WorkerHealthy)
+	fleet.Workers[5].Set(standin.WorkerHealthy)
 	waitForAll(t, fleet, "the worker is readmitted", func(instance *testbed.Instance) bool {
 		n := instance.Count(lineConfirmedFaulty)
 		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
@@ -249,7 +251,7 @@
 func expectServedDuringFlood(t *testing.T, fleet *testbed.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
-	go func() { flooded <- testbed.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
+	go func() { flooded <- fault.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
 	waitForAll(t, &testbed.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
 		func(instance *testbed.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
 	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != fastcgi.OutcomeServed {
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/gossiprun.go
@@ -5,19 +5,24 @@
 	"fmt"
 	"slices"
 	"time"
+
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 // gossipRun is a run of a GossipExperiment with one fleet.
 type gossipRun struct {
 	fleet        *Fleet
-	unresponsive []*Worker // for a while
-	healthy      []string  // IDs of the others
+	unresponsive []*standin.Worker // for a while
+	healthy      []string          // IDs of the others
 	faultFrom    time.Time
 	faultUntil   time.Time
 }
 
 // newGossipRun returns a run in which these workers become unresponsive.
-func newGossipRun(fleet *Fleet, unresponsive []*Worker) *gossipRun {
+func newGossipRun(fleet *Fleet, unresponsive []*standin.Worker) *gossipRun {
 	return &gossipRun{
 		fleet:        fleet,
 		unresponsive: unresponsive,
@@ -27,20 +32,20 @@
 
 // playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
-	if !sleep(ctx, duration/5) {
+	if !wait.Sleep(ctx, duration/5) {
 		return
 	}
 	r.faultFrom = time.Now()
-	r.setFault(WorkerUnresponsive)
-	if !sleep(ctx, duration/2) {
+	r.setFault(standin.WorkerUnresponsive)
+	if !wait.Sleep(ctx, duration/2) {
 		return
 	}
 	r.faultUntil = time.Now()
-	r.setFault(WorkerHealthy)
+	r.setFault(standin.WorkerHealthy)
 }
 
 // setFault gives the workers of the run a fault, or none.
-func (r *gossipRun) setFault(fault WorkerFault) {
+func (r *gossipRun) setFault(fault standin.WorkerFault) {
 	for _, worker := range r.unresponsive {
 		worker.Set(fault)
 	}
@@ -50,7 +55,7 @@
 // healthy ones, the same for all members, so that they collude. closeMembers ends those that have joined, also where there
 // is an error.
 func (r *gossipRun) addByzantineMembers(ctx context.Context, count int, duration time.Duration) (closeMembers func(), err error) {
-	var members []*ByzantineMember
+	var members []*fault.ByzantineMember
 	closeMembers = func() {
 		for _, member := range slices.Backward(members) {
 			member.Close()
@@ -68,7 +73,7 @@
 	for _, member := range members {
 		member.Accuse(all)
 		go func() {
-			if sleep(ctx, duration/4) {
+			if wait.Sleep(ctx, duration/4) {
 				member.Accuse(few)
 			}
 		}()
@@ -78,7 +83,7 @@
 
 // gossipMetrics is what a run measured.
 type gossipMetrics struct {
-	load            LoadResult
+	load            workload.Result
 	lost            int     // requests to unresponsive workers
 	detectionMillis float64 // until the last request to an unresponsive worker, the median over these workers
 	messages        float64 // a second, sent by the worst instance
@@ -94,7 +99,7 @@
 	for _, worker := range run.unresponsive {
 		last := run.faultFrom
 		for _, arrival := range worker.Arrivals() {
-			if arrival.Fault == WorkerUnresponsive {
+			if arrival.Fault == standin.WorkerUnresponsive {
 				m.lost++
 				last = arrival.At
 			}
