--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,8 +1,9 @@
-// Package dispatch connects the routing decisions with the network. A Dispatcher owns the Router, the table of requests
-// and their deadlines. It collects the events of one pass of the event loop into one Router step, and carries out the
-// Router's actions.
+// Package dispatch connects the routing decisions with the network. A Dispatcher collects the events of one pass of the
+// event loop into one step of the Router, and carries out the Router's actions. Its components own the state: the
+// requests (requestTable), the attempts in flight (attemptTable), the listed workers (endpointTable) and the routes
+// (routeTable). All of it belongs to the event loop, so that nothing takes a lock.
 //
-// So the Router decides at the end of a pass only, and while its actions are carried out the state may change already: a
+// The Router decides at the end of a pass only, and while its actions are carried out the state may change already: a
 // front end may cancel one request while it is given the answer to another. This is why an attempt is checked once more
 // with MaySend before it is sent, and again before it is written.
 //
@@ -16,7 +17,6 @@
 	"calicohill/internal/rules/pools"
 	"calicohill/internal/runtime/bufferpool"
 	"calicohill/internal/runtime/deadline"
-	"calicohill/internal/runtime/slotmap"
 	"calicohill/routing"
 )
 
@@ -32,61 +32,51 @@
 	ClearDeadline(timer *deadline.Timer)
 }
 
-// Dispatcher holds the requests of a scheduler and drives its Router. All methods must be called on the event loop.
+// Dispatcher drives the Router of a scheduler: it decides when the Router steps and in which order its components, the
+// transport and the front ends learn of what happened. All methods must be called on the event loop.
 type Dispatcher struct {
-	loop            Loop
-	router          *routing.Router
-	workers         Workers
-	pool            *bufferpool.Pool
-	maxOpenRequests int // 0 means no limit
+	loop    Loop
+	router  *routing.Router
+	workers Workers
 
-	requests     slotmap.Table[*request]
-	byID         map[string]slotmap.Ref // refs of requests
-	attempts     slotmap.Table[*attempt]
-	openRequests int // requests without a final answer
-
-	workerStates     map[string]routing.WorkerState
-	workerAttributes map[string]pools.Attributes
-	endpointsKnown   bool
+	requests  *requestTable
+	attempts  *attemptTable
+	endpoints *endpointTable
+	routes    routeTable
 
 	events     []routing.Event // for the next step
 	stepPosted bool
 
 	observeFault func(routing.ReportFault) // nil if nobody observes faults
-	routes       *pools.Core               // nil if there are none
 }
 
 // New returns a Dispatcher that has at most maxOpenRequests requests open at once; 0 means no limit. Buffers of requests
 // are returned to the pool. SetWorkers must be called before any other method.
 func New(loop Loop, router *routing.Router, pool *bufferpool.Pool, maxOpenRequests int) *Dispatcher {
-	return &Dispatcher{
-		loop:             loop,
-		router:           router,
-		pool:             pool,
-		maxOpenRequests:  maxOpenRequests,
-		byID:             map[string]slotmap.Ref{},
-		workerStates:     map[string]routing.WorkerState{},
-		workerAttributes: map[string]pools.Attributes{},
+	dispatcher := &Dispatcher{
+		loop:      loop,
+		router:    router,
+		requests:  newRequestTable(maxOpenRequests, pool),
+		endpoints: newEndpointTable(),
+	}
+	dispatcher.attempts = &attemptTable{
+		loop:      loop,
+		requests:  dispatcher.requests,
+		endpoints: dispatcher.endpoints,
+		enqueue:   dispatcher.enqueue,
 	}
+	return dispatcher
 }
 
 // SetWorkers sets the transport to the workers.
-func (d *Dispatcher) SetWorkers(workers Workers) { d.workers = workers }
+func (d *Dispatcher) SetWorkers(workers Workers) {
+	d.workers = workers
+	d.attempts.setWorkers(workers)
+}
 
 // SetFaultObserver sets the function that is called with each fault that the Router finds in a worker. It must not block.
 func (d *Dispatcher) SetFaultObserver(observe func(routing.ReportFault)) { d.observeFault = observe }
 
-// Shutdown has every open request get its final answer now, unserved, because the program is about to end.
-func (d *Dispatcher) Shutdown() { d.enqueue(routing.Shutdown{}) }
-
-// LearnedState returns what the Router has learned.
-func (d *Dispatcher) LearnedState() routing.LearnedState { return d.router.LearnedState() }
-
-// RestoreState gives the Router what an earlier process learned. It must follow the first endpoint list.
-func (d *Dispatcher) RestoreState(state routing.LearnedState) {
-	d.enqueue(routing.StateRestored{State: state})
-}
-
 // enqueue adds an event to the Router step at the end of this pass of the loop.
 func (d *Dispatcher) enqueue(event routing.Event) {
 	d.events = append(d.events, event)
@@ -108,9 +98,9 @@
 	for _, event := range events {
 		switch event := event.(type) {
 		case routing.AttemptEnded:
-			d.releaseByID(event.ID)
+			d.requests.releaseByID(event.ID)
 		case routing.ClientCanceled:
-			d.releaseByID(event.ID)
+			d.requests.releaseByID(event.ID)
 		}
 	}
 }
@@ -119,19 +109,19 @@
 func (d *Dispatcher) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.Send:
-		d.send(action)
+		d.attempts.start(action)
 	case routing.Cancel:
-		d.cancelAttemptByNumber(action.ID, action.Attempt)
+		d.attempts.cancelByNumber(action.ID, action.Attempt)
 	case routing.Reject:
-		d.respondByID(action.ID, Answer{Status: Rejected, RetryAfter: action.RetryAfter})
+		d.requests.answerByID(action.ID, Answer{Status: Rejected, RetryAfter: action.RetryAfter})
 	case routing.Fail:
-		d.respondByID(action.ID, Answer{Status: Failed})
+		d.requests.answerByID(action.ID, Answer{Status: Failed})
 	case routing.SetTimer:
 		// The Router never stops a timer, so that nothing has to keep it.
 		timer := &deadline.Timer{Fire: func() { d.enqueue(routing.TimerFired{Token: action.Token}) }}
 		d.loop.SetDeadline(timer, d.loop.Now()+action.After)
 	case routing.ReportFault:
-		d.notifyRoutes(pools.FaultObserved{Worker: action.Worker, Fault: action.Fault})
+		d.stepRoutes(pools.FaultObserved{Worker: action.Worker, Fault: action.Fault})
 		if d.observeFault != nil {
 			d.observeFault(action)
 		}
@@ -144,3 +134,10 @@
 		// Nothing to do: endpoint lists come unasked, and the transport has no message to unload an instance.
 	}
 }
+
+// stepRoutes passes an event to the routes, and notifies the Router if it changed the workers of a pool.
+func (d *Dispatcher) stepRoutes(event pools.Event) {
+	if d.routes.step(d.loop.Now(), event) {
+		d.enqueue(routing.PoolsChanged{})
+	}
+}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -155,8 +155,9 @@
 	if got := r.OpenRequests(); got != 0 {
 		r.rt.Errorf("%d requests are open, want 0", got)
 	}
-	if r.requests.Len() != 0 || len(r.byID) != 0 || r.attempts.Len() != 0 {
-		r.rt.Errorf("%d requests, %d IDs and %d attempts remain, want none", r.requests.Len(), len(r.byID), r.attempts.Len())
+	requests, ids, attempts := r.requests.requests.Len(), len(r.requests.refs), r.attempts.attempts.Len()
+	if requests != 0 || ids != 0 || attempts != 0 {
+		r.rt.Errorf("%d requests, %d IDs and %d attempts remain, want none", requests, ids, attempts)
 	}
 	r.wantLent(0)
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -3,46 +3,51 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"calicohill/internal/rules/pools"
 	"calicohill/routing"
 )
 
-// HasEndpoints reports whether an endpoint list has been applied.
-func (d *Dispatcher) HasEndpoints() bool { return d.endpointsKnown }
+// endpointTable holds the state and the attributes of the listed workers. It belongs to a Dispatcher and is used on the
+// event loop only. It is as large as the endpoint list: a worker that is gone is forgotten.
+type endpointTable struct {
+	states     map[string]routing.WorkerState
+	attributes map[string]pools.Attributes
+	known      bool // an endpoint list was applied
+}
 
-// WorkerIDs returns the IDs of the listed workers in ascending order, without those that are gone.
-func (d *Dispatcher) WorkerIDs() []string { return slices.Sorted(maps.Keys(d.workerStates)) }
+func newEndpointTable() *endpointTable {
+	return &endpointTable{
+		states:     map[string]routing.WorkerState{},
+		attributes: map[string]pools.Attributes{},
+	}
+}
 
-// UpdateEndpoints applies an endpoint list to the routes, the Router and the transport, in this order.
-func (d *Dispatcher) UpdateEndpoints(list EndpointList) {
-	d.endpointsKnown = true
+// apply applies an endpoint list and returns it as the Router's event.
+func (t *endpointTable) apply(list EndpointList) routing.WorkerList {
+	t.known = true
 	event := routing.WorkerList{Kind: routing.ListChanges}
 	if list.Full {
 		event.Kind = routing.ListFull
-		clear(d.workerStates)
-		clear(d.workerAttributes)
+		clear(t.states)
+		clear(t.attributes)
 	}
 	for i := range list.Endpoints {
 		endpoint := &list.Endpoints[i]
 		event.Workers = append(event.Workers, endpoint.Worker)
-		d.recordEndpoint(endpoint)
+		t.record(endpoint)
 	}
-	d.notifyRoutes(d.endpointsChanged())
-	// The Router's event goes before those of the attempts that the transport ends because of the list.
-	d.enqueue(event)
-	d.workers.UpdateEndpoints(list)
+	return event
 }
 
-func (d *Dispatcher) recordEndpoint(endpoint *Endpoint) {
+func (t *endpointTable) record(endpoint *Endpoint) {
 	if endpoint.State == routing.Gone {
-		delete(d.workerStates, endpoint.ID)
-		delete(d.workerAttributes, endpoint.ID)
+		delete(t.states, endpoint.ID)
+		delete(t.attributes, endpoint.ID)
 		return
 	}
-	d.workerStates[endpoint.ID] = endpoint.State
-	d.workerAttributes[endpoint.ID] = pools.Attributes{
+	t.states[endpoint.ID] = endpoint.State
+	t.attributes[endpoint.ID] = pools.Attributes{
 		ID:    endpoint.ID,
 		Model: endpoint.Model,
 		Zone:  endpoint.ZoneName,
@@ -51,33 +56,20 @@
 	}
 }
 
-// MarkStale says that the endpoint list may be out of date for a duration from now; 0 that it is current.
-func (d *Dispatcher) MarkStale(duration time.Duration) {
-	d.enqueue(routing.EndpointsStale{Duration: duration})
-}
+// isKnown reports whether an endpoint list was applied.
+func (t *endpointTable) isKnown() bool { return t.known }
 
-// ApplyPeerReports passes on what other schedulers report of workers.
-func (d *Dispatcher) ApplyPeerReports(reports routing.PeerReports) { d.enqueue(reports) }
+// isReady reports whether a worker is listed and accepts requests.
+func (t *endpointTable) isReady(worker string) bool { return t.states[worker] == routing.Ready }
 
-// SetRoutes sets the routes for requests that are submitted from now on; nil means none. Requests that are open keep
-// the pools of their routes as they were last.
-func (d *Dispatcher) SetRoutes(routes *pools.Core) {
-	d.routes = routes
-	d.notifyRoutes(d.endpointsChanged())
-}
-
-// notifyRoutes passes an event to the routes, and notifies the Router if it changed the workers of a pool.
-func (d *Dispatcher) notifyRoutes(event pools.Event) {
-	if d.routes != nil && d.routes.Step(d.loop.Now(), []pools.Event{event}) {
-		d.enqueue(routing.PoolsChanged{})
-	}
-}
+// ids returns the IDs of the listed workers in ascending order.
+func (t *endpointTable) ids() []string { return slices.Sorted(maps.Keys(t.states)) }
 
-// endpointsChanged is the list of workers as the conditions of pools see it, in ascending order of the IDs.
-func (d *Dispatcher) endpointsChanged() pools.EndpointsChanged {
+// changed is the list of workers as the conditions of pools see it, in ascending order of the IDs.
+func (t *endpointTable) changed() pools.EndpointsChanged {
 	var event pools.EndpointsChanged
-	for _, id := range d.WorkerIDs() {
-		event.Workers = append(event.Workers, d.workerAttributes[id])
+	for _, id := range t.ids() {
+		event.Workers = append(event.Workers, t.attributes[id])
 	}
 	return event
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,19 +1,15 @@
 package dispatch
 
 import (
-	"cmp"
 	"time"
 
+	"calicohill/internal/runtime/bufferpool"
 	"calicohill/internal/runtime/slotmap"
-	"calicohill/routing"
 )
 
 // responseReserve is subtracted from each client's time: the request has been on its way, and the answer will be.
 const responseReserve = 3 * time.Millisecond
 
-// poolSeparator stands between a function and its route in the name by which the Router knows the function.
-const poolSeparator = "\x00"
-
 // request is a client's request from Submit until it is answered or canceled and none of its attempts is in flight.
 type request struct {
 	Call
@@ -26,108 +22,117 @@
 	attemptsInFlight int
 }
 
-// OpenRequests is the number of requests that are owed a final answer.
-func (d *Dispatcher) OpenRequests() int { return d.openRequests }
+// isAnswered reports whether no answer is owed any more: the request was answered, or its client has left.
+func (r *request) isAnswered() bool { return r.answered }
 
-// Submit accepts a request; the responder gets exactly one final answer under the tag, unless Cancel comes first. If
-// Submit returns an error, ErrDuplicateID or ErrTooManyRequests, there will be no answer and the body remains the
-// caller's.
-func (d *Dispatcher) Submit(call Call, responder Responder, tag slotmap.Ref) (slotmap.Ref, error) {
-	// The Router ignores a request whose ID it still knows, and would never answer it.
-	if _, ok := d.byID[call.ID]; ok {
-		return 0, ErrDuplicateID
-	}
-	if d.maxOpenRequests > 0 && d.openRequests >= d.maxOpenRequests {
-		return 0, ErrTooManyRequests
+// beginAttempt records an attempt that is in flight from now on, and returns its number, counted from 0.
+func (r *request) beginAttempt(ref slotmap.Ref) (number int) {
+	number = len(r.attempts)
+	r.attempts = append(r.attempts, ref)
+	r.attemptsInFlight++
+	return number
+}
+
+// endAttempt records that one of the attempts is in flight no more.
+func (r *request) endAttempt() { r.attemptsInFlight-- }
+
+// attemptRef returns the attempt of a number, in flight or not; the zero Ref if there was none.
+func (r *request) attemptRef(number int) slotmap.Ref {
+	if number >= len(r.attempts) {
+		return 0
 	}
-	now := d.loop.Now()
-	req := &request{Call: call, responder: responder, tag: tag, deadline: now + call.TimeLeft - responseReserve}
-	req.ref = d.requests.Insert(req)
-	d.byID[call.ID] = req.ref
-	d.openRequests++
-	function, pool := d.route(&call)
-	d.enqueue(routing.Request{
-		ID:          call.ID,
-		Class:       call.Class,
-		Function:    function,
-		Pool:        pool,
-		TimeLeft:    max(req.deadline-now, 0),
-		MemoryMB:    call.MemoryMB,
-		Concurrency: call.Concurrency,
-		LoadTime:    call.LoadTime,
-	})
-	return req.ref, nil
+	return r.attempts[number]
+}
+
+// requestTable holds the requests, by Ref and by ID, and gives each its one final answer. It belongs to a Dispatcher and
+// is used on the event loop only.
+//
+// At most maxOpen requests wait for their final answer at a time; 0 means no limit. A request that was answered is kept
+// while an attempt of it is in flight.
+type requestTable struct {
+	requests slotmap.Table[*request]
+	refs     map[string]slotmap.Ref // by ID
+	open     int                    // requests without a final answer
+	maxOpen  int
+	buffers  *bufferpool.Pool // bodies are returned to it
 }
 
-// route returns the function by which the Router places a call, and the pool of workers that may serve it; a nil pool
-// means all workers.
-func (d *Dispatcher) route(call *Call) (function string, pool *routing.Pool) {
-	function = cmp.Or(call.Affinity, call.Function)
-	if d.routes == nil || call.Route == "" {
-		return function, nil
+func newRequestTable(maxOpen int, buffers *bufferpool.Pool) *requestTable {
+	return &requestTable{refs: map[string]slotmap.Ref{}, maxOpen: maxOpen, buffers: buffers}
+}
+
+// openCount is the number of requests that are owed a final answer.
+func (t *requestTable) openCount() int { return t.open }
+
+// add stores a request that was submitted now. The error is ErrDuplicateID or ErrTooManyRequests.
+func (t *requestTable) add(now time.Duration, call *Call, responder Responder, tag slotmap.Ref) (*request, error) {
+	// The Router ignores a request whose ID it still knows, and would never answer it.
+	if _, ok := t.refs[call.ID]; ok {
+		return nil, ErrDuplicateID
 	}
-	pool = d.routes.Route(call.Route)
-	if pool == nil {
-		return function, nil
+	if t.maxOpen > 0 && t.open >= t.maxOpen {
+		return nil, ErrTooManyRequests
 	}
-	// An instance that is warm in one pool is not in another.
-	return function + poolSeparator + call.Route, pool
+	req := &request{Call: *call, responder: responder, tag: tag, deadline: now + call.TimeLeft - responseReserve}
+	req.ref = t.requests.Insert(req)
+	t.refs[call.ID] = req.ref
+	t.open++
+	return req, nil
 }
 
-// Cancel withdraws a request whose client has left. It gets no answer, and no attempt is written for it from now on. An
-// attempt in flight is canceled by the Router at the end of the pass, if the settings allow that; until it has ended, the
-// request keeps its ID and its body.
-func (d *Dispatcher) Cancel(ref slotmap.Ref) {
-	req, ok := d.requests.Get(ref)
+// find returns the request with an ID. An unknown ID has the zero Ref, which refers to nothing.
+func (t *requestTable) find(id string) (*request, bool) { return t.requests.Get(t.refs[id]) }
+
+// withdraw marks a request whose client has left as answered. It returns false if no answer was owed any more.
+func (t *requestTable) withdraw(ref slotmap.Ref) (*request, bool) {
+	req, ok := t.requests.Get(ref)
 	if !ok || req.answered {
-		return
+		return nil, false
 	}
-	d.markAnswered(req)
-	d.enqueue(routing.ClientCanceled{ID: req.ID})
+	t.markAnswered(req)
+	return req, true
 }
 
-// respond gives the final answer, unless the request was answered or canceled before.
-func (d *Dispatcher) respond(req *request, answer Answer) {
+// answer gives the final answer, unless the request was answered or withdrawn before.
+func (t *requestTable) answer(req *request, answer Answer) {
 	if req.answered {
 		return
 	}
-	d.markAnswered(req)
+	t.markAnswered(req)
 	req.responder.Respond(req.tag, answer)
 }
 
-// respondByID gives the final answer that the Router decided on.
-func (d *Dispatcher) respondByID(id string, answer Answer) {
-	if req, ok := d.requestByID(id); ok {
-		d.respond(req, answer)
-		d.releaseIfDone(req)
+// answerByID gives the final answer that the Router decided on, and releases the request if it is done.
+func (t *requestTable) answerByID(id string, answer Answer) {
+	if req, ok := t.find(id); ok {
+		t.answer(req, answer)
+		t.releaseIfDone(req)
 	}
 }
 
-func (d *Dispatcher) markAnswered(req *request) {
+func (t *requestTable) markAnswered(req *request) {
 	req.answered = true
-	d.openRequests--
+	t.open--
 }
 
-// requestByID returns the request with an ID. One that is not in byID has the zero Ref, which refers to nothing.
-func (d *Dispatcher) requestByID(id string) (*request, bool) { return d.requests.Get(d.byID[id]) }
-
-func (d *Dispatcher) releaseByID(id string) {
-	if req, ok := d.requestByID(id); ok {
-		d.releaseIfDone(req)
+// releaseByID releases the request with an ID if it is done.
+func (t *requestTable) releaseByID(id string) {
+	if req, ok := t.find(id); ok {
+		t.releaseIfDone(req)
 	}
 }
 
 // releaseIfDone frees a request that is answered and has no attempt in flight. It is the only place that returns a body to
 // the pool: attempts in flight have the body lent, also those that nobody waits for any more.
-func (d *Dispatcher) releaseIfDone(req *request) {
+func (t *requestTable) releaseIfDone(req *request) {
 	if !req.answered || req.attemptsInFlight > 0 {
 		return
 	}
-	if _, ok := d.requests.Get(req.ref); !ok {
+	if _, ok := t.requests.Get(req.ref); !ok {
 		return // released before
 	}
-	d.requests.Remove(req.ref)
-	delete(d.byID, req.ID)
-	d.pool.Put(req.Body)
+	t.requests.Remove(req.ref)
+	delete(t.refs, req.ID)
+	t.buffers.Put(req.Body)
 	req.Body = nil
 }
--- /dev/null
+++ b/internal/dispatch/routes.go
@@ -0,0 +1,41 @@
+package dispatch
+
+import (
+	"cmp"
+	"time"
+
+	"calicohill/internal/rules/pools"
+	"calicohill/routing"
+)
+
+// poolSeparator stands between a function and its route in the name by which the Router knows the function.
+const poolSeparator = "\x00"
+
+// routeTable holds the routes that the operators' rules may choose for a call, and keeps their pools of workers up to date.
+// It belongs to a Dispatcher and is used on the event loop only. The bounds are those of package pools.
+type routeTable struct {
+	core *pools.Core // nil if there are no routes
+}
+
+// set replaces the routes; nil means none.
+func (t *routeTable) set(core *pools.Core) { t.core = core }
+
+// step passes an event to the routes and reports whether it changed the workers of a pool.
+func (t *routeTable) step(now time.Duration, event pools.Event) (changed bool) {
+	return t.core != nil && t.core.Step(now, []pools.Event{event})
+}
+
+// placement returns the function by which the Router places a call, and the pool of workers that may serve it; a nil pool
+// means all workers.
+func (t *routeTable) placement(call *Call) (function string, pool *routing.Pool) {
+	function = cmp.Or(call.Affinity, call.Function)
+	if t.core == nil || call.Route == "" {
+		return function, nil
+	}
+	pool = t.core.Route(call.Route)
+	if pool == nil {
+		return function, nil
+	}
+	// An instance that is warm in one pool is not in another.
+	return function + poolSeparator + call.Route, pool
+}
