--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -1,9 +1,10 @@
-package dispatch
+package dispatch_test
 
 import (
 	"testing"
 	"time"
 
+	"calicohill/internal/dispatch"
 	"calicohill/internal/runtime/slotmap"
 	"calicohill/routing"
 )
@@ -11,38 +12,38 @@
 func TestMaySend(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		after func(harness *testHarness, attempt Attempt, ref slotmap.Ref) // what happens while the attempt waits for a connection
+		after func(harness *testHarness, attempt dispatch.Attempt, ref slotmap.Ref) // what happens while the attempt waits for a connection
 		want  bool
 	}{
-		{"nothing has happened", func(*testHarness, Attempt, slotmap.Ref) {}, true},
-		{"little time has passed", func(harness *testHarness, _ Attempt, _ slotmap.Ref) { harness.loop.now += timeLeft / 2 }, true},
-		{"its time has run out during a stall", func(harness *testHarness, attempt Attempt, _ slotmap.Ref) {
+		{"nothing has happened", func(*testHarness, dispatch.Attempt, slotmap.Ref) {}, true},
+		{"little time has passed", func(harness *testHarness, _ dispatch.Attempt, _ slotmap.Ref) { harness.loop.now += timeLeft / 2 }, true},
+		{"its time has run out during a stall", func(harness *testHarness, attempt dispatch.Attempt, _ slotmap.Ref) {
 			harness.loop.now += attempt.Timeout
 		}, false},
-		{"its timeout has fired", func(harness *testHarness, attempt Attempt, _ slotmap.Ref) {
+		{"its timeout has fired", func(harness *testHarness, attempt dispatch.Attempt, _ slotmap.Ref) {
 			harness.loop.skipTo(harness.loop.Now() + attempt.Timeout)
 		}, false},
-		{"the client has left", func(harness *testHarness, _ Attempt, ref slotmap.Ref) { harness.Cancel(ref) }, false},
-		{"it has ended", func(harness *testHarness, attempt Attempt, _ slotmap.Ref) {
+		{"the client has left", func(harness *testHarness, _ dispatch.Attempt, ref slotmap.Ref) { harness.Cancel(ref) }, false},
+		{"it has ended", func(harness *testHarness, attempt dispatch.Attempt, _ slotmap.Ref) {
 			harness.AttemptEnded(attempt.Ref, ended(routing.ConnectFailed))
 		}, false},
-		{"the scheduler has shut down", func(harness *testHarness, _ Attempt, _ slotmap.Ref) {
+		{"the scheduler has shut down", func(harness *testHarness, _ dispatch.Attempt, _ slotmap.Ref) {
 			harness.Shutdown()
 			harness.loop.runPosted()
 		}, false},
-		{"its worker drains", func(harness *testHarness, attempt Attempt, _ slotmap.Ref) {
+		{"its worker drains", func(harness *testHarness, attempt dispatch.Attempt, _ slotmap.Ref) {
 			harness.setState(attempt.Worker, routing.Draining)
 		}, false},
-		{"its worker is gone", func(harness *testHarness, attempt Attempt, _ slotmap.Ref) {
+		{"its worker is gone", func(harness *testHarness, attempt dispatch.Attempt, _ slotmap.Ref) {
 			harness.setState(attempt.Worker, routing.Gone)
 		}, false},
-		{"its worker is not in a full list", func(harness *testHarness, _ Attempt, _ slotmap.Ref) {
-			harness.UpdateEndpoints(EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "other")})
+		{"its worker is not in a full list", func(harness *testHarness, _ dispatch.Attempt, _ slotmap.Ref) {
+			harness.UpdateEndpoints(dispatch.EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "other")})
 		}, false},
-		{"another worker drains", func(harness *testHarness, _ Attempt, _ slotmap.Ref) {
+		{"another worker drains", func(harness *testHarness, _ dispatch.Attempt, _ slotmap.Ref) {
 			harness.setState("other", routing.Draining)
 		}, true},
-		{"its worker drained and is ready again", func(harness *testHarness, attempt Attempt, _ slotmap.Ref) {
+		{"its worker drained and is ready again", func(harness *testHarness, attempt dispatch.Attempt, _ slotmap.Ref) {
 			harness.setState(attempt.Worker, routing.Draining)
 			harness.setState(attempt.Worker, routing.Ready)
 		}, true},
@@ -112,10 +113,10 @@
 	for _, tt := range []struct {
 		name    string
 		written bool
-		want    Status
+		want    dispatch.Status
 	}{
-		{"written", true, Failed},
-		{"not written", false, Rejected},
+		{"written", true, dispatch.Failed},
+		{"not written", false, dispatch.Rejected},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			harness := newHarness(t, testSettings(), 0, "w")
@@ -134,11 +135,11 @@
 func TestAnsweredBeforeClientGivesUp(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	attempt, _, tag := harness.send("a", idempotent)
-	if longest := timeLeft - responseReserve; attempt.Timeout <= 0 || attempt.Timeout > longest {
+	if longest := timeLeft - dispatch.ResponseReserve; attempt.Timeout <= 0 || attempt.Timeout > longest {
 		t.Errorf("timeout %v, want at most %v", attempt.Timeout, longest)
 	}
-	harness.loop.advance(timeLeft - responseReserve)
-	harness.wantAnswers(tag, Rejected)
+	harness.loop.advance(timeLeft - dispatch.ResponseReserve)
+	harness.wantAnswers(tag, dispatch.Rejected)
 }
 
 // The slot of an attempt that has ended is used by the next one. What is reported late of the former is not taken for
@@ -156,7 +157,7 @@
 	harness.AttemptEnded(old.Ref, served("late answer to old"))
 	harness.Cancel(oldRequest)
 	harness.loop.runPosted()
-	harness.wantAnswers(oldTag, Served)
+	harness.wantAnswers(oldTag, dispatch.Served)
 	harness.wantAnswers(nextTag)
 	if harness.MaySend(old.Ref) {
 		t.Error("MaySend of the old attempt = true, want false")
@@ -167,7 +168,7 @@
 
 	harness.AttemptEnded(next.Ref, served("answer to next"))
 	harness.loop.runPosted()
-	harness.wantAnswers(nextTag, Served)
+	harness.wantAnswers(nextTag, dispatch.Served)
 	if got, want := string(harness.responder.answers[nextTag][0].Body), "answer to next"; got != want {
 		t.Errorf("answered %q, want %q", got, want)
 	}
@@ -184,7 +185,7 @@
 	harness.AttemptEnded(hedge.Ref, served("answer of the hedge"))
 	harness.AttemptEnded(first.Ref, served("answer of the first"))
 	harness.loop.advance(2 * timeLeft)
-	harness.wantAnswers(tag, Served)
+	harness.wantAnswers(tag, dispatch.Served)
 	if got, want := string(harness.responder.answers[tag][0].Body), "answer of the hedge"; got != want {
 		t.Errorf("answered %q, want %q", got, want)
 	}
@@ -206,6 +207,6 @@
 	harness.wantLent(0)
 	harness.AttemptEnded(first.Ref, served("late answer"))
 	harness.loop.advance(2 * timeLeft)
-	harness.wantAnswers(tag, Served)
+	harness.wantAnswers(tag, dispatch.Served)
 	harness.wantLent(0)
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package dispatch_test
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/dispatch"
 	"calicohill/internal/runtime/slotmap"
 	"calicohill/routing"
 
@@ -18,8 +19,8 @@
 	rt       *rapid.T
 	workers  []string
 	calls    []submitted
-	inFlight []Attempt // sent, and neither ended nor canceled
-	sent     int       // how many attempts of fakeWorkers.sent have been taken into inFlight
+	inFlight []dispatch.Attempt // sent, and neither ended nor canceled
+	sent     int                // how many attempts of fakeWorkers.sent have been taken into inFlight
 }
 
 // submitted is a call of a randomRun.
@@ -117,7 +118,7 @@
 func (r *randomRun) updateInFlight() {
 	r.inFlight = append(r.inFlight, r.testHarness.workers.sent[r.sent:]...)
 	r.sent = len(r.testHarness.workers.sent)
-	r.inFlight = slices.DeleteFunc(r.inFlight, func(attempt Attempt) bool {
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(attempt dispatch.Attempt) bool {
 		return slices.Contains(r.testHarness.workers.canceled, attempt.Ref)
 	})
 }
@@ -155,7 +156,7 @@
 	if got := r.OpenRequests(); got != 0 {
 		r.rt.Errorf("%d requests are open, want 0", got)
 	}
-	requests, ids, attempts := r.requests.requests.Len(), len(r.requests.refs), r.attempts.attempts.Len()
+	requests, ids, attempts := dispatch.RecordCounts(r.Dispatcher)
 	if requests != 0 || ids != 0 || attempts != 0 {
 		r.rt.Errorf("%d requests, %d IDs and %d attempts remain, want none", requests, ids, attempts)
 	}
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package dispatch_test
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/dispatch"
 	"calicohill/internal/rules/match"
 	"calicohill/internal/rules/pools"
 	"calicohill/routing"
@@ -15,17 +16,17 @@
 	harness := newHarness(t, testSettings(), 0)
 	for _, tt := range []struct {
 		name string
-		list EndpointList
+		list dispatch.EndpointList
 		want []string // WorkerIDs, the lists before included
 	}{
-		{"full list", EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "b", "a")}, []string{"a", "b"}},
-		{"a worker is added", EndpointList{Endpoints: endpoints(routing.Ready, "c")}, []string{"a", "b", "c"}},
-		{"a worker drains", EndpointList{Endpoints: endpoints(routing.Draining, "a")}, []string{"a", "b", "c"}},
-		{"a worker is gone", EndpointList{Endpoints: endpoints(routing.Gone, "b")}, []string{"a", "c"}},
-		{"an unknown worker is gone", EndpointList{Endpoints: endpoints(routing.Gone, "x")}, []string{"a", "c"}},
-		{"no changes", EndpointList{}, []string{"a", "c"}},
-		{"full list replaces all", EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "d")}, []string{"d"}},
-		{"empty full list", EndpointList{Full: true}, nil},
+		{"full list", dispatch.EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "b", "a")}, []string{"a", "b"}},
+		{"a worker is added", dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "c")}, []string{"a", "b", "c"}},
+		{"a worker drains", dispatch.EndpointList{Endpoints: endpoints(routing.Draining, "a")}, []string{"a", "b", "c"}},
+		{"a worker is gone", dispatch.EndpointList{Endpoints: endpoints(routing.Gone, "b")}, []string{"a", "c"}},
+		{"an unknown worker is gone", dispatch.EndpointList{Endpoints: endpoints(routing.Gone, "x")}, []string{"a", "c"}},
+		{"no changes", dispatch.EndpointList{}, []string{"a", "c"}},
+		{"full list replaces all", dispatch.EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "d")}, []string{"d"}},
+		{"empty full list", dispatch.EndpointList{Full: true}, nil},
 	} {
 		harness.UpdateEndpoints(tt.list)
 		if got := harness.WorkerIDs(); !slices.Equal(got, tt.want) {
@@ -38,11 +39,11 @@
 // attempts there.
 func TestFullListReachesRouter(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "old")
-	harness.UpdateEndpoints(EndpointList{Full: true})
+	harness.UpdateEndpoints(dispatch.EndpointList{Full: true})
 	_, tag := harness.submit(harness.call("a", idempotent))
 	harness.loop.advance(timeLeft / 10)
 	harness.wantAnswers(tag)
-	harness.UpdateEndpoints(EndpointList{Endpoints: endpoints(routing.Ready, "new")})
+	harness.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "new")})
 	harness.loop.runPosted()
 	if len(harness.workers.sent) != 1 || harness.workers.sent[0].Worker != "new" {
 		t.Errorf("attempts sent: %v, want one to the new worker", harness.workers.sent)
@@ -50,12 +51,12 @@
 }
 
 func TestHasEndpoints(t *testing.T) {
-	dispatcher := New(&fakeLoop{}, nil, nil, 0)
+	dispatcher := dispatch.New(&fakeLoop{}, nil, nil, 0)
 	dispatcher.SetWorkers(&fakeWorkers{})
 	if dispatcher.HasEndpoints() {
 		t.Error("before the first list: HasEndpoints = true, want false")
 	}
-	dispatcher.UpdateEndpoints(EndpointList{Full: true}) // no workers, but known to be none
+	dispatcher.UpdateEndpoints(dispatch.EndpointList{Full: true}) // no workers, but known to be none
 	if !dispatcher.HasEndpoints() {
 		t.Error("after an empty list: HasEndpoints = false, want true")
 	}
@@ -74,7 +75,7 @@
 	}
 	harness.setState("w", routing.Draining)
 	var got []string
-	for _, event := range harness.events {
+	for _, event := range dispatch.PendingEvents(harness.Dispatcher) {
 		got = append(got, fmt.Sprintf("%T", event))
 	}
 	if want := []string{"routing.WorkerList", "routing.AttemptEnded"}; !slices.Equal(got, want) {
@@ -93,7 +94,7 @@
 		t.Fatalf("attempts sent: %v, want a retry at the other worker", harness.workers.sent)
 	}
 	harness.AttemptEnded(harness.workers.sent[1].Ref, served("answer"))
-	harness.wantAnswers(tag, Served)
+	harness.wantAnswers(tag, dispatch.Served)
 }
 
 // What peers report of a worker counts for a request that is submitted after it in the same pass.
@@ -157,7 +158,7 @@
 				t.Errorf("sent to %s, which drains", worker)
 			}
 			harness.loop.advance(timeLeft)
-			harness.wantAnswers(tag, Rejected)
+			harness.wantAnswers(tag, dispatch.Rejected)
 		})
 	}
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -1,10 +1,11 @@
-package dispatch
+package dispatch_test
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
+	"calicohill/internal/dispatch"
 	"calicohill/internal/runtime/bufferpool"
 	"calicohill/internal/runtime/deadline"
 	"calicohill/internal/runtime/slotmap"
@@ -61,18 +62,18 @@
 // fakeWorkers is a transport that keeps the attempts for the test to end.
 type fakeWorkers struct {
 	written  bool // what Cancel returns: attempts have been written
-	sent     []Attempt
+	sent     []dispatch.Attempt
 	canceled []slotmap.Ref
 	onUpdate func() // called by UpdateEndpoints; nil means nothing
 }
 
-func (w *fakeWorkers) UpdateEndpoints(EndpointList) {
+func (w *fakeWorkers) UpdateEndpoints(dispatch.EndpointList) {
 	if w.onUpdate != nil {
 		w.onUpdate()
 	}
 }
 
-func (w *fakeWorkers) Send(attempt Attempt) { w.sent = append(w.sent, attempt) }
+func (w *fakeWorkers) Send(attempt dispatch.Attempt) { w.sent = append(w.sent, attempt) }
 
 func (w *fakeWorkers) Cancel(ref slotmap.Ref) bool {
 	w.canceled = append(w.canceled, ref)
@@ -83,12 +84,12 @@
 
 // fakeResponder is a front end that keeps the answers by tag, bodies copied, as they are valid during the call only.
 type fakeResponder struct {
-	answers map[slotmap.Ref][]Answer
+	answers map[slotmap.Ref][]dispatch.Answer
 	// onRespond is called with each answer that is given; nil means nothing.
 	onRespond func(tag slotmap.Ref)
 }
 
-func (r *fakeResponder) Respond(tag slotmap.Ref, answer Answer) {
+func (r *fakeResponder) Respond(tag slotmap.Ref, answer dispatch.Answer) {
 	answer.Body = slices.Clone(answer.Body)
 	r.answers[tag] = append(r.answers[tag], answer)
 	if r.onRespond != nil {
@@ -134,7 +135,7 @@
 
 // testHarness is a Dispatcher with the real Router between a fake front end and fake workers.
 type testHarness struct {
-	*Dispatcher
+	*dispatch.Dispatcher
 	t         rapid.TB
 	loop      *fakeLoop
 	workers   *fakeWorkers
@@ -154,38 +155,38 @@
 		t:         t,
 		loop:      &fakeLoop{now: time.Hour},
 		workers:   &fakeWorkers{written: true},
-		responder: &fakeResponder{answers: map[slotmap.Ref][]Answer{}},
+		responder: &fakeResponder{answers: map[slotmap.Ref][]dispatch.Answer{}},
 		pool:      bufferpool.NewPool(poolLimit),
 	}
-	h.Dispatcher = New(h.loop, router, h.pool, maxOpenRequests)
+	h.Dispatcher = dispatch.New(h.loop, router, h.pool, maxOpenRequests)
 	h.SetWorkers(h.workers)
-	h.UpdateEndpoints(EndpointList{Full: true, Endpoints: endpoints(routing.Ready, workers...)})
+	h.UpdateEndpoints(dispatch.EndpointList{Full: true, Endpoints: endpoints(routing.Ready, workers...)})
 	h.loop.runPosted()
 	return h
 }
 
 // endpoints returns an endpoint in this state for each ID.
-func endpoints(state routing.WorkerState, ids ...string) []Endpoint {
-	var list []Endpoint
+func endpoints(state routing.WorkerState, ids ...string) []dispatch.Endpoint {
+	var list []dispatch.Endpoint
 	for _, id := range ids {
-		list = append(list, Endpoint{Worker: routing.Worker{ID: id, State: state, Weight: 1}, Addr: id})
+		list = append(list, dispatch.Endpoint{Worker: routing.Worker{ID: id, State: state, Weight: 1}, Addr: id})
 	}
 	return list
 }
 
 // call returns a call of a function of its own, with a body out of the harness's pool.
-func (h *testHarness) call(id string, class int) Call {
+func (h *testHarness) call(id string, class int) dispatch.Call {
 	h.t.Helper()
 	body := h.pool.Get()
 	if body == nil {
 		h.t.Fatal("no body buffer is left")
 	}
 	body.Append([]byte("body of " + id))
-	return Call{ID: id, Class: class, Function: "function " + id, IdempotencyKey: "key " + id, TimeLeft: timeLeft, Body: body}
+	return dispatch.Call{ID: id, Class: class, Function: "function " + id, IdempotencyKey: "key " + id, TimeLeft: timeLeft, Body: body}
 }
 
 // submit submits a call under a new tag, which must succeed.
-func (h *testHarness) submit(call Call) (ref, tag slotmap.Ref) {
+func (h *testHarness) submit(call dispatch.Call) (ref, tag slotmap.Ref) {
 	h.t.Helper()
 	h.lastTag++
 	ref, err := h.Submit(call, h.responder, h.lastTag)
@@ -196,13 +197,13 @@
 }
 
 // send submits a call of this class, ends the pass and returns the attempt that was sent for it.
-func (h *testHarness) send(id string, class int) (attempt Attempt, ref, tag slotmap.Ref) {
+func (h *testHarness) send(id string, class int) (attempt dispatch.Attempt, ref, tag slotmap.Ref) {
 	h.t.Helper()
 	return h.sendCall(h.call(id, class))
 }
 
 // sendCall submits a call, ends the pass and returns the attempt that was sent for it.
-func (h *testHarness) sendCall(call Call) (attempt Attempt, ref, tag slotmap.Ref) {
+func (h *testHarness) sendCall(call dispatch.Call) (attempt dispatch.Attempt, ref, tag slotmap.Ref) {
 	h.t.Helper()
 	before := len(h.workers.sent)
 	ref, tag = h.submit(call)
@@ -214,7 +215,7 @@
 }
 
 // hedge submits an idempotent call and has a second attempt sent for it while the first is in flight.
-func (h *testHarness) hedge() (first, hedge Attempt, tag slotmap.Ref) {
+func (h *testHarness) hedge() (first, hedge dispatch.Attempt, tag slotmap.Ref) {
 	h.t.Helper()
 	first, _, tag = h.send("a", idempotent)
 	before := len(h.workers.sent)
@@ -228,23 +229,23 @@
 
 // setState lists a worker in another state.
 func (h *testHarness) setState(worker string, state routing.WorkerState) {
-	h.UpdateEndpoints(EndpointList{Endpoints: endpoints(state, worker)})
+	h.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(state, worker)})
 }
 
 // served is the result of an attempt that was answered with this body.
-func served(body string) AttemptResult {
-	return AttemptResult{Outcome: routing.Served, Body: []byte(body), InFlightForFunction: InFlightUnknown}
+func served(body string) dispatch.AttemptResult {
+	return dispatch.AttemptResult{Outcome: routing.Served, Body: []byte(body), InFlightForFunction: dispatch.InFlightUnknown}
 }
 
 // ended is the result of an attempt that ended without a body.
-func ended(outcome routing.Outcome) AttemptResult {
-	return AttemptResult{Outcome: outcome, InFlightForFunction: InFlightUnknown}
+func ended(outcome routing.Outcome) dispatch.AttemptResult {
+	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: dispatch.InFlightUnknown}
 }
 
 // wantAnswers checks which final answers a request was given: there should be one, or none.
-func (h *testHarness) wantAnswers(tag slotmap.Ref, want ...Status) {
+func (h *testHarness) wantAnswers(tag slotmap.Ref, want ...dispatch.Status) {
 	h.t.Helper()
-	var got []Status
+	var got []dispatch.Status
 	for _, answer := range h.responder.answers[tag] {
 		got = append(got, answer.Status)
 	}
@@ -253,10 +254,10 @@
 	}
 }
 
-func statusNames(statuses []Status) string {
+func statusNames(statuses []dispatch.Status) string {
 	var names []string
 	for _, status := range statuses {
-		names = append(names, [...]string{Served: "served", Rejected: "rejected", Failed: "failed"}[status])
+		names = append(names, [...]string{dispatch.Served: "served", dispatch.Rejected: "rejected", dispatch.Failed: "failed"}[status])
 	}
 	return fmt.Sprint(names)
 }
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package dispatch_test
 
 import (
 	"errors"
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/dispatch"
 	"calicohill/internal/runtime/slotmap"
 	"calicohill/routing"
 )
@@ -21,19 +22,19 @@
 	)
 	for _, tt := range []struct {
 		order          []string
-		onePass        []Status // final answers if all come in one pass of the loop
-		separatePasses []Status // if each comes in a pass of its own
+		onePass        []dispatch.Status // final answers if all come in one pass of the loop
+		separatePasses []dispatch.Status // if each comes in a pass of its own
 	}{
-		{[]string{answer, leave, expire}, []Status{Served}, []Status{Served}},
-		{[]string{answer, expire, leave}, []Status{Served}, []Status{Served}},
+		{[]string{answer, leave, expire}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
+		{[]string{answer, expire, leave}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
 		{[]string{leave, answer, expire}, nil, nil},
 		{[]string{leave, expire, answer}, nil, nil},
-		{[]string{expire, answer, leave}, nil, []Status{Rejected}},
-		{[]string{expire, leave, answer}, nil, []Status{Rejected}},
-		{[]string{expire, answer}, []Status{Rejected}, []Status{Rejected}},
-		{[]string{answer, answer}, []Status{Served}, []Status{Served}},
+		{[]string{expire, answer, leave}, nil, []dispatch.Status{dispatch.Rejected}},
+		{[]string{expire, leave, answer}, nil, []dispatch.Status{dispatch.Rejected}},
+		{[]string{expire, answer}, []dispatch.Status{dispatch.Rejected}, []dispatch.Status{dispatch.Rejected}},
+		{[]string{answer, answer}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
 		{[]string{leave, leave}, nil, nil},
-		{[]string{expire}, []Status{Rejected}, []Status{Rejected}},
+		{[]string{expire}, []dispatch.Status{dispatch.Rejected}, []dispatch.Status{dispatch.Rejected}},
 	} {
 		play := func(t *testing.T, settings routing.Settings, onePass bool) {
 			t.Helper()
@@ -79,14 +80,14 @@
 		name    string
 		class   int
 		outcome routing.Outcome
-		want    Status
+		want    dispatch.Status
 	}{
-		{"idempotent, connection reset", idempotent, routing.ConnectionReset, Rejected},
-		{"idempotent, error", idempotent, routing.Errored, Rejected},
-		{"non-idempotent, connection reset", nonIdempotent, routing.ConnectionReset, Failed},
-		{"non-idempotent, error", nonIdempotent, routing.Errored, Failed},
-		{"non-idempotent, shed unseen", nonIdempotent, routing.Shed, Rejected},
-		{"non-idempotent, never sent", nonIdempotent, routing.NotSent, Rejected},
+		{"idempotent, connection reset", idempotent, routing.ConnectionReset, dispatch.Rejected},
+		{"idempotent, error", idempotent, routing.Errored, dispatch.Rejected},
+		{"non-idempotent, connection reset", nonIdempotent, routing.ConnectionReset, dispatch.Failed},
+		{"non-idempotent, error", nonIdempotent, routing.Errored, dispatch.Failed},
+		{"non-idempotent, shed unseen", nonIdempotent, routing.Shed, dispatch.Rejected},
+		{"non-idempotent, never sent", nonIdempotent, routing.NotSent, dispatch.Rejected},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := testSettings()
@@ -108,7 +109,7 @@
 		t.Errorf("sent body %q, want %q", got, want)
 	}
 	harness.AttemptEnded(attempt.Ref, served("answer to a"))
-	harness.wantAnswers(tag, Served) // at once, without waiting for the end of the pass
+	harness.wantAnswers(tag, dispatch.Served) // at once, without waiting for the end of the pass
 	if got, want := string(harness.responder.answers[tag][0].Body), "answer to a"; got != want {
 		t.Errorf("answered %q, want %q", got, want)
 	}
@@ -132,7 +133,7 @@
 		ref, tag := harness.submit(harness.call("a", idempotent))
 		harness.loop.runPosted()
 		harness.Cancel(ref)
-		harness.UpdateEndpoints(EndpointList{Endpoints: endpoints(routing.Ready, "w")})
+		harness.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "w")})
 		harness.loop.advance(2 * timeLeft)
 		if len(harness.workers.sent) != 0 {
 			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
@@ -166,14 +167,14 @@
 	ref, tag := harness.submit(harness.call("other", idempotent))
 	harness.loop.runPosted() // it waits, as there is no worker
 	_, lateTag := harness.submit(late)
-	harness.UpdateEndpoints(EndpointList{Endpoints: endpoints(routing.Ready, "w")})
+	harness.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "w")})
 	harness.responder.onRespond = func(answered slotmap.Ref) {
 		if answered == lateTag {
 			harness.Cancel(ref)
 		}
 	}
 	harness.loop.advance(2 * timeLeft)
-	harness.wantAnswers(lateTag, Rejected)
+	harness.wantAnswers(lateTag, dispatch.Rejected)
 	harness.wantAnswers(tag)
 	if len(harness.workers.sent) != 0 {
 		t.Errorf("attempts sent: %v, want none", harness.workers.sent)
@@ -189,8 +190,8 @@
 	wantDuplicate := func(when string) {
 		t.Helper()
 		call := harness.call("a", idempotent)
-		if _, err := harness.Submit(call, harness.responder, tag+1); !errors.Is(err, ErrDuplicateID) {
-			t.Errorf("Submit %s: %v, want %v", when, err, ErrDuplicateID)
+		if _, err := harness.Submit(call, harness.responder, tag+1); !errors.Is(err, dispatch.ErrDuplicateID) {
+			t.Errorf("Submit %s: %v, want %v", when, err, dispatch.ErrDuplicateID)
 		}
 		harness.pool.Put(call.Body) // still the caller's
 		harness.loop.runPosted()
@@ -204,7 +205,7 @@
 	again, _, againTag := harness.send("a", idempotent) // released: the ID is free
 	harness.AttemptEnded(again.Ref, served("answer"))
 	harness.wantAnswers(tag)
-	harness.wantAnswers(againTag, Served)
+	harness.wantAnswers(againTag, dispatch.Served)
 }
 
 // A request that is answered no longer counts as open, though it is kept while an attempt is in flight.
@@ -225,8 +226,8 @@
 	}
 	attempt, _, _ := harness.send("a", idempotent)
 	_, ref, _ := harness.send("b", idempotent)
-	if err := submit("c"); !errors.Is(err, ErrTooManyRequests) {
-		t.Errorf("Submit beyond the limit: %v, want %v", err, ErrTooManyRequests)
+	if err := submit("c"); !errors.Is(err, dispatch.ErrTooManyRequests) {
+		t.Errorf("Submit beyond the limit: %v, want %v", err, dispatch.ErrTooManyRequests)
 	}
 	harness.wantLent(limit)
 	harness.AttemptEnded(attempt.Ref, served("answer"))
@@ -237,8 +238,8 @@
 	if err := submit("d"); err != nil {
 		t.Errorf("Submit after a client left: %v, want success", err)
 	}
-	if err := submit("e"); !errors.Is(err, ErrTooManyRequests) {
-		t.Errorf("Submit beyond the limit: %v, want %v", err, ErrTooManyRequests)
+	if err := submit("e"); !errors.Is(err, dispatch.ErrTooManyRequests) {
+		t.Errorf("Submit beyond the limit: %v, want %v", err, dispatch.ErrTooManyRequests)
 	}
 	if got := harness.OpenRequests(); got != limit {
 		t.Errorf("%d requests are open, want %d", got, limit)
@@ -254,14 +255,14 @@
 		first, hedge, tag := harness.hedge()
 		harness.AttemptEnded(hedge.Ref, served("answer of the hedge"))
 		harness.loop.runPosted()
-		harness.wantAnswers(tag, Served)
+		harness.wantAnswers(tag, dispatch.Served)
 		harness.wantLent(1)
 		if got, want := string(first.Body), "body of a"; got != want {
 			t.Errorf("body of the attempt in flight is %q, want %q", got, want)
 		}
 		harness.AttemptEnded(first.Ref, served("answer of the first"))
 		harness.loop.runPosted()
-		harness.wantAnswers(tag, Served)
+		harness.wantAnswers(tag, dispatch.Served)
 		harness.wantLent(0)
 	})
 	t.Run("when the attempt is canceled", func(t *testing.T) {
@@ -279,14 +280,14 @@
 		harness := newHarness(t, testSettings(), 0)
 		_, tag := harness.submit(harness.call("a", idempotent))
 		harness.loop.advance(timeLeft)
-		harness.wantAnswers(tag, Rejected)
+		harness.wantAnswers(tag, dispatch.Rejected)
 		harness.wantLent(0)
 	})
 	t.Run("no body", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
-		_, tag := harness.submit(Call{ID: "a", Function: "function", TimeLeft: timeLeft})
+		_, tag := harness.submit(dispatch.Call{ID: "a", Function: "function", TimeLeft: timeLeft})
 		harness.loop.advance(timeLeft)
-		harness.wantAnswers(tag, Rejected)
+		harness.wantAnswers(tag, dispatch.Rejected)
 		harness.wantLent(0)
 	})
 }
@@ -304,8 +305,8 @@
 	harness.loop.runPosted()
 	harness.AttemptEnded(inFlight.Ref, served("late"))
 	harness.loop.advance(2 * timeLeft)
-	harness.wantAnswers(tag, Failed)
-	harness.wantAnswers(waitingTag, Rejected)
+	harness.wantAnswers(tag, dispatch.Failed)
+	harness.wantAnswers(waitingTag, dispatch.Rejected)
 	harness.wantAnswers(leftTag)
 	harness.wantLent(0)
 }
--- a/internal/frontend/fastcgi/call_test.go
+++ b/internal/frontend/fastcgi/call_internal_test.go
@@ -9,8 +9,8 @@
 )
 
 // ordinaryParams is the content of the PARAMS stream of an ordinary request, as it stands in the request's records.
-func ordinaryParams(t testing.TB) []byte {
-	t.Helper()
+func ordinaryParams(tb testing.TB) []byte {
+	tb.Helper()
 	var params []byte
 	records := appendRequest(nil, 1, Request{
 		Path: "/rpc/consulta", ID: "9b1f03aa5c7e2d41", Function: "7f3a9c21e0b4d655", IdempotencyKey: "k",
@@ -19,7 +19,7 @@
 	for len(records) > 0 {
 		rec, size, err := parseRecord(records)
 		if err != nil || size == 0 {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		if rec.kind == typeParams {
 			params = append(params, rec.content...)
--- a/internal/nodeagent/fakes_test.go
+++ b/internal/nodeagent/fakes_test.go
@@ -1,4 +1,4 @@
-package nodeagent
+package nodeagent_test
 
 import (
 	"io"
@@ -6,6 +6,7 @@
 	"time"
 
 	"calicohill/internal/dispatch"
+	"calicohill/internal/nodeagent"
 	"calicohill/internal/runtime/deadline"
 	"calicohill/internal/runtime/eventloop"
 	"calicohill/internal/runtime/slotmap"
@@ -98,7 +99,7 @@
 func (recordingSink) ProbeEnded(string, time.Duration, dispatch.AttemptResult) {}
 
 // newPool returns a Pool with these workers, each of which is its own address.
-func newPool(options Options, workers ...string) (*Pool, *fakeLoop, recordingSink) {
+func newPool(options nodeagent.Options, workers ...string) (*nodeagent.Pool, *fakeLoop, recordingSink) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	options.Classes = []string{"consulta"}
@@ -109,7 +110,7 @@
 	options.MaxAnswerBytes = 1 << 20
 	loop := &fakeLoop{now: time.Hour}
 	sink := recordingSink{}
-	pool := New(loop, sink, options, log)
+	pool := nodeagent.New(loop, sink, options, log)
 	var list dispatch.EndpointList
 	for _, id := range workers {
 		worker := routing.Worker{ID: id, State: routing.Ready}
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -1,8 +1,10 @@
-package nodeagent
+package nodeagent_test
 
 import (
 	"testing"
 	"time"
+
+	"calicohill/internal/nodeagent"
 )
 
 // The commands as a node agent receives them, byte for byte, with a clock that stands still. They are the wire
@@ -14,30 +16,30 @@
 	short.Timeout = 999 * time.Microsecond
 	for _, tt := range []struct {
 		name   string
-		before func(*Pool) // while no connection is up
-		after  func(*Pool) // once one is up; nil for nothing
+		before func(*nodeagent.Pool) // while no connection is up
+		after  func(*nodeagent.Pool) // once one is up; nil for nothing
 		want   string
 	}{
 		{
-			"attempt", func(p *Pool) { p.Send(attempt(1, "a")) }, nil,
+			"attempt", func(p *nodeagent.Pool) { p.Send(attempt(1, "a")) }, nil,
 			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\n",
 		},
 		{
-			"attempt with key and body", func(p *Pool) { p.Send(keyed) }, nil,
+			"attempt with key and body", func(p *nodeagent.Pool) { p.Send(keyed) }, nil,
 			"go 0000000000000002 sort=consulta,asset=f,patience=2500,op=k-1 10\r\ntwo\r\nlines\r\n",
 		},
 		{
-			"attempt with less than a millisecond", func(p *Pool) { p.Send(short) }, nil,
+			"attempt with less than a millisecond", func(p *nodeagent.Pool) { p.Send(short) }, nil,
 			"go 0000000000000003 sort=consulta,asset=f,patience=1 0\r\n\r\n",
 		},
 		{
-			"attempt that is canceled", func(p *Pool) { p.Send(attempt(1, "a")) }, func(p *Pool) { p.Cancel(1) },
+			"attempt that is canceled", func(p *nodeagent.Pool) { p.Send(attempt(1, "a")) }, func(p *nodeagent.Pool) { p.Cancel(1) },
 			"go 0000000000000001 sort=consulta,asset=f,patience=1000 0\r\n\r\nhalt 0000000000000001\r\n",
 		},
-		{"probe", func(p *Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
+		{"probe", func(p *nodeagent.Pool) { p.Probe("a") }, nil, "stat p1\r\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p, loop, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
+			p, loop, _ := newPool(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 			tt.before(p)
 			connection := loop.completeDial()
 			if tt.after != nil {
--- a/internal/nodeagent/pool_test.go
+++ b/internal/nodeagent/pool_test.go
@@ -1,4 +1,4 @@
-package nodeagent
+package nodeagent_test
 
 import (
 	"errors"
@@ -6,13 +6,14 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/nodeagent"
 	"calicohill/routing"
 )
 
 // An attempt that is written to a connection with unsent data would be sent when it can't be taken back any more: its
 // client may have left by then, or its worker begun to drain. It goes to another connection.
 func TestNothingWaitsBehindABlockedConnection(t *testing.T) {
-	pool, loop, _ := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
+	pool, loop, _ := newPool(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	pool.Send(attempt(1, "a"))
 	first := loop.completeDial()
 	first.blocked = true
@@ -31,7 +32,7 @@
 
 // A worker without a connection gets one at the limit of connections, as long as another is idle.
 func TestIdleConnectionIsClosedAtLimit(t *testing.T) {
-	pool, loop, sink := newPool(Options{MaxConns: 2, MaxDescriptors: 30}, "a", "b", "c")
+	pool, loop, sink := newPool(nodeagent.Options{MaxConns: 2, MaxDescriptors: 30}, "a", "b", "c")
 	var conns []*fakeConn
 	for i, id := range []string{"a", "b"} {
 		pool.Send(attempt(i+1, id))
@@ -50,7 +51,7 @@
 
 // Dials wait for descriptors and start in order as others succeed or fail.
 func TestDialsWaitForDescriptors(t *testing.T) {
-	pool, loop, sink := newPool(Options{MaxConns: 8, MaxDescriptors: 4}, "a", "b", "c", "d")
+	pool, loop, sink := newPool(nodeagent.Options{MaxConns: 8, MaxDescriptors: 4}, "a", "b", "c", "d")
 	for i, id := range []string{"a", "b", "c", "d"} {
 		pool.Send(attempt(i+1, id))
 	}
@@ -80,7 +81,7 @@
 
 // A dial that fails ends only the attempts that no other connection can carry by then.
 func TestDialFailsBesideAConnection(t *testing.T) {
-	pool, loop, sink := newPool(Options{MaxConns: 10, MaxDescriptors: 30}, "a")
+	pool, loop, sink := newPool(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	pool.Send(attempt(1, "a"))
 	first := loop.completeDial()
 	first.blocked = true
