--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -1,23 +1,41 @@
 package routing
 
-import "time"
+import (
+	"time"
+
+	"calicohill/internal/stats/ratelimit"
+)
+
+// Overdue attempts. One is overdue after the larger of a fraction of its latency objective and a multiple of
+// the mean service time, but no later than the objective; a load adds a multiple of its time.
+const (
+	overdueObjectiveFraction = 0.5
+	overdueMeanMultiple      = 3.0
+	overdueLoadMultiple      = 2.0
+	minSendTimeout           = time.Millisecond // shortest timeout of an attempt
+)
 
 // startAttempt is the only place that starts an attempt. It reports whether it did.
 func (r *Router) startAttempt(req *request, target *worker, warm bool) bool {
-	if r.now < r.endpointsStaleUntil || !r.mayAttempt(req, target) {
+	if r.endpoints.isStale(r.now) || !r.picker.mayAttempt(r.now, r.rng, req, target) {
 		return false
 	}
-	// A repeat that starts later than this would arrive when the workers have forgotten the idempotency key.
-	startWithin := time.Duration(0)
-	if first := req.firstPossiblyExecuted(); first != nil && req.class.Idempotency == IdempotentByKey {
-		startWithin = first.sentAt + req.class.DeduplicationWindow - r.settings.Tick - r.now
+	startWithin := r.retries.startWithin(r.now, req)
+	started := &attempt{
+		request:     req,
+		number:      len(req.attempts),
+		worker:      target,
+		placement:   req.function.placementAt(target),
+		sentAt:      r.now,
+		work:        r.latency.ServiceTime(&req.function.latency, r.now),
+		mayNeedLoad: !warm,
 	}
-	a := r.newAttempt(req, target, warm)
-	a.overdueAt = r.now + durationOf(r.overdueAfter(a))
-	r.recordStart(a)
+	started.overdueAt = r.now + durationOf(r.overdueAfter(started))
+	r.requests.recordStart(started)
+	r.slowStart.RecordSend(&target.slowStart, r.now, target.Started)
 	target.health.RecordSend(r.now, r.rng)
 	timeout := max(req.expiresAt-r.now-r.settings.Tick, minSendTimeout)
-	r.emit(Send{req.ID, target.ID, timeout, startWithin})
+	r.out.emit(Send{req.ID, target.ID, timeout, startWithin})
 	return true
 }
 
@@ -32,16 +50,39 @@
 }
 
 // orderLoad is the only place that orders a load. All with a count above 0 are in the load budget.
-func (r *Router) orderLoad(w *worker, fn *function) {
-	if !r.settings.LoadAllowed || w.State != Ready || fn.placementAt(w).loadOrdered {
+func (r *Router) orderLoad(target *worker, fn *function) {
+	place := fn.placementAt(target)
+	if !r.settings.LoadAllowed || target.State != Ready || place.loadOrdered || !r.loads.allow(r.now) {
 		return
 	}
-	// A request may have come up to a tick before its batch: those near the window's edge are left out.
-	if r.settings.LoadBudgetWindow > 0 &&
-		!r.loadBudget.Allow(r.now, r.settings.LoadBudgetWindow, r.settings.Tick+tickInterval,
-			r.settings.LoadBudgetBase, r.settings.LoadBudgetPerRequest) {
-		return
+	place.recordLoadOrdered()
+	r.out.emit(Load{target.ID, fn.name, 1})
+}
+
+// loadBudget bounds the orders to load: in no window are there more than a base and a part of the requests
+// that arrived in it, as a retry budget bounds retries.
+type loadBudget struct {
+	window     time.Duration // 0 means that loads are not limited
+	edge       time.Duration // requests so near the window's edge are left out
+	base       float64
+	perRequest float64
+	limiter    ratelimit.WindowLimiter
+}
+
+func newLoadBudget(s *Settings) *loadBudget {
+	return &loadBudget{
+		window: s.LoadBudgetWindow,
+		// A request may have come up to a tick before its batch: those near the window's edge are left out.
+		edge:       s.Tick + tickInterval,
+		base:       s.LoadBudgetBase,
+		perRequest: s.LoadBudgetPerRequest,
 	}
-	fn.placementAt(w).loadOrdered = true
-	r.emit(Load{w.ID, fn.name, 1})
+}
+
+// recordArrival counts a request.
+func (b *loadBudget) recordArrival(now time.Duration) { b.limiter.RecordArrival(now, b.window) }
+
+// allow reports whether one more load may be ordered, which is then counted.
+func (b *loadBudget) allow(now time.Duration) bool {
+	return b.window <= 0 || b.limiter.Allow(now, b.window, b.edge, b.base, b.perRequest)
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -1,97 +1,236 @@
 package routing
 
 import (
-	"maps"
 	"slices"
+	"time"
 
+	"calicohill/internal/stats/rendezvous"
 	"calicohill/routing/concurrency"
+	"calicohill/routing/latency"
 	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
 )
 
-// applyEndpoints takes in an endpoint list. After a failed list call what was known still holds, and the subscription is
-// renewed a little later.
-func (r *Router) applyEndpoints(list WorkerList) {
+// resubscribeDelay is the time from a failed list call to the next subscription.
+const resubscribeDelay = time.Second
+
+// worker is what is known of a worker: its entry in the endpoint list, the attempts of this scheduler there,
+// and for each mechanism the state that it alone writes.
+type worker struct {
+	Worker
+	removedAt   time.Duration // when it was listed as Gone last
+	incarnation int           // counts restarts; what was believed of an earlier incarnation is void
+
+	inFlight     []*attempt // attempts without an end, oldest first
+	loadsWaiting int        // those that wait for a load; they don't count against the limit
+
+	pressure  pressure.Worker
+	limit     concurrency.Worker
+	latency   latency.Worker
+	health    outlier.Worker
+	slowStart slowstart.Worker
+}
+
+// endpointTable holds the workers of the endpoint list, and says whether that may be stale. It forgets a
+// worker an InstanceKeepAlive after it was removed.
+type endpointTable struct {
+	schedulers      int
+	weightsReported bool
+	keepAlive       time.Duration
+	byID            map[string]*worker
+	list            []*worker     // the same, in the order of their ids
+	version         int           // counts changes of workers and pools, for workerOrder
+	resubscribeAt   time.Duration // when to subscribe again after a failed list call; 0 means never
+	staleUntil      time.Duration // nothing is sent until then: the list may be stale
+}
+
+// workerOrder is the rendezvous order of the workers for a function, as of a version of the endpoint table.
+type workerOrder struct {
+	workers []*worker
+	version int
+}
+
+func newEndpointTable(s *Settings) *endpointTable {
+	return &endpointTable{
+		schedulers:      s.Schedulers,
+		weightsReported: s.WeightsReported,
+		keepAlive:       s.InstanceKeepAlive,
+		byID:            map[string]*worker{},
+		version:         1,
+	}
+}
+
+// apply takes in an endpoint list. After a failed list call what was known still holds, and the subscription
+// is renewed a little later.
+func (t *endpointTable) apply(now time.Duration, list WorkerList) {
 	if list.Kind == ListFailed {
-		r.resubscribeAt = r.now + resubscribeDelay
+		t.resubscribeAt = now + resubscribeDelay
 		return
 	}
-	r.membershipVersion++
+	t.version++
 	listed := map[string]bool{}
 	for _, entry := range list.Workers {
 		listed[entry.ID] = true
-		if !r.settings.WeightsReported || entry.Weight <= 0 {
+		if !t.weightsReported || entry.Weight <= 0 {
 			entry.Weight = 1
 		}
-		r.applyEndpoint(entry)
+		t.applyEntry(now, entry)
 	}
 	if list.Kind == ListChanges {
 		return
 	}
-	for _, w := range r.workerList {
+	for _, w := range t.list {
 		if !listed[w.ID] && w.State != Gone {
-			w.State = Gone
-			w.removedAt = r.now
+			w.remove(now)
 		}
 	}
 }
 
-// applyEndpoint takes in one entry of an endpoint list.
-func (r *Router) applyEndpoint(entry Worker) {
-	known := r.workers[entry.ID]
+// applyEntry takes in one entry of an endpoint list.
+func (t *endpointTable) applyEntry(now time.Duration, entry Worker) {
+	known := t.byID[entry.ID]
 	if known == nil {
-		known = &worker{Worker: entry, limit: concurrency.NewWorker(r.settings.Schedulers), health: outlier.NewWorker(r.now)}
-		r.workers[entry.ID] = known
-		r.workerList = insertSorted(r.workerList, known, func(w *worker) string { return w.ID })
+		known = &worker{
+			Worker: entry,
+			limit:  concurrency.NewWorker(t.schedulers),
+			health: outlier.NewWorker(now),
+		}
+		t.byID[entry.ID] = known
+		t.list = insertSorted(t.list, known, func(w *worker) string { return w.ID })
 		return
 	}
 	if entry.Started != known.Started && entry.Started > 0 {
-		known.restarted(r.settings.Schedulers)
+		known.restart(t.schedulers)
 	}
 	if entry.State == Gone {
 		// An entry that says Gone need not say anything else: what was known of the worker stays.
-		known.State = Gone
-		known.removedAt = r.now
+		known.remove(now)
 		return
 	}
 	known.Worker = entry
 }
 
-// restarted forgets what a restart makes void: the worker has no instances and is warming up.
-func (w *worker) restarted(schedulers int) {
-	w.incarnation++
+// markStale has nothing sent until a time.
+func (t *endpointTable) markStale(until time.Duration) { t.staleUntil = until }
+
+// isStale reports whether the endpoint list may be stale.
+func (t *endpointTable) isStale(now time.Duration) bool { return now < t.staleUntil }
+
+// resubscriptionDue reports, once, that it is time to subscribe again.
+func (t *endpointTable) resubscriptionDue(now time.Duration) bool {
+	due := t.resubscribeAt > 0 && now >= t.resubscribeAt
+	if due {
+		t.resubscribeAt = 0
+	}
+	return due
+}
+
+// evictGone forgets workers that are gone, since new ones come all day.
+func (t *endpointTable) evictGone(now time.Duration) {
+	t.list = slices.DeleteFunc(t.list, func(w *worker) bool {
+		forgotten := t.isForgotten(now, w)
+		if forgotten {
+			delete(t.byID, w.ID)
+		}
+		return forgotten
+	})
+}
+
+// isForgotten reports whether a worker has been gone for so long that nothing of it is needed any more.
+func (t *endpointTable) isForgotten(now time.Duration, w *worker) bool {
+	return w.State == Gone && len(w.inFlight) == 0 && now-w.removedAt >= t.keepAlive
+}
+
+// rendezvousOrder is the order of the workers for a function, the same at every scheduler (rendezvous
+// hashing). A worker comes first for as many functions as its weight warrants.
+func (t *endpointTable) rendezvousOrder(fn *function) []*worker {
+	if fn.order.version != t.version {
+		ready := slices.DeleteFunc(slices.Clone(t.list), func(w *worker) bool {
+			return w.State != Ready || !fn.pool.Has(w.ID)
+		})
+		identity := func(w *worker) (string, float64) { return w.ID, w.Weight }
+		fn.order = workerOrder{rendezvous.Order(fn.name, ready, identity), t.version}
+	}
+	return fn.order.workers
+}
+
+// remove notes that a worker was listed as Gone, or left out of a full list.
+func (w *worker) remove(now time.Duration) {
+	w.State = Gone
+	w.removedAt = now
+}
+
+// restart forgets what a restart makes void: the worker has no instances and is warming up.
+func (w *worker) restart(schedulers int) {
+	w.voidInstances()
 	w.limit = concurrency.NewWorker(schedulers)
 	w.health.Restart()
 	w.pressure.Restart()
 	w.slowStart.Restart()
 }
 
-// functionKeepAlives is how many keep-alives a function without requests is remembered.
-const functionKeepAlives = 5
+// voidInstances begins a new incarnation: what was believed loaded is gone.
+func (w *worker) voidInstances() { w.incarnation++ }
 
-// evictIdle forgets functions that nobody calls any more and workers that are gone, since new ones come all day.
-func (r *Router) evictIdle() {
-	r.workerList = slices.DeleteFunc(r.workerList, func(w *worker) bool {
-		forgotten := r.isForgotten(w)
-		if forgotten {
-			delete(r.workers, w.ID)
+// eligible reports whether a worker may get requests: an ejected one gets only one probe at a time.
+func (w *worker) eligible(now time.Duration) bool {
+	return w.State == Ready && w.health.Eligible(now, len(w.inFlight))
+}
+
+// requestsInSlots is the number of attempts at a worker that count against its limit.
+func (w *worker) requestsInSlots() int { return len(w.inFlight) - w.loadsWaiting }
+
+// slowStartCapacity is what slow start has to know of a worker.
+func (w *worker) slowStartCapacity() slowstart.Capacity {
+	return slowstart.Capacity{Started: w.Started, Weight: w.Weight}
+}
+
+// overdueAttempts counts the attempts at a worker that are overdue with no answer since they were sent, and
+// returns when the newest was sent.
+func (w *worker) overdueAttempts(now time.Duration) (overdue int, newest time.Duration) {
+	for _, a := range w.inFlight {
+		if now >= a.overdueAt && w.health.SilentSince(a.sentAt) {
+			overdue++
+			newest = a.sentAt
 		}
-		return forgotten
-	})
-	maps.DeleteFunc(r.functions, func(_ string, fn *function) bool {
-		fn.placements = slices.DeleteFunc(fn.placements, func(p *placement) bool {
-			return p.inFlight == 0 && r.isForgotten(p.worker)
-		})
-		return r.now-fn.demand.LastAt() >= functionKeepAlives*r.settings.InstanceKeepAlive && !r.inUse(fn)
-	})
+	}
+	return overdue, newest
 }
 
-// isForgotten reports whether a worker has been gone for so long that nothing of it is needed any more.
-func (r *Router) isForgotten(w *worker) bool {
-	return w.State == Gone && len(w.inFlight) == 0 && r.now-w.removedAt >= r.settings.InstanceKeepAlive
+// beginAttempt enters an attempt that is sent to a worker.
+func (w *worker) beginAttempt(started *attempt) {
+	w.inFlight = append(w.inFlight, started)
+	if started.mayNeedLoad {
+		w.loadsWaiting++
+	}
 }
 
-// inUse reports whether a function has an attempt in flight, an open order to load or a queued request.
-func (r *Router) inUse(fn *function) bool {
-	return slices.ContainsFunc(fn.placements, func(p *placement) bool { return p.loadOrdered || p.inFlight > 0 }) ||
-		slices.ContainsFunc(r.queue, func(q *request) bool { return q.function == fn })
+// endAttempt removes an attempt that has ended.
+func (w *worker) endAttempt(ended *attempt) {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(other *attempt) bool { return other == ended })
+	if ended.mayNeedLoad {
+		w.loadsWaiting--
+	}
+}
+
+// eligibleFleet is what the eligible workers can do together.
+type eligibleFleet struct {
+	capacity concurrency.Capacity
+	healthy  int // eligible workers that are not unhealthy
+}
+
+// refresh sums up the workers that are eligible now.
+func (f *eligibleFleet) refresh(now time.Duration, workers []*worker, outliers *outlier.Detector) {
+	f.capacity = concurrency.Capacity{}
+	f.healthy = 0
+	for _, w := range workers {
+		if !w.eligible(now) {
+			continue
+		}
+		if !outliers.IsUnhealthy(&w.health, now) {
+			f.healthy++
+		}
+		f.capacity.Add(&w.limit, w.requestsInSlots())
+	}
 }
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -57,12 +57,12 @@
 func (r *Router) LearnedState() LearnedState {
 	state := LearnedState{
 		CapturedAt:          r.now,
-		RequestWeight:       r.demand.At(r.now, r.demandWindow),
+		RequestWeight:       r.placements.totalRequests(r.now),
 		ThroughputPerWeight: r.slowStart.ThroughputPerWeight(),
 		MeanPressure:        r.pressure.Mean(),
 	}
 	index := map[*worker]int{}
-	for _, w := range r.workerList[:min(len(r.workerList), maxLearnedWorkers)] {
+	for _, w := range r.endpoints.list[:min(len(r.endpoints.list), maxLearnedWorkers)] {
 		index[w] = len(state.Workers)
 		state.Workers = append(state.Workers, LearnedWorker{
 			ID:             w.ID,
@@ -71,7 +71,7 @@
 			LatencyExcess:  r.latency.Ratio(&w.latency, r.now) - 1,
 		})
 	}
-	for _, fn := range r.functions {
+	for _, fn := range r.placements.functions {
 		state.Functions = append(state.Functions, r.learnedFunction(fn, index))
 	}
 	slices.SortFunc(state.Functions, func(a, b LearnedFunction) int {
@@ -87,12 +87,12 @@
 		Name:              fn.name,
 		Class:             fn.class,
 		Concurrency:       fn.concurrency,
-		RequestWeight:     fn.demand.At(r.now, r.demandWindow),
+		RequestWeight:     r.placements.requestsFor(r.now, fn),
 		ServiceTimeExcess: r.latency.Excess(&fn.latency, r.now),
 		LoadTime:          fn.latency.DeclaredLoadTime(),
 	}
 	for _, p := range fn.placements {
-		if i, ok := index[p.worker]; ok && r.isWarm(p) {
+		if i, ok := index[p.worker]; ok && r.placements.isWarm(r.now, p) {
 			learned.Instances = append(learned.Instances, LearnedInstance{i, p.warmAt, p.instances})
 		}
 	}
@@ -119,15 +119,15 @@
 // restoreState takes up what an earlier process learned, faded by its age. What no longer fits is ignored, and so is all
 // of it once something was learned here.
 func (r *Router) restoreState(state LearnedState) {
-	if len(r.functions) > 0 || !state.plausible(r.now) {
+	if len(r.placements.functions) > 0 || !state.plausible(r.now) {
 		return
 	}
-	r.demand = demand.NewCount(state.CapturedAt, state.RequestWeight)
+	r.placements.restoreDemand(state.CapturedAt, state.RequestWeight)
 	r.slowStart.RestoreThroughput(state.ThroughputPerWeight)
 	r.pressure.RestoreMean(state.MeanPressure)
 	workers := make([]*worker, len(state.Workers)) // nil where an entry no longer fits
 	for i, learned := range state.Workers {
-		w := r.workers[learned.ID]
+		w := r.endpoints.byID[learned.ID]
 		if w != nil && w.Started == learned.Started && plausible(learned.PressureExcess, learned.LatencyExcess) {
 			workers[i] = w
 			w.pressure.RestoreExcess(state.CapturedAt, learned.PressureExcess)
@@ -136,14 +136,15 @@
 	}
 	for _, learned := range state.Functions[:min(len(state.Functions), maxLearnedFunctions)] {
 		if learned.plausible(len(r.settings.Classes)) {
-			r.functions[learned.Name] = restoreFunction(learned, r.settings.Classes, state.CapturedAt, workers)
+			class := &r.settings.Classes[learned.Class]
+			r.placements.restore(restoreFunction(learned, class, state.CapturedAt, workers))
 		}
 	}
 }
 
 // restoreFunction makes the record of a function from what was learned of it.
 func restoreFunction(
-	learned LearnedFunction, classes []Class, capturedAt time.Duration, workers []*worker,
+	learned LearnedFunction, class *Class, capturedAt time.Duration, workers []*worker,
 ) *function {
 	restored := &function{
 		name:        learned.Name,
@@ -151,16 +152,14 @@
 		concurrency: learned.Concurrency,
 		demand:      demand.NewCount(capturedAt, learned.RequestWeight),
 	}
-	restored.latency.Declare(classes[learned.Class].LatencyObjective, learned.LoadTime)
+	restored.latency.Declare(class.LatencyObjective, learned.LoadTime)
 	restored.latency.RestoreExcess(capturedAt, learned.ServiceTimeExcess)
 	for _, instance := range learned.Instances {
 		i := instance.WorkerIndex
 		if i < 0 || i >= len(workers) || workers[i] == nil || instance.LastWarm > capturedAt {
 			continue
 		}
-		p := restored.placementAt(workers[i])
-		p.setWarm(instance.LastWarm)
-		p.instances = max(instance.Count, 1)
+		restored.restorePlacement(workers[i], instance.LastWarm, instance.Count)
 	}
 	return restored
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -3,64 +3,132 @@
 import (
 	"cmp"
 	"math"
+	"math/rand/v2"
 	"slices"
+	"time"
 
-	"calicohill/internal/stats/rendezvous"
+	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
 )
 
+const (
+	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
+	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
+	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
+	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
+	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
+	coinSides            = 2    // of the coin that breaks ties
+	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
+)
+
+// picker chooses the worker for a request. It owns no state: it asks the components that do.
+type picker struct {
+	peers     int           // other schedulers that share the workers
+	keepAlive time.Duration // shortest time that an idle instance stays loaded
+
+	endpoints  *endpointTable
+	placements *placementTable
+	fleet      *eligibleFleet
+	pressure   *pressure.Estimator
+	latency    *latency.Estimator
+	outliers   *outlier.Detector
+	slowStart  *slowstart.Budget
+	retries    *retryPolicy
+}
+
+// loadedPlacements is what there is of a function at the workers that a request may be sent to.
+type loadedPlacements struct {
+	free     *placement // the best one with a free slot
+	shortest *placement // the one with the shortest queue of our requests, where all slots are taken
+	exists   bool       // the function is loaded or loading at some worker
+}
+
+func newPicker(r *Router) *picker {
+	return &picker{
+		peers:      r.settings.Schedulers - 1,
+		keepAlive:  r.settings.InstanceKeepAlive,
+		endpoints:  r.endpoints,
+		placements: r.placements,
+		fleet:      r.fleet,
+		pressure:   r.pressure,
+		latency:    r.latency,
+		outliers:   r.outliers,
+		slowStart:  r.slowStart,
+		retries:    r.retries,
+	}
+}
+
 // pick chooses the worker for a request, and reports whether the function is believed to be loaded there:
 // one where it is, while fewer of our requests are in flight there than it runs at a time, else the less
 // busy of the first two with capacity in the function's rendezvous order. It returns nil if the request has
 // to wait.
-func (r *Router) pick(req *request) (target *worker, warm bool) {
-	loaded := r.findLoaded(req)
+func (p *picker) pick(now time.Duration, rng *rand.Rand, req *request) (target *worker, warm bool) {
+	loaded := p.findLoaded(now, rng, req)
 	if loaded.free != nil {
-		return loaded.free.worker, r.isWarm(loaded.free)
+		return loaded.free.worker, p.placements.isWarm(now, loaded.free)
 	}
 	// A departure from the SCORPIO design: a loaded instance is waited for where that takes less time than a
 	// load elsewhere, or loads evict instances, which then load again. Harm: where declared load times are
 	// longer than real ones.
 	if next := loaded.shortest; next != nil {
-		if !r.isWarm(next) {
+		if !p.placements.isWarm(now, next) {
 			return nil, false // its load is under way: what waits here blocks no worker if the load is slow
 		}
-		if r.waitForSlot(next, req.function) < r.latency.LoadTime(&req.function.latency, r.now) {
+		if p.waitForSlot(now, next, req.function) < p.latency.LoadTime(&req.function.latency, now) {
 			return next.worker, true
 		}
 	}
 	// A departure from the SCORPIO design: with most capacity in use, a function that is loaded somewhere
 	// waits for capacity there, against load storms in overload. Harm: one much called function in a fleet
 	// that is busy with long requests spreads late.
-	if loaded.exists && !r.capacity.MaySpread() {
+	if loaded.exists && !p.fleet.capacity.MaySpread() {
 		return nil, false
 	}
-	target = r.pickForLoad(req, loaded.exists)
-	return target, target != nil && r.isWarm(req.function.placementAt(target))
+	target = p.pickForLoad(now, rng, req, loaded.exists)
+	return target, target != nil && p.placements.isWarm(now, req.function.placementAt(target))
 }
 
 // findLoaded looks through the workers where a function is loaded or loading.
-func (r *Router) findLoaded(req *request) loadedPlacements {
+func (p *picker) findLoaded(now time.Duration, rng *rand.Rand, req *request) loadedPlacements {
 	var found loadedPlacements
-	presumed := r.presumedWarm(req.function)
-	loaded := func(p *placement) bool { return r.isWarm(p) || slices.Contains(presumed, p.worker) }
+	presumed := p.presumedWarm(now, req.function)
 	for _, place := range req.function.placements {
-		if !place.loading && !loaded(place) || r.isDisplaced(place) || !r.accepts(req, place.worker) {
+		if !place.loading && !p.isLoaded(now, place, presumed) || p.isDisplaced(now, place) ||
+			!p.accepts(now, rng, req, place.worker) {
 			continue
 		}
 		found.exists = true
-		if !r.hasCapacity(req, place.worker) {
+		if !p.hasCapacity(now, rng, req, place.worker) {
 			continue
 		}
 		if place.inFlight >= place.instances*req.function.concurrency {
 			found.shortest = shorterQueue(found.shortest, place)
-		} else if best := found.free; best == nil || loaded(place) && !loaded(best) ||
-			loaded(place) == loaded(best) && r.busier(best.worker, place.worker) {
+		} else if found.free == nil || p.isBetter(now, rng, place, found.free, presumed) {
 			found.free = place
 		}
 	}
 	return found
 }
 
+// isLoaded reports whether a function is believed to be loaded at a worker, or taken to be.
+func (p *picker) isLoaded(now time.Duration, place *placement, presumed []*worker) bool {
+	return p.placements.isWarm(now, place) || slices.Contains(presumed, place.worker)
+}
+
+// isBetter reports whether a placement with a free slot is to be preferred to the best so far: one that is
+// loaded to one that still loads, else the one at the less busy worker.
+func (p *picker) isBetter(
+	now time.Duration, rng *rand.Rand, place, best *placement, presumed []*worker,
+) bool {
+	loaded, bestLoaded := p.isLoaded(now, place, presumed), p.isLoaded(now, best, presumed)
+	if loaded != bestLoaded {
+		return loaded
+	}
+	return p.busier(now, rng, best.worker, place.worker)
+}
+
 // shorterQueue returns the placement with fewer requests of ours for each instance; the first may be nil.
 func shorterQueue(best, next *placement) *placement {
 	if best == nil || next.inFlight*best.instances < best.inFlight*next.instances {
@@ -71,9 +139,9 @@
 
 // presumedWarm returns the workers where a function is taken to be loaded though no answer told this
 // scheduler so: its preferred workers, if peers call it often.
-func (r *Router) presumedWarm(fn *function) []*worker {
-	preferred := r.preferredWorkers(fn)
-	peerRequests := float64(r.settings.Schedulers-1) * fn.demand.PerKeepAlive()
+func (p *picker) presumedWarm(now time.Duration, fn *function) []*worker {
+	preferred := p.preferredWorkers(now, fn)
+	peerRequests := float64(p.peers) * fn.demand.PerKeepAlive()
 	if len(preferred) > 1 && peerRequests >= presumedWarmRequests*float64(len(preferred)) {
 		return preferred
 	}
@@ -81,35 +149,33 @@
 }
 
 // waitForSlot estimates the wait for a slot of a placement whose slots are all taken, in seconds.
-func (r *Router) waitForSlot(p *placement, fn *function) float64 {
-	slots := float64(p.instances * fn.concurrency)
-	return (float64(p.inFlight) - slots + 1) / slots * r.latency.ServiceTime(&fn.latency, r.now)
+func (p *picker) waitForSlot(now time.Duration, place *placement, fn *function) float64 {
+	slots := float64(place.instances * fn.concurrency)
+	return (float64(place.inFlight) - slots + 1) / slots * p.latency.ServiceTime(&fn.latency, now)
 }
 
 // pickForLoad chooses the worker that loads a function: the less busy of the first two with capacity in its
 // rendezvous order. The very first instance goes to the first with capacity, so that the store is asked
 // once. If there is none, a worker that the function has left stands in.
-func (r *Router) pickForLoad(req *request, exists bool) *worker {
+func (p *picker) pickForLoad(now time.Duration, rng *rand.Rand, req *request, exists bool) *worker {
 	var first, spare *worker
-	for i, candidate := range r.rendezvousOrder(req.function) {
-		if i >= maxCandidates && len(req.attempts) == 0 || first != nil && !exists {
+	for i, candidate := range p.endpoints.rendezvousOrder(req.function) {
+		tooMany := i >= maxCandidates && len(req.attempts) == 0
+		if tooMany || first != nil && !exists {
 			break
 		}
-		p := req.function.placementAt(candidate)
-		if !r.hasCapacity(req, candidate) {
+		place := req.function.placementAt(candidate)
+		if !p.hasCapacity(now, rng, req, candidate) {
 			continue
 		}
 		switch {
-		case r.isDisplaced(p):
-			if spare == nil || r.busier(spare, candidate) {
-				spare = candidate
-			}
-		case candidate.limit.BacksOffLoads(r.now), candidate.loadsWaiting >= maxWaitingForLoads,
-			p.inFlight >= req.function.concurrency:
+		case p.isDisplaced(now, place):
+			spare = p.lessBusy(now, rng, spare, candidate)
+		case !acceptsLoad(now, req.function, place):
 			continue
 		case first == nil:
 			first = candidate
-		case r.busier(first, candidate):
+		case p.busier(now, rng, first, candidate):
 			return candidate
 		default:
 			return first
@@ -118,81 +184,96 @@
 	return cmp.Or(first, spare)
 }
 
+// acceptsLoad reports whether a worker may be given one more request that waits for a load there.
+func acceptsLoad(now time.Duration, fn *function, place *placement) bool {
+	return !place.worker.limit.BacksOffLoads(now) && place.worker.loadsWaiting < maxWaitingForLoads &&
+		place.inFlight < fn.concurrency
+}
+
+// lessBusy returns the less busy of two workers; the first may be nil.
+func (p *picker) lessBusy(now time.Duration, rng *rand.Rand, best, next *worker) *worker {
+	if best == nil || p.busier(now, rng, best, next) {
+		return next
+	}
+	return best
+}
+
 // busier reports whether a is busier than b; a tie is broken at random.
-func (r *Router) busier(a, b *worker) bool {
-	loadA, loadB := r.relativeLoad(a), r.relativeLoad(b)
-	return loadA > loadB || loadA == loadB && r.rng.IntN(2) == 0
+func (p *picker) busier(now time.Duration, rng *rand.Rand, a, b *worker) bool {
+	loadA, loadB := p.relativeLoad(now, a), p.relativeLoad(now, b)
+	return loadA > loadB || loadA == loadB && rng.IntN(coinSides) == 0
 }
 
 // relativeLoad is how busy a worker is for its weight.
-func (r *Router) relativeLoad(w *worker) float64 {
-	pressure := max(math.Round(pressureSteps*r.pressure.Of(&w.pressure, r.now)), 1)
+func (p *picker) relativeLoad(now time.Duration, w *worker) float64 {
+	steps := max(math.Round(pressureSteps*p.pressure.Of(&w.pressure, now)), 1)
 	requests := 1 + float64(len(w.inFlight)) + w.pressure.PeerInFlight()
 	// Where many share a worker, meeting one more costs it and shows in none of its reports.
-	if !w.health.AnsweredWithin(r.now, r.settings.InstanceKeepAlive) {
-		requests += unansweredPenalty * r.pressure.PeerInfluence()
+	if !w.health.AnsweredWithin(now, p.keepAlive) {
+		requests += unansweredPenalty * p.pressure.PeerInfluence()
 	}
-	return requests * pressure / (w.Weight * r.slowStart.Factor(r.now, w.Started))
+	return requests * steps / (w.Weight * p.slowStart.Factor(now, w.Started))
 }
 
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
-func (r *Router) hasCapacity(req *request, w *worker) bool {
-	return w.limit.HasCapacity(r.now, len(w.inFlight)-w.loadsWaiting) && r.accepts(req, w)
+func (p *picker) hasCapacity(now time.Duration, rng *rand.Rand, req *request, w *worker) bool {
+	return w.limit.HasCapacity(now, w.requestsInSlots()) && p.accepts(now, rng, req, w)
 }
 
 // accepts reports whether a worker may be sent this request.
-func (r *Router) accepts(req *request, w *worker) bool {
-	return r.eligible(w) && r.mayAttempt(req, w) && !req.lastFailedAt(w) && !r.avoids(req, w) &&
-		req.function.pool.Has(w.ID)
+func (p *picker) accepts(now time.Duration, rng *rand.Rand, req *request, w *worker) bool {
+	return w.eligible(now) && p.mayAttempt(now, rng, req, w) && !req.lastFailedAt(w) &&
+		!p.avoids(now, req, w) && req.function.pool.Has(w.ID)
 }
 
-// avoids reports whether a worker is not to have this request: it seems unhealthy, and nothing could be
-// retried. Other requests still go there, show when it has recovered, and are retried elsewhere.
-func (r *Router) avoids(req *request, w *worker) bool {
-	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 &&
-		r.outliers.IsUnhealthy(&w.health, r.now)
+// mayAttempt reports whether the rules on attempts and the slow-start budget allow to send this request to
+// this worker now.
+func (p *picker) mayAttempt(now time.Duration, rng *rand.Rand, req *request, w *worker) bool {
+	return p.retries.mayAttempt(now, req, w) && p.withinSlowStartBudget(now, rng, w)
 }
 
-// lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
-// elsewhere.
-func (q *request) lastFailedAt(w *worker) bool {
-	n := len(q.attempts)
-	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
+// withinSlowStartBudget reports whether a worker that is warming up may be sent one more request, where the
+// deployment says what overloads it.
+func (p *picker) withinSlowStartBudget(now time.Duration, rng *rand.Rand, warming *worker) bool {
+	if !p.slowStart.Limits(now, warming.Started) {
+		return true
+	}
+	if p.slowStart.NeedsQuota(&warming.slowStart, now) {
+		demand := slowstart.Demand{
+			Requests: p.placements.totalRequests(now),
+			Seconds:  p.placements.window.Seconds(),
+		}
+		p.slowStart.DrawQuota(&warming.slowStart, now, warming.slowStartCapacity(), demand, rng)
+	}
+	return p.slowStart.HasQuota(&warming.slowStart, now)
+}
+
+// avoids reports whether a worker is not to have this request: it seems unhealthy, and nothing could be
+// retried. Other requests still go there, show when it has recovered, and are retried elsewhere.
+func (p *picker) avoids(now time.Duration, req *request, w *worker) bool {
+	return req.class.Idempotency == NonIdempotent && p.fleet.healthy > 0 &&
+		p.outliers.IsUnhealthy(&w.health, now)
 }
 
 // preferredWorkers are the workers that a function is spread over: the first of its rendezvous order, as
 // many as its part of the requests warrants, so that all schedulers choose much the same. Where one is under
 // pressure, the next in the order takes its place: it looks so to all schedulers.
-func (r *Router) preferredWorkers(fn *function) []*worker {
-	order := r.rendezvousOrder(fn)
+func (p *picker) preferredWorkers(now time.Duration, fn *function) []*worker {
+	order := p.endpoints.rendezvousOrder(fn)
 	// Few requests prove little: what chance alone could have brought is left out.
-	requests := fn.demand.At(r.now, r.demandWindow)
-	fraction := max(0, requests-math.Sqrt(requests)) / max(r.demand.At(r.now, r.demandWindow), 1)
+	requests := p.placements.requestsFor(now, fn)
+	fraction := max(0, requests-math.Sqrt(requests)) / max(p.placements.totalRequests(now), 1)
 	wanted := max(1, int(math.Ceil(fraction*spreadFactor*float64(len(order)))))
 	var preferred []*worker
 	for _, w := range order[:min(len(order), wanted+maxCandidates)] {
-		if len(preferred) < wanted && !r.isDisplaced(fn.placementAt(w)) {
+		if len(preferred) < wanted && !p.isDisplaced(now, fn.placementAt(w)) {
 			preferred = append(preferred, w)
 		}
 	}
 	return preferred
 }
 
-// rendezvousOrder is the order of the workers for a function, the same at every scheduler (rendezvous
-// hashing). A worker comes first for as many functions as its weight warrants.
-func (r *Router) rendezvousOrder(fn *function) []*worker {
-	if fn.orderVersion != r.membershipVersion {
-		ready := slices.DeleteFunc(slices.Clone(r.workerList), func(w *worker) bool {
-			return w.State != Ready || !fn.pool.Has(w.ID)
-		})
-		identity := func(w *worker) (string, float64) { return w.ID, w.Weight }
-		fn.workerOrder = rendezvous.Order(fn.name, ready, identity)
-		fn.orderVersion = r.membershipVersion
-	}
-	return fn.workerOrder
-}
-
 // isDisplaced reports whether a function leaves a worker for the next in its order.
-func (r *Router) isDisplaced(p *placement) bool {
-	return r.pressure.Displaces(&p.worker.pressure, r.now, p.stickiness)
+func (p *picker) isDisplaced(now time.Duration, place *placement) bool {
+	return p.pressure.Displaces(&place.worker.pressure, now, place.stickiness)
 }
--- a/routing/pressure/pressure.go
+++ b/routing/pressure/pressure.go
@@ -131,12 +131,12 @@
 	if sample.Reported && sample.Utilization >= 0 {
 		busy = sample.Utilization
 	}
-	switch {
-	case sample.Result == Lost:
+	switch sample.Result {
+	case Lost:
 		return 1 + objectives, true
-	case sample.Result == ShedWarm:
+	case ShedWarm:
 		return shedding, true
-	case sample.Result == AnsweredWarm:
+	case AnsweredWarm:
 		return busy + objectives, true
 	default:
 		return busy + idleLatency, sample.Reported
--- a/routing/request.go
+++ b/routing/request.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
+const workRoundingError = 1e-9
+
 // request is an open request of a client, or an answered one that still has attempts in flight.
 type request struct {
 	Request
@@ -35,83 +38,75 @@
 	superseded  bool // another attempt was started in its place, or it was canceled for one
 }
 
+// requestTable holds the requests that are open, and the work of their attempts.
+type requestTable struct {
+	open         map[string]*request // by id, until every attempt has ended
+	inFlightWork float64             // summed service times of attempts at warm instances, in seconds
+}
+
+func newRequestTable() *requestTable { return &requestTable{open: map[string]*request{}} }
+
 // newRequest returns the record of a request that has just arrived.
-func (r *Router) newRequest(arrival Request) *request {
-	class := &r.settings.Classes[arrival.Class]
+func newRequest(now time.Duration, arrival Request, class *Class, called *function) *request {
 	return &request{
 		Request:   arrival,
 		class:     class,
-		function:  r.functionFor(arrival),
-		arrivedAt: r.now,
-		expiresAt: r.now + arrival.TimeLeft,
-		dueAt:     r.now + min(arrival.TimeLeft, class.Deadline),
+		function:  called,
+		arrivedAt: now,
+		expiresAt: now + arrival.TimeLeft,
+		dueAt:     now + min(arrival.TimeLeft, class.Deadline),
 	}
 }
 
-// newAttempt returns the record of an attempt that is about to start.
-func (r *Router) newAttempt(req *request, target *worker, warm bool) *attempt {
-	return &attempt{
-		request:     req,
-		number:      len(req.attempts),
-		worker:      target,
-		placement:   req.function.placementAt(target),
-		sentAt:      r.now,
-		work:        r.latency.ServiceTime(&req.function.latency, r.now),
-		mayNeedLoad: !warm,
+// markStreaming notes that the answer of a request has begun to stream.
+func (t *requestTable) markStreaming(id string) {
+	if req := t.open[id]; req != nil {
+		req.streaming = true
+	}
+}
+
+// attemptInFlight returns an attempt that has not ended, or nil.
+func (t *requestTable) attemptInFlight(id string, number int) *attempt {
+	req := t.open[id]
+	if req == nil || number < 0 || number >= len(req.attempts) || req.attempts[number].ended {
+		return nil
 	}
+	return req.attempts[number]
 }
 
 // recordStart enters a new attempt with its request, placement and worker.
-func (r *Router) recordStart(started *attempt) {
+func (t *requestTable) recordStart(started *attempt) {
 	started.request.attempts = append(started.request.attempts, started)
 	started.request.inFlight++
-	started.placement.inFlight++
-	started.worker.inFlight = append(started.worker.inFlight, started)
-	r.slowStart.RecordSend(&started.worker.slowStart, r.now, started.worker.Started)
+	started.placement.beginAttempt(started.mayNeedLoad)
+	started.worker.beginAttempt(started)
 	if !started.mayNeedLoad {
-		r.inFlightWork += started.work
-		return
-	}
-	started.worker.loadsWaiting++
-	place := started.placement
-	if place.incarnation != started.worker.incarnation || !place.loading {
-		place.incarnation = started.worker.incarnation
-		place.warm = false
-		place.instances = 1
-		place.loading = true
+		t.inFlightWork += started.work
 	}
 }
 
 // recordEnd removes an ended attempt from the counts of its request, placement and worker.
-func (r *Router) recordEnd(ended *attempt) {
+func (t *requestTable) recordEnd(ended *attempt, outcome Outcome) {
 	ended.ended = true
+	ended.neverRan = provesNotRun(outcome)
 	ended.request.inFlight--
-	ended.placement.inFlight--
-	ended.worker.inFlight = slices.DeleteFunc(ended.worker.inFlight, func(b *attempt) bool { return b == ended })
+	ended.request.reachedWorker = ended.request.reachedWorker || reachesWorker(outcome)
+	ended.placement.endAttempt(ended.mayNeedLoad)
+	ended.worker.endAttempt(ended)
 	if ended.mayNeedLoad {
-		ended.worker.loadsWaiting--
-		if ended.placement.inFlight == 0 {
-			ended.placement.loading = false
-		}
 		return
 	}
-	r.inFlightWork -= ended.work
-	if r.inFlightWork < workRoundingError {
-		r.inFlightWork = 0
+	t.inFlightWork -= ended.work
+	if t.inFlightWork < workRoundingError {
+		t.inFlightWork = 0
 	}
 }
 
-// complete marks a request as answered; it is forgotten when its last attempt has ended. What is still in
-// flight is canceled: nobody waits for it, and where workers heed that, it makes room for others.
-func (r *Router) complete(q *request) {
-	for _, a := range q.attempts {
-		if !q.answered && !a.ended && r.settings.CancelAllowed {
-			r.emit(Cancel{q.ID, a.number})
-		}
-	}
-	q.answered = true
-	if q.inFlight == 0 {
-		delete(r.requests, q.ID)
+// recordAnswered marks a request as answered; it is forgotten when its last attempt has ended.
+func (t *requestTable) recordAnswered(req *request) {
+	req.answered = true
+	if req.inFlight == 0 {
+		delete(t.open, req.ID)
 	}
 }
 
@@ -123,3 +118,18 @@
 	}
 	return q.attempts[i]
 }
+
+// lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
+// elsewhere.
+func (q *request) lastFailedAt(w *worker) bool {
+	n := len(q.attempts)
+	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
+}
+
+// provesNotRun reports whether an attempt with this outcome is known never to have run.
+func provesNotRun(outcome Outcome) bool {
+	return outcome == Shed || outcome == ConnectFailed || outcome == NotSent || outcome == NotLoaded
+}
+
+// reachesWorker reports whether an attempt with this outcome came as far as a worker.
+func reachesWorker(outcome Outcome) bool { return outcome != ConnectFailed && outcome != NotSent }
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,13 +1,91 @@
 package routing
 
-import "time"
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
+)
+
+const (
+	tickInterval = 10 * time.Millisecond // between two sweeps over queued and overdue requests
+	tickToken    = 1                     // token of the sweep's timer
+)
+
+// Router decides for one scheduler. It keeps the time, the random source and the order in which its
+// components see an event; each component owns its state. It is not safe for concurrent use.
+type Router struct {
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration // the latest time that Step was given
+	started  bool          // Step was called
+	out      *outbox
+
+	requests   *requestTable
+	queue      *requestQueue
+	endpoints  *endpointTable
+	placements *placementTable
+	fleet      *eligibleFleet
+
+	pressure  *pressure.Estimator
+	latency   *latency.Estimator
+	outliers  *outlier.Detector
+	slowStart *slowstart.Budget
+
+	picker    *picker
+	admission *admissionController
+	retries   *retryPolicy
+	hedges    *hedgeCredit
+	loads     *loadBudget
+	feedback  *feedback
+}
+
+// outbox collects the actions of a Step in their order.
+type outbox struct{ actions []Action }
+
+func (o *outbox) emit(a Action) { o.actions = append(o.actions, a) }
+
+// New returns a Router for these settings. All its randomness comes from the seed. It returns an error if
+// the settings make no sense.
+func New(settings Settings, seed uint64) (*Router, error) {
+	shortest, err := settings.validate()
+	if err != nil {
+		return nil, err
+	}
+	router := &Router{
+		settings:   settings,
+		rng:        rand.New(rand.NewPCG(seed, 0)),
+		out:        &outbox{},
+		requests:   newRequestTable(),
+		queue:      &requestQueue{},
+		endpoints:  newEndpointTable(&settings),
+		placements: newPlacementTable(&settings),
+		fleet:      &eligibleFleet{},
+		pressure:   pressure.NewEstimator(settings.Schedulers, shortest, settings.InstanceKeepAlive),
+		latency:    latency.NewEstimator(settings.InstanceKeepAlive),
+		outliers:   outlier.NewDetector(settings.InstanceKeepAlive, settings.FaultReporting),
+		slowStart:  slowstart.NewBudget(settings.slowStartConfig(shortest)),
+		retries:    newRetryPolicy(&settings),
+		hedges:     &hedgeCredit{},
+		loads:      newLoadBudget(&settings),
+	}
+	router.picker = newPicker(router)
+	router.admission = newAdmissionController(router, shortest)
+	router.feedback = newFeedback(router)
+	return router, nil
+}
 
 // Step reports to the Router everything that happened at one moment, in order, and returns what is to be
 // done. Time never runs backwards: an earlier now counts as the latest one. Events with ids that the Router
 // does not hold are ignored.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	r.now = max(now, r.now)
-	r.actions = nil
+	r.out.actions = nil
 	r.start(now)
 	r.refreshCapacity()
 	tick := false
@@ -20,21 +98,89 @@
 	}
 	// After a stall, all that arrived meanwhile is one batch: answers are read before a worker is judged.
 	if tick {
-		r.emit(SetTimer{tickInterval, tickToken})
+		r.out.emit(SetTimer{tickInterval, tickToken})
 		r.sweep()
 	}
 	r.drainQueue()
-	return r.actions
+	return r.out.actions
+}
+
+// start sets the timer of the sweep and subscribes to the endpoint list, in the first Step alone.
+func (r *Router) start(now time.Duration) {
+	if r.started {
+		return
+	}
+	r.started = true
+	r.slowStart.Begin(now)
+	r.out.emit(SetTimer{tickInterval, tickToken})
+	if r.settings.SubscriptionRequired {
+		r.out.emit(Subscribe{true})
+	}
+}
+
+// handle applies one event of a Step at this time.
+func (r *Router) handle(now time.Duration, event Event) {
+	switch event := event.(type) {
+	case WorkerList:
+		r.endpoints.apply(r.now, event)
+	case Request:
+		r.admit(event)
+	case StreamStarted:
+		r.requests.markStreaming(event.ID)
+	case AttemptEnded:
+		r.attemptEnded(event)
+	case ClientCanceled:
+		r.clientCanceled(event.ID)
+	case LoadEnded:
+		r.placements.loadEnded(r.now, r.endpoints.byID[event.Worker], event)
+	case PeerReports:
+		r.applyPeerReports(event)
+	case EndpointsStale:
+		r.endpoints.markStale(now + event.Duration)
+	case StateRestored:
+		r.restoreState(event.State)
+	case PoolsChanged:
+		r.endpoints.version++
+	case Shutdown:
+		r.shutdown()
+	}
+}
+
+// clientCanceled gives up a request whose client has left.
+func (r *Router) clientCanceled(id string) {
+	if req := r.requests.open[id]; req != nil {
+		r.complete(req)
+	}
+}
+
+// shutdown gives every open request its final answer.
+func (r *Router) shutdown() {
+	for _, id := range slices.Sorted(maps.Keys(r.requests.open)) {
+		r.rejectOrFail(r.requests.open[id])
+	}
 }
 
 // sweep is the periodic look at overdue attempts, throughput and records to forget.
 func (r *Router) sweep() {
-	if r.resubscribeAt > 0 && r.now >= r.resubscribeAt {
-		r.resubscribeAt = 0
-		r.emit(Subscribe{true})
+	if r.endpoints.resubscriptionDue(r.now) {
+		r.out.emit(Subscribe{true})
 	}
-	r.sweepWorkers()
+	r.slowStart.BeginSurvey()
+	for _, w := range r.endpoints.list {
+		r.checkOverdue(w)
+		if w.State == Ready {
+			r.slowStart.Survey(r.now, w.slowStartCapacity(), w.health.Ejected())
+		}
+	}
+	r.slowStart.EndSurvey()
 	if r.slowStart.Measure(r.now) {
-		r.evictIdle()
+		r.endpoints.evictGone(r.now)
+		r.placements.evictIdle(r.now, r.endpoints, r.queue)
 	}
 }
+
+// refreshCapacity looks anew at which workers are eligible, and how much of their capacity is in use.
+func (r *Router) refreshCapacity() { r.fleet.refresh(r.now, r.endpoints.list, r.outliers) }
+
+// durationOf converts seconds.
+func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"calicohill/internal/stats/ratelimit"
+	"calicohill/routing/slowstart"
 )
 
 // Settings tells a Router what the deployment allows, promises and charges. A Router keeps no other configuration.
@@ -64,12 +65,9 @@
 	if len(s.Classes) == 0 || s.Schedulers < 1 || s.MaxAttempts < 1 {
 		return 0, errors.New("calicohill: at least 1 class, 1 scheduler and 1 attempt are needed")
 	}
-	shortest = s.Classes[0].LatencyObjective
-	for i, c := range s.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
-			return 0, fmt.Errorf("calicohill: class %d: aim and deadline must be above 0", i)
-		}
-		shortest = min(shortest, c.LatencyObjective)
+	shortest, err = s.shortestObjective()
+	if err != nil {
+		return 0, err
 	}
 	if s.SlowStartFraction < 0 || s.LoadBudgetPerRequest < 0 || s.LoadBudgetBase < 0 || s.OverloadMultiple < 0 {
 		return 0, errors.New("calicohill: settings below 0")
@@ -83,6 +81,18 @@
 	return shortest, nil
 }
 
+// shortestObjective returns the shortest latency objective of all classes, or an error if a class makes no sense.
+func (s *Settings) shortestObjective() (time.Duration, error) {
+	shortest := s.Classes[0].LatencyObjective
+	for i, class := range s.Classes {
+		if class.LatencyObjective <= 0 || class.Deadline <= 0 {
+			return 0, fmt.Errorf("calicohill: class %d: aim and deadline must be above 0", i)
+		}
+		shortest = min(shortest, class.LatencyObjective)
+	}
+	return shortest, nil
+}
+
 // tenantQuotas are those of the tenants in what one scheduler takes in. A fraction of a request is saved up.
 func (s *Settings) tenantQuotas() *ratelimit.Quotas {
 	var rates []float64
@@ -92,6 +102,18 @@
 	return ratelimit.NewQuotas(rates)
 }
 
+// slowStartConfig is what the deployment says of workers that are warming up. Before any was answered, a worker is taken to
+// bear one request of all schedulers at a time, answered within the shortest latency objective.
+func (s *Settings) slowStartConfig(shortestObjective time.Duration) slowstart.Config {
+	return slowstart.Config{
+		Fraction:         s.SlowStartFraction,
+		Duration:         s.SlowStartDuration,
+		OverloadMultiple: s.OverloadMultiple,
+		OverloadDuration: s.OverloadDuration,
+		InitialRate:      1 / shortestObjective.Seconds() / float64(s.Schedulers),
+	}
+}
+
 // Fees are points of the service figure, each to be multiplied by its rate.
 type Fees struct {
 	WastedWork  float64 // work that answered nothing, per work offered
