--- a/routing/policy_files_test.go
+++ b/routing/policy_files_test.go
@@ -1,4 +1,4 @@
-package routing
+package routing_test
 
 import (
 	"bytes"
