--- a/routing/admission_internal_test.go
+++ b/routing/admission_internal_test.go
@@ -101,20 +101,18 @@
 
 // A tenant whose quota at this scheduler is less than one request a second is still admitted at that rate.
 func TestSmallQuotaAdmits(t *testing.T) {
-	harness := newHarness(t, settings(func(s *Settings) {
+	deployed := settings(func(s *Settings) {
 		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
-	}), readyWorkers(1)...)
-	harness.now += time.Minute
-	harness.step(0)
-	if harness.router.admission.quotas.Exceeded(harness.router.now, 0) {
+	})
+	quotas := deployed.tenantQuotas()
+	now := time.Hour + time.Minute
+	if quotas.Exceeded(now, 0) {
 		t.Error("the first request in a minute is over the tenant's quota")
 	}
-	if !harness.router.admission.quotas.Exceeded(harness.router.now, 0) {
+	if !quotas.Exceeded(now, 0) {
 		t.Error("a second request right after it is within a quota of 0.2 a second")
 	}
-	harness.now += 6 * time.Second
-	harness.step(0)
-	if harness.router.admission.quotas.Exceeded(harness.router.now, 0) {
+	if quotas.Exceeded(now+6*time.Second, 0) {
 		t.Error("over its quota after 6 s at 0.2 a second")
 	}
 }
--- /dev/null
+++ b/routing/components_internal_test.go
@@ -0,0 +1,125 @@
+package routing
+
+import (
+	"testing"
+	"time"
+
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+)
+
+// The faults and verdicts of the detector are converted by their values.
+func TestFaultsMatchDetector(t *testing.T) {
+	for fault, want := range map[outlier.Fault]Fault{
+		outlier.Healthy:      Healthy,
+		outlier.Unresponsive: Unresponsive,
+		outlier.Slow:         Slow,
+		outlier.Failing:      Failing,
+		outlier.Unreachable:  Unreachable,
+	} {
+		if Fault(fault) != want {
+			t.Errorf("%d of the detector is %v, want %v", fault, Fault(fault), want)
+		}
+	}
+	for verdict, want := range map[PeerVerdict]outlier.Verdict{
+		NotReported: outlier.NotReported,
+		Reported:    outlier.Reported,
+		Confirmed:   outlier.Confirmed,
+	} {
+		if outlier.Verdict(verdict) != want {
+			t.Errorf("%v is %d of the detector, want %d", verdict, outlier.Verdict(verdict), want)
+		}
+	}
+}
+
+// What is due by a deadline is the head of the queue; requests due at the same time keep their order.
+func TestQueueDueBy(t *testing.T) {
+	queue := &requestQueue{}
+	for i, dueAt := range []time.Duration{3, 1, 2, 1} {
+		queue.enqueue(&request{Request: Request{ID: string(rune('a' + i))}, dueAt: dueAt})
+	}
+	for deadline, want := range []string{"", "bd", "bdc", "bdca"} {
+		got := ""
+		for _, req := range queue.dueBy(time.Duration(deadline)) {
+			got += req.ID
+		}
+		if got != want {
+			t.Errorf("due by %d: %q, want %q", deadline, got, want)
+		}
+	}
+}
+
+// A lost answer earns hedges up to 8, and each hedge spends one.
+func TestHedgeCredit(t *testing.T) {
+	var credit hedgeCredit
+	if !credit.exhausted() {
+		t.Error("hedges are allowed before an answer was lost")
+	}
+	for range 3 {
+		credit.earn(hedgeCreditPerTimeout)
+	}
+	spent := 0
+	for ; !credit.exhausted(); spent++ {
+		credit.spend()
+	}
+	if spent != 8 {
+		t.Errorf("%d hedges after three time-outs, want 8", spent)
+	}
+}
+
+// A repeat by key has to start while workers remember the key, less a tick; others may start at any time.
+func TestRetryStartsWithinDeduplicationWindow(t *testing.T) {
+	deployed := settings(dedupInZone)
+	policy := newRetryPolicy(&deployed)
+	req := &request{class: &deployed.Classes[0]}
+	if got := policy.startWithin(time.Hour, req); got != 0 {
+		t.Errorf("the first attempt has to start within %v", got)
+	}
+	req.attempts = []*attempt{{sentAt: time.Hour, neverRan: true}, {sentAt: time.Hour + time.Second}}
+	if got, want := policy.startWithin(time.Hour+2*time.Second, req), 998*millisecond; got != want {
+		t.Errorf("a repeat has to start within %v, want %v", got, want)
+	}
+	req.class.Idempotency = Idempotent
+	if got := policy.startWithin(time.Hour+2*time.Second, req); got != 0 {
+		t.Errorf("a repeat without a key has to start within %v", got)
+	}
+}
+
+// A failed list call has the subscription renewed a second later, once.
+func TestResubscribesAfterFailedList(t *testing.T) {
+	deployed := settings()
+	endpoints := newEndpointTable(&deployed)
+	endpoints.apply(time.Hour, WorkerList{Kind: ListFailed})
+	for _, tt := range []struct {
+		after time.Duration
+		want  bool
+	}{{time.Second - 1, false}, {time.Second, true}, {time.Minute, false}} {
+		if got := endpoints.resubscriptionDue(time.Hour + tt.after); got != tt.want {
+			t.Errorf("%v after a failed call: due %v, want %v", tt.after, got, tt.want)
+		}
+	}
+}
+
+// An attempt says of its worker's pressure what its outcome shows of a queue: nothing if it may have waited for a load.
+func TestPressureResult(t *testing.T) {
+	warm, cold, superseded := &attempt{}, &attempt{mayNeedLoad: true}, &attempt{superseded: true}
+	for _, tt := range []struct {
+		ended   *attempt
+		outcome Outcome
+		want    pressure.Result
+	}{
+		{warm, Served, pressure.AnsweredWarm},
+		{cold, Served, pressure.Inconclusive},
+		{warm, Shed, pressure.ShedWarm},
+		{cold, Shed, pressure.Inconclusive},
+		{warm, TimedOut, pressure.Lost},
+		{cold, TimedOut, pressure.Lost},
+		{superseded, Canceled, pressure.Lost},
+		{warm, Canceled, pressure.Inconclusive},
+		{warm, Errored, pressure.Inconclusive},
+	} {
+		if got := pressureResult(tt.ended, tt.outcome); got != tt.want {
+			t.Errorf("outcome %d, may need a load %v: %d, want %d", tt.outcome, tt.ended.mayNeedLoad, got, tt.want)
+		}
+	}
+}
--- a/routing/picker_internal_test.go
+++ b/routing/picker_internal_test.go
@@ -77,55 +77,6 @@
 	}
 }
 
-// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and
-// those that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler
-// alone.
-func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
-	// displacedFunctions returns those of 100 functions that leave w0, where answers take this long and it reports this
-	// utilization, while three other workers are at ease.
-	displacedFunctions := func(change func(*Settings), utilization float64, latency time.Duration) map[string]bool {
-		harness := newHarness(t, settings(change), readyWorkers(6)...)
-		workers := harness.router.endpoints.byID
-		pressed := workers["w0"]
-		for range 8 {
-			for _, sampled := range []*worker{pressed, workers["w1"], workers["w2"], workers["w3"]} {
-				end := AttemptEnded{
-					Outcome: Served,
-					Latency: 50 * millisecond,
-					Report:  &LoadReport{InFlight: -1, Utilization: 0.5},
-				}
-				if sampled == pressed {
-					end.Latency, end.Report.Utilization = latency, utilization
-				}
-				harness.router.feedback.observeLoad(harness.router.now, &attempt{worker: sampled}, end)
-			}
-		}
-		displaced := map[string]bool{}
-		for i := range 100 {
-			fn := &function{name: fmt.Sprint("f", i)}
-			if harness.router.picker.isDisplaced(harness.router.now, fn.placementAt(pressed)) {
-				displaced[fn.name] = true
-			}
-		}
-		return displaced
-	}
-	calm := displacedFunctions(manySchedulers, 0.4, 50*millisecond)
-	busy := displacedFunctions(manySchedulers, 1, 50*millisecond)
-	late := displacedFunctions(manySchedulers, 1, 900*millisecond)
-	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
-		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want 0, 5 to 60 and at least 90",
-			len(calm), len(busy), len(late))
-	}
-	for name := range busy {
-		if !late[name] {
-			t.Errorf("%s leaves a busy worker and stays at a busy one that answers late", name)
-		}
-	}
-	if own := displacedFunctions(unchangedSettings, 1, 900*millisecond); len(own) != 0 {
-		t.Errorf("%d functions leave a worker that only this scheduler puts under pressure", len(own))
-	}
-}
-
 // Requests of a pool stay in it, and go to its fallback where it has no capacity. A change of the pool holds at once.
 func TestFallbackPool(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(6)...)
--- a/routing/policy_files_test.go
+++ b/routing/policy_files_test.go
@@ -127,6 +127,10 @@
 		if action := lastName(node.Type); slices.Contains(decidingActions, action) {
 			return "makes a " + action
 		}
+	case *ast.ImportSpec:
+		if strings.Contains(node.Path.Value, "math/rand") {
+			return "imports a random source"
+		}
 	case *ast.SelectorExpr:
 		if node.Sel.Name == "rng" || lastName(node.X) == "rng" {
 			return "draws a random number"
--- /dev/null
+++ b/routing/pressure/pressure_test.go
@@ -0,0 +1,114 @@
+package pressure_test
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"calicohill/internal/stats/rendezvous"
+	"calicohill/routing/pressure"
+)
+
+const (
+	testObjective = time.Second
+	testFading    = 8 * time.Second
+)
+
+// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and
+// those that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler
+// alone.
+func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
+	const now = time.Hour
+	// displacedFunctions returns those of 100 functions that leave w0, where answers take this long and it reports this
+	// utilization, while three other workers are at ease.
+	displacedFunctions := func(schedulers int, utilization float64, latency time.Duration) map[string]bool {
+		estimator := pressure.NewEstimator(schedulers, testObjective, testFading)
+		workers := make([]pressure.Worker, 4)
+		for range 8 {
+			for i := range workers {
+				sample := pressure.Sample{
+					Result:      pressure.AnsweredWarm,
+					Latency:     50 * time.Millisecond,
+					Reported:    true,
+					Utilization: 0.5,
+				}
+				if i == 0 {
+					sample.Latency, sample.Utilization = latency, utilization
+				}
+				estimator.Observe(&workers[i], now, sample)
+			}
+		}
+		displaced := map[string]bool{}
+		for i := range 100 {
+			name := fmt.Sprint("f", i)
+			if estimator.Displaces(&workers[0], now, rendezvous.Uniform("w0", name)) {
+				displaced[name] = true
+			}
+		}
+		return displaced
+	}
+	calm := displacedFunctions(80, 0.4, 50*time.Millisecond)
+	busy := displacedFunctions(80, 1, 50*time.Millisecond)
+	late := displacedFunctions(80, 1, 900*time.Millisecond)
+	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
+		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want 0, 5 to 60 and at least 90",
+			len(calm), len(busy), len(late))
+	}
+	for name := range busy {
+		if !late[name] {
+			t.Errorf("%s leaves a busy worker and stays at a busy one that answers late", name)
+		}
+	}
+	if own := displacedFunctions(1, 1, 900*time.Millisecond); len(own) != 0 {
+		t.Errorf("%d functions leave a worker that only this scheduler puts under pressure", len(own))
+	}
+}
+
+// The first sample of a worker counts half in its excess over the mean, which it moves by a twentieth.
+func TestObserveByResult(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		sample pressure.Sample
+		want   float64 // pressure that the sample shows
+	}{
+		{"lost", pressure.Sample{Result: pressure.Lost, Latency: 3 * time.Second}, 4},
+		{"shed", pressure.Sample{Result: pressure.ShedWarm, Latency: time.Millisecond}, 2},
+		{"answered, no report", pressure.Sample{Result: pressure.AnsweredWarm, Latency: time.Second / 4}, 0.5},
+		{"answered, utilization unknown", pressure.Sample{
+			Result: pressure.AnsweredWarm, Latency: time.Second / 4, Reported: true, Utilization: -1,
+		}, 0.5},
+		{"answered, report", pressure.Sample{
+			Result: pressure.AnsweredWarm, Latency: time.Second / 4, Reported: true, Utilization: 0.75,
+		}, 1},
+		{"inconclusive, report", pressure.Sample{Reported: true, Utilization: 0.3}, 0.5},
+		{"inconclusive, no report", pressure.Sample{Latency: time.Second}, 0},
+	} {
+		estimator := pressure.NewEstimator(1, testObjective, testFading)
+		var worker pressure.Worker
+		estimator.Observe(&worker, time.Hour, tt.sample)
+		excess, mean := estimator.Excess(&worker, time.Hour), estimator.Mean()
+		if math.Abs(excess-tt.want/2) > 1e-12 || math.Abs(mean-tt.want/20) > 1e-12 {
+			t.Errorf("%s: excess %v and mean %v, want %v and %v", tt.name, excess, mean, tt.want/2, tt.want/20)
+		}
+	}
+}
+
+// Requests begin to be rejected at a pressure of 1.5, with a probability that ends at 0.8, and only for the work of peers.
+func TestRejectProbability(t *testing.T) {
+	for _, tt := range []struct {
+		schedulers int
+		excess     float64 // pressure, while the mean is 0
+		overload   float64
+		want       float64
+	}{{2, 1.5, 0, 0}, {2, 1.75, 0.5, 0.5 / 16}, {2, 3, 3, 0.8 / 16}, {1, 3, 3, 0}} {
+		estimator := pressure.NewEstimator(tt.schedulers, testObjective, testFading)
+		var worker pressure.Worker
+		worker.RestoreExcess(time.Hour, tt.excess)
+		overload := estimator.Overload(&worker, time.Hour)
+		if got := estimator.RejectProbability(overload); overload != tt.overload || math.Abs(got-tt.want) > 1e-12 {
+			t.Errorf("%d schedulers, pressure %v: overload %v, probability %v, want %v and %v",
+				tt.schedulers, tt.excess, overload, got, tt.overload, tt.want)
+		}
+	}
+}
