--- a/routing/doc.go
+++ b/routing/doc.go
@@ -6,23 +6,29 @@
 // answers each action with events (see Event and Action). All randomness comes from the seed given to New,
 // so that the same events give the same actions.
 //
-// Every decision is in the files that deploy/balancer.toml lists as policy:
-//
-//	router.go     the step and the periodic sweep
-//	tuning.go     every threshold, weight and period
-//	admission.go  admission control: which requests are rejected on arrival
-//	queue.go      the earliest-deadline-first queue and the Retry-After advice
+// Each mechanism is a component that owns its state; the Router keeps the time, the random source and the order
+// in which components see an event. Every file that decides is listed as policy in deploy/balancer.toml:
+//
+//	router.go     the step, the order of events and the periodic sweep
+//	endpoints.go  the endpoint table: workers, staleness, rendezvous order, and the fleet of eligible workers
+//	placement.go  the placement table: functions, and at which workers they are loaded
+//	admission.go  the admission controller: which requests are rejected on arrival, and the Retry-After advice
+//	queue.go      the earliest-deadline-first queue
 //	picker.go     choice of a worker: warm instances first, rendezvous order otherwise
-//	attempt.go    start of an attempt, order of a load
+//	attempt.go    start of an attempt, order of a load, the load budget
 //	retry.go      which further attempts a request's idempotency allows
-//	slowstart.go  the budget of a worker that is warming up
-//	feedback.go   what the outcome of an attempt teaches
-//	outlier.go    ejection of unhealthy workers, and their probation
-//	hedging.go    detection of overdue attempts, and retries or hedges for them
-//
-// The other files hold records and plumbing and decide nothing: what is known of workers, functions and
-// requests, the endpoint list, the learned state that survives a restart, the settings, and the messages in
-// and out.
+//	hedging.go    overdue attempts, and retries or hedges for them
+//	feedback.go   which component learns what from the outcome of an attempt
+//	pressure      under how much load a worker is
+//	concurrency   how many requests may be in flight at a worker (AIMD), backoff after sheds
+//	latency       how long functions run and load, how workers compare
+//	outlier       ejection of unhealthy workers, their probation, faults to report
+//	slowstart     the budget of a worker that is warming up, the throughput of warm ones
+//	demand        decaying counts of requests
+//
+// The last six are packages below this one, which import neither it nor each other. The other files decide
+// nothing: the records of requests and attempts (request.go), the learned state that survives a restart, the
+// settings, and the messages in and out.
 //
 // # Invariants
 //
