--- a/routing/admission.go
+++ b/routing/admission.go
@@ -119,7 +119,7 @@
 	}
 	called := r.placements.functionFor(r.now, arrival)
 	req := newRequest(r.now, arrival, &r.settings.Classes[arrival.Class], called)
-	r.requests.open[arrival.ID] = req
+	r.requests.add(req)
 	r.loads.recordArrival(r.now)
 	target, warm := r.picker.pick(r.now, r.rng, req)
 	if r.admission.admits(r.now, r.rng, req, candidate{target, warm}) {
@@ -127,7 +127,7 @@
 		return
 	}
 	if next, ok := req.forFallbackPool(); ok {
-		delete(r.requests.open, req.ID)
+		r.requests.remove(req)
 		r.admit(next)
 		return
 	}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -111,6 +111,9 @@
 	known.Worker = entry
 }
 
+// poolsChanged notes that some Pool has other workers than before.
+func (t *endpointTable) poolsChanged() { t.version++ }
+
 // markStale has nothing sent until a time.
 func (t *endpointTable) markStale(until time.Duration) { t.staleUntil = until }
 
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -61,8 +61,7 @@
 	stuck := req.isStuck(r.now)
 	if stuck {
 		if next, ok := req.forFallbackPool(); ok {
-			req.Request = next
-			req.function = r.placements.functionFor(r.now, next)
+			req.divert(next, r.placements.functionFor(r.now, next))
 			stuck = false
 		}
 	}
--- a/routing/request.go
+++ b/routing/request.go
@@ -58,6 +58,12 @@
 	}
 }
 
+// add enters a request that has just arrived.
+func (t *requestTable) add(req *request) { t.open[req.ID] = req }
+
+// remove forgets a request that goes on as another.
+func (t *requestTable) remove(req *request) { delete(t.open, req.ID) }
+
 // markStreaming notes that the answer of a request has begun to stream.
 func (t *requestTable) markStreaming(id string) {
 	if req := t.open[id]; req != nil {
@@ -110,6 +116,12 @@
 	}
 }
 
+// divert has a request go on in the fallback of its pool, where its function is another.
+func (q *request) divert(fallback Request, called *function) {
+	q.Request = fallback
+	q.function = called
+}
+
 // firstPossiblyExecuted returns the first attempt that is not known never to have run, or nil.
 func (q *request) firstPossiblyExecuted() *attempt {
 	i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.neverRan })
--- a/routing/router.go
+++ b/routing/router.go
@@ -140,7 +140,7 @@
 	case StateRestored:
 		r.restoreState(event.State)
 	case PoolsChanged:
-		r.endpoints.version++
+		r.endpoints.poolsChanged()
 	case Shutdown:
 		r.shutdown()
 	}
