--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -1,70 +1,43 @@
 package gossip
 
 import (
-	"maps"
+	"math/rand/v2"
 	"net/netip"
 	"slices"
-	"time"
 )
 
 const (
-	// reconnectInterval is how often a seed that is not a member, and a dead member, are pinged.
-	reconnectInterval = 5 * time.Second
-	// maxCandidates is how many candidates are held.
-	maxCandidates = 64
 	// maxRequested is how many records an Ack requests.
 	maxRequested = maxItems / 2
 	// maxSummaries is how many members besides this one a ping has summaries of.
 	maxSummaries = maxItems/2 - 1
+	// maxUnlisted is how many records an Ack holds of members that the ping has no summary of.
+	maxUnlisted = 3
 )
 
-// addCandidate notes where a member may be found whose record is not signed, unless it is a member already.
-func (c *Core) addCandidate(known *member, record Record) {
-	if known != nil && known.Epoch >= record.Epoch && known.State.InFleet() {
-		return
-	}
-	if !record.Gone && len(c.candidates) < maxCandidates {
-		c.candidates[record.Name] = record
-	}
+// antiEntropy repairs what gossip has missed, as memberlist's push/pull: a ping carries summaries of some members in
+// turn, and its Ack sends the records that are newer and requests those of unknown members. Seeds that are not members
+// are pinged so that the sides of a partition find each other again. A message summarizes at most maxSummaries members
+// and requests at most maxRequested.
+type antiEntropy struct {
+	addr   netip.AddrPort // this member's own
+	seeds  []netip.AddrPort
+	cursor int // of the last summary sent, in the members sorted by name
 }
 
-// pingCandidate pings one of the candidates. It is chosen at random, or a member that reports ones which do not exist
-// could make these always come first.
-func (c *Core) pingCandidate() {
-	if len(c.candidates) == 0 || !c.mayGossip() {
-		return
-	}
-	names := slices.Sorted(maps.Keys(c.candidates))
-	name := names[c.rng.IntN(len(names))]
-	candidate := c.candidates[name]
-	delete(c.candidates, name)
-	c.sendPing(name, candidate.Addr.AddrPort, c.summaries())
+func newAntiEntropy(addr netip.AddrPort, seeds []netip.AddrPort) *antiEntropy {
+	return &antiEntropy{addr: addr, seeds: seeds}
 }
 
-// reconnect pings a random seed that is not a member, and a random dead member, so that the sides of a partition find
-// each other again. Alone in the fleet, it is repeated sooner.
-func (c *Core) reconnect() {
-	if seeds := c.unreachedSeeds(); len(seeds) > 0 {
-		c.sendPing("", seeds[c.rng.IntN(len(seeds))], c.summaries())
-	}
-	for _, m := range c.randomMembers(1, func(m *member) bool { return m.State == Dead }) {
-		c.sendPing(m.Name, m.Addr.AddrPort, c.summaries(), m.currentClaim())
-	}
-	if len(c.members) == 0 {
-		c.nextReconnect = c.now + c.config.ProbeInterval
-	}
-}
+// setSeeds replaces the seeds.
+func (a *antiEntropy) setSeeds(seeds []netip.AddrPort) { a.seeds = seeds }
 
 // unreachedSeeds returns the seeds at whose address there is no member.
-func (c *Core) unreachedSeeds() []netip.AddrPort {
-	reached := map[netip.AddrPort]bool{c.config.Addr: true}
-	for _, m := range c.members {
-		if m.State.InFleet() {
-			reached[m.Addr.AddrPort] = true
-		}
-	}
+func (a *antiEntropy) unreachedSeeds(table *memberTable) []netip.AddrPort {
+	reached := table.reachedAddrs()
+	reached[a.addr] = true
 	var unreached []netip.AddrPort
-	for _, seed := range c.config.Seeds {
+	for _, seed := range a.seeds {
 		if !reached[seed] {
 			unreached = append(unreached, seed)
 		}
@@ -73,12 +46,12 @@
 }
 
 // summaries returns claims about this member and some others, in turn.
-func (c *Core) summaries() []Claim {
-	list := []Claim{{Name: c.config.Name, Epoch: c.self.Epoch, Incarnation: c.self.Incarnation}}
-	names := slices.Sorted(maps.Keys(c.members))
+func (a *antiEntropy) summaries(self *Record, table *memberTable) []Claim {
+	list := []Claim{{Name: self.Name, Epoch: self.Epoch, Incarnation: self.Incarnation}}
+	names := table.names()
 	for range min(len(names), maxSummaries) {
-		c.summaryCursor = (c.summaryCursor + 1) % len(names)
-		list = append(list, c.members[names[c.summaryCursor]].currentClaim())
+		a.cursor = (a.cursor + 1) % len(names)
+		list = append(list, table.get(names[a.cursor]).currentClaim())
 	}
 	return list
 }
@@ -96,35 +69,35 @@
 	}
 }
 
-// sendAck answers a ping. By the summaries in it the Ack sends the records that the sender lacks, and requests those
-// that this member lacks. The sender is nil if it is not a member.
-func (c *Core) sendAck(received Received, from *member) {
+// newAck returns the answer to a ping. By the summaries in it the Ack sends the records that the sender lacks, and
+// requests those that this member lacks. The sender is nil if it is not a member.
+func newAck(rng *rand.Rand, self *Record, table *memberTable, received Received, sender *member) *Message {
 	ping := received.Message
 	ack := &Message{Kind: Ack, Nonce: ping.Nonce}
 	packer := recordPacker{free: maxPayloadBytes - maxCertBytes}
-	if from == nil || len(ping.Cert) > 0 {
-		packer.records = append(packer.records, c.self)
+	if sender == nil || len(ping.Cert) > 0 {
+		packer.records = append(packer.records, *self)
 	}
-	if from == nil {
+	if sender == nil {
 		ack.Want = append(ack.Want, received.From)
 	}
-	if from != nil && from.State > Alive {
-		ack.Claims = append(ack.Claims, from.currentClaim()) // for it to refute
+	if sender != nil && sender.State > Alive {
+		ack.Claims = append(ack.Claims, sender.currentClaim()) // for it to refute
 	}
-	c.compareSummaries(ping.Summaries, ack, &packer)
-	if len(ping.Summaries) > 0 || from == nil {
-		c.packUnlisted(received, &packer)
+	compareSummaries(self.Name, table, ping.Summaries, ack, &packer)
+	if len(ping.Summaries) > 0 || sender == nil {
+		packUnlisted(rng, table, received, &packer)
 	}
 	ack.Records = packer.records
-	c.transmit(received.From, received.Addr, ack)
+	return ack
 }
 
 // compareSummaries adds records that are newer than the summaries of a ping, and requests those of unknown members.
-func (c *Core) compareSummaries(summaries []Claim, ack *Message, packer *recordPacker) {
+func compareSummaries(self string, table *memberTable, summaries []Claim, ack *Message, packer *recordPacker) {
 	for _, summary := range summaries {
-		m := c.members[summary.Name]
+		m := table.get(summary.Name)
 		switch {
-		case summary.Name == c.config.Name:
+		case summary.Name == self:
 		case m == nil:
 			// The record of a member that is gone would make it look alive.
 			if summary.State.InFleet() && len(ack.Want) < maxRequested {
@@ -139,11 +112,11 @@
 
 // packUnlisted adds the records of some members that a ping has no summary of: a sender that knows few members sends
 // few summaries.
-func (c *Core) packUnlisted(received Received, packer *recordPacker) {
+func packUnlisted(rng *rand.Rand, table *memberTable, received Received, packer *recordPacker) {
 	listed := func(name string) bool {
 		return slices.ContainsFunc(received.Message.Summaries, func(s Claim) bool { return s.Name == name })
 	}
-	unlisted := c.randomMembers(gossipFanout, func(m *member) bool {
+	unlisted := table.random(rng, maxUnlisted, func(m *member) bool {
 		return m.State == Alive && m.Name != received.From && !listed(m.Name)
 	})
 	for _, m := range unlisted {
@@ -151,18 +124,18 @@
 	}
 }
 
-// sendRequestedRecords sends the records that a message requests, as far as they are known and fit.
-func (c *Core) sendRequestedRecords(received Received) {
+// newRequestedRecords returns a message with the records that another requests, as far as they are known and fit.
+func newRequestedRecords(self *Record, table *memberTable, want []string) *Message {
 	packer := recordPacker{free: maxPayloadBytes}
-	for _, name := range received.Message.Want {
-		if name == c.config.Name {
-			packer.records = append(packer.records, c.self)
-			packer.free -= c.self.size()
+	for _, name := range want {
+		if name == self.Name {
+			packer.records = append(packer.records, *self)
+			packer.free -= self.size()
 			continue
 		}
-		if m := c.members[name]; m != nil && m.State.InFleet() {
+		if m := table.get(name); m != nil && m.State.InFleet() {
 			packer.add(&m.Record)
 		}
 	}
-	c.transmit(received.From, received.Addr, &Message{Kind: Gossip, Records: packer.records})
+	return &Message{Kind: Gossip, Records: packer.records}
 }
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -4,18 +4,10 @@
 	"cmp"
 	"maps"
 	"math"
-	"net/netip"
 	"slices"
-	"time"
 )
 
 const (
-	// gossipFanout is how many random members a round of gossip goes to.
-	gossipFanout = 3
-	// leaveFanout is how many members this one notifies directly when it leaves.
-	leaveFanout = 2 * gossipFanout
-	// gossipInterval is the pause between rounds of gossip.
-	gossipInterval = 200 * time.Millisecond
 	// retransmitMultiplier times the logarithm of the number of members is how often a broadcast is sent.
 	retransmitMultiplier = 2
 	// maxPayloadBytes is what a datagram has for the content of a message.
@@ -46,90 +38,81 @@
 	transmits int // how often it was sent
 }
 
-// broadcastRecord queues the record of a member. It supersedes what was claimed about that member.
-func (c *Core) broadcastRecord(record *Record) {
-	delete(c.broadcasts, broadcastKey{claimBroadcast, record.Name})
-	c.broadcasts[broadcastKey{recordBroadcast, record.Name}] = &broadcast{record: record}
+// dissemination is the infection-style dissemination of SWIM: broadcasts are piggybacked on messages, the least
+// transmitted first, each a number of times that grows with the logarithm of the fleet (as memberlist's
+// TransmitLimitedQueue). It holds one record or claim of each member, and the latest statements of at most maxAuthors.
+type dissemination struct {
+	self       string // this member's name
+	maxAuthors int
+	queue      map[broadcastKey]*broadcast
+	statements map[string]Statement // the latest of each author
 }
 
-// broadcastClaim queues what this member claims about another.
-func (c *Core) broadcastClaim(m *member) {
-	claim := m.currentClaim()
-	delete(c.broadcasts, broadcastKey{recordBroadcast, m.Name})
-	c.broadcasts[broadcastKey{claimBroadcast, m.Name}] = &broadcast{claim: &claim}
+func newDissemination(self string, maxAuthors int) *dissemination {
+	return &dissemination{
+		self:       self,
+		maxAuthors: maxAuthors,
+		queue:      map[broadcastKey]*broadcast{},
+		statements: map[string]Statement{},
+	}
 }
 
-// broadcastStatement queues a statement.
-func (c *Core) broadcastStatement(author string, statement *Statement) {
-	c.broadcasts[broadcastKey{statementBroadcast, author}] = &broadcast{statement: statement}
+// pending returns the number of queued broadcasts.
+func (d *dissemination) pending() int { return len(d.queue) }
+
+// clear drops all queued broadcasts.
+func (d *dissemination) clear() { clear(d.queue) }
+
+// queueRecord queues the record of a member. It supersedes what was claimed about that member.
+func (d *dissemination) queueRecord(record Record) {
+	delete(d.queue, broadcastKey{claimBroadcast, record.Name})
+	d.queue[broadcastKey{recordBroadcast, record.Name}] = &broadcast{record: &record}
 }
 
-// cancelBroadcasts drops the broadcasts about a member.
-func (c *Core) cancelBroadcasts(name string) {
-	delete(c.broadcasts, broadcastKey{recordBroadcast, name})
-	delete(c.broadcasts, broadcastKey{claimBroadcast, name})
-	delete(c.broadcasts, broadcastKey{statementBroadcast, name})
+// queueClaim queues what this member claims about another.
+func (d *dissemination) queueClaim(claim Claim) {
+	delete(d.queue, broadcastKey{recordBroadcast, claim.Name})
+	d.queue[broadcastKey{claimBroadcast, claim.Name}] = &broadcast{claim: &claim}
 }
 
-// handleStatement delivers and forwards a statement that is newer than the latest of its author.
-func (c *Core) handleStatement(statement Statement) {
-	if statement.Name == c.config.Name {
-		return
+// publish queues a statement of this member.
+func (d *dissemination) publish(statement Statement) { d.queueStatement(d.self, statement) }
+
+// forward queues a statement of another member that is newer than the latest of its author, and reports whether it is.
+func (d *dissemination) forward(statement Statement) bool {
+	if statement.Name == d.self {
+		return false
 	}
-	latest, known := c.statements[statement.Name]
+	latest, known := d.statements[statement.Name]
 	if known && !statement.supersedes(&latest) {
-		return
+		return false
 	}
-	if !known && len(c.statements) >= c.config.MaxMembers {
-		return
+	if !known && len(d.statements) >= d.maxAuthors {
+		return false
 	}
-	c.statements[statement.Name] = statement
-	c.actions = append(c.actions, StatementReceived{statement})
-	c.broadcastStatement(statement.Name, &statement)
+	d.queueStatement(statement.Name, statement)
+	return true
 }
 
-// sendGossip sends queued broadcasts to random members in messages of their own.
-func (c *Core) sendGossip(fanout int) {
-	for _, m := range c.randomMembers(fanout, func(m *member) bool { return m.State.InFleet() }) {
-		if len(c.broadcasts) == 0 || !c.mayGossip() {
-			return
-		}
-		if !c.transmit(m.Name, m.Addr.AddrPort, &Message{Kind: Gossip}) {
-			return
-		}
-	}
-	if len(c.probeOrder) == 0 {
-		clear(c.broadcasts) // there is no member to receive them; one that joins requests what it lacks
-	}
+func (d *dissemination) queueStatement(author string, statement Statement) {
+	d.statements[author] = statement
+	d.queue[broadcastKey{statementBroadcast, author}] = &broadcast{statement: &statement}
 }
 
-// transmit sends a message, with broadcasts piggybacked, and reports whether the budget allowed it. The name is empty
-// where only the address is known.
-func (c *Core) transmit(name string, addr netip.AddrPort, message *Message) bool {
-	if !c.takeFraction(&c.budgets.send, sendRateFraction, sendBurstFraction) {
-		return false
-	}
-	c.piggyback(name, message)
-	c.actions = append(c.actions, Transmit{To: name, Addr: addr, Incarnation: c.self.Incarnation, Message: message})
-	return true
+// forget drops the broadcasts about a member and its statement.
+func (d *dissemination) forget(name string) {
+	delete(d.queue, broadcastKey{recordBroadcast, name})
+	delete(d.queue, broadcastKey{claimBroadcast, name})
+	delete(d.queue, broadcastKey{statementBroadcast, name})
+	delete(d.statements, name)
 }
 
-// piggyback attaches as many broadcasts as a message has space for, the least transmitted first.
-func (c *Core) piggyback(receiver string, message *Message) {
-	free := maxPayloadBytes - maxCertBytes
-	for _, record := range message.Records {
-		free -= record.size()
-	}
-	for _, summary := range message.Summaries {
-		free -= summary.size()
-	}
-	for _, name := range message.Want {
-		free -= wantSize(name)
-	}
-	contacted := c.hasContacted(receiver)
-	limit := c.retransmitLimit()
-	for _, key := range c.broadcastOrder() {
-		queued := c.broadcasts[key]
+// piggyback attaches as many broadcasts as a message has space for, the least transmitted first. The limit is how often
+// a broadcast is sent before it is dropped; contacted is whether the receiver has sent a message itself.
+func (d *dissemination) piggyback(message *Message, contacted bool, limit int) {
+	free := freeBytes(message)
+	for _, key := range d.order() {
+		queued := d.queue[key]
 		size, attached := queued.attach(message, free, contacted)
 		if !attached {
 			continue
@@ -137,27 +120,43 @@
 		free -= size
 		queued.transmits++
 		if queued.transmits >= limit {
-			delete(c.broadcasts, key)
+			delete(d.queue, key)
 		}
 	}
 }
 
-// retransmitLimit is how often a broadcast is sent before it is dropped.
-func (c *Core) retransmitLimit() int {
-	return retransmitMultiplier * int(math.Ceil(math.Log2(float64(len(c.members)+2))))
-}
-
-// broadcastOrder returns the keys of the queued broadcasts, the least transmitted first.
-func (c *Core) broadcastOrder() []broadcastKey {
-	return slices.SortedFunc(maps.Keys(c.broadcasts), func(a, b broadcastKey) int {
+// order returns the keys of the queued broadcasts, the least transmitted first.
+func (d *dissemination) order() []broadcastKey {
+	return slices.SortedFunc(maps.Keys(d.queue), func(a, b broadcastKey) int {
 		return cmp.Or(
-			cmp.Compare(c.broadcasts[a].transmits, c.broadcasts[b].transmits),
+			cmp.Compare(d.queue[a].transmits, d.queue[b].transmits),
 			cmp.Compare(a.kind, b.kind),
 			cmp.Compare(a.member, b.member),
 		)
 	})
 }
 
+// retransmitLimit is how often a broadcast is sent before it is dropped.
+func retransmitLimit(members int) int {
+	fleetSize := float64(members + 1) // this member included
+	return retransmitMultiplier * int(math.Ceil(math.Log2(fleetSize+1)))
+}
+
+// freeBytes is what a message that carries no broadcast yet has space for.
+func freeBytes(message *Message) int {
+	free := maxPayloadBytes - maxCertBytes
+	for _, record := range message.Records {
+		free -= record.size()
+	}
+	for _, summary := range message.Summaries {
+		free -= summary.size()
+	}
+	for _, name := range message.Want {
+		free -= wantSize(name)
+	}
+	return free
+}
+
 // attach adds the broadcast to a message with free bytes left, and returns its size. Only a receiver that this member
 // has contacted is sent statements: it needs no certificate, whose space they may take.
 func (b *broadcast) attach(message *Message, free int, contacted bool) (size int, attached bool) {
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -1,3 +1,13 @@
+// Package gossip maintains the membership of a fleet of schedulers. Failures are detected by probing and disseminated by
+// gossip as in SWIM (Das, Gupta and Motivala, 2002), with the local health multiplier of Lifeguard (Dadgar, Phillips
+// and Currey, 2018). It also disseminates statements, which their author signs and all others only forward.
+//
+// Core makes every decision and does no I/O: Step is given the events that arrived and the time, and returns what is
+// to be sent and what changed. Guard authenticates datagrams, rejects replays, and bounds the work spent on both.
+//
+// Whatever is received, these invariants hold: a Core sends at most Config.MaxMessagesPerSecond messages in any second, none
+// of them longer than MaxDatagram; it holds at most Config.MaxMembers members; and a member is declared dead only after it
+// failed to answer this member, or one that reported it, and did not refute the suspicion within Config.SuspicionTimeout.
 package gossip
 
 import (
@@ -7,6 +17,9 @@
 	"time"
 )
 
+// pauseThreshold is by how much Step may come late before this member takes itself to have been paused.
+const pauseThreshold = 1500 * time.Millisecond
+
 // Config configures a Core. Durations and counts must be positive.
 type Config struct {
 	Name                 string
@@ -23,34 +36,23 @@
 	Sign func(*Record)
 }
 
-// Core is one member's view of the fleet. It is not safe for concurrent use.
+// Core is one member's view of the fleet. It owns the order in which events, timers and actions follow each other; each
+// mechanism owns its state. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	rng     *rand.Rand
 	now     time.Duration
-	actions []Action // of the Step in progress
 	started bool
-	stopped bool   // this member left, or another has taken its name
-	self    Record // this member's own
-
-	// The membership table.
-	members    map[string]*member
-	notAlive   int               // members that were not alive at the last sweep, and those suspected since
-	candidates map[string]Record // members reported by others that have not answered yet
-
-	// Failure detection.
-	healthScore int // 0 is healthy
-	probes      []*probe
-	probeOrder  []string // names of all members, shuffled
-	probeIndex  int      // of the next one to probe in probeOrder
-	probeCount  int
-
-	// Dissemination and anti-entropy.
-	broadcasts    map[broadcastKey]*broadcast
-	statements    map[string]Statement // the latest of each author
-	summaryCursor int                  // of the last summary sent, in the members sorted by name
-
-	budgets       budgets
+	stopped bool // this member left, or another has taken its name
+
+	self          *localMember
+	table         *memberTable
+	detector      *failureDetector
+	dissemination *dissemination
+	antiEntropy   *antiEntropy
+	limits        *rateLimits
+	outbox        *outbox
+
 	nextProbe     time.Duration
 	nextGossip    time.Duration
 	nextReconnect time.Duration
@@ -60,28 +62,38 @@
 // New returns a Core that knows no other member.
 func New(c Config) *Core {
 	core := &Core{
-		config:     c,
-		rng:        rand.New(rand.NewPCG(c.Seed, 1)),
-		members:    map[string]*member{},
-		candidates: map[string]Record{},
-		broadcasts: map[broadcastKey]*broadcast{},
-		statements: map[string]Statement{},
-	}
-	core.self = Record{Name: c.Name, Addr: Addr{c.Addr}, Epoch: c.Epoch, Incarnation: 1}
-	core.signSelf()
+		config:        c,
+		rng:           rand.New(rand.NewPCG(c.Seed, 1)),
+		self:          newLocalMember(c),
+		table:         newMemberTable(c.MaxMembers),
+		detector:      newFailureDetector(c.ProbeInterval, c.ProbeTimeout),
+		dissemination: newDissemination(c.Name, c.MaxMembers),
+		antiEntropy:   newAntiEntropy(c.Addr, c.Seeds),
+		limits:        newRateLimits(c.MaxMessagesPerSecond),
+	}
+	core.outbox = newOutbox(core.self, core.table, core.dissemination, core.limits)
 	return core
 }
 
-func (c *Core) signSelf() {
-	if c.config.Sign != nil {
-		c.config.Sign(&c.self)
+// Members returns the other members, sorted by name.
+func (c *Core) Members() []Member { return c.table.list() }
+
+// NumMembers returns the number of members that are alive or suspect, this one included.
+func (c *Core) NumMembers() int { return c.table.inFleet() + 1 }
+
+// AddKnownMembers adds members as alive and already contacted, for a start with a complete list.
+func (c *Core) AddKnownMembers(now time.Duration, records []Record) {
+	for _, record := range records {
+		if record.Name != c.config.Name {
+			c.table.addKnown(now, record)
+		}
 	}
+	c.table.shuffle(c.rng)
 }
 
 // Step applies events that arrived by now, in order, does what is due, and returns the resulting actions in order.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
 	delay := now - c.Next() // since Step was due
-	c.actions = nil
 	if !c.started {
 		c.started = true
 		delay = 0
@@ -90,6 +102,7 @@
 		c.nextReconnect = now
 	}
 	c.now = max(now, c.now)
+	c.outbox.begin(c.now)
 	if delay > pauseThreshold {
 		c.recoverFromPause(delay)
 	}
@@ -104,7 +117,7 @@
 		c.sweepMembers()
 		c.runPeriodicTasks()
 	}
-	return c.actions
+	return c.outbox.actions
 }
 
 // Next returns by when Step must be called again.
@@ -112,116 +125,58 @@
 	if c.stopped {
 		return math.MaxInt64
 	}
-	next := min(c.nextProbe, c.nextReconnect)
-	if c.notAlive > 0 {
+	next := min(c.nextProbe, c.nextReconnect, c.detector.nextTimeout())
+	if c.table.hasNotAlive() {
 		next = min(next, c.nextSweep)
 	}
-	if len(c.broadcasts)+len(c.candidates) > 0 {
+	if c.hasGossip() {
 		next = min(next, c.nextGossip)
 	}
-	for _, p := range c.probes {
-		next = min(next, p.sentAt+c.probeTimeout(p))
-	}
 	return next
 }
 
-func (c *Core) handleEvent(event Event) {
-	switch event := event.(type) {
-	case Received:
-		c.handleMessage(event)
-	case Broadcast:
-		c.statements[c.config.Name] = event.Statement
-		c.broadcastStatement(c.config.Name, &event.Statement)
-		c.nextGossip = c.now
-	case Leave:
-		c.leave()
-	case RemoveMember:
-		c.forgetMember(event.Name)
-	case UpdateSeeds:
-		c.config.Seeds = event.Seeds
-	}
+// hasGossip reports whether there is something that a round of gossip sends.
+func (c *Core) hasGossip() bool {
+	return c.dissemination.pending() > 0 || c.table.hasCandidates()
 }
 
-// leave sends this member's last record to some members, which gossip it. Those it misses detect the silence.
-func (c *Core) leave() {
-	c.self.Gone = true
-	c.signSelf()
-	c.broadcastRecord(&c.self)
-	c.sendGossip(leaveFanout)
-	c.stopped = true
+// recoverFromPause gives up on what this member waited for while it did not run, and extends suspicions by the pause.
+func (c *Core) recoverFromPause(pause time.Duration) {
+	c.detector.recoverFromPause()
+	c.table.extendSuspicions(pause)
+	c.nextProbe = c.now + c.config.ProbeInterval
 }
 
-// stopForNameConflict stops this member for a later one of its name.
-func (c *Core) stopForNameConflict(epoch int64) {
-	c.stopped = true
-	c.actions = append(c.actions, NameConflict{epoch})
+// localMember is this member itself: its record, and what signs it.
+type localMember struct {
+	record Record
+	sign   func(*Record) // nil if records are not signed
 }
 
-// handleMessage applies what a message carries, and then handles it by its kind.
-func (c *Core) handleMessage(received Received) {
-	message := received.Message
-	if received.From == c.config.Name {
-		if received.Epoch > c.self.Epoch {
-			c.stopForNameConflict(received.Epoch)
-		}
-		return
+// newLocalMember returns a member in its first incarnation.
+func newLocalMember(c Config) *localMember {
+	l := &localMember{
+		record: Record{Name: c.Name, Addr: Addr{c.Addr}, Epoch: c.Epoch, Incarnation: 1},
+		sign:   c.Sign,
 	}
-	for _, record := range message.Records {
-		c.mergeRecord(record)
-	}
-	from := c.members[received.From]
-	if from != nil {
-		from.lastContact = c.now
-	}
-	if c.stopped {
-		return
-	}
-	if received.Trusted {
-		for _, claim := range message.Claims {
-			c.handleClaim(from, claim)
-		}
-	}
-	for _, statement := range message.Statements {
-		c.handleStatement(statement)
-	}
-	c.handleKind(received, from)
+	l.signRecord()
+	return l
 }
 
-// handleKind handles a message by its kind. The sender is nil if it is not a member.
-func (c *Core) handleKind(received Received, from *member) {
-	switch received.Message.Kind {
-	case Ping:
-		if c.mayAnswer(from) {
-			c.sendAck(received, from)
-		}
-	case Ack:
-		c.handleAck(received)
-	case Nack:
-		c.handleNack(received)
-	case IndirectPing:
-		if from != nil && c.mayAnswer(from) {
-			c.handleIndirectPing(received)
-		}
-	case Gossip:
-		if len(received.Message.Want) > 0 && received.Trusted && c.mayAnswer(from) {
-			c.sendRequestedRecords(received)
-		}
-	}
+// refute contradicts what is claimed about this member by a new incarnation.
+func (l *localMember) refute() {
+	l.record.Incarnation++
+	l.signRecord()
 }
 
-// runPeriodicTasks probes, reconnects and gossips when these are due.
-func (c *Core) runPeriodicTasks() {
-	if c.now >= c.nextProbe {
-		c.nextProbe = c.now + c.scaleByHealth(c.config.ProbeInterval)
-		c.probeNext()
-	}
-	if c.now >= c.nextReconnect {
-		c.nextReconnect = c.now + reconnectInterval
-		c.reconnect()
-	}
-	if c.now >= c.nextGossip && len(c.broadcasts)+len(c.candidates) > 0 {
-		c.nextGossip = c.now + gossipInterval
-		c.pingCandidate()
-		c.sendGossip(gossipFanout)
+// leave marks this member as one that has left.
+func (l *localMember) leave() {
+	l.record.Gone = true
+	l.signRecord()
+}
+
+func (l *localMember) signRecord() {
+	if l.sign != nil {
+		l.sign(&l.record)
 	}
 }
--- a/internal/fleet/gossip/events.go
+++ b/internal/fleet/gossip/events.go
@@ -1,6 +1,9 @@
 package gossip
 
-import "net/netip"
+import (
+	"net/netip"
+	"time"
+)
 
 // Event is an input of Core.Step. The concrete types are Received, Broadcast, Leave, RemoveMember and UpdateSeeds.
 type Event interface{ event() }
@@ -61,3 +64,48 @@
 func (StatementReceived) action() {}
 func (MemberForgotten) action()   {}
 func (NameConflict) action()      {}
+
+// outbox collects the actions of a Step. It holds messages to the rate limit, and piggybacks broadcasts on them.
+type outbox struct {
+	self          *localMember
+	table         *memberTable
+	dissemination *dissemination
+	limits        *rateLimits
+
+	now     time.Duration // of the Step in progress
+	actions []Action      // of the Step in progress
+}
+
+func newOutbox(self *localMember, table *memberTable, queue *dissemination, limits *rateLimits) *outbox {
+	return &outbox{self: self, table: table, dissemination: queue, limits: limits}
+}
+
+// begin empties the outbox for a Step.
+func (o *outbox) begin(now time.Duration) {
+	o.now = now
+	o.actions = nil
+}
+
+// emit adds an action.
+func (o *outbox) emit(action Action) { o.actions = append(o.actions, action) }
+
+// transmit sends a message, with broadcasts piggybacked, and reports whether the budget allowed it. The name is empty
+// where only the address is known.
+func (o *outbox) transmit(name string, addr netip.AddrPort, message *Message) bool {
+	if !o.limits.allowSend(o.now) {
+		return false
+	}
+	o.dissemination.piggyback(message, o.table.hasContacted(name), retransmitLimit(o.table.len()))
+	o.emit(Transmit{To: name, Addr: addr, Incarnation: o.self.record.Incarnation, Message: message})
+	return true
+}
+
+// transmitTo sends a message to a member, as transmit does.
+func (o *outbox) transmitTo(m *member, message *Message) bool {
+	return o.transmit(m.Name, m.Addr.AddrPort, message)
+}
+
+// reply sends a message to whoever sent another, as transmit does.
+func (o *outbox) reply(received Received, message *Message) bool {
+	return o.transmit(received.From, received.Addr, message)
+}
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -1,6 +1,10 @@
 package gossip
 
-import "calicohill/internal/stats/ratelimit"
+import (
+	"time"
+
+	"calicohill/internal/stats/ratelimit"
+)
 
 // Fractions of Config.MaxMessagesPerSecond, as the rate per second and the burst of a token bucket.
 const (
@@ -9,7 +13,7 @@
 	gossipRateFraction  = 0.2 // gossip takes a part only, so that pings and acks always find some budget
 	gossipBurstFraction = 0.3
 	answerFraction      = 0.3 // acks and other answers to all senders together
-	noticeFraction      = 0.1 // notices to suspects, see notifySuspect
+	noticeFraction      = 0.1 // notices to suspects
 )
 
 // Limits per member, in messages per second and messages at once.
@@ -21,8 +25,10 @@
 	nonMembersFactor = 3.0 // senders that are not members are answered as often as this many members
 )
 
-// budgets limits what a Core sends, by purpose.
-type budgets struct {
+// rateLimits bounds what a Core sends by token buckets, one for each purpose: no more than perSecond messages leave in
+// any second, and neither gossip nor answers can use up what probes need.
+type rateLimits struct {
+	perSecond        float64               // Config.MaxMessagesPerSecond
 	send             ratelimit.TokenBucket // all messages
 	gossip           ratelimit.TokenBucket
 	notices          ratelimit.TokenBucket
@@ -30,27 +36,71 @@
 	nonMemberAnswers ratelimit.TokenBucket // to senders that are not members
 }
 
-// takeFraction takes one message from a bucket that holds a fraction of Config.MaxMessagesPerSecond.
-func (c *Core) takeFraction(bucket *ratelimit.TokenBucket, rateFraction, burstFraction float64) bool {
-	limit := float64(c.config.MaxMessagesPerSecond)
-	return bucket.Take(c.now, 1, rateFraction*limit, burstFraction*limit)
+// memberBudgets bounds the work that one member causes.
+type memberBudgets struct {
+	answers ratelimit.TokenBucket // requests of it that are answered
+	claims  ratelimit.TokenBucket // claims of it that are applied
 }
 
-// mayGossip takes one message from the budget of gossip.
-func (c *Core) mayGossip() bool {
-	return c.takeFraction(&c.budgets.gossip, gossipRateFraction, gossipBurstFraction)
+// newRateLimits returns limits with empty budgets, which fill with time.
+func newRateLimits(maxMessagesPerSecond int) *rateLimits {
+	return &rateLimits{perSecond: float64(maxMessagesPerSecond)}
 }
 
-// mayAnswer takes one answer from the budget of a sender, which is nil for one that is not a member, and one from the
+// allowSend takes one message from the budget of all messages.
+func (l *rateLimits) allowSend(now time.Duration) bool {
+	return l.take(now, &l.send, sendRateFraction, sendBurstFraction)
+}
+
+// allowGossip takes one message from the budget of gossip.
+func (l *rateLimits) allowGossip(now time.Duration) bool {
+	return l.take(now, &l.gossip, gossipRateFraction, gossipBurstFraction)
+}
+
+// allowNotice takes one message from the budget of notices to suspects.
+func (l *rateLimits) allowNotice(now time.Duration) bool {
+	return l.take(now, &l.notices, noticeFraction, noticeFraction)
+}
+
+// allowAnswer takes one answer from the budget of a sender, which is nil for one that is not a member, and one from the
 // budget of all. Without these limits a member that sends requests all the time would use up what this member's own
 // pings and its answers to others need.
-func (c *Core) mayAnswer(from *member) bool {
-	bucket := &c.budgets.nonMemberAnswers
+func (l *rateLimits) allowAnswer(now time.Duration, sender *member) bool {
+	bucket := &l.nonMemberAnswers
 	factor := nonMembersFactor
-	if from != nil {
-		bucket = &from.answerBudget
+	if sender != nil {
+		bucket = &sender.budgets.answers
 		factor = 1
 	}
-	return bucket.Take(c.now, 1, factor*answerRate, factor*answerBurst) &&
-		c.takeFraction(&c.budgets.answers, answerFraction, answerFraction)
+	return bucket.Take(now, 1, factor*answerRate, factor*answerBurst) &&
+		l.take(now, &l.answers, answerFraction, answerFraction)
+}
+
+// take takes one message from a bucket that holds a fraction of the messages per second.
+func (l *rateLimits) take(now time.Duration, bucket *ratelimit.TokenBucket, rateFraction, burstFraction float64) bool {
+	return bucket.Take(now, 1, rateFraction*l.perSecond, burstFraction*l.perSecond)
+}
+
+// allowClaim takes one claim from the member's budget.
+func (b *memberBudgets) allowClaim(now time.Duration) bool {
+	return b.claims.Take(now, 1, claimRate, claimBurst)
+}
+
+// RateMeter measures how many messages a member sends in a second, to compare with Config.MaxMessagesPerSecond. The zero
+// RateMeter is ready for use.
+type RateMeter struct {
+	peak   int
+	recent []time.Duration // when the messages of the last second were sent
+}
+
+// Record counts a message that was sent now.
+func (m *RateMeter) Record(now time.Duration) {
+	m.recent = append(m.recent, now)
+	for now-m.recent[0] >= time.Second {
+		m.recent = m.recent[1:]
+	}
+	m.peak = max(m.peak, len(m.recent))
 }
+
+// Peak returns the largest number of messages in any second so far.
+func (m *RateMeter) Peak() int { return m.peak }
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -1,7 +1,8 @@
 package gossip
 
 import (
-	"net/netip"
+	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
@@ -15,6 +16,10 @@
 	maxProbes = 2 * maxRelayedProbes
 	// probesPerSync is how often a probe also carries summaries: every which one.
 	probesPerSync = 5
+	// After this fraction of the probe timeout a relay sends its Nack, to arrive before the requester's own timeout.
+	nackTimeoutNumerator, nackTimeoutDenominator = 4, 5
+	// probeStages is how many stages of a probe share a probe interval: the direct and the indirect one.
+	probeStages = 2
 )
 
 // probe is a ping in flight.
@@ -31,172 +36,177 @@
 	nackSent       bool
 }
 
-// probeNext pings the next member in the probe order, which is shuffled after each round.
-func (c *Core) probeNext() {
-	c.probeCount++
-	for range len(c.probeOrder) {
-		if c.probeIndex >= len(c.probeOrder) {
-			c.probeIndex = 0
-			c.shuffleProbeOrder()
-		}
-		m := c.members[c.probeOrder[c.probeIndex]]
-		c.probeIndex++
-		if !m.State.InFleet() {
-			continue
-		}
-		var summaries []Claim
-		if c.probeCount%probesPerSync == 0 {
-			summaries = c.summaries()
+// requestIndirectPings asks random members to ping the target, which did not answer.
+func (p *probe) requestIndirectPings(rng *rand.Rand, out *outbox, table *memberTable, target *member) {
+	relays := table.random(rng, indirectProbes, func(m *member) bool { return m.State == Alive && m != target })
+	for _, relay := range relays {
+		if out.transmitTo(relay, &Message{Kind: IndirectPing, Nonce: p.nonce, Target: target.Name}) {
+			p.relays++
 		}
-		c.sendPing(m.Name, m.Addr.AddrPort, summaries)
-		return
 	}
 }
 
-func (c *Core) shuffleProbeOrder() {
-	c.rng.Shuffle(len(c.probeOrder), func(i, j int) {
-		c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i]
-	})
-}
-
-// sendPing pings a member, or whoever is at an address if the name is empty. It returns nil if the budget does not
-// allow it.
-func (c *Core) sendPing(name string, addr netip.AddrPort, summaries []Claim, claims ...Claim) *probe {
-	nonce := c.rng.Uint64()
-	ping := &Message{Kind: Ping, Nonce: nonce, Summaries: summaries, Claims: claims}
-	// A member that may not know this one is sent its record.
-	if !c.hasContacted(name) || len(summaries) > 0 {
-		ping.Records = []Record{c.self}
+// answerRequester sends an Ack or a Nack to the member that asked for the probe.
+func (p *probe) answerRequester(out *outbox, table *memberTable, kind Kind) {
+	if requester := table.get(p.requester); requester != nil {
+		out.transmitTo(requester, &Message{Kind: kind, Nonce: p.requesterNonce})
 	}
-	if !c.transmit(name, addr, ping) {
-		return nil
-	}
-	p := &probe{target: name, nonce: nonce, sentAt: c.now}
-	if len(c.probes) < maxProbes {
-		c.probes = append(c.probes, p)
-	}
-	return p
 }
 
-// probeByNonce returns the probe in flight with a nonce, or nil.
-func (c *Core) probeByNonce(nonce uint64) *probe {
-	i := slices.IndexFunc(c.probes, func(p *probe) bool { return p.nonce == nonce })
-	if i < 0 {
-		return nil
-	}
-	return c.probes[i]
+// probeStep is what has to be done about a probe in flight.
+type probeStep int
+
+const (
+	awaitAnswer     probeStep = iota // nothing: its timeout has not passed
+	endSilently                      // it is over, and nobody is to be told
+	sendNack                         // notify the member that asked for it
+	probeIndirectly                  // ask other members to ping the target
+	declareFailed                    // nobody had an answer from the target
+)
+
+// failureDetector is the failure detector of SWIM with Lifeguard's local health: each interval one member is pinged, in
+// an order that is shuffled after each round; one that does not answer is pinged by indirectProbes others. It awaits the
+// answers of at most maxProbes probes.
+type failureDetector struct {
+	probeInterval time.Duration
+	probeTimeout  time.Duration
+	health        awareness
+	probes        []*probe // in flight, in the order they were sent
+	orderIndex    int      // of the next member to probe in the order of the member table
+	probeCount    int
 }
 
-func (c *Core) endProbe(p *probe) {
-	c.probes = slices.DeleteFunc(c.probes, func(other *probe) bool { return other == p })
+func newFailureDetector(probeInterval, probeTimeout time.Duration) *failureDetector {
+	return &failureDetector{probeInterval: probeInterval, probeTimeout: probeTimeout}
 }
 
-// handleAck ends the probe that an Ack answers. Until other members were asked to ping the target, nobody but the
-// target was sent the nonce, so only its own Ack counts.
-func (c *Core) handleAck(received Received) {
-	p := c.probeByNonce(received.Message.Nonce)
-	if p == nil {
-		return
-	}
-	if p.target != "" && received.From != p.target && !p.indirect {
-		return
-	}
-	c.endProbe(p)
-	if p.requester != "" {
-		c.answerRequester(p, Ack)
-		return
-	}
-	c.lowerHealthScore()
-	if len(received.Message.Want) > 0 {
-		c.sendRequestedRecords(received)
+// interval is the time until the next probe.
+func (d *failureDetector) interval() time.Duration { return d.health.scale(d.probeInterval) }
+
+// nextTarget returns the member to probe next, or nil if none is in the fleet.
+func (d *failureDetector) nextTarget(rng *rand.Rand, table *memberTable) *member {
+	d.probeCount++
+	for range table.len() {
+		if d.orderIndex >= table.len() {
+			d.orderIndex = 0
+			table.shuffle(rng)
+		}
+		m := table.at(d.orderIndex)
+		d.orderIndex++
+		if m.State.InFleet() {
+			return m
+		}
 	}
+	return nil
 }
 
-// handleNack counts a member that could not reach the target of an indirect probe but is itself reachable.
-func (c *Core) handleNack(received Received) {
-	if p := c.probeByNonce(received.Message.Nonce); p != nil {
-		p.nacks++
+// carriesSummaries reports whether the probe of the last target is one that carries summaries.
+func (d *failureDetector) carriesSummaries() bool { return d.probeCount%probesPerSync == 0 }
+
+// begin notes a ping that was sent. Its answer is ignored if too many are awaited.
+func (d *failureDetector) begin(p *probe) {
+	if len(d.probes) < maxProbes {
+		d.probes = append(d.probes, p)
 	}
 }
 
-// handleIndirectPing pings a member on behalf of another that had no answer from it.
-func (c *Core) handleIndirectPing(received Received) {
-	target := c.members[received.Message.Target]
-	if target == nil || len(c.probes) >= maxRelayedProbes {
-		c.transmit(received.From, received.Addr, &Message{Kind: Nack, Nonce: received.Message.Nonce})
-		return
+// inFlight returns the probes whose answers are awaited, in the order they were sent.
+func (d *failureDetector) inFlight() []*probe { return slices.Clone(d.probes) }
+
+// canRelay reports whether a probe on behalf of another member may be begun.
+func (d *failureDetector) canRelay() bool { return len(d.probes) < maxRelayedProbes }
+
+// end no longer awaits the answer to a probe.
+func (d *failureDetector) end(p *probe) {
+	d.probes = slices.DeleteFunc(d.probes, func(other *probe) bool { return other == p })
+}
+
+// byNonce returns the probe in flight with a nonce, or nil.
+func (d *failureDetector) byNonce(nonce uint64) *probe {
+	i := slices.IndexFunc(d.probes, func(p *probe) bool { return p.nonce == nonce })
+	if i < 0 {
+		return nil
 	}
-	p := c.sendPing(target.Name, target.Addr.AddrPort, nil)
+	return d.probes[i]
+}
+
+// acknowledge ends the probe that an Ack answers and returns it, or nil if it answers none. Until other members were
+// asked to ping the target, nobody but the target was sent the nonce, so only its own Ack counts.
+func (d *failureDetector) acknowledge(sender string, nonce uint64) *probe {
+	p := d.byNonce(nonce)
 	if p == nil {
-		return
+		return nil
+	}
+	if p.target != "" && sender != p.target && !p.indirect {
+		return nil
+	}
+	d.end(p)
+	if p.requester == "" {
+		d.health.lower()
 	}
-	p.requester = received.From
-	p.requesterNonce = received.Message.Nonce
+	return p
 }
 
-// answerRequester sends an Ack or a Nack to the member that asked for a probe.
-func (c *Core) answerRequester(p *probe, kind Kind) {
-	if requester := c.members[p.requester]; requester != nil {
-		c.transmit(requester.Name, requester.Addr.AddrPort, &Message{Kind: kind, Nonce: p.requesterNonce})
+// countNack counts a member that could not reach the target of an indirect probe but is itself reachable.
+func (d *failureDetector) countNack(nonce uint64) {
+	if p := d.byNonce(nonce); p != nil {
+		p.nacks++
 	}
 }
 
-// probeTimeout is how long after its ping a probe enters its next stage.
-func (c *Core) probeTimeout(p *probe) time.Duration {
+// timeout is how long after its ping a probe enters its next stage.
+func (d *failureDetector) timeout(p *probe) time.Duration {
 	switch {
 	case p.requester != "" && !p.nackSent:
-		// The Nack should arrive before the requester's own timeout.
-		return c.config.ProbeTimeout * 4 / 5
+		return d.probeTimeout * nackTimeoutNumerator / nackTimeoutDenominator
 	case p.requester == "" && !p.indirect:
-		return min(c.scaleByHealth(c.config.ProbeTimeout), c.scaleByHealth(c.config.ProbeInterval)/2)
+		return min(d.health.scale(d.probeTimeout), d.interval()/probeStages)
 	default:
-		return c.scaleByHealth(c.config.ProbeInterval)
+		return d.interval()
 	}
 }
 
-// expireProbes takes the probes whose timeout has passed to their next stage: from direct to indirect to failed, or,
-// on behalf of another member, from pending to Nack sent to ended.
-func (c *Core) expireProbes() {
-	for _, pending := range slices.Clone(c.probes) {
-		if c.now-pending.sentAt < c.probeTimeout(pending) {
-			continue
-		}
-		target := c.members[pending.target]
-		switch {
-		case pending.requester != "" && pending.nackSent:
-			c.endProbe(pending)
-		case pending.requester != "":
-			c.answerRequester(pending, Nack)
-			pending.nackSent = true
-		case target == nil:
-			c.endProbe(pending)
-		case !pending.indirect:
-			c.probeIndirectly(pending, target)
-		default:
-			c.handleProbeFailure(pending, target)
-		}
+// nextTimeout returns when the next probe in flight enters its next stage.
+func (d *failureDetector) nextTimeout() time.Duration {
+	next := time.Duration(math.MaxInt64)
+	for _, p := range d.probes {
+		next = min(next, p.sentAt+d.timeout(p))
 	}
+	return next
 }
 
-// probeIndirectly asks random members to ping a target that did not answer.
-func (c *Core) probeIndirectly(p *probe, target *member) {
-	p.indirect = true
-	relays := c.randomMembers(indirectProbes, func(m *member) bool { return m.State == Alive && m != target })
-	for _, relay := range relays {
-		request := &Message{Kind: IndirectPing, Nonce: p.nonce, Target: target.Name}
-		if c.transmit(relay.Name, relay.Addr.AddrPort, request) {
-			p.relays++
-		}
+// advance takes a probe whose timeout has passed to its next stage: from direct to indirect to failed, or, on behalf of
+// another member, from pending to Nack sent to ended. It returns what has to be done for that.
+func (d *failureDetector) advance(now time.Duration, p *probe, targetKnown bool) probeStep {
+	switch {
+	case now-p.sentAt < d.timeout(p):
+		return awaitAnswer
+	case p.requester != "" && !p.nackSent:
+		p.nackSent = true
+		return sendNack
+	case p.requester != "" || !targetKnown:
+		d.end(p)
+		return endSilently
+	case !p.indirect:
+		p.indirect = true
+		return probeIndirectly
+	default:
+		d.fail(p)
+		return declareFailed
 	}
 }
 
-// handleProbeFailure suspects a target that nobody had an answer from. Where the relays did not send a Nack either,
-// this member is as likely to be the one that is cut off, and its health score grows by half their number.
-func (c *Core) handleProbeFailure(p *probe, target *member) {
-	c.endProbe(p)
+// fail ends a probe that nobody had an answer to. Where the relays did not send a Nack either, this member is as likely
+// to be the one that is cut off, and its health score grows by half their number.
+func (d *failureDetector) fail(p *probe) {
+	d.end(p)
 	missingNacks := max(0, p.relays-p.nacks)
-	c.raiseHealthScore(1 + missingNacks/2)
-	if target.State == Alive && target.lastContact < p.sentAt {
-		c.suspectMember(target)
-	}
+	d.health.raise(1 + missingNacks/missingNacksPerPenalty)
+}
+
+// recoverFromPause abandons the probes that were in flight while this member did not run: that nothing was received in
+// that time proves nothing.
+func (d *failureDetector) recoverFromPause() {
+	d.probes = nil
+	d.health.raise(pausePenalty)
 }
