--- a/internal/fleet/gossip/datagram.go
+++ b/internal/fleet/gossip/datagram.go
@@ -40,13 +40,21 @@
 	return append(b, name...)
 }
 
-// parseHeader decodes the header of a datagram and returns the signature and the message after it, which are not
-// copied. Its error is ErrMalformed.
-func parseHeader(datagram []byte) (parsed header, sig, body []byte, err error) {
+// envelope is a datagram taken apart: the header, the signature and the encoded message. Nothing in it is verified, and
+// neither the signature nor the message is copied.
+type envelope struct {
+	header
+	signature []byte
+	body      []byte
+}
+
+// parseEnvelope takes a datagram apart. Its error is ErrMalformed.
+func parseEnvelope(datagram []byte) (*envelope, error) {
 	const minBytes = fixedHeaderBytes + 2 + signatureBytes // with two empty names
 	if len(datagram) < minBytes || len(datagram) > MaxDatagram || datagram[0] != magic || datagram[1] != formatVersion {
-		return parsed, nil, nil, ErrMalformed
+		return nil, ErrMalformed
 	}
+	var parsed envelope
 	rest := datagram[versionBytes:]
 	copy(parsed.cookie[:], rest)
 	rest = rest[cookieBytes:]
@@ -57,26 +65,29 @@
 	parsed.seq = binary.BigEndian.Uint64(rest)
 	rest = rest[seqBytes:]
 	for _, name := range []*string{&parsed.from, &parsed.to} {
-		if *name, rest, err = parseName(rest); err != nil {
-			return parsed, nil, nil, err
+		var ok bool
+		if *name, rest, ok = cutName(rest); !ok {
+			return nil, ErrMalformed
 		}
 	}
 	if parsed.from == "" || len(rest) < signatureBytes {
-		return parsed, nil, nil, ErrMalformed
+		return nil, ErrMalformed
 	}
-	return parsed, rest[:signatureBytes], rest[signatureBytes:], nil
+	parsed.signature = rest[:signatureBytes]
+	parsed.body = rest[signatureBytes:]
+	return &parsed, nil
 }
 
-// parseName decodes what appendName appended and returns what is after it.
-func parseName(b []byte) (name string, rest []byte, err error) {
+// cutName decodes what appendName appended and returns what is after it; ok is false if there is no valid name.
+func cutName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) == 0 {
-		return "", nil, ErrMalformed
+		return "", nil, false
 	}
 	end := 1 + int(b[0])
 	if end > 1+maxNameBytes || len(b) < end {
-		return "", nil, ErrMalformed
+		return "", nil, false
 	}
-	return string(b[1:end]), b[end:], nil
+	return string(b[1:end]), b[end:], true
 }
 
 // The domains of signed texts. Each begins its texts, so that a signature of one kind of text is none of another.
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -194,10 +194,11 @@
 func TestGoldenBodies(t *testing.T) {
 	for file, kind := range map[string]Kind{"ping": 1, "ack": 2, "nack": 3, "ask": 4, "gossip": 5, "empty-gossip": 5} {
 		datagram := golden.Read(t, file+".datagram")
-		_, _, body, err := parseHeader(datagram)
+		sealed, err := parseEnvelope(datagram)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
+		body := sealed.body
 		m, err := decode(body)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -146,12 +146,12 @@
 	if receiver == nil || !receiver.cookieSeen || len(message.Summaries) > 0 {
 		message.Cert = g.own.Cert.Raw
 	}
-	encodedHeader := head.appendTo(make([]byte, 0, MaxDatagram))
-	body, err := encodeWithin(message, MaxDatagram-signatureBytes-len(encodedHeader))
+	datagram := head.appendTo(make([]byte, 0, MaxDatagram))
+	body, err := encodeWithin(message, MaxDatagram-signatureBytes-len(datagram))
 	if err != nil {
 		return nil, fmt.Errorf("gossip: sealing a message: %w", err)
 	}
-	datagram := append(encodedHeader, ed25519.Sign(g.own.Key, head.signed(g.fleet, body))...)
+	datagram = append(datagram, ed25519.Sign(g.own.Key, head.signed(g.fleet, body))...)
 	datagram = append(datagram, body...)
 	if len(datagram) > MaxDatagram {
 		return nil, fmt.Errorf("gossip: a message of %d bytes", len(datagram))
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -69,51 +69,64 @@
 // apparent sender allows it. Its records and statements are filtered: those that remain are new and signed by their
 // author, but records of members whose certificate is not known remain without a signature.
 func (g *Guard) Open(now time.Duration, wall time.Time, from netip.AddrPort, datagram []byte) (*Opened, error) {
-	head, sig, body, err := parseHeader(datagram)
+	sealed, err := parseEnvelope(datagram)
 	if err != nil {
 		return nil, err
 	}
-	if head.to != "" && head.to != g.own.Name() {
+	if sealed.to != "" && sealed.to != g.own.Name() {
 		return nil, ErrNotForUs
 	}
-	sender := g.peers[head.from]
-	if sender != nil && sender.replayed(&head) {
+	sender := g.peers[sealed.from]
+	if sender != nil && sender.replayed(&sealed.header) {
 		return nil, ErrReplayed
 	}
-	trusted := sender != nil && g.showsCookie(&head)
+	trusted := sender != nil && g.showsCookie(&sealed.header)
 	checks := g.checkBudgetFor(sender, trusted, from, now)
 	if !checks.spend() {
 		return nil, ErrBudget
 	}
-	message, err := decode(body)
+	message, cert, err := g.authenticate(sealed, sender, wall, checks)
 	if err != nil {
 		return nil, err
 	}
-	cert, err := g.senderCert(head.from, sender, message.Cert, wall, checks)
-	if err != nil {
-		return nil, err
-	}
-	if !g.verifySignature(cert, head.signed(g.fleet, body), sig) {
-		return nil, ErrSignature
-	}
-	if !g.isRecent(message.At, wall, maxTransitTime) {
-		return nil, ErrClock
-	}
-	if head.from == g.own.Name() && head.epoch == g.epoch {
-		return nil, ErrReplayed // this member's own, sent back
-	}
 	if sender == nil {
-		sender = g.addPeer(head.from, now)
+		sender = g.addPeer(sealed.from, now)
 	}
-	sender.update(&head, trusted, message.Cookie)
+	sender.update(&sealed.header, trusted, message.Cookie)
 	sender.cert = cert
 	sender.lastSeen = now
-	opened := &Opened{From: head.from, Epoch: head.epoch, Message: message, Trusted: trusted}
+	opened := &Opened{From: sealed.from, Epoch: sealed.epoch, Message: message, Trusted: trusted}
 	g.filterRecords(opened, checks)
 	g.filterStatements(opened, wall, checks)
 	return opened, nil
 }
 
+// authenticate returns the message of a datagram and its sender's certificate, after it has verified the signature and
+// that the message was sent lately, by another member or an earlier start of this one. The sender is nil if it is not
+// known.
+func (g *Guard) authenticate(
+	sealed *envelope, sender *peer, wall time.Time, checks checkBudget,
+) (*Message, *x509.Certificate, error) {
+	message, err := decode(sealed.body)
+	if err != nil {
+		return nil, nil, err
+	}
+	cert, err := g.senderCert(sealed.from, sender, message.Cert, wall, checks)
+	if err != nil {
+		return nil, nil, err
+	}
+	if !g.verifySignature(cert, sealed.signed(g.fleet, sealed.body), sealed.signature) {
+		return nil, nil, ErrSignature
+	}
+	if !g.isRecent(message.At, wall, maxTransitTime) {
+		return nil, nil, ErrClock
+	}
+	if sealed.from == g.own.Name() && sealed.epoch == g.epoch {
+		return nil, nil, ErrReplayed // this member's own, sent back
+	}
+	return message, cert, nil
+}
+
 // showsCookie reports whether a datagram shows the cookie that this member has handed to its sender.
 func (g *Guard) showsCookie(h *header) bool {
 	want := g.cookieFor(h.from)
