--- a/internal/fleet/gossip/ratemeter_test.go
+++ b/internal/fleet/gossip/ratemeter_test.go
@@ -1,8 +1,10 @@
-package gossip
+package gossip_test
 
 import (
 	"testing"
 	"time"
+
+	"calicohill/internal/fleet/gossip"
 )
 
 func TestRateMeterPeak(t *testing.T) {
@@ -21,7 +23,7 @@
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
-			var meter RateMeter
+			var meter gossip.RateMeter
 			for _, now := range tt.sent {
 				meter.Record(now)
 			}
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -1,4 +1,4 @@
-package pki
+package pki_test
 
 import (
 	"bytes"
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/fleet/pki"
 	"calicohill/internal/testbed/golden"
 )
 
@@ -50,20 +51,20 @@
 	if err := os.MkdirAll(golden.Path(""), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	authority, err := NewAuthority(goldenFleet, goldenNow, authorityValidity)
+	authority, err := pki.NewAuthority(goldenFleet, goldenNow, authorityValidity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := WriteKeyFile(golden.Path(authorityKeyFile), authority.Key, authority.Cert); err != nil {
+	if err := pki.WriteKeyFile(golden.Path(authorityKeyFile), authority.Key, authority.Cert); err != nil {
 		t.Fatal(err)
 	}
-	golden.Record(t, authorityCertFile, EncodeCertificate(authority.Cert))
+	golden.Record(t, authorityCertFile, pki.EncodeCertificate(authority.Cert))
 	for file, name := range map[string]string{memberFile: goldenMember, revokedFile: "sched-2"} {
 		member, err := authority.Issue(name, goldenNow, memberValidity)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := WriteKeyFile(golden.Path(file), member.Key, member.Cert); err != nil {
+		if err := pki.WriteKeyFile(golden.Path(file), member.Key, member.Cert); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -71,13 +72,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Record(t, firstListFile, EncodeRevocationList(first))
+	golden.Record(t, firstListFile, pki.EncodeRevocationList(first))
 	_, revoked := readKeyFile(t, revokedFile)
 	second, err := authority.Revoke(first, goldenRevoked, revoked.SerialNumber)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Record(t, secondListFile, EncodeRevocationList(second))
+	golden.Record(t, secondListFile, pki.EncodeRevocationList(second))
 }
 
 // writePrivate puts content in a new file of mode 0600, as key files need it: version control keeps no such mode.
@@ -92,22 +93,22 @@
 
 func readKeyFile(t *testing.T, name string) (ed25519.PrivateKey, *x509.Certificate) {
 	t.Helper()
-	key, cert, err := ReadKeyFile(writePrivate(t, golden.Read(t, name)))
+	key, cert, err := pki.ReadKeyFile(writePrivate(t, golden.Read(t, name)))
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	return key, cert
 }
 
-func readAuthority(t *testing.T) *Authority {
+func readAuthority(t *testing.T) *pki.Authority {
 	t.Helper()
 	key, cert := readKeyFile(t, authorityKeyFile)
-	return &Authority{Cert: cert, Key: key}
+	return &pki.Authority{Cert: cert, Key: key}
 }
 
 func readListFile(t *testing.T, name string) *x509.RevocationList {
 	t.Helper()
-	list, err := ReadRevocationListFile(golden.Path(name), false)
+	list, err := pki.ReadRevocationListFile(golden.Path(name), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +124,7 @@
 	for _, name := range []string{authorityKeyFile, memberFile, revokedFile} {
 		key, cert := readKeyFile(t, name)
 		path := filepath.Join(t.TempDir(), name)
-		if err := WriteKeyFile(path, key, cert); err != nil {
+		if err := pki.WriteKeyFile(path, key, cert); err != nil {
 			t.Fatal(err)
 		}
 		got, err := os.ReadFile(path)
@@ -141,11 +142,11 @@
 			t.Errorf("%s: mode %v, want 0600", name, info.Mode())
 		}
 	}
-	cert, err := ReadCertificateFile(golden.Path(authorityCertFile))
+	cert, err := pki.ReadCertificateFile(golden.Path(authorityCertFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := EncodeCertificate(cert), golden.Read(t, authorityCertFile); !bytes.Equal(got, want) {
+	if got, want := pki.EncodeCertificate(cert), golden.Read(t, authorityCertFile); !bytes.Equal(got, want) {
 		t.Errorf("certificate written as\n%s\nwant\n%s", got, want)
 	}
 	if !cert.Equal(readAuthority(t).Cert) {
@@ -159,7 +160,7 @@
 	if authority.Fleet() != goldenFleet {
 		t.Errorf("fleet %q, want %q", authority.Fleet(), goldenFleet)
 	}
-	made, err := NewAuthority(goldenFleet, goldenNow, authorityValidity)
+	made, err := pki.NewAuthority(goldenFleet, goldenNow, authorityValidity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +187,7 @@
 func TestGoldenMember(t *testing.T) {
 	authority := readAuthority(t)
 	key, cert := readKeyFile(t, memberFile)
-	member := &Member{Cert: cert, Key: key}
+	member := &pki.Member{Cert: cert, Key: key}
 	if member.Name() != goldenMember {
 		t.Errorf("name %q, want %q", member.Name(), goldenMember)
 	}
@@ -244,7 +245,7 @@
 		if !reflect.DeepEqual(entries, tt.entries) {
 			t.Errorf("%s: entries %v, want %v", tt.name, entries, tt.entries)
 		}
-		if got, want := EncodeRevocationList(tt.list), golden.Read(t, tt.name); !bytes.Equal(got, want) {
+		if got, want := pki.EncodeRevocationList(tt.list), golden.Read(t, tt.name); !bytes.Equal(got, want) {
 			t.Errorf("%s: written as\n%s\nwant\n%s", tt.name, got, want)
 		}
 	}
@@ -270,43 +271,43 @@
 	_, member := readKeyFile(t, memberFile)
 	_, revoked := readKeyFile(t, revokedFile)
 	lists := []*x509.RevocationList{readListFile(t, secondListFile)}
-	trust, err := NewTrust(goldenFleet, goldenSkew, []*x509.Certificate{authority.Cert}, lists)
+	trust, err := pki.NewTrust(goldenFleet, goldenSkew, []*x509.Certificate{authority.Cert}, lists)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := trust.Verify(member.Raw, goldenNow); err != nil {
 		t.Errorf("a member: %v", err)
 	}
-	nobody := &Trust{Fleet: goldenFleet}
-	other := &Trust{Fleet: "other"}
+	nobody := &pki.Trust{Fleet: goldenFleet}
+	other := &pki.Trust{Fleet: "other"}
 	forged := bytes.Clone(member.Raw)
 	forged[len(forged)-1] ^= 1
 	for _, tt := range []struct {
 		name  string
-		trust *Trust
+		trust *pki.Trust
 		der   []byte
 		now   time.Time
 		err   error
 		want  string
 	}{
 		{
-			"revoked", trust, revoked.Raw, goldenNow, ErrRevoked,
+			"revoked", trust, revoked.Raw, goldenNow, pki.ErrRevoked,
 			"the certificate was revoked: sched-2, number " + revoked.SerialNumber.String(),
 		},
 		{
-			"expired", trust, member.Raw, goldenNow.Add(memberValidity + time.Minute), ErrExpired,
+			"expired", trust, member.Raw, goldenNow.Add(memberValidity + time.Minute), pki.ErrExpired,
 			"the certificate does not hold now: it is good from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC",
 		},
 		{
-			"early", trust, member.Raw, goldenNow.Add(-time.Minute), ErrExpired,
+			"early", trust, member.Raw, goldenNow.Add(-time.Minute), pki.ErrExpired,
 			"the certificate does not hold now: it is good from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC",
 		},
-		{"no authority", nobody, member.Raw, goldenNow, ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
-		{"forged", trust, forged, goldenNow, ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
-		{"other fleet", other, member.Raw, goldenNow, ErrWrongFleet, `the certificate is of another fleet: "gt-registros"`},
-		{"an authority", trust, authority.Cert.Raw, goldenNow, ErrNotAMember, "not the certificate of a member"},
+		{"no authority", nobody, member.Raw, goldenNow, pki.ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
+		{"forged", trust, forged, goldenNow, pki.ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
+		{"other fleet", other, member.Raw, goldenNow, pki.ErrWrongFleet, `the certificate is of another fleet: "gt-registros"`},
+		{"an authority", trust, authority.Cert.Raw, goldenNow, pki.ErrNotAMember, "not the certificate of a member"},
 		{
-			"no certificate", trust, member.Raw[:20], goldenNow, ErrNotAMember,
+			"no certificate", trust, member.Raw[:20], goldenNow, pki.ErrNotAMember,
 			"not the certificate of a member: x509: malformed certificate",
 		},
 	} {
@@ -314,11 +315,11 @@
 			t.Errorf("%s: error %v, want %s", tt.name, err, tt.want)
 		}
 	}
-	_, err = NewTrust("other", goldenSkew, []*x509.Certificate{authority.Cert}, nil)
+	_, err = pki.NewTrust("other", goldenSkew, []*x509.Certificate{authority.Cert}, nil)
 	if want := `authority: the certificate is of another fleet: "gt-registros", not "other", or no authority`; err == nil || err.Error() != want {
 		t.Errorf("error %v, want %s", err, want)
 	}
-	_, err = NewTrust(goldenFleet, goldenSkew, nil, lists)
+	_, err = pki.NewTrust(goldenFleet, goldenSkew, nil, lists)
 	if want := "list of revoked certificates: no authority of the fleet signed the certificate"; err == nil || err.Error() != want {
 		t.Errorf("error %v, want %s", err, want)
 	}
@@ -340,8 +341,8 @@
 	certBlock, _ := pem.Decode(rest)
 	otherKey, _ := pem.Decode(other)
 	broken := func(kind string) []byte { return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: []byte{1, 2, 3}}) }
-	readCert := func(path string) error { _, err := ReadCertificateFile(path); return err }
-	readList := func(path string) error { _, err := ReadRevocationListFile(path, true); return err }
+	readCert := func(path string) error { _, err := pki.ReadCertificateFile(path); return err }
+	readList := func(path string) error { _, err := pki.ReadRevocationListFile(path, true); return err }
 	return []brokenFile{
 		{"key without certificate", readKey, pem.EncodeToMemory(keyBlock), "a key and its certificate are needed"},
 		{"certificate without key", readKey, pem.EncodeToMemory(certBlock), "a key and its certificate are needed"},
@@ -362,7 +363,7 @@
 }
 
 func readKey(path string) error {
-	_, _, err := ReadKeyFile(path)
+	_, _, err := pki.ReadKeyFile(path)
 	return err
 }
 
@@ -388,14 +389,14 @@
 	if want := path + ": mode 0644 lets others at the key: 0600 is needed"; readKey(path) == nil || readKey(path).Error() != want {
 		t.Errorf("error %v, want %s", readKey(path), want)
 	}
-	if list, err := ReadRevocationListFile(filepath.Join(t.TempDir(), "none"), true); list != nil || err != nil {
+	if list, err := pki.ReadRevocationListFile(filepath.Join(t.TempDir(), "none"), true); list != nil || err != nil {
 		t.Errorf("a missing list that may be: %v, %v", list, err)
 	}
 	key, cert := readKeyFile(t, memberFile)
-	if err := WriteKeyFile(path, key, cert); !errors.Is(err, os.ErrExist) {
+	if err := pki.WriteKeyFile(path, key, cert); !errors.Is(err, os.ErrExist) {
 		t.Errorf("writing over a file: %v", err)
 	}
-	if _, err := NewAuthority("a b", goldenNow, time.Hour); err == nil ||
+	if _, err := pki.NewAuthority("a b", goldenNow, time.Hour); err == nil ||
 		err.Error() != `fleet "a b": letters, digits, '-', '_' and '.' are allowed, 64 at most` {
 		t.Errorf("error %v", err)
 	}
