--- a/internal/fleet/faultreport/core_internal_test.go
+++ b/internal/fleet/faultreport/core_internal_test.go
@@ -91,7 +91,7 @@
 		fleet.run(second)
 	}
 	for name, verdicts := range fleet.verdicts {
-		if name != "n1" && verdicts["w4"] != routing.Confirmed && fleet.cores[name].findings["w4"] == nil {
+		if name != "n1" && verdicts["w4"] != routing.Confirmed && fleet.cores[name].findings.byWorker["w4"] == nil {
 			t.Errorf("%s has verdict %v, want Confirmed", name, verdicts["w4"])
 		}
 	}
@@ -190,8 +190,8 @@
 						rt.Fatalf("%s has %s Confirmed on the reports of %d byzantine members of %d", name, reported, byzantine, members)
 					}
 				}
-				if core := fleet.cores[name]; len(core.reporters) > members || len(core.findings) > workers {
-					rt.Fatalf("%s has %d reporters and %d findings", name, len(core.reporters), len(core.findings))
+				if core := fleet.cores[name]; len(core.reporters.byName) > members || len(core.findings.byWorker) > workers {
+					rt.Fatalf("%s has %d reporters and %d findings", name, len(core.reporters.byName), len(core.findings.byWorker))
 				}
 			}
 		}
--- a/internal/fleet/faultreport/findings.go
+++ b/internal/fleet/faultreport/findings.go
@@ -24,117 +24,111 @@
 	lastHealthy time.Duration // when the latest request was sent that got a response, 0 for none
 }
 
-// observe records this scheduler's own finding on a worker.
-func (c *Core) observe(observed FaultObserved) {
-	own := c.ensureFinding(observed.Worker)
+// findingTable holds what this scheduler observed itself: findings on at most maxFindings workers.
+type findingTable struct {
+	byWorker map[string]*finding
+	changed  bool // since the reports were last taken
+}
+
+func newFindingTable() *findingTable { return &findingTable{byWorker: map[string]*finding{}} }
+
+// observe records an observation of a worker, and reports whether it was. One of a worker without a finding is dropped
+// if the worker is not listed or the table is full.
+func (t *findingTable) observe(observed FaultObserved, listed bool) bool {
+	own := t.ensure(observed.Worker, listed)
 	if own == nil {
-		return
+		return false
 	}
 	if observed.Fault == routing.Healthy {
-		c.observeHealthy(own, observed)
-		return
+		t.observeHealthy(own, observed)
+		return true
 	}
 	if own.fault != observed.Fault {
 		own.fault = observed.Fault
 		own.firstSeen = observed.At
 		own.attempts = 0
-		c.findingsChanged = true
+		t.changed = true
 	} else if observed.At > own.lastSeen {
-		c.findingsChanged = true // newer evidence
+		t.changed = true // newer evidence
 	}
 	own.lastSeen = max(own.lastSeen, observed.At)
 	own.attempts = min(own.attempts, maxAttempts-1) + 1
+	return true
 }
 
-// observeHealthy clears the finding on a worker that responded, and lowers the reputation of those whose reports the
-// response contradicts.
-func (c *Core) observeHealthy(own *finding, observed FaultObserved) {
+// observeHealthy clears the finding on a worker that responded.
+func (t *findingTable) observeHealthy(own *finding, observed FaultObserved) {
 	own.lastHealthy = max(own.lastHealthy, observed.At)
+	t.clearFault(own)
+}
+
+// clearFault clears the fault of a finding, if there is one.
+func (t *findingTable) clearFault(own *finding) {
 	if own.fault != routing.Healthy {
-		c.findingsChanged = true
+		t.changed = true
 	}
 	own.fault = routing.Healthy
 	own.attempts = 0
-	c.contradict(observed.Worker, observed.At)
 }
 
-// ensureFinding returns the finding on a worker. It is nil for a new one that is not listed or finds the table full.
-func (c *Core) ensureFinding(worker string) *finding {
-	if own := c.findings[worker]; own != nil {
+// ensure returns the finding on a worker. It is nil for a new one that is not listed or finds the table full.
+func (t *findingTable) ensure(worker string, listed bool) *finding {
+	if own := t.byWorker[worker]; own != nil {
 		return own
 	}
-	if len(c.findings) >= maxFindings || !c.endpoints[worker] {
+	if len(t.byWorker) >= maxFindings || !listed {
 		return nil
 	}
 	own := &finding{}
-	c.findings[worker] = own
+	t.byWorker[worker] = own
 	return own
 }
 
-// setEndpoints replaces the listed workers and drops the findings on those that are gone.
-func (c *Core) setEndpoints(workers []string) {
-	clear(c.endpoints)
-	for _, worker := range workers {
-		c.endpoints[worker] = true
+// lastHealthy returns when the latest request to a worker was sent that got a response, 0 for none.
+func (t *findingTable) lastHealthy(worker string) time.Duration {
+	own := t.byWorker[worker]
+	if own == nil {
+		return 0
 	}
-	for worker, own := range c.findings {
-		if c.endpoints[worker] {
+	return own.lastHealthy
+}
+
+// retain drops the findings on workers that are not listed.
+func (t *findingTable) retain(endpoints map[string]bool) {
+	for worker, own := range t.byWorker {
+		if endpoints[worker] {
 			continue
 		}
 		if own.fault != routing.Healthy {
-			c.findingsChanged = true
+			t.changed = true
 		}
-		delete(c.findings, worker)
+		delete(t.byWorker, worker)
 	}
 }
 
-// expireFindings clears the faults that no request has shown for Config.ReportTTL.
-func (c *Core) expireFindings() {
-	for _, own := range c.findings {
-		if own.fault != routing.Healthy && c.now-own.lastSeen >= c.config.ReportTTL {
-			own.fault = routing.Healthy
-			own.attempts = 0
-			c.findingsChanged = true
+// expire clears the faults that no request has shown for a time to live.
+func (t *findingTable) expire(now, ttl time.Duration) {
+	for _, own := range t.byWorker {
+		if own.fault != routing.Healthy && now-own.lastSeen >= ttl {
+			t.clearFault(own)
 		}
 	}
 }
 
-// broadcast emits a statement of the own findings: when they have changed, and periodically as long as there is a
-// fault. A statement without a report is repeated, since the first may be lost on its way.
-func (c *Core) broadcast() {
-	elapsed := c.now - c.broadcastAt
-	due := elapsed >= c.config.ReportTTL/broadcastsPerTTL
-	if elapsed < minBroadcastInterval || !c.findingsChanged && !due {
-		return
-	}
-	reports := c.ownReports()
-	switch {
-	case len(reports) > 0:
-		c.emptyBroadcastsLeft = broadcastsPerTTL
-	case c.emptyBroadcastsLeft == 0:
-		c.findingsChanged = false
-		return
-	default:
-		c.emptyBroadcastsLeft--
-	}
-	c.broadcastAt = c.now
-	c.findingsChanged = false
-	c.actions = append(c.actions, Broadcast{reports})
-}
-
-// ownReports returns the own findings that are faults, sorted by worker.
-func (c *Core) ownReports() []Report {
+// takeReports returns the findings that are faults, sorted by worker, and marks them as unchanged.
+func (t *findingTable) takeReports(now time.Duration) []Report {
+	t.changed = false
 	var reports []Report
-	for _, worker := range slices.Sorted(maps.Keys(c.findings)) {
-		own := c.findings[worker]
+	for _, worker := range slices.Sorted(maps.Keys(t.byWorker)) {
+		own := t.byWorker[worker]
 		if own.fault == routing.Healthy {
 			continue
 		}
 		reports = append(reports, Report{
 			Worker:       worker,
 			Fault:        own.fault,
-			FirstSeenAgo: millisecondsSince(c.now, own.firstSeen),
-			LastSeenAgo:  millisecondsSince(c.now, own.lastSeen),
+			FirstSeenAgo: millisecondsSince(now, own.firstSeen),
+			LastSeenAgo:  millisecondsSince(now, own.lastSeen),
 			Attempts:     own.attempts,
 		})
 	}
@@ -142,3 +136,34 @@
 }
 
 func millisecondsSince(now, at time.Duration) uint32 { return uint32(max(0, now-at).Milliseconds()) }
+
+// broadcaster decides when the findings are broadcast: when they have changed, and periodically as long as there is a
+// fault; at most once in minBroadcastInterval. A statement without a report is repeated, since the first may be lost on
+// its way.
+type broadcaster struct {
+	sentAt    time.Duration
+	emptyLeft int // statements without a report that are still to be broadcast
+}
+
+// repeats reports whether statements without a report are still to be broadcast.
+func (b *broadcaster) repeats() bool { return b.emptyLeft > 0 }
+
+// next returns the statement to broadcast now; ok is false if there is none.
+func (b *broadcaster) next(now, ttl time.Duration, findings *findingTable) (statement Broadcast, ok bool) {
+	elapsed := now - b.sentAt
+	due := elapsed >= ttl/broadcastsPerTTL
+	if elapsed < minBroadcastInterval || !findings.changed && !due {
+		return Broadcast{}, false
+	}
+	reports := findings.takeReports(now)
+	switch {
+	case len(reports) > 0:
+		b.emptyLeft = broadcastsPerTTL
+	case b.emptyLeft == 0:
+		return Broadcast{}, false
+	default:
+		b.emptyLeft--
+	}
+	b.sentAt = now
+	return Broadcast{reports}, true
+}
--- a/internal/fleet/faultreport/quorum.go
+++ b/internal/fleet/faultreport/quorum.go
@@ -15,12 +15,12 @@
 	verdictRefreshInterval = 500 * time.Millisecond // how often unchanged verdicts are published again
 )
 
-// Quorum returns how many reporters it takes to have a worker ejected: one more than may be byzantine, and at least
-// minQuorum.
-func (c *Core) Quorum() int {
-	byzantine := c.config.MaxByzantine
+// quorumOf returns how many reporters it takes to have a worker ejected in a fleet of a size: one more than may be
+// byzantine, and at least minQuorum.
+func quorumOf(fleetSize, maxByzantine int) int {
+	byzantine := maxByzantine
 	if byzantine < 0 {
-		byzantine = (c.fleetSize - 1) / byzantineDivisor
+		byzantine = (fleetSize - 1) / byzantineDivisor
 	}
 	return max(minQuorum, byzantine+1)
 }
@@ -31,62 +31,59 @@
 	ejecting map[string]int // of a fault that warrants ejection
 }
 
-func (c *Core) countReports() reportCounts {
-	counts := reportCounts{any: map[string]int{}, ejecting: map[string]int{}}
-	for _, sender := range c.reporters {
-		if !c.isTrusted(sender) {
-			continue
-		}
-		for worker, report := range sender.reports {
-			if report.contradicted {
-				continue
-			}
-			counts.any[worker]++
-			if warrantsEjection(report.fault) {
-				counts.ejecting[worker]++
-			}
-		}
-	}
-	return counts
+// verdictBoard holds the verdicts that are published, and the workers that were cleared since.
+type verdictBoard struct {
+	verdicts    map[string]routing.PeerVerdict
+	publishedAt time.Duration
+	cleared     []string // workers that a reporter has just withdrawn its report of
 }
 
-// publishVerdicts computes the verdict on each worker and emits PublishVerdicts when one has changed, when a worker
-// was cleared, and every verdictRefreshInterval as long as there are any.
-func (c *Core) publishVerdicts() {
-	counts := c.countReports()
+func newVerdictBoard() *verdictBoard {
+	return &verdictBoard{verdicts: map[string]routing.PeerVerdict{}}
+}
+
+// empty reports whether no worker has a verdict.
+func (b *verdictBoard) empty() bool { return len(b.verdicts) == 0 }
+
+// clear notes workers that a reporter has withdrawn its report of.
+func (b *verdictBoard) clear(workers []string) { b.cleared = append(b.cleared, workers...) }
+
+// next computes the verdict on each worker, and returns what to publish: when a verdict has changed, when a worker was
+// cleared, and every verdictRefreshInterval as long as there are any. At most limit workers are Confirmed; ok is false
+// if there is nothing to publish.
+func (b *verdictBoard) next(now time.Duration, counts reportCounts, quorum, limit int) (published PublishVerdicts, ok bool) {
 	verdicts := map[string]routing.PeerVerdict{}
 	for worker := range counts.any {
 		verdicts[worker] = routing.Reported
 	}
-	for _, worker := range c.confirmedWorkers(counts.ejecting) {
+	for _, worker := range b.confirmed(counts.ejecting, quorum, limit) {
 		verdicts[worker] = routing.Confirmed
 	}
-	refresh := len(verdicts) > 0 && c.now-c.verdictsPublishedAt >= verdictRefreshInterval
-	if !refresh && len(c.cleared) == 0 && maps.Equal(verdicts, c.verdicts) {
-		return
+	refresh := len(verdicts) > 0 && now-b.publishedAt >= verdictRefreshInterval
+	if !refresh && len(b.cleared) == 0 && maps.Equal(verdicts, b.verdicts) {
+		return PublishVerdicts{}, false
 	}
-	c.verdicts = verdicts
-	c.verdictsPublishedAt = c.now
-	c.actions = append(c.actions, PublishVerdicts{routing.PeerReports{Verdicts: maps.Clone(verdicts), Cleared: c.cleared}})
-	c.cleared = nil
+	published = PublishVerdicts{routing.PeerReports{Verdicts: maps.Clone(verdicts), Cleared: b.cleared}}
+	b.verdicts = verdicts
+	b.publishedAt = now
+	b.cleared = nil
+	return published, true
 }
 
-// confirmedWorkers returns the workers with a quorum, at most Config.MaxEjectedFraction of the list. Where not all fit,
-// those that are Confirmed already come first, so that the choice is stable, then those with the most reporters.
-func (c *Core) confirmedWorkers(reporters map[string]int) []string {
-	quorum := c.Quorum()
-	limit := int(c.config.MaxEjectedFraction * float64(len(c.endpoints)))
+// confirmed returns the workers with a quorum, at most limit. Where not all fit, those that are Confirmed already come
+// first, so that the choice is stable, then those with the most reporters.
+func (b *verdictBoard) confirmed(reporters map[string]int, quorum, limit int) []string {
 	var candidates []string
 	for worker, n := range reporters {
 		if n >= quorum {
 			candidates = append(candidates, worker)
 		}
 	}
-	slices.SortFunc(candidates, func(a, b string) int {
+	slices.SortFunc(candidates, func(x, y string) int {
 		return cmp.Or(
-			cmp.Compare(verdictRank(c.verdicts[b]), verdictRank(c.verdicts[a])),
-			cmp.Compare(reporters[b], reporters[a]),
-			cmp.Compare(a, b),
+			cmp.Compare(verdictRank(b.verdicts[y]), verdictRank(b.verdicts[x])),
+			cmp.Compare(reporters[y], reporters[x]),
+			cmp.Compare(x, y),
 		)
 	})
 	return candidates[:min(len(candidates), limit)]
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -29,12 +29,6 @@
 	maxReporters        = 4096
 )
 
-// Why a reporter is ignored. Operators find these in the log.
-const (
-	reasonContradicted = "answers here belie what it says"
-	reasonMassReports  = "it accuses most of the workers"
-)
-
 // reporter is another member, with the reports of its latest statement.
 type reporter struct {
 	isMember           bool // among the live members
@@ -66,158 +60,169 @@
 	return min(maxReputation, r.reputation+reputationRecoveryPerSecond*(now-r.reputationAt).Seconds())
 }
 
-// setMembers replaces the live members.
-func (c *Core) setMembers(names []string) {
-	for _, known := range c.reporters {
-		known.isMember = false
-	}
-	for _, name := range names {
-		if member := c.ensureReporter(name); member != nil {
-			member.isMember = true
-		}
-	}
-	c.fleetSize = len(names) + 1
+// isTrusted reports whether the reports of the member count now.
+func (r *reporter) isTrusted(now time.Duration) bool {
+	return r.isMember && now >= r.mutedUntil && r.reputationNow(now) >= minReputation
 }
 
-// ensureReporter returns the reporter of a name, nil for a new one if the table is full.
-func (c *Core) ensureReporter(name string) *reporter {
-	known := c.reporters[name]
-	if known == nil && len(c.reporters) < maxReporters {
-		known = &reporter{
-			reputation: initialReputation,
-			reports:    map[string]peerReport{},
-			clearedAt:  map[string]time.Duration{},
-		}
-		c.reporters[name] = known
-	}
-	return known
+// isClean reports whether nothing is held against the member.
+func (r *reporter) isClean(now time.Duration) bool {
+	return now >= r.mutedUntil && r.reputationNow(now) >= maxReputation
 }
 
-// receive replaces the reports of a member with those of its new statement. Malformed statements and those of unknown
-// members are dropped.
-func (c *Core) receive(statement StatementReceived) {
-	sender := c.reporters[statement.From]
-	if sender == nil {
-		return
-	}
-	list, err := Decode(statement.Body)
-	if err != nil {
-		return
-	}
-	previous := sender.reports
-	sender.reports = map[string]peerReport{}
-	listed := 0
-	for _, report := range list {
-		if !c.endpoints[report.Worker] {
-			continue // the sender may have a newer or an older endpoint list
-		}
-		listed++
-		c.store(sender, report, previous)
-	}
-	if listed > massReportThreshold && float64(listed) > massReportFraction*float64(len(c.endpoints)) {
-		c.mute(statement.From, sender, reasonMassReports)
-		return
-	}
-	c.clearWithdrawn(sender, previous)
+// takeReports removes the reports of the latest statement and returns them by worker.
+func (r *reporter) takeReports() map[string]peerReport {
+	taken := r.reports
+	r.reports = map[string]peerReport{}
+	return taken
 }
 
-// store keeps a received report unless it has expired. A report that was contradicted stays so however often it is
-// repeated, as long as it is about the same outage.
-func (c *Core) store(sender *reporter, received Report, previous map[string]peerReport) {
+// store keeps a received report unless it has expired, and reports whether it counts. A report that was contradicted
+// stays so however often it is repeated, as long as it is about the same outage.
+func (r *reporter) store(now, ttl time.Duration, received Report, previous map[string]peerReport) (counts bool) {
 	report := peerReport{
 		fault:     received.Fault,
-		firstSeen: c.now - milliseconds(received.FirstSeenAgo),
-		lastSeen:  c.now - milliseconds(received.LastSeenAgo),
+		firstSeen: now - milliseconds(received.FirstSeenAgo),
+		lastSeen:  now - milliseconds(received.LastSeenAgo),
 	}
-	report.expiresAt = report.lastSeen + c.config.ReportTTL
-	if report.expiresAt <= c.now {
-		return
+	report.expiresAt = report.lastSeen + ttl
+	if report.expiresAt <= now {
+		return false
 	}
 	if old, ok := previous[received.Worker]; ok && old.contradicted && report.firstSeen < old.lastSeen {
 		report.contradicted = true
 	}
-	sender.reports[received.Worker] = report
-	own := c.findings[received.Worker]
-	if own != nil && own.lastHealthy > 0 && !report.contradicted {
-		c.contradict(received.Worker, own.lastHealthy)
-	}
+	r.reports[received.Worker] = report
+	return !report.contradicted
 }
 
-// clearWithdrawn notes the workers that a reporter no longer reports: it has had a response from them. A byzantine
-// member may pretend that, which costs one probe at most; so it counts once in Config.ReportTTL for each worker.
-func (c *Core) clearWithdrawn(sender *reporter, previous map[string]peerReport) {
+// withdrawn returns the workers that the member no longer reports: it has had a response from them. A byzantine member
+// may pretend that, which costs one probe at most; so it counts once in a time to live for each worker.
+func (r *reporter) withdrawn(now, ttl time.Duration, previous map[string]peerReport) []string {
+	var cleared []string
 	for _, worker := range slices.Sorted(maps.Keys(previous)) {
 		report := previous[worker]
-		_, stillReported := sender.reports[worker]
-		if stillReported || !warrantsEjection(report.fault) || report.contradicted || !c.isTrusted(sender) {
+		_, stillReported := r.reports[worker]
+		if stillReported || !warrantsEjection(report.fault) || report.contradicted || !r.isTrusted(now) {
 			continue
 		}
-		clearedAt := sender.clearedAt[worker]
-		if clearedAt == 0 || c.now-clearedAt >= c.config.ReportTTL {
-			sender.clearedAt[worker] = c.now
-			c.cleared = append(c.cleared, worker)
+		clearedAt := r.clearedAt[worker]
+		if clearedAt == 0 || now-clearedAt >= ttl {
+			r.clearedAt[worker] = now
+			cleared = append(cleared, worker)
 		}
 	}
+	return cleared
 }
 
-// contradict lowers the reputation of all that report a worker as unresponsive or unreachable over a time in which it
-// responded to this scheduler: to a request that was sent at the given time.
-func (c *Core) contradict(worker string, at time.Duration) {
-	for _, name := range slices.Sorted(maps.Keys(c.reporters)) {
-		sender := c.reporters[name]
-		report, ok := sender.reports[worker]
-		if !ok || report.contradicted || !warrantsEjection(report.fault) {
-			continue
-		}
-		if at < report.firstSeen+contradictionMargin || at > report.lastSeen-contradictionMargin {
-			continue
-		}
-		report.contradicted = true
-		sender.reports[worker] = report
-		sender.reputation = sender.reputationNow(c.now) * contradictionFactor
-		sender.reputationAt = c.now
-		if sender.reputation < minReputation {
-			c.announceDiscredit(name, sender, reasonContradicted)
-		}
+// contradict lowers the reputation of a member that reports a worker as unresponsive or unreachable over a time in which
+// it responded to this scheduler: to a request that was sent at the given time. It reports whether that left the member
+// too little.
+func (r *reporter) contradict(now time.Duration, worker string, at time.Duration) (discredited bool) {
+	report, ok := r.reports[worker]
+	if !ok || report.contradicted || !warrantsEjection(report.fault) {
+		return false
+	}
+	if at < report.firstSeen+contradictionMargin || at > report.lastSeen-contradictionMargin {
+		return false
 	}
+	report.contradicted = true
+	r.reports[worker] = report
+	r.reputation = r.reputationNow(now) * contradictionFactor
+	r.reputationAt = now
+	return r.reputation < minReputation
+}
+
+// mute drops the reports of the member and ignores it for muteDuration.
+func (r *reporter) mute(now time.Duration) {
+	r.mutedUntil = now + muteDuration
+	clear(r.reports)
 }
 
-// mute drops the reports of a member and ignores it for muteDuration.
-func (c *Core) mute(name string, sender *reporter, reason string) {
-	sender.mutedUntil = c.now + muteDuration
-	clear(sender.reports)
-	c.announceDiscredit(name, sender, reason)
+// markDiscredited notes that the member is announced as discredited, and reports whether it was not yet.
+func (r *reporter) markDiscredited() (isNews bool) {
+	isNews = !r.discreditAnnounced
+	r.discreditAnnounced = true
+	return isNews
 }
 
-// announceDiscredit emits Discredited, once until the member is trusted again.
-func (c *Core) announceDiscredit(name string, sender *reporter, reason string) {
-	if sender.discreditAnnounced {
-		return
+// expire drops expired reports and those of workers that are not listed.
+func (r *reporter) expire(now, ttl time.Duration, endpoints map[string]bool) {
+	maps.DeleteFunc(r.reports, func(worker string, report peerReport) bool {
+		return now >= report.expiresAt || !endpoints[worker]
+	})
+	maps.DeleteFunc(r.clearedAt, func(_ string, at time.Duration) bool { return now-at >= ttl })
+	if r.isTrusted(now) {
+		r.discreditAnnounced = false
+	}
+}
+
+// reporterTable holds the other members with their reputation and their reports: at most maxReporters, each with the
+// reports of one statement.
+type reporterTable struct {
+	byName map[string]*reporter
+}
+
+func newReporterTable() *reporterTable { return &reporterTable{byName: map[string]*reporter{}} }
+
+// get returns the reporter of a name, or nil.
+func (t *reporterTable) get(name string) *reporter { return t.byName[name] }
+
+// names returns the names of all reporters, sorted.
+func (t *reporterTable) names() []string { return slices.Sorted(maps.Keys(t.byName)) }
+
+// setMembers replaces the live members.
+func (t *reporterTable) setMembers(names []string) {
+	for _, known := range t.byName {
+		known.isMember = false
 	}
-	sender.discreditAnnounced = true
-	c.actions = append(c.actions, Discredited{From: name, Why: reason})
-}
-
-// isTrusted reports whether the reports of a member count now.
-func (c *Core) isTrusted(sender *reporter) bool {
-	return sender.isMember && c.now >= sender.mutedUntil && sender.reputationNow(c.now) >= minReputation
-}
-
-// expireReporters drops expired reports and the reporters that have left with nothing held against them.
-func (c *Core) expireReporters() {
-	maps.DeleteFunc(c.reporters, func(_ string, known *reporter) bool {
-		maps.DeleteFunc(known.reports, func(worker string, report peerReport) bool {
-			return c.now >= report.expiresAt || !c.endpoints[worker]
-		})
-		maps.DeleteFunc(known.clearedAt, func(_ string, at time.Duration) bool {
-			return c.now-at >= c.config.ReportTTL
-		})
-		if c.isTrusted(known) {
-			known.discreditAnnounced = false
+	for _, name := range names {
+		if member := t.ensure(name); member != nil {
+			member.isMember = true
 		}
-		isClean := c.now >= known.mutedUntil && known.reputationNow(c.now) >= maxReputation
-		return !known.isMember && len(known.reports) == 0 && isClean
+	}
+}
+
+// ensure returns the reporter of a name, nil for a new one if the table is full.
+func (t *reporterTable) ensure(name string) *reporter {
+	known := t.byName[name]
+	if known == nil && len(t.byName) < maxReporters {
+		known = &reporter{
+			reputation: initialReputation,
+			reports:    map[string]peerReport{},
+			clearedAt:  map[string]time.Duration{},
+		}
+		t.byName[name] = known
+	}
+	return known
+}
+
+// expire drops expired reports and the reporters that have left with nothing held against them.
+func (t *reporterTable) expire(now, ttl time.Duration, endpoints map[string]bool) {
+	maps.DeleteFunc(t.byName, func(_ string, known *reporter) bool {
+		known.expire(now, ttl, endpoints)
+		return !known.isMember && len(known.reports) == 0 && known.isClean(now)
 	})
 }
 
+// count counts the trusted reporters of each worker.
+func (t *reporterTable) count(now time.Duration) reportCounts {
+	counts := reportCounts{any: map[string]int{}, ejecting: map[string]int{}}
+	for _, sender := range t.byName {
+		if !sender.isTrusted(now) {
+			continue
+		}
+		for worker, report := range sender.reports {
+			if report.contradicted {
+				continue
+			}
+			counts.any[worker]++
+			if warrantsEjection(report.fault) {
+				counts.ejecting[worker]++
+			}
+		}
+	}
+	return counts
+}
+
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
