--- a/internal/fleet/faultreport/recording_test.go
+++ b/internal/fleet/faultreport/recording_test.go
@@ -1,8 +1,8 @@
 package faultreport_test
 
 import (
+	"bytes"
 	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -62,7 +62,7 @@
 		rng := rand.New(rand.NewPCG(seed, 5))
 		core := faultreport.New(faultreport.Config{MaxByzantine: -1, MaxEjectedFraction: 0.4, ReportTTL: 5 * time.Second})
 		now := time.Hour
-		recorded := sha256.New()
+		var recorded bytes.Buffer
 		kinds := map[string]int{}
 		events := []faultreport.Event{
 			faultreport.EndpointsChanged{Workers: drawNames(rng, "w", 12, 1)}, faultreport.MembersChanged{Names: drawNames(rng, "n", 8, 1)},
@@ -70,16 +70,16 @@
 		for range 20_000 {
 			for _, action := range core.Step(now, events) {
 				kinds[fmt.Sprintf("%T", action)]++
-				fmt.Fprintf(recorded, "%v %T %v\n", now, action, action)
+				fmt.Fprintf(&recorded, "%v %T %v\n", now, action, action)
 			}
-			fmt.Fprintln(recorded, core.Next(), core.Quorum())
+			fmt.Fprintln(&recorded, core.Next(), core.Quorum())
 			now += time.Duration(rng.IntN(200)) * time.Millisecond
 			events = nil
 			for range rng.IntN(3) {
 				events = append(events, drawEvent(t, rng, now))
 			}
 		}
-		if got := hex.EncodeToString(recorded.Sum(nil))[:16]; got != want {
+		if got := fmt.Sprintf("%x", sha256.Sum256(recorded.Bytes()))[:16]; got != want {
 			t.Errorf("seed %d: the actions hash to %s, want %s", seed, got, want)
 		}
 		if len(kinds) != 3 {
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -140,10 +140,10 @@
 }
 
 // markDiscredited notes that the member is announced as discredited, and reports whether it was not yet.
-func (r *reporter) markDiscredited() (isNews bool) {
-	isNews = !r.discreditAnnounced
+func (r *reporter) markDiscredited() (first bool) {
+	first = !r.discreditAnnounced
 	r.discreditAnnounced = true
-	return isNews
+	return first
 }
 
 // expire drops expired reports and those of workers that are not listed.
--- a/internal/fleet/gossip/events.go
+++ b/internal/fleet/gossip/events.go
@@ -105,7 +105,7 @@
 	return o.transmit(m.Name, m.Addr.AddrPort, message)
 }
 
-// reply sends a message to whoever sent another, as transmit does.
-func (o *outbox) reply(received Received, message *Message) bool {
-	return o.transmit(received.From, received.Addr, message)
+// reply sends a message to whoever sent another, if the budget allows it.
+func (o *outbox) reply(received Received, message *Message) {
+	o.transmit(received.From, received.Addr, message)
 }
--- a/internal/fleet/gossip/guard_internal_test.go
+++ b/internal/fleet/gossip/guard_internal_test.go
@@ -23,23 +23,23 @@
 
 // testFleet is the authority of a fleet, and makes guards of its members.
 type testFleet struct {
-	t         testing.TB
+	tb        testing.TB
 	authority *pki.Authority
 }
 
-func newTestFleet(t testing.TB) *testFleet {
-	t.Helper()
+func newTestFleet(tb testing.TB) *testFleet {
+	tb.Helper()
 	authority, err := pki.NewAuthority("f", noon.Add(-time.Hour), 24*time.Hour)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return &testFleet{t, authority}
+	return &testFleet{tb, authority}
 }
 
 func (f *testFleet) trust(lists ...*x509.RevocationList) *pki.Trust {
 	t, err := pki.NewTrust("f", 5*time.Second, []*x509.Certificate{f.authority.Cert}, lists)
 	if err != nil {
-		f.t.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	return t
 }
@@ -47,7 +47,7 @@
 func (f *testFleet) member(name string) *pki.Member {
 	m, err := f.authority.Issue(name, noon.Add(-time.Hour), 12*time.Hour)
 	if err != nil {
-		f.t.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	return m
 }
@@ -62,22 +62,22 @@
 }
 
 func (f *testFleet) seal(g *Guard, to string, wall time.Time, m Message) []byte {
-	f.t.Helper()
+	f.tb.Helper()
 	b, err := g.Seal(to, 1, wall, &m)
 	if err != nil {
-		f.t.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	return b
 }
 
 // acquaint makes two guards know each other, cookies included.
 func (f *testFleet) acquaint(a, b *Guard) {
-	f.t.Helper()
+	f.tb.Helper()
 	for range 2 {
 		for _, p := range [][2]*Guard{{a, b}, {b, a}} {
 			d := f.seal(p[0], p[1].own.Name(), noon, Message{Kind: Ping, Nonce: 1})
 			if _, err := p[1].Open(time.Hour, noon, testAddr, d); err != nil {
-				f.t.Fatal(err)
+				f.tb.Fatal(err)
 			}
 		}
 	}
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -177,21 +177,21 @@
 
 // advance takes a probe whose timeout has passed to its next stage: from direct to indirect to failed, or, on behalf of
 // another member, from pending to Nack sent to ended. It returns what has to be done for that.
-func (d *failureDetector) advance(now time.Duration, p *probe, targetKnown bool) probeStep {
+func (d *failureDetector) advance(now time.Duration, pending *probe, targetKnown bool) probeStep {
 	switch {
-	case now-p.sentAt < d.timeout(p):
+	case now-pending.sentAt < d.timeout(pending):
 		return awaitAnswer
-	case p.requester != "" && !p.nackSent:
-		p.nackSent = true
+	case pending.requester != "" && !pending.nackSent:
+		pending.nackSent = true
 		return sendNack
-	case p.requester != "" || !targetKnown:
-		d.end(p)
+	case pending.requester != "" || !targetKnown:
+		d.end(pending)
 		return endSilently
-	case !p.indirect:
-		p.indirect = true
+	case !pending.indirect:
+		pending.indirect = true
 		return probeIndirectly
 	default:
-		d.fail(p)
+		d.fail(pending)
 		return declareFailed
 	}
 }
--- a/internal/fleet/gossip/recording_test.go
+++ b/internal/fleet/gossip/recording_test.go
@@ -1,10 +1,9 @@
 package gossip_test
 
 import (
+	"bytes"
 	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"net/netip"
 	"testing"
@@ -44,32 +43,31 @@
 	arrived []gossip.Event
 }
 
-// recording is a fleet in virtual time, of which all actions are hashed in their order.
+// recording is a fleet in virtual time, of which all actions are recorded in their order.
 type recording struct {
 	config  gossip.Config
 	rng     *rand.Rand
 	members []*recordedMember
 	byAddr  map[netip.AddrPort]*recordedMember
-	hash    hash.Hash
+	lines   bytes.Buffer   // one for each action and each step
 	actions map[string]int // by type
 }
 
 func newRecording(config gossip.Config, seed uint64) *recording {
-	r := &recording{
+	fleet := &recording{
 		config:  config,
 		rng:     rand.New(rand.NewPCG(seed, 7)),
 		byAddr:  map[netip.AddrPort]*recordedMember{},
-		hash:    sha256.New(),
 		actions: map[string]int{},
 	}
 	for i := range recordingMembers {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7946)
 		m := &recordedMember{name: fmt.Sprintf("m%d", i), addr: addr}
-		r.members = append(r.members, m)
-		r.byAddr[addr] = m
-		r.start(m, 0)
+		fleet.members = append(fleet.members, m)
+		fleet.byAddr[addr] = m
+		fleet.start(m, 0)
 	}
-	return r
+	return fleet
 }
 
 // start starts a member, whose seed is the first one.
@@ -101,6 +99,7 @@
 		}
 	case nameTakenAt:
 		deliver(6, gossip.Received{From: "m6", Addr: r.members[6].addr, Epoch: 1 << 40, Message: &gossip.Message{Kind: gossip.Gossip}})
+	default: // nothing is due
 	}
 	if now%statementsEvery == 0 {
 		author := int(now/statementsEvery) % recordingMembers
@@ -110,37 +109,37 @@
 	}
 }
 
-// step steps a member with what has arrived, if anything has or its timers are due, and hashes its actions.
+// step steps a member with what has arrived, if anything has or its timers are due, and records its actions.
 func (r *recording) step(now time.Duration, i int) {
-	m := r.members[i]
+	stepped := r.members[i]
 	paused := i == 7 && now >= pauseFrom && now < pauseTo
-	if m.core == nil || paused || len(m.arrived) == 0 && m.core.Next() > now {
+	if stepped.core == nil || paused || len(stepped.arrived) == 0 && stepped.core.Next() > now {
 		return
 	}
-	events := m.arrived
-	m.arrived = nil
-	for _, action := range m.core.Step(now, events) {
+	events := stepped.arrived
+	stepped.arrived = nil
+	for _, action := range stepped.core.Step(now, events) {
 		r.actions[fmt.Sprintf("%T", action)]++
 		if transmit, ok := action.(gossip.Transmit); ok {
-			fmt.Fprintln(r.hash, now, m.name, transmit.To, transmit.Addr, transmit.Incarnation, *transmit.Message)
+			fmt.Fprintln(&r.lines, now, stepped.name, transmit.To, transmit.Addr, transmit.Incarnation, *transmit.Message)
 			r.deliver(now, i, transmit)
 			continue
 		}
-		fmt.Fprintf(r.hash, "%v %s %T %v\n", now, m.name, action, action)
+		fmt.Fprintf(&r.lines, "%v %s %T %v\n", now, stepped.name, action, action)
 	}
-	fmt.Fprintln(r.hash, m.core.Next(), m.core.NumMembers())
+	fmt.Fprintln(&r.lines, stepped.core.Next(), stepped.core.NumMembers())
 }
 
 // deliver passes a message to its receiver, which gets it at its next step, unless it is lost.
 func (r *recording) deliver(now time.Duration, from int, transmit gossip.Transmit) {
-	to := r.byAddr[transmit.Addr]
+	receiver := r.byAddr[transmit.Addr]
 	lost := r.rng.Float64() < recordingLoss
 	unsigned := r.rng.Float64() < unsignedRecords
-	if to == nil || lost {
+	if receiver == nil || lost {
 		return
 	}
 	sender := r.members[from]
-	cutOff := (sender == r.members[8]) != (to == r.members[8])
+	cutOff := (sender == r.members[8]) != (receiver == r.members[8])
 	if cutOff && now >= partitionFrom && now < partitionTo {
 		return
 	}
@@ -151,7 +150,7 @@
 			message.Records[i].Sig = nil
 		}
 	}
-	to.arrived = append(to.arrived, gossip.Received{
+	receiver.arrived = append(receiver.arrived, gossip.Received{
 		From: sender.name, Addr: sender.addr, Epoch: sender.epoch, Message: &message, Trusted: r.rng.Float64() < 0.9,
 	})
 }
@@ -180,18 +179,18 @@
 		{"few messages", frugal, 4, "21a847e01133cb06"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRecording(tt.config, tt.seed)
+			fleet := newRecording(tt.config, tt.seed)
 			for now := time.Second; now < recordingEnd; now += recordingTick {
-				r.schedule(now)
-				for i := range r.members {
-					r.step(now, i)
+				fleet.schedule(now)
+				for i := range fleet.members {
+					fleet.step(now, i)
 				}
 			}
-			if got := hex.EncodeToString(r.hash.Sum(nil))[:16]; got != tt.want {
+			if got := fmt.Sprintf("%x", sha256.Sum256(fleet.lines.Bytes()))[:16]; got != tt.want {
 				t.Errorf("the actions hash to %s, want %s", got, tt.want)
 			}
-			if len(r.actions) != 5 {
-				t.Errorf("actions %v, want all 5 types", r.actions)
+			if len(fleet.actions) != 5 {
+				t.Errorf("actions %v, want all 5 types", fleet.actions)
 			}
 		})
 	}
--- a/internal/fleet/quota/account.go
+++ b/internal/fleet/quota/account.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// lendableDivisor is the part of its quota that a member lends at most.
+const lendableDivisor = 2
+
 // fixedQuota is what a member owns of a budget. It follows from the configured size of the fleet and never from the
 // members that are reachable, so that a partition doesn't change it.
 func (c *Core) fixedQuota(account *budgetAccount) int64 {
@@ -17,7 +20,7 @@
 
 // maxLendable is the most that a member lends of its quota: half. A new start does without that half until leases of
 // the start before have expired.
-func maxLendable(quota int64) int64 { return quota / 2 }
+func maxLendable(quota int64) int64 { return quota / lendableDivisor }
 
 // ownQuota is the part of the fixed quota that this start of the member may count on. It has no record of the start
 // before, whose units may be in use for HoldTime and whose leases last for a lease duration more.
--- a/internal/fleet/transport/fleet_internal_test.go
+++ b/internal/fleet/transport/fleet_internal_test.go
@@ -121,7 +121,11 @@
 	}
 	f.t.Cleanup(func() { _ = node.conn.Close() }) // closed already if the test has closed the Node
 	opened.Node = node
-	opened.addr = node.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	local, ok := node.conn.LocalAddr().(*net.UDPAddr)
+	if !ok {
+		f.t.Fatalf("listening on %v, want a UDP address", node.conn.LocalAddr())
+	}
+	opened.addr = local.AddrPort()
 	// Only now is the port known that others are to be told.
 	node.settings.Advertise = opened.addr
 	node.core = newCore(node.settings, node.own, node.guard, node.start.UnixMilli())
