--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"calicohill/internal/fleet/pki"
-	"calicohill/internal/stats/ratelimit"
 )
 
 // Why a datagram is dropped. Open returns ErrMalformed, one of these, or an error of package pki, possibly wrapped.
@@ -27,20 +26,15 @@
 // Guard authenticates the datagrams that are received and seals those that are sent. It holds each member's
 // certificate, epoch and latest sequence numbers. It reads no clock and is not safe for concurrent use.
 type Guard struct {
-	fleet           string
-	own             *pki.Member
-	epoch           int64
-	trust           *pki.Trust
-	cookieSecret    []byte // new with each start, so that no datagram from before it shows a valid cookie
-	checksPerSecond float64
-	clockSkew       time.Duration
-	seq             uint64 // of the last datagram sealed
-
-	peers         map[string]*peer
-	knownAddrs    map[netip.AddrPort]bool // of seeds and members
-	totalBudget   ratelimit.TokenBucket   // signature checks in all
-	knownBudget   ratelimit.TokenBucket   // those for datagrams without a cookie from known addresses
-	unknownBudget ratelimit.TokenBucket   // those for all other datagrams without a cookie
+	fleet        string
+	own          *pki.Member
+	epoch        int64
+	trust        *pki.Trust
+	cookieSecret []byte // new with each start, so that no datagram from before it shows a valid cookie
+	clockSkew    time.Duration
+	seq          uint64 // of the last datagram sealed
+	peers        *peerTable
+	checks       *checkLimits
 
 	// SignaturesChecked counts the signatures verified since the start.
 	SignaturesChecked uint64
@@ -60,49 +54,35 @@
 
 // NewGuard returns a Guard that knows no other member.
 func NewGuard(c GuardConfig) *Guard {
-	g := &Guard{
-		fleet:           c.Fleet,
-		own:             c.Own,
-		epoch:           c.Epoch,
-		trust:           c.Trust,
-		cookieSecret:    c.Secret,
-		checksPerSecond: float64(c.MaxChecksPerSecond),
-		clockSkew:       c.MaxClockSkew,
-		peers:           map[string]*peer{},
-		knownAddrs:      map[netip.AddrPort]bool{},
+	return &Guard{
+		fleet:        c.Fleet,
+		own:          c.Own,
+		epoch:        c.Epoch,
+		trust:        c.Trust,
+		cookieSecret: c.Secret,
+		clockSkew:    c.MaxClockSkew,
+		peers:        newPeerTable(),
+		checks:       newCheckLimits(c.MaxChecksPerSecond, c.Seeds),
 	}
-	g.SetKnownAddresses(c.Seeds)
-	return g
 }
 
 // SetKnownAddresses replaces the addresses of seeds and members.
-func (g *Guard) SetKnownAddresses(addrs []netip.AddrPort) {
-	clear(g.knownAddrs)
-	for _, addr := range addrs {
-		g.knownAddrs[addr] = true
-	}
-}
+func (g *Guard) SetKnownAddresses(addrs []netip.AddrPort) { g.checks.setKnownAddrs(addrs) }
 
 // UpdateTrust replaces this member's key and the trusted authorities. It forgets the members whose certificates are no
 // longer valid and returns their names.
 func (g *Guard) UpdateTrust(own *pki.Member, trust *pki.Trust, wall time.Time) (removed []string) {
 	g.own = own
 	g.trust = trust
-	for name, p := range g.peers {
-		if p.cert != nil && trust.Current(p.cert, wall) != nil {
-			delete(g.peers, name)
-			removed = append(removed, name)
-		}
-	}
-	return removed
+	return g.peers.removeUncertified(trust, wall)
 }
 
 // Forget drops what is known of a member.
-func (g *Guard) Forget(name string) { delete(g.peers, name) }
+func (g *Guard) Forget(name string) { g.peers.remove(name) }
 
 // Certified reports whether the certificate of a member is known.
 func (g *Guard) Certified(name string) bool {
-	p := g.peers[name]
+	p := g.peers.get(name)
 	return p != nil && p.cert != nil
 }
 
@@ -132,7 +112,7 @@
 func (g *Guard) Seal(to string, inc uint32, wall time.Time, message *Message) ([]byte, error) {
 	g.seq++
 	head := header{from: g.own.Name(), to: to, epoch: g.epoch, incarnation: inc, seq: g.seq}
-	receiver := g.peers[to]
+	receiver := g.peers.get(to)
 	if receiver != nil {
 		head.cookie = receiver.cookie
 	}
--- a/internal/fleet/gossip/handlers.go
+++ b/internal/fleet/gossip/handlers.go
@@ -204,7 +204,7 @@
 	}
 	if claim.Incarnation == c.self.record.Incarnation {
 		c.self.refute()
-		c.detector.health.raise(1)
+		c.detector.noteRefutation()
 		c.dissemination.queueRecord(c.self.record)
 		c.nextGossip = c.now
 	}
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"net/netip"
 	"time"
 
 	"calicohill/internal/stats/ratelimit"
@@ -86,6 +87,70 @@
 	return b.claims.Take(now, 1, claimRate, claimBurst)
 }
 
+// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither datagrams with forged
+// addresses nor one member can use up what is needed for the members that have shown a cookie.
+const (
+	peerCheckFraction    = 0.2  // for each member that shows a cookie
+	knownCheckFraction   = 0.25 // for all datagrams without one from addresses of members and seeds
+	unknownCheckFraction = 0.1  // for all others
+)
+
+// checkLimits bounds the signatures that a Guard verifies for datagrams, by the rank of their apparent senders: members
+// that show a cookie have a budget each, known addresses one together, and all others one. No more than perSecond are
+// verified in a second, nor at once.
+type checkLimits struct {
+	perSecond  float64                 // GuardConfig.MaxChecksPerSecond
+	knownAddrs map[netip.AddrPort]bool // of seeds and members
+	total      ratelimit.TokenBucket   // for all datagrams
+	known      ratelimit.TokenBucket   // for datagrams without a cookie from known addresses
+	unknown    ratelimit.TokenBucket   // for all other datagrams without a cookie
+}
+
+// checkBudget is the budget of signature checks of a datagram's apparent sender.
+type checkBudget struct {
+	limits *checkLimits
+	bucket *ratelimit.TokenBucket
+	rate   float64 // per second; also the burst
+	now    time.Duration
+}
+
+// newCheckLimits returns limits with empty budgets, which fill with time.
+func newCheckLimits(maxChecksPerSecond int, knownAddrs []netip.AddrPort) *checkLimits {
+	limits := &checkLimits{perSecond: float64(maxChecksPerSecond), knownAddrs: map[netip.AddrPort]bool{}}
+	limits.setKnownAddrs(knownAddrs)
+	return limits
+}
+
+// setKnownAddrs replaces the addresses of seeds and members.
+func (l *checkLimits) setKnownAddrs(addrs []netip.AddrPort) {
+	clear(l.knownAddrs)
+	for _, addr := range addrs {
+		l.knownAddrs[addr] = true
+	}
+}
+
+// budgetFor returns the budget for a datagram. The sender is trusted if it shows a valid cookie; else only the address,
+// which may be forged, ranks it.
+func (l *checkLimits) budgetFor(sender *peer, trusted bool, from netip.AddrPort, now time.Duration) checkBudget {
+	bucket := &l.unknown
+	fraction := unknownCheckFraction
+	switch {
+	case trusted:
+		bucket = &sender.checkBudget
+		fraction = peerCheckFraction
+	case l.knownAddrs[from]:
+		bucket = &l.known
+		fraction = knownCheckFraction
+	}
+	return checkBudget{limits: l, bucket: bucket, rate: max(fraction*l.perSecond, 1), now: now}
+}
+
+// spend takes one check, from the sender's budget and from that of all senders.
+func (b checkBudget) spend() bool {
+	total := b.limits.perSecond
+	return b.bucket.Take(b.now, 1, b.rate, b.rate) && b.limits.total.Take(b.now, 1, total, total)
+}
+
 // RateMeter measures how many messages a member sends in a second, to compare with Config.MaxMessagesPerSecond. The zero
 // RateMeter is ready for use.
 type RateMeter struct {
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -6,16 +6,6 @@
 	"crypto/x509"
 	"net/netip"
 	"time"
-
-	"calicohill/internal/stats/ratelimit"
-)
-
-// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither datagrams with forged
-// addresses nor one member can use up what is needed for the members that have shown a cookie.
-const (
-	peerCheckFraction    = 0.2  // for each member that shows a cookie
-	knownCheckFraction   = 0.25 // for all datagrams without one from addresses of members and seeds
-	unknownCheckFraction = 0.1  // for all others
 )
 
 const (
@@ -35,36 +25,6 @@
 	Equivocators []string
 }
 
-// checkBudget is the budget of signature checks of a datagram's apparent sender.
-type checkBudget struct {
-	guard  *Guard
-	bucket *ratelimit.TokenBucket
-	rate   float64 // per second; also the burst
-	now    time.Duration
-}
-
-// checkBudgetFor returns the budget for a datagram. The sender is trusted if it shows a valid cookie; else only the
-// address, which may be forged, ranks it.
-func (g *Guard) checkBudgetFor(sender *peer, trusted bool, from netip.AddrPort, now time.Duration) checkBudget {
-	bucket := &g.unknownBudget
-	fraction := unknownCheckFraction
-	switch {
-	case trusted:
-		bucket = &sender.checkBudget
-		fraction = peerCheckFraction
-	case g.knownAddrs[from]:
-		bucket = &g.knownBudget
-		fraction = knownCheckFraction
-	}
-	return checkBudget{guard: g, bucket: bucket, rate: max(fraction*g.checksPerSecond, 1), now: now}
-}
-
-// spend takes one check, from the sender's budget and from that of all senders.
-func (b checkBudget) spend() bool {
-	total := b.guard.checksPerSecond
-	return b.bucket.Take(b.now, 1, b.rate, b.rate) && b.guard.totalBudget.Take(b.now, 1, total, total)
-}
-
 // Open authenticates a datagram. Cheap checks come first, and no signature is verified unless the budget of the
 // apparent sender allows it. Its records and statements are filtered: those that remain are new and signed by their
 // author, but records of members whose certificate is not known remain without a signature.
@@ -76,12 +36,12 @@
 	if sealed.to != "" && sealed.to != g.own.Name() {
 		return nil, ErrNotForUs
 	}
-	sender := g.peers[sealed.from]
+	sender := g.peers.get(sealed.from)
 	if sender != nil && sender.replayed(&sealed.header) {
 		return nil, ErrReplayed
 	}
 	trusted := sender != nil && g.showsCookie(&sealed.header)
-	checks := g.checkBudgetFor(sender, trusted, from, now)
+	checks := g.checks.budgetFor(sender, trusted, from, now)
 	if !checks.spend() {
 		return nil, ErrBudget
 	}
@@ -90,11 +50,10 @@
 		return nil, err
 	}
 	if sender == nil {
-		sender = g.addPeer(sealed.from, now)
+		sender = g.peers.add(sealed.from, now)
 	}
 	sender.update(&sealed.header, trusted, message.Cookie)
-	sender.cert = cert
-	sender.lastSeen = now
+	sender.identify(cert, now)
 	opened := &Opened{From: sealed.from, Epoch: sealed.epoch, Message: message, Trusted: trusted}
 	g.filterRecords(opened, checks)
 	g.filterStatements(opened, wall, checks)
@@ -165,24 +124,12 @@
 	return cert, nil
 }
 
-// update applies the header and the cookie of an authenticated datagram.
-func (p *peer) update(h *header, trusted bool, cookie Cookie) {
-	if h.epoch > p.epoch {
-		p.startEpoch(h.epoch)
-	}
-	p.cookieSeen = p.cookieSeen || trusted
-	p.markSeen(h.seq)
-	if cookie != (Cookie{}) {
-		p.cookie = cookie
-	}
-}
-
 // filterRecords keeps the records that are new and signed by their author. Those of members whose certificate is not
 // known are accepted without their signature: they are only used as addresses at which a member may be found.
 func (g *Guard) filterRecords(opened *Opened, checks checkBudget) {
 	accepted := opened.Records[:0]
 	for _, record := range opened.Records {
-		author := g.peers[record.Name]
+		author := g.peers.get(record.Name)
 		switch {
 		case record.Name == g.own.Name():
 			if !g.acceptOwnRecord(&record, checks) {
@@ -212,9 +159,7 @@
 	if !g.verifySignature(author.cert, record.signed(g.fleet), record.Sig) {
 		return false
 	}
-	author.recordEpoch = record.Epoch
-	author.recordIncarnation = record.Incarnation
-	author.recordGone = record.Gone
+	author.setRecord(record)
 	return true
 }
 
@@ -231,7 +176,7 @@
 			opened.Equivocators = append(opened.Equivocators, statement.Name)
 			continue
 		}
-		author.lastStatement = statement
+		author.setStatement(statement)
 		accepted = append(accepted, statement)
 	}
 	opened.Statements = accepted
@@ -243,7 +188,7 @@
 	if statement.Name == g.own.Name() || !g.isRecent(statement.At, wall, maxStatementAge) {
 		return nil
 	}
-	author := g.peers[statement.Name]
+	author := g.peers.get(statement.Name)
 	if author != nil && !mayBeNew(statement, &author.lastStatement) {
 		return nil
 	}
@@ -255,8 +200,8 @@
 		return nil
 	}
 	if author == nil {
-		author = g.addPeer(statement.Name, 0)
-		author.cert = cert
+		author = g.peers.add(statement.Name, 0)
+		author.identify(cert, 0)
 	}
 	return author
 }
--- a/internal/fleet/gossip/peer.go
+++ b/internal/fleet/gossip/peer.go
@@ -4,6 +4,7 @@
 	"crypto/x509"
 	"time"
 
+	"calicohill/internal/fleet/pki"
 	"calicohill/internal/stats/ratelimit"
 )
 
@@ -32,22 +33,46 @@
 	recordGone        bool
 }
 
-// addPeer adds a member that was not known. If the table is full, the member that was silent longest is dropped.
-func (g *Guard) addPeer(name string, now time.Duration) *peer {
-	if len(g.peers) >= maxPeers {
+// peerTable holds what a Guard knows of other members: at most maxPeers.
+type peerTable struct {
+	byName map[string]*peer
+}
+
+func newPeerTable() *peerTable { return &peerTable{byName: map[string]*peer{}} }
+
+// get returns a member, or nil.
+func (t *peerTable) get(name string) *peer { return t.byName[name] }
+
+// add adds a member that was not known. If the table is full, the member that was silent longest is dropped.
+func (t *peerTable) add(name string, now time.Duration) *peer {
+	if len(t.byName) >= maxPeers {
 		oldest := ""
-		for other, p := range g.peers {
-			if oldest == "" || p.lastSeen < g.peers[oldest].lastSeen {
+		for other, p := range t.byName {
+			if oldest == "" || p.lastSeen < t.byName[oldest].lastSeen {
 				oldest = other
 			}
 		}
-		delete(g.peers, oldest)
+		delete(t.byName, oldest)
 	}
 	added := &peer{lastSeen: now}
-	g.peers[name] = added
+	t.byName[name] = added
 	return added
 }
 
+// remove drops a member.
+func (t *peerTable) remove(name string) { delete(t.byName, name) }
+
+// removeUncertified drops the members whose certificates are not accepted any more, and returns their names.
+func (t *peerTable) removeUncertified(trust *pki.Trust, wall time.Time) (removed []string) {
+	for name, p := range t.byName {
+		if p.cert != nil && trust.Current(p.cert, wall) != nil {
+			delete(t.byName, name)
+			removed = append(removed, name)
+		}
+	}
+	return removed
+}
+
 // replayed reports whether a datagram is of an earlier epoch, was received before, or is too old to tell.
 func (p *peer) replayed(h *header) bool {
 	return h.epoch < p.epoch || h.epoch == p.epoch && !p.isFresh(h.seq)
@@ -79,3 +104,31 @@
 	p.cookie = Cookie{}
 	p.cookieSeen = false
 }
+
+// update applies the header and the cookie of an authenticated datagram.
+func (p *peer) update(h *header, trusted bool, cookie Cookie) {
+	if h.epoch > p.epoch {
+		p.startEpoch(h.epoch)
+	}
+	p.cookieSeen = p.cookieSeen || trusted
+	p.markSeen(h.seq)
+	if cookie != (Cookie{}) {
+		p.cookie = cookie
+	}
+}
+
+// identify notes the certificate that a member has proved to own, and when that was.
+func (p *peer) identify(cert *x509.Certificate, now time.Duration) {
+	p.cert = cert
+	p.lastSeen = now
+}
+
+// setRecord notes the latest record of a member.
+func (p *peer) setRecord(record *Record) {
+	p.recordEpoch = record.Epoch
+	p.recordIncarnation = record.Incarnation
+	p.recordGone = record.Gone
+}
+
+// setStatement notes the latest statement of a member.
+func (p *peer) setStatement(statement Statement) { p.lastStatement = statement }
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -36,6 +36,12 @@
 	nackSent       bool
 }
 
+// start gives the probe the nonce and the time of its ping.
+func (p *probe) start(now time.Duration, nonce uint64) {
+	p.nonce = nonce
+	p.sentAt = now
+}
+
 // requestIndirectPings asks random members to ping the target, which did not answer.
 func (p *probe) requestIndirectPings(rng *rand.Rand, out *outbox, table *memberTable, target *member) {
 	relays := table.random(rng, indirectProbes, func(m *member) bool { return m.State == Alive && m != target })
@@ -103,8 +109,8 @@
 // carriesSummaries reports whether the probe of the last target is one that carries summaries.
 func (d *failureDetector) carriesSummaries() bool { return d.probeCount%probesPerSync == 0 }
 
-// begin notes a ping that was sent. Its answer is ignored if too many are awaited.
-func (d *failureDetector) begin(p *probe) {
+// await notes a ping that was sent. Its answer is ignored if too many are awaited.
+func (d *failureDetector) await(p *probe) {
 	if len(d.probes) < maxProbes {
 		d.probes = append(d.probes, p)
 	}
@@ -196,6 +202,9 @@
 	}
 }
 
+// noteRefutation records that this member was suspected: it may be slow or cut off itself.
+func (d *failureDetector) noteRefutation() { d.health.raise(1) }
+
 // fail ends a probe that nobody had an answer to. Where the relays did not send a Nack either, this member is as likely
 // to be the one that is cut off, and its health score grows by half their number.
 func (d *failureDetector) fail(p *probe) {
--- a/internal/fleet/gossip/tasks.go
+++ b/internal/fleet/gossip/tasks.go
@@ -130,14 +130,13 @@
 // sendPing begins a probe: it pings the target, or whoever is at the address if the target has no name. Nothing is begun
 // if the budget does not allow the ping.
 func (c *Core) sendPing(p *probe, addr netip.AddrPort, summaries []Claim, claims ...Claim) {
-	p.nonce = c.rng.Uint64()
-	p.sentAt = c.now
+	p.start(c.now, c.rng.Uint64())
 	ping := &Message{Kind: Ping, Nonce: p.nonce, Summaries: summaries, Claims: claims}
 	// A member that may not know this one is sent its record.
 	if !c.table.hasContacted(p.target) || len(summaries) > 0 {
 		ping.Records = []Record{c.self.record}
 	}
 	if c.outbox.transmit(p.target, addr, ping) {
-		c.detector.begin(p)
+		c.detector.await(p)
 	}
 }
