--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -26,7 +26,7 @@
 
 // Errors of the content of a file. They are wrapped with its path.
 var (
-	errNotEd25519    = errors.New("the key is not of Ed25519")
+	errNotEd25519    = errors.New("not an Ed25519 key")
 	errIncomplete    = errors.New("a key and its certificate are needed")
 	errNotCertOfKey  = errors.New("the certificate is not that of the key")
 	errNoCertificate = errors.New("no certificate in it")
