--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_internal_test.go
@@ -194,10 +194,11 @@
 func TestGoldenBodies(t *testing.T) {
 	for file, kind := range map[string]Kind{"ping": 1, "ack": 2, "nack": 3, "ask": 4, "gossip": 5, "empty-gossip": 5} {
 		datagram := golden.Read(t, file+".datagram")
-		_, _, body, err := parseHeader(datagram)
+		sealed, err := parseEnvelope(datagram)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
+		body := sealed.body
 		m, err := decode(body)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
@@ -236,7 +237,7 @@
 		},
 		{
 			"early certificate", "b", whole, goldenNow.Add(-24 * time.Hour), pki.ErrExpired,
-			"the certificate does not hold now: it is good from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC",
+			"the certificate is not valid now: it is valid from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC",
 		},
 	} {
 		_, err := goldenGuard(t, tt.receiver).Open(goldenUptime, tt.wall, goldenAddrs["a"], tt.datagram)
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -1,209 +1,219 @@
 package routing
 
-import "cmp"
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
+)
+
+// feedback hands the outcome of an attempt to the components that learn from it, in a fixed order. It owns
+// no state.
+type feedback struct {
+	out       *outbox
+	pressure  *pressure.Estimator
+	latency   *latency.Estimator
+	outliers  *outlier.Detector
+	slowStart *slowstart.Budget
+	hedges    *hedgeCredit
+}
+
+func newFeedback(r *Router) *feedback {
+	return &feedback{
+		out:       r.out,
+		pressure:  r.pressure,
+		latency:   r.latency,
+		outliers:  r.outliers,
+		slowStart: r.slowStart,
+		hedges:    r.hedges,
+	}
+}
 
 // attemptEnded learns from how an attempt ended, and queues its request again if that may be retried.
 func (r *Router) attemptEnded(end AttemptEnded) {
-	req := r.requests[end.ID]
-	if req == nil || end.Attempt < 0 || end.Attempt >= len(req.attempts) || req.attempts[end.Attempt].ended {
+	ended := r.requests.attemptInFlight(end.ID, end.Attempt)
+	if ended == nil {
 		return
 	}
-	ended := req.attempts[end.Attempt]
-	ended.neverRan = provesNotRun(end.Outcome)
-	req.reachedWorker = req.reachedWorker || end.Outcome != ConnectFailed && end.Outcome != NotSent
-	r.recordEnd(ended)
-	if end.Report != nil && end.Report.InFlight >= 0 {
-		peers := max(0, end.Report.InFlight-float64(len(ended.worker.inFlight)))
-		ended.worker.peerInFlight += workerMeanWeight * (peers - ended.worker.peerInFlight)
-	}
-	r.observeLoad(ended, end)
-	r.recordOutcome(ended, end)
+	r.requests.recordEnd(ended, end.Outcome)
+	r.feedback.observeLoad(r.now, ended, end)
+	r.feedback.recordOutcome(r.now, r.rng, ended, end)
+	req := ended.request
 	switch {
 	case end.RequestAnswered || req.answered:
 		r.complete(req)
 	case req.streaming && req.inFlight == 0:
 		r.rejectOrFail(req)
 	case req.inFlight == 0:
-		r.enqueue(req) // drainQueue ends it if it is too late for another attempt
+		r.queue.enqueue(req) // drainQueue ends it if it is too late for another attempt
+	}
+}
+
+// applyPeerReports takes in what peers report of the workers. One that enough of them find unhealthy is
+// ejected as if found unresponsive here, unless it answered here lately or the rest could not carry the
+// load.
+func (r *Router) applyPeerReports(reports PeerReports) {
+	for _, w := range r.endpoints.list {
+		confirmed := w.health.SetVerdict(outlier.Verdict(reports.Verdicts[w.ID]), r.now)
+		if confirmed && r.fleet.capacity.CanCarryWithout(&w.limit) {
+			w.health.Eject(r.now, r.rng)
+			r.refreshCapacity()
+		}
+		if slices.Contains(reports.Cleared, w.ID) {
+			w.health.Clear(r.now)
+		}
+	}
+}
+
+// observeLoad learns from the end of an attempt under how much pressure its worker is.
+func (f *feedback) observeLoad(now time.Duration, ended *attempt, end AttemptEnded) {
+	sample := pressure.Sample{
+		Result:   pressureResult(ended, end.Outcome),
+		Latency:  cmp.Or(end.Latency, now-ended.sentAt),
+		Reported: end.Report != nil,
+	}
+	if end.Report != nil {
+		sample.Utilization = end.Report.Utilization
+		if end.Report.InFlight >= 0 {
+			ended.worker.pressure.ObserveInFlight(end.Report.InFlight, len(ended.worker.inFlight))
+		}
+	}
+	f.pressure.Observe(&ended.worker.pressure, now, sample)
+}
+
+// pressureResult tells what the outcome of an attempt says of the pressure of its worker.
+func pressureResult(ended *attempt, outcome Outcome) pressure.Result {
+	switch {
+	case outcome == TimedOut || outcome == Canceled && ended.superseded:
+		return pressure.Lost
+	case outcome == Shed && !ended.mayNeedLoad:
+		return pressure.ShedWarm
+	case outcome == Served && !ended.mayNeedLoad:
+		return pressure.AnsweredWarm
+	default:
+		return pressure.Inconclusive
 	}
 }
 
 // recordOutcome learns what the outcome of an attempt says of its worker and function.
-func (r *Router) recordOutcome(ended *attempt, end AttemptEnded) {
+func (f *feedback) recordOutcome(now time.Duration, rng *rand.Rand, ended *attempt, end AttemptEnded) {
 	switch end.Outcome {
 	case Served:
-		r.recordServed(ended, end)
+		f.recordServed(now, ended, end)
 	case Shed:
-		r.recordShed(ended)
+		f.recordShed(now, ended)
 	case NotLoaded, Errored:
-		r.recordAnswer(ended.worker)
-		// An error for a function that no worker knows says nothing of this worker.
-		if end.Outcome == Errored && ended.request.function.served {
-			r.recordError(ended.worker)
-		}
-		if end.Outcome == NotLoaded || end.StartType == LoadFailed {
-			ended.placement.warm = false
-			ended.placement.loading = false
-		}
+		f.recordRefused(now, ended, end)
 	case TimedOut:
-		r.recordLostAnswer(ended, hedgeCreditPerTimeout)
-		if ended.worker.lastAnswerAt < ended.sentAt {
-			r.reportFault(ended.worker, Unresponsive, ended.sentAt)
+		f.recordLostAnswer(now, ended, hedgeCreditPerTimeout)
+		if ended.worker.health.SilentSince(ended.sentAt) {
+			f.reportFault(ended.worker, outlier.Unresponsive, ended.sentAt)
 		}
 	case Canceled:
 		if ended.superseded { // the other attempt was answered first
-			r.recordLostAnswer(ended, hedgeCreditPerHedge)
+			f.recordLostAnswer(now, ended, hedgeCreditPerHedge)
 		}
 	case ConnectionReset:
-		r.recordReset(ended.worker)
+		f.recordReset(now, rng, ended.worker)
 	case ConnectFailed:
-		r.recordConnectFailure(ended)
+		f.recordConnectFailure(now, rng, ended)
+	case NotSent: // it says nothing of the worker
 	}
 }
 
-// recordShed backs off from a worker. A request for a warm instance met a full queue, one that needed a load
-// perhaps a lack of memory: the worker, or just new loads there, is left alone for part of a service time,
-// doubling, or queued requests use up their attempts.
-func (r *Router) recordShed(ended *attempt) {
-	source := ended.worker
-	r.recordAnswer(source)
-	source.consecutiveSheds = min(source.consecutiveSheds+1, maxShedDoublings)
-	backoff := durationOf(r.serviceTime(ended.request.function) / shedBackoffDivisor)
-	until := r.now + backoff<<source.consecutiveSheds
-	source.loadBackoffUntil = max(source.loadBackoffUntil, until)
-	if !ended.mayNeedLoad {
-		source.backoffUntil = max(source.backoffUntil, until)
-		source.concurrencyLimit = max(minLimit, source.concurrencyLimit*limitDecreaseFactor)
+// recordServed learns from a served answer.
+func (f *feedback) recordServed(now time.Duration, ended *attempt, end AttemptEnded) {
+	source, called := ended.worker, ended.request.function
+	f.recordAnswer(now, source)
+	ended.placement.recordServed(now)
+	called.recordServed()
+	source.limit.RecordServed()
+	f.outliers.RecordServed(&source.health, now)
+	f.slowStart.RecordServed(now, source.Started)
+	seconds := cmp.Or(end.Latency, now-ended.sentAt).Seconds()
+	f.latency.Observe(&called.latency, now, seconds)
+	if !servedWarm(ended, end.StartType) {
+		return
 	}
+	if end.InFlightForFunction >= 0 {
+		ended.placement.recordInFlight(end.InFlightForFunction, called.concurrency)
+	}
+	f.latency.ObserveWarm(&called.latency, &source.latency, now, seconds)
+	objective := ended.request.class.LatencyObjective.Seconds()
+	source.limit.RecordWarmLatency(seconds, objective, len(source.inFlight))
 }
 
-// recordReset counts a broken connection. One says little of its worker: an answer that cannot be read
-// breaks it too, and after a crash the next connection is refused. A worker whose connections break time and
-// again with no answer between is unhealthy.
-func (r *Router) recordReset(w *worker) {
-	if w.lastResetAt < r.now { // what was lost with one connection counts once
-		w.connectionResets++
-	}
-	w.lastResetAt = r.now
-	if w.connectionResets >= maxConnectionResets {
-		r.eject(w)
-		r.reportFault(w, Unreachable, r.now)
-	}
+// servedWarm reports whether a served attempt found an instance loaded, so that its latency has no load in
+// it.
+func servedWarm(ended *attempt, start StartType) bool {
+	return start == WarmStart || start == StartUnknown && !ended.mayNeedLoad
 }
 
-// recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
-// unless it answered elsewhere meanwhile.
-func (r *Router) recordConnectFailure(ended *attempt) {
-	if ended.worker.lastAnswerAt > ended.sentAt {
-		return
-	}
-	ended.worker.incarnation++
-	r.eject(ended.worker)
-	r.reportFault(ended.worker, Unreachable, r.now)
+// recordShed backs off from a worker that rejected a request unseen.
+func (f *feedback) recordShed(now time.Duration, ended *attempt) {
+	f.recordAnswer(now, ended.worker)
+	serviceTime := f.latency.ServiceTime(&ended.request.function.latency, now)
+	ended.worker.limit.RecordShed(now, serviceTime, ended.mayNeedLoad)
 }
 
-// observeLoad learns from the end of an attempt under how much pressure its worker is. An answer that never
-// came counts as a late one; a latency that may include a load says nothing of a queue.
-func (r *Router) observeLoad(ended *attempt, end AttemptEnded) {
-	objectives := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds() / r.minObjective
-	sample := min(objectives, 1)
-	if end.Report != nil && end.Report.Utilization >= 0 {
-		sample = end.Report.Utilization
+// recordRefused learns from an error, or from an answer that the function is not loaded. An error for a
+// function that no worker knows says nothing of this worker.
+func (f *feedback) recordRefused(now time.Duration, ended *attempt, end AttemptEnded) {
+	f.recordAnswer(now, ended.worker)
+	if end.Outcome == Errored && ended.request.function.served {
+		f.outliers.RecordError(&ended.worker.health, now)
 	}
-	switch {
-	case end.Outcome == TimedOut || end.Outcome == Canceled && ended.superseded:
-		sample = 1 + objectives
-	case end.Outcome == Shed && !ended.mayNeedLoad:
-		sample = shedPressure
-	case end.Outcome == Served && !ended.mayNeedLoad:
-		sample += objectives
-	case end.Report == nil:
-		return
-	default:
-		sample += idleLatencyPressure
+	if end.Outcome == NotLoaded || end.StartType == LoadFailed {
+		ended.placement.recordNotLoaded()
 	}
-	usual := min(r.meanPressure, leavePressureStart)
-	excess := ended.worker.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
-	ended.worker.pressureExcess.Set(r.now, excess+workerMeanWeight*(sample-usual-excess))
-	r.meanPressure += fleetMeanWeight * (sample - r.meanPressure)
 }
 
-// recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
-func (r *Router) recordAnswer(source *worker) {
-	source.lastAnswerAt = r.now
-	source.answeredAt = r.now
-	source.connectionResets = 0
-	if source.ejected {
-		source.ejected = false
-		source.probes = 0
-		source.concurrencyLimit = max(minLimit, min(source.concurrencyLimit, readmissionLimit))
+// recordLostAnswer notes that the answer to an attempt never came though its worker answered others, and
+// allows this many more hedges for it.
+func (f *feedback) recordLostAnswer(now time.Duration, ended *attempt, credit int) {
+	health := &ended.worker.health
+	if !health.Ejected() && health.AnsweredAfter(ended.sentAt) {
+		f.hedges.earn(credit)
+		f.outliers.RecordError(health, now)
 	}
-	fault := Healthy
-	if r.errorRate(source) > maxErrorRate {
-		fault = Failing
-	} else if r.latencyRatio(source) > slowLatencyRatio {
-		fault = Slow
-	}
-	r.reportFault(source, fault, r.now)
 }
 
-// recordServed learns from a served answer.
-func (r *Router) recordServed(ended *attempt, end AttemptEnded) {
-	source, place, called := ended.worker, ended.placement, ended.request.function
-	r.recordAnswer(source)
-	if place.incarnation != source.incarnation {
-		place.instances = 1
-	}
-	place.setWarm(r.now)
-	place.loading = false
-	source.consecutiveSheds = 0
-	called.served = true
-	source.recentErrors.Set(r.now, r.errorRate(source)*(1-errorRateWeight))
-	if r.allWarmingUp || !r.isWarmingUp(source) {
-		r.servedAnswers++
-	}
-	latency := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds()
-	called.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
-	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.mayNeedLoad {
-		return
+// recordReset learns from a broken connection.
+func (f *feedback) recordReset(now time.Duration, rng *rand.Rand, w *worker) {
+	if w.health.RecordReset(now) {
+		w.health.Eject(now, rng)
+		f.reportFault(w, outlier.Unreachable, now)
 	}
-	if end.InFlightForFunction >= 0 {
-		place.instances = max(1, (end.InFlightForFunction+called.concurrency)/called.concurrency)
-	}
-	r.recordWarmLatency(ended, latency)
 }
 
-// recordWarmLatency learns from the latency, in seconds, of an answer of a warm instance.
-func (r *Router) recordWarmLatency(ended *attempt, latency float64) {
-	source, called := ended.worker, ended.request.function
-	r.meanLatency = cmp.Or(r.meanLatency, latency)
-	ratio := r.latencyRatio(source)
-	source.latencyExcess.Set(r.now, ratio+workerMeanWeight*(latency/r.meanLatency-ratio)-1)
-	r.meanLatency += fleetMeanWeight * (latency - r.meanLatency)
-	mean := r.serviceTime(called)
-	called.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
-		r.settings.Classes[called.class].LatencyObjective.Seconds())
-	objective := ended.request.class.LatencyObjective.Seconds()
-	limit := source.concurrencyLimit
-	switch {
-	case latency > limitObjectiveFraction*objective:
-		source.concurrencyLimit = max(minLimit, limit*limitDecreaseFactor)
-	case latency < limitObjectiveFraction/2*objective && float64(len(source.inFlight)+1) >= limit/2:
-		source.concurrencyLimit = min(maxLimit, limit+1/limit)
+// recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
+// unless it answered elsewhere meanwhile.
+func (f *feedback) recordConnectFailure(now time.Duration, rng *rand.Rand, ended *attempt) {
+	if ended.worker.health.AnsweredAfter(ended.sentAt) {
+		return
 	}
+	ended.worker.voidInstances()
+	ended.worker.health.Eject(now, rng)
+	f.reportFault(ended.worker, outlier.Unreachable, now)
 }
 
-// learnThroughput takes in what workers answered in the last interval, in requests a second per unit of
-// weight.
-func (r *Router) learnThroughput(rate float64) {
-	weight := throughputMeanWeight
-	if r.allWarmingUp && rate > float64(r.throughputPerWeight) {
-		weight = 1 // what warming workers answered they can do, whatever they did before
+// recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
+func (f *feedback) recordAnswer(now time.Duration, source *worker) {
+	if source.health.RecordAnswer(now) {
+		source.limit.Readmit()
 	}
-	r.throughputPerWeight.Update(rate, weight)
+	slow := f.latency.IsSlow(&source.latency, now)
+	f.reportFault(source, f.outliers.AnswerFault(&source.health, now, slow), now)
 }
 
-// initialLimit is the concurrency limit of a worker of which nothing is known.
-func (r *Router) initialLimit() float64 {
-	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
+// reportFault reports to peers what this scheduler itself finds of a worker, if that is due.
+func (f *feedback) reportFault(w *worker, fault outlier.Fault, observedAt time.Duration) {
+	if f.outliers.ShouldReport(&w.health, fault, observedAt) {
+		f.out.emit(ReportFault{w.ID, Fault(fault), observedAt})
+	}
 }
