--- /dev/null
+++ b/internal/testbed/scenario/linksteps.go
@@ -0,0 +1,50 @@
+package scenario
+
+import (
+	"errors"
+)
+
+// setPartition changes the links between some schedulers and the others.
+func (r stepRun) setPartition() error {
+	instances, err := r.selectedInstances(1)
+	if err != nil {
+		return errors.Join(err, r.invalid())
+	}
+	condition, ok := linkConditions[r.Args[0]]
+	if !ok || !r.fleet.Partition(instances, condition) {
+		return r.invalid()
+	}
+	return nil
+}
+
+// setLinks changes the links between some schedulers and some workers, or resets their connections.
+func (r stepRun) setLinks() error {
+	const shareOfSchedulers, shareOfWorkers = 1, 2 // which arguments they are
+	instances, err := r.selectedInstances(shareOfSchedulers)
+	if err != nil {
+		return err
+	}
+	workers, err := r.selectedWorkers(shareOfWorkers)
+	if err != nil {
+		return errors.Join(err, r.invalid())
+	}
+	condition, ok := linkConditions[r.Args[0]]
+	if !ok && r.Args[0] != connectionReset || !r.fleet.LinkedWorkers {
+		return r.invalid()
+	}
+	var errs error
+	for _, instance := range instances {
+		for _, worker := range workers {
+			link, err := r.fleet.OpenLink(instance.Name, worker)
+			if err != nil {
+				return err
+			}
+			if ok {
+				errs = errors.Join(errs, link.Set(condition))
+			} else {
+				link.Reset()
+			}
+		}
+	}
+	return errs
+}
--- /dev/null
+++ b/internal/testbed/scenario/schedulersteps.go
@@ -0,0 +1,72 @@
+package scenario
+
+import (
+	"sync"
+	"syscall"
+	"time"
+
+	"calicohill/internal/testbed/process"
+)
+
+func (r stepRun) kill() error {
+	return r.forEachInstance(func(in *process.Instance) error {
+		in.Kill()
+		return nil
+	})
+}
+
+func (r stepRun) signal(signal syscall.Signal) error {
+	return r.forEachInstance(func(in *process.Instance) error { return in.Signal(signal) })
+}
+
+// terminate has instances shut down, and does not wait for it.
+func (r stepRun) terminate() error {
+	return r.forEachInstance(func(in *process.Instance) error {
+		go func() { _ = in.Stop() }() // the checks detect one that does not end in order
+		return nil
+	})
+}
+
+// rollingRestart restarts all instances, a share of them at a time.
+func (r stepRun) rollingRestart() error {
+	batch, err := r.count(0, len(r.fleet.Instances))
+	if err != nil || len(r.Args) < 2 || batch == 0 {
+		return r.invalid()
+	}
+	pause, err := r.duration(1)
+	if err != nil {
+		return err
+	}
+	var restarts sync.WaitGroup
+	for from := 0; from < len(r.schedulers); from += batch {
+		for _, i := range r.schedulers[from:min(from+batch, len(r.schedulers))] {
+			instance := r.fleet.Instances[i]
+			restarts.Go(func() {
+				if err := instance.Stop(); err == nil {
+					_ = instance.Start() // the checks detect one that does not start
+				}
+			})
+		}
+		time.Sleep(pause)
+	}
+	restarts.Wait()
+	return nil
+}
+
+// setKnownEvents rewrites the schedulers' files with other events.
+func (r stepRun) setKnownEvents() error {
+	if len(r.Args) != 1 {
+		return r.invalid()
+	}
+	known, ok := knownEvents[r.Args[0]]
+	if !ok {
+		return r.invalid()
+	}
+	r.fleet.KnownEvents = known
+	for _, instance := range r.fleet.Instances {
+		if err := instance.Configure(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/scenario/workersteps.go
@@ -0,0 +1,82 @@
+package scenario
+
+import (
+	"time"
+
+	"calicohill/internal/testbed/standin"
+)
+
+func (r stepRun) drain() error {
+	workers, err := r.selectedWorkers(0)
+	if err != nil {
+		return err
+	}
+	r.fleet.Publish(false, workers, standin.EndpointDraining)
+	return nil
+}
+
+// replace deletes workers from the list and lists as many new ones.
+func (r stepRun) replace() error {
+	gone, err := r.selectedWorkers(0)
+	if err != nil {
+		return err
+	}
+	startedAt := time.Time{}
+	if len(r.Args) > 1 && r.Args[1] == warmingUp {
+		startedAt = time.Now()
+	}
+	r.fleet.Publish(false, gone, standin.EndpointDeleted)
+	var added []*standin.Worker
+	for _, worker := range gone {
+		replacement, err := r.fleet.StartWorker(worker.ID+"x", startedAt)
+		if err != nil {
+			return err
+		}
+		added = append(added, replacement)
+	}
+	r.fleet.Workers = append(r.fleet.Workers, added...)
+	r.fleet.Publish(false, added, standin.EndpointServing)
+	return nil
+}
+
+// restartWorkers restarts workers at their address.
+func (r stepRun) restartWorkers() error {
+	workers, err := r.selectedWorkers(0)
+	if err != nil {
+		return err
+	}
+	for _, worker := range workers {
+		worker.Restart()
+	}
+	r.fleet.Publish(false, workers, standin.EndpointServing)
+	return nil
+}
+
+// stallStore has the store serve nothing for a while.
+func (r stepRun) stallStore() error {
+	if len(r.Args) != 1 {
+		return r.invalid()
+	}
+	duration, err := r.duration(0)
+	if err != nil {
+		return err
+	}
+	r.fleet.Store.Jam(duration)
+	return nil
+}
+
+// setWorkerFault gives workers a fault, or none.
+func (r stepRun) setWorkerFault() error {
+	workers, err := r.selectedWorkers(1)
+	if err != nil {
+		return err
+	}
+	fault, ok := workerFaults[r.Args[0]]
+	if !ok {
+		return r.invalid()
+	}
+	for _, worker := range workers {
+		worker.Set(fault)
+	}
+	return nil
+}
