--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -6,7 +6,6 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -24,7 +23,7 @@
 	minCallBudget      = time.Millisecond
 	// answerMargin is how much longer than a request's budget its answer is waited for: the scheduler may use all of it.
 	answerMargin = time.Second
-	// connectRetryInterval is the pause between attempts to reach a scheduler that is not up yet.
+	// connectRetryInterval is the pause between attempts to reach a scheduler that is not ready yet.
 	connectRetryInterval = 20 * time.Millisecond
 	healthCheckTimeout   = time.Second
 
@@ -44,9 +43,9 @@
 	function       string
 	idempotencyKey string // of all requests; "" for a random one for each
 	body           string // "-" for standard input
-	spec           string // figures of the function, such as its memory
+	spec           string // properties of the function, such as its memory
 	budget         time.Duration
-	wait           time.Duration // for the scheduler to be up; 0 to try once
+	wait           time.Duration // for the scheduler to become ready; 0 to try once
 	count          int
 	concurrency    int
 }
@@ -55,8 +54,8 @@
 	var options caller
 	cmd := &cobra.Command{
 		Use: "call CLASS", Short: "Call a function through a running scheduler",
-		Long: "Call sends requests of a class over FastCGI and prints what was answered. A body of - is read from\n" +
-			"standard input. It ends with 1 unless every request was served.",
+		Long: "Call sends requests of a class over FastCGI and prints the replies. With --body - the body is read from\n" +
+			"standard input. It exits with 0 if every request was served, and with 1 otherwise.",
 		Example: "  calicohill call consulta --to 127.0.0.1:5050 --body hello\n" +
 			"  calicohill call registro-horas --count 1000 --at-a-time 16",
 		Args: exactArguments("CLASS"),
@@ -66,18 +65,18 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&options.address, "to", "127.0.0.1:5050", "`ADDRESS` of the scheduler")
-	flags.StringVar(&options.function, "function", "7f3a9c21e0b4d655", "the function, 16 `HEX` digits")
-	flags.StringVar(&options.idempotencyKey, "key", "", "idempotency `KEY` of all requests; a new one for each if not set")
-	flags.StringVar(&options.spec, "spec", "memory_mb:512;lanes:2", "further `FIGURES`")
-	flags.StringVar(&options.body, "body", "", "`TEXT` of the body")
-	flags.DurationVar(&options.budget, "budget", 2*time.Second, "how long to wait for an answer")
-	flags.DurationVar(&options.wait, "wait", 0, "how long to wait for the scheduler to be up")
-	flags.IntVar(&options.count, "count", 1, "how many requests")
-	flags.IntVar(&options.concurrency, "at-a-time", 1, "how many of them at a time, 32 at most")
+	flags.StringVar(&options.function, "function", "7f3a9c21e0b4d655", "the function to call, 16 `HEX` digits")
+	flags.StringVar(&options.idempotencyKey, "key", "", "idempotency `KEY` of all requests (default a random one for each)")
+	flags.StringVar(&options.spec, "spec", "memory_mb:512;lanes:2", "`PROPERTIES` of the function: memory of an instance, concurrent requests (lanes) of an instance")
+	flags.StringVar(&options.body, "body", "", "`TEXT` of the body; - for standard input")
+	flags.DurationVar(&options.budget, "budget", 2*time.Second, "timeout of each request")
+	flags.DurationVar(&options.wait, "wait", 0, "how long to wait for the scheduler to become ready")
+	flags.IntVar(&options.count, "count", 1, "number of requests")
+	flags.IntVar(&options.concurrency, "at-a-time", 1, "number of requests in flight at a time, 32 at most")
 	return cmd
 }
 
-// callResult is what became of one request.
+// callResult is the outcome of one request.
 type callResult struct {
 	reply fastcgi.Reply
 	took  time.Duration
@@ -94,8 +93,8 @@
 
 // run sends the requests and prints their results. The error says how many were not served, or why none was sent.
 func (c *caller) run(ctx context.Context, class string, out io.Writer) error {
-	if !c.valid() {
-		return usageError{errors.New("call: count and at-a-time must be 1 at least, at-a-time 32 at most, budget 1ms at least")}
+	if err := c.validate(); err != nil {
+		return usageError{fmt.Errorf("call: %w", err)}
 	}
 	body, err := c.readBody()
 	if err != nil {
@@ -132,9 +131,18 @@
 	return nil
 }
 
-// valid reports whether the options are within their bounds.
-func (c *caller) valid() bool {
-	return c.count >= 1 && c.concurrency >= 1 && c.concurrency <= maxConcurrentCalls && c.budget >= minCallBudget
+// validate returns an error that names the first option that is out of its bounds.
+func (c *caller) validate() error {
+	switch {
+	case c.count < 1:
+		return fmt.Errorf("--count %d: must be 1 at least", c.count)
+	case c.concurrency < 1 || c.concurrency > maxConcurrentCalls:
+		return fmt.Errorf("--at-a-time %d: must be 1 at least and %d at most", c.concurrency, maxConcurrentCalls)
+	case c.budget < minCallBudget:
+		return fmt.Errorf("--budget %v: must be %v at least", c.budget, minCallBudget)
+	default:
+		return nil
+	}
 }
 
 // readBody returns the body of the requests.
--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -23,9 +23,10 @@
 func checkCommand() *cobra.Command {
 	var options checkOptions
 	cmd := &cobra.Command{
-		Use: "check FILE...", Short: "Check operator's files, and the platform's configuration",
-		Long: "Check reads operator's files as a scheduler would, and tells of every fault as\n" +
-			"FILE:LINE:COLUMN: directive: reason. It ends with 0 where there is none, and with 1 otherwise.",
+		Use: "check FILE...", Short: "Validate operator's files and the platform's configuration",
+		Long: "Check reads operator's files as a scheduler would, and reports each error on a line of its own as\n" +
+			"FILE:LINE:COLUMN: directive: reason. It exits with 0 if there is none, and with 1 otherwise. With --config\n" +
+			"it also validates the platform's configuration, and the classes that rules name.",
 		Example: "  calicohill check deploy/calicohill.conf\n" +
 			"  calicohill check --config example/config.json deploy/calicohill.conf\n" +
 			"  calicohill check --example >calicohill.conf",
@@ -38,9 +39,9 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return options.run(cmd.OutOrStdout(), args) },
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.platformFile, "config", "", "the platform's `FILE` to check too")
-	flags.BoolVar(&options.example, "example", false, "print the commented example of an operator's file")
-	flags.BoolVar(&options.page, "page", false, "print the operators' page of the file, in Markdown")
+	flags.StringVar(&options.platformFile, "config", "", "also validate the platform's configuration `FILE`")
+	flags.BoolVar(&options.example, "example", false, "print a commented example of an operator's file instead")
+	flags.BoolVar(&options.page, "page", false, "print the reference page of the operator's file in Markdown instead")
 	return cmd
 }
 
@@ -71,12 +72,12 @@
 		}
 	}
 	if invalid > 0 {
-		return fmt.Errorf("%d of the files checked can't be used", invalid)
+		return fmt.Errorf("invalid files: %d", invalid)
 	}
 	return nil
 }
 
-// checkOperatorFile prints the warnings of an operator's file. The error has its faults.
+// checkOperatorFile validates an operator's file and prints its warnings. The error has everything that is invalid.
 func checkOperatorFile(out io.Writer, file string, classes []match.Class) error {
 	settings, err := operatorfile.Read(file)
 	if err != nil {
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -26,8 +26,8 @@
 
 func keyCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "key", Short: "Make and take back the keys by which schedulers of a fleet know one another",
-		Example: "  calicohill key authority gt-registros --out fleet        # fleet.key, to be locked away, and fleet.crt\n" +
+		Use: "key", Short: "Create, show and revoke the keys with which schedulers of a fleet authenticate each other",
+		Example: "  calicohill key authority gt-registros --out fleet        # fleet.key, to be stored offline, and fleet.crt\n" +
 			"  calicohill key issue n1 --authority fleet.key --out n1.key\n" +
 			"  calicohill key show n1.key\n" +
 			"  calicohill key revoke n1.key --authority fleet.key --list fleet.revoked",
@@ -44,13 +44,13 @@
 	var out string
 	var days int
 	cmd := &cobra.Command{
-		Use: "authority FLEET", Short: "Make the key that signs the members of a fleet", Args: exactArguments("FLEET"),
+		Use: "authority FLEET", Short: "Create the key and certificate of the authority that signs the keys of a fleet", Args: exactArguments("FLEET"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return createAuthority(cmd.OutOrStdout(), args[0], out, time.Duration(days)*day)
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", "fleet", "`NAME` of the files, without .key and .crt")
-	cmd.Flags().IntVar(&days, "days", defaultAuthorityDays, "how long it is good")
+	cmd.Flags().StringVar(&out, "out", "fleet", "base `NAME` of the two files, NAME.key and NAME.crt")
+	cmd.Flags().IntVar(&days, "days", defaultAuthorityDays, "validity in days")
 	return cmd
 }
 
@@ -74,7 +74,7 @@
 // readAuthority reads the authority that the flag --authority names.
 func readAuthority(path string) (*pki.Authority, error) {
 	if path == "" {
-		return nil, usageError{errors.New("--authority is needed")}
+		return nil, usageError{errors.New("--authority is required")}
 	}
 	key, cert, err := pki.ReadKeyFile(path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	var authorityFile, out string
 	var days int
 	cmd := &cobra.Command{
-		Use: "issue NAME", Short: "Make the key and certificate of one scheduler", Args: exactArguments("NAME"),
+		Use: "issue NAME", Short: "Issue the key and certificate of one scheduler", Args: exactArguments("NAME"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := args[0]
 			if out == "" {
@@ -99,9 +99,9 @@
 			return issueMember(cmd.OutOrStdout(), authorityFile, name, out, time.Duration(days)*day)
 		},
 	}
-	cmd.Flags().StringVar(&authorityFile, "authority", "", "`FILE` with the authority's key")
-	cmd.Flags().StringVar(&out, "out", "", "`FILE` to write; NAME.key if not set")
-	cmd.Flags().IntVar(&days, "days", defaultMemberDays, "how long it is good")
+	cmd.Flags().StringVar(&authorityFile, "authority", "", "key `FILE` of the authority")
+	cmd.Flags().StringVar(&out, "out", "", "`FILE` to write (default NAME.key)")
+	cmd.Flags().IntVar(&days, "days", defaultMemberDays, "validity in days")
 	return cmd
 }
 
@@ -125,7 +125,7 @@
 
 func showCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "show FILE", Short: "Print what a file of key says", Args: exactArguments("FILE"),
+		Use: "show FILE", Short: "Print the certificate in a key file, or a revocation list", Args: exactArguments("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
 			if list, err := pki.ReadRevocationListFile(args[0], false); err == nil {
@@ -161,10 +161,10 @@
 func revokeCommand() *cobra.Command {
 	var authorityFile, listFile string
 	cmd := &cobra.Command{
-		Use: "revoke FILE|NUMBER...", Short: "Take certificates back: add them to the list of revoked ones",
+		Use: "revoke FILE|NUMBER...", Short: "Add certificates to the revocation list",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{errors.New("revoke takes the files or the numbers of certificates")}
+				return usageError{errors.New("key revoke takes certificate files or serial numbers, FILE|NUMBER..., but got no arguments")}
 			}
 			return nil
 		},
@@ -172,8 +172,8 @@
 			return revoke(cmd.OutOrStdout(), authorityFile, listFile, args)
 		},
 	}
-	cmd.Flags().StringVar(&authorityFile, "authority", "", "`FILE` with the authority's key")
-	cmd.Flags().StringVar(&listFile, "list", "fleet.revoked", "`FILE` with the list")
+	cmd.Flags().StringVar(&authorityFile, "authority", "", "key `FILE` of the authority")
+	cmd.Flags().StringVar(&listFile, "list", "fleet.revoked", "`FILE` with the revocation list")
 	return cmd
 }
 
@@ -188,7 +188,7 @@
 		return err
 	}
 	if previous != nil && previous.CheckSignatureFrom(authority.Cert) != nil {
-		return fmt.Errorf("%s is the list of another authority", listFile)
+		return fmt.Errorf("%s is the revocation list of another authority", listFile)
 	}
 	var numbers []*big.Int
 	for _, certificate := range certificates {
@@ -205,7 +205,7 @@
 	if err := replaceFile(listFile, pki.EncodeRevocationList(list)); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s holds %d certificates; bring it to all members and send them SIGHUP\n", listFile,
+	fmt.Fprintf(out, "%s holds %d certificates; copy it to all members and send them SIGHUP\n", listFile,
 		len(list.RevokedCertificateEntries))
 	return nil
 }
--- a/cmd/calicohill/main.go
+++ b/cmd/calicohill/main.go
@@ -36,7 +36,7 @@
 
 func rootCommand() *cobra.Command {
 	root := runCommand()
-	root.Use, root.Short = "calicohill", "A scheduler for short calls of functions that workers must hold loaded"
+	root.Use, root.Short = "calicohill", "A scheduler for short function calls, which go to workers that have the function loaded"
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(runCommand(), checkCommand(), callCommand(), keyCommand(), matchCommand(), versionCommand())
@@ -61,16 +61,16 @@
 // noArguments rejects arguments.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return usageError{fmt.Errorf("%s: unknown command or argument %q; see %s --help", cmd.CommandPath(), args[0], cmd.CommandPath())}
+		return usageError{fmt.Errorf("unknown command or argument %q; see %s --help", args[0], cmd.CommandPath())}
 	}
 	return nil
 }
 
-// exactArguments rejects any other number of arguments than that of names, by which the error calls them.
+// exactArguments requires one argument for each name. Errors quote the names.
 func exactArguments(names ...string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != len(names) {
-			return usageError{fmt.Errorf("%s takes %s", cmd.CommandPath(), strings.Join(names, " "))}
+			return usageError{fmt.Errorf("%s takes %s, but got %d arguments", cmd.CommandPath(), strings.Join(names, " "), len(args))}
 		}
 		return nil
 	}
@@ -78,7 +78,7 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print what this program was built from", Args: noArguments,
+		Use: "version", Short: "Print the version, commit and Go version that this program was built from", Args: noArguments,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "calicohill", buildVersion()) },
 	}
 }
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// matchResult is what the rules make of one request, as it is printed.
+// matchResult is the result of evaluating the rules for one request, as it is printed.
 type matchResult struct {
 	Class  string            `json:"class"`
 	Key    string            `json:"key"`
@@ -38,10 +38,10 @@
 func matchCommand() *cobra.Command {
 	var options matchOptions
 	cmd := &cobra.Command{
-		Use: "match FILE", Short: "Tell what the rules of an operator's file make of requests",
-		Long: "Match evaluates the rules of a file for one request, or for each line of a file of JSON objects. Fields of a\n" +
-			"request are those that rules read (class, handler, path, method, client, id, once_key, budget, body, memory_mb,\n" +
-			"lanes, time); any other name is a parameter's. It ends with 1 where a rule is refused.",
+		Use: "match FILE", Short: "Evaluate the rules of an operator's file for requests",
+		Long: "Match evaluates the rules of a file for one request, or for each line of a file of JSON objects, and prints what\n" +
+			"they set. The fields of a request are class, handler, path, method, client, id, once_key, budget, body, memory_mb,\n" +
+			"lanes and time; any other name is that of a FastCGI parameter. It exits with 1 if the file or a request is invalid.",
 		Example: "  calicohill match calicohill.conf --request class=consulta,handler=7f3a9c21e0b4d655,HTTP_X_CENTRE=zona4\n" +
 			"  calicohill match calicohill.conf --config config.json --requests requests.jsonl --json",
 		Args: func(cmd *cobra.Command, args []string) error {
@@ -55,14 +55,14 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.platformFile, "config", "", "the platform's `FILE`, for the classes of the site")
+	flags.StringVar(&options.platformFile, "config", "", "the platform's configuration `FILE`, which defines the request classes")
 	flags.StringVar(&options.request, "request", "", "one request: `NAME=VALUE,...`")
-	flags.StringVar(&options.requestsFile, "requests", "", "`FILE` with a JSON object a line; - for standard input")
-	flags.BoolVar(&options.asJSON, "json", false, "print a JSON object a line")
+	flags.StringVar(&options.requestsFile, "requests", "", "`FILE` with one JSON object per line; - for standard input")
+	flags.BoolVar(&options.asJSON, "json", false, "print one JSON object per request")
 	return cmd
 }
 
-// run prints what the rules of an operator's file make of the requests.
+// run prints the results of evaluating the rules of an operator's file for the requests.
 func (o *matchOptions) run(out, warningsOut io.Writer, operatorFile string) error {
 	var classes []match.Class
 	if o.platformFile != "" {
@@ -119,7 +119,7 @@
 	return results, nil
 }
 
-// printJSON prints a JSON object a line.
+// printJSON prints one JSON object per line.
 func printJSON(out io.Writer, results []matchResult) error {
 	encoder := json.NewEncoder(out)
 	for _, result := range results {
--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -43,14 +43,14 @@
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(part, "=")
 		if !ok || name == "" {
-			return nil, usageError{fmt.Errorf("request: %q is no NAME=VALUE", part)}
+			return nil, usageError{fmt.Errorf("request: %q is not of the form NAME=VALUE", part)}
 		}
 		fields[name] = value
 	}
 	return fields, nil
 }
 
-// readRequestLines reads a JSON object a line; empty lines are skipped. Errors name the file and the line.
+// readRequestLines reads one JSON object per line; empty lines are skipped. Errors name the file and the line.
 func readRequestLines(in io.Reader, name string) ([]requestFields, error) {
 	var requests []requestFields
 	lines := bufio.NewScanner(in)
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -95,7 +95,7 @@
 		{"settings", strings.Replace(complete, "read_like", "harmless", 1), "effect"},
 		{"no class", strings.Replace(complete, `"attemptsCap":4`, `"attemptsCap":0`, 1), "attempt"},
 		{"known", strings.Replace(complete, `"seed"`, `"known":{"items":7},"seed"`, 1), "known"},
-		{"two classes of a name", strings.Replace(complete, `"name":"consulta"`, `"name":"certificado"`, 1), "another's"},
+		{"two classes of a name", strings.Replace(complete, `"name":"consulta"`, `"name":"certificado"`, 1), "is that of class"},
 		{"class without a name", strings.Replace(complete, `"name":"consulta"`, `"name":""`, 1), "name"},
 		{"class that is no word", strings.Replace(complete, `"name":"consulta"`, `"name":"a,asset=b"`, 1), "name"},
 		{"a time below 0", strings.Replace(complete, `"coldMs":17000`, `"coldMs":-1`, 1), "time"},
--- a/cmd/calicohill/run.go
+++ b/cmd/calicohill/run.go
@@ -8,7 +8,7 @@
 func runCommand() *cobra.Command {
 	var sources configSources
 	cmd := &cobra.Command{
-		Use: "run", Short: "Run a scheduler; what the program does without a command",
+		Use: "run", Short: "Run a scheduler (the default command)",
 		Example: "  calicohill run --config example/config.json\n" +
 			"  ROUTER_CONFIG=example/config.json calicohill",
 		Args: noArguments,
--- a/cmd/calicohill/sources.go
+++ b/cmd/calicohill/sources.go
@@ -27,10 +27,10 @@
 // addFlags defines the flags of the sources; their defaults are the environment variables.
 func (s *configSources) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.StringVar(&s.platformFile, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` of the platform (ROUTER_CONFIG)")
-	flags.StringVar(&s.name, "name", os.Getenv("ROUTER_NAME"), "`NAME` of this scheduler (ROUTER_NAME)")
-	flags.StringVar(&s.listen, "listen", os.Getenv("ROUTER_LISTEN"), "`ADDRESS` for clients (ROUTER_LISTEN)")
-	flags.StringVar(&s.operatorFile, "operator", os.Getenv("CALICOHILL_OPERATOR"), "operator's `FILE` (CALICOHILL_OPERATOR)")
+	flags.StringVar(&s.platformFile, "config", os.Getenv("ROUTER_CONFIG"), "the platform's configuration `FILE` (variable ROUTER_CONFIG)")
+	flags.StringVar(&s.name, "name", os.Getenv("ROUTER_NAME"), "`NAME` of this scheduler, instead of the one in the platform's file (variable ROUTER_NAME)")
+	flags.StringVar(&s.listen, "listen", os.Getenv("ROUTER_LISTEN"), "`ADDRESS` to listen on for clients, instead of the one in the platform's file (variable ROUTER_LISTEN)")
+	flags.StringVar(&s.operatorFile, "operator", os.Getenv("CALICOHILL_OPERATOR"), "the operator's `FILE`: logging, snapshots, gossip and rules (variable CALICOHILL_OPERATOR)")
 }
 
 // read reads and checks the platform's file and the operator's file. Without an operator's file its settings have their
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,6 +48,8 @@
 
 	// maxClassNameLength is the length of the longest class name, in bytes.
 	maxClassNameLength = 64
+	// reservedInClassNames are characters that separate fields, parameters or segments of a path.
+	reservedInClassNames = ",=/?"
 )
 
 // Read reads a configuration file. A name or a listen address that is not empty takes precedence over the file's. The
@@ -101,7 +103,7 @@
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	if config.MaxSockets < minSockets || config.MemoryMB < 0 {
-		return nil, fmt.Errorf("limits: %d sockets, %d MB of memory: at least %d sockets are needed",
+		return nil, fmt.Errorf("limits: %d sockets, %d MB of memory: sockets must be at least %d, memory_mb must not be negative",
 			config.MaxSockets, config.MemoryMB, minSockets)
 	}
 	if len(f.Settings) == 0 {
@@ -125,12 +127,16 @@
 // one class with a latency objective, is checked by routing.New.
 func checkDeployment(settings *deployment.Settings) error {
 	for i, name := range settings.ClassNames {
-		if !isClassName(name) || slices.Contains(settings.ClassNames[:i], name) {
-			return fmt.Errorf("settings: class %d: name %q is not one, or another's too", i, name)
+		if !isClassName(name) {
+			return fmt.Errorf("settings: class %d: name %q is invalid: expected 1 to %d printable ASCII characters without blanks and %s",
+				i, name, maxClassNameLength, reservedInClassNames)
+		}
+		if other := slices.Index(settings.ClassNames[:i], name); other >= 0 {
+			return fmt.Errorf("settings: class %d: name %q is that of class %d already", i, name, other)
 		}
 	}
 	if settings.PipelineDepth < 1 || settings.ConnectTimeout <= 0 || settings.IdleCloseAfter <= 0 {
-		return errors.New("settings: ceilings: multiplex, connectTimeoutMs and idleCloseMs must be above 0")
+		return errors.New("settings: ceilings: multiplex, connectTimeoutMs and idleCloseMs must be positive")
 	}
 	return nil
 }
@@ -138,6 +144,6 @@
 // isClassName reports whether a name can be part of a request's path and of a comma-separated list of fields.
 func isClassName(name string) bool {
 	return name != "" && len(name) <= maxClassNameLength && !strings.ContainsFunc(name, func(char rune) bool {
-		return char <= ' ' || char >= 0x7f || strings.ContainsRune(",=/?", char)
+		return char <= ' ' || char >= 0x7f || strings.ContainsRune(reservedInClassNames, char)
 	})
 }
--- a/internal/config/operatorfile/argument.go
+++ b/internal/config/operatorfile/argument.go
@@ -49,7 +49,7 @@
 		}
 	case Choice:
 		if !slices.Contains(a.Choices, tok.text) {
-			return value{}, fmt.Errorf("%q is none of %s%s", tok.text, strings.Join(a.Choices, ", "), suggestion(tok.text, a.Choices))
+			return value{}, fmt.Errorf("%q is not one of %s%s", tok.text, strings.Join(a.Choices, ", "), suggestion(tok.text, a.Choices))
 		}
 	case Address:
 		if _, err := netip.ParseAddrPort(tok.text); err != nil {
@@ -66,7 +66,7 @@
 		return parsed, err
 	case Expr:
 		if len(tok.text) > maxExpressionBytes {
-			return value{}, fmt.Errorf("%d bytes are over the %d that an expression may have", len(tok.text), maxExpressionBytes)
+			return value{}, fmt.Errorf("expression of %d bytes exceeds the maximum of %d", len(tok.text), maxExpressionBytes)
 		}
 	}
 	return parsed, nil
@@ -74,7 +74,7 @@
 
 // mismatch returns the error for an argument that is not of its type.
 func (a Arg) mismatch(tok token) error {
-	return fmt.Errorf("%q is no %s: %s", tok.text, a.Type, a.describe())
+	return fmt.Errorf("%q is not a valid %s: expected %s", tok.text, a.Type, a.describe())
 }
 
 // isIdentifier reports whether a text is an Identifier.
@@ -107,7 +107,7 @@
 	}
 	number *= factor
 	if number < a.Min || number > a.Max {
-		return 0, fmt.Errorf("%s is out of range: %s", tok.text, a.describe())
+		return 0, fmt.Errorf("%s is out of range: expected %s", tok.text, a.describe())
 	}
 	if a.Type == Percentage {
 		number /= perCent
@@ -142,29 +142,29 @@
 	return filepath.Join(filepath.Dir(namedIn), name)
 }
 
-// describe tells the operator what an argument must be.
+// describe says what an argument must be.
 func (a Arg) describe() string {
 	switch a.Type {
 	case Choice:
 		return "one of " + strings.Join(a.Choices, ", ")
 	case Duration:
-		return fmt.Sprintf("a time from %s to %s, as in 300ms", seconds(a.Min), seconds(a.Max))
+		return fmt.Sprintf("a duration from %s to %s, such as 300ms", seconds(a.Min), seconds(a.Max))
 	case Count:
 		return fmt.Sprintf("a whole number from %.0f to %.0f", a.Min, a.Max)
 	case Percentage:
-		return fmt.Sprintf("a share from %.0f%% to %.0f%%", a.Min, a.Max)
+		return fmt.Sprintf("a percentage from %.0f%% to %.0f%%", a.Min, a.Max)
 	case Address:
-		return "an IP address and a port, as in 127.0.0.1:7946"
+		return "an IP address and a port, such as 127.0.0.1:7946"
 	case Path:
-		return "the name of a file"
+		return "the path of a file"
 	case Expr:
 		return fmt.Sprintf("an expression of up to %d bytes, to the end of the line", maxExpressionBytes)
 	default: // Identifier
-		return fmt.Sprintf("letters, digits, '-', '_' and '.', %d at most", maxIdentifierBytes)
+		return fmt.Sprintf("letters, digits, '-', '_' and '.', at most %d bytes", maxIdentifierBytes)
 	}
 }
 
-// usage shows the operator a directive with its arguments.
+// usage returns a directive with the placeholders of its arguments.
 func (d Directive) usage() string {
 	words := []string{d.Name}
 	for _, arg := range d.Args {
--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -4,16 +4,17 @@
 
 // Sections lists every kind of section that a file may hold, in the order of the example.
 var Sections = []Section{
-	{sectionLog, "", "What is written to standard error, and how."},
-	{sectionState, "", "What is saved for a restart, where there is a persistent disk. Without this section nothing is written."},
+	{sectionLog, "", "The format and the levels of the log on standard error."},
+	{sectionState, "", "The snapshot that restores a scheduler after a restart, where there is a persistent disk. Without this\n" +
+		"section nothing is written."},
 	{sectionGossip, "", "Fault reports: exchange reports on faulty workers with other schedulers of the fleet. Without this\n" +
 		"section nothing is sent, no socket is opened and no key is read."},
 	{sectionMatch, "RULE", "A rule that decides a request's class, affinity key, route and labels. Rules are evaluated in the order\n" +
 		"of the file; each of these is set by the first rule that matches and sets it. Without rules a\n" +
-		"request's class is the last word of its path, and its affinity key its function."},
+		"request's class is the last segment of its path, and its affinity key its function."},
 	{sectionPool, "POOL", "Workers whose entry in the endpoint list meets a condition."},
-	{sectionRoute, "ROUTE", "Where requests with this route go: to the first of its pools that has an eligible worker. A\n" +
-		"route without a section of its own is only logged."},
+	{sectionRoute, "ROUTE", "The pools that serve requests with this route: the first one that has an eligible worker. A route without\n" +
+		"a section of its own is only logged."},
 }
 
 // levels are the levels of log lines, the most detailed first.
@@ -23,7 +24,7 @@
 var Directives = []Directive{
 	{
 		Section: sectionLog, Name: "format", Args: []Arg{{Name: "FORMAT", Type: Choice, Choices: []string{"text", formatJSON}}},
-		Default: "text", Reload: true, Help: "Lines of name=value pairs, or of one JSON object each.",
+		Default: "text", Reload: true, Help: "Log lines of name=value pairs, or of one JSON object each.",
 	},
 	{
 		Section: sectionLog, Name: "level",
@@ -32,24 +33,26 @@
 			{Name: "PART", Type: Choice, Choices: logging.Parts, Optional: true},
 		},
 		Default: defaultLevel, Repeated: true, Reload: true,
-		Help: "The lowest level that is written: of all parts, or of the one that is named.",
+		Help: "The lowest level that is logged, by all parts of the program or by one of them.",
 	},
 	{
 		Section: sectionLog, Name: "status", Args: []Arg{{Name: "FILE", Type: Path}}, Example: "/run/calicohill/n1.json", Reload: true,
-		Help: "File that the counts of all rules are written to on SIGUSR1, as a JSON object. They are logged too.",
+		Help: "The file that the counts of all rules are written to on SIGUSR1, as a JSON object. They are also logged.",
 	},
 
 	{
 		Section: sectionState, Name: "snapshot", Args: []Arg{{Name: "FILE", Type: Path}}, Required: true, Example: "/var/lib/calicohill/n1.list",
-		Help: "File that the endpoint list and the learned state are saved to. A start restores the list if it is newer than the\none in the platform's file. Only where the list service keeps its event numbers over a restart of a scheduler.",
+		Help: "The file that the endpoint list and the learned state are saved to. A start restores the list if it is newer\n" +
+			"than the one in the platform's file. To be set only where the list service keeps its event numbers while a\n" +
+			"scheduler restarts.",
 	},
 	{
 		Section: sectionState, Name: "fleet", Args: []Arg{{Name: "NAME", Type: Identifier}}, Required: true, Example: "gt-registros",
-		Help: "The fleet that the list belongs to. A list of another one is rejected.",
+		Help: "The fleet that the list belongs to. A snapshot of another fleet is rejected.",
 	},
 	{
 		Section: sectionState, Name: "max-age", Args: []Arg{{Name: "TIME", Type: Duration, Min: 1, Max: 30 * 86400}}, Default: "1h",
-		Help: "Maximum age of a list. An older one is rejected.",
+		Help: "Maximum age of a snapshot. An older one is rejected.",
 	},
 	{
 		Section: sectionGossip, Name: "listen", Args: []Arg{{Name: "ADDRESS", Type: Address}},
@@ -67,9 +70,9 @@
 	},
 	{
 		Section: sectionGossip, Name: "authority", Args: []Arg{{Name: "FILE", Type: Path}},
-		Example: "fleet.pub", Required: true, Repeated: true, Reload: true,
-		Help: "The public key of an authority whose certificates are trusted (calicohill key authority). With two of\n" +
-			"them members of the old one stay while the new one takes over.",
+		Example: "fleet.crt", Required: true, Repeated: true, Reload: true,
+		Help: "The certificate of an authority that signs the keys of members (calicohill key authority). Two of them are\n" +
+			"trusted side by side while one replaces the other.",
 	},
 	{
 		Section: sectionGossip, Name: "revoked", Args: []Arg{{Name: "FILE", Type: Path}},
@@ -112,7 +115,7 @@
 	{
 		Section: sectionGossip, Name: "overlap", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0, Max: 86400}},
 		Default: "10m", Reload: true,
-		Help: "How long after a reload the certificates of an authority that is no longer named are still trusted.",
+		Help: "How long certificates of an authority are still trusted after a reload has removed it.",
 	},
 	{
 		Section: sectionGossip, Name: "liars", Args: []Arg{{Name: "NUMBER", Type: Count, Min: 0, Max: 1000}},
@@ -123,18 +126,18 @@
 	{
 		Section: sectionGossip, Name: "leave-out", Args: []Arg{{Name: "SHARE", Type: Percentage, Min: 0, Max: 50}},
 		Default: "25%", Reload: true,
-		Help: "Largest part of the listed workers that reports of peers may eject. With 0% reports have no effect.",
+		Help: "Largest fraction of the listed workers that reports of peers may eject. With 0% they eject none.",
 	},
 	{
 		Section: sectionGossip, Name: "forget-after", Args: []Arg{{Name: "TIME", Type: Duration, Min: 1, Max: 300}},
-		Default: "10s", Reload: true, Help: "How long a fault report counts that is not repeated.",
+		Default: "10s", Reload: true, Help: "How long a fault report counts unless it is repeated.",
 	},
 
 	{
 		Section: sectionMatch, Name: "when", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Reload: true,
 		Example: `handler.startsWith("7f") && budget >= duration("500ms")`,
-		Help: "What must hold for the rule to match; without it it always does. A condition that can't be evaluated,\n" +
-			"as one that reads a parameter which is missing, does not hold.",
+		Help: "The condition under which the rule matches; without one it always matches. A condition that can't be\n" +
+			"evaluated, for example since it reads a missing parameter, counts as false.",
 	},
 	{
 		Section: sectionMatch, Name: "class", Args: []Arg{{Name: "CLASS", Type: Expr}}, Reload: true, Example: `certificado`,
@@ -155,15 +158,15 @@
 	{
 		Section: sectionMatch, Name: "split", Args: []Arg{{Name: "ROUTE", Type: Identifier}, {Name: "PART", Type: Count, Min: 1, Max: 1000}},
 		Repeated: true, Reload: true, Example: "trial 50",
-		Help: "This many of a thousand requests get this route; the others get the one of route. All attempts under one\n" +
-			"idempotency key get the same.",
+		Help: "PART of 1,000 requests get this route, the others that of the directive route. All attempts under one\n" +
+			"idempotency key get the same one.",
 	},
 	{Section: sectionMatch, Name: "stop", Reload: true, Help: "No further rule is evaluated once this one has matched."},
 
 	{
 		Section: sectionPool, Name: "workers", Args: []Arg{{Name: "CONDITION", Type: Expr}}, Required: true, Reload: true,
 		Example: `model == "std" && zone == "guate-zona4"`,
-		Help:    "Which workers: a condition over id, model, zone, group and state (serving or draining).",
+		Help:    "The condition that selects workers, over id, model, zone, group and state (serving or draining).",
 	},
 	{
 		Section: sectionRoute, Name: "pool", Args: []Arg{{Name: "POOL", Type: Identifier}}, Required: true, Repeated: true, Reload: true,
--- a/internal/config/operatorfile/errors.go
+++ b/internal/config/operatorfile/errors.go
@@ -65,5 +65,5 @@
 	if best == "" {
 		return ""
 	}
-	return fmt.Sprintf(": is %q meant?", best)
+	return fmt.Sprintf("; did you mean %q?", best)
 }
--- a/internal/config/operatorfile/gossip.go
+++ b/internal/config/operatorfile/gossip.go
@@ -56,13 +56,13 @@
 	return fallback
 }
 
-// checkGossip reports what no directive shows by itself: conflicts between directives, and files that can't be used.
+// checkGossip reports errors that no single directive shows: conflicts between directives, and files that can't be used.
 func (r *settingsReader) checkGossip(gossip *Gossip) {
 	if gossip.ProbeTimeout >= gossip.ProbeInterval {
-		r.addGossipError("probe-timeout", "must be under probe-every")
+		r.addGossipError("probe-timeout", "must be less than probe-every")
 	}
 	if address := gossip.Advertise.Addr(); address.IsUnspecified() {
-		r.addGossipError("advertise", "peers can't reach %s: name an address of this machine", address)
+		r.addGossipError("advertise", "peers can't reach the unspecified address %s: use an address of this machine", address)
 	}
 	for _, directive := range []string{"key", "authority", "revoked"} {
 		for _, e := range r.document.occurrences(unnamed(sectionGossip), directive) {
@@ -79,9 +79,9 @@
 	case err != nil:
 		r.errors.add(e.position, e.directive, "%v", errors.Unwrap(err))
 	case !info.Mode().IsRegular():
-		r.errors.add(e.position, e.directive, "%s is not a file", path)
+		r.errors.add(e.position, e.directive, "%s is not a regular file", path)
 	case e.directive == "key" && info.Mode().Perm()&^maxKeyMode != 0:
-		r.errors.add(e.position, e.directive, "mode %04o lets others read it: 0600 is needed", info.Mode().Perm())
+		r.errors.add(e.position, e.directive, "mode %04o lets others read the key: 0600 is needed", info.Mode().Perm())
 	}
 }
 
--- a/internal/config/operatorfile/lexer.go
+++ b/internal/config/operatorfile/lexer.go
@@ -122,7 +122,7 @@
 	case char == '"':
 		return l.quotedToken()
 	case isControl(char):
-		return token{}, false, l.errorAt(l.offset, "the character %q has no place here", char)
+		return token{}, false, l.errorAt(l.offset, "unexpected character %q", char)
 	default:
 		return l.plainToken()
 	}
@@ -132,11 +132,11 @@
 func (l *lexer) quotedToken() (token, bool, error) {
 	text, length := unquote(l.line[l.offset:])
 	if length == 0 {
-		return token{}, false, l.errorAt(l.offset, "a quoted word does not end")
+		return token{}, false, l.errorAt(l.offset, "missing closing quote")
 	}
 	end := l.offset + length
 	if end < len(l.line) && !isBlank(l.line[end]) && l.line[end] != '#' {
-		return token{}, false, l.errorAt(end, "a blank must follow a quoted word")
+		return token{}, false, l.errorAt(end, "missing blank after a quoted word")
 	}
 	read := token{text, l.offset + 1}
 	l.offset = end
@@ -150,7 +150,7 @@
 		end++
 	}
 	if end < len(l.line) && l.line[end] == '"' {
-		return token{}, false, l.errorAt(end, "a blank must stand before a quoted word")
+		return token{}, false, l.errorAt(end, "missing blank before a quoted word")
 	}
 	read := token{l.line[l.offset:end], l.offset + 1}
 	l.offset = end
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -101,30 +101,30 @@
 `, "open.key": "", "b.conf": "gossip\n  listen 127.0.0.1:1\n  fleet f\n  key open.key\n  authority f.crt\n" +
 		"  probe-every 200ms\n  advertise 0.0.0.0:1\n"})
 	checkErrors(t, dir, "a.conf",
-		`a.conf:1:5: format: stands in no section`,
-		`a.conf:3:5: formt: section log has no such directive: is "format" meant?`,
-		`a.conf:4:11: level: "loud" is none of debug, info, warning, error`,
-		`a.conf:5:24: level: "extra" is too much: it takes level LEVEL [PART]`,
-		`a.conf:6:12: a quoted word does not end`,
-		`a.conf:8:5: format: stands twice, first in a.conf:7`,
-		`a.conf:9:1: no section has the name "logs": is "log" meant?; directives are indented`,
-		`a.conf:12:12: listen: "127.0.0.1" is no address: an IP address and a port, as in 127.0.0.1:7946`,
-		`a.conf:13:11: fleet: "a/b" is no word: letters, digits, '-', '_' and '.', 64 at most`,
-		`a.conf:15:17: probe-every: "2" is no duration: a time from 100ms to 1m0s, as in 300ms`,
-		`a.conf:16:19: probe-timeout: 1d is out of range: a time from 10ms to 10s, as in 300ms`,
-		`a.conf:17:14: messages: "1e2" is no count: a whole number from 5 to 1000`,
-		`a.conf:18:15: leave-out: 60% is out of range: a share from 0% to 50%`,
+		`a.conf:1:5: format: directive outside any section`,
+		`a.conf:3:5: formt: unknown directive in section log; did you mean "format"?`,
+		`a.conf:4:11: level: "loud" is not one of debug, info, warning, error`,
+		`a.conf:5:24: level: unexpected argument "extra"; usage: level LEVEL [PART]`,
+		`a.conf:6:12: missing closing quote`,
+		`a.conf:8:5: format: duplicate directive, first in a.conf:7`,
+		`a.conf:9:1: unknown section "logs"; did you mean "log"?; directives must be indented`,
+		`a.conf:12:12: listen: "127.0.0.1" is not a valid address: expected an IP address and a port, such as 127.0.0.1:7946`,
+		`a.conf:13:11: fleet: "a/b" is not a valid name: expected letters, digits, '-', '_' and '.', at most 64 bytes`,
+		`a.conf:15:17: probe-every: "2" is not a valid duration: expected a duration from 100ms to 1m0s, such as 300ms`,
+		`a.conf:16:19: probe-timeout: 1d is out of range: expected a duration from 10ms to 10s, such as 300ms`,
+		`a.conf:17:14: messages: "1e2" is not a valid number: expected a whole number from 5 to 1000`,
+		`a.conf:18:15: leave-out: 60% is out of range: expected a percentage from 0% to 50%`,
 		`a.conf:19:1: include: a.conf includes itself`,
 		`a.conf:20:1: include: stat gone.conf: no such file or directory`,
-		`a.conf:21:1: section log began in a.conf:2 already`,
-		`a.conf:11:1: authority: section gossip needs it: authority FILE`)
+		`a.conf:21:1: duplicate section log, first in a.conf:2`,
+		`a.conf:11:1: authority: required in section gossip: authority FILE`)
 	if err := os.Chmod(filepath.Join(dir, "open.key"), 0o640); err != nil {
 		t.Fatal(err)
 	}
 	checkErrors(t, dir, "b.conf",
-		`b.conf:1:1: probe-timeout: must be under probe-every`,
-		`b.conf:7:3: advertise: peers can't reach 0.0.0.0: name an address of this machine`,
-		`b.conf:4:3: key: mode 0640 lets others read it: 0600 is needed`,
+		`b.conf:1:1: probe-timeout: must be less than probe-every`,
+		`b.conf:7:3: advertise: peers can't reach the unspecified address 0.0.0.0: use an address of this machine`,
+		`b.conf:4:3: key: mode 0640 lets others read the key: 0600 is needed`,
 		`b.conf:5:3: authority: no such file or directory`)
 }
 
@@ -211,10 +211,10 @@
 	want := []string{
 		"b.conf:1:1: section match needs a name: match RULE",
 		"b.conf:2:1: section match needs a name: match RULE",
-		"b.conf:3:7: section match: \"a/b\" is no word: letters, digits, '-', '_' and '.', 64 at most",
-		"b.conf:5:1: section match a began in b.conf:4 already",
-		`b.conf:6:8: stop: "now" is too much: it takes stop`,
-		"b.conf:7:3: label: VALUE is missing: an expression of up to 2048 bytes, to the end of the line",
+		"b.conf:3:7: section match: \"a/b\" is not a valid name: expected letters, digits, '-', '_' and '.', at most 64 bytes",
+		"b.conf:5:1: duplicate section match a, first in b.conf:4",
+		`b.conf:6:8: stop: unexpected argument "now"; usage: stop`,
+		"b.conf:7:3: label: missing argument VALUE: an expression of up to 2048 bytes, to the end of the line",
 	}
 	if d := cmp.Diff(want, strings.Split(strings.ReplaceAll(err.Error(), dir+"/", ""), "\n")); d != "" {
 		t.Error(d)
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -55,7 +55,7 @@
 	}
 	p.filesRead++
 	if len(ancestors) >= maxIncludeDepth || p.filesRead > maxFiles {
-		p.errors.add(position, directive, "too many files are included")
+		p.errors.add(position, directive, "too many included files: at most %d in all, nested at most %d deep", maxFiles-1, maxIncludeDepth-1)
 		return
 	}
 	text, err := readFile(path)
@@ -78,10 +78,10 @@
 		return "", err
 	}
 	if !info.Mode().IsRegular() {
-		return "", errors.New("not a file")
+		return "", errors.New("not a regular file")
 	}
 	if info.Size() > maxFileBytes {
-		return "", fmt.Errorf("%d bytes are over the %d that are read", info.Size(), maxFileBytes)
+		return "", fmt.Errorf("file of %d bytes exceeds the maximum of %d", info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	return string(text), err
@@ -100,7 +100,7 @@
 			if key.kind != directive.Section || len(p.document.occurrences(key, directive.Name)) > 0 || p.hasErrorIn(directive.Name) {
 				continue
 			}
-			p.errors.add(p.document.sections[key].position, directive.Name, "section %s needs it: %s", key, directive.usage())
+			p.errors.add(p.document.sections[key].position, directive.Name, "required in section %s: %s", key, directive.usage())
 		}
 	}
 }
@@ -118,7 +118,7 @@
 
 	// current is the section that directives belong to. It is the zero key before the first heading.
 	current sectionKey
-	// skipping is set after a faulty heading, which is reported: the directives below it belong to no section.
+	// skipping is set after an invalid heading, which is reported: the directives below it belong to no section.
 	skipping bool
 }
 
@@ -148,7 +148,7 @@
 // parseInclude reads the file that an include line names.
 func (p *fileParser) parseInclude(tokens []token, position match.Position) {
 	if len(tokens) != 2 {
-		p.errors.add(position, includeDirective, "takes the name of a file")
+		p.errors.add(position, includeDirective, "takes one argument: include FILE")
 		return
 	}
 	ancestors := append(slices.Clone(p.ancestors), p.path)
@@ -167,7 +167,7 @@
 		for _, s := range Sections {
 			names = append(names, s.Name)
 		}
-		p.errors.add(position, "", "no section has the name %q%s; directives are indented", kind, suggestion(kind, names))
+		p.errors.add(position, "", "unknown section %q%s; directives must be indented", kind, suggestion(kind, names))
 	case declared.Named == "":
 		p.beginUnnamed(kind, tokens, position)
 	case len(tokens) != 2:
@@ -187,7 +187,7 @@
 		position.Column = tokens[1].column
 		p.errors.add(position, "", "section %s takes no arguments", kind)
 	case before != nil:
-		p.errors.add(position, "", "section %s began in %s:%d already", kind, before.position.File, before.position.Line)
+		p.errors.add(position, "", "duplicate section %s, first in %s:%d", kind, before.position.File, before.position.Line)
 	}
 	p.begin(key, position)
 }
@@ -201,7 +201,7 @@
 	}
 	key := sectionKey{kind: kind, name: name.text}
 	if before := p.document.sections[key]; before != nil {
-		p.errors.add(position, "", "section %s began in %s:%d already", key, before.position.File, before.position.Line)
+		p.errors.add(position, "", "duplicate section %s, first in %s:%d", key, before.position.File, before.position.Line)
 	} else {
 		p.document.names[kind] = append(p.document.names[kind], name.text)
 	}
@@ -226,7 +226,7 @@
 		return // the heading is reported already
 	}
 	if p.current == (sectionKey{}) {
-		p.errors.add(position, name, "stands in no section")
+		p.errors.add(position, name, "directive outside any section")
 		return
 	}
 	directive, ok := Lookup(p.current.kind, name)
@@ -236,7 +236,7 @@
 	}
 	entries := p.document.sections[p.current].entries
 	if before := entries[name]; len(before) > 0 && !directive.Repeated {
-		p.errors.add(position, name, "stands twice, first in %s:%d", before[0].position.File, before[0].position.Line)
+		p.errors.add(position, name, "duplicate directive, first in %s:%d", before[0].position.File, before[0].position.Line)
 		return
 	}
 	values, ok := p.parseArguments(directive, tokens[1:], position)
@@ -250,7 +250,7 @@
 	for _, directive := range directivesOf(p.current.kind) {
 		known = append(known, directive.Name)
 	}
-	p.errors.add(position, name, "section %s has no such directive%s", p.current.kind, suggestion(name, known))
+	p.errors.add(position, name, "unknown directive in section %s%s", p.current.kind, suggestion(name, known))
 }
 
 // parseArguments reads the arguments of a directive and reports whether they are correct.
@@ -259,7 +259,7 @@
 	for i, arg := range directive.Args {
 		if i >= len(tokens) {
 			if !arg.Optional {
-				p.errors.add(position, directive.Name, "%s is missing: %s", arg.Name, arg.describe())
+				p.errors.add(position, directive.Name, "missing argument %s: %s", arg.Name, arg.describe())
 				return nil, false
 			}
 			break
@@ -275,7 +275,7 @@
 	if len(tokens) > len(directive.Args) {
 		extra := tokens[len(directive.Args)]
 		position.Column = extra.column
-		p.errors.add(position, directive.Name, "%q is too much: it takes %s", extra.text, directive.usage())
+		p.errors.add(position, directive.Name, "unexpected argument %q; usage: %s", extra.text, directive.usage())
 		return nil, false
 	}
 	return values, true
--- a/internal/config/operatorfile/rules.go
+++ b/internal/config/operatorfile/rules.go
@@ -66,7 +66,7 @@
 type Compiled struct {
 	Rules    *match.Table
 	Routes   *pools.Core
-	Warnings ParseErrors // what is valid, but has no effect
+	Warnings ParseErrors // directives that are valid but have no effect
 }
 
 // Compile compiles the file's rules for the classes of a site, nil where those are not known, and its pools and routes.
--- a/internal/config/operatorfile/schema.go
+++ b/internal/config/operatorfile/schema.go
@@ -27,9 +27,9 @@
 	Expr                   // the rest of the line, an expression
 )
 
-var typeNames = [...]string{"word", "choice", "duration", "count", "share", "address", "path", "expression"}
+var typeNames = [...]string{"name", "choice", "duration", "number", "percentage", "address", "path", "expression"}
 
-// String returns the name of the type as messages to the operator give it.
+// String returns the name of the type as error messages give it.
 func (t Type) String() string { return typeNames[t] }
 
 // Arg declares one argument of a directive.
@@ -50,7 +50,7 @@
 	Args     []Arg
 	Default  string // as it would be written; "" where there is none
 	Example  string // what the example shows where there is no default
-	Required bool   // a section without it is faulty
+	Required bool   // a section without it is invalid
 	Repeated bool   // may appear more than once in a section
 	Reload   bool   // a change takes effect on reload; otherwise on restart
 	Help     string
