--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -21,6 +21,7 @@
 const (
 	maxConcurrentCalls = 32
 	minCallBudget      = time.Millisecond
+	defaultCallBudget  = 2 * time.Second
 	// answerMargin is how much longer than a request's budget its answer is waited for: the scheduler may use all of it.
 	answerMargin = time.Second
 	// connectRetryInterval is the pause between attempts to reach a scheduler that is not ready yet.
@@ -69,7 +70,7 @@
 	flags.StringVar(&options.idempotencyKey, "key", "", "idempotency `KEY` of all requests (default a random one for each)")
 	flags.StringVar(&options.spec, "spec", "memory_mb:512;lanes:2", "`PROPERTIES` of the function: memory of an instance, concurrent requests (lanes) of an instance")
 	flags.StringVar(&options.body, "body", "", "`TEXT` of the body; - for standard input")
-	flags.DurationVar(&options.budget, "budget", 2*time.Second, "timeout of each request")
+	flags.DurationVar(&options.budget, "budget", defaultCallBudget, "timeout of each request")
 	flags.DurationVar(&options.wait, "wait", 0, "how long to wait for the scheduler to become ready")
 	flags.IntVar(&options.count, "count", 1, "number of requests")
 	flags.IntVar(&options.concurrency, "at-a-time", 1, "number of requests in flight at a time, 32 at most")
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -22,6 +22,8 @@
 
 	defaultAuthorityDays = 3650
 	defaultMemberDays    = 365
+
+	serialNumberBase = 16 // of certificate numbers on the command line, which `key show` prints in hexadecimal
 )
 
 func keyCommand() *cobra.Command {
@@ -216,7 +218,7 @@
 	if err == nil {
 		return cert.SerialNumber, nil
 	}
-	if number, ok := new(big.Int).SetString(arg, 16); ok && number.Sign() > 0 {
+	if number, ok := new(big.Int).SetString(arg, serialNumberBase); ok && number.Sign() > 0 {
 		return number, nil
 	}
 	return nil, err
--- a/cmd/calicohill/limits.go
+++ b/cmd/calicohill/limits.go
@@ -17,6 +17,18 @@
 	maxAnswerBytes = 1 << 20
 )
 
+// The parts of the memory and of the descriptors that the platform grants, as divisors.
+const (
+	connsDivisor         = 3 // descriptors: a third each for clients and for workers
+	reserveDivisor       = 4 // memory that the Go runtime does not count
+	requestBufferDivisor = 3
+	unsentBytesDivisor   = 8
+	// answerBytesDivisor: even if an endless answer came in on every connection, a quarter of the memory would be enough.
+	answerBytesDivisor = 4
+
+	bytesPerMB = 1 << 20
+)
+
 // resourceLimits divides the memory and the descriptors that the platform grants among the parts of a scheduler.
 type resourceLimits struct {
 	processMemory     int64 // bytes, soft limit of the Go runtime
@@ -30,16 +42,15 @@
 
 // resourceLimitsOf returns the limits of a scheduler with a configuration.
 func resourceLimitsOf(platform *config.Config) resourceLimits {
-	memory := platform.MemoryMB << 20
-	conns := platform.MaxSockets / 3
+	memory := platform.MemoryMB * bytesPerMB
+	conns := platform.MaxSockets / connsDivisor
 	return resourceLimits{
-		processMemory:     int64(memory) * 3 / 4,
-		requestBuffers:    memory / 3 / bufferpool.Size,
-		unsentBytes:       memory / 8,
+		processMemory:     int64(memory - memory/reserveDivisor),
+		requestBuffers:    memory / requestBufferDivisor / bufferpool.Size,
+		unsentBytes:       memory / unsentBytesDivisor,
 		clientConns:       conns,
 		workerConns:       conns,
 		workerDescriptors: max(platform.MaxSockets-conns-reservedDescriptors, conns+minDialDescriptors),
-		// Even if an endless answer came in on every connection, a quarter of the memory would be enough.
-		answerBytes: min(max(memory/4/conns, minAnswerBytes), maxAnswerBytes),
+		answerBytes:       min(max(memory/answerBytesDivisor/conns, minAnswerBytes), maxAnswerBytes),
 	}
 }
--- a/internal/config/config_internal_test.go
+++ b/internal/config/config_internal_test.go
@@ -58,7 +58,11 @@
 	parts := strings.Split(key, ".")
 	last := len(parts) - 1
 	for _, part := range parts[:last] {
-		object = object[part].(map[string]any)
+		inner, ok := object[part].(map[string]any)
+		if !ok {
+			t.Fatalf("%s: %q is not an object", key, part)
+		}
+		object = inner
 	}
 	if value == nil {
 		delete(object, parts[last])
--- a/internal/config/operatorfile/argument.go
+++ b/internal/config/operatorfile/argument.go
@@ -15,6 +15,10 @@
 	maxIdentifierBytes = 64
 	maxExpressionBytes = 2048
 	perCent            = 100
+
+	secondsPerMinute = 60
+	secondsPerHour   = 60 * secondsPerMinute
+	secondsPerDay    = 24 * secondsPerHour
 )
 
 // value is the parsed argument of a directive.
@@ -31,7 +35,7 @@
 }
 
 // durationUnits are the units of a Duration in seconds. A unit that is a suffix of others comes after them.
-var durationUnits = []unit{{"d", 86400}, {"h", 3600}, {"m", 60}, {"ms", 1e-3}, {"us", 1e-6}, {"s", 1}}
+var durationUnits = []unit{{"d", secondsPerDay}, {"h", secondsPerHour}, {"m", secondsPerMinute}, {"ms", 1e-3}, {"us", 1e-6}, {"s", 1}}
 
 // percentageUnits are the units of a Percentage.
 var percentageUnits = []unit{{"%", 1}}
--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -51,7 +51,7 @@
 		Help: "The fleet that the list belongs to. A snapshot of another fleet is rejected.",
 	},
 	{
-		Section: sectionState, Name: "max-age", Args: []Arg{{Name: "TIME", Type: Duration, Min: 1, Max: 30 * 86400}}, Default: "1h",
+		Section: sectionState, Name: "max-age", Args: []Arg{{Name: "TIME", Type: Duration, Min: 1, Max: 30 * secondsPerDay}}, Default: "1h",
 		Help: "Maximum age of a snapshot. An older one is rejected.",
 	},
 	{
@@ -113,7 +113,7 @@
 		Default: "5s", Help: "Maximum difference between the clocks of two members.",
 	},
 	{
-		Section: sectionGossip, Name: "overlap", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0, Max: 86400}},
+		Section: sectionGossip, Name: "overlap", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0, Max: secondsPerDay}},
 		Default: "10m", Reload: true,
 		Help: "How long certificates of an authority are still trusted after a reload has removed it.",
 	},
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -147,17 +147,18 @@
 
 // parseInclude reads the file that an include line names.
 func (p *fileParser) parseInclude(tokens []token, position match.Position) {
-	if len(tokens) != 2 {
+	arguments := tokens[1:]
+	if len(arguments) != 1 {
 		p.errors.add(position, includeDirective, "takes one argument: include FILE")
 		return
 	}
 	ancestors := append(slices.Clone(p.ancestors), p.path)
-	p.parseFile(resolvePath(p.path, tokens[1].text), position, includeDirective, ancestors)
+	p.parseFile(resolvePath(p.path, arguments[0].text), position, includeDirective, ancestors)
 }
 
 // parseHeading reads the heading of a section, which becomes the current one.
 func (p *fileParser) parseHeading(tokens []token, position match.Position) {
-	kind := tokens[0].text
+	kind, arguments := tokens[0].text, tokens[1:]
 	declared, known := lookupSection(kind)
 	p.current = sectionKey{}
 	p.skipping = true
@@ -169,22 +170,22 @@
 		}
 		p.errors.add(position, "", "unknown section %q%s; directives must be indented", kind, suggestion(kind, names))
 	case declared.Named == "":
-		p.beginUnnamed(kind, tokens, position)
-	case len(tokens) != 2:
+		p.beginUnnamed(kind, arguments, position)
+	case len(arguments) != 1:
 		p.errors.add(position, "", "section %s needs a name: %s %s", kind, kind, declared.Named)
 	default:
-		p.beginNamed(kind, tokens[1], position)
+		p.beginNamed(kind, arguments[0], position)
 	}
 }
 
 // beginUnnamed begins a section that has no name of its own and may appear once. It becomes the current section even
 // with an error in its heading.
-func (p *fileParser) beginUnnamed(kind string, tokens []token, position match.Position) {
+func (p *fileParser) beginUnnamed(kind string, arguments []token, position match.Position) {
 	key := unnamed(kind)
 	before := p.document.sections[key]
 	switch {
-	case len(tokens) > 1:
-		position.Column = tokens[1].column
+	case len(arguments) > 0:
+		position.Column = arguments[0].column
 		p.errors.add(position, "", "section %s takes no arguments", kind)
 	case before != nil:
 		p.errors.add(position, "", "duplicate section %s, first in %s:%d", kind, before.position.File, before.position.Line)
