--- a/internal/testbed/worker.go
+++ b/internal/testbed/standin/worker.go
@@ -1,7 +1,6 @@
-package testbed
+package standin
 
 import (
-	"context"
 	"fmt"
 	"net"
 	"sync"
@@ -23,36 +22,6 @@
 // slowWorkerDelay is by how much a WorkerSlow answers later.
 const slowWorkerDelay = 500 * time.Millisecond
 
-// storeConcurrency is how many functions the store serves at a time.
-const storeConcurrency = 12
-
-// Store is the store that all workers load functions from: a few at a time, and none while it is jammed.
-type Store struct {
-	mu          sync.Mutex
-	jammedUntil time.Time
-	slots       chan struct{}
-}
-
-// newStore returns a healthy store.
-func newStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
-
-// Jam makes the store serve nothing for a while.
-func (s *Store) Jam(duration time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.jammedUntil = time.Now().Add(duration)
-}
-
-// fetch waits until it is a function's turn, and then as long as it takes to load.
-func (s *Store) fetch(loadTime time.Duration) {
-	s.slots <- struct{}{}
-	defer func() { <-s.slots }()
-	s.mu.Lock()
-	jammedFor := time.Until(s.jammedUntil)
-	s.mu.Unlock()
-	time.Sleep(max(jammedFor, 0) + loadTime)
-}
-
 // Worker is a stand-in node agent. It loads functions, runs a few requests at a time and has faults.
 type Worker struct {
 	ID       string
@@ -178,8 +147,8 @@
 	w.fault = fault
 }
 
-// currentFault returns the fault now.
-func (w *Worker) currentFault() WorkerFault {
+// Fault returns the fault now.
+func (w *Worker) Fault() WorkerFault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault
@@ -208,14 +177,14 @@
 
 // overload returns how many connections the worker refused, and the most that it was sent while warming up, as a fraction
 // of what it survives.
-func (w *Worker) overload() (refusedConnections int, peakLoadFraction float64) {
+func (w *Worker) Overload() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refusedConnections, w.peakLoadFraction
 }
 
 // restart restarts the worker: without functions loaded, warming up, its connections closed.
-func (w *Worker) restart() {
+func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.startedAt = time.Now()
@@ -224,8 +193,8 @@
 	w.closeConnections()
 }
 
-// startedMillis returns when the worker started, in Unix milliseconds; 0 for one that is warm.
-func (w *Worker) startedMillis() int64 {
+// StartedMillis returns when the worker started, in Unix milliseconds; 0 for one that is warm.
+func (w *Worker) StartedMillis() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return max(w.startedAt.UnixMilli(), 0)
@@ -243,30 +212,15 @@
 	received := 0
 	for i := len(w.arrivals) - 1; i >= 0; i-- {
 		at := w.arrivals[i].At
-		if now.Sub(at) > crashWindow || at.Before(w.startedAt) {
+		if now.Sub(at) > CrashWindow || at.Before(w.startedAt) {
 			break
 		}
 		received++
 	}
-	loadFraction := float64(received) / w.profile.maxRequests(w.age(now))
+	loadFraction := float64(received) / w.profile.MaxRequests(w.age(now))
 	w.peakLoadFraction = max(w.peakLoadFraction, loadFraction)
 	if loadFraction > 1 {
 		w.crashedAt = now
 		w.closeConnections()
 	}
 }
-
-// sleep waits, and reports whether the context still lives.
-func sleep(ctx context.Context, duration time.Duration) bool {
-	if duration <= 0 {
-		return ctx.Err() == nil
-	}
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -20,11 +20,10 @@
 	missesDeadline := work > 0 && r.missesDeadline(req, target, warm, work)
 	overload := 0.0
 	if target != nil {
-		overload = (r.pressure(target) - 1 - rejectPressureExcess) / rejectPressureExcess
+		overload = r.pressure.Overload(&target.pressure, r.now)
 	}
-	// What peers have in flight ahead of it shows in the pressure of its worker.
 	shed := r.missesObjective(req, work) ||
-		target != nil && r.rng.Float64() < min(overload, maxRejectProbability)*r.peerInfluence()
+		target != nil && r.rng.Float64() < r.pressure.RejectProbability(overload)
 	// Requests over their tenant's quota are worth little: they give way as soon as anything has to wait.
 	overQuota := r.tenantQuotas.Exceeded(r.now, arrival.Tenant)
 	if missesDeadline || shed || overQuota && (len(r.queue) > 0 || overload > 0) {
@@ -36,9 +35,9 @@
 
 // missesDeadline reports whether a request with so many seconds of work ahead would end after its deadline.
 func (r *Router) missesDeadline(req *request, target *worker, warm bool, work float64) bool {
-	finish := work/max(r.capacity, 1) + r.serviceTime(req.function)
+	finish := work/r.capacity.Divisor() + r.latency.ServiceTime(&req.function.latency, r.now)
 	if !warm && (target != nil || !slices.ContainsFunc(req.function.placements, r.isWarm)) {
-		finish += r.loadTime(req.function)
+		finish += r.latency.LoadTime(&req.function.latency, r.now)
 	}
 	// A departure from the SCORPIO design: the request that would begin a load is admitted, or functions
 	// that load slowly would be rejected for ever.
@@ -54,9 +53,9 @@
 // answer is late. The bound is the same for all classes, or those with short objectives would starve. Harm:
 // late answers that are worth much are lost.
 func (r *Router) missesObjective(req *request, work float64) bool {
-	wait := work / max(r.capacity, 1)
+	wait := work / r.capacity.Divisor()
 	return req.class.LateValue < 1 &&
-		wait+min(r.serviceTime(req.function), r.minObjective/2) > r.minObjective
+		wait+min(r.latency.ServiceTime(&req.function.latency, r.now), r.minObjective/2) > r.minObjective
 }
 
 // divertOrReject admits a request to the fallback of its pool, and rejects it if there is none.
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -1,6 +1,11 @@
 package routing
 
-import "cmp"
+import (
+	"cmp"
+
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+)
 
 // attemptEnded learns from how an attempt ended, and queues its request again if that may be retried.
 func (r *Router) attemptEnded(end AttemptEnded) {
@@ -13,8 +18,7 @@
 	req.reachedWorker = req.reachedWorker || end.Outcome != ConnectFailed && end.Outcome != NotSent
 	r.recordEnd(ended)
 	if end.Report != nil && end.Report.InFlight >= 0 {
-		peers := max(0, end.Report.InFlight-float64(len(ended.worker.inFlight)))
-		ended.worker.peerInFlight += workerMeanWeight * (peers - ended.worker.peerInFlight)
+		ended.worker.pressure.ObserveInFlight(end.Report.InFlight, len(ended.worker.inFlight))
 	}
 	r.observeLoad(ended, end)
 	r.recordOutcome(ended, end)
@@ -39,7 +43,7 @@
 		r.recordAnswer(ended.worker)
 		// An error for a function that no worker knows says nothing of this worker.
 		if end.Outcome == Errored && ended.request.function.served {
-			r.recordError(ended.worker)
+			r.outliers.RecordError(&ended.worker.health, r.now)
 		}
 		if end.Outcome == NotLoaded || end.StartType == LoadFailed {
 			ended.placement.warm = false
@@ -47,8 +51,8 @@
 		}
 	case TimedOut:
 		r.recordLostAnswer(ended, hedgeCreditPerTimeout)
-		if ended.worker.lastAnswerAt < ended.sentAt {
-			r.reportFault(ended.worker, Unresponsive, ended.sentAt)
+		if ended.worker.health.SilentSince(ended.sentAt) {
+			r.reportFault(ended.worker, outlier.Unresponsive, ended.sentAt)
 		}
 	case Canceled:
 		if ended.superseded { // the other attempt was answered first
@@ -61,90 +65,66 @@
 	}
 }
 
-// recordShed backs off from a worker. A request for a warm instance met a full queue, one that needed a load
-// perhaps a lack of memory: the worker, or just new loads there, is left alone for part of a service time,
-// doubling, or queued requests use up their attempts.
+// recordShed backs off from a worker that rejected a request unseen.
 func (r *Router) recordShed(ended *attempt) {
-	source := ended.worker
-	r.recordAnswer(source)
-	source.consecutiveSheds = min(source.consecutiveSheds+1, maxShedDoublings)
-	backoff := durationOf(r.serviceTime(ended.request.function) / shedBackoffDivisor)
-	until := r.now + backoff<<source.consecutiveSheds
-	source.loadBackoffUntil = max(source.loadBackoffUntil, until)
-	if !ended.mayNeedLoad {
-		source.backoffUntil = max(source.backoffUntil, until)
-		source.concurrencyLimit = max(minLimit, source.concurrencyLimit*limitDecreaseFactor)
-	}
+	r.recordAnswer(ended.worker)
+	serviceTime := r.latency.ServiceTime(&ended.request.function.latency, r.now)
+	ended.worker.limit.RecordShed(r.now, serviceTime, ended.mayNeedLoad)
 }
 
-// recordReset counts a broken connection. One says little of its worker: an answer that cannot be read
-// breaks it too, and after a crash the next connection is refused. A worker whose connections break time and
-// again with no answer between is unhealthy.
+// recordReset learns from a broken connection.
 func (r *Router) recordReset(w *worker) {
-	if w.lastResetAt < r.now { // what was lost with one connection counts once
-		w.connectionResets++
-	}
-	w.lastResetAt = r.now
-	if w.connectionResets >= maxConnectionResets {
-		r.eject(w)
-		r.reportFault(w, Unreachable, r.now)
+	if w.health.RecordReset(r.now) {
+		w.health.Eject(r.now, r.rng)
+		r.reportFault(w, outlier.Unreachable, r.now)
 	}
 }
 
 // recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
 // unless it answered elsewhere meanwhile.
 func (r *Router) recordConnectFailure(ended *attempt) {
-	if ended.worker.lastAnswerAt > ended.sentAt {
+	if ended.worker.health.AnsweredAfter(ended.sentAt) {
 		return
 	}
 	ended.worker.incarnation++
-	r.eject(ended.worker)
-	r.reportFault(ended.worker, Unreachable, r.now)
+	ended.worker.health.Eject(r.now, r.rng)
+	r.reportFault(ended.worker, outlier.Unreachable, r.now)
 }
 
-// observeLoad learns from the end of an attempt under how much pressure its worker is. An answer that never
-// came counts as a late one; a latency that may include a load says nothing of a queue.
+// observeLoad learns from the end of an attempt under how much pressure its worker is.
 func (r *Router) observeLoad(ended *attempt, end AttemptEnded) {
-	objectives := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds() / r.minObjective
-	sample := min(objectives, 1)
-	if end.Report != nil && end.Report.Utilization >= 0 {
-		sample = end.Report.Utilization
+	sample := pressure.Sample{
+		Result:   pressureResult(ended, end.Outcome),
+		Latency:  cmp.Or(end.Latency, r.now-ended.sentAt),
+		Reported: end.Report != nil,
 	}
+	if end.Report != nil {
+		sample.Utilization = end.Report.Utilization
+	}
+	r.pressure.Observe(&ended.worker.pressure, r.now, sample)
+}
+
+// pressureResult tells what the outcome of an attempt says of the pressure of its worker.
+func pressureResult(ended *attempt, outcome Outcome) pressure.Result {
 	switch {
-	case end.Outcome == TimedOut || end.Outcome == Canceled && ended.superseded:
-		sample = 1 + objectives
-	case end.Outcome == Shed && !ended.mayNeedLoad:
-		sample = shedPressure
-	case end.Outcome == Served && !ended.mayNeedLoad:
-		sample += objectives
-	case end.Report == nil:
-		return
+	case outcome == TimedOut || outcome == Canceled && ended.superseded:
+		return pressure.Lost
+	case outcome == Shed && !ended.mayNeedLoad:
+		return pressure.ShedWarm
+	case outcome == Served && !ended.mayNeedLoad:
+		return pressure.AnsweredWarm
 	default:
-		sample += idleLatencyPressure
+		return pressure.Inconclusive
 	}
-	usual := min(r.meanPressure, leavePressureStart)
-	excess := ended.worker.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
-	ended.worker.pressureExcess.Set(r.now, excess+workerMeanWeight*(sample-usual-excess))
-	r.meanPressure += fleetMeanWeight * (sample - r.meanPressure)
 }
 
 // recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
 func (r *Router) recordAnswer(source *worker) {
-	source.lastAnswerAt = r.now
-	source.answeredAt = r.now
-	source.connectionResets = 0
-	if source.ejected {
-		source.ejected = false
-		source.probes = 0
-		source.concurrencyLimit = max(minLimit, min(source.concurrencyLimit, readmissionLimit))
-	}
-	fault := Healthy
-	if r.errorRate(source) > maxErrorRate {
-		fault = Failing
-	} else if r.latencyRatio(source) > slowLatencyRatio {
-		fault = Slow
+	if source.health.RecordAnswer(r.now) {
+		source.limit.Readmit()
 	}
-	r.reportFault(source, fault, r.now)
+	slow := r.latency.IsSlow(&source.latency, r.now)
+	r.reportFault(source, r.outliers.AnswerFault(&source.health, r.now, slow), r.now)
 }
 
 // recordServed learns from a served answer.
@@ -156,14 +136,12 @@
 	}
 	place.setWarm(r.now)
 	place.loading = false
-	source.consecutiveSheds = 0
+	source.limit.RecordServed()
 	called.served = true
-	source.recentErrors.Set(r.now, r.errorRate(source)*(1-errorRateWeight))
-	if r.allWarmingUp || !r.isWarmingUp(source) {
-		r.servedAnswers++
-	}
+	r.outliers.RecordServed(&source.health, r.now)
+	r.slowStart.RecordServed(r.now, source.Started)
 	latency := cmp.Or(end.Latency, r.now-ended.sentAt).Seconds()
-	called.slowestLatency.Observe(r.now, 2*r.settings.InstanceKeepAlive, latency)
+	r.latency.Observe(&called.latency, r.now, latency)
 	if end.StartType > WarmStart || end.StartType == StartUnknown && ended.mayNeedLoad {
 		return
 	}
@@ -175,35 +153,8 @@
 
 // recordWarmLatency learns from the latency, in seconds, of an answer of a warm instance.
 func (r *Router) recordWarmLatency(ended *attempt, latency float64) {
-	source, called := ended.worker, ended.request.function
-	r.meanLatency = cmp.Or(r.meanLatency, latency)
-	ratio := r.latencyRatio(source)
-	source.latencyExcess.Set(r.now, ratio+workerMeanWeight*(latency/r.meanLatency-ratio)-1)
-	r.meanLatency += fleetMeanWeight * (latency - r.meanLatency)
-	mean := r.serviceTime(called)
-	called.serviceTimeExcess.Set(r.now, mean+functionMeanWeight*(latency-mean)-
-		r.settings.Classes[called.class].LatencyObjective.Seconds())
+	source := ended.worker
+	r.latency.ObserveWarm(&ended.request.function.latency, &source.latency, r.now, latency)
 	objective := ended.request.class.LatencyObjective.Seconds()
-	limit := source.concurrencyLimit
-	switch {
-	case latency > limitObjectiveFraction*objective:
-		source.concurrencyLimit = max(minLimit, limit*limitDecreaseFactor)
-	case latency < limitObjectiveFraction/2*objective && float64(len(source.inFlight)+1) >= limit/2:
-		source.concurrencyLimit = min(maxLimit, limit+1/limit)
-	}
-}
-
-// learnThroughput takes in what workers answered in the last interval, in requests a second per unit of
-// weight.
-func (r *Router) learnThroughput(rate float64) {
-	weight := throughputMeanWeight
-	if r.allWarmingUp && rate > float64(r.throughputPerWeight) {
-		weight = 1 // what warming workers answered they can do, whatever they did before
-	}
-	r.throughputPerWeight.Update(rate, weight)
-}
-
-// initialLimit is the concurrency limit of a worker of which nothing is known.
-func (r *Router) initialLimit() float64 {
-	return max(minInitialLimit, initialFleetLimit/float64(r.settings.Schedulers))
+	source.limit.RecordWarmLatency(latency, objective, len(source.inFlight))
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -24,14 +24,14 @@
 		if !r.isWarm(next) {
 			return nil, false // its load is under way: what waits here blocks no worker if the load is slow
 		}
-		if r.waitForSlot(next, req.function) < r.loadTime(req.function) {
+		if r.waitForSlot(next, req.function) < r.latency.LoadTime(&req.function.latency, r.now) {
 			return next.worker, true
 		}
 	}
 	// A departure from the SCORPIO design: with most capacity in use, a function that is loaded somewhere
 	// waits for capacity there, against load storms in overload. Harm: one much called function in a fleet
 	// that is busy with long requests spreads late.
-	if loaded.exists && r.utilization > maxSpreadUtilization {
+	if loaded.exists && !r.capacity.MaySpread() {
 		return nil, false
 	}
 	target = r.pickForLoad(req, loaded.exists)
@@ -73,7 +73,7 @@
 // scheduler so: its preferred workers, if peers call it often.
 func (r *Router) presumedWarm(fn *function) []*worker {
 	preferred := r.preferredWorkers(fn)
-	peerRequests := float64(r.settings.Schedulers-1) * fn.requestWeight / spreadKeepAlives
+	peerRequests := float64(r.settings.Schedulers-1) * fn.demand.PerKeepAlive()
 	if len(preferred) > 1 && peerRequests >= presumedWarmRequests*float64(len(preferred)) {
 		return preferred
 	}
@@ -83,7 +83,7 @@
 // waitForSlot estimates the wait for a slot of a placement whose slots are all taken, in seconds.
 func (r *Router) waitForSlot(p *placement, fn *function) float64 {
 	slots := float64(p.instances * fn.concurrency)
-	return (float64(p.inFlight) - slots + 1) / slots * r.serviceTime(fn)
+	return (float64(p.inFlight) - slots + 1) / slots * r.latency.ServiceTime(&fn.latency, r.now)
 }
 
 // pickForLoad chooses the worker that loads a function: the less busy of the first two with capacity in its
@@ -104,7 +104,7 @@
 			if spare == nil || r.busier(spare, candidate) {
 				spare = candidate
 			}
-		case r.now < candidate.loadBackoffUntil, candidate.loadsWaiting >= maxWaitingForLoads,
+		case candidate.limit.BacksOffLoads(r.now), candidate.loadsWaiting >= maxWaitingForLoads,
 			p.inFlight >= req.function.concurrency:
 			continue
 		case first == nil:
@@ -126,22 +126,18 @@
 
 // relativeLoad is how busy a worker is for its weight.
 func (r *Router) relativeLoad(w *worker) float64 {
-	pressure := max(math.Round(pressureSteps*r.pressure(w)), 1)
-	requests := 1 + float64(len(w.inFlight)) + w.peerInFlight
+	pressure := max(math.Round(pressureSteps*r.pressure.Of(&w.pressure, r.now)), 1)
+	requests := 1 + float64(len(w.inFlight)) + w.pressure.PeerInFlight()
 	// Where many share a worker, meeting one more costs it and shows in none of its reports.
-	if w.answeredAt == 0 || r.now-w.answeredAt > r.settings.InstanceKeepAlive {
-		requests += unansweredPenalty * r.peerInfluence()
+	if !w.health.AnsweredWithin(r.now, r.settings.InstanceKeepAlive) {
+		requests += unansweredPenalty * r.pressure.PeerInfluence()
 	}
-	return requests * pressure / (w.Weight * r.slowStartFactor(w))
+	return requests * pressure / (w.Weight * r.slowStart.Factor(r.now, w.Started))
 }
 
-// peerInfluence is how much of a worker's load is due to peers: 0 with none, almost 1 with many.
-func (r *Router) peerInfluence() float64 { return math.Pow(r.peerFraction, peerInfluenceExponent) }
-
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
 func (r *Router) hasCapacity(req *request, w *worker) bool {
-	return float64(len(w.inFlight)-w.loadsWaiting) < w.concurrencyLimit && r.now >= w.backoffUntil &&
-		r.accepts(req, w)
+	return w.limit.HasCapacity(r.now, len(w.inFlight)-w.loadsWaiting) && r.accepts(req, w)
 }
 
 // accepts reports whether a worker may be sent this request.
@@ -153,7 +149,8 @@
 // avoids reports whether a worker is not to have this request: it seems unhealthy, and nothing could be
 // retried. Other requests still go there, show when it has recovered, and are retried elsewhere.
 func (r *Router) avoids(req *request, w *worker) bool {
-	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 && r.isUnhealthy(w)
+	return req.class.Idempotency == NonIdempotent && r.healthyWorkers > 0 &&
+		r.outliers.IsUnhealthy(&w.health, r.now)
 }
 
 // lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
@@ -169,8 +166,8 @@
 func (r *Router) preferredWorkers(fn *function) []*worker {
 	order := r.rendezvousOrder(fn)
 	// Few requests prove little: what chance alone could have brought is left out.
-	requests := fn.requestWeight * r.decayFactor(fn.lastRequestAt)
-	fraction := max(0, requests-math.Sqrt(requests)) / max(r.requestWeight*r.decayFactor(r.lastRequestAt), 1)
+	requests := fn.demand.At(r.now, r.demandWindow)
+	fraction := max(0, requests-math.Sqrt(requests)) / max(r.demand.At(r.now, r.demandWindow), 1)
 	wanted := max(1, int(math.Ceil(fraction*spreadFactor*float64(len(order)))))
 	var preferred []*worker
 	for _, w := range order[:min(len(order), wanted+maxCandidates)] {
@@ -195,17 +192,7 @@
 	return fn.workerOrder
 }
 
-// isDisplaced reports whether a function leaves a worker for the next in its order. The same functions leave
-// first at every scheduler: each sees little of a worker, and would hold on to one that all of them press.
-// With few schedulers, each knows the worker's load by its own counts.
+// isDisplaced reports whether a function leaves a worker for the next in its order.
 func (r *Router) isDisplaced(p *placement) bool {
-	return (r.pressure(p.worker)-leavePressureStart)/(leavePressureFull-leavePressureStart)*
-		r.peerInfluence() > p.stickiness
-}
-
-// pressure is the pressure that a worker is believed to be under: as last seen, fading to that of the
-// others, yet to no more than what it keeps its functions with. A scheduler that sees few workers, all under
-// pressure, would reject requests for the rest.
-func (r *Router) pressure(w *worker) float64 {
-	return min(r.meanPressure, leavePressureStart) + w.pressureExcess.At(r.now, r.settings.InstanceKeepAlive)
+	return r.pressure.Displaces(&p.worker.pressure, r.now, p.stickiness)
 }
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -3,7 +3,11 @@
 import (
 	"time"
 
-	"calicohill/internal/stats/decay"
+	"calicohill/routing/concurrency"
+	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
 )
 
 // worker is what is known of a worker.
@@ -12,76 +16,26 @@
 	removedAt   time.Duration // when it was listed as Gone last
 	incarnation int           // counts restarts; what was believed of an earlier incarnation is void
 
-	// Attempts of this scheduler, and its limits on them.
-	inFlight         []*attempt    // attempts without an end, oldest first
-	loadsWaiting     int           // those that wait for a load; they don't count against the limit
-	concurrencyLimit float64       // the most that may be in flight beside those
-	consecutiveSheds int           // requests shed in a row, up to maxShedDoublings
-	backoffUntil     time.Duration // it gets nothing new until then
-	loadBackoffUntil time.Duration // it gets no new load until then
+	// Attempts of this scheduler.
+	inFlight     []*attempt // attempts without an end, oldest first
+	loadsWaiting int        // those that wait for a load; they don't count against the limit
 
-	// Load.
-	pressureExcess decay.Value // pressure above that of the others
-	peerInFlight   float64     // running mean of requests of other schedulers
-	latencyExcess  decay.Value // running mean of its latency over that of all workers, less 1
-	recentErrors   decay.Value // running share of errors in its answers, 0 to 1
-
-	// Health.
-	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
-	answeredAt       time.Duration // when it answered last; 0 if it never did
-	connectionResets int           // times that connections broke with no answer since
-	lastResetAt      time.Duration // when one broke last
-	ejected          bool          // it gets only probes
-	probes           int           // probes sent since it was ejected
-	probationAt      time.Duration // when the next probe may be sent
-	verdict          PeerVerdict   // what peers together report of it
-	reportedFault    Fault         // what this scheduler reported last
-	reportedAt       time.Duration // when that was observed
-
-	// Slow start.
-	slowStartQuota      int             // requests that it may be sent in a window while warming up
-	slowStartQuotaUntil time.Duration   // when the quota is drawn anew
-	slowStartSends      []time.Duration // when those of the latest window were sent
-}
-
-// latencyRatio is how a worker's latencies compare with those of all workers; 1 is the same.
-func (r *Router) latencyRatio(w *worker) float64 {
-	return 1 + w.latencyExcess.At(r.now, r.settings.InstanceKeepAlive)
-}
-
-// errorRate is the share of a worker's recent answers that are errors, 0 to 1. It fades, since nothing but
-// new requests shows that errors have ceased.
-func (r *Router) errorRate(w *worker) float64 {
-	return w.recentErrors.At(r.now, r.settings.InstanceKeepAlive)
-}
-
-// recordError counts an error in a worker's error rate.
-func (r *Router) recordError(w *worker) {
-	w.recentErrors.Set(r.now, r.errorRate(w)*(1-errorRateWeight)+errorRateWeight)
+	// What each mechanism knows of it.
+	pressure  pressure.Worker
+	limit     concurrency.Worker
+	latency   latency.Worker
+	health    outlier.Worker
+	slowStart slowstart.Worker
 }
 
 // unanswered counts the attempts at a worker that are overdue with no answer since they were sent, and
 // returns when the newest was sent.
 func (w *worker) unanswered(now time.Duration) (overdue int, newest time.Duration) {
 	for _, a := range w.inFlight {
-		if now >= a.overdueAt && w.lastAnswerAt < a.sentAt {
+		if now >= a.overdueAt && w.health.SilentSince(a.sentAt) {
 			overdue++
 			newest = a.sentAt
 		}
 	}
 	return overdue, newest
 }
-
-// isWarmingUp reports whether a worker has started so lately that it can do only part of its work.
-func (r *Router) isWarmingUp(w *worker) bool {
-	return w.Started > 0 && r.now-w.Started < r.settings.SlowStartDuration
-}
-
-// slowStartFactor is the share of its capacity that a worker can be counted on for.
-func (r *Router) slowStartFactor(w *worker) float64 {
-	if !r.isWarmingUp(w) {
-		return 1
-	}
-	elapsed := max(0, (r.now-w.Started).Seconds()/r.settings.SlowStartDuration.Seconds())
-	return r.settings.SlowStartFraction + (1-r.settings.SlowStartFraction)*elapsed
-}
