--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -202,7 +202,7 @@
 	reply := result.reply
 	fmt.Fprintf(out, "%s, status %d, %v", reply.Outcome(), reply.Status, result.took.Round(printedPrecision))
 	if reply.RetryAfter > 0 {
-		fmt.Fprintf(out, ", come back after %v", reply.RetryAfter)
+		fmt.Fprintf(out, ", retry after %v", reply.RetryAfter)
 	}
 	fmt.Fprintf(out, ", %d bytes\n", len(reply.Body))
 	if len(reply.Body) > 0 {
@@ -226,13 +226,13 @@
 		outcomes[outcomeUnanswered])
 	slices.Sort(latencies)
 	if n := len(latencies); n > 0 {
-		fmt.Fprintf(out, "answered after %v (half), %v (99%%), %v (last)\n", latencies[n/2].Round(printedPrecision),
+		fmt.Fprintf(out, "answered after %v (median), %v (99th percentile), %v (maximum)\n", latencies[n/2].Round(printedPrecision),
 			latencies[n*99/100].Round(printedPrecision), latencies[n-1].Round(printedPrecision))
 	}
 }
 
-// connect connects to the scheduler. With an option to wait it retries for so long, until the scheduler's health check
-// says that it serves.
+// connect connects to the scheduler. With the option to wait it retries for that long, until the scheduler's health check
+// succeeds.
 func (c *caller) connect(ctx context.Context) (*fastcgi.Client, error) {
 	for end := time.Now().Add(c.wait); ; time.Sleep(connectRetryInterval) {
 		client, err := fastcgi.Dial(ctx, c.address)
@@ -248,7 +248,7 @@
 	}
 }
 
-// checkHealth returns an error, and closes the connection, if the scheduler does not serve yet.
+// checkHealth returns an error, and closes the connection, if the scheduler is not ready yet.
 func (c *caller) checkHealth(ctx context.Context, client *fastcgi.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -156,7 +156,7 @@
 	if cert.IsCA {
 		kind = "authority"
 	}
-	fmt.Fprintf(out, "%s of fleet %v, number %x, good from %s to %s, %d bytes\n", kind, cert.Subject.Organization,
+	fmt.Fprintf(out, "%s of fleet %v, number %x, valid from %s to %s, %d bytes\n", kind, cert.Subject.Organization,
 		cert.SerialNumber, cert.NotBefore.Format(time.RFC3339), cert.NotAfter.Format(time.RFC3339), len(cert.Raw))
 }
 
--- a/cmd/calicohill/main.go
+++ b/cmd/calicohill/main.go
@@ -19,8 +19,14 @@
 	exitUsage   = 2 // the command line is invalid
 )
 
-// usageError is an error in the command line; the program exits with exitUsage.
-type usageError struct{ error }
+// usageError says that the command line is invalid; the program exits with exitUsage.
+type usageError struct{ err error }
+
+// Error returns the reason.
+func (e usageError) Error() string { return e.err.Error() }
+
+// Unwrap returns the reason.
+func (e usageError) Unwrap() error { return e.err }
 
 func main() {
 	root := rootCommand()
--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // what was read is good, whatever becomes of the descriptor
+	defer func() { _ = file.Close() }() // nothing was written, so an error loses nothing
 	return readRequestLines(file, o.requestsFile)
 }
 
--- a/cmd/calicohill/sources.go
+++ b/cmd/calicohill/sources.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// configSources is where a scheduler's configuration comes from. A flag takes precedence over its environment variable,
+// configSources names the sources of a scheduler's configuration. A flag takes precedence over its environment variable,
 // and both over the platform's file.
 type configSources struct {
 	platformFile string
--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -94,7 +94,7 @@
 	},
 	{
 		Section: sectionGossip, Name: "probe-timeout", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0.01, Max: 10}},
-		Default: "300ms", Help: "Timeout of a direct probe; after it, other members probe indirectly. Below probe-every.",
+		Default: "300ms", Help: "Timeout of a direct probe; after it, other members probe indirectly. Must be less than probe-every.",
 	},
 	{
 		Section: sectionGossip, Name: "suspect-for", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0.5, Max: 300}},
@@ -102,11 +102,11 @@
 	},
 	{
 		Section: sectionGossip, Name: "messages", Args: []Arg{{Name: "NUMBER", Type: Count, Min: 5, Max: 1000}},
-		Default: "20", Help: "Maximum number of messages sent in a second, whatever is received.",
+		Default: "20", Help: "Maximum number of messages sent in a second, however many are received.",
 	},
 	{
 		Section: sectionGossip, Name: "checks", Args: []Arg{{Name: "NUMBER", Type: Count, Min: 20, Max: 10000}},
-		Default: "400", Help: "Maximum number of signatures checked in a second, whatever is received.",
+		Default: "400", Help: "Maximum number of signatures checked in a second, however many are received.",
 	},
 	{
 		Section: sectionGossip, Name: "clock-skew", Args: []Arg{{Name: "TIME", Type: Duration, Min: 0, Max: 60}},
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -1,9 +1,9 @@
-// Package operatorfile reads the operator's file: settings of this installation that are not the platform's.
+// Package operatorfile reads the operator's file: settings of an installation that the platform's file does not have.
 //
-// The file is made of lines. A section begins with its heading at the margin; its directives follow, indented, one a
-// line, each with a name and arguments. '#' begins a comment, and "..." quotes a word with blanks, with \" and \\
-// inside. A line "include FILE" at the margin reads another file in its place. directives.go declares all sections and
-// directives, which also yield the commented example and the operators' page.
+// A section begins with a line at the margin, its heading; its directives follow on indented lines of their own, each with
+// a name and arguments. '#' begins a comment, and "..." quotes a word with blanks, with \" and \\
+// inside. A line "include FILE" at the margin is replaced by the lines of that file. directives.go declares all sections
+// and directives, from which the commented example and the reference page are generated.
 //
 // Reading reports every error of all files at once, and a file with an error yields no settings at all.
 package operatorfile
