--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -168,7 +168,7 @@
 		for _, s := range Sections {
 			names = append(names, s.Name)
 		}
-		p.errors.add(position, "", "unknown section %q%s; directives must be indented", kind, suggestion(kind, names))
+		p.errors.add(position, "", "unknown section %q; directives must be indented%s", kind, suggestion(kind, names))
 	case declared.Named == "":
 		p.beginUnnamed(kind, arguments, position)
 	case len(arguments) != 1:
