--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -40,10 +40,10 @@
 // parseFields parses NAME=VALUE,...
 func parseFields(text string) (requestFields, error) {
 	fields := requestFields{}
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(part, "=")
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return nil, usageError{fmt.Errorf("request: %q is not of the form NAME=VALUE", part)}
+			return nil, usageError{fmt.Errorf("request: %q is not of the form NAME=VALUE", field)}
 		}
 		fields[name] = value
 	}
--- a/internal/config/config_internal_test.go
+++ b/internal/config/config_internal_test.go
@@ -242,66 +242,69 @@
 	}
 }
 
-// The error names the file and what is wrong in it, by the file's own words.
-func TestReadErrors(t *testing.T) {
-	const year = 365 * 24 * 3600 * 1000 // milliseconds
-	tooLong := strings.Repeat("n", maxClassNameLength+1)
-	for _, tt := range []struct {
-		name  string
-		key   string
-		value any
-		want  string // part of the error
-	}{
-		{"no listen", "listen", nil, "listen: "},
-		{"listen without port", "listen", "127.0.0.1", "listen: "},
-		{"listen with IPv6 without brackets", "listen", "::1:5050", "listen: "},
-		{"listen is no text", "listen", 5050, "file.listen"},
-		{"no list service", "bulletin", nil, "bulletin: "},
-		{"list service without port", "bulletin", "127.0.0.1", "bulletin: "},
-		{"no seed", "seed", nil, "seed: "},
-		{"seed with a prefix", "seed", "0x1f", "seed: "},
-		{"seed not hexadecimal", "seed", "xyz", "seed: "},
-		{"negative seed", "seed", "-1", "seed: "},
-		{"seed over 64 bits", "seed", "10000000000000000", "seed: "},
-		{"seed is a number", "seed", 7, "file.seed"},
-		{"too few sockets", "limits.sockets", minSockets - 1, "limits: 63 sockets"},
-		{"negative sockets", "limits.sockets", -1, "limits: -1 sockets"},
-		{"sockets are no integer", "limits.sockets", 64.5, ".limits.sockets"},
-		{"negative memory", "limits.memory_mb", -1, "limits: 512 sockets, -1 MB"},
-		{"memory is no number", "limits.memory_mb", "256", ".limits.memory_mb"},
-		{"limits are no object", "limits", []any{}, "file.limits"},
+const millisPerYear = 365 * 24 * 3600 * 1000
 
-		{"no settings", "settings", nil, "no settings"},
-		{"settings are no object", "settings", "all", "settings: "},
-		{"settings are empty", "settings", map[string]any{}, "settings: ceilings: multiplex"},
-		{"setting of another type", "settings.balancers", "3", "object.balancers"},
-		{"no ceilings", "settings.ceilings", nil, "settings: ceilings: multiplex"},
-		{"no multiplex", "settings.ceilings.multiplex", nil, "multiplex, connectTimeoutMs and idleCloseMs"},
-		{"negative multiplex", "settings.ceilings.multiplex", -1, "multiplex, connectTimeoutMs and idleCloseMs"},
-		{"no connect timeout", "settings.ceilings.connectTimeoutMs", nil, "multiplex, connectTimeoutMs and idleCloseMs"},
-		{"no idle close", "settings.ceilings.idleCloseMs", nil, "multiplex, connectTimeoutMs and idleCloseMs"},
-		{"negative time", "settings.tickMs", -0.5, "settings: a time of -0.5 ms"},
-		{"time over a year", "settings.tickMs", year + 1, "settings: a time of "},
-		{"negative time of a ceiling", "settings.ceilings.idleCloseMs", -1, "settings: a time of -1 ms"},
+// invalidValues are values that make platformFile invalid.
+var invalidValues = []struct {
+	name  string
+	key   string
+	value any
+	want  string // part of the error
+}{
+	{"no listen", "listen", nil, "listen: "},
+	{"listen without port", "listen", "127.0.0.1", "listen: "},
+	{"listen with IPv6 without brackets", "listen", "::1:5050", "listen: "},
+	{"listen is no text", "listen", 5050, "file.listen"},
+	{"no list service", "bulletin", nil, "bulletin: "},
+	{"list service without port", "bulletin", "127.0.0.1", "bulletin: "},
+	{"no seed", "seed", nil, "seed: "},
+	{"seed with a prefix", "seed", "0x1f", "seed: "},
+	{"seed not hexadecimal", "seed", "xyz", "seed: "},
+	{"negative seed", "seed", "-1", "seed: "},
+	{"seed over 64 bits", "seed", "10000000000000000", "seed: "},
+	{"seed is a number", "seed", 7, "file.seed"},
+	{"too few sockets", "limits.sockets", minSockets - 1, "limits: 63 sockets"},
+	{"negative sockets", "limits.sockets", -1, "limits: -1 sockets"},
+	{"sockets are no integer", "limits.sockets", 64.5, ".limits.sockets"},
+	{"negative memory", "limits.memory_mb", -1, "limits: 512 sockets, -1 MB"},
+	{"memory is no number", "limits.memory_mb", "256", ".limits.memory_mb"},
+	{"limits are no object", "limits", []any{}, "file.limits"},
 
-		{"class without a name", "settings.classes", classes("a", ""), `settings: class 1: name ""`},
-		{"class names repeated", "settings.classes", classes("a", "b", "a"), `settings: class 2: name "a"`},
-		{"class name too long", "settings.classes", classes(tooLong), "settings: class 0: name"},
-		{"class name with a space", "settings.classes", classes("a b"), `settings: class 0: name "a b"`},
-		{"class name with a comma", "settings.classes", classes("a,b"), `settings: class 0: name "a,b"`},
-		{"class name with a slash", "settings.classes", classes("a/b"), `settings: class 0: name "a/b"`},
-		{"class name with an equals sign", "settings.classes", classes("a=b"), `settings: class 0: name "a=b"`},
-		{"class name with a question mark", "settings.classes", classes("a?"), `settings: class 0: name "a?"`},
-		{"class name not in ASCII", "settings.classes", classes("año"), `settings: class 0: name "año"`},
-		{"class name with a control character", "settings.classes", classes("a\x7f"), "settings: class 0: name"},
-		{"unknown effect", "settings.classes", []any{class("effect", "magic")}, `settings: class 0: unknown effect "magic"`},
-		{"no effect", "settings.classes", []any{class("effect", "")}, `settings: class 0: unknown effect ""`},
-		{"unknown scope", "settings.classes", []any{class("dedupScope", "rack")}, `settings: class 0: unknown dedupScope "rack"`},
-		{"negative aim", "settings.classes", []any{class("aimMs", -7)}, "settings: a time of -7 ms"},
+	{"no settings", "settings", nil, "no settings"},
+	{"settings are no object", "settings", "all", "settings: "},
+	{"settings are empty", "settings", map[string]any{}, "settings: ceilings: multiplex"},
+	{"setting of another type", "settings.balancers", "3", "object.balancers"},
+	{"no ceilings", "settings.ceilings", nil, "settings: ceilings: multiplex"},
+	{"no multiplex", "settings.ceilings.multiplex", nil, "multiplex, connectTimeoutMs and idleCloseMs"},
+	{"negative multiplex", "settings.ceilings.multiplex", -1, "multiplex, connectTimeoutMs and idleCloseMs"},
+	{"no connect timeout", "settings.ceilings.connectTimeoutMs", nil, "multiplex, connectTimeoutMs and idleCloseMs"},
+	{"no idle close", "settings.ceilings.idleCloseMs", nil, "multiplex, connectTimeoutMs and idleCloseMs"},
+	{"negative time", "settings.tickMs", -0.5, "settings: a time of -0.5 ms"},
+	{"time over a year", "settings.tickMs", millisPerYear + 1, "settings: a time of "},
+	{"negative time of a ceiling", "settings.ceilings.idleCloseMs", -1, "settings: a time of -1 ms"},
 
-		{"negative share", "settings.tenants", []any{map[string]any{"share": -0.5}}, "settings: tenant 0: share -0.5"},
-		{"negative quota", "settings.tenants", []any{map[string]any{}, map[string]any{"quotaPerS": -2}}, "settings: tenant 1: "},
-	} {
+	{"class without a name", "settings.classes", classes("a", ""), `settings: class 1: name ""`},
+	{"class names repeated", "settings.classes", classes("a", "b", "a"), `settings: class 2: name "a"`},
+	{"class name too long", "settings.classes", classes(strings.Repeat("n", maxClassNameLength+1)), "settings: class 0: name"},
+	{"class name with a space", "settings.classes", classes("a b"), `settings: class 0: name "a b"`},
+	{"class name with a comma", "settings.classes", classes("a,b"), `settings: class 0: name "a,b"`},
+	{"class name with a slash", "settings.classes", classes("a/b"), `settings: class 0: name "a/b"`},
+	{"class name with an equals sign", "settings.classes", classes("a=b"), `settings: class 0: name "a=b"`},
+	{"class name with a question mark", "settings.classes", classes("a?"), `settings: class 0: name "a?"`},
+	{"class name not in ASCII", "settings.classes", classes("año"), `settings: class 0: name "año"`},
+	{"class name with a control character", "settings.classes", classes("a\x7f"), "settings: class 0: name"},
+	{"unknown effect", "settings.classes", []any{class("effect", "magic")}, `settings: class 0: unknown effect "magic"`},
+	{"no effect", "settings.classes", []any{class("effect", "")}, `settings: class 0: unknown effect ""`},
+	{"unknown scope", "settings.classes", []any{class("dedupScope", "rack")}, `settings: class 0: unknown dedupScope "rack"`},
+	{"negative aim", "settings.classes", []any{class("aimMs", -7)}, "settings: a time of -7 ms"},
+
+	{"negative share", "settings.tenants", []any{map[string]any{"share": -0.5}}, "settings: tenant 0: share -0.5"},
+	{"negative quota", "settings.tenants", []any{map[string]any{}, map[string]any{"quotaPerS": -2}}, "settings: tenant 1: "},
+}
+
+// The error names the file and what is wrong in it, by the file's own words.
+func TestReadErrors(t *testing.T) {
+	for _, tt := range invalidValues {
 		t.Run(tt.name, func(t *testing.T) {
 			path := write(t, with(t, tt.key, tt.value))
 			config, err := Read(path, "", "")
