--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -65,8 +65,8 @@
 
 // Readable is called by the event loop when bytes were received. It handles the response to a poll once it is complete.
 func (c *connection) Readable(socket gnet.Conn) error {
-	buffered, err := socket.Peek(-1)
-	if err != nil || len(buffered) == 0 {
+	buffered, _ := socket.Peek(-1) // it is an error only to ask for more than there is
+	if len(buffered) == 0 {
 		return nil
 	}
 	resp, err := parseResponse(buffered)
--- a/internal/nodeagent/pipeline.go
+++ b/internal/nodeagent/pipeline.go
@@ -152,8 +152,8 @@
 		c.pool.recordIdleReuse(c, false)
 	}
 	for {
-		received, err := socket.Peek(-1)
-		if err != nil || len(received) == 0 {
+		received, _ := socket.Peek(-1) // it is an error only to ask for more than there is
+		if len(received) == 0 {
 			return nil
 		}
 		ans, size, err := parseAnswer(received, c.pool.options.MaxAnswerBytes)
