--- a/internal/frontend/fastcgi/admission.go
+++ b/internal/frontend/fastcgi/admission.go
@@ -1,9 +1,7 @@
 package fastcgi
 
 import (
-	"container/list"
 	"net/http"
-	"time"
 
 	"calicohill/internal/runtime/bufferpool"
 	"calicohill/internal/runtime/eventloop"
@@ -11,40 +9,23 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-const (
-	// firstRequestGrace is how long after connecting a client that means to send a request has done so.
-	firstRequestGrace = 250 * time.Millisecond
-	// clientKeepAlive is how long after its last request a client closes a connection by itself.
-	clientKeepAlive = 4 * time.Second
-)
-
 // Accept returns the handler of a new connection, or nil if there are too many and none can be closed for it.
 func (s *Server) Accept(socket gnet.Conn) eventloop.ConnHandler {
-	if s.connCount >= s.maxConns && !s.evictConn() {
+	if s.conns.isFull() && !s.evictConn() {
 		s.warn("client rejected: too many connections", nil)
 		return nil
 	}
-	s.connCount++
-	s.lastReceived = s.loop.Now()
+	s.noteReceived()
 	accepted := &conn{server: s, socket: socket, requests: map[requestID]*request{}}
 	accepted.timer.Fire = accepted.timerFired
 	accepted.startInputTimer()
-	accepted.updateList()
+	s.conns.add(accepted, s.loop.Now())
 	return accepted
 }
 
-// evictConn closes the connection that will be missed least, and reports whether there was one: a connection idle for
-// longer than clients keep any; else one whose first request is overdue; else the one idle for longest; else the one
-// accepted first.
-//
-// It guards against clients that occupy connections for good so that others find no capacity. Where each request comes
-// on a connection of its own, the connection accepted last must not be the next to go: its request is on its way.
+// evictConn closes the connection that will be missed least, and reports whether there was one.
 func (s *Server) evictConn() bool {
-	victim, idleFor := s.oldestFlushed(&s.idle)
-	silent, silentFor := s.oldestFlushed(&s.withoutRequest)
-	if silent != nil && idleFor <= clientKeepAlive && (victim == nil || silentFor > firstRequestGrace) {
-		victim = silent
-	}
+	victim := s.conns.leastMissed(s.loop.Now())
 	if victim == nil {
 		return false
 	}
@@ -52,49 +33,24 @@
 	return true
 }
 
-// oldestFlushed returns the first connection of a list that has nothing unsent, and for how long it has been in the
-// list; nil and 0 if there is none. A connection whose answer is not sent completely is idle in name only.
-func (s *Server) oldestFlushed(conns *list.List) (*conn, time.Duration) {
-	for element := conns.Front(); element != nil; element = element.Next() {
-		candidate := element.Value.(*conn)
-		if candidate.socket.OutboundBuffered() == 0 {
-			return candidate, s.loop.Now() - candidate.listedAt
-		}
-	}
-	return nil, 0
-}
+// incompleteRequests holds the requests that are not complete, in the order in which they began. It belongs to a Server
+// and is used on the event loop only. requestTimeout and the buffers that its requests hold bound it.
+type incompleteRequests struct{ requests orderedList[*request] }
 
-// updateList moves a connection to the list that matches its state.
-func (c *conn) updateList() {
-	target := c.matchingList()
-	if target == c.list {
-		return
-	}
-	if c.list != nil {
-		c.list.Remove(c.listElement)
-	}
-	c.list = target
-	if target != nil {
-		c.listElement = target.PushBack(c)
-		c.listedAt = c.server.loop.Now()
-	}
-}
+// add adds a request that begins.
+func (l *incompleteRequests) add(begun *request) { begun.incompleteElement = l.requests.add(begun) }
 
-// matchingList is the list of connections without a request or of idle ones; nil for a connection that is closed or has
-// requests open.
-func (c *conn) matchingList() *list.List {
-	switch {
-	case c.socket == nil:
-		return nil
-	case !c.established:
-		return &c.server.withoutRequest
-	case len(c.requests) == 0:
-		return &c.server.idle
-	default:
-		return nil
+// remove removes a request of which nothing more is awaited. It may be called again.
+func (l *incompleteRequests) remove(done *request) {
+	if done.incompleteElement != nil {
+		l.requests.remove(done.incompleteElement)
+		done.incompleteElement = nil
 	}
 }
 
+// oldest returns the request that began first; false if all are complete.
+func (l *incompleteRequests) oldest() (*request, bool) { return l.requests.first() }
+
 // borrowBuffer returns a buffer of the pool for a request, or nil if none is free.
 //
 // It guards against requests that begin by the thousand and are never completed: until they time out they would hold all
@@ -102,11 +58,10 @@
 func (s *Server) borrowBuffer(borrower *request) *bufferpool.Buffer {
 	buffer := s.pool.Get()
 	for buffer == nil {
-		element := s.incomplete.Front()
-		if element == nil {
+		oldest, ok := s.incomplete.oldest()
+		if !ok {
 			return nil
 		}
-		oldest := element.Value.(*request)
 		if oldest == borrower || s.loop.Now()-oldest.begunAt < firstRequestGrace {
 			return nil // those after it are younger
 		}
--- a/internal/frontend/fastcgi/connection.go
+++ b/internal/frontend/fastcgi/connection.go
@@ -1,7 +1,6 @@
 package fastcgi
 
 import (
-	"container/list"
 	"fmt"
 	"net/http"
 	"time"
@@ -31,10 +30,8 @@
 	requests  map[requestID]*request
 	unreadFor time.Duration // how long the latest bytes had waited to be read
 
-	established bool          // a request was complete on it, or was answered
-	list        *list.List    // the server's list that holds it; nil if none does
-	listElement *list.Element // in that list
-	listedAt    time.Duration // when it was added to that list
+	established bool    // a request was complete on it, or was answered
+	listing     listing // the connTable's
 
 	timer         deadline.Timer // for input or, while the connection lingers, for output
 	awaitingInput bool           // timer is set for the first request, or for the rest of a record
@@ -47,45 +44,54 @@
 
 // Readable handles the records that have arrived. An error closes the connection.
 func (c *conn) Readable(socket gnet.Conn) error {
-	c.server.lastReceived = c.server.loop.Now()
+	c.server.noteReceived()
 	if c.lingerUntil > 0 {
 		discardAll(socket)
 		return nil
 	}
 	c.unreadFor = eventloop.UnreadFor(socket)
 	for {
-		buf, err := socket.Peek(-1)
-		if err != nil || len(buf) == 0 {
-			return nil // all is read
-		}
-		rec, size, err := parseRecord(buf)
-		if err == nil && size == 0 {
-			c.startInputTimer() // for the rest of the record
-			return nil
-		}
-		if c.established {
-			c.stopInputTimer()
-		}
-		if err == nil {
-			err = c.handleRecord(rec)
-		}
-		if err != nil {
-			c.server.warn("client closed: protocol error", err)
+		more, err := c.readRecord(socket)
+		if err != nil || !more {
 			return err
 		}
-		if c.socket == nil {
-			return nil // closed by the record
-		}
-		if c.lingerUntil > 0 {
-			discardAll(socket)
-			return nil
-		}
-		if _, err := socket.Discard(size); err != nil {
-			return fmt.Errorf("resuming reads: %w", err)
-		}
 	}
 }
 
+// readRecord handles the next record if all of it has arrived, and reports whether another may follow it.
+func (c *conn) readRecord(socket gnet.Conn) (more bool, err error) {
+	buf, _ := socket.Peek(-1) // it is an error only to ask for more than there is
+	if len(buf) == 0 {
+		return false, nil
+	}
+	rec, size, err := parseRecord(buf)
+	if err == nil && size == 0 {
+		c.startInputTimer() // for the rest of the record
+		return false, nil
+	}
+	if c.established {
+		c.stopInputTimer()
+	}
+	if err == nil {
+		err = c.handleRecord(rec)
+	}
+	if err != nil {
+		c.server.warn("client closed: protocol error", err)
+		return false, err
+	}
+	if c.socket == nil {
+		return false, nil // closed by the record
+	}
+	if c.lingerUntil > 0 {
+		discardAll(socket)
+		return false, nil
+	}
+	if _, err := socket.Discard(size); err != nil {
+		return false, fmt.Errorf("resuming reads: %w", err)
+	}
+	return true, nil
+}
+
 // discardAll drops what a client has sent on a connection that is to be closed, whatever the result.
 func discardAll(socket gnet.Conn) { _, _ = socket.Discard(-1) }
 
@@ -95,27 +101,13 @@
 	if rec.id == noRequest {
 		return c.handleManagementRecord(rec)
 	}
-	req := c.requests[rec.id]
 	switch rec.kind {
 	case typeBeginRequest:
-		if req != nil {
-			return fmt.Errorf("%w: request %d begun twice", errFraming, rec.id)
-		}
 		return c.beginRequest(rec)
-	case typeAbortRequest:
-		if req != nil {
-			req.abort()
+	case typeAbortRequest, typeParams, typeStdin, typeData:
+		if req := c.requests[rec.id]; req != nil {
+			req.handleRecord(rec)
 		}
-	case typeParams:
-		if req != nil && !req.paramsComplete {
-			req.appendParams(rec.content)
-		}
-	case typeStdin:
-		if req != nil && req.submitted == 0 {
-			req.appendBody(rec.content)
-		}
-	case typeData:
-		// Only a Filter reads it, and this is a Responder.
 	default:
 		c.write(appendUnknownType(c.server.scratch[:0], rec.kind))
 	}
@@ -126,7 +118,7 @@
 func (c *conn) handleManagementRecord(rec record) error {
 	switch rec.kind {
 	case typeGetValues:
-		answer, err := appendGetValuesResult(c.server.scratch[:0], rec.content, c.server.maxConns)
+		answer, err := appendGetValuesResult(c.server.scratch[:0], rec.content, c.server.conns.maxConns)
 		if err != nil {
 			return fmt.Errorf("%w: %w", errFraming, err)
 		}
@@ -145,7 +137,21 @@
 		c.established = true
 		c.stopInputTimer()
 	}
-	c.updateList()
+	c.server.conns.update(c, c.server.loop.Now())
+}
+
+// endRequest removes a request that has ended and writes its last records. The connection is closed after its last
+// request if a client asked for that.
+func (c *conn) endRequest(ended *request, records []byte) {
+	delete(c.requests, ended.id)
+	c.markEstablished()
+	c.write(records)
+	if !ended.keepConn {
+		c.closeWhenIdle = true
+	}
+	if c.closeWhenIdle && len(c.requests) == 0 {
+		c.closeWhenSent()
+	}
 }
 
 // startInputTimer bounds the wait for the first request, or for the rest of a record. It does not extend a wait that has
@@ -216,9 +222,8 @@
 func (c *conn) Closed(gnet.Conn, error) {
 	server := c.server
 	c.socket = nil
-	delete(server.unsentConns, c)
-	server.connCount--
-	c.updateList()
+	server.unsent.remove(c)
+	server.conns.remove(c)
 	c.awaitingInput = false
 	server.loop.ClearDeadline(&c.timer)
 	for _, req := range c.requests {
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -37,13 +37,16 @@
 	paramsComplete bool
 
 	begunAt           time.Duration
-	incompleteElement *list.Element  // in Server.incomplete; nil once the request is complete
+	incompleteElement *list.Element  // incompleteRequests'; nil once the request is complete
 	timer             deadline.Timer // for the rest of the request
 	submitted         slotmap.Ref    // the dispatcher's name for the request; 0 until it has the request
 }
 
 // beginRequest handles a BEGIN_REQUEST record.
 func (c *conn) beginRequest(rec record) error {
+	if c.requests[rec.id] != nil {
+		return fmt.Errorf("%w: request %d begun twice", errFraming, rec.id)
+	}
 	if len(rec.content) != controlBodyLen {
 		return fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", errFraming, len(rec.content))
 	}
@@ -54,8 +57,8 @@
 	req.ref = server.requests.Insert(req)
 	c.requests[rec.id] = req
 	req.begunAt = server.loop.Now()
-	req.incompleteElement = server.incomplete.PushBack(req)
-	c.updateList()
+	server.incomplete.add(req)
+	server.conns.update(c, req.begunAt)
 	if role != roleResponder {
 		req.finish(appendEndRequest(server.scratch[:0], rec.id, statusUnknownRole))
 		return nil
@@ -69,6 +72,24 @@
 	return nil
 }
 
+// handleRecord handles a record of an open request. One of a stream that has ended is ignored.
+func (r *request) handleRecord(rec record) {
+	switch rec.kind {
+	case typeAbortRequest:
+		r.abort()
+	case typeParams:
+		if !r.paramsComplete {
+			r.appendParams(rec.content)
+		}
+	case typeStdin:
+		if r.submitted == 0 {
+			r.appendBody(rec.content)
+		}
+	default:
+		// Only a Filter reads DATA, and this is a Responder.
+	}
+}
+
 // appendParams handles the content of a PARAMS record; an empty one ends the parameters.
 func (r *request) appendParams(content []byte) {
 	if len(content) == 0 {
@@ -164,7 +185,7 @@
 	}
 	r.submitted = ref
 	r.body = nil // the dispatcher's now
-	r.markComplete()
+	server.incomplete.remove(r)
 	server.loop.ClearDeadline(&r.timer)
 	r.conn.markEstablished()
 }
@@ -178,18 +199,10 @@
 	}
 }
 
-// markComplete notes that nothing more of the request is awaited.
-func (r *request) markComplete() {
-	if r.incompleteElement != nil {
-		r.conn.server.incomplete.Remove(r.incompleteElement)
-		r.incompleteElement = nil
-	}
-}
-
 // release gives back what the request holds. It may be called again.
 func (r *request) release() {
 	server := r.conn.server
-	r.markComplete()
+	server.incomplete.remove(r)
 	server.loop.ClearDeadline(&r.timer)
 	server.requests.Remove(r.ref)
 	server.pool.Put(r.params)
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -9,13 +9,8 @@
 	"calicohill/internal/runtime/slotmap"
 )
 
-const (
-	// maxUnsentPerConn is how many bytes may wait unsent for a client until it counts as not reading.
-	maxUnsentPerConn = 4 << 20
-
-	// retryAfterHeader is the header field with the advice when to retry, in milliseconds.
-	retryAfterHeader = "Back-Off-Ms"
-)
+// retryAfterHeader is the header field with the advice when to retry, in milliseconds.
+const retryAfterHeader = "Back-Off-Ms"
 
 // Respond writes the final answer to a request. One whose client has left meanwhile is ignored.
 func (s *Server) Respond(tag slotmap.Ref, answer dispatch.Answer) {
@@ -69,17 +64,8 @@
 
 // finish releases the request and then writes its last records.
 func (r *request) finish(records []byte) {
-	conn := r.conn
 	r.release()
-	delete(conn.requests, r.id)
-	conn.markEstablished()
-	conn.write(records)
-	if !r.keepConn {
-		conn.closeWhenIdle = true
-	}
-	if conn.closeWhenIdle && len(conn.requests) == 0 {
-		conn.closeWhenSent()
-	}
+	r.conn.endRequest(r, records)
 }
 
 // write writes records, which may have been built in the server's scratch buffer; nothing if the connection is closed.
@@ -88,7 +74,7 @@
 	if c.socket == nil {
 		return
 	}
-	c.server.scratch = records[:0]
+	c.server.reuse(records)
 	// An error closes the connection, which Closed handles.
 	_, _ = c.socket.Write(records)
 	if c.socket == nil {
@@ -101,40 +87,7 @@
 		c.server.warn("client closed: it does not read", nil)
 		c.close()
 	default:
-		c.server.unsentConns[c] = struct{}{}
+		c.server.unsent.add(c)
 		c.server.limitUnsent()
 	}
 }
-
-// UnsentBytes returns how many bytes are written for clients and not sent yet.
-func (s *Server) UnsentBytes() int {
-	total := 0
-	for conn := range s.unsentConns {
-		unsent := conn.socket.OutboundBuffered()
-		if unsent == 0 {
-			delete(s.unsentConns, conn)
-		}
-		total += unsent
-	}
-	return total
-}
-
-// limitUnsent closes connections whose clients do not read, the one with the most unsent bytes first, until what waits
-// for all clients is within its bound.
-func (s *Server) limitUnsent() {
-	for s.UnsentBytes() > s.maxUnsentBytes {
-		s.warn("client closed: too much waits for clients that do not read", nil)
-		s.slowestReader().close()
-	}
-}
-
-// slowestReader returns the connection with the most unsent bytes; nil if nothing is unsent.
-func (s *Server) slowestReader() *conn {
-	var slowest *conn
-	for conn := range s.unsentConns {
-		if slowest == nil || conn.socket.OutboundBuffered() > slowest.socket.OutboundBuffered() {
-			slowest = conn
-		}
-	}
-	return slowest
-}
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -3,7 +3,6 @@
 package fastcgi
 
 import (
-	"container/list"
 	"time"
 
 	"calicohill/internal/config/deployment"
@@ -40,28 +39,26 @@
 }
 
 // Server holds the connections of clients and the requests on them. It is a dispatch.Responder. All methods must be
-// called on the event loop.
+// called on the event loop. Which connections are open (connTable), which requests are not complete (incompleteRequests)
+// and which clients do not read (unsentConns) are components of their own.
 type Server struct {
 	loop           Loop
 	dispatcher     Dispatcher
 	pool           *bufferpool.Pool
 	deployment     *deployment.Settings
 	classByName    map[string]int
-	maxConns       int
 	maxUnsentBytes int // for all clients together
 	log            logging.RateLimited
 	rulesLog       logging.RateLimited
 	rules          *Rules // nil if there are none
 
-	connCount      int
-	withoutRequest list.List // *conn: no request was complete on it yet; in the order they were accepted
-	idle           list.List // *conn: the others without an open request; in the order they became idle
-	incomplete     list.List // *request: requests that are not complete, in the order they began
-	requests       slotmap.Table[*request]
+	conns      connTable
+	incomplete incompleteRequests
+	requests   slotmap.Table[*request] // that have begun and not ended
+	unsent     unsentConns
 
-	unsentConns  map[*conn]struct{} // connections that may have bytes which the system has not taken yet
-	lastReceived time.Duration      // when bytes last came from a client, or a client connected
-	scratch      []byte             // reused for what is written
+	lastReceived time.Duration // when bytes last came from a client, or a client connected
+	scratch      []byte        // reused for what is written
 }
 
 // Options are the settings and limits of a Server.
@@ -82,11 +79,11 @@
 		pool:           options.Buffers,
 		deployment:     options.Deployment,
 		classByName:    map[string]int{},
-		maxConns:       options.MaxConns,
 		maxUnsentBytes: options.MaxUnsentBytes,
 		log:            logging.RateLimited{Log: options.Log},
 		rulesLog:       logging.RateLimited{Log: options.RulesLog},
-		unsentConns:    map[*conn]struct{}{},
+		conns:          connTable{maxConns: options.MaxConns},
+		unsent:         unsentConns{conns: map[*conn]struct{}{}},
 	}
 	for class, name := range options.Deployment.ClassNames {
 		server.classByName[name] = class
@@ -100,6 +97,12 @@
 // LastReceived returns when bytes last came from a client, or a client connected.
 func (s *Server) LastReceived() time.Duration { return s.lastReceived }
 
+// noteReceived notes that bytes came from a client now, or a client connected.
+func (s *Server) noteReceived() { s.lastReceived = s.loop.Now() }
+
+// reuse keeps the memory of records that were written for those to come.
+func (s *Server) reuse(records []byte) { s.scratch = records[:0] }
+
 // warn logs a fault of a client or an overload, each message at a limited rate: thousands of bad requests must not
 // become thousands of lines.
 func (s *Server) warn(message string, err error) { s.log.Warn(s.loop.Now(), message, err) }
