--- a/internal/nodeagent/call.go
+++ b/internal/nodeagent/call.go
@@ -2,100 +2,99 @@
 
 import (
 	"strconv"
+	"time"
 
 	"calicohill/internal/dispatch"
+	"calicohill/internal/runtime/deadline"
 	"calicohill/internal/runtime/slotmap"
 	"calicohill/routing"
 )
 
-// Send writes an attempt to a connection of its worker, or queues it until there is one.
-func (p *Pool) Send(attempt dispatch.Attempt) {
-	outgoing := &call{Attempt: attempt, target: p.workers[attempt.Worker]}
-	p.attempts[attempt.Ref] = outgoing
-	p.assign(outgoing)
+// maxWriteAttempts is how many connections may turn out to be dead when a call is written until the call fails.
+const maxWriteAttempts = 3
+
+// call is an attempt or a health check.
+type call struct {
+	dispatch.Attempt
+	target           *worker
+	conn             *conn // nil until it is written
+	isHealthCheck    bool
+	writeAttempts    int // connections that turned out to be dead when it was to be written
+	writtenAt        time.Duration
+	healthCheckTimer deadline.Timer // the timers of attempts belong to the dispatcher
 }
 
-// Probe sends a health check, whose answer carries the worker's load report.
-func (p *Pool) Probe(id string) {
-	p.probeCount++
-	check := &call{
-		Attempt:       dispatch.Attempt{Worker: id, ID: "p" + strconv.FormatUint(p.probeCount, 10)},
-		target:        p.workers[id],
-		isHealthCheck: true,
-		writtenAt:     p.loop.Now(),
-	}
-	check.healthCheckTimer.Fire = func() {
-		p.detach(check)
-		p.finish(check, withoutAnswer(routing.TimedOut))
-	}
-	p.loop.SetDeadline(&check.healthCheckTimer, p.loop.Now()+p.options.ConnectTimeout)
-	p.assign(check)
+// beginWrite notes that the call is written to a connection from now on.
+func (c *call) beginWrite(to *conn, now time.Duration) {
+	c.conn = to
+	c.writtenAt = now
 }
 
-// Cancel abandons an attempt, whose end is then not reported. It returns whether any of the attempt was written.
-func (p *Pool) Cancel(ref slotmap.Ref) (written bool) {
-	canceled := p.attempts[ref]
-	if canceled == nil {
-		return false
-	}
-	delete(p.attempts, ref)
-	connection := canceled.conn
-	if !p.detach(canceled) {
-		return false
-	}
-	connection.countUnansweredCancel(canceled)
-	if connection.socket != nil {
-		p.writeBuffer = appendCancel(p.writeBuffer[:0], canceled.ID)
-		connection.writeControl(p.writeBuffer)
-	}
-	connection.closeIfDrained()
-	return true
+// writeFailed notes that nothing of the call was written, since its connection was dead, and reports whether it may be
+// written to another.
+func (c *call) writeFailed() (retry bool) {
+	c.conn = nil
+	c.writeAttempts++
+	return c.writeAttempts < maxWriteAttempts
 }
 
-// finish reports how a call ended.
-func (p *Pool) finish(ended *call, result dispatch.AttemptResult) {
-	if ended.isHealthCheck {
-		p.loop.ClearDeadline(&ended.healthCheckTimer)
-		p.sink.ProbeEnded(ended.Worker, p.loop.Now()-ended.writtenAt, result)
-		return
-	}
-	delete(p.attempts, ended.Ref)
-	p.sink.AttemptEnded(ended.Ref, result)
+// withoutAnswer is the result of a call that ended without an answer of its agent.
+func withoutAnswer(outcome routing.Outcome) dispatch.AttemptResult {
+	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: dispatch.InFlightUnknown}
 }
 
-// detach removes a call from its connection or from its worker's queue. It returns whether any of it was written.
-func (p *Pool) detach(canceled *call) (written bool) {
-	if canceled.conn != nil {
-		canceled.conn.abandon(canceled)
-		return true
-	}
-	canceled.target.pending = without(canceled.target.pending, canceled)
-	return false
+// callTable holds the attempts that have not ended, and reports the end of attempts and health checks to the Sink. It
+// belongs to a Pool and is used on the event loop only. The Sink bounds the attempts, and Options.ConnectTimeout the life
+// of a health check.
+type callTable struct {
+	loop       Loop
+	sink       Sink
+	attempts   map[slotmap.Ref]*call
+	probeCount uint64
+}
+
+// addAttempt adds an attempt for a worker, which is nil if it is not listed.
+func (t *callTable) addAttempt(attempt *dispatch.Attempt, target *worker) *call {
+	added := &call{Attempt: *attempt, target: target}
+	t.attempts[attempt.Ref] = added
+	return added
 }
 
-// writePending writes a worker's queued calls, as far as connections can carry them.
-func (p *Pool) writePending(target *worker) {
-	pending := target.pending
-	target.pending = nil
-	for _, queued := range pending {
-		// While it was queued its request may have been answered, or its worker begun to drain.
-		if !queued.isHealthCheck && !p.sink.MaySend(queued.Ref) {
-			p.finish(queued, withoutAnswer(routing.NotSent))
-			continue
-		}
-		if c, _ := p.pickConn(queued); c != nil {
-			c.write(queued)
-			continue
-		}
-		target.pending = append(target.pending, queued)
+// newHealthCheck returns a health check of a worker, which is nil if it is not listed. onTimeout is called after timeout
+// unless the health check has ended.
+func (t *callTable) newHealthCheck(id string, target *worker, timeout time.Duration, onTimeout func(*call)) *call {
+	t.probeCount++
+	now := t.loop.Now()
+	check := &call{
+		Attempt:       dispatch.Attempt{Worker: id, ID: "p" + strconv.FormatUint(t.probeCount, 10)},
+		target:        target,
+		isHealthCheck: true,
+		writtenAt:     now,
 	}
+	check.healthCheckTimer.Fire = func() { onTimeout(check) }
+	t.loop.SetDeadline(&check.healthCheckTimer, now+timeout)
+	return check
+}
+
+// take removes an attempt, whose end is then not reported; nil if it has ended.
+func (t *callTable) take(ref slotmap.Ref) *call {
+	taken := t.attempts[ref]
+	delete(t.attempts, ref)
+	return taken
+}
+
+// maySend reports whether a call may still be written.
+func (t *callTable) maySend(waiting *call) bool {
+	return waiting.isHealthCheck || t.sink.MaySend(waiting.Ref)
 }
 
-// failPending ends all calls that are queued for a worker.
-func (p *Pool) failPending(w *worker, outcome routing.Outcome) {
-	pending := w.pending
-	w.pending = nil
-	for _, queued := range pending {
-		p.finish(queued, withoutAnswer(outcome))
+// finish reports how a call ended.
+func (t *callTable) finish(ended *call, result dispatch.AttemptResult) {
+	if ended.isHealthCheck {
+		t.loop.ClearDeadline(&ended.healthCheckTimer)
+		t.sink.ProbeEnded(ended.Worker, t.loop.Now()-ended.writtenAt, result)
+		return
 	}
+	delete(t.attempts, ended.Ref)
+	t.sink.AttemptEnded(ended.Ref, result)
 }
--- a/internal/nodeagent/command.go
+++ b/internal/nodeagent/command.go
@@ -9,6 +9,28 @@
 // crlf ends each line of the agents' protocol and each body.
 var crlf = []byte("\r\n")
 
+// commandBuffer builds one command at a time, in memory that it reuses: a command is valid until the next is built.
+type commandBuffer struct {
+	classes []string // names, by class number
+	buffer  []byte
+}
+
+// start returns the command that starts a call.
+func (b *commandBuffer) start(outgoing *call) []byte {
+	if outgoing.isHealthCheck {
+		b.buffer = appendHealthCheck(b.buffer[:0], outgoing.ID)
+	} else {
+		b.buffer = appendStart(b.buffer[:0], &outgoing.Attempt, b.classes[outgoing.Class])
+	}
+	return b.buffer
+}
+
+// cancel returns the command that cancels an attempt.
+func (b *commandBuffer) cancel(id string) []byte {
+	b.buffer = appendCancel(b.buffer[:0], id)
+	return b.buffer
+}
+
 // appendStart appends the command that starts an attempt. The timeout goes in whole milliseconds, at least one.
 func appendStart(buffer []byte, attempt *dispatch.Attempt, class string) []byte {
 	buffer = append(buffer, "go "...)
--- a/internal/nodeagent/pool.go
+++ b/internal/nodeagent/pool.go
@@ -1,7 +1,9 @@
 // Package nodeagent sends attempts and health checks to the node agents of the workers.
 //
 // A Pool keeps a few pipelined connections to each worker, writes commands to them and matches the answers to the
-// calls in flight. Everything runs on the event loop; nothing here is safe for concurrent use.
+// calls in flight. Its components own the state: the listed workers and their queues (worker), the calls that have not
+// ended (callTable), the limits and the queue of dials (dialer), how long connections may be idle (idlePolicy), and on each
+// connection the calls in flight (pipeline). Everything runs on the event loop; nothing here is safe for concurrent use.
 package nodeagent
 
 import (
@@ -9,7 +11,6 @@
 	"time"
 
 	"calicohill/internal/dispatch"
-	"calicohill/internal/runtime/deadline"
 	"calicohill/internal/runtime/eventloop"
 	"calicohill/internal/runtime/slotmap"
 	"calicohill/routing"
@@ -46,62 +47,38 @@
 	Schedulers     int           // schedulers that share the workers
 }
 
-// Pool keeps the connections to all workers. It implements dispatch.Workers.
+// Pool keeps the connections to all workers and decides which of them carries a call. It implements dispatch.Workers. All
+// methods must be called on the event loop.
 type Pool struct {
 	loop    Loop
-	sink    Sink
 	options Options
 	log     logrus.FieldLogger
 
-	workers  map[string]*worker    // by id
-	attempts map[slotmap.Ref]*call // not yet ended; health checks are not among them
-	conns    slotmap.Table[*conn]
-
-	dialsInProgress int
-	dialQueue       []*worker // workers whose dial waits for file descriptors
-
-	idleResets  idleResetDetector
-	maxIdle     time.Duration // how long a connection may be idle and still be used; 0 means no limit
-	probeCount  uint64
-	writeBuffer []byte // reused by each command that is written
-}
-
-// worker is a process at an address. A changed address is a new worker, and so is an id that is listed again after it
-// was gone.
-type worker struct {
-	id              string
-	addr            string
-	state           routing.WorkerState
-	startedAt       time.Duration
-	conns           []*conn
-	pending         []*call // not written yet: they wait for a connection
-	dialsInProgress int
-	// noExtraConnUntil is when a connection may again be added to the existing ones, after a dial has failed.
-	noExtraConnUntil time.Duration
-}
-
-// call is an attempt or a health check.
-type call struct {
-	dispatch.Attempt
-	target           *worker
-	conn             *conn // nil until it is written
-	isHealthCheck    bool
-	writeAttempts    int // connections that turned out to be dead when it was to be written
-	writtenAt        time.Duration
-	healthCheckTimer deadline.Timer // the timers of attempts belong to the dispatcher
-}
-
-// withoutAnswer is the result of a call that ended without an answer of its agent.
-func withoutAnswer(outcome routing.Outcome) dispatch.AttemptResult {
-	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: dispatch.InFlightUnknown}
+	workers  map[string]*worker // by id, those that are listed
+	calls    callTable
+	dialer   dialer
+	idle     idlePolicy
+	commands commandBuffer
 }
 
 // New returns a Pool without workers.
 func New(loop Loop, sink Sink, options Options, log logrus.FieldLogger) *Pool {
-	return &Pool{
-		loop: loop, sink: sink, options: options, log: log,
-		workers: map[string]*worker{}, attempts: map[slotmap.Ref]*call{},
+	pool := &Pool{
+		loop:     loop,
+		options:  options,
+		log:      log,
+		workers:  map[string]*worker{},
+		calls:    callTable{loop: loop, sink: sink, attempts: map[slotmap.Ref]*call{}},
+		idle:     idlePolicy{closeAfter: options.IdleCloseAfter},
+		commands: commandBuffer{classes: options.Classes},
 	}
+	pool.dialer = dialer{
+		maxConns:       options.MaxConns,
+		maxDescriptors: options.MaxDescriptors,
+		connect:        pool.connect,
+		conns:          map[*conn]struct{}{},
+	}
+	return pool
 }
 
 // UpdateEndpoints applies the endpoint list.
@@ -135,12 +112,11 @@
 		target = &worker{id: endpoint.ID, addr: endpoint.Addr}
 		p.workers[endpoint.ID] = target
 	}
-	target.state = endpoint.State
-	if target.state != routing.Ready {
+	restarted := target.update(endpoint)
+	if !target.isReady() {
 		p.failPending(target, routing.NotSent)
 	}
-	if endpoint.Started != target.startedAt {
-		target.startedAt = endpoint.Started
+	if restarted {
 		p.closeStaleConns(target)
 	}
 }
@@ -148,7 +124,7 @@
 // removeWorker forgets a worker that is gone. Calls in flight may still be answered, so its connections are drained;
 // another worker at the same address, or with the same id, never gets to use them.
 func (p *Pool) removeWorker(w *worker) {
-	w.state = routing.Gone
+	w.markGone()
 	delete(p.workers, w.id)
 	p.failPending(w, routing.NotSent)
 	for _, c := range slices.Clone(w.conns) {
@@ -167,12 +143,30 @@
 	}
 }
 
-// without returns a copy of a list that lacks the first occurrence of an item. The original stays as it is, for those
-// that iterate over it.
-func without[T comparable](list []T, item T) []T {
-	i := slices.Index(list, item)
-	if i < 0 {
-		return list
+// connect starts a dial for the dialer.
+func (p *Pool) connect(target *worker) {
+	dialed := &conn{pool: p, target: target, calls: newPipeline(p.options.PipelineDepth)}
+	p.loop.Dial(target.addr, p.options.ConnectTimeout, dialed, func(err error) { p.dialFailed(target, err) })
+}
+
+// dialFailed ends the calls that no other connection can carry, if no other dial to the worker is in progress.
+func (p *Pool) dialFailed(target *worker, err error) {
+	p.dialer.failed(target, p.loop.Now())
+	p.log.WithError(err).WithField("worker", target.id).Warn("agent not reached")
+	if target.dials.inProgress == 0 {
+		p.writePending(target) // other connections may have become usable meanwhile
+		p.failPending(target, routing.ConnectFailed)
+	}
+	p.dialer.startQueued()
+}
+
+// idleLimitChanged checks all connections at once after a change of how long they may be idle.
+func (p *Pool) idleLimitChanged() {
+	p.log.WithField("rest", p.idle.limit).Info("agent connections: maximum idle time changed")
+	now := p.loop.Now()
+	for _, target := range p.workers {
+		for _, c := range target.conns {
+			c.checkIdleAt(now)
+		}
 	}
-	return append(list[:i:i], list[i+1:]...)
 }
