--- a/internal/frontend/fastcgi/admission.go
+++ b/internal/frontend/fastcgi/admission.go
@@ -25,7 +25,7 @@
 
 // evictConn closes the connection that will be missed least, and reports whether there was one.
 func (s *Server) evictConn() bool {
-	victim := s.conns.leastMissed(s.loop.Now())
+	victim := s.conns.evictionCandidate(s.loop.Now())
 	if victim == nil {
 		return false
 	}
--- a/internal/frontend/fastcgi/connection_table.go
+++ b/internal/frontend/fastcgi/connection_table.go
@@ -77,12 +77,12 @@
 	}
 }
 
-// leastMissed returns the connection that will be missed least, or nil: a connection idle for longer than clients keep
+// evictionCandidate returns the connection that will be missed least, or nil: a connection idle for longer than clients keep
 // any; else one whose first request is overdue; else the one idle for longest; else the one accepted first.
 //
 // It guards against clients that occupy connections for good so that others find no capacity. Where each request comes
 // on a connection of its own, the connection accepted last must not be the next to go: its request is on its way.
-func (t *connTable) leastMissed(now time.Duration) *conn {
+func (t *connTable) evictionCandidate(now time.Duration) *conn {
 	victim, idleFor := oldestFlushed(&t.idle, now)
 	silent, silentFor := oldestFlushed(&t.withoutRequest, now)
 	if silent != nil && idleFor <= clientKeepAlive && (victim == nil || silentFor > firstRequestGrace) {
