--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -42,15 +42,9 @@
 // fail reports to the planner that the connection failed, unless it is no longer used. retryAfter is how long the service
 // asked not to be polled; 0 if it did not.
 func (c *connection) fail(err error, retryAfter time.Duration) {
-	if !c.isOpen() {
-		return
-	}
-	watcher := c.watcher
-	if !watcher.unreachable {
-		watcher.unreachable = true
-		watcher.log.WithError(err).Warn("list service unreachable")
+	if c.isOpen() {
+		c.watcher.failed(c.number, err, retryAfter)
 	}
-	watcher.step(pollplan.Failed{Conn: c.number, RetryAfter: retryAfter})
 }
 
 // Opened is called by the event loop when the connection is up.
@@ -73,10 +67,9 @@
 	if err == nil && resp.size == 0 {
 		return nil
 	}
-	watcher := c.watcher
-	before := watcher.lastEvent
+	result := unchanged
 	if err == nil {
-		err = watcher.applyResponse(resp.body)
+		result, err = c.watcher.events.applyResponse(resp.body)
 	}
 	if err != nil {
 		var status statusError
@@ -87,18 +80,7 @@
 	if _, err := socket.Discard(resp.size); err != nil {
 		return fmt.Errorf("resuming reads: %w", err)
 	}
-	if watcher.unreachable {
-		watcher.unreachable = false
-		watcher.log.Info("list service reachable again")
-	}
-	watcher.step(pollplan.Answered{
-		Conn:              c.number,
-		HasUpdates:        watcher.lastEvent > before,
-		ConnectionClosing: resp.closing,
-	})
-	if watcher.lastEvent < before { // the list is read from its beginning, at once
-		watcher.step(pollplan.Stalled{})
-	}
+	c.watcher.answered(c.number, result, resp.closing)
 	return nil
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -28,17 +28,17 @@
 	Dial(addr string, timeout time.Duration, handler eventloop.ConnHandler, failed func(error))
 }
 
-// Watcher polls the list service when its Planner decides so, and passes each change of the endpoint list to a sink.
+// Watcher polls the list service when its Planner decides so, and passes each change of the endpoint list to a sink. It owns
+// the connections, at most two, and the timer of the next poll; the list is its eventLog's. All methods must be called on
+// the event loop.
 type Watcher struct {
 	loop    Loop
 	addr    string
-	zones   []string
-	kinds   []string
-	sink    func(dispatch.EndpointList)
 	log     logrus.FieldLogger
 	planner *pollplan.Planner
+	events  eventLog
 
-	// OnChange, if set, is called after a response whose events changed the list, never between two of them.
+	// OnChange, if set before Start, is called after a response whose events changed the list, never between two of them.
 	OnChange func()
 	// OnStale, if set, is called with how long the list may be outdated after a stall, and with 0 once it is current again.
 	OnStale func(time.Duration)
@@ -46,13 +46,6 @@
 	connections map[int]*connection // open or being opened, by the planner's number
 	unreachable bool                // the last poll failed, and that was logged
 	pollTimer   deadline.Timer
-
-	initial        Feed              // what Start applies: configured or restored
-	restored       bool              // the list is an earlier process's, and the service has not answered yet
-	targets        map[string]target // current list by UID; kept only where OnChange is set
-	lastEvent      int               // number of the last event applied; 0 requests the complete list
-	malformedEvent int               // number of the latest event that was rejected; the next time it is read leniently
-	acceptedGap    int               // events up to this number may be missing: the service no longer has them
 }
 
 // Options are the settings of a Watcher and what it works with.
@@ -69,31 +62,38 @@
 // New returns a Watcher that does nothing until Start. The error names the first of the known events that is invalid.
 func New(loop Loop, options Options) (*Watcher, error) {
 	watcher := &Watcher{
-		loop:        loop,
-		addr:        options.Address,
-		zones:       options.Zones,
-		kinds:       options.WorkerKinds,
-		sink:        options.Sink,
-		log:         options.Log,
-		planner:     options.Planner,
+		loop:    loop,
+		addr:    options.Address,
+		log:     options.Log,
+		planner: options.Planner,
+		events: eventLog{
+			zones: options.Zones,
+			kinds: options.WorkerKinds,
+			sink:  options.Sink,
+			log:   options.Log,
+		},
 		connections: map[int]*connection{},
 	}
 	watcher.pollTimer.Fire = func() { watcher.step() }
 	var err error
-	watcher.initial, err = parseKnown(options.KnownEndpoints, options.Zones, options.WorkerKinds)
+	watcher.events.initial, err = parseKnown(options.KnownEndpoints, options.Zones, options.WorkerKinds)
 	return watcher, err
 }
 
+// Restore makes the list of an earlier process the initial one if it is newer than the configured events, and returns
+// whether it is. It must be called before Start.
+func (w *Watcher) Restore(snapshot []byte) (newer bool, err error) { return w.events.restore(snapshot) }
+
+// Snapshot returns the number of the last event and an encoder of the complete list, in the form of a poll's response and
+// ordered by UID. The encoder owns its data: it may be called on another goroutine, later.
+func (w *Watcher) Snapshot() (number int, encode func() ([]byte, error)) { return w.events.snapshot() }
+
 // Start applies the events known already and begins to poll.
 func (w *Watcher) Start() {
-	if n := len(w.initial.Events); n > 0 { // nobody can supply events that are missing among these
-		w.acceptedGap = w.initial.Events[n-1].Number
-	}
-	if err := w.applyEvents(&w.initial); err != nil {
+	if err := w.events.applyInitial(w.OnChange); err != nil {
 		w.log.WithError(err).Error("initial endpoint list rejected") // New has parsed it once
 	}
-	w.initial = Feed{}
-	w.step(pollplan.Started{HasEndpoints: w.lastEvent > 0, Restored: w.restored})
+	w.step(pollplan.Started{HasEndpoints: w.events.last() > 0, Restored: w.events.isRestored()})
 }
 
 // SetAddress polls the list service at another address from now on; the numbers of its events continue. Polls at the old
@@ -152,5 +152,31 @@
 // pollRequest returns the HTTP request for the events after the last one.
 func (w *Watcher) pollRequest(timeout time.Duration) []byte {
 	return fmt.Appendf(nil, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-		w.lastEvent, timeout.Milliseconds(), w.addr)
+		w.events.last(), timeout.Milliseconds(), w.addr)
+}
+
+// answered reports to the planner that a poll was answered, and what the response did to the list.
+func (w *Watcher) answered(number int, result progress, connectionClosing bool) {
+	if w.unreachable {
+		w.unreachable = false
+		w.log.Info("list service reachable again")
+	}
+	w.step(pollplan.Answered{
+		Conn:              number,
+		HasUpdates:        result == advanced,
+		ConnectionClosing: connectionClosing,
+	})
+	if result == rewound {
+		w.step(pollplan.Stalled{})
+	}
+}
+
+// failed reports to the planner that a connection failed. retryAfter is how long the service asked not to be polled; 0 if
+// it did not.
+func (w *Watcher) failed(number int, err error, retryAfter time.Duration) {
+	if !w.unreachable {
+		w.unreachable = true
+		w.log.WithError(err).Warn("list service unreachable")
+	}
+	w.step(pollplan.Failed{Conn: number, RetryAfter: retryAfter})
 }
