--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -10,7 +10,6 @@
 package pollplan
 
 import (
-	"math/rand/v2"
 	"time"
 
 	"calicohill/internal/stats/ratelimit"
@@ -21,9 +20,6 @@
 	// PollTimeout is how long the service waits for an update before it answers a poll, in the mean. It is short so that an
 	// unresponsive service is noticed well before a change that it should have delivered counts as delivered.
 	PollTimeout = 2 * time.Second
-	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
-	// polls of the whole fleet at once, and if all polls lasted equally long they would stay synchronized.
-	firstPollJitter = time.Second
 	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet wait that long after a response that
 	// was late or missing: the service may be overloaded, and polling it more often would only add to that.
 	maxPollTimeout = 5 * time.Second
@@ -44,38 +40,14 @@
 	maxPollBurst      = 40
 )
 
-// The spread over the fleet.
-const (
-	// maxReconnectWindow is the longest reconnect window: a change has to be known 2 s after a connection broke.
-	maxReconnectWindow = 1900 * time.Millisecond
-	// reconnectWindowPerPeer is what each other scheduler adds to the window.
-	reconnectWindowPerPeer = 20 * time.Millisecond
-	// maxUpdateWindow is the longest time over which polls are spread where nothing shows that the service is faulty: at a
-	// start, and when it has just answered the whole fleet. Its next change may be a drain, which counts as delivered
-	// whether anybody polls or not.
-	maxUpdateWindow = 700 * time.Millisecond
-	// updateWindowPerPeer is what each other scheduler adds to the update window.
-	updateWindowPerPeer = 3 * time.Millisecond
-	// updateWindowGraceFraction bounds the update window by a fraction of the grace within which a drain has to be obeyed.
-	updateWindowGraceFraction = 0.7
-)
-
 // Failures.
 const (
-	// minBackoff and maxBackoff bound the pause before the next poll where polls fail; it doubles with each failure. In a
-	// fleet the reconnect window comes on top.
-	minBackoff = 10 * time.Millisecond
-	maxBackoff = 640 * time.Millisecond
 	// maxRetryAfter bounds the Retry-After that is obeyed: a change counts as delivered 7 s later.
 	maxRetryAfter = 4 * time.Second
 	// staleAfterStall is how long the service's response is waited for after a stall before the list counts as stale.
 	staleAfterStall = 250 * time.Millisecond
 )
 
-// pollStream is the second word of the random generator's seed, so that these draws are independent of the scheduler's
-// other draws from the same seed.
-const pollStream = 0x706f6c6c // "poll"
-
 // phase is what a connection is used for at the moment.
 type phase int
 
@@ -94,24 +66,23 @@
 	overdueAt time.Duration // when the poll is overdue
 }
 
-// Planner decides for one scheduler. At most two connections are open: the current one and one whose poll is overdue.
+// Planner decides for one scheduler. At most two connections are open: the current one and one whose poll is overdue. How
+// polls are spread over the fleet (fleetSpread) and the pause after failures (backoff) are components of its own. It is not
+// safe for concurrent use.
 type Planner struct {
-	reconnectWindow  time.Duration
-	updateWindow     time.Duration
+	spread           fleetSpread
 	pollInterval     time.Duration // least time from a poll whose response had no updates to the next
 	slowPollTimeout  time.Duration // of polls while the service may be overloaded
 	slowOverdueAfter time.Duration // in place of overdueAfter while the service may be overloaded
-	rng              *rand.Rand
-	slot             time.Duration // offset of the scheduler's slot within each reconnect window
 
 	current      *connection   // nil while the next dial is waited for
 	dialAt       time.Duration // when to dial next; 0 if no dial is planned
 	overdue      *connection   // the one whose poll got no response in time; nil if none
 	lastConn     int           // number of the last connection dialed
-	backoff      time.Duration // pause after the last failure; 0 if the last poll succeeded
-	synchronized bool          // the whole fleet may just have been answered
-	serviceSlow  bool          // the last response came late, or there was none yet
-	stale        bool          // after a stall, no response to a later poll has come yet
+	backoff      backoff
+	synchronized bool // the whole fleet may just have been answered
+	serviceSlow  bool // the last response came late, or there was none yet
+	stale        bool // after a stall, no response to a later poll has come yet
 	pollLimit    ratelimit.TokenBucket
 	actions      []Action // returned by Step, and reused by the next
 }
@@ -119,24 +90,14 @@
 // New returns the Planner of one of a number of schedulers, which have to obey a drain within drainGrace after it was
 // published. The seed must differ between the schedulers.
 func New(schedulers int, drainGrace time.Duration, seed uint64) *Planner {
-	peers := time.Duration(max(schedulers, 1) - 1)
-	ofGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(drainGrace)) }
-	planner := &Planner{
-		reconnectWindow: min(maxReconnectWindow, peers*reconnectWindowPerPeer),
-		updateWindow:    min(maxUpdateWindow, peers*updateWindowPerPeer, ofGrace(updateWindowGraceFraction)),
-		pollInterval:    min(minPollInterval, ofGrace(pollIntervalGraceFraction)),
-		serviceSlow:     true,
-		rng:             rand.New(rand.NewPCG(seed, pollStream)),
+	spread := newFleetSpread(schedulers, drainGrace, seed)
+	return &Planner{
+		spread:           spread,
+		pollInterval:     min(minPollInterval, scaled(drainGrace, pollIntervalGraceFraction)),
+		slowPollTimeout:  spread.interpolate(PollTimeout, maxPollTimeout),
+		slowOverdueAfter: spread.interpolate(overdueAfter, maxOverdueAfter),
+		serviceSlow:      true,
 	}
-	planner.slot = planner.draw(planner.reconnectWindow)
-	planner.slowPollTimeout = planner.scaled(PollTimeout, maxPollTimeout)
-	planner.slowOverdueAfter = planner.scaled(overdueAfter, maxOverdueAfter)
-	return planner
-}
-
-// scaled is between low, for a scheduler alone, and high, for a fleet with the longest reconnect window.
-func (p *Planner) scaled(low, high time.Duration) time.Duration {
-	return low + (high-low)*p.reconnectWindow/maxReconnectWindow
 }
 
 // Step applies events and returns the actions to carry out, in order; the slice is valid until the next Step. now must not
@@ -168,8 +129,8 @@
 	case AddressChanged:
 		p.closeConnection(&p.overdue)
 		p.closeConnection(&p.current)
-		p.backoff = 0
-		p.dialAt = p.nextSlot(now)
+		p.backoff.reset()
+		p.dialAt = p.spread.nextSlot(now)
 	case Stalled:
 		p.stalled(now)
 	}
@@ -195,11 +156,11 @@
 	p.dialAt = now
 	p.synchronized = true
 	if event.HasEndpoints { // without endpoints a scheduler can serve nothing, and polls before the others
-		p.dialAt += p.draw(p.updateWindow)
+		p.dialAt += p.spread.afterUpdate()
 	}
 	if event.Restored {
 		p.stale = true
-		p.actions = append(p.actions, MarkStale{p.updateWindow + staleAfterStall})
+		p.actions = append(p.actions, MarkStale{p.spread.updateWindow + staleAfterStall})
 	}
 }
 
@@ -249,8 +210,7 @@
 		lateness = p.slowOverdueAfter
 	}
 	if p.synchronized {
-		jitter := min(firstPollJitter, p.reconnectWindow)
-		timeout = min(timeout, maxPollTimeout-jitter) + p.draw(2*jitter) - jitter
+		timeout = p.spread.jittered(timeout)
 	}
 	if p.stale { // a response is needed at once, with updates or without
 		timeout = 0
@@ -280,7 +240,7 @@
 	}
 	p.serviceSlow = p.overdue != nil || now > conn.overdueAt
 	p.closeConnection(&p.overdue)
-	p.backoff = 0
+	p.backoff.reset()
 	next := p.nextPoll(now, event)
 	if event.ConnectionClosing {
 		p.closeConnection(&p.current)
@@ -296,7 +256,7 @@
 func (p *Planner) resume() bool {
 	if p.current != nil && p.current.phase == polling {
 		p.closeConnection(&p.overdue)
-		p.backoff = 0
+		p.backoff.reset()
 		p.synchronized = true
 		return false
 	}
@@ -314,7 +274,7 @@
 	}
 	p.synchronized = p.synchronized || event.HasUpdates || p.serviceSlow
 	if p.synchronized && !p.stale {
-		next += p.draw(p.updateWindow)
+		next += p.spread.afterUpdate()
 	}
 	return next
 }
@@ -329,7 +289,7 @@
 	p.stale = true
 	p.actions = append(p.actions, MarkStale{staleAfterStall})
 	switch {
-	case conn == nil && p.backoff == 0:
+	case conn == nil && p.backoff.isZero():
 		p.dialAt = now
 	case conn != nil && conn.phase == idle:
 		conn.at = now
@@ -348,17 +308,8 @@
 		return
 	}
 	p.closeConnection(&p.current)
-	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
 	p.serviceSlow = true
-	p.dialAt = p.nextSlot(now + max(p.backoff, min(event.RetryAfter, maxRetryAfter)))
-}
-
-// nextSlot returns the time of the scheduler's first slot at or after a time.
-func (p *Planner) nextSlot(from time.Duration) time.Duration {
-	if p.reconnectWindow == 0 {
-		return from
-	}
-	return from + (p.slot-from%p.reconnectWindow+p.reconnectWindow)%p.reconnectWindow
+	p.dialAt = p.spread.nextSlot(now + max(p.backoff.grow(), min(event.RetryAfter, maxRetryAfter)))
 }
 
 // closeConnection closes the connection that a field of the Planner holds, if any, and clears the field.
@@ -368,8 +319,3 @@
 		*field = nil
 	}
 }
-
-// draw returns a random time from 0 to longest, both included.
-func (p *Planner) draw(longest time.Duration) time.Duration {
-	return time.Duration(p.rng.Int64N(int64(longest) + 1))
-}
