--- a/routing/admission_internal_test.go
+++ b/routing/admission_internal_test.go
@@ -44,7 +44,7 @@
 // With the same work ahead, classes with a short and with a long objective are rejected alike, or the short would
 // starve.
 func TestShortObjectivesDoNotStarve(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		ahead    float64 // seconds of work ahead, per unit of capacity
 		rejected bool
 	}{{0.1, false}, {0.3, false}, {0.5, true}, {0.9, true}} {
@@ -59,10 +59,10 @@
 			harness.step(millisecond, attemptEnd(s, 0, Served))
 			objective := harness.router.settings.Classes[class].LatencyObjective.Seconds()
 			harness.router.placements.functions["f"].latency.RestoreExcess(harness.router.now, 0.3-objective)
-			harness.router.requests.inFlightWork = tt.ahead * harness.router.fleet.capacity.Total()
+			harness.router.requests.inFlightWork = testCase.ahead * harness.router.fleet.capacity.Total()
 			q.ID = "b"
-			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != tt.rejected {
-				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, tt.ahead, got, tt.rejected)
+			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != testCase.rejected {
+				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, testCase.ahead, got, testCase.rejected)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 // arrival, but never all, or no answer would show that the worker has recovered. A single scheduler knows what is in
 // flight and rejects none for slow answers.
 func TestRejectsForWorkOfPeers(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name      string
 		change    func(*Settings)
 		slow      time.Duration
@@ -82,19 +82,19 @@
 		{"quick answers, many schedulers", manySchedulers, 50 * millisecond, false, false},
 		{"slow answers, one scheduler", unchangedSettings, 1500 * millisecond, false, false},
 	} {
-		harness := newHarness(t, settings(tt.change), readyWorkers(1)...)
+		harness := newHarness(t, settings(testCase.change), readyWorkers(1)...)
 		rejected := 0
 		for i := range 200 {
 			acts := harness.step(millisecond, newTestRequest(fmt.Sprint("r", i), "f"))
 			rejected += len(actionsOf[Reject](acts))
 			for _, s := range actionsOf[Send](acts) {
 				e := attemptEnd(s, 0, Served)
-				e.Latency = tt.slow
-				harness.step(tt.slow, e)
+				e.Latency = testCase.slow
+				harness.step(testCase.slow, e)
 			}
 		}
-		if rejected > 0 != tt.some || rejected > 190 != tt.all {
-			t.Errorf("%s: %d of 200 rejected", tt.name, rejected)
+		if rejected > 0 != testCase.some || rejected > 190 != testCase.all {
+			t.Errorf("%s: %d of 200 rejected", testCase.name, rejected)
 		}
 	}
 }
--- a/routing/components_internal_test.go
+++ b/routing/components_internal_test.go
@@ -90,36 +90,36 @@
 	deployed := settings()
 	endpoints := newEndpointTable(&deployed)
 	endpoints.apply(time.Hour, WorkerList{Kind: ListFailed})
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		after time.Duration
 		want  bool
 	}{{time.Second - 1, false}, {time.Second, true}, {time.Minute, false}} {
-		if got := endpoints.resubscriptionDue(time.Hour + tt.after); got != tt.want {
-			t.Errorf("%v after a failed call: due %v, want %v", tt.after, got, tt.want)
+		if got := endpoints.resubscriptionDue(time.Hour + testCase.after); got != testCase.want {
+			t.Errorf("%v after a failed call: due %v, want %v", testCase.after, got, testCase.want)
 		}
 	}
 }
 
 // An attempt says of its worker's pressure what its outcome shows of a queue: nothing if it may have waited for a load.
 func TestPressureResult(t *testing.T) {
-	warm, cold, superseded := &attempt{}, &attempt{mayNeedLoad: true}, &attempt{superseded: true}
-	for _, tt := range []struct {
+	warm, unloaded, superseded := &attempt{}, &attempt{mayNeedLoad: true}, &attempt{superseded: true}
+	for _, testCase := range []struct {
 		ended   *attempt
 		outcome Outcome
 		want    pressure.Result
 	}{
 		{warm, Served, pressure.AnsweredWarm},
-		{cold, Served, pressure.Inconclusive},
+		{unloaded, Served, pressure.Inconclusive},
 		{warm, Shed, pressure.ShedWarm},
-		{cold, Shed, pressure.Inconclusive},
+		{unloaded, Shed, pressure.Inconclusive},
 		{warm, TimedOut, pressure.Lost},
-		{cold, TimedOut, pressure.Lost},
+		{unloaded, TimedOut, pressure.Lost},
 		{superseded, Canceled, pressure.Lost},
 		{warm, Canceled, pressure.Inconclusive},
 		{warm, Errored, pressure.Inconclusive},
 	} {
-		if got := pressureResult(tt.ended, tt.outcome); got != tt.want {
-			t.Errorf("outcome %d, may need a load %v: %d, want %d", tt.outcome, tt.ended.mayNeedLoad, got, tt.want)
+		if got := pressureResult(testCase.ended, testCase.outcome); got != testCase.want {
+			t.Errorf("outcome %d, may need a load %v: %d, want %d", testCase.outcome, testCase.ended.mayNeedLoad, got, testCase.want)
 		}
 	}
 }
--- a/routing/concurrency/concurrency_test.go
+++ b/routing/concurrency/concurrency_test.go
@@ -12,7 +12,7 @@
 // while it is in use raise it by one part in the limit.
 func TestLimit(t *testing.T) {
 	const objective = 1.0
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name       string
 		schedulers int
 		change     func(*concurrency.Worker)
@@ -33,10 +33,10 @@
 			}
 		}, 1},
 	} {
-		worker := concurrency.NewWorker(tt.schedulers)
-		tt.change(&worker)
-		if got := worker.Limit(); math.Abs(got-tt.want) > 1e-12 {
-			t.Errorf("%s: the limit is %v, want %v", tt.name, got, tt.want)
+		worker := concurrency.NewWorker(testCase.schedulers)
+		testCase.change(&worker)
+		if got := worker.Limit(); math.Abs(got-testCase.want) > 1e-12 {
+			t.Errorf("%s: the limit is %v, want %v", testCase.name, got, testCase.want)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 
 // Reports of peers take out a worker only if the others keep to 0.4 of their capacity with its load too.
 func TestCanCarryWithout(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		inFlight int // at each of three workers with a limit of 4
 		want     bool
 	}{{0, true}, {1, true}, {2, false}} {
@@ -76,10 +76,10 @@
 		workers := make([]concurrency.Worker, 3)
 		for i := range workers {
 			workers[i] = concurrency.NewWorker(3)
-			capacity.Add(&workers[i], tt.inFlight)
+			capacity.Add(&workers[i], testCase.inFlight)
 		}
-		if got := capacity.CanCarryWithout(&workers[0]); got != tt.want {
-			t.Errorf("%d in flight at each of three: %v, want %v", tt.inFlight, got, tt.want)
+		if got := capacity.CanCarryWithout(&workers[0]); got != testCase.want {
+			t.Errorf("%d in flight at each of three: %v, want %v", testCase.inFlight, got, testCase.want)
 		}
 	}
 }
--- a/routing/endpoints_internal_test.go
+++ b/routing/endpoints_internal_test.go
@@ -11,16 +11,16 @@
 func TestNothingIsSentToDrainingWorkers(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Gone} {
 		harness := newHarness(t, settings(loadsAllowed), readyWorkers(3)...)
-		s := harness.send("a", "f")
-		harness.step(50*millisecond, attemptEnd(s, 0, Served))
-		harness.step(millisecond, WorkerList{Workers: []Worker{{ID: s.Worker, State: state}}})
+		sent := harness.send("a", "f")
+		harness.step(50*millisecond, attemptEnd(sent, 0, Served))
+		harness.step(millisecond, WorkerList{Workers: []Worker{{ID: sent.Worker, State: state}}})
 		for i := range 20 {
 			for _, a := range harness.step(10*millisecond, newTestRequest(fmt.Sprint("b", i), "f"), TimerFired{tickToken}) {
-				if to, ok := a.(Send); ok && to.Worker == s.Worker {
-					t.Errorf("state %d: sent to %s", state, s.Worker)
+				if to, ok := a.(Send); ok && to.Worker == sent.Worker {
+					t.Errorf("state %d: sent to %s", state, sent.Worker)
 				}
-				if to, ok := a.(Load); ok && to.Worker == s.Worker {
-					t.Errorf("state %d: load ordered at %s", state, s.Worker)
+				if to, ok := a.(Load); ok && to.Worker == sent.Worker {
+					t.Errorf("state %d: load ordered at %s", state, sent.Worker)
 				}
 			}
 		}
@@ -28,8 +28,8 @@
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	harness.step(millisecond, WorkerList{Kind: ListFull, Workers: readyWorkers(1)})
 	for i := range 20 {
-		if s := harness.send(fmt.Sprint("c", i), fmt.Sprint("f", i)); s.Worker != "w0" {
-			t.Fatalf("sent to %s, which a full list no longer names", s.Worker)
+		if sent := harness.send(fmt.Sprint("c", i), fmt.Sprint("f", i)); sent.Worker != "w0" {
+			t.Fatalf("sent to %s, which a full list no longer names", sent.Worker)
 		}
 		harness.step(millisecond, attemptEnd(Send{ID: fmt.Sprint("c", i), Worker: "w0"}, 0, Served))
 	}
--- a/routing/hedging_internal_test.go
+++ b/routing/hedging_internal_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestHedging(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		change  []func(*Settings)
 		sends   bool
@@ -14,17 +14,17 @@
 		{"allowed, but non-idempotent", []func(*Settings){hedgingAllowed, nonIdempotent}, false, false},
 		{"neither hedges nor cancels", []func(*Settings){cancelForbidden}, false, false},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
-			harness := newHarness(t, settings(tt.change...), readyWorkers(4)...)
+		t.Run(testCase.name, func(t *testing.T) {
+			harness := newHarness(t, settings(testCase.change...), readyWorkers(4)...)
 			harness.send("a", "f")
 			harness.send("b", "f")
 			// By then both attempts are overdue, even with a load; one alone would not do.
 			acts := harness.wait(2800 * millisecond)
-			if got := len(actionsOf[Send](acts)) > 0; got != tt.sends {
-				t.Errorf("hedges: %v, want %v", got, tt.sends)
+			if got := len(actionsOf[Send](acts)) > 0; got != testCase.sends {
+				t.Errorf("hedges: %v, want %v", got, testCase.sends)
 			}
-			if got := len(actionsOf[Cancel](acts)) > 0; got != tt.cancels {
-				t.Errorf("cancels: %v, want %v", got, tt.cancels)
+			if got := len(actionsOf[Cancel](acts)) > 0; got != testCase.cancels {
+				t.Errorf("cancels: %v, want %v", got, testCase.cancels)
 			}
 		})
 	}
--- a/routing/learned_state_internal_test.go
+++ b/routing/learned_state_internal_test.go
@@ -47,7 +47,7 @@
 		{ID: "w0", State: Ready, Weight: 1, Started: harness.now},
 		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
 	}
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name     string
 		after    time.Duration
 		workers  []Worker
@@ -61,9 +61,9 @@
 		{"learned already", time.Second, readyWorkers(2), 1, false},
 		{"captured in the future", -time.Minute, readyWorkers(2), 0, false},
 	} {
-		restarted := newHarness(t, settings(manySchedulers), tt.workers...)
-		restarted.now = harness.now + tt.after
-		for i := range tt.requests {
+		restarted := newHarness(t, settings(manySchedulers), testCase.workers...)
+		restarted.now = harness.now + testCase.after
+		for i := range testCase.requests {
 			restarted.send(fmt.Sprint("s", i), "other")
 		}
 		restarted.step(0, StateRestored{state})
@@ -73,8 +73,8 @@
 				warm = warm || restarted.router.placements.isWarm(restarted.router.now, p)
 			}
 		}
-		if warm != tt.warm {
-			t.Errorf("%s: instances are believed warm: %v, want %v", tt.name, warm, tt.warm)
+		if warm != testCase.warm {
+			t.Errorf("%s: instances are believed warm: %v, want %v", testCase.name, warm, testCase.warm)
 		}
 	}
 }
--- a/routing/outlier/outlier_test.go
+++ b/routing/outlier/outlier_test.go
@@ -46,7 +46,7 @@
 func TestOwnAnswersOutweighReports(t *testing.T) {
 	detector := outlier.NewDetector(8*time.Second, true)
 	worker := outlier.NewWorker(now)
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		verdict    outlier.Verdict
 		age        time.Duration // of the last answer
 		eject, ill bool
@@ -56,12 +56,12 @@
 		{outlier.Reported, time.Second + 1, false, true},
 		{outlier.NotReported, time.Minute, false, false},
 	} {
-		at := now + tt.age
-		if got := worker.SetVerdict(tt.verdict, at); got != tt.eject {
-			t.Errorf("verdict %d, last answer %v ago: to be ejected %v", tt.verdict, tt.age, got)
+		at := now + testCase.age
+		if got := worker.SetVerdict(testCase.verdict, at); got != testCase.eject {
+			t.Errorf("verdict %d, last answer %v ago: to be ejected %v", testCase.verdict, testCase.age, got)
 		}
-		if got := detector.IsUnhealthy(&worker, at); got != tt.ill {
-			t.Errorf("verdict %d, last answer %v ago: unhealthy %v", tt.verdict, tt.age, got)
+		if got := detector.IsUnhealthy(&worker, at); got != testCase.ill {
+			t.Errorf("verdict %d, last answer %v ago: unhealthy %v", testCase.verdict, testCase.age, got)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	const again = 250 * time.Millisecond
 	detector := outlier.NewDetector(8*time.Second, true)
 	worker := outlier.NewWorker(now)
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name     string
 		fault    outlier.Fault
 		observed time.Duration
@@ -117,8 +117,8 @@
 		{"recovered", outlier.Healthy, now + again + 2, true},
 		{"healthy later", outlier.Healthy, now + time.Minute, false},
 	} {
-		if got := detector.ShouldReport(&worker, tt.fault, tt.observed); got != tt.want {
-			t.Errorf("%s: to be reported %v, want %v", tt.name, got, tt.want)
+		if got := detector.ShouldReport(&worker, testCase.fault, testCase.observed); got != testCase.want {
+			t.Errorf("%s: to be reported %v, want %v", testCase.name, got, testCase.want)
 		}
 	}
 	worker.SetVerdict(outlier.Reported, now)
--- a/routing/picker_internal_test.go
+++ b/routing/picker_internal_test.go
@@ -84,9 +84,9 @@
 	first := &Pool{Workers: map[string]bool{"w0": true, "w1": true}, Fallback: second}
 	sentTo := map[string]int{}
 	for i := range 200 {
-		q := newTestRequest(fmt.Sprintf("a%d", i), "f\x00lane")
-		q.Pool = first
-		for _, s := range actionsOf[Send](harness.step(millisecond, q)) {
+		arrival := newTestRequest(fmt.Sprintf("a%d", i), "f\x00lane")
+		arrival.Pool = first
+		for _, s := range actionsOf[Send](harness.step(millisecond, arrival)) {
 			sentTo[s.Worker]++
 		}
 	}
@@ -98,9 +98,9 @@
 		t.Errorf("sent to only one of pool and fallback: %v", sentTo)
 	}
 	first.Workers = map[string]bool{"w4": true}
-	q := newTestRequest("late", "g\x00lane")
-	q.Pool = first
-	if got := actionsOf[Send](harness.step(0, PoolsChanged{}, q)); len(got) != 1 || got[0].Worker != "w4" {
+	arrival := newTestRequest("late", "g\x00lane")
+	arrival.Pool = first
+	if got := actionsOf[Send](harness.step(0, PoolsChanged{}, arrival)); len(got) != 1 || got[0].Worker != "w4" {
 		t.Errorf("after a change of the pool: %v, want one request sent to w4", got)
 	}
 }
--- a/routing/pressure/pressure_test.go
+++ b/routing/pressure/pressure_test.go
@@ -67,7 +67,7 @@
 
 // The first sample of a worker counts half in its excess over the mean, which it moves by a twentieth.
 func TestObserveByResult(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name   string
 		sample pressure.Sample
 		want   float64 // pressure that the sample shows
@@ -86,29 +86,29 @@
 	} {
 		estimator := pressure.NewEstimator(1, testObjective, testFading)
 		var worker pressure.Worker
-		estimator.Observe(&worker, time.Hour, tt.sample)
+		estimator.Observe(&worker, time.Hour, testCase.sample)
 		excess, mean := estimator.Excess(&worker, time.Hour), estimator.Mean()
-		if math.Abs(excess-tt.want/2) > 1e-12 || math.Abs(mean-tt.want/20) > 1e-12 {
-			t.Errorf("%s: excess %v and mean %v, want %v and %v", tt.name, excess, mean, tt.want/2, tt.want/20)
+		if math.Abs(excess-testCase.want/2) > 1e-12 || math.Abs(mean-testCase.want/20) > 1e-12 {
+			t.Errorf("%s: excess %v and mean %v, want %v and %v", testCase.name, excess, mean, testCase.want/2, testCase.want/20)
 		}
 	}
 }
 
 // Requests begin to be rejected at a pressure of 1.5, with a probability that ends at 0.8, and only for the work of peers.
 func TestRejectProbability(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		schedulers int
 		excess     float64 // pressure, while the mean is 0
 		overload   float64
 		want       float64
 	}{{2, 1.5, 0, 0}, {2, 1.75, 0.5, 0.5 / 16}, {2, 3, 3, 0.8 / 16}, {1, 3, 3, 0}} {
-		estimator := pressure.NewEstimator(tt.schedulers, testObjective, testFading)
+		estimator := pressure.NewEstimator(testCase.schedulers, testObjective, testFading)
 		var worker pressure.Worker
-		worker.RestoreExcess(time.Hour, tt.excess)
+		worker.RestoreExcess(time.Hour, testCase.excess)
 		overload := estimator.Overload(&worker, time.Hour)
-		if got := estimator.RejectProbability(overload); overload != tt.overload || math.Abs(got-tt.want) > 1e-12 {
+		if got := estimator.RejectProbability(overload); overload != testCase.overload || math.Abs(got-testCase.want) > 1e-12 {
 			t.Errorf("%d schedulers, pressure %v: overload %v, probability %v, want %v and %v",
-				tt.schedulers, tt.excess, overload, got, tt.overload, tt.want)
+				testCase.schedulers, testCase.excess, overload, got, testCase.overload, testCase.want)
 		}
 	}
 }
--- a/routing/queue_internal_test.go
+++ b/routing/queue_internal_test.go
@@ -8,7 +8,7 @@
 // A rejection advises the client when to retry: when the work ahead will be done, never later than clients follow, and
 // without advice where clients do not see it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name         string
 		honoured     bool
 		workers      int
@@ -21,18 +21,18 @@
 		{"next to no work ahead", true, 1, 0.001, tickInterval},
 		{"much work ahead", true, 1, 60, 500 * millisecond},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			harness := newHarness(t, settings(func(s *Settings) {
-				s.HonorsRetryAfter, s.MaxRetryAfter = tt.honoured, 500*millisecond
-			}), readyWorkers(tt.workers)...)
+				s.HonorsRetryAfter, s.MaxRetryAfter = testCase.honoured, 500*millisecond
+			}), readyWorkers(testCase.workers)...)
 			harness.step(millisecond)
-			harness.router.requests.inFlightWork = tt.inFlightWork
+			harness.router.requests.inFlightWork = testCase.inFlightWork
 			q := &request{Request: newTestRequest("a", "f"), class: &harness.router.settings.Classes[0]}
 			harness.router.out.actions = nil
 			harness.router.rejectOrFail(q)
 			got := actionsOf[Reject](harness.router.out.actions)
-			if len(got) != 1 || got[0].RetryAfter.Round(millisecond) != tt.want {
-				t.Errorf("got %v, want one rejection with Retry-After %v", got, tt.want)
+			if len(got) != 1 || got[0].RetryAfter.Round(millisecond) != testCase.want {
+				t.Errorf("got %v, want one rejection with Retry-After %v", got, testCase.want)
 			}
 		})
 	}
--- a/routing/retry_internal_test.go
+++ b/routing/retry_internal_test.go
@@ -10,7 +10,7 @@
 // No unsafe repeat: what may follow an attempt that did not serve the request depends on its class and on the outcome.
 func TestRetriesByIdempotency(t *testing.T) {
 	const retry, reject, fail = "retry", "reject", "fail"
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		change  func(*Settings)
 		outcome Outcome
@@ -30,18 +30,18 @@
 		{"by key, past the deduplication window", dedupInZone, TimedOut, 2100 * millisecond, fail},
 		{"by key everywhere, past the deduplication window", dedupEverywhere, TimedOut, 2100 * millisecond, reject},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
-			harness := newHarness(t, settings(tt.change), readyWorkers(6)...)
+		t.Run(testCase.name, func(t *testing.T) {
+			harness := newHarness(t, settings(testCase.change), readyWorkers(6)...)
 			s := harness.send("a", "f")
-			acts := harness.step(tt.after, attemptEnd(s, 0, tt.outcome))
+			acts := harness.step(testCase.after, attemptEnd(s, 0, testCase.outcome))
 			got := map[string]int{
 				retry: len(actionsOf[Send](acts)), reject: len(actionsOf[Reject](acts)),
 				fail: len(actionsOf[Fail](acts)),
 			}
 			want := map[string]int{retry: 0, reject: 0, fail: 0}
-			want[tt.want] = 1
+			want[testCase.want] = 1
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("got %v, want %s", got, tt.want)
+				t.Errorf("got %v, want %s", got, testCase.want)
 			}
 		})
 	}
--- a/routing/router_internal_test.go
+++ b/routing/router_internal_test.go
@@ -26,31 +26,31 @@
 		harness := newHarness(t, settings())
 		harness.step(0, newTestRequest("a", "f"))
 		early, late := harness.wait(1400*millisecond), harness.wait(100*millisecond)
-		if n := len(actionsOf[Reject](early)); n != 0 {
-			t.Errorf("%d rejections before half of the client's time has passed", n)
+		if count := len(actionsOf[Reject](early)); count != 0 {
+			t.Errorf("%d rejections before half of the client's time has passed", count)
 		}
-		if n := len(actionsOf[Reject](late)) + len(actionsOf[Fail](late)); n != 1 {
-			t.Errorf("%d final answers, want 1", n)
+		if count := len(actionsOf[Reject](late)) + len(actionsOf[Fail](late)); count != 1 {
+			t.Errorf("%d final answers, want 1", count)
 		}
 	})
 	// Half its time without capacity ends a request only if it never reached a worker.
 	t.Run("no capacity after a worker shed it", func(t *testing.T) {
 		harness := newHarness(t, settings(), readyWorkers(1)...)
-		s := harness.send("a", "f")
+		sent := harness.send("a", "f")
 		gone := readyWorker("w0", 0)
 		gone.State = Gone
-		harness.step(millisecond, WorkerList{Workers: []Worker{gone}}, attemptEnd(s, 0, Shed))
+		harness.step(millisecond, WorkerList{Workers: []Worker{gone}}, attemptEnd(sent, 0, Shed))
 		if acts := harness.wait(1900 * millisecond); len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 0 {
 			t.Errorf("got %v after half of the client's time, want the request to stay queued", acts)
 		}
 	})
 	t.Run("time-out at the deadline", func(t *testing.T) {
 		harness := newHarness(t, settings(nonIdempotent), readyWorkers(3)...)
-		s := harness.send("a", "f")
-		if s.Timeout >= 3*time.Second {
-			t.Errorf("timeout %v reaches past the client's time", s.Timeout)
+		sent := harness.send("a", "f")
+		if sent.Timeout >= 3*time.Second {
+			t.Errorf("timeout %v reaches past the client's time", sent.Timeout)
 		}
-		acts := harness.step(s.Timeout, attemptEnd(s, 0, TimedOut))
+		acts := harness.step(sent.Timeout, attemptEnd(sent, 0, TimedOut))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) != 0 {
 			t.Errorf("got %v, want one failure", acts)
 		}
@@ -61,11 +61,11 @@
 	})
 	t.Run("client left", func(t *testing.T) {
 		harness := newHarness(t, settings(), readyWorkers(3)...)
-		s := harness.send("a", "f")
-		if n := len(actionsOf[Cancel](harness.step(millisecond, ClientCanceled{"a"}))); n != 1 {
-			t.Errorf("%d attempts canceled when the client left, want 1", n)
+		sent := harness.send("a", "f")
+		if count := len(actionsOf[Cancel](harness.step(millisecond, ClientCanceled{"a"}))); count != 1 {
+			t.Errorf("%d attempts canceled when the client left, want 1", count)
 		}
-		acts := append(harness.step(millisecond, attemptEnd(s, 0, Shed)), harness.wait(4*time.Second)...)
+		acts := append(harness.step(millisecond, attemptEnd(sent, 0, Shed)), harness.wait(4*time.Second)...)
 		if len(actionsOf[Send](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
 			t.Errorf("actions for a request whose client has left: %v", acts)
 		}
--- a/routing/slowstart/slowstart_test.go
+++ b/routing/slowstart/slowstart_test.go
@@ -24,12 +24,12 @@
 // The capacity of a worker grows linearly from the fraction at its start to all of it.
 func TestFactor(t *testing.T) {
 	budget := slowstart.NewBudget(testConfig())
-	for _, tt := range []struct {
+	for _, testCase := range []struct {
 		started, age time.Duration
 		want         float64
 	}{{started, 0, 0.25}, {started, 4 * time.Second, 0.55}, {started, 10 * time.Second, 1}, {0, 0, 1}, {started, -1, 0.25}} {
-		if got := budget.Factor(started+tt.age, tt.started); math.Abs(got-tt.want) > 1e-12 {
-			t.Errorf("started at %v, %v after %v: %v, want %v", tt.started, tt.age, started, got, tt.want)
+		if got := budget.Factor(started+testCase.age, testCase.started); math.Abs(got-testCase.want) > 1e-12 {
+			t.Errorf("started at %v, %v after %v: %v, want %v", testCase.started, testCase.age, started, got, testCase.want)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	noMultiple, noDuration := testConfig(), testConfig()
 	noMultiple.OverloadMultiple = 0
 	noDuration.OverloadDuration = 0
-	for name, tt := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		config  slowstart.Config
 		started time.Duration
 		want    bool
@@ -108,8 +108,8 @@
 		"no overload multiple": {noMultiple, started, false},
 		"no overload duration": {noDuration, started, false},
 	} {
-		if got := slowstart.NewBudget(tt.config).Limits(started+time.Second, tt.started); got != tt.want {
-			t.Errorf("%s: limited %v, want %v", name, got, tt.want)
+		if got := slowstart.NewBudget(testCase.config).Limits(started+time.Second, testCase.started); got != testCase.want {
+			t.Errorf("%s: limited %v, want %v", name, got, testCase.want)
 		}
 	}
 }
