--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -11,21 +11,25 @@
 	"os/signal"
 	"syscall"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/process"
+	"calicohill/internal/testbed/report"
 
 	"github.com/spf13/cobra"
 )
 
-func main() {
+func main() { os.Exit(run()) }
+
+// run runs the command and returns the exit code.
+func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{Use: "testbed", Short: "Experiments with fleets of calicohill", SilenceErrors: true, SilenceUsage: true}
 	root.AddCommand(gossipCommand(), matchCommand(), coldstartCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
-		stop()
-		os.Exit(1)
+		return 1
 	}
+	return 0
 }
 
 // setDefaultProgram sets the path of the scheduler to the one beside this program, unless it is set.
@@ -34,7 +38,7 @@
 		return nil
 	}
 	var err error
-	*program, err = testbed.SchedulerBeside()
+	*program, err = process.SchedulerBeside()
 	return err
 }
 
@@ -44,10 +48,10 @@
 }
 
 // printReport prints a report, as one line or indented.
-func printReport(out io.Writer, oneLine bool, report testbed.Report) error {
+func printReport(out io.Writer, oneLine bool, result report.Report) error {
 	encoder := json.NewEncoder(out)
 	if !oneLine {
 		encoder.SetIndent("", "  ")
 	}
-	return encoder.Encode(report)
+	return encoder.Encode(result)
 }
--- a/internal/testbed/report.go
+++ b/internal/testbed/report/report.go
@@ -1,6 +1,10 @@
-package testbed
+// Package report has what the experiments of the testbed measured, as the command testbed prints and plots it.
+package report
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // Report is what an experiment measured, as the command testbed prints it in JSON: a GossipResult, VirtualGossipResult,
 // ColdStartResult, VirtualColdStartResult or MatchResult.
@@ -17,7 +21,7 @@
 func (VirtualColdStartResult) isReport() {}
 func (MatchResult) isReport()            {}
 
-// GossipResult is what a GossipExperiment measured. Times are in milliseconds, shares fractions of 1.
+// GossipResult is what experiment.Gossip measured. Times are in milliseconds, shares fractions of 1.
 type GossipResult struct {
 	Instances      int     `json:"instances"`
 	Workers        int     `json:"workers"`
@@ -60,13 +64,13 @@
 	HeapKB    float64 `json:"heap_kb_per_instance"`
 }
 
-// ColdStartResult is what a ColdStartExperiment measured.
+// ColdStartResult is what experiment.ColdStart measured.
 type ColdStartResult struct {
 	Program  ColdStartMetrics  `json:"program"`
 	Baseline *ColdStartMetrics `json:"baseline,omitempty"`
 }
 
-// ColdStartMetrics is what a ColdStartExperiment measured with one build. Times are in milliseconds, shares fractions of 1.
+// ColdStartMetrics is what experiment.ColdStart measured with one build. Times are in milliseconds, shares fractions of 1.
 type ColdStartMetrics struct {
 	PollsPeak           int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
 	PollsEven           float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
@@ -95,6 +99,24 @@
 	agentConnectTimes []time.Duration
 }
 
+// Summary describes the metrics in a sentence.
+func (m *ColdStartMetrics) Summary() string {
+	return fmt.Sprintf("served %.4f of %d, at most %d polls and %d connections within 100 ms at the list service, %d at a worker; all listed after %.0f ms; %d rules broken",
+		m.Served, m.Requests, m.PollsPeak, m.ConnectsPeak, m.AgentConnects, m.AllListed, len(m.RulesBroken))
+}
+
+// RecordPolls records when polls reached the list service, counted from the beginning.
+func (m *ColdStartMetrics) RecordPolls(times []time.Duration) {
+	m.pollTimes = times
+	m.PollsPeak = PeakPer100ms(times, 0)
+}
+
+// RecordAgentConnects records when connections to one more worker were established, counted from the beginning.
+func (m *ColdStartMetrics) RecordAgentConnects(times []time.Duration) {
+	m.agentConnectTimes = append(m.agentConnectTimes, times...)
+	m.AgentConnects = max(m.AgentConnects, PeakPer100ms(times, 0))
+}
+
 // VirtualColdStartResult is what the planners of polls and the Routers of a fleet did in virtual time.
 type VirtualColdStartResult struct {
 	List    []VirtualPollResult       `json:"list_service"`
@@ -112,7 +134,7 @@
 	Needed          int            `json:"crowded_polls_needed"`
 }
 
-// VirtualMetrics is what a VirtualExperiment measured.
+// VirtualMetrics is what virtual.Experiment measured.
 type VirtualMetrics struct {
 	Schedulers     int       `json:"schedulers"`
 	Workers        int       `json:"workers"`
@@ -125,7 +147,7 @@
 	Crashed        int       `json:"workers_crashed"` // overloaded while they were warming up
 }
 
-// MatchResult is what a MatchExperiment measured.
+// MatchResult is what experiment.Match measured.
 type MatchResult struct {
 	Rules        int         `json:"rules"`
 	Rate         float64     `json:"rate"`
