--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -7,7 +7,8 @@
 	"sync"
 	"testing"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/experiment"
+	"calicohill/internal/testbed/scenario"
 )
 
 // A startupScenario is a script of the testbed, how long it runs and how many polls may come together.
@@ -91,11 +92,11 @@
 
 // run plays the scenario with that program.
 func (tt startupScenario) run(t *testing.T, program string) {
-	script, err := testbed.ParseScenario(tt.script)
+	script, err := scenario.Parse(tt.script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	day := testbed.ColdStartExperiment{
+	day := experiment.ColdStart{
 		Program: program, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
 		Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Progress: func(s string) { t.Log(s) },
 	}
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"context"
@@ -7,14 +7,24 @@
 	"time"
 
 	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 	"calicohill/internal/testbed/wait"
 	"calicohill/internal/testbed/workload"
 )
 
-// gossipRun is a run of a GossipExperiment with one fleet.
+// The course of a gossipRun, by what its duration is divided by.
+const (
+	untilFault         = 5 // from the beginning to the fault
+	untilRecovery      = 2 // from the fault to its end
+	untilFewAreAccused = 4 // from the beginning, while byzantine members accuse all workers
+	workersPerAccused  = 8 // how many workers there are for each that is accused afterwards
+	minAccused         = 2
+)
+
+// gossipRun is a run of Gossip with one fleet.
 type gossipRun struct {
-	fleet        *Fleet
+	fleet        *process.Fleet
 	unresponsive []*standin.Worker // for a while
 	healthy      []string          // IDs of the others
 	faultFrom    time.Time
@@ -22,7 +32,7 @@
 }
 
 // newGossipRun returns a run in which these workers become unresponsive.
-func newGossipRun(fleet *Fleet, unresponsive []*standin.Worker) *gossipRun {
+func newGossipRun(fleet *process.Fleet, unresponsive []*standin.Worker) *gossipRun {
 	return &gossipRun{
 		fleet:        fleet,
 		unresponsive: unresponsive,
@@ -32,12 +42,12 @@
 
 // playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
-	if !wait.Sleep(ctx, duration/5) {
+	if !wait.Sleep(ctx, duration/untilFault) {
 		return
 	}
 	r.faultFrom = time.Now()
 	r.setFault(standin.WorkerUnresponsive)
-	if !wait.Sleep(ctx, duration/2) {
+	if !wait.Sleep(ctx, duration/untilRecovery) {
 		return
 	}
 	r.faultUntil = time.Now()
@@ -69,11 +79,11 @@
 		members = append(members, member)
 	}
 	all := workerIDs(r.fleet.Workers)
-	few := r.healthy[:min(len(r.healthy), max(2, len(all)/8))]
+	few := r.healthy[:min(len(r.healthy), max(minAccused, len(all)/workersPerAccused))]
 	for _, member := range members {
 		member.Accuse(all)
 		go func() {
-			if wait.Sleep(ctx, duration/4) {
+			if wait.Sleep(ctx, duration/untilFewAreAccused) {
 				member.Accuse(few)
 			}
 		}()
@@ -118,19 +128,19 @@
 }
 
 // readLog fills in what one scheduler's log says, which ended at a time.
-func (m *gossipMetrics) readLog(run *gossipRun, lines []Line, end time.Time) {
+func (m *gossipMetrics) readLog(run *gossipRun, lines []process.Line, end time.Time) {
 	ejectedAt := map[string]time.Time{}
 	for _, line := range lines {
 		worker := line.Text("worker")
 		switch line.Text("msg") {
-		case logWorkerEjected:
+		case process.LogWorkerEjected:
 			ejectedAt[worker] = line.Time()
-		case logWorkerReadmitted:
+		case process.LogWorkerReadmitted:
 			m.wronglyEjected += run.wrongSeconds(worker, ejectedAt[worker], line.Time())
 			delete(ejectedAt, worker)
-		case logPeerIgnored:
+		case process.LogPeerIgnored:
 			m.ignoredPeers++
-		case logGossipEnded:
+		case process.LogGossipEnded:
 			seconds := line.Number("seconds")
 			m.messages = max(m.messages, line.Number("sent")/seconds)
 			m.bytes = max(m.bytes, line.Number("bytes")/seconds)
--- a/internal/testbed/match.go
+++ b/internal/testbed/experiment/match.go
@@ -1,4 +1,4 @@
-package testbed
+package experiment
 
 import (
 	"context"
@@ -10,6 +10,8 @@
 
 	"calicohill/internal/frontend/fastcgi"
 	"calicohill/internal/rules/match"
+	"calicohill/internal/testbed/process"
+	"calicohill/internal/testbed/report"
 	"calicohill/internal/testbed/workload"
 	"calicohill/routing"
 )
@@ -21,13 +23,15 @@
 	matchWarmUp         = 2 * time.Second
 	maxValuePadding     = 252 // bytes after "zona" in the longest legal value
 	maxPathPadding      = 251
+	maxMethodBytes      = 16
+	rulesOfAll          = 2  // rules that are evaluated for every request
 	hostileParameters   = 40 // near misses of a parameter's name
 	matchParameter      = "HTTP_X_CENTRE"
 	matchParameterValue = "zona4"
 )
 
-// MatchExperiment measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
-type MatchExperiment struct {
+// Match measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
+type Match struct {
 	Program  string
 	Env      []string
 	Rules    int
@@ -43,7 +47,7 @@
 func operatorFileWithRules(rules int) string {
 	var file strings.Builder
 	file.WriteString(plainOperatorFile)
-	for i := range max(rules-2, 0) {
+	for i := range max(rules-rulesOfAll, 0) {
 		fmt.Fprintf(&file, "match f%d\n  when handler == \"%016x\" && param[\"HTTP_X_CENTRE\"].startsWith(\"zona\")\n"+
 			"  key handler + \":\" + param[\"HTTP_X_CENTRE\"]\n  route lane\n", i, i+1)
 	}
@@ -58,7 +62,7 @@
 func generateRules(count int) []match.Rule {
 	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
-	for i := range max(count-2, 0) {
+	for i := range max(count-rulesOfAll, 0) {
 		rules = append(rules, match.Rule{
 			Name:  fmt.Sprint(i),
 			Route: text("lane"),
@@ -96,8 +100,8 @@
 }
 
 // Run runs the experiment.
-func (e MatchExperiment) Run(ctx context.Context) (MatchResult, error) {
-	result := MatchResult{Rules: e.Rules, Rate: e.Rate, Hostile: e.Hostile}
+func (e Match) Run(ctx context.Context) (report.MatchResult, error) {
+	result := report.MatchResult{Rules: e.Rules, Rate: e.Rate, Hostile: e.Hostile}
 	medians := map[int]float64{}
 	for _, rules := range []int{1, 10, 100, 1000, 10000} {
 		size, err := measureEvaluations(rules)
@@ -130,22 +134,27 @@
 	return result, nil
 }
 
+// millis returns a duration in milliseconds, to the microsecond.
+func millis(duration time.Duration) float64 {
+	return float64(duration.Microseconds()) / float64(time.Millisecond/time.Microsecond)
+}
+
 // measureEvaluations measures evaluations by themselves.
-func measureEvaluations(rules int) (MatchSize, error) {
+func measureEvaluations(rules int) (report.MatchSize, error) {
 	classes := []match.Class{{Name: "consulta", Idempotency: routing.Idempotent}}
 	began := time.Now()
 	table, faults := match.Load(generateRules(rules), classes)
 	if table == nil {
-		return MatchSize{}, fmt.Errorf("rules: %v", faults)
+		return report.MatchSize{}, fmt.Errorf("rules: %v", faults)
 	}
-	size := MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
+	size := report.MatchSize{Rules: rules, Load: millis(time.Since(began))}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
 		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: [][]string{{matchParameterValue}},
 	}
 	hostile := *plain
 	hostile.Path = "/rpc/" + strings.Repeat("r", maxPathPadding)
-	hostile.Method = strings.Repeat("M", 16)
+	hostile.Method = strings.Repeat("M", maxMethodBytes)
 	hostile.Params = [][]string{{longestParameterValue()}}
 	size.Plain, size.PlainP99 = timeEvaluations(table, plain)
 	size.Hostile, size.HostileP99 = timeEvaluations(table, &hostile)
@@ -164,12 +173,12 @@
 }
 
 // measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
-func (e MatchExperiment) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
+func (e Match) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
 	fleet, err := e.fleet(ctx, operatorFile)
 	if err != nil {
 		return loadMeasurement{}, err
 	}
-	defer fleet.closeAndRemove()
+	defer fleet.CloseAndRemove()
 	load := e.load()
 	offerFor := func(duration time.Duration) workload.Result {
 		ctx, cancel := context.WithTimeout(ctx, duration)
@@ -187,29 +196,29 @@
 	}
 	slices.Sort(result.ResponseTimes)
 	if count := len(result.ResponseTimes); count > 0 {
-		measured.p99Millis = float64(result.ResponseTimes[count*99/100].Microseconds()) / 1000
+		measured.p99Millis = millis(result.ResponseTimes[count*99/100])
 	}
 	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
 		measured.servedFraction, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
 	return measured, scheduler.Stop()
 }
 
-// fleet starts a scheduler with an operator's file. The caller ends it with closeAndRemove.
-func (e MatchExperiment) fleet(ctx context.Context, operatorFile string) (*Fleet, error) {
+// fleet starts a scheduler with an operator's file. The caller ends it with CloseAndRemove.
+func (e Match) fleet(ctx context.Context, operatorFile string) (*process.Fleet, error) {
 	dir, err := os.MkdirTemp("", "calicohill-testbed-")
 	if err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{Program: e.Program, Env: e.Env, Dir: dir}
+	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir}
 	if err := startOne(ctx, fleet, operatorFile); err != nil {
-		fleet.closeAndRemove()
+		fleet.CloseAndRemove()
 		return nil, err
 	}
 	return fleet, nil
 }
 
 // startOne prepares a fleet with one scheduler, and waits until it serves.
-func startOne(ctx context.Context, fleet *Fleet, operatorFile string) error {
+func startOne(ctx context.Context, fleet *process.Fleet, operatorFile string) error {
 	if err := fleet.Prepare(1, matchWorkers); err != nil {
 		return err
 	}
@@ -220,11 +229,11 @@
 	if err := scheduler.Start(); err != nil {
 		return err
 	}
-	return fleet.Wait(ctx, schedulerStartWithin)
+	return fleet.Wait(ctx, process.StartTimeout)
 }
 
 // load returns a load whose requests carry the parameter that the rules look at.
-func (e MatchExperiment) load() workload.Load {
+func (e Match) load() workload.Load {
 	value := matchParameterValue
 	nearMisses := 0
 	if e.Hostile {
--- a/internal/testbed/instance_test.go
+++ b/internal/testbed/process/instance_internal_test.go
@@ -1,6 +1,7 @@
-package testbed
+package process
 
 import (
+	"context"
 	"os"
 	"path/filepath"
 	"strings"
@@ -32,14 +33,14 @@
 	instance := newStandInScheduler(t, `trap "echo `+terminating+`" TERM; echo `+ready+`; while :; do sleep 0.02; done`)
 	waitForLog := func(text string, times int) {
 		t.Helper()
-		for end := time.Now().Add(stopTimeout / 2); strings.Count(instance.Log.String(), text) < times; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("the log lacks %q: %s", text, instance.Log.String())
-			}
+		ctx, cancel := context.WithTimeout(t.Context(), stopTimeout/2)
+		defer cancel()
+		if err := instance.Log.WaitFor(ctx, func(log string) bool { return strings.Count(log, text) >= times }); err != nil {
+			t.Fatalf("the log lacks %q: %v: %s", text, err, instance.Log.String())
 		}
 	}
 	for round := range 3 {
-		if err := instance.startIfStopped(); err != nil {
+		if err := instance.StartIfStopped(); err != nil {
 			t.Fatal(err)
 		}
 		waitForLog(ready, round+1)
@@ -78,7 +79,7 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	fleet := &Fleet{List: standin.NewListService(), Workers: []*standin.Worker{worker}, departures: map[*standin.Worker]departure{}}
+	fleet := &Fleet{List: standin.NewListService(), Workers: []*standin.Worker{worker}, departures: map[*standin.Worker]Departure{}}
 	defer fleet.List.Close()
 	fleet.Publish(true, fleet.Workers, standin.EndpointServing)
 	warm := fleet.List.Feed("n0", -1)
@@ -102,7 +103,7 @@
 	t.Parallel()
 	instance := newStandInScheduler(t, "exit 0")
 	for _, one := range []*Instance{instance, instance.Duplicate()} {
-		if got := one.Count(logSchedulerStarted); got != 0 || one.Log.String() != "" {
+		if got := one.Count(LogSchedulerStarted); got != 0 || one.Log.String() != "" {
 			t.Errorf("%d starts in the log %q, want none", got, one.Log.String())
 		}
 	}
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,36 +1,43 @@
-package testbed
+// Package scenario has scripts of what happens to a fleet of processes, and plays them.
+package scenario
 
 import (
 	"context"
 	"errors"
 	"fmt"
+	"math"
 	"strconv"
 	"strings"
 	"time"
 
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/wait"
 )
 
 // Scenario is a script of what happens to a fleet: lines "TIME VERB ARGUMENTS" in the order of their times, each
 // beginning when its time has come. A share is of all schedulers, or workers, the same ones for the same seed.
 //
-//	0s known full|old|empty        the events that schedulers are configured with; before any start
+//	0s known full|stale|empty      the events that schedulers are configured with; before any start
 //	0s start SHARE                 starts those of the first SHARE that do not run
-//	4s list FAULT [SHARE]          fault of the list service: well (none), refuse, silent, busy, torn or crowded, which
-//	                               answers SHARE of what the fleet polls
-//	4s break                       breaks all connections of the list service
-//	4s tell                        publishes an event that repeats what the list has
+//	4s list FAULT [SHARE]          fault of the list service: healthy (none), refusing, unresponsive, overloaded, truncating or
+//	                               rate_limited, which answers SHARE of what the fleet polls
+//	4s disconnect                  closes all connections of the list service
+//	4s publish                     publishes an event that repeats what the list has
 //	4s drain SHARE                 drains workers
-//	4s replace SHARE [cold]        deletes workers and lists new ones; with cold these are warming up
+//	4s replace SHARE [warming_up]  deletes workers and lists new ones, which are warm unless it says that they are warming up
 //	4s kill|stop|cont|term SHARE   sends schedulers SIGKILL, SIGSTOP, SIGCONT or SIGTERM
-//	4s roll SHARE PAUSE            a rolling restart of all schedulers, a share at a time
-//	4s link CONDITION SHARE SHARE  changes the links between schedulers and workers: whole, cut, cut-there, cut-back, hang,
-//	                               slow (4,000 bytes a second), far (100 to 200 ms each way) or reset
-//	4s boot SHARE                  restarts workers at their address, without functions loaded and warming up
-//	4s jam PAUSE                   the store that all workers load from serves nothing for that long
-//	4s talk CONDITION SHARE        changes the links between schedulers and the others, who gossip: whole, cut, cut-there,
-//	                               cut-back, far or lossy (one datagram in three lost, one in ten twice, out of order)
-//	4s workers FAULT SHARE         gives workers a fault: sound (none), mute, stalls, fails or refuses
+//	4s rolling_restart SHARE PAUSE a rolling restart of all schedulers, a share at a time
+//	4s link CONDITION SHARE SHARE  changes the links between schedulers and workers: healthy, partitioned, partitioned_forward,
+//	                               partitioned_backward, hang, throttled (4,000 bytes a second), high_latency (100 to 200 ms
+//	                               each way) or connection_reset
+//	4s restart_workers SHARE       restarts workers at their address, without functions loaded and warming up
+//	4s stall_store PAUSE           the store that all workers load from serves nothing for that long
+//	4s gossip CONDITION SHARE      changes the links between schedulers and the others, who gossip: healthy, partitioned,
+//	                               partitioned_forward, partitioned_backward, high_latency or lossy (one datagram in three lost,
+//	                               one in ten twice, out of order)
+//	4s workers FAULT SHARE         gives workers a fault: healthy (none), unresponsive, slow, failing or refusing
+//
+// Earlier words for the same are accepted too: see verbAliases and argumentAliases.
 type Scenario []Step
 
 // Step is a line of a Scenario.
@@ -43,8 +50,8 @@
 // errInvalidStep is the error of a line that is no step of a scenario, or whose arguments are invalid.
 var errInvalidStep = errors.New("not a step of a scenario")
 
-// ParseScenario parses a script. Verbs and arguments are checked when the step is executed.
-func ParseScenario(text string) (Scenario, error) {
+// Parse parses a script, and replaces earlier words by the present ones. Verbs and arguments are checked when the step is executed.
+func Parse(text string) (Scenario, error) {
 	var scenario Scenario
 	for line := range strings.Lines(text) {
 		fields := strings.Fields(line)
@@ -56,11 +63,17 @@
 		if err != nil || len(fields) < 2 || outOfOrder {
 			return nil, fmt.Errorf("%w: %q", errInvalidStep, line)
 		}
-		scenario = append(scenario, Step{At: at, Verb: fields[1], Args: fields[2:]})
+		scenario = append(scenario, Step{At: at, Verb: fields[1], Args: fields[2:]}.canonical())
 	}
 	return scenario, nil
 }
 
+// ChangesLinks reports whether the scenario changes links between schedulers and workers.
+func (s Scenario) ChangesLinks() bool { return s.has("link") }
+
+// ChangesGossip reports whether the scenario changes links between schedulers.
+func (s Scenario) ChangesGossip() bool { return s.has("gossip") }
+
 // has reports whether a step of the scenario has a verb.
 func (s Scenario) has(verb string) bool {
 	for _, step := range s {
@@ -92,7 +105,7 @@
 	if err != nil || fraction < 0 || fraction > 1 {
 		return 0, fmt.Errorf("%w: share %q", errInvalidStep, text)
 	}
-	return int(fraction*float64(total) + 0.5), nil
+	return int(math.Round(fraction * float64(total))), nil
 }
 
 // duration returns the duration at an index of the arguments.
@@ -104,15 +117,15 @@
 	return time.ParseDuration(text)
 }
 
-// play executes the steps, each when its time after the beginning has come, until the context ends. It returns when the
+// Play executes the steps on a fleet, each when its time after the beginning has come, until the context ends. It returns when the
 // last step that was executed ended.
-func (f *Fleet) play(ctx context.Context, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
+func Play(ctx context.Context, fleet *process.Fleet, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
 	lastStep = began
 	for _, step := range scenario {
 		if !wait.Sleep(ctx, time.Until(began.Add(step.At))) {
 			break
 		}
-		if err := f.execute(step, seed); err != nil {
+		if err := execute(fleet, step, seed); err != nil {
 			return lastStep, err
 		}
 		lastStep = time.Now()
--- a/internal/testbed/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -1,93 +1,69 @@
-package testbed
+package scenario
 
 import (
 	"errors"
-	"fmt"
 	"math/rand/v2"
 	"strconv"
+	"sync"
 	"syscall"
 	"time"
 
-	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/process"
 	"calicohill/internal/testbed/standin"
 )
 
 // scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
 const scenarioStream = 7
 
-// workerFaults is the faults of workers by their names in scenarios.
-var workerFaults = map[string]standin.WorkerFault{
-	"sound":   standin.WorkerHealthy,
-	"mute":    standin.WorkerUnresponsive,
-	"stalls":  standin.WorkerSlow,
-	"fails":   standin.WorkerFailing,
-	"refuses": standin.WorkerRefusing,
-}
-
-// linkConditions is the conditions of links by their names in scenarios.
-var linkConditions = map[string]fault.LinkCondition{
-	"whole":     {},
-	"cut":       {CutForward: true, CutBackward: true},
-	"cut-there": {CutForward: true},
-	"cut-back":  {CutBackward: true},
-	"lossy":     {Loss: 0.33, Duplicate: 0.1, Jitter: 50 * time.Millisecond},
-	"hang":      {Hang: true},
-	"slow":      {BytesPerSecond: 4000},
-	"far":       {Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond},
-}
-
-// resetLink is the condition that resets a link's connections once.
-const resetLink = "reset"
-
 // stepRun is a step that is executed on a fleet.
 type stepRun struct {
 	Step
-	fleet      *Fleet
+	fleet      *process.Fleet
 	schedulers []int // all instances in the order in which shares take them
 	workers    []int // the same for the workers
 }
 
 // stepVerbs has the function that carries out each verb.
 var stepVerbs = map[string]func(stepRun) error{
-	"start":   func(r stepRun) error { return r.forEachInstance((*Instance).startIfStopped) },
-	"kill":    stepRun.kill,
-	"stop":    func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
-	"cont":    func(r stepRun) error { return r.signal(syscall.SIGCONT) },
-	"term":    stepRun.terminate,
-	"roll":    stepRun.rollingRestart,
-	"list":    stepRun.setListFault,
-	"break":   stepRun.breakList,
-	"tell":    stepRun.repeatEvent,
-	"drain":   stepRun.drain,
-	"replace": stepRun.replace,
-	"boot":    stepRun.restartWorkers,
-	"jam":     stepRun.jam,
-	"workers": stepRun.setWorkerFault,
-	"link":    stepRun.setLinks,
-	"talk":    stepRun.setPartition,
-	"known":   stepRun.setKnownEvents,
+	"start":           func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
+	"kill":            stepRun.kill,
+	"stop":            func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
+	"cont":            func(r stepRun) error { return r.signal(syscall.SIGCONT) },
+	"term":            stepRun.terminate,
+	"rolling_restart": stepRun.rollingRestart,
+	"list":            stepRun.setListFault,
+	"disconnect":      stepRun.disconnectList,
+	"publish":         stepRun.repeatEvent,
+	"drain":           stepRun.drain,
+	"replace":         stepRun.replace,
+	"restart_workers": stepRun.restartWorkers,
+	"stall_store":     stepRun.stallStore,
+	"workers":         stepRun.setWorkerFault,
+	"link":            stepRun.setLinks,
+	"gossip":          stepRun.setPartition,
+	"known":           stepRun.setKnownEvents,
 }
 
-// execute carries out a step.
-func (f *Fleet) execute(step Step, seed uint64) error {
-	do, ok := stepVerbs[step.Verb]
+// execute carries out a step on a fleet.
+func execute(fleet *process.Fleet, step Step, seed uint64) error {
+	do, ok := stepVerbs[step.canonical().Verb]
 	if !ok {
 		return step.invalid()
 	}
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
-	run := stepRun{Step: step, fleet: f}
-	run.schedulers = rng.Perm(len(f.Instances))
-	run.workers = rng.Perm(len(f.Workers))
+	run := stepRun{Step: step.canonical(), fleet: fleet}
+	run.schedulers = rng.Perm(len(fleet.Instances))
+	run.workers = rng.Perm(len(fleet.Workers))
 	return do(run)
 }
 
 // selectedInstances returns the instances that the share at an argument means.
-func (r stepRun) selectedInstances(argument int) ([]*Instance, error) {
+func (r stepRun) selectedInstances(argument int) ([]*process.Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
 		return nil, err
 	}
-	var instances []*Instance
+	var instances []*process.Instance
 	for _, i := range r.schedulers[:count] {
 		instances = append(instances, r.fleet.Instances[i])
 	}
@@ -108,7 +84,7 @@
 }
 
 // forEachInstance does something to the instances of the first argument, until it fails.
-func (r stepRun) forEachInstance(do func(*Instance) error) error {
+func (r stepRun) forEachInstance(do func(*process.Instance) error) error {
 	instances, err := r.selectedInstances(0)
 	if err != nil {
 		return err
@@ -122,19 +98,19 @@
 }
 
 func (r stepRun) kill() error {
-	return r.forEachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *process.Instance) error {
 		in.Kill()
 		return nil
 	})
 }
 
 func (r stepRun) signal(signal syscall.Signal) error {
-	return r.forEachInstance(func(in *Instance) error { return in.Signal(signal) })
+	return r.forEachInstance(func(in *process.Instance) error { return in.Signal(signal) })
 }
 
 // terminate has instances shut down, and does not wait for it.
 func (r stepRun) terminate() error {
-	return r.forEachInstance(func(in *Instance) error {
+	return r.forEachInstance(func(in *process.Instance) error {
 		go func() { _ = in.Stop() }() // the checks detect one that does not end in order
 		return nil
 	})
@@ -150,10 +126,11 @@
 	if err != nil {
 		return err
 	}
+	var restarts sync.WaitGroup
 	for from := 0; from < len(r.schedulers); from += batch {
 		for _, i := range r.schedulers[from:min(from+batch, len(r.schedulers))] {
 			instance := r.fleet.Instances[i]
-			r.fleet.restarts.Go(func() {
+			restarts.Go(func() {
 				if err := instance.Stop(); err == nil {
 					_ = instance.Start() // the checks detect one that does not start
 				}
@@ -161,16 +138,20 @@
 		}
 		time.Sleep(pause)
 	}
-	r.fleet.restarts.Wait()
+	restarts.Wait()
 	return nil
 }
 
 // setListFault gives the list service a fault, or none.
 func (r stepRun) setListFault() error {
-	fault, err := r.argument(0)
+	name, err := r.argument(0)
 	if err != nil {
 		return err
 	}
+	fault, ok := listFaults[name]
+	if !ok {
+		return r.invalid()
+	}
 	answersPerSecond := 0.0
 	if len(r.Args) > 1 {
 		fraction, err := strconv.ParseFloat(r.Args[1], 64)
@@ -179,10 +160,10 @@
 		}
 		answersPerSecond = fraction * float64(len(r.fleet.Instances)) / standin.PollPeriod.Seconds()
 	}
-	return r.fleet.List.SetFault(standin.ListFault(fault), answersPerSecond)
+	return r.fleet.List.SetFault(fault, answersPerSecond)
 }
 
-func (r stepRun) breakList() error {
+func (r stepRun) disconnectList() error {
 	r.fleet.List.BreakConnections()
 	return nil
 }
@@ -190,7 +171,7 @@
 // repeatEvent publishes an event that repeats what the list has of the first worker that does not leave.
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
-		if _, leaves := r.fleet.departures[worker]; !leaves {
+		if _, leaves := r.fleet.Departure(worker); !leaves {
 			r.fleet.Publish(false, []*standin.Worker{worker}, standin.EndpointServing)
 			break
 		}
@@ -214,13 +195,13 @@
 		return err
 	}
 	startedAt := time.Time{}
-	if len(r.Args) > 1 && r.Args[1] == "cold" {
+	if len(r.Args) > 1 && r.Args[1] == warmingUp {
 		startedAt = time.Now()
 	}
 	r.fleet.Publish(false, gone, standin.EndpointDeleted)
 	var added []*standin.Worker
 	for _, worker := range gone {
-		replacement, err := r.fleet.startWorker(worker.ID+"x", startedAt)
+		replacement, err := r.fleet.StartWorker(worker.ID+"x", startedAt)
 		if err != nil {
 			return err
 		}
@@ -244,8 +225,8 @@
 	return nil
 }
 
-// jam has the store serve nothing for a while.
-func (r stepRun) jam() error {
+// stallStore has the store serve nothing for a while.
+func (r stepRun) stallStore() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
@@ -280,40 +261,33 @@
 		return errors.Join(err, r.invalid())
 	}
 	condition, ok := linkConditions[r.Args[0]]
-	if !ok || r.fleet.hub == nil {
+	if !ok || !r.fleet.Partition(instances, condition) {
 		return r.invalid()
 	}
-	r.fleet.mu.Lock()
-	defer r.fleet.mu.Unlock()
-	r.fleet.partitionCondition = condition
-	r.fleet.partitioned = map[string]bool{}
-	for _, instance := range instances {
-		r.fleet.partitioned[instance.Gossip] = true
-	}
 	return nil
 }
 
 // setLinks changes the links between some schedulers and some workers, or resets their connections.
 func (r stepRun) setLinks() error {
-	instances, err := r.selectedInstances(1)
+	const shareOfSchedulers, shareOfWorkers = 1, 2 // which arguments they are
+	instances, err := r.selectedInstances(shareOfSchedulers)
 	if err != nil {
 		return err
 	}
-	workers, err := r.selectedWorkers(2)
+	workers, err := r.selectedWorkers(shareOfWorkers)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
 	condition, ok := linkConditions[r.Args[0]]
-	if !ok && r.Args[0] != resetLink || !r.fleet.LinkedWorkers {
+	if !ok && r.Args[0] != connectionReset || !r.fleet.LinkedWorkers {
 		return r.invalid()
 	}
 	var errs error
 	for _, instance := range instances {
 		for _, worker := range workers {
-			r.fleet.workerAddress(instance.Name, worker) // which opens the link
-			link := r.fleet.linkTo(instance.Name, worker.ID)
-			if link == nil {
-				return fmt.Errorf("no link from %s to %s", instance.Name, worker.ID)
+			link, err := r.fleet.OpenLink(instance.Name, worker)
+			if err != nil {
+				return err
 			}
 			if ok {
 				errs = errors.Join(errs, link.Set(condition))
@@ -330,9 +304,13 @@
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
-	r.fleet.KnownEvents = KnownEvents(r.Args[0])
+	known, ok := knownEvents[r.Args[0]]
+	if !ok {
+		return r.invalid()
+	}
+	r.fleet.KnownEvents = known
 	for _, instance := range r.fleet.Instances {
-		if err := instance.configure(); err != nil {
+		if err := instance.Configure(); err != nil {
 			return err
 		}
 	}
