--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -33,24 +33,24 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // what was read is good, whatever becomes of the descriptor
+	defer func() { _ = file.Close() }() // nothing was written, so an error loses nothing
 	return readRequestLines(file, o.requestsFile)
 }
 
 // parseFields parses NAME=VALUE,...
 func parseFields(text string) (requestFields, error) {
 	fields := requestFields{}
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(part, "=")
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return nil, usageError{fmt.Errorf("request: %q is no NAME=VALUE", part)}
+			return nil, usageError{fmt.Errorf("request: %q is not of the form NAME=VALUE", field)}
 		}
 		fields[name] = value
 	}
 	return fields, nil
 }
 
-// readRequestLines reads a JSON object a line; empty lines are skipped. Errors name the file and the line.
+// readRequestLines reads one JSON object per line; empty lines are skipped. Errors name the file and the line.
 func readRequestLines(in io.Reader, name string) ([]requestFields, error) {
 	var requests []requestFields
 	lines := bufio.NewScanner(in)
