--- a/internal/rules/match/helpers_test.go
+++ b/internal/rules/match/helpers_test.go
@@ -1,30 +1,31 @@
-package match
+package match_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
+	"calicohill/internal/rules/match"
 	"calicohill/routing"
 
 	"pgregory.net/rapid"
 )
 
 // classes are those of the site in all tests, from the least to the most strict about retries.
-var classes = []Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
+var classes = []match.Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
 
 // expression returns an expression in the first line of a file.
-func expression(s string) Expression { return Expression{Position{"f", 1, 1}, s} }
+func expression(s string) match.Expression { return match.Expression{match.Position{"f", 1, 1}, s} }
 
 // ruleWhen returns a rule with nothing but a condition.
-func ruleWhen(when string) Rule {
-	return Rule{Position: Position{"f", 1, 1}, Name: "r", When: expression(when)}
+func ruleWhen(when string) match.Rule {
+	return match.Rule{Position: match.Position{"f", 1, 1}, Name: "r", When: expression(when)}
 }
 
 // load loads rules that must have no errors but warnings.
-func load(t testing.TB, rules ...Rule) *Table {
+func load(t testing.TB, rules ...match.Rule) *match.Table {
 	t.Helper()
-	table, errs := Load(rules, classes)
+	table, errs := match.Load(rules, classes)
 	if table == nil {
 		t.Fatal(errs)
 	}
@@ -32,8 +33,8 @@
 }
 
 // newRequest returns a request with these parameters, changed by the functions in turn.
-func newRequest(t *Table, params map[string]string, change ...func(*Request)) *Request {
-	request := &Request{
+func newRequest(t *match.Table, params map[string]string, change ...func(*match.Request)) *match.Request {
+	request := &match.Request{
 		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
 		IdempotencyKey: "k1", TimeLeft: time.Second, BodyBytes: 10, MemoryMB: 512, Concurrency: 2, LocalTime: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
 	}
@@ -77,9 +78,9 @@
 }
 
 // handlerRules returns n rules, each for one function.
-func handlerRules(n int) (rules []Rule) {
+func handlerRules(n int) (rules []match.Rule) {
 	for i := range n {
-		rules = append(rules, Rule{
+		rules = append(rules, match.Rule{
 			Name: fmt.Sprint(i), When: expression(fmt.Sprintf(`handler == "%016x" && param["HTTP_X_CENTRE"].startsWith("zona")`, i)),
 			Key: expression(`handler + ":" + param["HTTP_X_CENTRE"]`), Route: expression("lane"), Stop: true,
 		})
--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -1,4 +1,4 @@
-package match
+package match_test
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/rules/match"
+
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -60,7 +62,7 @@
 // with its position.
 func TestInvalidRulesAreRejected(t *testing.T) {
 	for when, want := range rejectedConditions {
-		table, errs := Load([]Rule{ruleWhen(when)}, classes)
+		table, errs := match.Load([]match.Rule{ruleWhen(when)}, classes)
 		if want == accepted {
 			if table == nil {
 				t.Errorf("%q is rejected: %v", when, errs)
@@ -75,9 +77,9 @@
 		}
 	}
 	r := ruleWhen(`handler == "a" && nope == 1`)
-	r.Class, r.Key = Expression{Position{"f", 2, 9}, "certificada"}, Expression{Position{"f", 3, 9}, `lanes`}
-	r.Labels = []Label{{"centre", Expression{Position{"f", 4, 16}, `param["A"] + 1`}}}
-	_, errs := Load([]Rule{r, ruleWhen("true")}, classes)
+	r.Class, r.Key = match.Expression{match.Position{"f", 2, 9}, "certificada"}, match.Expression{match.Position{"f", 3, 9}, `lanes`}
+	r.Labels = []match.Label{{"centre", match.Expression{match.Position{"f", 4, 16}, `param["A"] + 1`}}}
+	_, errs := match.Load([]match.Rule{r, ruleWhen("true")}, classes)
 	var got []string
 	for _, f := range errs {
 		got = append(got, fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Directive))
@@ -88,7 +90,7 @@
 }
 
 func TestWarnings(t *testing.T) {
-	_, errs := Load([]Rule{
+	_, errs := match.Load([]match.Rule{
 		{Name: "a", When: expression(`class == "x" && class == "y"`)},
 		{Name: "b", When: expression(`lanes == 1`), Stop: true},
 		{Name: "c", When: expression(`lanes == 1`)},
@@ -118,7 +120,7 @@
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		began := time.Now()
-		table, errs := Load([]Rule{ruleWhen(s)}, classes)
+		table, errs := match.Load([]match.Rule{ruleWhen(s)}, classes)
 		if d := time.Since(began); d > 5*time.Second { // 50 ms is the aim; a busy machine must not fail this
 			t.Errorf("loading took %v", d)
 		}
@@ -140,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), SchemaTable()) {
-		t.Errorf("docs/operators/matching.md lacks the schema:\n%s", SchemaTable())
+	if !strings.Contains(string(page), match.SchemaTable()) {
+		t.Errorf("docs/operators/matching.md lacks the schema:\n%s", match.SchemaTable())
 	}
 }
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -1,4 +1,4 @@
-package match
+package match_test
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"calicohill/internal/rules/match"
 	"calicohill/routing"
 
 	"github.com/google/go-cmp/cmp"
@@ -50,13 +51,13 @@
 // Class, key, route and each label are given by the first rule that matches and gives one; stop ends the evaluation.
 func TestFirstMatch(t *testing.T) {
 	table := load(t,
-		Rule{Name: "a", When: expression(`class == "consulta"`), Key: expression(`handler + ":" + param["C"]`), Labels: []Label{{"c", expression(`param["C"]`)}}},
-		Rule{Name: "b", When: expression(`handler.startsWith("7f")`), Class: expression("certificado"), Route: expression("slow-lane"), Labels: []Label{{"c", expression(`"other"`)}, {"d", expression(`"x"`)}}},
-		Rule{Name: "c", When: expression(`path == "/rpc/consulta"`), Class: expression(`"registro-horas"`), Key: expression(`"k"`), Stop: true},
-		Rule{Name: "d", Route: expression(`"never"`)},
+		match.Rule{Name: "a", When: expression(`class == "consulta"`), Key: expression(`handler + ":" + param["C"]`), Labels: []match.Label{{"c", expression(`param["C"]`)}}},
+		match.Rule{Name: "b", When: expression(`handler.startsWith("7f")`), Class: expression("certificado"), Route: expression("slow-lane"), Labels: []match.Label{{"c", expression(`"other"`)}, {"d", expression(`"x"`)}}},
+		match.Rule{Name: "c", When: expression(`path == "/rpc/consulta"`), Class: expression(`"registro-horas"`), Key: expression(`"k"`), Stop: true},
+		match.Rule{Name: "d", Route: expression(`"never"`)},
 	)
 	got := table.Match(newRequest(table, map[string]string{"C": "z4"}))
-	want := Result{
+	want := match.Result{
 		Class: "certificado", Key: "7f3a9c21e0b4d655:z4", Route: "slow-lane", Labels: map[string]string{"c": "z4", "d": "x"},
 		Rules: []string{"a", "b", "c"}, Cost: got.Cost,
 	}
@@ -84,16 +85,16 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"consulta", "registro-horas", "certificado"}
-		var rules []Rule
+		var rules []match.Rule
 		for i := range rapid.IntRange(1, 5).Draw(rt, "rules") {
 			to := rapid.SampledFrom(names).Draw(rt, "to")
-			r := Rule{Name: fmt.Sprint(i), Class: expression(to)}
+			r := match.Rule{Name: fmt.Sprint(i), Class: expression(to)}
 			if rapid.Bool().Draw(rt, "computed") {
 				r.Class = expression(`keyed ? "` + to + `" : param["CLASS"]`)
 			}
 			rules = append(rules, r)
 		}
-		table, errs := Load(rules, classes)
+		table, errs := match.Load(rules, classes)
 		if table == nil {
 			rt.Fatal(errs)
 		}
@@ -118,20 +119,20 @@
 // A table with its index gives the results of one that evaluates all rules, for any rules and requests.
 func TestIndexDoesNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var rules []Rule
+		var rules []match.Rule
 		for i := range rapid.IntRange(0, 12).Draw(rt, "rules") {
-			r := Rule{Name: fmt.Sprint(i), When: expression(randomCondition(rt, 0)), Stop: rapid.IntRange(0, 4).Draw(rt, "stop") == 0}
+			r := match.Rule{Name: fmt.Sprint(i), When: expression(randomCondition(rt, 0)), Stop: rapid.IntRange(0, 4).Draw(rt, "stop") == 0}
 			if rapid.Bool().Draw(rt, "keyed") {
 				r.Key = expression(fmt.Sprintf(`"k%d" + param["Q"]`, i))
 			}
 			rules = append(rules, r)
 		}
-		indexed, errs := Load(rules, classes)
-		unindexed, _ := Load(rules, classes)
+		indexed, errs := match.Load(rules, classes)
+		unindexed, _ := match.Load(rules, classes)
 		if indexed == nil {
 			rt.Skip(errs)
 		}
-		unindexed.unindexed = true
+		unindexed.EvaluateAllRules()
 		texts := []string{"", "a", "ab", "abc", "abcd", "b", "bcd", "c"}
 		for range 8 {
 			params := map[string]string{}
@@ -159,9 +160,9 @@
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
 		table := load(b, handlerRules(n)...)
-		for name, q := range map[string]*Request{
-			"plain":   newRequest(table, map[string]string{"HTTP_X_CENTRE": "zona4"}, func(q *Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
-			"hostile": newRequest(table, map[string]string{"HTTP_X_CENTRE": strings.Repeat("zon", 85)}, func(q *Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
+		for name, q := range map[string]*match.Request{
+			"plain":   newRequest(table, map[string]string{"HTTP_X_CENTRE": "zona4"}, func(q *match.Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
+			"hostile": newRequest(table, map[string]string{"HTTP_X_CENTRE": strings.Repeat("zon", 85)}, func(q *match.Request) { q.Handler = fmt.Sprintf("%016x", n/2) }),
 		} {
 			b.Run(fmt.Sprintf("rules=%d/%s", n, name), func(b *testing.B) {
 				b.ReportAllocs()
@@ -175,8 +176,8 @@
 
 // The evaluation ends at the cost limit, with what was decided until then.
 func TestEvaluationEndsAtCostLimit(t *testing.T) {
-	table := load(t, Rule{Name: "a", Key: expression(`"a"`)}, Rule{Name: "b", Route: expression("b")}, Rule{Name: "c", Route: expression("c")})
-	table.costLimit = table.rules[0].maxCost + table.rules[1].maxCost - 1 // as if the estimate had been too low
+	table := load(t, match.Rule{Name: "a", Key: expression(`"a"`)}, match.Rule{Name: "b", Route: expression("b")}, match.Rule{Name: "c", Route: expression("c")})
+	table.SetLimit(table.MaxCostOf(0) + table.MaxCostOf(1) - 1) // as if the estimate had been too low
 	got := table.Match(newRequest(table, nil))
 	if got.Key != "a" || got.Route != "" || len(got.Failed) != 1 || table.Counts()[1].Failed != 1 || table.Counts()[2].Tried != 0 {
 		t.Errorf("%+v, %+v", got, table.Counts())
@@ -185,10 +186,10 @@
 
 // A split sends each key to the same route every time, and the given fraction of all keys to each route.
 func TestSplit(t *testing.T) {
-	table := load(t, Rule{Name: "r", Route: expression("old"), Splits: []Split{{Route: "trial", PerMille: 100}, {Route: "other", PerMille: 250}}})
+	table := load(t, match.Rule{Name: "r", Route: expression("old"), Splits: []match.Split{{Route: "trial", PerMille: 100}, {Route: "other", PerMille: 250}}})
 	routes := map[string]int{}
 	for i := range 10000 {
-		q := newRequest(table, nil, func(q *Request) { q.IdempotencyKey = fmt.Sprint(i) })
+		q := newRequest(table, nil, func(q *match.Request) { q.IdempotencyKey = fmt.Sprint(i) })
 		route := table.Match(q).Route
 		if again := table.Match(q).Route; again != route {
 			t.Fatalf("key %d went to %s and %s", i, route, again)
@@ -200,7 +201,7 @@
 			t.Errorf("%d of 10000 keys went to %s, want about %d", got, route, want)
 		}
 	}
-	if _, errs := Load([]Rule{{Name: "r", Splits: []Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(errs) != 1 {
+	if _, errs := match.Load([]match.Rule{{Name: "r", Splits: []match.Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(errs) != 1 {
 		t.Errorf("splits of more than all requests: %v", errs)
 	}
 }
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -1,4 +1,4 @@
-package pools
+package pools_test
 
 import (
 	"fmt"
@@ -9,6 +9,7 @@
 	"time"
 
 	"calicohill/internal/rules/match"
+	"calicohill/internal/rules/pools"
 	"calicohill/routing"
 
 	"pgregory.net/rapid"
@@ -18,12 +19,12 @@
 	return match.Expression{Position: match.Position{File: "f", Line: 1, Column: 1}, Source: s}
 }
 
-func load(tb interface{ Fatal(...any) }) *Core {
-	core, errs := Load([]Pool{
+func load(tb interface{ Fatal(...any) }) *pools.Core {
+	core, errs := pools.Load([]pools.Pool{
 		{Name: "fast", Workers: text(`model == "std" && zone in ["a", "b"]`)},
 		{Name: "slow", Workers: text(`id.startsWith("s")`)},
 		{Name: "rest", Workers: text(`group != 7`)},
-	}, []Route{
+	}, []pools.Route{
 		{Name: "lane", Pools: []match.Expression{text("fast"), text("slow")}},
 		{Name: "any", Pools: []match.Expression{text("rest")}},
 	})
@@ -38,9 +39,9 @@
 	return strings.Join(slices.Sorted(maps.Keys(set.Workers)), " ")
 }
 
-func live(core *Core, route string) string { return names(core.Route(route)) }
+func live(core *pools.Core, route string) string { return names(core.Route(route)) }
 
-var allWorkers = []Attributes{
+var allWorkers = []pools.Attributes{
 	{"f1", "std", "a", 1, "serving"},
 	{"f2", "std", "b", 7, "serving"},
 	{"x", "std", "c", 1, "serving"},
@@ -51,7 +52,7 @@
 func TestFallback(t *testing.T) {
 	core := load(t)
 	now := time.Hour
-	step := func(want string, events ...Event) {
+	step := func(want string, events ...pools.Event) {
 		t.Helper()
 		now += time.Millisecond
 		before := live(core, "lane")
@@ -62,15 +63,15 @@
 	}
 	drain := slices.Clone(allWorkers)
 	drain[0].State = "draining"
-	step("f1 f2", EndpointsChanged{allWorkers})
-	step("f1 f2", FaultObserved{"f1", routing.Unresponsive})                                            // one missing response proves nothing
-	step("f1 f2", FaultObserved{"f1", routing.Unresponsive}, FaultObserved{"f2", routing.Unresponsive}) // f2 is left
-	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})                                       // all unhealthy: the next pool joins, probes go on
-	step("f1 f2", FaultObserved{"f2", routing.Healthy})
-	step("f1 f2", EndpointsChanged{drain})
-	step("f1 f2 s1 s2", FaultObserved{"f2", routing.Unreachable})
-	step("s1 s2", EndpointsChanged{allWorkers[2:]}) // the pool has emptied
-	step("f1 f2", EndpointsChanged{allWorkers})
+	step("f1 f2", pools.EndpointsChanged{allWorkers})
+	step("f1 f2", pools.FaultObserved{"f1", routing.Unresponsive})                                                  // one missing response proves nothing
+	step("f1 f2", pools.FaultObserved{"f1", routing.Unresponsive}, pools.FaultObserved{"f2", routing.Unresponsive}) // f2 is left
+	step("f1 f2 s1 s2", pools.FaultObserved{"f2", routing.Unreachable})                                             // all unhealthy: the next pool joins, probes go on
+	step("f1 f2", pools.FaultObserved{"f2", routing.Healthy})
+	step("f1 f2", pools.EndpointsChanged{drain})
+	step("f1 f2 s1 s2", pools.FaultObserved{"f2", routing.Unreachable})
+	step("s1 s2", pools.EndpointsChanged{allWorkers[2:]}) // the pool has emptied
+	step("f1 f2", pools.EndpointsChanged{allWorkers})
 	if got := live(core, "any"); got != "f1 s1 s2 x" {
 		t.Errorf("any: %q", got)
 	}
@@ -78,7 +79,7 @@
 	if fallback == nil || names(fallback) != "s1 s2" || fallback.Fallback != nil {
 		t.Errorf("fallback: %+v", fallback)
 	}
-	step("f1 f2", FaultObserved{"s1", routing.Unreachable}, FaultObserved{"s2", routing.Unreachable})
+	step("f1 f2", pools.FaultObserved{"s1", routing.Unreachable}, pools.FaultObserved{"s2", routing.Unreachable})
 	if core.Route("lane").Fallback != nil {
 		t.Error("a pool of unhealthy workers is the fallback")
 	}
@@ -89,8 +90,8 @@
 
 // Every error of the definitions is reported, with the directive that it is in.
 func TestLoadReportsAllErrors(t *testing.T) {
-	_, errs := Load([]Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
-		[]Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
+	_, errs := pools.Load([]pools.Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
+		[]pools.Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
 	var got []string
 	for _, f := range errs {
 		got = append(got, f.Directive)
@@ -107,20 +108,20 @@
 		now := time.Hour
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20000).Draw(rt, "wait")) * time.Millisecond
-			core.Step(now, []Event{drawEvent(rt)})
+			core.Step(now, []pools.Event{drawEvent(rt)})
 			set := core.Route("lane").Workers
 			liveHealthy := false
 			for id := range set {
 				if id == "x" {
 					rt.Fatal("a worker of no pool of the route is live")
 				}
-				liveHealthy = liveHealthy || core.isHealthy(id)
+				liveHealthy = liveHealthy || core.IsHealthy(id)
 			}
-			anyHealthy := slices.ContainsFunc([]string{"f1", "f2", "s1", "s2"}, core.isHealthy)
+			anyHealthy := slices.ContainsFunc([]string{"f1", "f2", "s1", "s2"}, core.IsHealthy)
 			if anyHealthy && !liveHealthy {
 				rt.Fatal(fmt.Sprint("a worker is healthy, and not in the live set: ", set))
 			}
-			if len(core.faults) > len(allWorkers) {
+			if core.FaultRecords() > len(allWorkers) {
 				rt.Fatal("faults of more workers are remembered than are listed")
 			}
 		}
@@ -128,17 +129,17 @@
 }
 
 // drawEvent draws a list of some of the workers in any state, or, twice as often, a fault of one of them.
-func drawEvent(rt *rapid.T) Event {
+func drawEvent(rt *rapid.T) pools.Event {
 	if rapid.IntRange(0, 2).Draw(rt, "event") > 0 {
 		id := allWorkers[rapid.IntRange(0, len(allWorkers)-1).Draw(rt, "worker")].ID
-		return FaultObserved{id, routing.Fault(rapid.IntRange(0, 4).Draw(rt, "fault"))}
+		return pools.FaultObserved{id, routing.Fault(rapid.IntRange(0, 4).Draw(rt, "fault"))}
 	}
-	var list []Attributes
+	var list []pools.Attributes
 	for _, worker := range allWorkers {
 		if rapid.Bool().Draw(rt, "listed") {
 			worker.State = rapid.SampledFrom([]string{"serving", "draining"}).Draw(rt, "state")
 			list = append(list, worker)
 		}
 	}
-	return EndpointsChanged{list}
+	return pools.EndpointsChanged{list}
 }
--- a/internal/runtime/bufferpool/pool_test.go
+++ b/internal/runtime/bufferpool/pool_test.go
@@ -1,8 +1,10 @@
-package bufferpool
+package bufferpool_test
 
 import (
 	"testing"
 
+	"calicohill/internal/runtime/bufferpool"
+
 	"pgregory.net/rapid"
 )
 
@@ -13,13 +15,13 @@
 		fits  bool
 	}{
 		"into an empty buffer": {held: 0, added: 10, fits: true},
-		"up to the size":       {held: Size - 10, added: 10, fits: true},
-		"beyond the size":      {held: Size - 10, added: 11, fits: false},
-		"nothing when full":    {held: Size, added: 0, fits: true},
+		"up to the size":       {held: bufferpool.Size - 10, added: 10, fits: true},
+		"beyond the size":      {held: bufferpool.Size - 10, added: 11, fits: false},
+		"nothing when full":    {held: bufferpool.Size, added: 0, fits: true},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
-			buffer := NewPool(1).Get()
+			buffer := bufferpool.NewPool(1).Get()
 			buffer.B = append(buffer.B, make([]byte, tt.held)...)
 			want := tt.held
 			if tt.fits {
@@ -28,15 +30,15 @@
 			if got := buffer.Append(make([]byte, tt.added)); got != tt.fits {
 				t.Errorf("Append = %v, want %v", got, tt.fits)
 			}
-			if len(buffer.B) != want || cap(buffer.B) != Size {
-				t.Errorf("length %d and capacity %d, want %d and %d", len(buffer.B), cap(buffer.B), want, Size)
+			if len(buffer.B) != want || cap(buffer.B) != bufferpool.Size {
+				t.Errorf("length %d and capacity %d, want %d and %d", len(buffer.B), cap(buffer.B), want, bufferpool.Size)
 			}
 		})
 	}
 }
 
 func TestPutNil(t *testing.T) {
-	pool := NewPool(1)
+	pool := bufferpool.NewPool(1)
 	pool.Put(nil)
 	if pool.Get() == nil || pool.Get() != nil {
 		t.Error("putting nil back changes how many buffers are lent")
@@ -47,8 +49,8 @@
 func TestPoolBounds(t *testing.T) {
 	const limit = 200
 	rapid.Check(t, func(rt *rapid.T) {
-		pool := NewPool(limit)
-		var lent []*Buffer
+		pool := bufferpool.NewPool(limit)
+		var lent []*bufferpool.Buffer
 		for range rapid.IntRange(1, 20).Draw(rt, "bursts") {
 			for range rapid.IntRange(0, limit+10).Draw(rt, "gets") {
 				buffer := pool.Get()
@@ -67,12 +69,12 @@
 			for range rapid.IntRange(0, len(lent)).Draw(rt, "puts") {
 				pool.Put(lent[len(lent)-1])
 				lent = lent[:len(lent)-1]
-				if len(pool.free) > limit+maxExcessFree {
-					rt.Fatalf("%d buffers are kept", len(pool.free))
+				if len(pool.Free()) > limit+bufferpool.MaxExcessFree {
+					rt.Fatalf("%d buffers are kept", len(pool.Free()))
 				}
 			}
-			seen := map[*Buffer]bool{}
-			for _, buffer := range append(append([]*Buffer{}, lent...), pool.free...) {
+			seen := map[*bufferpool.Buffer]bool{}
+			for _, buffer := range append(append([]*bufferpool.Buffer{}, lent...), pool.Free()...) {
 				if seen[buffer] {
 					rt.Fatal("a buffer is lent or free twice")
 				}
@@ -84,17 +86,17 @@
 
 // TestBurstReleasesMemory returns a large burst: only some of its buffers are kept.
 func TestBurstReleasesMemory(t *testing.T) {
-	const burst = 10 * maxExcessFree
-	pool := NewPool(burst)
-	var lent []*Buffer
+	const burst = 10 * bufferpool.MaxExcessFree
+	pool := bufferpool.NewPool(burst)
+	var lent []*bufferpool.Buffer
 	for range burst {
 		lent = append(lent, pool.Get())
 	}
 	for _, buffer := range lent {
 		pool.Put(buffer)
 	}
-	// Buffers are kept until the free ones exceed those still lent by maxExcessFree, which is halfway through.
-	if got, want := len(pool.free), (burst+maxExcessFree)/2; got != want {
+	// Buffers are kept until the free ones exceed those still lent by MaxExcessFree, which is halfway through.
+	if got, want := len(pool.Free()), (burst+bufferpool.MaxExcessFree)/2; got != want {
 		t.Errorf("%d buffers are kept of %d, want %d", got, burst, want)
 	}
 }
--- a/internal/runtime/eventloop/event_loop_test.go
+++ b/internal/runtime/eventloop/event_loop_test.go
@@ -1,4 +1,4 @@
-package eventloop
+package eventloop_test
 
 import (
 	"io"
@@ -8,6 +8,7 @@
 	"time"
 
 	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/runtime/eventloop"
 
 	"github.com/panjf2000/gnet/v2"
 	"github.com/sirupsen/logrus"
@@ -33,13 +34,13 @@
 
 // startLoop runs a loop on a free port of the loopback interface until the test ends and returns its address. Incoming
 // connections get the handler, and none is accepted if it is nil.
-func startLoop(t *testing.T, loop *Loop, handler ConnHandler) string {
+func startLoop(t *testing.T, loop *eventloop.Loop, handler eventloop.ConnHandler) string {
 	t.Helper()
 	addr := freeAddr(t)
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	loop.Logger = quiet
-	loop.Accept = func(gnet.Conn) ConnHandler { return handler }
+	loop.Accept = func(gnet.Conn) eventloop.ConnHandler { return handler }
 	started := make(chan struct{})
 	loop.Started = func() { close(started) }
 	stopped := make(chan error, 1)
@@ -80,7 +81,7 @@
 }
 
 func TestTimersFireInOrder(t *testing.T) {
-	loop := New()
+	loop := eventloop.New()
 	startLoop(t, loop, nil)
 	fired := make(chan string, 3)
 	loop.Post(func() {
@@ -112,7 +113,7 @@
 }
 
 func TestPostKeepsOrder(t *testing.T) {
-	loop := New()
+	loop := eventloop.New()
 	startLoop(t, loop, nil)
 	const calls = 100
 	var order []int
@@ -129,7 +130,7 @@
 
 func TestConnection(t *testing.T) {
 	handler := echo{closed: make(chan struct{}, 1)}
-	addr := startLoop(t, New(), handler)
+	addr := startLoop(t, eventloop.New(), handler)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +151,7 @@
 }
 
 func TestRejectedConnection(t *testing.T) {
-	addr := startLoop(t, New(), nil)
+	addr := startLoop(t, eventloop.New(), nil)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +166,7 @@
 }
 
 func TestFailedDial(t *testing.T) {
-	loop := New()
+	loop := eventloop.New()
 	startLoop(t, loop, nil)
 	failed := make(chan error, 1)
 	handler := echo{closed: make(chan struct{}, 1)}
@@ -176,7 +177,7 @@
 }
 
 func TestStallIsReportedBeforeTimers(t *testing.T) {
-	loop := New()
+	loop := eventloop.New()
 	loop.StallThreshold = 20 * time.Millisecond
 	calls := make(chan string, 2)
 	loop.Stalled = func() { calls <- "stalled" }
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simwire_test
 
 import (
 	"errors"
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"calicohill/internal/simwire"
 	"calicohill/routing"
 )
 
@@ -55,7 +56,7 @@
 			}},
 		},
 	} {
-		decoder := NewDecoder(strings.NewReader("round\t5\t1\ntarget_instance\t3\n" + tt.line + "\nflush\n"))
+		decoder := simwire.NewDecoder(strings.NewReader("round\t5\t1\ntarget_instance\t3\n" + tt.line + "\nflush\n"))
 		batch, err := decoder.Next()
 		if err != nil {
 			t.Errorf("%q: %v", tt.line, err)
@@ -73,18 +74,18 @@
 	f.Add("round\t5\t1\ntarget_instance\t3\noutcome\tt/a\t1\t-\t18.5\tw\t0\tdelivered\tx0:1,y:-\nflush\n")
 	f.Add("round\t5\t1\ntarget_instance\t3\npower_on\t5\t{\"classes\":[{\"effect\":\"read_like\"}]}\nflush\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		decoder := NewDecoder(strings.NewReader(text))
+		decoder := simwire.NewDecoder(strings.NewReader(text))
 		for {
 			batch, err := decoder.Next()
 			if errors.Is(err, io.EOF) && batch == nil {
-				var syntax *SyntaxError
+				var syntax *simwire.SyntaxError
 				if errors.As(err, &syntax) && syntax.Line == 0 {
 					t.Fatalf("error without a line: %v", err)
 				}
 				return
 			}
 			if err != nil {
-				var syntax *SyntaxError
+				var syntax *simwire.SyntaxError
 				if !errors.As(err, &syntax) || syntax.Line == 0 {
 					t.Fatalf("error without a line: %v", err)
 				}
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -1,16 +1,17 @@
-package simwire
+package simwire_test
 
 import (
 	"bytes"
 	"testing"
 	"time"
 
+	"calicohill/internal/simwire"
 	"calicohill/routing"
 )
 
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
-	encoder := NewEncoder(&out)
+	encoder := simwire.NewEncoder(&out)
 	encoder.Instance(3)
 	for _, action := range []routing.Action{
 		routing.Send{ID: "t/a", Worker: "w", Timeout: 80*millisecond + 500*time.Microsecond},
--- a/internal/simwire/fuzz_test.go
+++ b/internal/simwire/fuzz_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simwire_test
 
 import (
 	"errors"
@@ -7,6 +7,8 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"calicohill/internal/simwire"
 )
 
 // FuzzDecoder feeds the decoder any bytes: it gives batches, the end, or an error that names the line.
@@ -21,7 +23,7 @@
 	f.Add("round\tNaN\t-1\nflush\n\x00\xff\t\t\n")
 	named := regexp.MustCompile(`line|input ended`)
 	f.Fuzz(func(t *testing.T, in string) {
-		dec := NewDecoder(strings.NewReader(in))
+		dec := simwire.NewDecoder(strings.NewReader(in))
 		for {
 			_, err := dec.Next()
 			if errors.Is(err, io.EOF) {
--- a/internal/snapshot/record_test.go
+++ b/internal/snapshot/record_test.go
@@ -1,16 +1,18 @@
-package snapshot
+package snapshot_test
 
 import (
 	"bytes"
 	"errors"
 	"testing"
 	"time"
+
+	"calicohill/internal/snapshot"
 )
 
 // encode returns the snapshot of a record.
-func encode(t testing.TB, r Record) []byte {
+func encode(t testing.TB, r snapshot.Record) []byte {
 	t.Helper()
-	data, err := Encode(r)
+	data, err := snapshot.Encode(r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,13 +22,13 @@
 // A snapshot decodes to the record that was encoded, and is rejected where anything is wrong with it.
 func TestDecode(t *testing.T) {
 	const fleet, day = "gt-registros", 24 * time.Hour
-	record := Record{Fleet: fleet, EventNumber: 41, CreatedAt: 100 * day, Endpoints: []byte(`{"no":41,"items":[]}`)}
+	record := snapshot.Record{Fleet: fleet, EventNumber: 41, CreatedAt: 100 * day, Endpoints: []byte(`{"no":41,"items":[]}`)}
 	complete := encode(t, record)
-	if got, err := Decode(complete, fleet, 100*day+time.Hour, day); err != nil || got.EventNumber != 41 || !bytes.Equal(got.Endpoints, record.Endpoints) {
+	if got, err := snapshot.Decode(complete, fleet, 100*day+time.Hour, day); err != nil || got.EventNumber != 41 || !bytes.Equal(got.Endpoints, record.Endpoints) {
 		t.Errorf("a complete record: %+v, %v", got, err)
 	}
 	nextVersion := bytes.Clone(complete)
-	nextVersion[len(formatName)] = '2'
+	nextVersion[len(snapshot.FormatName)] = '2'
 	for _, tt := range []struct {
 		name  string
 		data  []byte
@@ -34,38 +36,38 @@
 		now   time.Duration
 		want  error
 	}{
-		{"empty", nil, fleet, 100 * day, ErrIncomplete},
-		{"another file", bytes.Repeat([]byte("x"), 100), fleet, 100 * day, ErrIncomplete},
-		{"a later version", nextVersion, fleet, 100 * day, ErrVersion},
-		{"another fleet", complete, "other", 100 * day, ErrWrongFleet},
-		{"too old", complete, fleet, 102 * day, ErrExpired},
-		{"made after now", complete, fleet, 99 * day, ErrFromFuture},
-		{"too large", make([]byte, MaxSize+1), fleet, 100 * day, ErrTooLarge},
+		{"empty", nil, fleet, 100 * day, snapshot.ErrIncomplete},
+		{"another file", bytes.Repeat([]byte("x"), 100), fleet, 100 * day, snapshot.ErrIncomplete},
+		{"a later version", nextVersion, fleet, 100 * day, snapshot.ErrVersion},
+		{"another fleet", complete, "other", 100 * day, snapshot.ErrWrongFleet},
+		{"too old", complete, fleet, 102 * day, snapshot.ErrExpired},
+		{"made after now", complete, fleet, 99 * day, snapshot.ErrFromFuture},
+		{"too large", make([]byte, snapshot.MaxSize+1), fleet, 100 * day, snapshot.ErrTooLarge},
 	} {
-		if _, err := Decode(tt.data, tt.fleet, tt.now, day); !errors.Is(err, tt.want) {
+		if _, err := snapshot.Decode(tt.data, tt.fleet, tt.now, day); !errors.Is(err, tt.want) {
 			t.Errorf("%s: %v, want %v", tt.name, err, tt.want)
 		}
 	}
 	for n := range complete {
-		if _, err := Decode(complete[:n], fleet, 100*day, day); err == nil {
+		if _, err := snapshot.Decode(complete[:n], fleet, 100*day, day); err == nil {
 			t.Errorf("cut off after %d of %d bytes it is accepted", n, len(complete))
 		}
 		damaged := bytes.Clone(complete)
 		damaged[n] ^= 0x10
-		if _, err := Decode(damaged, fleet, 100*day, day); err == nil {
+		if _, err := snapshot.Decode(damaged, fleet, 100*day, day); err == nil {
 			t.Errorf("with byte %d changed it is accepted", n)
 		}
 	}
-	if _, err := Encode(Record{Endpoints: make([]byte, MaxSize)}); !errors.Is(err, ErrTooLarge) {
+	if _, err := snapshot.Encode(snapshot.Record{Endpoints: make([]byte, snapshot.MaxSize)}); !errors.Is(err, snapshot.ErrTooLarge) {
 		t.Errorf("a record that Decode would reject is encoded: %v", err)
 	}
 }
 
 // FuzzDecode decodes arbitrary bytes: a snapshot of another fleet is never accepted.
 func FuzzDecode(f *testing.F) {
-	f.Add(encode(f, Record{Fleet: "a", EventNumber: 1, CreatedAt: time.Hour, Endpoints: []byte("{}")}))
+	f.Add(encode(f, snapshot.Record{Fleet: "a", EventNumber: 1, CreatedAt: time.Hour, Endpoints: []byte("{}")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := Decode(b, "a", time.Hour, time.Hour); err == nil && r.Fleet != "a" {
+		if r, err := snapshot.Decode(b, "a", time.Hour, time.Hour); err == nil && r.Fleet != "a" {
 			t.Errorf("%+v is accepted", r)
 		}
 	})
--- a/internal/snapshot/schedule_test.go
+++ b/internal/snapshot/schedule_test.go
@@ -1,16 +1,18 @@
-package snapshot
+package snapshot_test
 
 import (
 	"errors"
 	"testing"
 	"time"
 
+	"calicohill/internal/snapshot"
+
 	"pgregory.net/rapid"
 )
 
 // schedulerModel is what the test knows of a Scheduler: the write in progress, what was saved and what was reported.
 type schedulerModel struct {
-	scheduler       Scheduler
+	scheduler       snapshot.Scheduler
 	now             time.Duration
 	lastStart       time.Duration
 	writing         bool
@@ -21,17 +23,17 @@
 }
 
 // step gives the Scheduler events and checks its actions.
-func (m *schedulerModel) step(rt *rapid.T, events ...Event) {
+func (m *schedulerModel) step(rt *rapid.T, events ...snapshot.Event) {
 	for _, action := range m.scheduler.Step(m.now, events...) {
 		switch action := action.(type) {
-		case Write:
-			if m.writing || m.now-m.lastStart < minInterval {
+		case snapshot.Write:
+			if m.writing || m.now-m.lastStart < snapshot.MinInterval {
 				rt.Fatalf("a write %v after the last, another in progress: %v", m.now-m.lastStart, m.writing)
 			}
 			m.writing = true
 			m.lastStart = m.now
 			m.writingVersion = m.listVersion
-		case ReportStatus:
+		case snapshot.ReportStatus:
 			if m.reportedFailing == (action.Err != nil) {
 				rt.Fatalf("reported twice: %v", action.Err)
 			}
@@ -46,10 +48,10 @@
 	if err == nil {
 		m.savedVersion = m.writingVersion
 	}
-	m.step(rt, Written{err})
+	m.step(rt, snapshot.Written{err})
 }
 
-// For any order of changes, slow writes and failures: there is one write at a time, none within minInterval of the last,
+// For any order of changes, slow writes and failures: there is one write at a time, none within MinInterval of the last,
 // and the last change is written in the end. A series of failures is reported once.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -59,7 +61,7 @@
 			switch choice := rapid.IntRange(0, 3).Draw(rt, "do"); {
 			case choice == 0:
 				model.listVersion++
-				model.step(rt, Changed{})
+				model.step(rt, snapshot.Changed{})
 			case choice == 1 && model.writing:
 				model.end(rt, nil)
 			case choice == 2 && model.writing:
@@ -72,7 +74,7 @@
 			if model.writing {
 				model.end(rt, nil)
 			}
-			model.now += maxBackoff
+			model.now += snapshot.MaxBackoff
 			model.step(rt)
 		}
 		if model.savedVersion != model.listVersion {
--- a/internal/stats/decay/decay_test.go
+++ b/internal/stats/decay/decay_test.go
@@ -1,13 +1,15 @@
-package decay
+package decay_test
 
 import (
 	"math"
 	"testing"
 	"time"
+
+	"calicohill/internal/stats/decay"
 )
 
 func TestValueDecays(t *testing.T) {
-	var value Value
+	var value decay.Value
 	value.Set(time.Second, 2)
 	if got := value.At(3*time.Second, 2*time.Second); math.Abs(got-2/math.E) > 1e-12 {
 		t.Errorf("after its time constant %v is left of 2", got)
@@ -15,7 +17,7 @@
 }
 
 func TestPeakIsReplacedWhenOld(t *testing.T) {
-	var peak Peak
+	var peak decay.Peak
 	for _, c := range []struct {
 		at   time.Duration
 		v    float64
@@ -32,7 +34,7 @@
 }
 
 func TestMeanStartsAtFirstObservation(t *testing.T) {
-	var mean Mean
+	var mean decay.Mean
 	mean.Update(4, 0.5)
 	mean.Update(8, 0.5)
 	if mean != 6 {
@@ -41,7 +43,7 @@
 }
 
 func TestWindowCountsRecentEvents(t *testing.T) {
-	var window Window
+	var window decay.Window
 	for i := range 10 {
 		window.Add(time.Duration(i))
 	}
--- a/internal/stats/ratelimit/quotas_test.go
+++ b/internal/stats/ratelimit/quotas_test.go
@@ -1,8 +1,10 @@
-package ratelimit
+package ratelimit_test
 
 import (
 	"testing"
 	"time"
+
+	"calicohill/internal/stats/ratelimit"
 )
 
 func TestQuotas(t *testing.T) {
@@ -21,7 +23,7 @@
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
-			quotas := NewQuotas([]float64{tt.rate})
+			quotas := ratelimit.NewQuotas([]float64{tt.rate})
 			if got := countAllowed(quotas, time.Hour, tt.tenant); got != tt.atOnce {
 				t.Errorf("%d allowed at once, want %d", got, tt.atOnce)
 			}
@@ -34,7 +36,7 @@
 
 const maxCalls = 10
 
-func countAllowed(quotas *Quotas, now time.Duration, tenant int) int {
+func countAllowed(quotas *ratelimit.Quotas, now time.Duration, tenant int) int {
 	allowed := 0
 	for range maxCalls {
 		if !quotas.Exceeded(now, tenant) {
--- a/internal/stats/ratelimit/token_bucket_test.go
+++ b/internal/stats/ratelimit/token_bucket_test.go
@@ -1,9 +1,11 @@
-package ratelimit
+package ratelimit_test
 
 import (
 	"testing"
 	"time"
 
+	"calicohill/internal/stats/ratelimit"
+
 	"pgregory.net/rapid"
 )
 
@@ -16,7 +18,7 @@
 		start := time.Hour
 		now := start
 		taken := 0.0
-		var bucket TokenBucket
+		var bucket ratelimit.TokenBucket
 		for range rapid.IntRange(1, 200).Draw(rt, "attempts") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(rt, "ms")) * time.Millisecond
 			if bucket.Take(now, 1, rate, burst) {
--- a/internal/stats/ratelimit/window_limiter_test.go
+++ b/internal/stats/ratelimit/window_limiter_test.go
@@ -1,8 +1,10 @@
-package ratelimit
+package ratelimit_test
 
 import (
 	"testing"
 	"time"
+
+	"calicohill/internal/stats/ratelimit"
 )
 
 func TestWindowLimiter(t *testing.T) {
@@ -25,7 +27,7 @@
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
-			var limiter WindowLimiter
+			var limiter ratelimit.WindowLimiter
 			now := time.Hour
 			for _, ago := range tt.arrivals {
 				limiter.RecordArrival(now-ago, window)
@@ -48,7 +50,7 @@
 }
 
 func TestWindowOfZeroCountsNothing(t *testing.T) {
-	var limiter WindowLimiter
+	var limiter ratelimit.WindowLimiter
 	limiter.RecordArrival(time.Hour, 0)
 	if limiter.Allow(time.Hour, time.Second, 0, 0, 1) {
 		t.Error("an arrival with a window of 0 is counted")
--- a/internal/stats/rendezvous/rendezvous_test.go
+++ b/internal/stats/rendezvous/rendezvous_test.go
@@ -1,4 +1,4 @@
-package rendezvous
+package rendezvous_test
 
 import (
 	"fmt"
@@ -6,6 +6,8 @@
 	"slices"
 	"testing"
 
+	"calicohill/internal/stats/rendezvous"
+
 	"pgregory.net/rapid"
 )
 
@@ -17,13 +19,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringN(1, 8, 8), 1, 20, rapid.ID[string]).Draw(rt, "members")
 		key := rapid.String().Draw(rt, "key")
-		before := Order(key, members, equalWeight)
+		before := rendezvous.Order(key, members, equalWeight)
 		removed := rapid.SampledFrom(members).Draw(rt, "removed")
 		isRemoved := func(member string) bool { return member == removed }
 		rest := slices.DeleteFunc(slices.Clone(members), isRemoved)
 		slices.Reverse(rest)
 		want := slices.DeleteFunc(before, isRemoved)
-		if got := Order(key, rest, equalWeight); !slices.Equal(got, want) {
+		if got := rendezvous.Order(key, rest, equalWeight); !slices.Equal(got, want) {
 			rt.Fatalf("without %q the order is %q, want %q", removed, got, want)
 		}
 	})
@@ -40,7 +42,7 @@
 	weightOf := func(member string) (string, float64) { return member, weights[member] }
 	first := map[string]float64{}
 	for i := range keys {
-		first[Order(fmt.Sprint(i), []string{"a", "b", "c"}, weightOf)[0]]++
+		first[rendezvous.Order(fmt.Sprint(i), []string{"a", "b", "c"}, weightOf)[0]]++
 	}
 	for member, weight := range weights {
 		if got, want := first[member]/keys, weight/totalWeight; math.Abs(got-want) > tolerance {
