--- a/internal/rules/match/helpers_test.go
+++ b/internal/rules/match/helpers_test.go
@@ -23,11 +23,11 @@
 }
 
 // load loads rules that must have no errors but warnings.
-func load(t testing.TB, rules ...match.Rule) *match.Table {
-	t.Helper()
+func load(tb testing.TB, rules ...match.Rule) *match.Table {
+	tb.Helper()
 	table, errs := match.Load(rules, classes)
 	if table == nil {
-		t.Fatal(errs)
+		tb.Fatal(errs)
 	}
 	return table
 }
--- a/internal/snapshot/record_test.go
+++ b/internal/snapshot/record_test.go
@@ -10,11 +10,11 @@
 )
 
 // encode returns the snapshot of a record.
-func encode(t testing.TB, r snapshot.Record) []byte {
-	t.Helper()
+func encode(tb testing.TB, r snapshot.Record) []byte {
+	tb.Helper()
 	data, err := snapshot.Encode(r)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return data
 }
