--- a/internal/rules/match/estimate.go
+++ b/internal/rules/match/estimate.go
@@ -134,6 +134,7 @@
 	return estimate{cost: len(array.Nodes), maxBytes: longest}, nil
 }
 
+// binary estimates an operator with two operands.
 func (e *estimator) binary(node *ast.BinaryNode, depth int) (estimate, *ExpressionError) {
 	operands, cost, exprErr := e.operands(depth, node.Left, node.Right)
 	if exprErr != nil {
@@ -151,23 +152,38 @@
 	case "contains":
 		return estimate{cost: containsCost + cost + left/containsBytesPerUnit}, nil
 	case "matches":
-		pattern, ok := node.Right.(*ast.StringNode)
-		if !ok {
-			return estimate{}, errorAt(node, "a regular expression must be a constant")
-		}
-		return estimate{cost: regexpCost + cost + left*(1+len(pattern.Value)/patternBytesPerUnit)}, nil
+		return regexpMatch(node, cost, left)
 	case "in", "not in":
-		if _, ok := node.Right.(*ast.ArrayNode); !ok {
-			return estimate{}, errorAt(node, "%s takes a list of constants, or param", node.Operator)
-		}
-		return estimate{cost: listCost + cost + left/listBytesPerUnit}, nil
+		return listLookup(node, cost, left)
 	case "+":
-		if left+right > maxTextBytes {
-			return estimate{}, errorAt(node, "a text of up to %d bytes is over %d", left+right, maxTextBytes)
-		}
-		return estimate{cost: concatCost + cost + (left+right)/concatBytesPerUnit, maxBytes: left + right}, nil
+		return concatenation(node, cost, left+right)
 	case "-", "*", "/", "%":
 		return estimate{cost: arithmeticCost + cost}, nil
 	}
 	return estimate{}, errorAt(node, "no operator %q here", node.Operator)
 }
+
+// regexpMatch estimates the match of a text of up to textBytes bytes; cost is that of the operands.
+func regexpMatch(node *ast.BinaryNode, cost, textBytes int) (estimate, *ExpressionError) {
+	pattern, ok := node.Right.(*ast.StringNode)
+	if !ok {
+		return estimate{}, errorAt(node, "a regular expression must be a constant")
+	}
+	return estimate{cost: regexpCost + cost + textBytes*(1+len(pattern.Value)/patternBytesPerUnit)}, nil
+}
+
+// listLookup estimates the search of a list for a value of up to valueBytes bytes; cost is that of the operands.
+func listLookup(node *ast.BinaryNode, cost, valueBytes int) (estimate, *ExpressionError) {
+	if _, ok := node.Right.(*ast.ArrayNode); !ok {
+		return estimate{}, errorAt(node, "%s takes a list of constants, or param", node.Operator)
+	}
+	return estimate{cost: listCost + cost + valueBytes/listBytesPerUnit}, nil
+}
+
+// concatenation estimates a text of up to textBytes bytes that is made of two; cost is that of the operands.
+func concatenation(node *ast.BinaryNode, cost, textBytes int) (estimate, *ExpressionError) {
+	if textBytes > maxTextBytes {
+		return estimate{}, errorAt(node, "a text of up to %d bytes is over %d", textBytes, maxTextBytes)
+	}
+	return estimate{cost: concatCost + cost + textBytes/concatBytesPerUnit, maxBytes: textBytes}, nil
+}
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -41,8 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	instance := 0
-	hasInstance := false
+	reader := batchReader{decoder: d, batch: batch}
 	for {
 		text, err := d.readLine()
 		if errors.Is(err, io.EOF) {
@@ -52,31 +51,42 @@
 			return nil, err
 		}
 		line := splitLine(text)
-		switch {
-		case line.name == messageFlush:
-			if err := line.end(); err != nil {
-				return nil, d.syntaxError(line.name, err)
-			}
+		ended, err := reader.add(line)
+		if err != nil {
+			return nil, d.syntaxError(line.name, err)
+		}
+		if ended {
 			return batch, nil
-		case line.name == messageTargetInstance:
-			instance = line.integer()
-			hasInstance = true
-			if err := line.end(); err != nil {
-				return nil, d.syntaxError(line.name, err)
-			}
-		case !hasInstance:
-			return nil, d.syntaxError(line.name, errNoInstance)
-		default:
-			item, err := d.readItem(line)
-			if err != nil {
-				return nil, d.syntaxError(line.name, err)
-			}
-			item.Instance = instance
-			batch.Items = append(batch.Items, item)
 		}
 	}
 }
 
+// batchReader fills a batch with the lines after its first.
+type batchReader struct {
+	decoder     *Decoder
+	batch       *Batch
+	instance    int // that the next event is for
+	hasInstance bool
+}
+
+// add reads a line into the batch and reports whether the line ended it.
+func (r *batchReader) add(line *fields) (ended bool, err error) {
+	switch {
+	case line.name == messageFlush:
+		return true, line.end()
+	case line.name == messageTargetInstance:
+		r.instance = line.integer()
+		r.hasInstance = true
+		return false, line.end()
+	case !r.hasInstance:
+		return false, errNoInstance
+	}
+	item, err := r.decoder.readItem(line)
+	item.Instance = r.instance
+	r.batch.Items = append(r.batch.Items, item)
+	return false, err
+}
+
 // readRound reads the first line of a batch.
 func (d *Decoder) readRound() (*Batch, error) {
 	line, err := d.readLine()
