--- a/internal/runtime/deadline/timer_queue.go
+++ b/internal/runtime/deadline/timer_queue.go
@@ -3,6 +3,7 @@
 
 import (
 	"container/heap"
+	"fmt"
 	"time"
 )
 
@@ -56,7 +57,9 @@
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return nil
 	}
-	return heap.Pop(&q.timers).(*Timer)
+	earliest := q.timers[0]
+	heap.Pop(&q.timers)
+	return earliest
 }
 
 // timerHeap implements heap.Interface and keeps the position of each timer up to date.
@@ -77,8 +80,12 @@
 	h[j].position = j + 1
 }
 
+// Push is called by container/heap alone, with what Queue.Set gives it.
 func (h *timerHeap) Push(x any) {
-	timer := x.(*Timer)
+	timer, ok := x.(*Timer)
+	if !ok {
+		panic(fmt.Sprintf("deadline: a %T is no timer", x))
+	}
 	*h = append(*h, timer)
 	timer.position = len(*h)
 }
--- a/internal/stats/rendezvous/rendezvous.go
+++ b/internal/stats/rendezvous/rendezvous.go
@@ -20,6 +20,9 @@
 // mantissaBits is the precision of a float64 in bits.
 const mantissaBits = 53
 
+// halfStep puts Uniform's numbers in the middle of the steps between 0 and 1, since the logarithm of 0 is infinite.
+const halfStep = 0.5
+
 // Score returns a member's score for a key; the member with the highest score comes first. The fraction of keys for
 // which a member comes first is its weight, which is above 0, divided by the sum of all weights.
 func Score(key, member string, weight float64) float64 {
@@ -33,7 +36,7 @@
 	hash.Write([]byte(key + "\x00" + member))
 	// FNV mixes its last bytes badly, so its hash goes through SplitMix64's finalizer.
 	mixed := splitMix64(hash.Sum64())
-	return (float64(mixed>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
+	return (float64(mixed>>(64-mantissaBits)) + halfStep) / (1 << mantissaBits)
 }
 
 // splitMix64 is the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
