--- a/internal/stats/rendezvous/rendezvous.go
+++ b/internal/stats/rendezvous/rendezvous.go
@@ -17,8 +17,10 @@
 	mixShift3      = 31
 )
 
-// mantissaBits is the precision of a float64 in bits.
-const mantissaBits = 53
+const (
+	hashBits     = 64 // size of a hash
+	mantissaBits = 53 // precision of a float64
+)
 
 // halfStep puts Uniform's numbers in the middle of the steps between 0 and 1, since the logarithm of 0 is infinite.
 const halfStep = 0.5
@@ -36,7 +38,7 @@
 	hash.Write([]byte(key + "\x00" + member))
 	// FNV mixes its last bytes badly, so its hash goes through SplitMix64's finalizer.
 	mixed := splitMix64(hash.Sum64())
-	return (float64(mixed>>(64-mantissaBits)) + halfStep) / (1 << mantissaBits)
+	return (float64(mixed>>(hashBits-mantissaBits)) + halfStep) / (1 << mantissaBits)
 }
 
 // splitMix64 is the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
