--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -92,11 +92,8 @@
 		parseField(f, "time", &request.LocalTime, parseLocalTime),
 	)
 	for _, name := range slots {
-		var values []string
-		if value, ok := f[name]; ok {
-			values = []string{value}
-		}
-		request.Params = append(request.Params, values)
+		value, ok := f[name]
+		request.Params = append(request.Params, match.Param{Value: value, Present: ok})
 	}
 	return request, err
 }
--- a/internal/frontend/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -10,6 +10,7 @@
 
 	"calicohill/internal/config/deployment"
 	"calicohill/internal/dispatch"
+	"calicohill/internal/rules/match"
 	"calicohill/routing"
 )
 
@@ -30,19 +31,19 @@
 
 // fields are the parameters of a request that mean something to the scheduler, as the client sent them.
 type fields struct {
-	path           string     // SCRIPT_NAME
-	method         string     // REQUEST_METHOD
-	contentLength  string     // CONTENT_LENGTH
-	id             string     // Request-Id
-	function       string     // Resource-Key
-	idempotencyKey string     // Once-Key
-	budgetMS       string     // Budget-Ms
-	spec           string     // X-Spec
-	ruleParams     [][]string // by slot, those that rules read; nil where one is missing
+	path           string        // SCRIPT_NAME
+	method         string        // REQUEST_METHOD
+	contentLength  string        // CONTENT_LENGTH
+	id             string        // Request-Id
+	function       string        // Resource-Key
+	idempotencyKey string        // Once-Key
+	budgetMS       string        // Budget-Ms
+	spec           string        // X-Spec
+	ruleParams     []match.Param // by slot, those that rules read
 }
 
 // parseFields reads the parameters of a request. Those that rules read, named in slotByParam, go into their slots of
-// ruleParams, where a missing one is nil. The error is errTruncatedPair.
+// ruleParams. The error is errTruncatedPair.
 func parseFields(params []byte, slotByParam map[string]int) (fields, error) {
 	var parsed fields
 	known := map[string]*string{
@@ -56,14 +57,14 @@
 		"HTTP_X_SPEC":       &parsed.spec,
 	}
 	if len(slotByParam) > 0 {
-		parsed.ruleParams = make([][]string, len(slotByParam))
+		parsed.ruleParams = make([]match.Param, len(slotByParam))
 	}
 	err := forEachPair(params, func(name, value []byte) {
 		if field := known[string(name)]; field != nil {
 			*field = string(value)
 		}
 		if slot, ok := slotByParam[string(name)]; ok {
-			parsed.ruleParams[slot] = []string{string(value)}
+			parsed.ruleParams[slot] = match.PresentParam(string(value))
 		}
 	})
 	return parsed, err
--- a/internal/rules/match/environment.go
+++ b/internal/rules/match/environment.go
@@ -23,9 +23,16 @@
 	Minute   int               `expr:"minute"`
 	Weekday  int               `expr:"weekday"`
 	Share    int               `expr:"share"`
-	Param    map[string]string `expr:"param"` // declared for its type; always turned into a slot
-	Slots    [][]string        `expr:"slots_"`
+	Param    map[string]string `expr:"param"`  // declared for its type; always turned into a slot
+	Slots    [][]string        `expr:"slots_"` // the value alone in a list, which is empty for a parameter that is missing
 	Has      []bool            `expr:"has_"`
+
+	values []string // of the parameters by slot, which Slots has its lists from
+}
+
+// newEnvironment returns an environment for expressions that read this many parameters.
+func newEnvironment(slots int) environment {
+	return environment{Slots: make([][]string, slots), Has: make([]bool, slots), values: make([]string, slots)}
 }
 
 // fill sets the environment to a request.
@@ -47,14 +54,24 @@
 		Share:    stableShare(cmp.Or(request.IdempotencyKey, request.ID)),
 		Slots:    e.Slots,
 		Has:      e.Has,
+		values:   e.values,
 	}
-	for i := range e.Slots {
-		e.Slots[i] = nil
-		e.Has[i] = false
-		if i < len(request.Params) && len(request.Params[i]) > 0 && len(request.Params[i][0]) <= maxValueBytes {
-			e.Slots[i] = request.Params[i]
-			e.Has[i] = true
+	for slot := range e.Slots {
+		var param Param
+		if slot < len(request.Params) {
+			param = request.Params[slot]
 		}
+		e.setParam(slot, param)
+	}
+}
+
+// setParam fills a slot; a value that is too long is treated as missing.
+func (e *environment) setParam(slot int, param Param) {
+	e.Slots[slot] = nil
+	e.Has[slot] = param.Present && len(param.Value) <= maxValueBytes
+	if e.Has[slot] {
+		e.values[slot] = param.Value
+		e.Slots[slot] = e.values[slot : slot+1]
 	}
 }
 
--- a/internal/rules/match/helpers_test.go
+++ b/internal/rules/match/helpers_test.go
@@ -39,11 +39,8 @@
 		IdempotencyKey: "k1", TimeLeft: time.Second, BodyBytes: 10, MemoryMB: 512, Concurrency: 2, LocalTime: time.Date(2026, 11, 3, 14, 30, 0, 0, time.UTC),
 	}
 	for _, name := range t.Slots() {
-		var v []string
-		if s, ok := params[name]; ok {
-			v = []string{s}
-		}
-		request.Params = append(request.Params, v)
+		value, ok := params[name]
+		request.Params = append(request.Params, match.Param{Value: value, Present: ok})
 	}
 	for _, apply := range change {
 		apply(request)
--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -45,8 +45,7 @@
 	table.costLimit = worst
 	table.machine.MemoryBudget = evaluationMemoryBudget
 	table.slots = ruleLoader.compiler.slots
-	table.env.Slots = make([][]string, len(table.slots))
-	table.env.Has = make([]bool, len(table.slots))
+	table.env = newEnvironment(len(table.slots))
 	return table, warnings(table.rules)
 }
 
--- a/internal/rules/match/schema.go
+++ b/internal/rules/match/schema.go
@@ -59,6 +59,15 @@
 	MemoryMB       float64       // of a loaded instance, in MB; 0 if unknown
 	Concurrency    int           // requests that an instance runs at a time; 0 if unknown
 	LocalTime      time.Time     // local time of the site
-	// Params is by slot: see Table.Slots. A nil element is a parameter that is missing.
-	Params [][]string
+	// Params is by slot: see Table.Slots.
+	Params []Param
 }
+
+// Param is a parameter that rules read. The zero Param is one that the request lacks.
+type Param struct {
+	Value   string
+	Present bool // the request has the parameter, if only with an empty value
+}
+
+// PresentParam returns a parameter that the request has.
+func PresentParam(value string) Param { return Param{Value: value, Present: true} }
--- a/internal/testbed/match.go
+++ b/internal/testbed/match.go
@@ -140,12 +140,12 @@
 	size := MatchSize{Rules: rules, Load: float64(time.Since(began).Microseconds()) / 1000}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
-		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: [][]string{{matchParameterValue}},
+		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: []match.Param{match.PresentParam(matchParameterValue)},
 	}
 	hostile := *plain
 	hostile.Path = "/rpc/" + strings.Repeat("r", maxPathPadding)
 	hostile.Method = strings.Repeat("M", 16)
-	hostile.Params = [][]string{{longestParameterValue()}}
+	hostile.Params = []match.Param{match.PresentParam(longestParameterValue())}
 	size.Plain, size.PlainP99 = timeEvaluations(table, plain)
 	size.Hostile, size.HostileP99 = timeEvaluations(table, &hostile)
 	return size, nil
