--- a/example/main.go
+++ b/example/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	agentAddress := flag.String("agent", "127.0.0.1:5060", "`address` of the agent")
-	bulletinAddress := flag.String("bulletin", "127.0.0.1:4222", "`address` of the bulletin")
+	endpointListAddress := flag.String("bulletin", "127.0.0.1:4222", "`address` of the bulletin")
 	flag.Parse()
 	listener, err := net.Listen("tcp", *agentAddress)
 	if err != nil {
@@ -20,6 +20,6 @@
 	}
 	go runAgent(listener)
 	http.HandleFunc("GET /bulletins", endpointListHandler(*agentAddress))
-	log.Printf("agent at %s, bulletin at %s", *agentAddress, *bulletinAddress)
-	log.Fatal(http.ListenAndServe(*bulletinAddress, nil))
+	log.Printf("agent at %s, bulletin at %s", *agentAddress, *endpointListAddress)
+	log.Fatal(http.ListenAndServe(*endpointListAddress, nil))
 }
--- a/internal/rules/match/environment.go
+++ b/internal/rules/match/environment.go
@@ -9,23 +9,23 @@
 // environment is a Request as expressions read it, by the names of the schema. The names that end in an underscore
 // are those that the rewriter turns param into.
 type environment struct {
-	Class    string            `expr:"class"`
-	Handler  string            `expr:"handler"`
-	Path     string            `expr:"path"`
-	Method   string            `expr:"method"`
-	Budget   time.Duration     `expr:"budget"`
-	Body     int               `expr:"body"`
-	Keyed    bool              `expr:"keyed"`
-	Client   string            `expr:"client"`
-	MemoryMB float64           `expr:"memory_mb"`
-	Lanes    int               `expr:"lanes"`
-	Hour     int               `expr:"hour"`
-	Minute   int               `expr:"minute"`
-	Weekday  int               `expr:"weekday"`
-	Share    int               `expr:"share"`
-	Param    map[string]string `expr:"param"`  // declared for its type; always turned into a slot
-	Slots    [][]string        `expr:"slots_"` // the value alone in a list, which is empty for a parameter that is missing
-	Has      []bool            `expr:"has_"`
+	Class       string            `expr:"class"`
+	Handler     string            `expr:"handler"`
+	Path        string            `expr:"path"`
+	Method      string            `expr:"method"`
+	TimeLeft    time.Duration     `expr:"budget"`
+	Body        int               `expr:"body"`
+	Keyed       bool              `expr:"keyed"`
+	Client      string            `expr:"client"`
+	MemoryMB    float64           `expr:"memory_mb"`
+	Concurrency int               `expr:"lanes"`
+	Hour        int               `expr:"hour"`
+	Minute      int               `expr:"minute"`
+	Weekday     int               `expr:"weekday"`
+	Bucket      int               `expr:"share"`
+	Param       map[string]string `expr:"param"`  // declared for its type; always turned into a slot
+	Slots       [][]string        `expr:"slots_"` // the value alone in a list, which is empty for a parameter that is missing
+	Has         []bool            `expr:"has_"`
 
 	values []string // of the parameters by slot, which Slots has its lists from
 }
@@ -38,23 +38,23 @@
 // fill sets the environment to a request.
 func (e *environment) fill(request *Request) {
 	*e = environment{
-		Class:    textWithin(request.Class, maxClassBytes),
-		Handler:  textWithin(request.Handler, maxFunctionIDBytes),
-		Path:     textWithin(request.Path, maxPathBytes),
-		Method:   textWithin(request.Method, maxMethodBytes),
-		Budget:   request.TimeLeft,
-		Body:     request.BodyBytes,
-		Keyed:    request.IdempotencyKey != "",
-		Client:   textWithin(request.Client, maxClientBytes),
-		MemoryMB: request.MemoryMB,
-		Lanes:    request.Concurrency,
-		Hour:     request.LocalTime.Hour(),
-		Minute:   request.LocalTime.Minute(),
-		Weekday:  int(request.LocalTime.Weekday()),
-		Share:    stableShare(cmp.Or(request.IdempotencyKey, request.ID)),
-		Slots:    e.Slots,
-		Has:      e.Has,
-		values:   e.values,
+		Class:       textWithin(request.Class, maxClassBytes),
+		Handler:     textWithin(request.Handler, maxFunctionIDBytes),
+		Path:        textWithin(request.Path, maxPathBytes),
+		Method:      textWithin(request.Method, maxMethodBytes),
+		TimeLeft:    request.TimeLeft,
+		Body:        request.BodyBytes,
+		Keyed:       request.IdempotencyKey != "",
+		Client:      textWithin(request.Client, maxClientBytes),
+		MemoryMB:    request.MemoryMB,
+		Concurrency: request.Concurrency,
+		Hour:        request.LocalTime.Hour(),
+		Minute:      request.LocalTime.Minute(),
+		Weekday:     int(request.LocalTime.Weekday()),
+		Bucket:      bucketOf(cmp.Or(request.IdempotencyKey, request.ID)),
+		Slots:       e.Slots,
+		Has:         e.Has,
+		values:      e.values,
 	}
 	for slot := range e.Slots {
 		var param Param
@@ -98,8 +98,8 @@
 	return text
 }
 
-// totalShares is the number of values of the field share, and what the parts of splits are fractions of.
-const totalShares = 1000
+// totalBuckets is the number of buckets that keys are hashed to, and what the parts of splits are fractions of.
+const totalBuckets = 1000
 
 // The parameters of the first two steps of SplitMix64's finalizer (Steele, Lea and Flood, 2014).
 const (
@@ -108,12 +108,12 @@
 	mixShift2     = 27
 )
 
-// stableShare returns a number from 0 to 999 that is the same each time for a key.
-func stableShare(key string) int {
+// bucketOf returns the bucket of a key, from 0 to 999: the same each time.
+func bucketOf(key string) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
 	mixed := hash.Sum64()
 	// FNV mixes its last bytes badly.
 	mixed = (mixed ^ mixed>>mixShift1) * mixMultiplier
-	return int((mixed ^ mixed>>mixShift2) % totalShares)
+	return int((mixed ^ mixed>>mixShift2) % totalBuckets)
 }
--- a/internal/rules/match/evaluate.go
+++ b/internal/rules/match/evaluate.go
@@ -125,12 +125,12 @@
 	return nil
 }
 
-// applyRoute takes the route of the split that the request's share falls into, or else that of the rule.
+// applyRoute takes the route of the split that the request's bucket is in, or else that of the rule.
 func (e *evaluation) applyRoute(r *compiledRule, next *Result) error {
 	if next.Route != "" {
 		return nil
 	}
-	next.Route = r.splitRoute(e.table.env.Share)
+	next.Route = r.splitRoute(e.table.env.Bucket)
 	if next.Route != "" || r.route == nil {
 		return nil
 	}
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// splitRoute returns the route of the split that a share falls into, "" if there is none.
-func (r *compiledRule) splitRoute(share int) string {
-	rest := share
+// splitRoute returns the route of the split that a bucket is in, "" if there is none.
+func (r *compiledRule) splitRoute(bucket int) string {
+	rest := bucket
 	for _, split := range r.Splits {
 		rest -= split.PerMille
 		if rest < 0 {
--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -108,7 +108,7 @@
 	total := 0
 	for _, split := range splits {
 		total += split.PerMille
-		if total > totalShares {
+		if total > totalBuckets {
 			l.addError(split.Position, "split", "the parts add up to %d of 1,000", total)
 		}
 	}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -181,10 +181,10 @@
 		MemoryHeldFraction: unknownCount,
 		LoadsInProgress:    unknownCount,
 	}
-	for pair := range strings.SplitSeq(value, ",") {
-		name, text, ok := strings.Cut(pair, ":")
+	for figure := range strings.SplitSeq(value, ",") {
+		name, text, ok := strings.Cut(figure, ":")
 		if !ok {
-			f.failValue(pair, "name:value")
+			f.failValue(figure, "name:value")
 			return nil
 		}
 		if text == absent {
