--- a/internal/runtime/eventloop/event_loop_test.go
+++ b/internal/runtime/eventloop/event_loop_test.go
@@ -128,17 +128,24 @@
 	}
 }
 
-func TestConnection(t *testing.T) {
-	handler := echo{closed: make(chan struct{}, 1)}
-	addr := startLoop(t, eventloop.New(), handler)
+// dial connects to an address. What is read or written on the connection has to be done within testTimeout.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
+	return conn
+}
+
+func TestConnection(t *testing.T) {
+	handler := echo{closed: make(chan struct{}, 1)}
+	addr := startLoop(t, eventloop.New(), handler)
+	conn := dial(t, addr)
 	if _, err := conn.Write([]byte("hello")); err != nil {
 		t.Fatal(err)
 	}
@@ -152,14 +159,7 @@
 
 func TestRejectedConnection(t *testing.T) {
 	addr := startLoop(t, eventloop.New(), nil)
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
-		t.Fatal(err)
-	}
+	conn := dial(t, addr)
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Errorf("read %d bytes, error %v from a connection without a handler", n, err)
 	}
