--- a/internal/testbed/coldstart.go
+++ b/internal/testbed/coldstart.go
@@ -7,6 +7,9 @@
 	"os"
 	"strings"
 	"time"
+
+	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 // ColdStartScenarios has the scenarios of 'testbed coldstart' by name.
@@ -120,9 +123,9 @@
 		scenario <- scenarioEnd{lastStep, err}
 	}()
 	wakeDelay := fleet.measureWakeDelay(ctx)
-	load := fleet.Offer(ctx, Load{
+	load := fleet.Offer(ctx, workload.Load{
 		Rate:      e.Rate,
-		Functions: functionsFor(e.Workers),
+		Functions: workload.FunctionsFor(e.Workers),
 		Skew:      cmp.Or(e.Skew, defaultSkew),
 		Seed:      e.Seed,
 	})
@@ -141,7 +144,7 @@
 
 // allViolations returns every violation of a rule. worstDelay is by how much the machine woke goroutines late at the worst;
 // time limits are longer by it.
-func (f *Fleet) allViolations(load LoadResult, worstDelay time.Duration) []string {
+func (f *Fleet) allViolations(load workload.Result, worstDelay time.Duration) []string {
 	violations := f.ruleViolations(load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
 		violations = append(violations, fmt.Sprintf("an answer came %v after its time", load.MaxOverrun.Round(time.Millisecond)))
@@ -162,7 +165,7 @@
 	measured := make(chan time.Duration, 1)
 	go func() {
 		worst := time.Duration(0)
-		for at := time.Now(); sleep(ctx, interval); at = time.Now() {
+		for at := time.Now(); wait.Sleep(ctx, interval); at = time.Now() {
 			worst = max(worst, time.Since(at)-interval)
 			f.wakeDelay.Store(int64(worst))
 		}
--- a/internal/testbed/gossip.go
+++ b/internal/testbed/gossip.go
@@ -8,11 +8,15 @@
 	"path/filepath"
 	"slices"
 	"time"
+
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/platform"
+	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
 )
 
 const (
-	// maxMessagesPerSecond is the default of the operator's file for gossip.
-	maxMessagesPerSecond = 20
 	// reportLifetime is how long after a worker's recovery peers' reports of its fault may last.
 	reportLifetime = 10 * time.Second
 	// gossipSkew is how uneven the schedulers' fractions of the load are, so that some learn of a fault late by themselves.
@@ -44,7 +48,7 @@
 		Workers:   e.Workers,
 		Hostile:   e.Hostile,
 		Seconds:   e.Seconds,
-		Limit:     maxMessagesPerSecond,
+		Limit:     platform.MaxGossipMessagesPerSecond,
 	}
 	e.Silent = cmp.Or(e.Silent, max(1, e.Workers/12))
 	for _, run := range []struct {
@@ -162,7 +166,7 @@
 		defer close(faultEnded)
 		run.playFault(ctx, duration)
 	}()
-	load := fleet.Offer(ctx, Load{Rate: e.Rate, Functions: functionsFor(e.Workers), Skew: gossipSkew, Seed: e.Seed})
+	load := fleet.Offer(ctx, workload.Load{Rate: e.Rate, Functions: workload.FunctionsFor(e.Workers), Skew: gossipSkew, Seed: e.Seed})
 	<-faultEnded
 	metrics := gossipMetrics{load: load}
 	metrics.countArrivals(run)
@@ -174,8 +178,8 @@
 }
 
 // unresponsive returns the workers that become unresponsive, chosen by the seed.
-func (e GossipExperiment) unresponsive(fleet *Fleet) []*Worker {
-	var chosen []*Worker
+func (e GossipExperiment) unresponsive(fleet *Fleet) []*standin.Worker {
+	var chosen []*standin.Worker
 	for i := range e.Silent {
 		chosen = append(chosen, fleet.Workers[(int(e.Seed)*7+i*5)%len(fleet.Workers)])
 	}
@@ -201,13 +205,13 @@
 	measureCPU := func() float64 {
 		before := target.CPU()
 		began := time.Now()
-		sleep(ctx, duration)
+		wait.Sleep(ctx, duration)
 		return (target.CPU() - before).Seconds() / time.Since(began).Seconds()
 	}
 	idle := measureCPU()
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
-	go func() { ended <- Flood(target.Gossip, floodRate, stop) }()
+	go func() { ended <- fault.Flood(target.Gossip, floodRate, stop) }()
 	flooded := measureCPU()
 	memory := target.Memory()
 	flooded = (flooded + measureCPU()) / 2
@@ -242,7 +246,7 @@
 }
 
 // workerIDs returns the IDs of workers.
-func workerIDs(workers []*Worker) []string {
+func workerIDs(workers []*standin.Worker) []string {
 	var ids []string
 	for _, worker := range workers {
 		ids = append(ids, worker.ID)
@@ -251,6 +255,6 @@
 }
 
 // without returns the workers that are not among others.
-func without(workers, others []*Worker) []*Worker {
-	return slices.DeleteFunc(slices.Clone(workers), func(worker *Worker) bool { return slices.Contains(others, worker) })
+func without(workers, others []*standin.Worker) []*standin.Worker {
+	return slices.DeleteFunc(slices.Clone(workers), func(worker *standin.Worker) bool { return slices.Contains(others, worker) })
 }
--- a/internal/testbed/pollqueue.go
+++ b/internal/testbed/standin/pollqueue.go
@@ -1,10 +1,23 @@
-package testbed
+package standin
 
 import (
 	"slices"
 	"time"
 )
 
+const (
+	// PollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
+	PollPeriod = 2 * time.Second
+	// MaxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
+	MaxPollDuration = 7 * time.Second
+)
+
+// EvenPollsPer100ms returns how many polls come within 100 ms where those of all schedulers are spread out evenly.
+func EvenPollsPer100ms(schedulers int) float64 {
+	const tenthsPerPoll = float64(PollPeriod / (100 * time.Millisecond))
+	return float64(schedulers) / tenthsPerPoll
+}
+
 // ListFault is how the stand-in list service behaves. Its values are names in scenarios.
 type ListFault string
 
--- a/internal/testbed/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -1,4 +1,4 @@
-package testbed
+package standin
 
 import (
 	"bufio"
@@ -8,6 +8,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"calicohill/internal/testbed/wait"
 )
 
 // workerLoadReport is the load report of every worker, as a field of an answer.
@@ -48,7 +50,7 @@
 	case AgentStart:
 		go c.handle(ctx, command)
 	case AgentPing, AgentStatus:
-		if c.worker.currentFault() != WorkerUnresponsive {
+		if c.worker.Fault() != WorkerUnresponsive {
 			c.write(AgentAnswer{ID: command.ID, Status: AnswerUp, Fields: workerLoadReport})
 		}
 	case AgentCancel:
@@ -65,12 +67,12 @@
 		c.write(AgentAnswer{ID: command.ID, Status: AnswerError})
 		return
 	case WorkerSlow:
-		sleep(ctx, slowWorkerDelay)
+		wait.Sleep(ctx, slowWorkerDelay)
 	}
 	if !c.worker.runFunction(ctx, admitted) {
 		return
 	}
-	if c.worker.currentFault() != WorkerUnresponsive {
+	if c.worker.Fault() != WorkerUnresponsive {
 		c.write(AgentAnswer{ID: command.ID, Status: AnswerOK, Fields: "depth=0," + workerLoadReport, Body: command.Body})
 	}
 }
@@ -112,7 +114,7 @@
 	return admittedRequest{
 		fault:       w.fault,
 		loaded:      loaded,
-		serviceTime: time.Duration(float64(w.profile.ServiceTime) / capacityFraction(w.age(now))),
+		serviceTime: time.Duration(float64(w.profile.ServiceTime) / CapacityFraction(w.age(now))),
 	}
 }
 
@@ -129,5 +131,5 @@
 		return false
 	}
 	defer func() { <-w.slots }()
-	return sleep(ctx, request.serviceTime)
+	return wait.Sleep(ctx, request.serviceTime)
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -4,15 +4,19 @@
 	"math/rand/v2"
 	"time"
 
-	"calicohill/internal/stats/decay"
 	"calicohill/internal/stats/ratelimit"
+	"calicohill/routing/concurrency"
+	"calicohill/routing/demand"
+	"calicohill/routing/latency"
+	"calicohill/routing/outlier"
+	"calicohill/routing/pressure"
+	"calicohill/routing/slowstart"
 )
 
 // Router decides for one scheduler. It is not safe for concurrent use.
 type Router struct {
 	settings     Settings
 	minObjective float64 // shortest latency objective of all classes, in seconds
-	peerFraction float64 // part of what happens at the workers that other schedulers cause, 0 to 1
 	rng          *rand.Rand
 	now          time.Duration // the latest time that Step was given
 	started      bool          // Step was called
@@ -30,22 +34,17 @@
 	resubscribeAt       time.Duration      // when to subscribe again after a failed list call; 0 means never
 	endpointsStaleUntil time.Duration      // nothing is sent until then: the endpoint list may be stale
 
-	functions     map[string]*function // by name
-	requestWeight float64              // count of requests for all functions, decaying; as of lastRequestAt
-	lastRequestAt time.Duration
+	functions    map[string]*function // by name
+	demand       demand.Count         // of requests for all functions
+	demandWindow demand.Window
 
-	capacity       float64 // summed concurrency limits of the eligible workers
-	utilization    float64 // part of capacity that is in use
-	healthyWorkers int     // eligible workers that are not unhealthy
-	hedgeCredit    int     // single overdue attempts that may be hedged
-	meanLatency    float64 // running mean over all warm answers, in seconds
-	meanPressure   float64 // running mean of the pressure of the workers
-
-	activeWeight        float64       // weight of all workers that are ready and not ejected
-	allWarmingUp        bool          // there is no warm worker
-	servedAnswers       float64       // answers of warm workers since servedSince; of all if all are warming up
-	servedSince         time.Duration // when the present measurement of throughput began
-	throughputPerWeight decay.Mean    // of a warm worker, in answers a second per unit of weight
+	pressure       *pressure.Estimator
+	slowStart      *slowstart.Budget
+	outliers       *outlier.Detector
+	latency        *latency.Estimator
+	capacity       concurrency.Capacity // of the eligible workers
+	healthyWorkers int                  // eligible workers that are not unhealthy
+	hedgeCredit    int                  // single overdue attempts that may be hedged
 }
 
 // New returns a Router for these settings. All its randomness comes from the seed. It returns an error if
@@ -56,12 +55,22 @@
 		return nil, err
 	}
 	return &Router{
-		settings:          s,
-		minObjective:      shortest.Seconds(),
-		peerFraction:      1 - 1/float64(s.Schedulers),
-		rng:               rand.New(rand.NewPCG(seed, 0)),
-		requests:          map[string]*request{},
-		tenantQuotas:      s.tenantQuotas(),
+		settings:     s,
+		minObjective: shortest.Seconds(),
+		rng:          rand.New(rand.NewPCG(seed, 0)),
+		requests:     map[string]*request{},
+		tenantQuotas: s.tenantQuotas(),
+		slowStart: slowstart.NewBudget(slowstart.Config{
+			Fraction:         s.SlowStartFraction,
+			Duration:         s.SlowStartDuration,
+			OverloadMultiple: s.OverloadMultiple,
+			OverloadDuration: s.OverloadDuration,
+			InitialRate:      1 / shortest.Seconds() / float64(s.Schedulers),
+		}),
+		outliers:          outlier.NewDetector(s.InstanceKeepAlive, s.FaultReporting),
+		demandWindow:      demand.NewWindow(s.InstanceKeepAlive),
+		latency:           latency.NewEstimator(s.InstanceKeepAlive),
+		pressure:          pressure.NewEstimator(s.Schedulers, shortest, s.InstanceKeepAlive),
 		workers:           map[string]*worker{},
 		membershipVersion: 1,
 		functions:         map[string]*function{},
@@ -76,18 +85,15 @@
 
 // refreshCapacity sums the capacity of the eligible workers and the part of it that is in use.
 func (r *Router) refreshCapacity() {
-	used := 0.0
-	r.capacity = 0
+	r.capacity = concurrency.Capacity{}
 	r.healthyWorkers = 0
 	for _, w := range r.workerList {
 		if !r.eligible(w) {
 			continue
 		}
-		if !r.isUnhealthy(w) {
+		if !r.outliers.IsUnhealthy(&w.health, r.now) {
 			r.healthyWorkers++
 		}
-		used += float64(len(w.inFlight) - w.loadsWaiting)
-		r.capacity += w.concurrencyLimit
+		r.capacity.Add(&w.limit, len(w.inFlight)-w.loadsWaiting)
 	}
-	r.utilization = used / max(r.capacity, 1)
 }
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -4,34 +4,13 @@
 
 // Periodic work.
 const (
-	tickInterval       = 10 * time.Millisecond // between two sweeps over queued and overdue requests
-	tickToken          = 1                     // token of the sweep's timer
-	throughputInterval = time.Second           // between two measurements of throughput
-	resubscribeDelay   = time.Second           // after a failed list call, before the next subscription
+	tickInterval     = 10 * time.Millisecond // between two sweeps over queued and overdue requests
+	tickToken        = 1                     // token of the sweep's timer
+	resubscribeDelay = time.Second           // after a failed list call, before the next subscription
 )
 
-// Running means: the weight of a new sample.
-const (
-	functionMeanWeight   = 0.2  // of a function's service time
-	throughputMeanWeight = 0.2  // of the throughput of a warm worker
-	workerMeanWeight     = 0.5  // of what is known of one worker, which is sampled seldom
-	fleetMeanWeight      = 0.05 // of what is known of all workers
-	errorRateWeight      = 0.1  // of a worker's error rate
-)
-
-// Concurrency limit of a worker, in requests of this scheduler.
-const (
-	initialFleetLimit = 12.0 // requests of all schedulers together that a worker's limit starts from
-	minInitialLimit   = 2    // smallest limit that one scheduler starts from
-	minLimit          = 1.0
-	maxLimit          = 48.0
-	readmissionLimit  = 2 // highest limit of a worker that returns from ejection
-	// An answer of a warm instance that takes longer than limitObjectiveFraction of its latency objective
-	// multiplies the limit by limitDecreaseFactor; one within half of that raises it.
-	limitObjectiveFraction = 0.7
-	limitDecreaseFactor    = 0.8
-	workRoundingError      = 1e-9 // seconds of work in flight that count as none: the sum's rounding error
-)
+// workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
+const workRoundingError = 1e-9
 
 // Overdue attempts. One is overdue after the larger of a fraction of its latency objective and a multiple of
 // the mean service time, but no later than the objective; a load adds a multiple of its time.
@@ -40,66 +19,27 @@
 	overdueMeanMultiple      = 3.0
 	overdueLoadMultiple      = 2.0
 	minSendTimeout           = time.Millisecond // shortest timeout of an attempt
-	overdueToEject           = 2                // overdue attempts without an answer that eject a worker
 )
 
 // Choice of a worker.
 const (
-	maxCandidates         = 4    // workers of the rendezvous order that a first attempt considers
-	presumedWarmRequests  = 4    // peers' requests within a keep-alive that keep an instance loaded
-	maxSpreadUtilization  = 0.4  // utilization up to which a loaded function may be loaded elsewhere too
-	maxWaitingForLoads    = 4    // requests of ours that may wait for loads at a worker that gets another
-	spreadFactor          = 2.0  // preferred workers of a function, as a multiple of its part of all requests
-	spreadKeepAlives      = 2.0  // keep-alives over which that part is counted
-	unansweredPenalty     = 0.25 // requests that a worker with no recent answer counts as busier by
-	pressureSteps         = 4    // steps in which pressure counts; less is noise, and all would follow it
-	peerInfluenceExponent = 4    // how fast what peers cause stops to matter when there are few of them
-)
-
-// Pressure of a worker: the busy fraction of its cores plus a latency in shortest objectives.
-const (
-	leavePressureStart  = 0.9 // from here functions leave it for the next worker in their order
-	leavePressureFull   = 1.7 // from here all have left
-	shedPressure        = 2.0 // of a worker that sheds
-	idleLatencyPressure = 0.2 // latency part of an answer that says nothing of a queue
+	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
+	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
+	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
+	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
+	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
+	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
 )
 
 // Admission and queue.
 const (
-	// Requests for workers whose pressure is this far over 1 begin to be rejected, and at twice that the
-	// probability of a rejection is highest. It stays below 1, or no worker would be seen to recover.
-	rejectPressureExcess = 0.5
-	maxRejectProbability = 0.8
-	expiryMargin         = 2 * tickInterval // before the client gives up, when a queued request is ended
-	// After n sheds in a row a worker is left alone for 2^n of these parts of a service time.
-	shedBackoffDivisor = 16
-	maxShedDoublings   = 4
+	expiryMargin = 2 * tickInterval // before the client gives up, when a queued request is ended
 )
 
 // Outlier detection and hedging.
 const (
-	baseProbationDelay     = time.Second // before an ejected worker is probed; doubles with each probe
-	maxProbationDoublings  = 3
-	minProbationJitter     = 0.5         // randomized delays are this to this plus 1 of the longest
-	ownObservationLifetime = time.Second // own answers younger than this outweigh the reports of peers
-	reportRefreshInterval  = ownObservationLifetime / 4
-	slowLatencyRatio       = 4.0  // latency over that of all workers from which a worker is reported as slow
-	maxConnectionResets    = 3    // breaks in a row, with no answer between, that eject a worker
-	maxErrorRate           = 0.15 // a worker above gets no requests that must not be repeated
 	// Hedges of a single overdue attempt at a worker that answers others: how many are allowed.
 	hedgeCreditPerTimeout = 4 // for each answer that never came
 	hedgeCreditPerHedge   = 1 // for each hedge that was answered first
 	maxHedgeCredit        = 8
 )
-
-// Slow start.
-const (
-	slowStartBudgetMargin = 0.9 // used part of a warming worker's budget
-	// A warming worker may be sent this multiple of the mean request rate, at the least. Per unit of active
-	// weight it is slowStartSkewPerWeight: the preferred worker of a function with a tenth of all requests
-	// receives a tenth of their number times the mean, of which it bears six times minSlowStartSkew.
-	minSlowStartSkew       = 3.0
-	slowStartSkewPerWeight = 0.025
-	maxWarmingWindow       = time.Second // window of the budget while all workers are warming up
-	slowStartOverlap       = 8           // a window is longer by one part in so many
-)
