--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -82,9 +82,7 @@
 	}
 	compiled, exprErr := l.compiler.compile(expression.Source, want)
 	if exprErr != nil {
-		at := expression.Position
-		at.Column += exprErr.Offset
-		l.addError(at, directive, "%s", exprErr.Reason)
+		l.errs = append(l.errs, expression.RuleError(directive, exprErr))
 		return nil
 	}
 	r.maxCost += compiled.cost
--- a/internal/rules/match/rule.go
+++ b/internal/rules/match/rule.go
@@ -64,6 +64,13 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Reason)
 }
 
+// RuleError returns the error of a directive whose expression was rejected, at the position of what is wrong.
+func (e Expression) RuleError(directive string, rejected *ExpressionError) RuleError {
+	position := e.Position
+	position.Column += rejected.Offset
+	return RuleError{Position: position, Directive: directive, Reason: rejected.Reason}
+}
+
 // Result is the outcome of all rules for a request. A string is empty where no rule gives one.
 type Result struct {
 	Class  string
--- a/internal/rules/pools/load.go
+++ b/internal/rules/pools/load.go
@@ -56,9 +56,7 @@
 func (l *loader) addPool(definition Pool) {
 	condition, exprErr := match.NewPredicate(Schema, &Attributes{}, definition.Workers.Source)
 	if exprErr != nil {
-		position := definition.Workers.Position
-		position.Column += exprErr.Offset
-		l.addError(position, workersDirective, "%s", exprErr.Reason)
+		l.errs = append(l.errs, definition.Workers.RuleError(workersDirective, exprErr))
 	}
 	p := &pool{condition: condition, members: map[string]bool{}}
 	l.poolByName[definition.Name] = p
