--- a/internal/rules/match/requirement.go
+++ b/internal/rules/match/requirement.go
@@ -41,12 +41,7 @@
 		}
 		return equalRequirement(condition.Right, condition.Left)
 	case "startsWith":
-		field := indexedField(condition.Left)
-		prefix, ok := condition.Right.(*ast.StringNode)
-		if !ok || field == "" {
-			return nil
-		}
-		return []requirement{{field: field, prefixes: []string{prefix.Value}}}
+		return prefixRequirement(condition.Left, condition.Right)
 	case "in":
 		return listRequirement(condition.Left, condition.Right)
 	}
@@ -79,6 +74,17 @@
 	return nil
 }
 
+// prefixRequirement returns the requirement of a text that begins with a constant.
+func prefixRequirement(field, prefix ast.Node) []requirement {
+	name := indexedField(field)
+	constant, ok := prefix.(*ast.StringNode)
+	if !ok || name == "" {
+		return nil
+	}
+	return []requirement{{field: name, prefixes: []string{constant.Value}}}
+}
+
+// equalRequirement returns the requirement of a text that equals a constant.
 func equalRequirement(field, value ast.Node) []requirement {
 	name := indexedField(field)
 	constant, ok := value.(*ast.StringNode)
@@ -88,6 +94,7 @@
 	return []requirement{{field: name, values: []string{constant.Value}}}
 }
 
+// listRequirement returns the requirement of a text that is one of a list of constants.
 func listRequirement(field, list ast.Node) []requirement {
 	name := indexedField(field)
 	array, ok := list.(*ast.ArrayNode)
--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -59,14 +59,7 @@
 // and gives one. A rule whose evaluation fails does not match.
 func (t *Table) Match(request *Request) Result {
 	t.env.fill(request)
-	if t.unindexed {
-		t.candidates = t.candidates[:0]
-		for i := range t.rules {
-			t.candidates = append(t.candidates, i)
-		}
-	} else {
-		t.candidates = t.index.candidates(&t.env, t.candidates)
-	}
+	t.findCandidates()
 	pass := evaluation{table: t, request: request}
 	for _, i := range t.candidates {
 		r := t.rules[i]
@@ -84,6 +77,18 @@
 	return pass.result
 }
 
+// findCandidates lists the rules that can match the request in the environment.
+func (t *Table) findCandidates() {
+	if !t.unindexed {
+		t.candidates = t.index.candidates(&t.env, t.candidates)
+		return
+	}
+	t.candidates = t.candidates[:0]
+	for i := range t.rules {
+		t.candidates = append(t.candidates, i)
+	}
+}
+
 // checkClassChange reports why a rule may not move a request to a class. The class must be at least as strict about
 // retries as the one that the client requested, and one by idempotency key needs a key.
 func (t *Table) checkClassChange(request *Request, name string) error {
