--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -3,14 +3,16 @@
 import (
 	"errors"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/experiment"
+	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/virtual"
 
 	"github.com/spf13/cobra"
 )
 
 // gossipOptions is the flags of gossip.
 type gossipOptions struct {
-	experiment testbed.GossipExperiment
+	experiment experiment.Gossip
 	virtual    bool
 	asJSON     bool
 	plotPath   string
@@ -85,9 +87,9 @@
 			sizes = append(sizes, size)
 		}
 	}
-	result := testbed.SimulateGossip(append(sizes, o.experiment.Instances), o.experiment.Seed)
+	result := virtual.SimulateGossip(append(sizes, o.experiment.Instances), o.experiment.Seed)
 	if o.plotPath != "" {
-		if err := testbed.PlotVirtualGossip(result, o.plotPath); err != nil {
+		if err := report.PlotVirtualGossip(result, o.plotPath); err != nil {
 			return err
 		}
 	}
