--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -45,8 +45,7 @@
 	table.costLimit = worst
 	table.machine.MemoryBudget = evaluationMemoryBudget
 	table.slots = ruleLoader.compiler.slots
-	table.env.Slots = make([][]string, len(table.slots))
-	table.env.Has = make([]bool, len(table.slots))
+	table.env = newEnvironment(len(table.slots))
 	return table, warnings(table.rules)
 }
 
@@ -83,9 +82,7 @@
 	}
 	compiled, exprErr := l.compiler.compile(expression.Source, want)
 	if exprErr != nil {
-		at := expression.Position
-		at.Column += exprErr.Offset
-		l.addError(at, directive, "%s", exprErr.Reason)
+		l.errs = append(l.errs, expression.RuleError(directive, exprErr))
 		return nil
 	}
 	r.maxCost += compiled.cost
@@ -109,7 +106,7 @@
 	total := 0
 	for _, split := range splits {
 		total += split.PerMille
-		if total > totalShares {
+		if total > totalBuckets {
 			l.addError(split.Position, "split", "the parts add up to %d of 1,000", total)
 		}
 	}
--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -150,12 +150,12 @@
 	size := report.MatchSize{Rules: rules, Load: millis(time.Since(began))}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
-		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: [][]string{{matchParameterValue}},
+		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: []match.Param{match.PresentParam(matchParameterValue)},
 	}
 	hostile := *plain
 	hostile.Path = "/rpc/" + strings.Repeat("r", maxPathPadding)
 	hostile.Method = strings.Repeat("M", maxMethodBytes)
-	hostile.Params = [][]string{{longestParameterValue()}}
+	hostile.Params = []match.Param{match.PresentParam(longestParameterValue())}
 	size.Plain, size.PlainP99 = timeEvaluations(table, plain)
 	size.Hostile, size.HostileP99 = timeEvaluations(table, &hostile)
 	return size, nil
