--- a/routing/picker.go
+++ b/routing/picker.go
@@ -19,7 +19,6 @@
 	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
 	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
 	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
-	coinSides            = 2    // of the coin that breaks ties
 	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
 )
 
@@ -201,7 +200,7 @@
 // busier reports whether a is busier than b; a tie is broken at random.
 func (p *picker) busier(now time.Duration, rng *rand.Rand, a, b *worker) bool {
 	loadA, loadB := p.relativeLoad(now, a), p.relativeLoad(now, b)
-	return loadA > loadB || loadA == loadB && rng.IntN(coinSides) == 0
+	return loadA > loadB || loadA == loadB && rng.IntN(2) == 0
 }
 
 // relativeLoad is how busy a worker is for its weight.
