--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -13,7 +13,8 @@
 // errConnectionClosed is logged for a connection that the service closed without an error.
 var errConnectionClosed = errors.New("closed")
 
-// connection is a connection to the list service, with one poll at a time. It is its own eventloop.ConnHandler.
+// connection is a connection to the list service, with one poll at a time. It belongs to a Watcher, is its own
+// eventloop.ConnHandler and is used on the event loop only. parseResponse bounds what is buffered of a response.
 type connection struct {
 	watcher *Watcher
 	number  int       // the planner's
--- a/internal/frontend/fastcgi/connection.go
+++ b/internal/frontend/fastcgi/connection.go
@@ -22,7 +22,9 @@
 	lingerPollInterval = 20 * time.Millisecond
 )
 
-// conn is a client's connection. It is an eventloop.ConnHandler.
+// conn is a client's connection, from its accept to its close: its records, the wait for input, and the wait for unsent
+// answers before a close. It is an eventloop.ConnHandler and is used on the event loop only. It carries at most
+// maxRequestsPerConn requests, and at most maxUnsentPerConn bytes wait on it.
 type conn struct {
 	server    *Server
 	socket    gnet.Conn // nil once it is closed
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -23,7 +23,9 @@
 	errBodyBeforeParams = errors.New("body ended before the parameters")
 )
 
-// request is a request on a connection, from its BEGIN_REQUEST to its END_REQUEST.
+// request is a request on a connection, from its BEGIN_REQUEST to its END_REQUEST: its streams, its validation, and its
+// one answer. It belongs to its conn and is used on the event loop only. Parameters and body take at most one buffer of the
+// pool each, and it has to be complete within requestTimeout.
 type request struct {
 	ref      slotmap.Ref // the tag of the call that it becomes
 	conn     *conn
