--- a/internal/testbed/pollsim.go
+++ b/internal/testbed/virtual/pollsim.go
@@ -1,4 +1,4 @@
-package testbed
+package virtual
 
 import (
 	"slices"
@@ -6,6 +6,7 @@
 
 	"calicohill/internal/discovery/pollplan"
 	"calicohill/internal/runtime/deadline"
+	"calicohill/internal/testbed/standin"
 )
 
 // networkDelay is how long a message takes in virtual time.
@@ -18,8 +19,8 @@
 // and nothing else of a scheduler.
 type PollSimulation struct {
 	Now        time.Duration
-	Queue      PollQueue
-	Schedulers []*VirtualPoller
+	Queue      standin.PollQueue
+	Schedulers []*Poller
 	Dials      []time.Duration // when connections were established
 	Polls      []time.Duration // when polls reached the service
 
@@ -27,8 +28,8 @@
 	answerTimer deadline.Timer
 }
 
-// VirtualPoller is one scheduler of a PollSimulation.
-type VirtualPoller struct {
+// Poller is one scheduler of a PollSimulation.
+type Poller struct {
 	LastEvent int             // number of its last event
 	UpdatedAt time.Duration   // when it had that
 	Polls     []time.Duration // when it sent its polls
@@ -36,19 +37,19 @@
 	planner     *pollplan.Planner
 	simulation  *PollSimulation
 	timer       deadline.Timer
-	connections map[int]*PendingPoll // by the planner's number; nil where no poll is in flight
+	connections map[int]*standin.PendingPoll // by the planner's number; nil where no poll is in flight
 }
 
 // NewPollSimulation returns a fleet that starts at the virtual time of one hour, and has to obey drains within drainGrace.
 // With listed set each scheduler has the first event.
 func NewPollSimulation(schedulers int, drainGrace time.Duration, seed uint64, listed bool) *PollSimulation {
-	sim := &PollSimulation{Now: time.Hour, Queue: PollQueue{Fault: ListHealthy, LastEvent: 1}}
+	sim := &PollSimulation{Now: time.Hour, Queue: standin.PollQueue{Fault: standin.ListHealthy, LastEvent: 1}}
 	sim.answerTimer.Fire = sim.answer
 	for i := range schedulers {
-		scheduler := &VirtualPoller{
+		scheduler := &Poller{
 			simulation:  sim,
 			planner:     pollplan.New(schedulers, drainGrace, seed<<20+uint64(i)),
-			connections: map[int]*PendingPoll{},
+			connections: map[int]*standin.PendingPoll{},
 		}
 		scheduler.timer.Fire = func() { scheduler.step() }
 		sim.Schedulers = append(sim.Schedulers, scheduler)
@@ -79,9 +80,9 @@
 }
 
 // SetFault gives the list service a fault, or none.
-func (s *PollSimulation) SetFault(fault ListFault) {
+func (s *PollSimulation) SetFault(fault standin.ListFault) {
 	s.Queue.Fault = fault
-	if fault == ListRefusing {
+	if fault == standin.ListRefusing {
 		s.BreakConnections()
 	}
 	s.answer()
@@ -116,7 +117,7 @@
 }
 
 // receive delivers a response with the events up to lastEvent, as the service's fault has it.
-func (p *VirtualPoller) receive(conn, lastEvent int) {
+func (p *Poller) receive(conn, lastEvent int) {
 	fault := p.simulation.Queue.Fault
 	p.simulation.After(networkDelay, func() {
 		if _, open := p.connections[conn]; !open {
@@ -124,10 +125,10 @@
 		}
 		hasUpdates := lastEvent > p.LastEvent
 		switch {
-		case fault == ListOverloaded:
+		case fault == standin.ListOverloaded:
 			delete(p.connections, conn)
 			p.step(pollplan.Failed{Conn: conn, RetryAfter: overloadRetryAfter})
-		case fault == ListTruncating && hasUpdates:
+		case fault == standin.ListTruncating && hasUpdates:
 			delete(p.connections, conn)
 			p.step(pollplan.Failed{Conn: conn})
 		default:
@@ -141,7 +142,7 @@
 }
 
 // step passes events to the planner, carries out its actions and sets the timer for the next.
-func (p *VirtualPoller) step(events ...pollplan.Event) {
+func (p *Poller) step(events ...pollplan.Event) {
 	sim := p.simulation
 	for _, action := range slices.Clone(p.planner.Step(sim.Now, events...)) {
 		switch action := action.(type) {
@@ -164,9 +165,9 @@
 }
 
 // connect establishes a connection, or has it fail.
-func (p *VirtualPoller) connect(dial pollplan.Dial) {
+func (p *Poller) connect(dial pollplan.Dial) {
 	sim := p.simulation
-	if sim.Queue.Fault == ListRefusing {
+	if sim.Queue.Fault == standin.ListRefusing {
 		p.step(pollplan.Failed{Conn: dial.Conn})
 		return
 	}
@@ -176,10 +177,10 @@
 }
 
 // poll sends a poll.
-func (p *VirtualPoller) poll(action pollplan.Poll) {
+func (p *Poller) poll(action pollplan.Poll) {
 	sim := p.simulation
 	p.Polls = append(p.Polls, sim.Now)
-	poll := &PendingPoll{
+	poll := &standin.PendingPoll{
 		After:    p.LastEvent,
 		Deadline: sim.Now + networkDelay + action.Timeout,
 		Answer: func() {
@@ -196,19 +197,3 @@
 		}
 	})
 }
-
-// PeakPer100ms returns the largest number of these times within any 100 ms that begin no earlier than from.
-func PeakPer100ms(times []time.Duration, from time.Duration) int {
-	times = slices.Sorted(slices.Values(times))
-	peak := 0
-	first := 0
-	for i, at := range times {
-		for at-times[first] >= 100*time.Millisecond {
-			first++
-		}
-		if times[first] >= from {
-			peak = max(peak, i-first+1)
-		}
-	}
-	return peak
-}
