--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -48,24 +48,6 @@
 	staleAfterStall = 250 * time.Millisecond
 )
 
-// phase is what a connection is used for at the moment.
-type phase int
-
-const (
-	dialing phase = iota
-	polling       // a poll is in flight
-	idle          // the next poll waits for its time
-)
-
-// connection is a connection to the service and its poll.
-type connection struct {
-	number    int
-	phase     phase
-	at        time.Duration // when the poll was made; while idle, when the next is due
-	timeoutAt time.Duration // until when the service may wait with the response
-	overdueAt time.Duration // when the poll is overdue
-}
-
 // Planner decides for one scheduler. At most two connections are open: the current one and one whose poll is overdue. How
 // polls are spread over the fleet (fleetSpread) and the pause after failures (backoff) are components of its own. It is not
 // safe for concurrent use.
@@ -138,19 +120,12 @@
 
 // Next returns by when Step has to be called if there is no event before; false if it need not be.
 func (p *Planner) Next() (time.Duration, bool) {
-	switch {
-	case p.current == nil:
+	if p.current == nil {
 		return p.dialAt, p.dialAt > 0
-	case p.current.phase == polling:
-		return p.current.overdueAt, true
-	default:
-		return p.current.at, p.current.phase == idle
 	}
+	return p.current.next()
 }
 
-// hasNumber reports whether c, which may be nil, is the connection of that number.
-func (c *connection) hasNumber(number int) bool { return c != nil && c.number == number }
-
 // started plans the first poll.
 func (p *Planner) started(now time.Duration, event Started) {
 	p.dialAt = now
@@ -172,7 +147,7 @@
 		p.dialAt = 0
 		p.current = &connection{number: p.lastConn}
 		p.actions = append(p.actions, Dial{p.lastConn})
-	case p.current.phase == idle:
+	case p.current.isIdle():
 		p.poll(now)
 	default:
 		p.pollOverdue(now)
@@ -199,8 +174,7 @@
 func (p *Planner) poll(now time.Duration) {
 	conn := p.current
 	if !p.pollLimit.Take(now, 1, maxPollsPerSecond, maxPollBurst) {
-		conn.phase = idle
-		conn.at = now + time.Second/maxPollsPerSecond
+		conn.pollAt(now + time.Second/maxPollsPerSecond)
 		return
 	}
 	timeout := PollTimeout
@@ -215,10 +189,7 @@
 	if p.stale { // a response is needed at once, with updates or without
 		timeout = 0
 	}
-	conn.phase = polling
-	conn.at = now
-	conn.timeoutAt = now + timeout
-	conn.overdueAt = conn.timeoutAt + lateness
+	conn.startPoll(now, timeout, lateness)
 	p.synchronized = false
 	p.actions = append(p.actions, Poll{conn.number, timeout})
 }
@@ -229,11 +200,11 @@
 		return
 	}
 	conn := p.current
-	if !conn.hasNumber(event.Conn) || conn.phase != polling {
+	if !conn.hasNumber(event.Conn) || !conn.isPolling() {
 		return
 	}
 	if p.stale {
-		p.stale = conn.at < conn.timeoutAt // a poll with a wait was made before the stall
+		p.stale = conn.hasWait() // a poll with a wait was made before the stall
 		if !p.stale {
 			p.actions = append(p.actions, MarkStale{0})
 		}
@@ -247,14 +218,13 @@
 		p.dialAt = next
 		return
 	}
-	conn.phase = idle
-	conn.at = next
+	conn.pollAt(next)
 }
 
 // resume makes the connection of the overdue poll, which was answered after all, the current one again. It returns false if
 // the poll that was to replace it is already in flight: then it closes the connection of the overdue poll.
 func (p *Planner) resume() bool {
-	if p.current != nil && p.current.phase == polling {
+	if p.current.isPolling() {
 		p.closeConnection(&p.overdue)
 		p.backoff.reset()
 		p.synchronized = true
@@ -269,7 +239,7 @@
 // nextPoll is when to poll after a response on the current connection.
 func (p *Planner) nextPoll(now time.Duration, event Answered) time.Duration {
 	next := now
-	if !event.HasUpdates && p.current.at < p.current.timeoutAt {
+	if !event.HasUpdates && p.current.hasWait() {
 		next = max(now, p.current.at+p.pollInterval)
 	}
 	p.synchronized = p.synchronized || event.HasUpdates || p.serviceSlow
@@ -283,7 +253,7 @@
 // answered it.
 func (p *Planner) stalled(now time.Duration) {
 	conn := p.current
-	if conn != nil && conn.phase == polling && now < conn.timeoutAt {
+	if conn.isPolling() && now < conn.timeoutAt {
 		return
 	}
 	p.stale = true
@@ -291,10 +261,10 @@
 	switch {
 	case conn == nil && p.backoff.isZero():
 		p.dialAt = now
-	case conn != nil && conn.phase == idle:
-		conn.at = now
+	case conn.isIdle():
+		conn.pollAt(now)
 	case conn != nil: // its response may have come and not be read yet
-		conn.overdueAt = max(conn.overdueAt, now+staleAfterStall)
+		conn.allowUntil(now + staleAfterStall)
 	}
 }
 
