--- a/internal/fleet/transport/fleet_internal_test.go
+++ b/internal/fleet/transport/fleet_internal_test.go
@@ -127,17 +127,17 @@
 	}
 	opened.addr = local.AddrPort()
 	// Only now is the port known that others are to be told.
-	node.settings.Advertise = opened.addr
-	node.core = newCore(node.settings, node.own, node.guard, node.start.UnixMilli())
+	node.engine.settings.Advertise = opened.addr
+	node.engine.core = newCore(node.engine.settings, node.engine.own, node.engine.guard, node.engine.start.UnixMilli())
 	return opened
 }
 
 // receiveFrom reads and applies all datagrams that another node has sent to this one, which are all that it has sent.
 func (n *testNode) receiveFrom(sender *testNode) {
 	n.t.Helper()
-	for n.received < sender.messagesSent {
+	for n.received < sender.engine.sent.messages {
 		n.received++
-		n.step(n.openDatagram(nil, n.read()))
+		n.step(n.engine.openDatagram(nil, n.read()))
 	}
 }
 
@@ -158,7 +158,7 @@
 // exchange has two nodes, of which no other sends anything, receive from each other until neither has sent more.
 func exchange(a, b *testNode) {
 	a.t.Helper()
-	for a.received < b.messagesSent || b.received < a.messagesSent {
+	for a.received < b.engine.sent.messages || b.received < a.engine.sent.messages {
 		a.receiveFrom(b)
 		b.receiveFrom(a)
 	}
@@ -193,15 +193,15 @@
 // wantMember checks that another member is known, in this state.
 func (n *testNode) wantMember(name string, want gossip.State) {
 	n.t.Helper()
-	for _, member := range n.core.Members() {
+	for _, member := range n.engine.core.Members() {
 		if member.Name == name {
 			if member.State != want {
-				n.t.Errorf("%s: member %s is %s, want %s", n.own.Name(), name, member.State, want)
+				n.t.Errorf("%s: member %s is %s, want %s", n.engine.own.Name(), name, member.State, want)
 			}
 			return
 		}
 	}
-	n.t.Errorf("%s: member %s is not known, want it %s", n.own.Name(), name, want)
+	n.t.Errorf("%s: member %s is not known, want it %s", n.engine.own.Name(), name, want)
 }
 
 // messages returns the messages of the log since the last call.
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -3,7 +3,6 @@
 package transport
 
 import (
-	"crypto/rand"
 	"errors"
 	"fmt"
 	"net"
@@ -14,7 +13,6 @@
 	"calicohill/internal/fleet/faultreport"
 	"calicohill/internal/fleet/gossip"
 	"calicohill/internal/fleet/pki"
-	"calicohill/internal/runtime/logging"
 	"calicohill/routing"
 
 	"github.com/sirupsen/logrus"
@@ -22,39 +20,24 @@
 
 const (
 	queueLength       = 256 // datagrams, and calls, that wait for the goroutine of Node.run
-	maxMembers        = 4096
 	socketBufferBytes = 256 << 10
-	secretBytes       = 32 // of the cookies
+	// maxBatch is how many queued datagrams are opened, besides the first, before the cores are stepped.
+	maxBatch = 64
+	// minStepInterval is the minimum time until a step that nothing but the clock causes.
+	minStepInterval = time.Millisecond
 )
 
 // Node is this scheduler's membership in its fleet. Its methods may be called from any goroutine; Run and Close are to
 // be called once each.
 type Node struct {
-	log            *logrus.Entry
-	rateLimitedLog logging.RateLimited
-	onPeerReports  func(routing.PeerReports)
-	conn           *net.UDPConn
-	start          time.Time
-
-	datagrams chan datagram
-	calls     chan func() // to be run by the goroutine of run
+	log       *logrus.Entry
+	conn      *net.UDPConn
+	engine    *engine       // of the goroutine of run
+	datagrams chan datagram // received
+	calls     chan func()   // to be run by the goroutine of run
 	quit      chan struct{}
 	done      chan struct{}
 	endpoints atomic.Pointer[[]string] // worker IDs that the next step takes; nil if they have not changed
-
-	// The rest belongs to the goroutine of run; own's name and the fleet do not change.
-	settings     operatorfile.Gossip
-	own          *pki.Member
-	trust        *pki.Trust
-	guard        *gossip.Guard
-	core         *gossip.Core
-	faultReports *faultreport.Core
-	faultEvents  []faultreport.Event // for the next step of faultReports
-	statementSeq uint64
-	verdicts     map[string]routing.PeerVerdict // by worker ID
-	messagesSent int
-	bytesSent    int
-	sendRate     gossip.RateMeter
 }
 
 // Open reads the keys, binds the socket and returns a Node that is idle until Run. onPeerReports is called on the
@@ -70,71 +53,15 @@
 	}
 	// On an error the socket keeps the system's buffer size, which is enough.
 	_ = conn.SetReadBuffer(socketBufferBytes)
-	start := time.Now()
-	node := &Node{
-		log:            log,
-		rateLimitedLog: logging.RateLimited{Log: log},
-		onPeerReports:  onPeerReports,
-		conn:           conn,
-		start:          start,
-		datagrams:      make(chan datagram, queueLength),
-		calls:          make(chan func(), queueLength),
-		quit:           make(chan struct{}),
-		done:           make(chan struct{}),
-		settings:       settings,
-		own:            own,
-		trust:          trust,
-		verdicts:       map[string]routing.PeerVerdict{},
-	}
-	epoch := start.UnixMilli()
-	node.guard = newGuard(settings, own, trust, epoch)
-	node.core = newCore(settings, own, node.guard, epoch)
-	node.faultReports = faultreport.New(faultReportConfig(settings))
-	return node, nil
-}
-
-func newGuard(settings operatorfile.Gossip, own *pki.Member, trust *pki.Trust, epoch int64) *gossip.Guard {
-	secret := make([]byte, secretBytes)
-	rand.Read(secret) // which never fails
-	return gossip.NewGuard(gossip.GuardConfig{
-		Fleet:              settings.Fleet,
-		Own:                own,
-		Epoch:              epoch,
-		Trust:              trust,
-		Secret:             secret,
-		MaxChecksPerSecond: settings.MaxSignatureChecksPerSecond,
-		MaxClockSkew:       settings.ClockSkew,
-		Seeds:              settings.Seeds,
-	})
-}
-
-func newCore(settings operatorfile.Gossip, own *pki.Member, guard *gossip.Guard, epoch int64) *gossip.Core {
-	return gossip.New(gossip.Config{
-		Name:                 own.Name(),
-		Addr:                 settings.Advertise,
-		Epoch:                epoch,
-		Seeds:                settings.Seeds,
-		ProbeInterval:        settings.ProbeInterval,
-		ProbeTimeout:         settings.ProbeTimeout,
-		SuspicionTimeout:     settings.SuspicionTimeout,
-		MaxMessagesPerSecond: settings.MaxMessagesPerSecond,
-		MaxMembers:           maxMembers,
-		Seed:                 uint64(epoch),
-		Sign:                 guard.SignRecord,
-	})
-}
-
-func faultReportConfig(settings operatorfile.Gossip) faultreport.Config {
-	return faultreport.Config{
-		MaxByzantine:       settings.MaxByzantine,
-		MaxEjectedFraction: settings.MaxEjectedFraction,
-		ReportTTL:          settings.FaultReportExpiry,
-	}
-}
-
-// now is the time that the cores are given: Unix time at the start, continued by the monotonic clock.
-func (n *Node) now() time.Duration {
-	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
+	return &Node{
+		log:       log,
+		conn:      conn,
+		engine:    newEngine(settings, own, trust, conn, onPeerReports, log),
+		datagrams: make(chan datagram, queueLength),
+		calls:     make(chan func(), queueLength),
+		quit:      make(chan struct{}),
+		done:      make(chan struct{}),
+	}, nil
 }
 
 // Run starts the Node.
@@ -142,7 +69,7 @@
 	go n.receive()
 	go n.run()
 	n.log.WithFields(logrus.Fields{
-		"name": n.own.Name(), "listen": n.settings.Listen.String(), "fleet": n.settings.Fleet,
+		"name": n.engine.own.Name(), "listen": n.engine.settings.Listen.String(), "fleet": n.engine.settings.Fleet,
 	}).Info("gossip started")
 }
 
@@ -166,7 +93,7 @@
 // FaultObserved records a fault that this scheduler observes, or no longer observes, of a worker. It never waits.
 func (n *Node) FaultObserved(report routing.ReportFault) {
 	n.post(func() {
-		n.faultEvents = append(n.faultEvents, faultreport.FaultObserved{
+		n.engine.addFaultEvent(faultreport.FaultObserved{
 			Worker: report.Worker, Fault: report.Fault, At: report.ObservedAt,
 		})
 	})
@@ -188,9 +115,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if own.Name() != n.own.Name() || settings.Fleet != n.settings.Fleet {
+	if own.Name() != n.engine.own.Name() || settings.Fleet != n.engine.settings.Fleet {
 		return nil, fmt.Errorf("gossip: %s of fleet %s can't become %s of fleet %s without a restart",
-			n.own.Name(), n.settings.Fleet, own.Name(), settings.Fleet)
+			n.engine.own.Name(), n.engine.settings.Fleet, own.Name(), settings.Fleet)
 	}
 	return func() error {
 		if !n.post(func() { n.reload(settings, own, trust) }) {
@@ -200,18 +127,45 @@
 	}, nil
 }
 
-// reload applies new keys and settings. Authorities that the settings no longer name stay trusted for the overlap.
+// reload applies new keys and settings.
 func (n *Node) reload(settings operatorfile.Gossip, own *pki.Member, trust *pki.Trust) {
-	n.trust = trust.MergePrevious(n.trust, time.Now(), settings.AuthorityOverlap)
-	removed := n.guard.UpdateTrust(own, n.trust, time.Now())
-	events := []gossip.Event{gossip.UpdateSeeds{Seeds: settings.Seeds}}
-	for _, name := range removed {
-		n.log.WithField("peer", name).Warn("peer removed: its certificate is no longer valid")
-		events = append(events, gossip.RemoveMember{Name: name})
-	}
-	n.settings.Seeds = settings.Seeds
-	n.settings.AuthorityOverlap = settings.AuthorityOverlap
-	n.faultEvents = append(n.faultEvents, faultreport.Configure{Config: faultReportConfig(settings)})
-	n.step(events)
+	n.step(n.engine.reload(settings, own, trust))
 	n.log.Info("gossip settings reloaded")
 }
+
+// run steps the cores with what arrives and when they are due, until the Node is closed.
+func (n *Node) run() {
+	defer close(n.done)
+	defer func() { _ = n.conn.Close() }() // nothing is left to do about an error
+	timer := time.NewTimer(0)
+	for {
+		var events []gossip.Event
+		select {
+		case received := <-n.datagrams:
+			events = n.openQueued(received)
+		case call := <-n.calls:
+			call()
+		case <-timer.C:
+		case <-n.quit:
+			n.leave()
+			return
+		}
+		n.step(events)
+		next := n.engine.next()
+		timer.Reset(max(next-n.engine.now(), minStepInterval))
+	}
+}
+
+// step steps the engine with events and what the other goroutines have left for it.
+func (n *Node) step(events []gossip.Event) {
+	if workers := n.endpoints.Swap(nil); workers != nil {
+		n.engine.addFaultEvent(faultreport.EndpointsChanged{Workers: *workers})
+	}
+	n.engine.step(events)
+}
+
+// leave announces that this member leaves.
+func (n *Node) leave() {
+	n.step([]gossip.Event{gossip.Leave{}})
+	n.engine.logEnd()
+}
--- a/internal/fleet/transport/node_internal_test.go
+++ b/internal/fleet/transport/node_internal_test.go
@@ -126,12 +126,12 @@
 	stranger.issue("b", time.Now())
 	nodeB := stranger.open("b", nodeA.addr)
 	nodeB.step(nil)
-	if nodeB.messagesSent == 0 {
+	if nodeB.engine.sent.messages == 0 {
 		t.Fatal("nothing was sent")
 	}
 	nodeA.receiveFrom(nodeB)
-	if members := nodeA.core.Members(); len(members) != 0 || nodeA.messagesSent != 0 {
-		t.Errorf("members %v and %d datagrams sent, want none", members, nodeA.messagesSent)
+	if members := nodeA.engine.core.Members(); len(members) != 0 || nodeA.engine.sent.messages != 0 {
+		t.Errorf("members %v and %d datagrams sent, want none", members, nodeA.engine.sent.messages)
 	}
 	if got, want := nodeA.messages(), []string{"gossip datagram dropped"}; !slices.Equal(got, want) {
 		t.Errorf("log %q, want %q", got, want)
@@ -161,7 +161,7 @@
 		node.runCalls()
 		node.step(nil)
 	}
-	nodeA.FaultObserved(routing.ReportFault{Worker: "w1", Fault: routing.Unreachable, ObservedAt: nodeA.now()})
+	nodeA.FaultObserved(routing.ReportFault{Worker: "w1", Fault: routing.Unreachable, ObservedAt: nodeA.engine.now()})
 	nodeA.runCalls()
 	nodeA.step(nil)
 	exchange(nodeA, nodeB)
@@ -194,7 +194,7 @@
 		{"still withdrawn", nil, nil},
 	} {
 		node.reports = nil
-		node.publishPeerReports(routing.PeerReports{Verdicts: tt.verdicts})
+		node.engine.publishPeerReports(routing.PeerReports{Verdicts: tt.verdicts})
 		if got := node.messages(); !slices.Equal(got, tt.want) {
 			t.Errorf("%s: log %q, want %q", tt.name, got, tt.want)
 		}
@@ -217,8 +217,8 @@
 		t.Errorf("%d calls are queued, want %d", got, queueLength)
 	}
 	node.runCalls()
-	if len(node.faultEvents) != 0 {
-		t.Errorf("events %v, want none: the call was dropped", node.faultEvents)
+	if len(node.engine.faultEvents) != 0 {
+		t.Errorf("events %v, want none: the call was dropped", node.engine.faultEvents)
 	}
 	// The endpoint list is not dropped, as it is not repeated: the next step takes the latest.
 	if got := node.endpoints.Load(); got == nil || !slices.Equal(*got, []string{"new"}) {
@@ -287,12 +287,12 @@
 		t.Fatal(err)
 	}
 	nodeA.runCalls()
-	if members := nodeA.core.Members(); len(members) != 0 {
+	if members := nodeA.engine.core.Members(); len(members) != 0 {
 		t.Errorf("members %v, want none", members)
 	}
-	if !slices.Equal(nodeA.settings.Seeds, settings.Seeds) || nodeA.settings.AuthorityOverlap != settings.AuthorityOverlap {
+	if !slices.Equal(nodeA.engine.settings.Seeds, settings.Seeds) || nodeA.engine.settings.AuthorityOverlap != settings.AuthorityOverlap {
 		t.Errorf("seeds %v and overlap %v, want %v and %v",
-			nodeA.settings.Seeds, nodeA.settings.AuthorityOverlap, settings.Seeds, settings.AuthorityOverlap)
+			nodeA.engine.settings.Seeds, nodeA.engine.settings.AuthorityOverlap, settings.Seeds, settings.AuthorityOverlap)
 	}
 	want := []string{"peer removed: its certificate is no longer valid", "peer left", "gossip settings reloaded"}
 	if got := nodeA.messages(); !slices.Equal(got, want) {
--- a/internal/fleet/transport/receive.go
+++ b/internal/fleet/transport/receive.go
@@ -2,12 +2,10 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"net/netip"
 	"time"
 
-	"calicohill/internal/fleet/faultreport"
 	"calicohill/internal/fleet/gossip"
 )
 
@@ -70,33 +68,14 @@
 
 // openQueued opens a datagram, and up to maxBatch more that are queued already, and returns their events.
 func (n *Node) openQueued(first datagram) []gossip.Event {
-	events := n.openDatagram(nil, first)
+	events := n.engine.openDatagram(nil, first)
 	for range maxBatch {
 		select {
 		case next := <-n.datagrams:
-			events = n.openDatagram(events, next)
+			events = n.engine.openDatagram(events, next)
 		default:
 			return events
 		}
 	}
 	return events
 }
-
-// openDatagram appends the event of a datagram, if the guard opens it.
-func (n *Node) openDatagram(events []gossip.Event, received datagram) []gossip.Event {
-	opened, err := n.guard.Open(n.now(), time.Now(), received.from, received.content)
-	if err != nil {
-		n.rateLimitedLog.Warn(n.now(), "gossip datagram dropped", fmt.Errorf("from %s: %w", received.from, err))
-		return events
-	}
-	for _, name := range opened.Equivocators {
-		n.faultEvents = append(n.faultEvents, faultreport.EquivocationDetected{From: name})
-	}
-	return append(events, gossip.Received{
-		From:    opened.From,
-		Addr:    received.from,
-		Epoch:   opened.Epoch,
-		Message: opened.Message,
-		Trusted: opened.Trusted,
-	})
-}
