--- a/internal/fleet/transport/node_internal_test.go
+++ b/internal/fleet/transport/node_internal_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"io/fs"
 	"net"
-	"net/netip"
 	"slices"
 	"strings"
 	"syscall"
@@ -20,28 +19,18 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// A Node does not open with keys that the fleet would not accept. The error names the file or the reason.
-func TestOpenErrors(t *testing.T) {
-	now := time.Now()
-	fleet := newTestFleet(t, testFleetName)
-	fleet.issue("valid", now)
-	fleet.issue("expired", now.Add(-3*validity))
-	revoked := fleet.issue("revoked", now)
-	list := fleet.revoke(revoked)
-	if err := pki.WriteKeyFile(fleet.path("authority.key"), fleet.authority.Key, fleet.authority.Cert); err != nil {
-		t.Fatal(err)
-	}
-	other := newTestFleet(t, "other")
-	other.issue("foreign", now)
-	foreignList := other.revoke(other.issue("stranger", now))
+// openErrorCase is a member with keys that its fleet would not accept.
+type openErrorCase struct {
+	name   string
+	member string
+	change func(*operatorfile.Gossip)
+	want   error  // wrapped by the error; nil if only its text counts
+	text   string // part of the error
+}
 
-	for _, tt := range []struct {
-		name   string
-		member string
-		change func(*operatorfile.Gossip)
-		want   error  // wrapped by the error; nil if only its text counts
-		text   string // part of the error
-	}{
+// openErrorCases are cases of a fleet and another one, with the revocation lists of both.
+func openErrorCases(fleet, other *testFleet, list, foreignList string) []openErrorCase {
+	return []openErrorCase{
 		{"no key file", "nobody", nil, fs.ErrNotExist, fleet.path("nobody.key")},
 		{"key file of an authority", "authority", nil, nil, "the key of an authority"},
 		{
@@ -73,7 +62,25 @@
 			"revocation list of another fleet", "valid", func(s *operatorfile.Gossip) { s.Revoked = foreignList },
 			pki.ErrUnknownAuthority, "list of revoked certificates",
 		},
-	} {
+	}
+}
+
+// A Node does not open with keys that the fleet would not accept. The error names the file or the reason.
+func TestOpenErrors(t *testing.T) {
+	now := time.Now()
+	fleet := newTestFleet(t, testFleetName)
+	fleet.issue("valid", now)
+	fleet.issue("expired", now.Add(-3*validity))
+	revoked := fleet.issue("revoked", now)
+	list := fleet.revoke(revoked)
+	if err := pki.WriteKeyFile(fleet.path("authority.key"), fleet.authority.Key, fleet.authority.Cert); err != nil {
+		t.Fatal(err)
+	}
+	other := newTestFleet(t, "other")
+	other.issue("foreign", now)
+	foreignList := other.revoke(other.issue("stranger", now))
+
+	for _, tt := range openErrorCases(fleet, other, list, foreignList) {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := fleet.settings(tt.member)
 			if tt.change != nil {
@@ -230,94 +237,6 @@
 	}
 }
 
-func TestPrepareErrors(t *testing.T) {
-	fleet := newTestFleet(t, testFleetName)
-	fleet.issue("a", time.Now())
-	fleet.issue("b", time.Now())
-	other := newTestFleet(t, "other")
-	other.issue("a", time.Now())
-	otherFleet := other.settings("a")
-	otherFleet.Fleet = "other"
-	missing := fleet.settings("a")
-	missing.Authorities = []string{fleet.path("none.crt")}
-	node := fleet.open("a")
-	for _, tt := range []struct {
-		name     string
-		settings operatorfile.Gossip
-		want     string // part of the error
-	}{
-		{"no key file", fleet.settings("nobody"), fleet.path("nobody.key")},
-		{"no authority file", missing, fleet.path("none.crt")},
-		{"another name", fleet.settings("b"), "without a restart"},
-		{"another fleet", otherFleet, "without a restart"},
-	} {
-		t.Run(tt.name, func(t *testing.T) {
-			apply, err := node.Prepare(tt.settings)
-			if apply != nil || err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("Prepare: %v, want an error with %q", err, tt.want)
-			}
-		})
-	}
-	if len(node.calls) != 0 {
-		t.Errorf("%d calls are queued, want none", len(node.calls))
-	}
-}
-
-// Prepared settings change nothing until they are applied. Then a member whose certificate they revoke is removed.
-func TestReload(t *testing.T) {
-	fleet := newTestFleet(t, testFleetName)
-	fleet.issue("a", time.Now())
-	revoked := fleet.issue("b", time.Now())
-	nodeA, _ := fleet.join("a", "b")
-	nodeA.messages()
-
-	settings := fleet.settings("a")
-	settings.Revoked = fleet.revoke(revoked)
-	settings.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}
-	settings.AuthorityOverlap = time.Minute
-	apply, err := nodeA.Prepare(settings)
-	if err != nil {
-		t.Fatal(err)
-	}
-	nodeA.runCalls()
-	nodeA.step(nil)
-	nodeA.wantMember("b", gossip.Alive)
-
-	if err := apply(); err != nil {
-		t.Fatal(err)
-	}
-	nodeA.runCalls()
-	if members := nodeA.engine.core.Members(); len(members) != 0 {
-		t.Errorf("members %v, want none", members)
-	}
-	if !slices.Equal(nodeA.engine.settings.Seeds, settings.Seeds) || nodeA.engine.settings.AuthorityOverlap != settings.AuthorityOverlap {
-		t.Errorf("seeds %v and overlap %v, want %v and %v",
-			nodeA.engine.settings.Seeds, nodeA.engine.settings.AuthorityOverlap, settings.Seeds, settings.AuthorityOverlap)
-	}
-	want := []string{"peer removed: its certificate is no longer valid", "peer left", "gossip settings reloaded"}
-	if got := nodeA.messages(); !slices.Equal(got, want) {
-		t.Errorf("log %q, want %q", got, want)
-	}
-}
-
-func TestReloadWhileBusy(t *testing.T) {
-	fleet := newTestFleet(t, testFleetName)
-	fleet.issue("a", time.Now())
-	node := fleet.open("a")
-	apply, err := node.Prepare(fleet.settings("a"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	node.fillCalls()
-	if err := apply(); !errors.Is(err, ErrBusy) {
-		t.Errorf("apply with a full queue: %v, want %v", err, ErrBusy)
-	}
-	node.runCalls()
-	if err := apply(); err != nil {
-		t.Errorf("apply with an empty queue: %v, want success", err)
-	}
-}
-
 // Datagrams that no member sends, because they are empty or too long, are not queued.
 func TestReceive(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
