--- a/internal/fleet/quota/account.go
+++ b/internal/fleet/quota/account.go
@@ -9,13 +9,45 @@
 // lendableDivisor is the part of its quota that a member lends at most.
 const lendableDivisor = 2
 
+// budgetAccount is the account of one budget. It owns the leases, as a lender (lender.go) and as a borrower
+// (borrower.go).
+type budgetAccount struct {
+	Budget
+	demand         int64                      // units that this member has a use for
+	limit          int64                      // units that it may use, as last announced by LimitChanged
+	granted        []grantedLease             // units lent to others
+	borrowed       []borrowedLease            // units borrowed from others
+	requestedUnits int64                      // units that the current lease request asks for, 0 without one
+	requestNumber  uint32                     // of the current lease request
+	nextRequestAt  time.Duration              // when the next one may be made
+	answered       map[string]answeredRequest // the latest lease request received, by member
+}
+
+func newBudgetAccount(budget Budget) *budgetAccount {
+	return &budgetAccount{Budget: budget, answered: map[string]answeredRequest{}}
+}
+
+// setDemand replaces the number of units that this member has a use for.
+func (a *budgetAccount) setDemand(units int64) { a.demand = max(units, 0) }
+
+// updateLimit returns the units that may be used now; changed is false if they are those that were announced last.
+func (a *budgetAccount) updateLimit(step *stepContext) (announcement LimitChanged, changed bool) {
+	usable := a.usableUnits(step)
+	changed = usable != a.limit
+	a.limit = usable
+	return LimitChanged{Budget: a.Name, Units: usable}, changed
+}
+
+// forget drops what was received from a member. What it has lent stays borrowed until it expires.
+func (a *budgetAccount) forget(member string) { delete(a.answered, member) }
+
 // fixedQuota is what a member owns of a budget. It follows from the configured size of the fleet and never from the
 // members that are reachable, so that a partition doesn't change it.
-func (c *Core) fixedQuota(account *budgetAccount) int64 {
+func (a *budgetAccount) fixedQuota(step *stepContext) int64 {
 	if seeded == quotaFromSeenMembers {
-		return account.Total / int64(len(account.answered)+1)
+		return a.Total / int64(len(a.answered)+1)
 	}
-	return account.Total / int64(c.config.FleetSize)
+	return a.Total / int64(step.config.FleetSize)
 }
 
 // maxLendable is the most that a member lends of its quota: half. A new start does without that half until leases of
@@ -24,15 +56,15 @@
 
 // ownQuota is the part of the fixed quota that this start of the member may count on. It has no record of the start
 // before, whose units may be in use for HoldTime and whose leases last for a lease duration more.
-func (c *Core) ownQuota(account *budgetAccount) int64 {
-	quota := c.fixedQuota(account)
+func (a *budgetAccount) ownQuota(step *stepContext) int64 {
+	quota := a.fixedQuota(step)
 	if seeded == ignoresPreviousStart {
 		return quota
 	}
-	switch age := c.now - c.startedAt; {
-	case age < c.previousUseReservation(account):
+	switch age := step.now - step.startedAt; {
+	case age < step.previousUseReservation(a.HoldTime):
 		return 0
-	case age < c.leaseReservation(account):
+	case age < step.leaseReservation(a.HoldTime):
 		return quota - maxLendable(quota)
 	default:
 		return quota
@@ -40,9 +72,9 @@
 }
 
 // usableUnits is how many units this member may have in use now.
-func (c *Core) usableUnits(account *budgetAccount) int64 {
-	usable := c.ownQuota(account) - account.lentUnits()
-	for _, lease := range account.borrowed {
+func (a *budgetAccount) usableUnits(step *stepContext) int64 {
+	usable := a.ownQuota(step) - a.lentUnits()
+	for _, lease := range a.borrowed {
 		usable += lease.units
 	}
 	return max(usable, 0)
@@ -61,27 +93,28 @@
 }
 
 // expireLeases drops the granted and borrowed leases that have ended.
-func (c *Core) expireLeases(account *budgetAccount) {
-	account.granted = slices.DeleteFunc(account.granted, func(lease grantedLease) bool { return c.now >= lease.expiresAt })
-	account.borrowed = slices.DeleteFunc(account.borrowed, func(lease borrowedLease) bool { return c.now >= lease.expiresAt })
+func (a *budgetAccount) expireLeases(now time.Duration) {
+	a.granted = slices.DeleteFunc(a.granted, func(lease grantedLease) bool { return now >= lease.expiresAt })
+	a.borrowed = slices.DeleteFunc(a.borrowed, func(lease borrowedLease) bool { return now >= lease.expiresAt })
 }
 
-// previousUseReservation is how long after a start units may still be in use that the start before took.
-func (c *Core) previousUseReservation(account *budgetAccount) time.Duration {
-	return c.reservationTime(account.HoldTime)
-}
-
-// leaseReservation is how long after a lease was granted units of it may still be in use at the borrower.
-func (c *Core) leaseReservation(account *budgetAccount) time.Duration {
-	return c.reservationTime(c.config.LeaseDuration + account.HoldTime)
-}
-
-// reservationTime converts a duration by another member's clock into the time by this member's clock after which it
-// has surely passed there: this clock may be the fastest while the other is the slowest.
-func (c *Core) reservationTime(theirs time.Duration) time.Duration {
-	drift := c.config.MaxClockDrift
-	if seeded == ignoresClockDrift {
-		drift = 0
+// nextChange is when a lease of the budget ends, more is requested, or more of the own quota becomes usable after a
+// start.
+func (a *budgetAccount) nextChange(step *stepContext) time.Duration {
+	next := time.Duration(math.MaxInt64)
+	for _, lease := range a.granted {
+		next = min(next, lease.expiresAt)
+	}
+	for _, lease := range a.borrowed {
+		next = min(next, lease.expiresAt)
+	}
+	if a.demand > a.limit {
+		next = min(next, a.nextRequestAt)
+	}
+	for _, reservation := range []time.Duration{step.previousUseReservation(a.HoldTime), step.leaseReservation(a.HoldTime)} {
+		if at := step.startedAt + reservation; at > step.now {
+			next = min(next, at)
+		}
 	}
-	return time.Duration(math.Ceil(float64(theirs) * (1 + drift) / (1 - drift)))
+	return next
 }
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -51,48 +51,23 @@
 
 // requestLease asks for the units that this member lacks, and those that it will lack once half a lease duration has
 // passed.
-func (c *Core) requestLease(account *budgetAccount) {
-	lacking := account.demand - c.ownQuota(account) + account.lentUnits()
-	for _, lease := range account.borrowed {
-		if lease.expiresAt-c.now > c.config.LeaseDuration/renewalDivisor {
+func (a *budgetAccount) requestLease(step *stepContext, requests *requestLog) {
+	lacking := a.demand - a.ownQuota(step) + a.lentUnits()
+	for _, lease := range a.borrowed {
+		if lease.expiresAt-step.now > step.config.LeaseDuration/renewalDivisor {
 			lacking -= lease.units
 		}
 	}
 	if lacking <= 0 {
-		account.requestedUnits = 0
+		a.requestedUnits = 0
 		return
 	}
-	if c.now < account.nextRequestAt {
+	if step.now < a.nextRequestAt {
 		return
 	}
-	account.requestedUnits = lacking
-	account.requestNumber = c.requests.add(c.now, c.config.LeaseDuration)
-	account.nextRequestAt = c.now + c.config.LeaseDuration/requestsPerDuration
-}
-
-// receive checks the leases of a member's statement, accepts those for this member and answers the requests.
-func (c *Core) receive(received StatementReceived) []Action {
-	var actions []Action
-	for _, account := range c.accounts {
-		lent := account.sumLeases(received.Leases)
-		// A member that is configured with a smaller fleet owns more by what it knows: it is not distrusted for that, but
-		// its leases are not accepted either.
-		theirQuota := account.Total / int64(max(received.FleetSize, 1))
-		if lent > maxLendable(theirQuota) && !c.distrusted[received.From] {
-			c.distrusted[received.From] = true
-			actions = append(actions, OverlendingDetected{From: received.From})
-		}
-		if c.distrusted[received.From] || lent > maxLendable(c.fixedQuota(account)) {
-			continue
-		}
-		c.acceptLeases(account, received)
-	}
-	for _, request := range received.Requests {
-		if account := c.findAccount(request.Budget); account != nil && request.Units > 0 {
-			c.answerRequest(account, received, request)
-		}
-	}
-	return actions
+	a.requestedUnits = lacking
+	a.requestNumber = requests.add(step.now, step.config.LeaseDuration)
+	a.nextRequestAt = step.now + step.config.LeaseDuration/requestsPerDuration
 }
 
 // sumLeases adds up the units of this budget in received leases. The sum is capped above Total, so that the figures of
@@ -109,11 +84,11 @@
 }
 
 // acceptLeases accepts the leases of a budget that are for this start of this member.
-func (c *Core) acceptLeases(account *budgetAccount, received StatementReceived) {
+func (a *budgetAccount) acceptLeases(step *stepContext, requests *requestLog, received StatementReceived) {
 	for _, lease := range received.Leases {
-		isOurs := lease.Borrower == c.config.Self && lease.BorrowerEpoch == c.config.Epoch
-		if isOurs && lease.Budget == account.Name && lease.Units > 0 {
-			c.acceptLease(account, received, lease)
+		isOurs := lease.Borrower == step.config.Self && lease.BorrowerEpoch == step.config.Epoch
+		if isOurs && lease.Budget == a.Name && lease.Units > 0 {
+			a.acceptLease(step, requests, received, lease)
 		}
 	}
 }
@@ -121,23 +96,23 @@
 // acceptLease borrows the units of a lease, once however often it is received. The lease counts from when the request
 // was made, which was before anybody granted it: so it expires here before it does at the lender, whatever the clocks
 // show.
-func (c *Core) acceptLease(account *budgetAccount, received StatementReceived, lease Lease) {
-	requestedAt, ok := c.requests.madeAt(lease.Request)
+func (a *budgetAccount) acceptLease(step *stepContext, requests *requestLog, received StatementReceived, lease Lease) {
+	requestedAt, ok := requests.madeAt(lease.Request)
 	if seeded == leaseFromArrival {
-		requestedAt = c.now
+		requestedAt = step.now
 		ok = true
 	}
-	isDuplicate := slices.ContainsFunc(account.borrowed, func(known borrowedLease) bool {
+	isDuplicate := slices.ContainsFunc(a.borrowed, func(known borrowedLease) bool {
 		return known.lender == received.From && known.lenderEpoch == received.Epoch && known.request == lease.Request
 	})
 	if seeded == acceptsDuplicates {
 		isDuplicate = false
 	}
-	expiresAt := requestedAt + c.config.LeaseDuration
-	if !ok || isDuplicate || expiresAt <= c.now {
+	expiresAt := requestedAt + step.config.LeaseDuration
+	if !ok || isDuplicate || expiresAt <= step.now {
 		return
 	}
-	account.borrowed = append(account.borrowed, borrowedLease{
+	a.borrowed = append(a.borrowed, borrowedLease{
 		lender:      received.From,
 		lenderEpoch: received.Epoch,
 		request:     lease.Request,
--- a/internal/fleet/quota/checker_internal_test.go
+++ b/internal/fleet/quota/checker_internal_test.go
@@ -155,7 +155,7 @@
 	var units int64
 	for i, core := range s.members {
 		if !s.stopped[i] {
-			units += core.usableUnits(core.accounts[0])
+			units += core.accounts[0].usableUnits(&core.stepContext)
 		}
 	}
 	return units
--- a/internal/fleet/quota/core.go
+++ b/internal/fleet/quota/core.go
@@ -46,42 +46,27 @@
 
 // Core holds one member's accounts. It is not safe for concurrent use.
 type Core struct {
-	config          Config
-	now             time.Duration
+	stepContext
 	started         bool
-	startedAt       time.Duration // time of the first Step
 	accounts        []*budgetAccount
 	requests        requestLog
 	latestStatement Statement
 	distrusted      map[string]bool // members that lent more than they own
 }
 
-// budgetAccount is the account of one budget.
-type budgetAccount struct {
-	Budget
-	demand         int64                      // units that this member has a use for
-	limit          int64                      // units that it may use, as last announced by LimitChanged
-	granted        []grantedLease             // units lent to others
-	borrowed       []borrowedLease            // units borrowed from others
-	requestedUnits int64                      // units that the current lease request asks for, 0 without one
-	requestNumber  uint32                     // of the current lease request
-	nextRequestAt  time.Duration              // when the next one may be made
-	answered       map[string]answeredRequest // the latest lease request received, by member
-}
-
 // New returns a Core that has received nothing. Errors wrap ErrInvalidConfig.
 func New(config Config) (*Core, error) {
 	invalidDrift := config.MaxClockDrift < 0 || config.MaxClockDrift >= 1
 	if config.Self == "" || config.FleetSize < 1 || config.LeaseDuration <= 0 || invalidDrift {
 		return nil, fmt.Errorf("%w: %+v", ErrInvalidConfig, config)
 	}
-	c := &Core{config: config, distrusted: map[string]bool{}}
+	c := &Core{stepContext: stepContext{config: config}, distrusted: map[string]bool{}}
 	for _, settings := range config.Budgets {
 		validTotal := settings.Total >= 0 && settings.Total <= maxBudgetTotal
 		if !validTotal || settings.HoldTime < 0 || c.findAccount(settings.Name) != nil {
 			return nil, fmt.Errorf("%w: budget %+v", ErrInvalidConfig, settings)
 		}
-		c.accounts = append(c.accounts, &budgetAccount{Budget: settings, answered: map[string]answeredRequest{}})
+		c.accounts = append(c.accounts, newBudgetAccount(settings))
 	}
 	return c, nil
 }
@@ -95,17 +80,16 @@
 		c.startedAt = c.now
 	}
 	for _, account := range c.accounts {
-		c.expireLeases(account)
+		account.expireLeases(c.now)
 	}
 	var actions []Action
 	for _, event := range events {
 		actions = append(actions, c.apply(event)...)
 	}
 	for _, account := range c.accounts {
-		c.requestLease(account)
-		if usable := c.usableUnits(account); usable != account.limit {
-			account.limit = usable
-			actions = append(actions, LimitChanged{Budget: account.Name, Units: usable})
+		account.requestLease(&c.stepContext, &c.requests)
+		if announcement, changed := account.updateLimit(&c.stepContext); changed {
+			actions = append(actions, announcement)
 		}
 	}
 	if statement := c.currentStatement(); !equalStatements(statement, c.latestStatement) {
@@ -119,7 +103,7 @@
 	switch event := event.(type) {
 	case DemandChanged:
 		if account := c.findAccount(event.Budget); account != nil {
-			account.demand = max(event.Units, 0)
+			account.setDemand(event.Units)
 		}
 	case StatementReceived:
 		if event.From != c.config.Self {
@@ -130,7 +114,7 @@
 	case MemberForgotten:
 		delete(c.distrusted, event.Name)
 		for _, account := range c.accounts {
-			delete(account.answered, event.Name)
+			account.forget(event.Name)
 		}
 	}
 	return nil
@@ -140,28 +124,7 @@
 func (c *Core) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, account := range c.accounts {
-		next = min(next, c.nextChange(account))
-	}
-	return next
-}
-
-// nextChange is when a lease of the budget ends, more is requested, or more of the own quota becomes usable after a
-// start.
-func (c *Core) nextChange(account *budgetAccount) time.Duration {
-	next := time.Duration(math.MaxInt64)
-	for _, lease := range account.granted {
-		next = min(next, lease.expiresAt)
-	}
-	for _, lease := range account.borrowed {
-		next = min(next, lease.expiresAt)
-	}
-	if account.demand > account.limit {
-		next = min(next, account.nextRequestAt)
-	}
-	for _, reservation := range []time.Duration{c.previousUseReservation(account), c.leaseReservation(account)} {
-		if at := c.startedAt + reservation; at > c.now {
-			next = min(next, at)
-		}
+		next = min(next, account.nextChange(&c.stepContext))
 	}
 	return next
 }
@@ -174,3 +137,38 @@
 	}
 	return c.accounts[i]
 }
+
+// receive checks the leases of a member's statement, accepts those for this member and answers the requests.
+func (c *Core) receive(received StatementReceived) []Action {
+	var actions []Action
+	for _, account := range c.accounts {
+		lent := account.sumLeases(received.Leases)
+		// A member that is configured with a smaller fleet owns more by what it knows: it is not distrusted for that, but
+		// its leases are not accepted either.
+		theirQuota := account.Total / int64(max(received.FleetSize, 1))
+		if lent > maxLendable(theirQuota) && !c.distrusted[received.From] {
+			c.distrusted[received.From] = true
+			actions = append(actions, OverlendingDetected{From: received.From})
+		}
+		if c.distrusted[received.From] || lent > maxLendable(account.fixedQuota(&c.stepContext)) {
+			continue
+		}
+		account.acceptLeases(&c.stepContext, &c.requests, received)
+	}
+	for _, request := range received.Requests {
+		if account := c.findAccount(request.Budget); account != nil && request.Units > 0 {
+			mayGrant := c.grantedLeases() < maxStatementEntries
+			account.answerRequest(&c.stepContext, received, request, mayGrant)
+		}
+	}
+	return actions
+}
+
+// grantedLeases is the number of granted leases of all budgets.
+func (c *Core) grantedLeases() int {
+	count := 0
+	for _, account := range c.accounts {
+		count += len(account.granted)
+	}
+	return count
+}
--- a/internal/fleet/quota/core_internal_test.go
+++ b/internal/fleet/quota/core_internal_test.go
@@ -81,7 +81,7 @@
 		if !member.stopped {
 			f.step(member)
 			account := member.accounts[0]
-			for int64(len(member.inUse)) < min(member.usableUnits(account), account.demand) {
+			for int64(len(member.inUse)) < min(account.usableUnits(&member.stepContext), account.demand) {
 				member.inUse = append(member.inUse, member.clock+f.holdTime)
 			}
 		}
@@ -173,7 +173,7 @@
 		fleet.pass(silenceUntilReset)
 		for _, member := range fleet.members {
 			fixedQuota := fleet.total / int64(len(fleet.members))
-			if got := member.usableUnits(member.accounts[0]); got != fixedQuota {
+			if got := member.accounts[0].usableUnits(&member.stepContext); got != fixedQuota {
 				rt.Fatalf("%s may use %d units after %v of silence, want its fixed quota %d",
 					member.config.Self, got, silenceUntilReset, fixedQuota)
 			}
@@ -246,7 +246,7 @@
 		for _, core := range f.cores {
 			f.step(core)
 		}
-		minUsable = min(minUsable, borrower.usableUnits(borrower.accounts[0]))
+		minUsable = min(minUsable, borrower.accounts[0].usableUnits(&borrower.stepContext))
 	}
 	return minUsable
 }
@@ -268,9 +268,9 @@
 		for _, units := range leases {
 			overlending.Leases = append(overlending.Leases, Lease{"b", "n0", 1, borrower.requests.latest, units})
 		}
-		before := borrower.usableUnits(borrower.accounts[0])
+		before := borrower.accounts[0].usableUnits(&borrower.stepContext)
 		actions := borrower.Step(fleet.now, []Event{overlending})
-		after := borrower.usableUnits(borrower.accounts[0])
+		after := borrower.accounts[0].usableUnits(&borrower.stepContext)
 		if len(actions) == 0 || actions[0] != (OverlendingDetected{from}) || after > before {
 			t.Errorf("actions %v for leases of %v, %d usable units after and %d before", actions, leases, after, before)
 		}
@@ -292,7 +292,7 @@
 	core.Step(time.Minute, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		if core.usableUnits(core.accounts[0]) != 0 {
+		if core.accounts[0].usableUnits(&core.stepContext) != 0 {
 			b.Fatal("a new start has usable units")
 		}
 	}
--- a/internal/fleet/quota/lender.go
+++ b/internal/fleet/quota/lender.go
@@ -31,55 +31,47 @@
 	return r.epoch > other.epoch || r.epoch == other.epoch && r.number >= other.number
 }
 
-// answerRequest grants a lease of what this member can spare, at most once for a request.
-func (c *Core) answerRequest(account *budgetAccount, received StatementReceived, request LeaseRequest) {
+// answerRequest grants a lease of what this member can spare, at most once for a request, if another lease may be
+// granted at all.
+func (a *budgetAccount) answerRequest(step *stepContext, received StatementReceived, request LeaseRequest, mayGrant bool) {
 	id := answeredRequest{epoch: received.Epoch, number: request.Number}
-	if latest, ok := account.answered[received.From]; ok && latest.supersedes(id) {
+	if latest, ok := a.answered[received.From]; ok && latest.supersedes(id) {
 		return
 	}
-	account.answered[received.From] = id
-	if !c.isDrawnToAnswer(account, received.From, request) {
+	a.answered[received.From] = id
+	if !a.isDrawnToAnswer(step, received.From, request) {
 		return
 	}
-	units := min(c.spareUnits(account), request.Units)
-	if units <= 0 || c.grantedLeases() >= maxStatementEntries {
+	units := min(a.spareUnits(step), request.Units)
+	if units <= 0 || !mayGrant {
 		return
 	}
-	expiresAt := c.now + c.leaseReservation(account)
+	expiresAt := step.now + step.leaseReservation(a.HoldTime)
 	if seeded == reclaimsEarly {
-		expiresAt = c.now + c.config.LeaseDuration/earlyReclaimDivisor
+		expiresAt = step.now + step.config.LeaseDuration/earlyReclaimDivisor
 	}
 	lease := Lease{
-		Budget:        account.Name,
+		Budget:        a.Name,
 		Borrower:      received.From,
 		BorrowerEpoch: received.Epoch,
 		Request:       request.Number,
 		Units:         units,
 	}
-	account.granted = append(account.granted, grantedLease{Lease: lease, expiresAt: expiresAt})
+	a.granted = append(a.granted, grantedLease{Lease: lease, expiresAt: expiresAt})
 }
 
 // isDrawnToAnswer reports whether this member is one of those that answer a request. Each member draws by a hash of the
 // request and its own name, with such odds that together they offer targetOfferRatio of it and not all that they have.
-func (c *Core) isDrawnToAnswer(account *budgetAccount, borrower string, request LeaseRequest) bool {
-	fleetLendable := float64(maxLendable(c.fixedQuota(account))) * float64(c.config.FleetSize)
-	draw := rendezvous.Uniform(fmt.Sprint(borrower, request.Number), c.config.Self)
+func (a *budgetAccount) isDrawnToAnswer(step *stepContext, borrower string, request LeaseRequest) bool {
+	fleetLendable := float64(maxLendable(a.fixedQuota(step))) * float64(step.config.FleetSize)
+	draw := rendezvous.Uniform(fmt.Sprint(borrower, request.Number), step.config.Self)
 	return draw*fleetLendable <= targetOfferRatio*float64(request.Units)
 }
 
 // spareUnits is how many units this member can lend now: none until leases of the start before have expired.
-func (c *Core) spareUnits(account *budgetAccount) int64 {
-	if c.now-c.startedAt < c.leaseReservation(account) && seeded != ignoresPreviousStart {
+func (a *budgetAccount) spareUnits(step *stepContext) int64 {
+	if step.now-step.startedAt < step.leaseReservation(a.HoldTime) && seeded != ignoresPreviousStart {
 		return 0
 	}
-	return min(maxLendable(c.fixedQuota(account))-account.lentUnits(), c.usableUnits(account)-account.demand)
-}
-
-// grantedLeases is the number of granted leases of all budgets.
-func (c *Core) grantedLeases() int {
-	count := 0
-	for _, account := range c.accounts {
-		count += len(account.granted)
-	}
-	return count
+	return min(maxLendable(a.fixedQuota(step))-a.lentUnits(), a.usableUnits(step)-a.demand)
 }
