--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -117,7 +117,7 @@
 	if result.Program.Served < minServed {
 		t.Errorf("%.2f served by workers that are warming up, want %.2f", result.Program.Served, minServed)
 	}
-	t.Logf("a warming worker was sent %.2f of what it survives", result.Program.PeakWarmUpLoadShare)
+	t.Logf("a warming worker was sent %.2f of what it survives", result.Program.PeakWarmUpLoadFraction)
 	if result.Program.AllListed < 0 {
 		t.Error("some schedulers did not receive the list again")
 	}
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -77,13 +77,13 @@
 		settings = strings.ReplaceAll(settings, c[0], c[1])
 	}
 	text, err := json.Marshal(platform.Config{
-		Bulletin: s.listServer.Listener.Addr().String(),
-		Known:    json.RawMessage(known),
-		Limits:   platform.Limits{Cores: 1, MemoryMB: s.memoryMB, Sockets: s.maxSockets},
-		Listen:   s.addr,
-		Name:     "n0",
-		Seed:     "8c1f30d27a5be964",
-		Settings: json.RawMessage(settings),
+		ListService: s.listServer.Listener.Addr().String(),
+		Known:       json.RawMessage(known),
+		Limits:      platform.Limits{Cores: 1, MemoryMB: s.memoryMB, Sockets: s.maxSockets},
+		Listen:      s.addr,
+		Name:        "n0",
+		Seed:        "8c1f30d27a5be964",
+		Settings:    json.RawMessage(settings),
 	})
 	s.mu.Unlock()
 	if err != nil {
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -69,7 +69,7 @@
 		platform: platform,
 		operator: operator,
 		loggers:  loggers,
-		log:      loggers.Part("scheduler"),
+		log:      loggers.Component("scheduler"),
 	}
 	sched.statusFile.Store(&operator.Log.Status)
 	rules, err := operator.Compile(ruleClasses(&platform.Deployment))
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	for _, warning := range rules.Warnings {
-		loggers.Part("rules").WithError(warning).Warn("rule without effect")
+		loggers.Component("rules").WithError(warning).Warn("rule without effect")
 	}
 	// Faults are reported to peers and to routes. Routes may be added by a reload, so that an operator's file is enough.
 	platform.Deployment.FaultReporting = sources.operatorFile != ""
@@ -117,15 +117,15 @@
 		MaxConns:       limits.workerConns,
 		MaxDescriptors: limits.workerDescriptors,
 		MaxAnswerBytes: limits.answerBytes,
-	}, s.loggers.Part("agent"))
+	}, s.loggers.Component("agent"))
 	s.dispatcher.SetWorkers(agents)
 	s.server = fastcgi.New(s.loop, s.dispatcher, fastcgi.Options{
 		Deployment:     deployment,
 		Buffers:        buffers,
 		MaxConns:       limits.clientConns,
 		MaxUnsentBytes: limits.unsentBytes,
-		Log:            s.loggers.Part("clients"),
-		RulesLog:       s.loggers.Part("rules"),
+		Log:            s.loggers.Component("clients"),
+		RulesLog:       s.loggers.Component("rules"),
 	})
 	s.useRules(rules)
 }
@@ -154,7 +154,7 @@
 	applyReports := func(reports routing.PeerReports) {
 		s.loop.Post(func() { s.dispatcher.ApplyPeerReports(reports) })
 	}
-	peers, err := transport.Open(*s.operator.Gossip, applyReports, s.loggers.Part("gossip"))
+	peers, err := transport.Open(*s.operator.Gossip, applyReports, s.loggers.Component("gossip"))
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 		WorkerKinds:    deployment.WorkerKinds,
 		Planner:        pollplan.New(deployment.Schedulers, deployment.DrainGrace, s.platform.Seed),
 		Sink:           s.updateEndpoints,
-		Log:            s.loggers.Part("bulletin"),
+		Log:            s.loggers.Component("bulletin"),
 	})
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", s.sources.platformFile, err)
@@ -197,7 +197,7 @@
 	if state == nil {
 		return
 	}
-	log := s.loggers.Part("bulletin")
+	log := s.loggers.Component("bulletin")
 	record, err := snapshotfile.Read(state.Snapshot, state.Fleet, s.loop.Now(), state.MaxAge)
 	newer := false // than the list in the platform's file
 	if err == nil && record.EventNumber > 0 {
--- a/cmd/calicohill/status.go
+++ b/cmd/calicohill/status.go
@@ -20,7 +20,7 @@
 func (s *scheduler) reportStatus() {
 	s.loop.Post(func() {
 		counts := s.server.Rules().Counts()
-		go reportRules(s.loggers.Part("rules"), counts, *s.statusFile.Load())
+		go reportRules(s.loggers.Component("rules"), counts, *s.statusFile.Load())
 	})
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,9 +36,9 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Bulletin string          `json:"bulletin"` // the endpoint list service
-	Known    json.RawMessage `json:"known"`    // read by package discovery
-	Settings json.RawMessage `json:"settings"` // read by package deployment
+	ListService string          `json:"bulletin"` // the endpoint list service
+	Known       json.RawMessage `json:"known"`    // read by package discovery
+	Settings    json.RawMessage `json:"settings"` // read by package deployment
 }
 
 const (
@@ -81,7 +81,7 @@
 	config := &Config{
 		Name:             f.Name,
 		Listen:           f.Listen,
-		DiscoveryAddress: f.Bulletin,
+		DiscoveryAddress: f.ListService,
 		KnownEndpoints:   f.Known,
 		MemoryMB:         int(f.Limits.MemoryMB),
 		MaxSockets:       f.Limits.Sockets,
--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -30,7 +30,7 @@
 		Section: sectionLog, Name: "level",
 		Args: []Arg{
 			{Name: "LEVEL", Type: Choice, Choices: levels},
-			{Name: "PART", Type: Choice, Choices: logging.Parts, Optional: true},
+			{Name: "PART", Type: Choice, Choices: logging.Components, Optional: true},
 		},
 		Default: defaultLevel, Repeated: true, Reload: true,
 		Help: "The lowest level that is logged, by all parts of the program or by one of them.",
--- a/internal/discovery/event_log.go
+++ b/internal/discovery/event_log.go
@@ -187,11 +187,11 @@
 }
 
 // recordTargets keeps the current list for Snapshot.
-func (l *eventLog) recordTargets(roster *roster) {
-	if l.targets == nil || roster.All {
+func (l *eventLog) recordTargets(list *roster) {
+	if l.targets == nil || list.All {
 		l.targets = map[string]target{}
 	}
-	for _, target := range roster.Targets {
+	for _, target := range list.Targets {
 		if workerStates[target.State] == routing.Gone {
 			delete(l.targets, target.UID)
 		} else {
--- a/internal/runtime/logging/loggers.go
+++ b/internal/runtime/logging/loggers.go
@@ -1,5 +1,5 @@
-// Package logging writes the program's log with logrus. Each line names the part of the program that wrote it, and the
-// level of each part can be changed while the program runs.
+// Package logging writes the program's log with logrus. Each line names the component of the program that wrote it, and
+// the level of each component can be changed while the program runs.
 package logging
 
 import (
@@ -10,42 +10,42 @@
 )
 
 const (
-	timeFormat = "2006-01-02T15:04:05.000Z07:00"
-	partField  = "part" // field of a line that names the part of the program
+	timeFormat     = "2006-01-02T15:04:05.000Z07:00"
+	componentField = "part" // field of a line that names the component
 )
 
-// Parts lists the parts of the program that log lines name and whose level can be set separately.
-var Parts = []string{"scheduler", "agent", "bulletin", "clients", "gossip", "rules"}
+// Components lists the components of the program that log lines name and whose level can be set separately.
+var Components = []string{"scheduler", "agent", "bulletin", "clients", "gossip", "rules"}
 
 // Settings says how lines are formatted and which are written.
 type Settings struct {
 	JSON   bool              // one JSON object a line; otherwise name=value pairs
-	Level  string            // of parts that Levels does not list
-	Levels map[string]string // level by part
+	Level  string            // of components that Levels does not list
+	Levels map[string]string // level by component
 }
 
-// Loggers holds the loggers of all parts of the program. Its methods are safe for concurrent use once New has returned.
+// Loggers holds the loggers of all components of the program. Its methods are safe for concurrent use once New has returned.
 type Loggers struct {
-	byPart map[string]*logrus.Logger
+	byComponent map[string]*logrus.Logger
 }
 
-// New returns loggers for Parts that all write to out. The error is that of Apply.
+// New returns loggers for Components that all write to out. The error is that of Apply.
 func New(out io.Writer, settings Settings) (*Loggers, error) {
-	loggers := &Loggers{byPart: map[string]*logrus.Logger{}}
-	for _, part := range Parts {
+	loggers := &Loggers{byComponent: map[string]*logrus.Logger{}}
+	for _, component := range Components {
 		logger := logrus.New()
 		logger.SetOutput(out)
-		loggers.byPart[part] = logger
+		loggers.byComponent[component] = logger
 	}
 	return loggers, loggers.Apply(settings)
 }
 
-// Apply sets the format and the levels of all parts. It returns an error for a level that logrus does not know; the
-// parts reached before it have their new level then.
+// Apply sets the format and the levels of all components. It returns an error for a level that logrus does not know; the
+// components reached before it have their new level then.
 func (l *Loggers) Apply(settings Settings) error {
 	format := newFormatter(settings.JSON)
-	for part, logger := range l.byPart {
-		name, ok := settings.Levels[part]
+	for component, logger := range l.byComponent {
+		name, ok := settings.Levels[component]
 		if !ok {
 			name = settings.Level
 		}
@@ -66,12 +66,12 @@
 	return &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timeFormat}
 }
 
-// Part returns the logger of one of Parts. It panics for any other name, which is a programming error that
+// Component returns the logger of one of Components. It panics for any other name, which is a programming error that
 // every test that starts the program finds.
-func (l *Loggers) Part(name string) *logrus.Entry {
-	logger := l.byPart[name]
+func (l *Loggers) Component(name string) *logrus.Entry {
+	logger := l.byComponent[name]
 	if logger == nil {
-		panic("logging: unknown part " + name)
+		panic("logging: unknown component " + name)
 	}
-	return logger.WithField(partField, name)
+	return logger.WithField(componentField, name)
 }
--- a/internal/runtime/logging/logging_test.go
+++ b/internal/runtime/logging/logging_test.go
@@ -59,7 +59,7 @@
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			newLoggers(t, &out, tt.settings).Part(tt.part).Info("hello")
+			newLoggers(t, &out, tt.settings).Component(tt.part).Info("hello")
 			lines := readLines(t, &out)
 			if !tt.written {
 				if len(lines) != 0 {
@@ -77,7 +77,7 @@
 func TestApplyChangesRunningLoggers(t *testing.T) {
 	var out bytes.Buffer
 	loggers := newLoggers(t, &out, logging.Settings{Level: "warning"})
-	entry := loggers.Part("agent")
+	entry := loggers.Component("agent")
 	entry.Info("not written")
 	entry.Warn("as text")
 	text := out.String()
@@ -109,12 +109,12 @@
 			t.Error("an unknown part has a logger")
 		}
 	}()
-	loggers.Part("nobody")
+	loggers.Component("nobody")
 }
 
 func TestRateLimited(t *testing.T) {
 	var out bytes.Buffer
-	limited := logging.RateLimited{Log: newLoggers(t, &out, logging.Settings{JSON: true, Level: "info"}).Part("agent")}
+	limited := logging.RateLimited{Log: newLoggers(t, &out, logging.Settings{JSON: true, Level: "info"}).Component("agent")}
 	calls := []struct {
 		now     time.Duration
 		message string
--- a/internal/testbed/experiment/coldstartmetrics.go
+++ b/internal/testbed/experiment/coldstartmetrics.go
@@ -11,7 +11,7 @@
 
 // setLoad fills in what became of the load.
 func setLoad(metrics *report.ColdStartMetrics, load workload.Result) {
-	metrics.Served = load.ServedShare()
+	metrics.Served = load.ServedFraction()
 	metrics.Requests = load.Offered
 	metrics.Lost = load.Lost
 }
@@ -90,7 +90,7 @@
 		}
 		refused, peakLoad := worker.Overload()
 		metrics.RefusedConnections += refused
-		metrics.PeakWarmUpLoadShare = max(metrics.PeakWarmUpLoadShare, peakLoad)
+		metrics.PeakWarmUpLoadFraction = max(metrics.PeakWarmUpLoadFraction, peakLoad)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
 			schedulers[arrival.From] = true
--- a/internal/testbed/experiment/gossip.go
+++ b/internal/testbed/experiment/gossip.go
@@ -74,7 +74,7 @@
 		}
 		run.keep(&result, metrics)
 		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
-			run.name, metrics.load.ServedShare(), metrics.load.Offered, metrics.lost, metrics.detectionMillis, metrics.messages))
+			run.name, metrics.load.ServedFraction(), metrics.load.Offered, metrics.lost, metrics.detectionMillis, metrics.messages))
 	}
 	if e.MeasureFlood {
 		flood, err := e.measureFlood(ctx)
@@ -90,21 +90,21 @@
 
 // setAlone keeps what the fleet without gossip gave.
 func setAlone(result *report.GossipResult, metrics gossipMetrics) {
-	result.ServedAlone = metrics.load.ServedShare()
+	result.ServedAlone = metrics.load.ServedFraction()
 	result.LostAlone = metrics.lost
 	result.NoticeAlone = metrics.detectionMillis
 }
 
 // setHonest keeps what the fleet with gossip and without byzantine members gave.
 func setHonest(result *report.GossipResult, metrics gossipMetrics) {
-	result.ServedHonest = metrics.load.ServedShare()
+	result.ServedHonest = metrics.load.ServedFraction()
 	result.LostHonest = metrics.lost
 	setTraffic(result, metrics)
 }
 
 // setByzantine keeps what the fleet with byzantine members gave.
 func setByzantine(result *report.GossipResult, metrics gossipMetrics) {
-	result.Served = metrics.load.ServedShare()
+	result.Served = metrics.load.ServedFraction()
 	result.Lost = metrics.lost
 	result.WronglyEjected = metrics.wronglyEjected
 	result.PeersIgnored = metrics.ignoredPeers
--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -190,7 +190,7 @@
 	cpuBefore := scheduler.CPU()
 	result := offerFor(time.Duration(e.Seconds * float64(time.Second)))
 	measured := loadMeasurement{
-		servedFraction: result.ServedShare(),
+		servedFraction: result.ServedFraction(),
 		memoryKB:       scheduler.Memory(),
 		cpuMicros:      float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
 	}
--- a/internal/testbed/platform/config.go
+++ b/internal/testbed/platform/config.go
@@ -8,13 +8,13 @@
 
 // Config is the configuration file that the platform writes for a scheduler.
 type Config struct {
-	Bulletin string          `json:"bulletin"` // address of the list service
-	Known    json.RawMessage `json:"known"`    // endpoint list at the start, as standin.EndpointFeed returns it
-	Limits   Limits          `json:"limits"`
-	Listen   string          `json:"listen"` // address for the front
-	Name     string          `json:"name"`
-	Seed     string          `json:"seed"`     // 16 hexadecimal digits
-	Settings json.RawMessage `json:"settings"` // as Settings.JSON returns it
+	ListService string          `json:"bulletin"` // address of the list service
+	Known       json.RawMessage `json:"known"`    // endpoint list at the start, as standin.EndpointFeed returns it
+	Limits      Limits          `json:"limits"`
+	Listen      string          `json:"listen"` // address for the front
+	Name        string          `json:"name"`
+	Seed        string          `json:"seed"`     // 16 hexadecimal digits
+	Settings    json.RawMessage `json:"settings"` // as Settings.JSON returns it
 }
 
 // Limits is what the platform lets a scheduler use.
--- a/internal/testbed/process/files.go
+++ b/internal/testbed/process/files.go
@@ -22,13 +22,13 @@
 		return err
 	}
 	text, err := json.Marshal(platform.Config{
-		Bulletin: listAddress,
-		Known:    json.RawMessage(fleet.knownEvents(in.Name)),
-		Limits:   platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Listen:   in.Addr,
-		Name:     in.Name,
-		Seed:     fmt.Sprintf("%016x", rank+1),
-		Settings: platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
+		ListService: listAddress,
+		Known:       json.RawMessage(fleet.knownEvents(in.Name)),
+		Limits:      platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Listen:      in.Addr,
+		Name:        in.Name,
+		Seed:        fmt.Sprintf("%016x", rank+1),
+		Settings:    platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
 	})
 	if err != nil {
 		return err
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -72,28 +72,28 @@
 
 // ColdStartMetrics is what experiment.ColdStart measured with one build. Times are in milliseconds, shares fractions of 1.
 type ColdStartMetrics struct {
-	PollsPeak           int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
-	PollsEven           float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
-	PollsSent           int      `json:"polls_sent"`                // until each had the last event
-	PollsNeeded         int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
-	ConnectsPeak        int      `json:"connects_peak_100ms"`       // at the list service
-	Connects            int      `json:"connects"`                  // there, over the whole run
-	Bytes               int      `json:"list_bytes"`                // of lists, over the whole run
-	AllListed           float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
-	Limit               float64  `json:"limit_ms"`                  // what the service's capacity allows at best
-	AgentConnects       int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
-	Handshakes          float64  `json:"handshakes_per_scheduler"`
-	Workers             float64  `json:"workers_per_scheduler"`           // that it sent anything
-	PreferredWorkers    float64  `json:"preferred_workers_per_scheduler"` // of the functions requested of it: the workers that it has to connect to
-	Loads               int      `json:"loads"`
-	Crashed             int      `json:"workers_crashed"`
-	PeakWarmUpLoadShare float64  `json:"warm_up_load_peak_share"` // that a worker was sent while warming up, as a fraction of what it survives
-	RefusedConnections  int      `json:"agent_connects_refused"`  // over what the workers accept
-	Served              float64  `json:"served_share"`
-	Requests            int      `json:"requests"`
-	Lost                int      `json:"lost"` // without any response
-	RulesBroken         []string `json:"rules_broken"`
-	Late                float64  `json:"machine_late_ms"` // the worst delay with which this machine woke the testbed itself
+	PollsPeak              int      `json:"polls_peak_100ms"`          // the most polls within any 100 ms
+	PollsEven              float64  `json:"polls_even_100ms"`          // one of each scheduler, spread over the protocol's 2 s
+	PollsSent              int      `json:"polls_sent"`                // until each had the last event
+	PollsNeeded            int      `json:"polls_needed"`              // one, and one more for each 7 s that it waited
+	ConnectsPeak           int      `json:"connects_peak_100ms"`       // at the list service
+	Connects               int      `json:"connects"`                  // there, over the whole run
+	Bytes                  int      `json:"list_bytes"`                // of lists, over the whole run
+	AllListed              float64  `json:"all_listed_ms"`             // from the last step until all had polled or got the last event; -1 where some never did
+	Limit                  float64  `json:"limit_ms"`                  // what the service's capacity allows at best
+	AgentConnects          int      `json:"agent_connects_peak_100ms"` // at the worker that saw the most
+	Handshakes             float64  `json:"handshakes_per_scheduler"`
+	Workers                float64  `json:"workers_per_scheduler"`           // that it sent anything
+	PreferredWorkers       float64  `json:"preferred_workers_per_scheduler"` // of the functions requested of it: the workers that it has to connect to
+	Loads                  int      `json:"loads"`
+	Crashed                int      `json:"workers_crashed"`
+	PeakWarmUpLoadFraction float64  `json:"warm_up_load_peak_share"` // that a worker was sent while warming up, as a fraction of what it survives
+	RefusedConnections     int      `json:"agent_connects_refused"`  // over what the workers accept
+	Served                 float64  `json:"served_share"`
+	Requests               int      `json:"requests"`
+	Lost                   int      `json:"lost"` // without any response
+	RulesBroken            []string `json:"rules_broken"`
+	Late                   float64  `json:"machine_late_ms"` // the worst delay with which this machine woke the testbed itself
 
 	pollTimes         []time.Duration
 	agentConnectTimes []time.Duration
@@ -138,7 +138,7 @@
 type VirtualMetrics struct {
 	Schedulers     int       `json:"schedulers"`
 	Workers        int       `json:"workers"`
-	ServedShare    float64   `json:"served_share"`
+	ServedFraction float64   `json:"served_share"`
 	ServedBySecond []float64 `json:"served_by_second_share"`
 	Rejected       int       `json:"rejected"`
 	Handshakes     float64   `json:"handshakes_per_scheduler"`
--- a/internal/testbed/scenario/linksteps.go
+++ b/internal/testbed/scenario/linksteps.go
@@ -19,12 +19,12 @@
 
 // setLinks changes the links between some schedulers and some workers, or resets their connections.
 func (r stepRun) setLinks() error {
-	const shareOfSchedulers, shareOfWorkers = 1, 2 // which arguments they are
-	instances, err := r.selectedInstances(shareOfSchedulers)
+	const schedulerFraction, workerFraction = 1, 2 // which arguments they are
+	instances, err := r.selectedInstances(schedulerFraction)
 	if err != nil {
 		return err
 	}
-	workers, err := r.selectedWorkers(shareOfWorkers)
+	workers, err := r.selectedWorkers(workerFraction)
 	if err != nil {
 		return errors.Join(err, r.invalid())
 	}
--- a/internal/testbed/virtual/experiment.go
+++ b/internal/testbed/virtual/experiment.go
@@ -156,7 +156,7 @@
 		fraction := float64(f.served[second]) / max(float64(f.offered[second]), 1)
 		f.metrics.ServedBySecond = append(f.metrics.ServedBySecond, fraction)
 	}
-	f.metrics.ServedShare = float64(served) / max(float64(offered), 1)
+	f.metrics.ServedFraction = float64(served) / max(float64(offered), 1)
 	handshakes := 0
 	for _, worker := range f.workers {
 		handshakes += len(worker.connectedAt)
--- a/internal/testbed/virtual/experiment_test.go
+++ b/internal/testbed/virtual/experiment_test.go
@@ -41,7 +41,7 @@
 			}
 			// Requests of the last second may not be answered yet.
 			if worst := slices.Min(metrics.ServedBySecond[tt.fromSecond : experiment.Seconds-1]); worst < tt.minServedFraction {
-				t.Errorf("%.2f served in the worst second, %.2f of all", worst, metrics.ServedShare)
+				t.Errorf("%.2f served in the worst second, %.2f of all", worst, metrics.ServedFraction)
 			}
 		})
 	}
--- a/internal/testbed/workload/load.go
+++ b/internal/testbed/workload/load.go
@@ -40,8 +40,8 @@
 // out of rotation.
 var ErrNotAccepted = errors.New("not accepted")
 
-// ServedShare returns the fraction of the requests that were served.
-func (r Result) ServedShare() float64 {
+// ServedFraction returns the fraction of the requests that were served.
+func (r Result) ServedFraction() float64 {
 	if r.Offered == 0 {
 		return 0
 	}
