--- a/internal/snapshot/snapshotfile/golden_internal_test.go
+++ b/internal/snapshot/snapshotfile/golden_internal_test.go
@@ -78,8 +78,8 @@
 	if _, err := Read(path, snapshottest.Fleet, snapshottest.Time, snapshottest.MaxAge); err == nil || err.Error() != want {
 		t.Errorf("error %v, want %s", err, want)
 	}
-	if aside, err := os.ReadFile(path + ".aside"); err != nil || !bytes.Equal(aside, truncated) {
-		t.Errorf("set aside: %q, %v", aside, err)
+	if moved, err := os.ReadFile(path + ".aside"); err != nil || !bytes.Equal(moved, truncated) {
+		t.Errorf("set aside: %q, %v", moved, err)
 	}
 	if got, err := Read(path, snapshottest.Fleet, snapshottest.Time, snapshottest.MaxAge); err != nil || !reflect.DeepEqual(got, snapshot.Record{}) {
 		t.Errorf("without a file: %+v, %v", got, err)
--- a/internal/testbed/fault/link_test.go
+++ b/internal/testbed/fault/link_test.go
@@ -74,13 +74,13 @@
 func TestHub(t *testing.T) {
 	sender := listenUDP(t)
 	receiver := listenUDP(t)
-	var mu sync.Mutex
-	condition := fault.LinkCondition{} // guarded by mu
+	var conditionMutex sync.Mutex
+	condition := fault.LinkCondition{} // guarded by conditionMutex
 	hub, err := fault.NewHub(
 		[]string{sender.LocalAddr().String(), receiver.LocalAddr().String()},
 		func(string, string) fault.LinkCondition {
-			mu.Lock()
-			defer mu.Unlock()
+			conditionMutex.Lock()
+			defer conditionMutex.Unlock()
 			return condition
 		},
 	)
@@ -99,9 +99,9 @@
 		{fault.LinkCondition{Loss: 1}, ""},
 		{fault.LinkCondition{Delay: time.Millisecond}, "4"},
 	} {
-		mu.Lock()
+		conditionMutex.Lock()
 		condition = tt.condition
-		mu.Unlock()
+		conditionMutex.Unlock()
 		payload := byte('x')
 		if tt.want != "" {
 			payload = tt.want[0]
