--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -198,10 +198,8 @@
 		return echo(n, request)
 	})
 	// The second worker is slower: where both have an instance loaded, the first is chosen once both were observed.
-	agentB := newAgent(t, func(n int, request agentRequest) string {
-		time.Sleep(250 * time.Millisecond)
-		return echo(n, request)
-	})
+	latency := func(int, agentRequest) time.Duration { return 250 * time.Millisecond }
+	agentB := newAgent(t, withLatency(latency, echo))
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	sched.start()
@@ -273,10 +271,7 @@
 	client := sched.connect()
 	client.send(newCall("consulta", "x")) // the program has accepted the connection
 	client.readAnswer()
-	sched.whileStopped(func() {
-		client.send(newCall("consulta", "x"))
-		time.Sleep(500 * time.Millisecond)
-	})
+	sched.whileStopped(500*time.Millisecond, func() { client.send(newCall("consulta", "x")) })
 	client.readAnswer()
 	had := agent.received()
 	if ms, err := strconv.Atoi(had[len(had)-1].fields["patience"]); err != nil || ms > 8500 {
@@ -298,7 +293,7 @@
 	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
 	sched.addEventAndWait(false, "late SERVING "+agent.addr)
 	close(reset) // the request may have run at the first worker: the retry goes to the other one
-	time.Sleep(100 * time.Millisecond)
+	waitUntilDialing(t, agent)
 	open() // the connection is established a second after it was dialed
 	if got := client.readAnswer(); got.status != 503 {
 		t.Errorf("status %d, want a rejection", got.status)
--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -51,8 +51,10 @@
 			gone, stays := sched.connect(), sched.connect()
 			request := newCall("certificado", "gone")
 			gone.send(request)
+			gone.waitUntilRead()
 			stays.send(newCall("certificado", "stays"))
-			time.Sleep(100 * time.Millisecond) // both wait for the connection, which can't be established yet
+			stays.waitUntilRead() // both wait for the connection, which can't be established yet
+			waitUntilDialing(t, agent)
 			tt.leave(gone, request)
 			open()
 			if got := stays.readAnswer(); got.body != "re:stays" {
@@ -80,8 +82,8 @@
 	stays := sched.connect()
 	stays.send(newCall("consulta", "stays"))
 	close(reset)
-	time.Sleep(100 * time.Millisecond)
-	client.conn.Close()
+	waitUntilDialing(t, agent)
+	client.closeAndWait()
 	open()
 	if got := stays.readAnswer(); got.body != "re:stays" {
 		t.Errorf("the client that stayed got status %d", got.status)
@@ -103,18 +105,19 @@
 	aborts.send(request)
 	closes.send(newCall("consulta", "gone", oneLane))
 	stays.send(newCall("consulta", "stays", oneLane))
-	time.Sleep(50 * time.Millisecond)
+	for _, client := range []*testClient{aborts, closes, stays} {
+		client.waitUntilRead()
+	}
 	aborts.write(encodeRecord(typeAbortRequest, request.id, 0, ""))
 	aborts.readAnswer()
-	closes.conn.Close()
-	time.Sleep(50 * time.Millisecond)
+	closes.closeAndWait()
 	close(release)
 	for client, want := range map[*testClient]string{first: "re:first", stays: "re:stays"} {
 		if got := client.readAnswer(); got.body != want {
 			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
 		}
 	}
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(300 * time.Millisecond) // nothing may reach the worker within this time
 	for _, request := range agent.received() {
 		if request.body == "gone" {
 			t.Error("a request was forwarded after its client had disconnected")
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -158,10 +158,9 @@
 	client := sched.connect()
 	for round := range 5 {
 		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // a poll has just been answered: the scheduler pauses before the next
-		sched.whileStopped(func() {
+		sched.whileStopped(270*time.Millisecond, func() {
 			sched.addEvent(true, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 			client.send(newCall("consulta", ""))
-			time.Sleep(270 * time.Millisecond)
 		})
 		if got := client.readAnswer(); got.body != "b" {
 			t.Errorf("round %d: %q answers 270 ms after a began to drain, want b", round, got.body)
--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -214,6 +214,14 @@
 	return answerLine(request.id, "OK", "depth=0,l=util:0.5", "re:"+request.body)
 }
 
+// withLatency returns a reply that is given only after a time that may differ by request: the worker's service time.
+func withLatency(latency func(n int, request agentRequest) time.Duration, reply func(int, agentRequest) string) func(int, agentRequest) string {
+	return func(n int, request agentRequest) string {
+		time.Sleep(latency(n, request)) // the pace of a stand-in, which the test sets
+		return reply(n, request)
+	}
+}
+
 // startWithDeafAgent starts a scheduler with an agent that answers nothing on its first connection.
 func startWithDeafAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent) {
 	sched, agent = startWithAgent(t, func(n int, request agentRequest) string {
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"fmt"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -13,7 +12,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -123,19 +121,17 @@
 func (s *testScheduler) start() *testScheduler {
 	s.t.Helper()
 	s.launch()
-	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if conn, err := net.Dial("tcp", s.addr); err == nil {
-			client := &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
-			client.send(healthRequest())
-			answer := client.readAnswer()
-			conn.Close()
-			if answer.status == http.StatusOK {
-				return s
-			}
+	waitUntil(s.t, "the program is healthy", func() bool {
+		conn, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			return false
 		}
-	}
-	s.t.Fatal("the program does not become healthy")
-	return nil
+		defer conn.Close()
+		client := &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
+		client.send(healthRequest())
+		return client.readAnswer().status == http.StatusOK
+	})
+	return s
 }
 
 // waitForExit waits until the process exits by itself, with code 0.
@@ -191,20 +187,10 @@
 	}
 }
 
-// whileStopped calls a function while the process is stopped by SIGSTOP.
-func (s *testScheduler) whileStopped(meanwhile func()) {
+// whileStopped calls a function while the process is stopped, and lets it run again when stall has passed after that.
+func (s *testScheduler) whileStopped(stall time.Duration, meanwhile func()) {
 	s.t.Helper()
-	if err := s.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-		s.t.Fatal(err)
-	}
-	waitUntil(s.t, "the program is stopped", func() bool {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.cmd.Process.Pid))
-		return err == nil && strings.Contains(string(text), ") T ")
-	})
-	meanwhile()
-	if err := s.cmd.Process.Signal(syscall.SIGCONT); err != nil {
-		s.t.Fatal(err)
-	}
+	whileStopped(s.t, s.cmd.Process.Pid, stall, meanwhile)
 }
 
 // kill ends the program by SIGKILL, and waits until it has ended.
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -6,6 +6,8 @@
 	"os"
 	"os/exec"
 	"strconv"
+	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -84,9 +86,38 @@
 // waitUntil waits until a condition holds, and fails the test if it does not within waitTimeout.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
+	if !poll(waitTimeout, ok) {
+		t.Fatalf("timed out waiting until %s", what)
+	}
+}
+
+// pollInterval is the time between two checks of poll.
+const pollInterval = 2 * time.Millisecond
+
+// poll checks a condition until it holds, and reports whether it did within a timeout.
+func poll(timeout time.Duration, ok func() bool) bool {
+	for end := time.Now().Add(timeout); !ok(); time.Sleep(pollInterval) { // the one loop of the tests that checks repeatedly
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting until %s", what)
+			return false
 		}
 	}
+	return true
+}
+
+// whileStopped stops a process by SIGSTOP, calls a function, and lets the process run again when stall has passed after
+// that. The length of the stall is what its callers test: they give the least that must have an effect.
+func whileStopped(t *testing.T, pid int, stall time.Duration, meanwhile func()) {
+	t.Helper()
+	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "the program is stopped", func() bool {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+		return err == nil && strings.Contains(string(text), ") T ")
+	})
+	meanwhile()
+	time.Sleep(stall) // the process is stopped for that long
+	if err := syscall.Kill(pid, syscall.SIGCONT); err != nil {
+		t.Fatal(err)
+	}
 }
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -193,9 +193,11 @@
 	sched.maxSockets = 66
 	sched.settingsEdits = [][2]string{{`"connectTimeoutMs":250`, `"connectTimeoutMs":6000`}}
 	var targets []string
+	var agents []*nodeAgent
 	var open []func()
 	for i := range 40 {
 		agent, up := newLateAgent(t, echo)
+		agents = append(agents, agent)
 		targets, open = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr)), append(open, up)
 	}
 	sched.addEvent(true, targets...)
@@ -207,16 +209,19 @@
 		request.id = id
 		caller.send(request)
 	}
-	time.Sleep(200 * time.Millisecond) // the connections are being dialed, and none can be established
+	caller.waitUntilRead()
+	dialing := func() int { return countToAgents(t, socketSynSent, agents...) }
+	const maxDials = 12 // of the 66 descriptors 24 are for workers, and a dial holds two
+	waitUntil(t, "as many connections are being dialed as descriptors allow", func() bool { return dialing() == maxDials })
 	var idle []*testClient
-	sched.whileStopped(func() {
+	sched.whileStopped(0, func() {
 		for range 60 {
 			idle = append(idle, sched.connect())
 		}
 		for _, up := range open {
 			up()
 		}
-		time.Sleep(1500 * time.Millisecond) // until the workers' connections are established
+		waitUntil(t, "the workers' connections are established", func() bool { return dialing() == 0 })
 	})
 	for range 30 {
 		caller.readAnswer()
@@ -303,6 +308,6 @@
 			client.send(request)
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // longer than 0.25 s, and well before the 2 s after which they would be closed anyway
+	time.Sleep(500 * time.Millisecond) // how long the requests stay incomplete: longer than 0.25 s, and well before the 2 s after which they would be closed anyway
 	sendRequests()
 }
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -7,7 +7,6 @@
 	"slices"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -60,10 +59,8 @@
 func waitForAll(t *testing.T, fleet *testbed.Fleet, what string, ok func(*testbed.Instance) bool) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
-		for end := time.Now().Add(2 * waitTimeout); !ok(instance); time.Sleep(20 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("timed out waiting until %s, at %s:\n%s", what, instance.Name, instance.Log)
-			}
+		if !poll(2*waitTimeout, func() bool { return ok(instance) }) {
+			t.Fatalf("timed out waiting until %s, at %s:\n%s", what, instance.Name, instance.Log)
 		}
 	}
 }
@@ -137,12 +134,17 @@
 		}
 		t.Cleanup(func() { closeClient(client) })
 		wg.Go(func() {
+			pace := time.NewTicker(time.Duration(40+10*i) * time.Millisecond) // each at a rate of its own
+			defer pace.Stop()
 			for n := 0; ctx.Err() == nil; n++ {
 				for k := range 4 { // several at a time: an unresponsive worker is detected by two overdue requests
 					// The outcome does not matter: these requests only give the schedulers something to observe.
 					wg.Go(func() { _, _ = client.Do(ctx, fleetRequest(instance, "consulta", 1+(4*n+k)%40)) })
 				}
-				time.Sleep(time.Duration(40+10*i) * time.Millisecond) // each at a rate of its own
+				select {
+				case <-pace.C:
+				case <-ctx.Done():
+				}
 			}
 		})
 	}
@@ -225,10 +227,8 @@
 	})
 	fleet.Workers[5].Set(testbed.WorkerUnresponsive)
 	idle := fleet.Instances[fleetSize-1]
-	for end := time.Now().Add(3 * waitTimeout); !hasLogLine(idle, lineConfirmedFaulty, "worker", "w05"); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("a scheduler without traffic is not notified of an unresponsive worker\n%s", idle.Log)
-		}
+	if !poll(3*waitTimeout, func() bool { return hasLogLine(idle, lineConfirmedFaulty, "worker", "w05") }) {
+		t.Fatalf("a scheduler without traffic is not notified of an unresponsive worker\n%s", idle.Log)
 	}
 	for _, instance := range fleet.Instances {
 		for _, w := range ids {
@@ -265,13 +265,7 @@
 // declared a member other than the byzantine one dead.
 func expectPausedMemberBack(t *testing.T, fleet *testbed.Fleet) {
 	t.Helper()
-	if err := fleet.Instances[3].Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
-	}
-	time.Sleep(3 * time.Second)
-	if err := fleet.Instances[3].Signal(syscall.SIGCONT); err != nil {
-		t.Fatal(err)
-	}
+	whileStopped(t, fleet.Instances[3].Pid(), 3*time.Second, func() {})
 	waitForAll(t, fleet, "the member that was stopped is alive again", func(instance *testbed.Instance) bool {
 		last := ""
 		for _, line := range instance.Log.Lines() {
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -68,10 +68,8 @@
 
 // 32 requests share a connection, and each gets its own answer, in whichever order the worker answers.
 func TestMultiplexed(t *testing.T) {
-	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
-		time.Sleep(time.Duration(37*n%20) * time.Millisecond)
-		return echo(n, request)
-	})
+	latency := func(n int, _ agentRequest) time.Duration { return time.Duration(37*n%20) * time.Millisecond }
+	sched, _ := startWithAgent(t, withLatency(latency, echo))
 	client, want, got := sched.connect(), map[uint16]string{}, map[uint16]string{}
 	var all []byte
 	for id := uint16(1); id <= 32; id++ {
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -13,12 +15,13 @@
 
 // After SIGTERM new requests are served for a while, those in flight are answered, and the exit code is 0.
 func TestShutdown(t *testing.T) {
-	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
+	latency := func(_ int, request agentRequest) time.Duration {
 		if request.body == "slow" {
-			time.Sleep(2 * time.Second)
+			return 2 * time.Second // far longer than new requests are served after SIGTERM
 		}
-		return echo(n, request)
-	})
+		return 0
+	}
+	sched, agent := startWithAgent(t, withLatency(latency, echo))
 	never, slow := sched.connect(), sched.connect()
 	half := newCall("consulta", "half") // never completed: it must not delay the exit
 	half.bodyOpen = true
@@ -28,7 +31,7 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200 * time.Millisecond)
+	time.Sleep(200 * time.Millisecond) // new connections keep arriving for 0.2 s after SIGTERM at least: this one is as late
 	late := sched.connect()
 	late.send(newCall("consulta", "late"))
 	if got := late.readAnswer(); got.status != 200 {
@@ -65,7 +68,7 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(1500 * time.Millisecond) // without unsent answers it would have exited by now
+	time.Sleep(1500 * time.Millisecond) // how late the client reads: without unsent answers the program would have exited by now
 	readAll()
 	sched.waitForExit()
 }
@@ -88,13 +91,12 @@
 		t.Fatal(err)
 	}
 	waitUntil(t, "the scheduler is draining", func() bool { return strings.Contains(sched.log.String(), "draining") })
-	sched.whileStopped(func() {
+	sched.whileStopped(2*time.Second, func() {
 		for range 20 {
 			client := sched.connect()
 			client.send(newCall("consulta", "x"))
 			clients = append(clients, client)
 		}
-		time.Sleep(2 * time.Second)
 	})
 	for _, client := range clients {
 		if got := client.readAnswer(); got.body != "re:x" && got.status != 503 {
@@ -119,7 +121,8 @@
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(10 * time.Millisecond) // or the kernel would merge the pending signals into one
+		// The kernel merges signals of a kind that are pending.
+		waitUntil(t, "the signal is delivered", func() bool { return !signalPending(t, sched.cmd.Process.Pid, syscall.SIGHUP) })
 	}
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -132,6 +135,23 @@
 	sched.waitForExit()
 }
 
+// signalPending reports whether a signal to a process waits to be delivered.
+func signalPending(t *testing.T, pid int, signal syscall.Signal) bool {
+	t.Helper()
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const processPending = "ShdPnd:" // signals for the process as a whole, as a bit mask in hexadecimal
+	_, after, _ := strings.Cut(string(status), processPending)
+	line, _, _ := strings.Cut(after, "\n")
+	pending, err := strconv.ParseUint(strings.TrimSpace(line), 16, 64)
+	if err != nil {
+		t.Fatalf("pending signals of process %d: %v", pid, err)
+	}
+	return pending&(1<<(signal-1)) != 0
+}
+
 // Requests whose deadlines are after the platform's kill get their final answer before it: a rejection where a retry is
 // harmless, a failure where it is not.
 func TestAnsweredBeforeKill(t *testing.T) {
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -161,10 +161,12 @@
 	rng, last := rand.New(rand.NewPCG(1, 1)), 0
 	for range 8 {
 		sched.start()
-		for end := time.Now().Add(time.Duration(rng.IntN(400)) * time.Millisecond); time.Now().Before(end); {
+		end := time.Now().Add(time.Duration(rng.IntN(400)) * time.Millisecond)
+		pace := time.NewTicker(time.Millisecond)
+		for ; time.Now().Before(end); <-pace.C {
 			sched.addEvent(false, "a SERVING "+agent.addr, fmt.Sprintf("w%d SERVING %s", rng.IntN(1000), agent.addr))
-			time.Sleep(time.Millisecond)
 		}
+		pace.Stop()
 		sched.kill()
 		no := snapshotEvent(t, file)
 		if no < last {
--- a/cmd/calicohill/unread_answers_test.go
+++ b/cmd/calicohill/unread_answers_test.go
@@ -45,7 +45,7 @@
 // A connection that is to be closed after a request is closed only once all answers on it are sent.
 func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
 	_, client, readAll := startPartlyWritten(t, func(request *clientRequest) { request.closeAfter = true })
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(300 * time.Millisecond) // how late the client reads: the connection stays open for this time
 	readAll()
 	if !client.closedByServer() {
 		t.Error("the connection stays open")
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -9,10 +9,11 @@
 // One of hundreds of schedulers uses a single connection for its few requests to a worker, since the worker has to
 // accept the connections of all schedulers.
 func TestFewConnections(t *testing.T) {
-	agent := newAgent(t, func(n int, request agentRequest) string {
-		time.Sleep(time.Duration(n%2) * 20 * time.Millisecond) // so that two are in flight at a time
+	// Every second answer takes some time, so that two requests are in flight at a time.
+	latency := func(n int, _ agentRequest) time.Duration { return time.Duration(n%2) * 20 * time.Millisecond }
+	agent := newAgent(t, withLatency(latency, func(_ int, request agentRequest) string {
 		return answerLine(request.id, "OK", "-", strconv.Itoa(request.conn))
-	})
+	}))
 	sched := newTestScheduler(t)
 	sched.settings.Schedulers = 300
 	sched.addEvent(true, "a SERVING "+agent.addr)
@@ -41,7 +42,7 @@
 	client := sched.start().connect()
 	waitUntil(t, "ten calls in a row are served after idle times", func() bool {
 		for range 10 {
-			time.Sleep(130 * time.Millisecond)
+			time.Sleep(130 * time.Millisecond) // the idle time, after which the network drops the connection
 			client.send(newCall("certificado", "x"))
 			if client.readAnswer().status != 200 {
 				return false
@@ -58,7 +59,7 @@
 	first, second := sched.connect(), sched.connect()
 	first.send(newCall("consulta", "lost", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	waitUntil(t, "the first request is at the agent", func() bool { return len(agent.received()) == 1 })
-	time.Sleep(1200 * time.Millisecond)
+	time.Sleep(1200 * time.Millisecond) // how long the request waits for its answer: over 1 s counts as long
 	second.send(newCall("consulta", "found"))
 	if got := second.readAnswer(); got.body != "re:found" {
 		t.Errorf("status %d, want it served on a new connection", got.status)
@@ -103,7 +104,7 @@
 	agentB := newAgent(t, answerWith("b"))
 	client := sched.connect()
 	client.send(newCall("certificado", "x"))
-	time.Sleep(100 * time.Millisecond)
+	waitUntilDialing(t, agentA)
 	sched.addEventAndWait(false, "late DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 	if got := client.readAnswer(); got.body != "b" {
 		t.Errorf("status %d, want it served by the other worker", got.status)
@@ -132,7 +133,7 @@
 			client := sched.connect()
 			client.send(newCall("certificado", "first"))
 			client.readAnswer()
-			sched.whileStopped(func() {
+			sched.whileStopped(0, func() {
 				if !tt.after {
 					agent.closeConns()
 				}
@@ -140,7 +141,8 @@
 				if tt.after {
 					agent.closeConns()
 				}
-				time.Sleep(50 * time.Millisecond)
+				client.waitUntilArrived()
+				waitUntil(t, "the close has arrived", func() bool { return countToAgents(t, socketEstablished, agent) == 0 })
 			})
 			if got := client.readAnswer(); got.body != "re:x" {
 				t.Errorf("status %d, %q, want it served on another connection", got.status, got.body)
