--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"os"
 	"strings"
 	"sync"
@@ -91,6 +90,7 @@
 
 // run plays the scenario with that program.
 func (tt startupScenario) run(t *testing.T, program string) {
+	t.Helper()
 	script, err := testbed.ParseScenario(tt.script)
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	case tt.warmsUp():
 		day.Profile, day.ClaimedSchedulers, minServed = "small", 24, 0.3
 	}
-	result, err := day.Run(context.Background())
+	result, err := day.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -40,7 +40,12 @@
 	sched.pollOverrides = append(sched.pollOverrides,
 		func(w http.ResponseWriter) { http.Error(w, "later", http.StatusInternalServerError) },
 		func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
-		func(w http.ResponseWriter) { w.(http.Flusher).Flush(); fmt.Fprint(w, sched.feed(3)) }) // chunked
+		func(w http.ResponseWriter) { // chunked
+			if err := http.NewResponseController(w).Flush(); err != nil {
+				t.Error(err)
+			}
+			fmt.Fprint(w, sched.feed(3))
+		})
 	sched.mu.Unlock()
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -58,6 +58,7 @@
 
 // listeningAgent returns an agent that accepts no connection yet.
 func listeningAgent(t *testing.T, listener net.Listener, reply func(n int, request agentRequest) string) *nodeAgent {
+	t.Helper()
 	return &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply, open: map[net.Conn]bool{}}
 }
 
@@ -80,12 +81,12 @@
 // Connections are established by the next SYN after that, about a second after the first one.
 func newLateAgent(t *testing.T, reply func(n int, request agentRequest) string) (agent *nodeAgent, open func()) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
-	raw, err := listener.(*net.TCPListener).SyscallConn()
+	t.Cleanup(func() { _ = listener.Close() })
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,6 +225,7 @@
 
 // startWithDeafAgent starts a scheduler with an agent that answers nothing on its first connection.
 func startWithDeafAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent) {
+	t.Helper()
 	sched, agent = startWithAgent(t, func(n int, request agentRequest) string {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -14,7 +14,12 @@
 func (s *testScheduler) poll(w http.ResponseWriter, r *http.Request) {
 	request := testbed.ParsePollRequest(r)
 	timeout := time.After(request.Timeout)
-	address := r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
+	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
+	if !ok {
+		s.t.Error("a poll without the address that it came to")
+		return
+	}
+	address := local.String()
 	s.countPoll(address, 1)
 	defer s.countPoll(address, -1)
 	for {
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -52,6 +52,7 @@
 
 // newTestScheduler returns a scheduler that is not started yet; its fields can be changed before that.
 func newTestScheduler(t *testing.T) *testScheduler {
+	t.Helper()
 	sched := &testScheduler{t: t, changed: make(chan struct{}), settings: testSettings(), maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
 	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
 	return sched
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -49,18 +49,28 @@
 			return fmt.Errorf("confine: %w", err)
 		}
 	}
-	files, err := strconv.ParseUint(os.Getenv(filesVariable), 10, 31)
-	if err != nil {
+	text := os.Getenv(filesVariable)
+	if text == "" {
 		return nil // not limited
 	}
+	files, err := strconv.ParseUint(text, 10, 31)
+	if err != nil {
+		return fmt.Errorf("descriptors: %w", err)
+	}
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: files, Max: files}); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	return nil
 }
 
-// resetOnClose has the closing of a connection reset it. It fails only if the connection is closed already.
-func resetOnClose(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
+// resetOnClose has the closing of a TCP connection reset it.
+func resetOnClose(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		panic(fmt.Sprintf("a connection of type %T can't be reset", conn))
+	}
+	_ = tcp.SetLinger(0) // fails only if the connection is closed already
+}
 
 // setReadDeadline lets reads from a connection fail after waitTimeout.
 func setReadDeadline(t *testing.T, conn net.Conn) {
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := fleet.Wait(context.Background(), waitTimeout); err != nil {
+	if err := fleet.Wait(t.Context(), waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	waitUntilJoined(t, fleet, instances)
@@ -50,7 +50,7 @@
 // waitUntilJoined waits until each scheduler knows a number of members.
 func waitUntilJoined(t *testing.T, fleet *testbed.Fleet, members int) {
 	t.Helper()
-	if err := fleet.Joined(context.Background(), members, 2*waitTimeout); err != nil {
+	if err := fleet.Joined(t.Context(), members, 2*waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -109,7 +109,8 @@
 
 // fleetCall sends a request through a scheduler and returns its outcome.
 func fleetCall(t *testing.T, client *fastcgi.Client, instance *testbed.Instance, class string, function int) fastcgi.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	reply, err := client.Do(ctx, fleetRequest(instance, class, function))
 	if err != nil {
@@ -123,7 +124,7 @@
 // or the test ends.
 func sendLoad(t *testing.T, only []*testbed.Instance) (stop func()) {
 	t.Helper()
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	stop = func() { cancel(); wg.Wait() }
 	t.Cleanup(stop)
@@ -172,7 +173,7 @@
 	}
 	expectMassAccuserIgnored(t, fleet, byzantine, ids)
 	byzantine.Accuse(ids[:2])
-	client, err := fastcgi.Dial(context.Background(), fleet.Instances[0].Addr)
+	client, err := fastcgi.Dial(t.Context(), fleet.Instances[0].Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -224,8 +224,8 @@
 		clients[class] = client
 	}
 	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) >= len(want) })
-	at := time.Now()
-	wakeDelay := measureWakeDelay(at.Add(3400 * time.Millisecond)) // its final answers come 3.5 s after SIGTERM
+	terminatedAt := time.Now()
+	wakeDelay := measureWakeDelay(terminatedAt.Add(3400 * time.Millisecond)) // its final answers come 3.5 s after SIGTERM
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +237,7 @@
 	// Measured by the log line, since the race detector delays the process exit by a second, and by its own time, since the
 	// test may be woken late.
 	waitUntil(t, "the scheduler has ended", func() bool { return strings.Contains(sched.log.String(), logEnded) })
-	took := logTime(t, sched.log, logEnded).Sub(at)
+	took := logTime(t, sched.log, logEnded).Sub(terminatedAt)
 	late := endWaits * wakeDelay()
 	t.Logf("ended %v after SIGTERM; %v of that may be the machine's", took, late)
 	if took-late > 3700*time.Millisecond { // SIGKILL comes no earlier
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -119,16 +119,19 @@
 		prepare    func(t *testing.T, file string)
 	}{
 		{"torn", "snapshot set aside", func(t *testing.T, file string) {
+			t.Helper()
 			if err := os.WriteFile(file, []byte("calicohill snapshot 1\nabcd{"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}},
 		{"a folder", "snapshot set aside", func(t *testing.T, file string) {
+			t.Helper()
 			if err := os.MkdirAll(filepath.Join(file, "x"), 0o700); err != nil {
 				t.Fatal(err)
 			}
 		}},
 		{"no folder for it", "snapshot write failed, keeping the previous file", func(t *testing.T, file string) {
+			t.Helper()
 			if err := os.RemoveAll(filepath.Dir(file)); err != nil {
 				t.Fatal(err)
 			}
