--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -135,15 +135,15 @@
 		}
 		t.Cleanup(func() { closeClient(client) })
 		wg.Go(func() {
-			pace := time.NewTicker(time.Duration(40+10*i) * time.Millisecond) // each at a rate of its own
-			defer pace.Stop()
+			ticker := time.NewTicker(time.Duration(40+10*i) * time.Millisecond) // each at a rate of its own
+			defer ticker.Stop()
 			for n := 0; ctx.Err() == nil; n++ {
 				for k := range 4 { // several at a time: an unresponsive worker is detected by two overdue requests
 					// The outcome does not matter: these requests only give the schedulers something to observe.
 					wg.Go(func() { _, _ = client.Do(ctx, fleetRequest(instance, "consulta", 1+(4*n+k)%40)) })
 				}
 				select {
-				case <-pace.C:
+				case <-ticker.C:
 				case <-ctx.Done():
 				}
 			}
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -165,11 +165,11 @@
 	for range 8 {
 		sched.start()
 		end := time.Now().Add(time.Duration(rng.IntN(400)) * time.Millisecond)
-		pace := time.NewTicker(time.Millisecond)
-		for ; time.Now().Before(end); <-pace.C {
+		ticker := time.NewTicker(time.Millisecond)
+		for ; time.Now().Before(end); <-ticker.C {
 			sched.addEvent(false, "a SERVING "+agent.addr, fmt.Sprintf("w%d SERVING %s", rng.IntN(1000), agent.addr))
 		}
-		pace.Stop()
+		ticker.Stop()
 		sched.kill()
 		no := snapshotEvent(t, file)
 		if no < last {
