--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/process"
 
 	"golang.org/x/sys/unix"
 )
@@ -164,7 +164,7 @@
 const endWaits = 3
 
 // logTime returns the time of the first log line with a message, at the latest that it can mean.
-func logTime(t *testing.T, log *testbed.Log, msg string) time.Time {
+func logTime(t *testing.T, log *process.Log, msg string) time.Time {
 	t.Helper()
 	for line := range strings.Lines(log.String()) {
 		if !strings.Contains(line, msg) {
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -6,7 +6,9 @@
 	"time"
 
 	"calicohill/internal/discovery/pollplan"
-	"calicohill/internal/testbed"
+	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/virtual"
 
 	"pgregory.net/rapid"
 )
@@ -24,44 +26,44 @@
 	for _, tt := range []struct {
 		name  string
 		bound int
-		do    func(*testbed.PollSimulation)
+		do    func(*virtual.PollSimulation)
 	}{
-		{"refused for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
-			fleet.SetFault(testbed.ListRefusing)
+		{"refused for 8 s", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
+			fleet.SetFault(standin.ListRefusing)
 			fleet.Run(8 * time.Second)
-			fleet.SetFault(testbed.ListHealthy)
+			fleet.SetFault(standin.ListHealthy)
 		}},
-		{"busy for 8 s", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
-			fleet.SetFault(testbed.ListOverloaded)
+		{"busy for 8 s", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
+			fleet.SetFault(standin.ListOverloaded)
 			fleet.Run(8 * time.Second)
-			fleet.SetFault(testbed.ListHealthy)
+			fleet.SetFault(standin.ListHealthy)
 		}},
 		// Answered all at once, they have to poll again within the second that a drain allows.
-		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *testbed.PollSimulation) {
-			fleet.SetFault(testbed.ListUnresponsive)
+		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *virtual.PollSimulation) {
+			fleet.SetFault(standin.ListUnresponsive)
 			fleet.Run(8 * time.Second)
-			fleet.SetFault(testbed.ListHealthy)
+			fleet.SetFault(standin.ListHealthy)
 		}},
-		{"broken", 2 * evenPeak, (*testbed.PollSimulation).BreakConnections},
-		{"broken twice", 2 * evenPeak, func(fleet *testbed.PollSimulation) {
+		{"broken", 2 * evenPeak, (*virtual.PollSimulation).BreakConnections},
+		{"broken twice", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
 			fleet.BreakConnections()
 			fleet.Run(time.Second)
 			fleet.BreakConnections()
 		}},
 	} {
 		for seed := range uint64(5) {
-			fleet := testbed.NewPollSimulation(fleetSize, time.Second, seed, true)
+			fleet := virtual.NewPollSimulation(fleetSize, time.Second, seed, true)
 			fleet.Run(10 * time.Second)
-			if got := testbed.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
+			if got := report.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
 				t.Errorf("start, seed %d: %d polls within 100 ms", seed, got)
 			}
 			at := fleet.Now
 			tt.do(fleet)
 			fleet.Run(30 * time.Second)
-			if got := testbed.PeakPer100ms(fleet.Polls, at); got > tt.bound {
+			if got := report.PeakPer100ms(fleet.Polls, at); got > tt.bound {
 				t.Errorf("%s, seed %d: %d polls within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
-			if got := testbed.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
+			if got := report.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
 				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
 			}
 		}
@@ -73,7 +75,7 @@
 func TestHealthyServiceUpdatesInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
-			fleet := testbed.NewPollSimulation(300, grace, seed, true)
+			fleet := virtual.NewPollSimulation(300, grace, seed, true)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 20 {
 				fleet.Publish()
@@ -91,15 +93,15 @@
 
 // An event answers all polls at once. The polls after it are spread, and soon no schedulers are synchronized.
 func TestNotSynchronizedAfterUpdate(t *testing.T) {
-	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
+	fleet := virtual.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.Run(10 * time.Second)
 	fleet.Publish()
 	at := fleet.Now
 	fleet.Run(10 * time.Second)
-	if got := testbed.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
+	if got := report.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
 		t.Errorf("%d of %d poll within 100 ms after an event", got, fleetSize)
 	}
-	if got := testbed.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
+	if got := report.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
 		t.Errorf("%d poll within 100 ms a second after an event, even are %d", got, evenPeak)
 	}
 }
@@ -107,8 +109,8 @@
 // With a service that answers a tenth of what the fleet polls in its 2 s, all schedulers have the list after 1.3 times the
 // least possible time, and all together make at most 1.2 times the polls that the protocol's 7 s require.
 func TestRateLimitedService(t *testing.T) {
-	fleet := testbed.NewPollSimulation(fleetSize, time.Second, 1, true)
-	fleet.SetFault(testbed.ListRateLimited)
+	fleet := virtual.NewPollSimulation(fleetSize, time.Second, 1, true)
+	fleet.SetFault(standin.ListRateLimited)
 	fleet.Queue.AnswersPerSecond = fleetSize / 20.
 	fleet.Queue.LastEvent = 2
 	limit := 20 * time.Second
@@ -134,7 +136,7 @@
 // Alone before a healthy service a scheduler polls as soon as it can: at the start, after each response, after its
 // connection broke.
 func TestLoneSchedulerPollsAtOnce(t *testing.T) {
-	fleet := testbed.NewPollSimulation(1, time.Second, 1, true)
+	fleet := virtual.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
 	fleet.Run(time.Second)
 	fleet.Publish()
@@ -201,13 +203,22 @@
 	}
 }
 
+// listFaults has faults of the list service by name.
+var listFaults = map[string]standin.ListFault{
+	"well":   standin.ListHealthy,
+	"refuse": standin.ListRefusing,
+	"silent": standin.ListUnresponsive,
+	"busy":   standin.ListOverloaded,
+	"torn":   standin.ListTruncating,
+}
+
 // Whatever the order of faults: once the service has been healthy again for 7 s, a new event reaches every scheduler within
 // 2 s. After each step, the fleet has at most twice as many pending polls as schedulers, and no scheduler sends more than 60
 // polls within a second.
 func TestAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
-		fleet := testbed.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
+		fleet := virtual.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			switch do := rapid.SampledFrom([]string{"well", "refuse", "silent", "busy", "torn", "break", "tell", "run"}).Draw(rt, "do"); do {
 			case "break":
@@ -216,7 +227,7 @@
 				fleet.Publish()
 			case "run":
 			default:
-				fleet.SetFault(testbed.ListFault(do))
+				fleet.SetFault(listFaults[do])
 			}
 			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
 			if fleet.Queue.Len() > 2*schedulers {
@@ -224,7 +235,7 @@
 			}
 		}
 		// A poll lasts for 7 s at most, so none that a fault has delayed is left after this.
-		fleet.SetFault(testbed.ListHealthy)
+		fleet.SetFault(standin.ListHealthy)
 		fleet.Run(7 * time.Second)
 		fleet.Publish()
 		fleet.Run(2 * time.Second)
--- a/internal/testbed/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -1,23 +1,38 @@
-package testbed
+package experiment
 
 import (
 	"context"
 	"fmt"
 	"slices"
 	"time"
+
+	"calicohill/internal/testbed/fault"
+	"calicohill/internal/testbed/process"
+	"calicohill/internal/testbed/standin"
+	"calicohill/internal/testbed/wait"
+	"calicohill/internal/testbed/workload"
+)
+
+// The course of a gossipRun, by what its duration is divided by.
+const (
+	untilFault         = 5 // from the beginning to the fault
+	untilRecovery      = 2 // from the fault to its end
+	untilFewAreAccused = 4 // from the beginning, while byzantine members accuse all workers
+	workersPerAccused  = 8 // how many workers there are for each that is accused afterwards
+	minAccused         = 2
 )
 
-// gossipRun is a run of a GossipExperiment with one fleet.
+// gossipRun is a run of Gossip with one fleet.
 type gossipRun struct {
-	fleet        *Fleet
-	unresponsive []*Worker // for a while
-	healthy      []string  // IDs of the others
+	fleet        *process.Fleet
+	unresponsive []*standin.Worker // for a while
+	healthy      []string          // IDs of the others
 	faultFrom    time.Time
 	faultUntil   time.Time
 }
 
 // newGossipRun returns a run in which these workers become unresponsive.
-func newGossipRun(fleet *Fleet, unresponsive []*Worker) *gossipRun {
+func newGossipRun(fleet *process.Fleet, unresponsive []*standin.Worker) *gossipRun {
 	return &gossipRun{
 		fleet:        fleet,
 		unresponsive: unresponsive,
@@ -27,20 +42,20 @@
 
 // playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
-	if !sleep(ctx, duration/5) {
+	if !wait.Sleep(ctx, duration/untilFault) {
 		return
 	}
 	r.faultFrom = time.Now()
-	r.setFault(WorkerUnresponsive)
-	if !sleep(ctx, duration/2) {
+	r.setFault(standin.WorkerUnresponsive)
+	if !wait.Sleep(ctx, duration/untilRecovery) {
 		return
 	}
 	r.faultUntil = time.Now()
-	r.setFault(WorkerHealthy)
+	r.setFault(standin.WorkerHealthy)
 }
 
 // setFault gives the workers of the run a fault, or none.
-func (r *gossipRun) setFault(fault WorkerFault) {
+func (r *gossipRun) setFault(fault standin.WorkerFault) {
 	for _, worker := range r.unresponsive {
 		worker.Set(fault)
 	}
@@ -50,7 +65,7 @@
 // healthy ones, the same for all members, so that they collude. closeMembers ends those that have joined, also where there
 // is an error.
 func (r *gossipRun) addByzantineMembers(ctx context.Context, count int, duration time.Duration) (closeMembers func(), err error) {
-	var members []*ByzantineMember
+	var members []*fault.ByzantineMember
 	closeMembers = func() {
 		for _, member := range slices.Backward(members) {
 			member.Close()
@@ -64,11 +79,11 @@
 		members = append(members, member)
 	}
 	all := workerIDs(r.fleet.Workers)
-	few := r.healthy[:min(len(r.healthy), max(2, len(all)/8))]
+	few := r.healthy[:min(len(r.healthy), max(minAccused, len(all)/workersPerAccused))]
 	for _, member := range members {
 		member.Accuse(all)
 		go func() {
-			if sleep(ctx, duration/4) {
+			if wait.Sleep(ctx, duration/untilFewAreAccused) {
 				member.Accuse(few)
 			}
 		}()
@@ -78,7 +93,7 @@
 
 // gossipMetrics is what a run measured.
 type gossipMetrics struct {
-	load            LoadResult
+	load            workload.Result
 	lost            int     // requests to unresponsive workers
 	detectionMillis float64 // until the last request to an unresponsive worker, the median over these workers
 	messages        float64 // a second, sent by the worst instance
@@ -94,7 +109,7 @@
 	for _, worker := range run.unresponsive {
 		last := run.faultFrom
 		for _, arrival := range worker.Arrivals() {
-			if arrival.Fault == WorkerUnresponsive {
+			if arrival.Fault == standin.WorkerUnresponsive {
 				m.lost++
 				last = arrival.At
 			}
@@ -113,19 +128,19 @@
 }
 
 // readLog fills in what one scheduler's log says, which ended at a time.
-func (m *gossipMetrics) readLog(run *gossipRun, lines []Line, end time.Time) {
+func (m *gossipMetrics) readLog(run *gossipRun, lines []process.Line, end time.Time) {
 	ejectedAt := map[string]time.Time{}
 	for _, line := range lines {
 		worker := line.Text("worker")
 		switch line.Text("msg") {
-		case logWorkerEjected:
+		case process.LogWorkerEjected:
 			ejectedAt[worker] = line.Time()
-		case logWorkerReadmitted:
+		case process.LogWorkerReadmitted:
 			m.wronglyEjected += run.wrongSeconds(worker, ejectedAt[worker], line.Time())
 			delete(ejectedAt, worker)
-		case logPeerIgnored:
+		case process.LogPeerIgnored:
 			m.ignoredPeers++
-		case logGossipEnded:
+		case process.LogGossipEnded:
 			seconds := line.Number("seconds")
 			m.messages = max(m.messages, line.Number("sent")/seconds)
 			m.bytes = max(m.bytes, line.Number("bytes")/seconds)
--- a/internal/testbed/pollqueue.go
+++ b/internal/testbed/standin/pollqueue.go
@@ -1,21 +1,34 @@
-package testbed
+package standin
 
 import (
 	"slices"
 	"time"
 )
 
-// ListFault is how the stand-in list service behaves. Its values are names in scenarios.
-type ListFault string
+const (
+	// PollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
+	PollPeriod = 2 * time.Second
+	// MaxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
+	MaxPollDuration = 7 * time.Second
+)
+
+// EvenPollsPer100ms returns how many polls come within 100 ms where those of all schedulers are spread out evenly.
+func EvenPollsPer100ms(schedulers int) float64 {
+	const tenthsPerPoll = float64(PollPeriod / (100 * time.Millisecond))
+	return float64(schedulers) / tenthsPerPoll
+}
+
+// ListFault is what is wrong with the stand-in list service.
+type ListFault int
 
 // The faults of the list service.
 const (
-	ListHealthy      ListFault = "well"
-	ListRefusing     ListFault = "refuse"  // refuses new connections, and closes those that are open
-	ListUnresponsive ListFault = "silent"  // accepts connections and polls, and answers none
-	ListOverloaded   ListFault = "busy"    // answers 503 with a Retry-After of 2 s
-	ListTruncating   ListFault = "torn"    // closes in the middle of each response that has an update
-	ListRateLimited  ListFault = "crowded" // answers PollQueue.AnswersPerSecond polls a second, in the order of their arrival
+	ListHealthy      ListFault = iota // none
+	ListRefusing                      // refuses new connections, and closes those that are open
+	ListUnresponsive                  // accepts connections and polls, and answers none
+	ListOverloaded                    // answers 503 with a Retry-After of 2 s
+	ListTruncating                    // closes in the middle of each response that has an update
+	ListRateLimited                   // answers PollQueue.AnswersPerSecond polls a second, in the order of their arrival
 )
 
 // PollQueue is the stand-in list service without clock and sockets: which polls are pending and when each is to be
--- a/internal/testbed/pollexperiment.go
+++ b/internal/testbed/virtual/pollexperiment.go
@@ -1,6 +1,11 @@
-package testbed
+package virtual
 
-import "time"
+import (
+	"time"
+
+	"calicohill/internal/testbed/report"
+	"calicohill/internal/testbed/standin"
+)
 
 // The course of the poll simulations.
 const (
@@ -11,66 +16,60 @@
 	rateLimitedPeriod   = 20 * time.Second // in which a ListRateLimited answers one poll of each scheduler
 )
 
-const (
-	// tenthsPerPoll is how many tenths of a second a pollPeriod has.
-	tenthsPerPoll = float64(pollPeriod / (100 * time.Millisecond))
-	// maxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
-	maxPollDuration = 7 * time.Second
-)
-
 // SimulatePolls plays the faults of a list service with fleets of these sizes.
-func SimulatePolls(sizes []int, seed uint64) []VirtualPollResult {
-	withFault := func(fault ListFault) func(*PollSimulation) {
+func SimulatePolls(sizes []int, seed uint64) []report.VirtualPollResult {
+	withFault := func(fault standin.ListFault) func(*PollSimulation) {
 		return func(sim *PollSimulation) {
 			sim.SetFault(fault)
 			sim.Run(simulatedFault)
-			sim.SetFault(ListHealthy)
+			sim.SetFault(standin.ListHealthy)
 		}
 	}
 	disturbances := map[string]func(*PollSimulation){
-		"refused_8s":    withFault(ListRefusing),
-		"overloaded_8s": withFault(ListOverloaded),
-		"silent_8s":     withFault(ListUnresponsive),
+		"refused_8s":    withFault(standin.ListRefusing),
+		"overloaded_8s": withFault(standin.ListOverloaded),
+		"silent_8s":     withFault(standin.ListUnresponsive),
 		"broken":        (*PollSimulation).BreakConnections,
 		"event":         (*PollSimulation).Publish,
 	}
-	var results []VirtualPollResult
+	var results []report.VirtualPollResult
 	for _, size := range sizes {
 		result := simulateRateLimited(size, seed)
 		start := NewPollSimulation(size, time.Second, seed, true)
 		start.Run(simulatedWarmUp)
-		result.Peaks["start"] = PeakPer100ms(start.Polls, 0)
+		result.Peaks["start"] = report.PeakPer100ms(start.Polls, 0)
 		for name, disturb := range disturbances {
 			sim := NewPollSimulation(size, time.Second, seed, true)
 			sim.Run(simulatedWarmUp)
 			from := sim.Now
 			disturb(sim)
 			sim.Run(simulatedRecovery)
-			result.Peaks[name] = PeakPer100ms(sim.Polls, from)
+			result.Peaks[name] = report.PeakPer100ms(sim.Polls, from)
 		}
 		results = append(results, result)
 	}
 	return results
 }
 
-// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a pollPeriod, and
+// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a PollPeriod, and
 // has an update for all.
-func simulateRateLimited(size int, seed uint64) VirtualPollResult {
-	result := VirtualPollResult{
+func simulateRateLimited(size int, seed uint64) report.VirtualPollResult {
+	result := report.VirtualPollResult{
 		Schedulers:  size,
-		EvenPeak:    float64(size) / tenthsPerPoll,
+		EvenPeak:    standin.EvenPollsPer100ms(size),
 		Peaks:       map[string]int{},
 		LimitMillis: float64(rateLimitedPeriod.Milliseconds()),
 	}
 	sim := NewPollSimulation(size, time.Second, seed, true)
-	sim.SetFault(ListRateLimited)
+	sim.SetFault(standin.ListRateLimited)
 	sim.Queue.AnswersPerSecond = float64(size) / rateLimitedPeriod.Seconds()
-	sim.Queue.LastEvent = 2
+	const update = 2 // number of the event that all have to receive
+	sim.Queue.LastEvent = update
 	began := sim.Now
 	sim.Run(rateLimitedDuration)
 	allListed := time.Duration(0)
 	for _, scheduler := range sim.Schedulers {
-		if scheduler.LastEvent < 2 {
+		if scheduler.LastEvent < update {
 			result.Sent = 0
 			result.Needed = 0
 			result.AllListedMillis = -1
@@ -82,7 +81,7 @@
 			}
 		}
 		took := scheduler.UpdatedAt - began
-		result.Needed += 1 + int(took/maxPollDuration)
+		result.Needed += 1 + int(took/standin.MaxPollDuration)
 		allListed = max(allListed, took)
 	}
 	result.AllListedMillis = float64(allListed.Milliseconds())
