--- a/cmd/calicohill/answers_test.go
+++ b/cmd/calicohill/answers_test.go
@@ -25,10 +25,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			malformed := false
-			var mu sync.Mutex
+			var malformedMutex sync.Mutex
 			reply := func(n int, request agentRequest) string {
-				mu.Lock()
-				defer mu.Unlock()
+				malformedMutex.Lock()
+				defer malformedMutex.Unlock()
 				if malformed {
 					malformed = false
 					return strings.Replace(tt.text, "ID", request.id, 1)
@@ -50,9 +50,9 @@
 				t.Fatalf("status %d for the first request", got)
 			}
 			first := countReceived()
-			mu.Lock()
+			malformedMutex.Lock()
 			malformed = true
-			mu.Unlock()
+			malformedMutex.Unlock()
 			if got := sendRequest(); got != 502 {
 				t.Errorf("status %d for a malformed answer, want 502", got)
 			}
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -196,9 +196,9 @@
 	var agents []*nodeAgent
 	var open []func()
 	for i := range 40 {
-		agent, up := newLateAgent(t, echo)
+		agent, establish := newLateAgent(t, echo)
 		agents = append(agents, agent)
-		targets, open = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr)), append(open, up)
+		targets, open = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr)), append(open, establish)
 	}
 	sched.addEvent(true, targets...)
 	sched.start()
@@ -218,8 +218,8 @@
 		for range 60 {
 			idle = append(idle, sched.connect())
 		}
-		for _, up := range open {
-			up()
+		for _, establish := range open {
+			establish()
 		}
 		waitUntil(t, "the workers' connections are established", func() bool { return dialing() == 0 })
 	})
--- a/cmd/calicohill/shares_test.go
+++ b/cmd/calicohill/shares_test.go
@@ -32,7 +32,7 @@
 }
 
 // udpSockets counts the UDP sockets that a process holds.
-func udpSockets(t *testing.T, pid int) (n int) {
+func udpSockets(t *testing.T, pid int) (count int) {
 	t.Helper()
 	held := map[string]bool{}
 	fds, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -54,9 +54,9 @@
 		}
 		for line := range strings.Lines(string(text)) {
 			if f := strings.Fields(line); len(f) > 9 && held[f[9]] { // the tenth column is the inode
-				n++
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
--- a/cmd/simadapter/recording_profiles_test.go
+++ b/cmd/simadapter/recording_profiles_test.go
@@ -90,9 +90,9 @@
 		restartsPerMinute: 6, stepMs: 12, reportEverything: true,
 	}
 	vary := func(change func(p *siteProfile)) siteProfile {
-		p := base
-		change(&p)
-		return p
+		varied := base
+		change(&varied)
+		return varied
 	}
 	return []siteProfile{
 		base,
