--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
@@ -239,12 +238,7 @@
 // A worker that can't be connected to has run nothing: even a non-idempotent request is retried elsewhere.
 func TestConnectFailure(t *testing.T) {
 	sched, agent := newTestScheduler(t), newAgent(t, echo)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listener.Close()
-	sched.addEvent(true, "a SERVING "+agent.addr, "b SERVING "+listener.Addr().String())
+	sched.addEvent(true, "a SERVING "+agent.addr, "b SERVING "+unusedAddress(t))
 	client := sched.start().connect()
 	for i := range 8 { // over several functions, so that the worker that is down is the preferred one of some function
 		client.send(newCall("certificado", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}))
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -56,7 +56,8 @@
 func newTestScheduler(t *testing.T) *testScheduler {
 	t.Helper()
 	sched := &testScheduler{t: t, changed: make(chan struct{}), settings: testSettings(), maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
-	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
+	sched.listServer = &httptest.Server{Listener: listenOnOwnHost(t), Config: &http.Server{Handler: http.HandlerFunc(sched.poll)}}
+	sched.listServer.Start()
 	return sched
 }
 
@@ -97,12 +98,7 @@
 func (s *testScheduler) launch() {
 	s.t.Helper()
 	if s.addr == "" {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			s.t.Fatal(err)
-		}
-		s.addr = listener.Addr().String()
-		listener.Close()
+		s.addr = unusedAddress(s.t)
 	}
 	s.configFile = filepath.Join(s.t.TempDir(), "config.json")
 	s.configure()
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -7,6 +7,7 @@
 	"os/exec"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -72,6 +73,31 @@
 	_ = tcp.SetLinger(0) // fails only if the connection is closed already
 }
 
+// hostCount counts the hosts that listenOnOwnHost has used.
+var hostCount atomic.Uint32
+
+// listenOnOwnHost listens on a loopback host of its own: no connection and no listener of others takes the port while nobody
+// listens on it. Those of the testbed's fleets end in 1.
+func listenOnOwnHost(t *testing.T) net.Listener {
+	t.Helper()
+	const values = 250 // of a byte of the address
+	count := int(hostCount.Add(1))
+	host := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%values, 1+count/values%values, 2+count%values)
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+// unusedAddress returns an address that nobody listens on, nor will.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener := listenOnOwnHost(t)
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
 // setReadDeadline lets reads from a connection fail after waitTimeout.
 func setReadDeadline(t *testing.T, conn net.Conn) {
 	t.Helper()
