--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -13,26 +13,31 @@
 // A clientLoadCase is what thirty clients do before another one connects, and whether that one is accepted.
 type clientLoadCase struct {
 	name     string
-	before   func(client *testClient)
+	before   func(client *testClient, number int)
 	accepted bool
 }
 
+// firstSpreadFunction is the first of thirty functions of which no more than three have the same of the workers w0 to w11
+// first in their rendezvous order. A worker gets no more than four requests that wait for loads: of functions that happen to
+// prefer the same workers one would wait for as long as the others are held.
+const firstSpreadFunction = 309
+
 var clientLoadCases = []clientLoadCase{
-	{"silent", func(*testClient) {}, true},
-	{"half a request", func(client *testClient) {
+	{"silent", func(*testClient, int) {}, true},
+	{"half a request", func(client *testClient, _ int) {
 		request := newCall("consulta", "half")
 		request.bodyOpen = true
 		client.send(request)
 	}, true},
-	{"served and held for good", func(client *testClient) {
+	{"served and held for good", func(client *testClient, _ int) {
 		client.send(newCall("consulta", "once"))
 		if got := client.readAnswer(); got.body != "re:once" {
 			client.t.Errorf("status %d at first", got.status)
 		}
 	}, true},
-	{"requests open", func(client *testClient) {
+	{"requests open", func(client *testClient, number int) {
 		// Each of a function of its own, or the scheduler would reject some.
-		function := newCall("consulta", "").param("HTTP_REQUEST_ID")
+		function := fmt.Sprintf("%016x", firstSpreadFunction+number)
 		client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", function}))
 	}, false},
 }
@@ -64,9 +69,9 @@
 	sched.addEvent(true, targets...)
 	sched.start()
 	var clients []*testClient
-	for range 30 {
+	for number := range 30 {
 		client := sched.connect()
-		tt.before(client)
+		tt.before(client, number)
 		clients = append(clients, client)
 	}
 	if !tt.accepted {
