--- a/internal/nodeagent/fakes_test.go
+++ b/internal/nodeagent/fakes_test.go
@@ -42,6 +42,14 @@
 	l.dials = append(l.dials, pendingDial{addr: addr, handler: handler, onFailure: onFailure})
 }
 
+// advance lets time pass and fires the timers that come due.
+func (l *fakeLoop) advance(d time.Duration) {
+	l.now += d
+	for timer := l.deadlines.PopDue(l.now); timer != nil; timer = l.deadlines.PopDue(l.now) {
+		timer.Fire()
+	}
+}
+
 // completeDial has the oldest dial succeed.
 func (l *fakeLoop) completeDial() *fakeConn {
 	oldest := l.dials[0]
@@ -59,6 +67,7 @@
 	blocked  bool
 	sent     strings.Builder
 	buffered strings.Builder // waits to be sent
+	received []byte          // not read yet
 	closed   bool
 }
 
@@ -69,6 +78,19 @@
 	return c.sent.Write(b)
 }
 
+func (c *fakeConn) Peek(int) ([]byte, error) { return c.received, nil }
+
+func (c *fakeConn) Discard(n int) (int, error) {
+	c.received = c.received[n:]
+	return n, nil
+}
+
+// receive has the scheduler read what arrives on the connection.
+func (c *fakeConn) receive(text string) error {
+	c.received = append(c.received, text...)
+	return c.handler.Readable(c)
+}
+
 func (c *fakeConn) OutboundBuffered() int { return c.buffered.Len() }
 
 func (c *fakeConn) EventLoop() gnet.EventLoop { return fakeEventLoop{conn: c} }
@@ -100,6 +122,13 @@
 
 // newPool returns a Pool with these workers, each of which is its own address.
 func newPool(options nodeagent.Options, workers ...string) (*nodeagent.Pool, *fakeLoop, recordingSink) {
+	sink := recordingSink{}
+	pool, loop := newPoolWithSink(options, sink, workers...)
+	return pool, loop, sink
+}
+
+// newPoolWithSink is newPool with a sink of the test's own.
+func newPoolWithSink(options nodeagent.Options, sink nodeagent.Sink, workers ...string) (*nodeagent.Pool, *fakeLoop) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	options.Classes = []string{"consulta"}
@@ -109,7 +138,6 @@
 	options.ConnectTimeout = 250 * time.Millisecond
 	options.MaxAnswerBytes = 1 << 20
 	loop := &fakeLoop{now: time.Hour}
-	sink := recordingSink{}
 	pool := nodeagent.New(loop, sink, options, log)
 	var list dispatch.EndpointList
 	for _, id := range workers {
@@ -117,7 +145,7 @@
 		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{Worker: worker, Addr: id})
 	}
 	pool.UpdateEndpoints(list)
-	return pool, loop, sink
+	return pool, loop
 }
 
 // attempt returns attempt n, from 1 to 9, for a worker.
--- /dev/null
+++ b/internal/nodeagent/long_answer_test.go
@@ -0,0 +1,66 @@
+package nodeagent_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"calicohill/internal/dispatch"
+	"calicohill/internal/nodeagent"
+	"calicohill/internal/runtime/slotmap"
+	"calicohill/routing"
+)
+
+// bodySink keeps the bodies of served attempts beside the outcomes.
+type bodySink struct {
+	recordingSink
+	bodies map[slotmap.Ref]string
+}
+
+func (s bodySink) AttemptEnded(ref slotmap.Ref, result dispatch.AttemptResult) {
+	s.recordingSink.AttemptEnded(ref, result)
+	s.bodies[ref] = string(result.Body)
+}
+
+// An answer of 1 MB that arrives in pieces is forwarded complete where all of it comes within 250 ms of its first piece; later
+// than that, the connection is closed and the attempt may have run.
+func TestLongAnswerInPieces(t *testing.T) {
+	body := strings.Repeat("0123456789", 100_000)
+	for _, tt := range []struct {
+		name  string
+		pause time.Duration // before each piece but the first
+		want  routing.Outcome
+	}{
+		{"all within 250 ms", 15 * time.Millisecond, routing.Served}, // the last of 16 pieces comes after 225 ms
+		{"the last piece late", 17 * time.Millisecond, routing.ConnectionReset},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			sink := bodySink{recordingSink{}, map[slotmap.Ref]string{}}
+			pool, loop := newPoolWithSink(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, sink, "a")
+			sent := attempt(1, "a")
+			pool.Send(sent)
+			conn := loop.completeDial()
+			const pieceSize = 1 << 16
+			rest := fmt.Sprintf("%s OK - %d\r\n%s\r\n", sent.ID, len(body), body)
+			for first := true; rest != "" && !conn.closed; first = false {
+				if !first {
+					loop.advance(tt.pause)
+				}
+				size := min(pieceSize, len(rest))
+				if !conn.closed {
+					if err := conn.receive(rest[:size]); err != nil {
+						t.Fatal(err)
+					}
+				}
+				rest = rest[size:]
+			}
+			if got, ok := sink.recordingSink[sent.Ref]; !ok || got != tt.want {
+				t.Fatalf("outcome %v (ended: %v), want %v", got, ok, tt.want)
+			}
+			if tt.want == routing.Served && sink.bodies[sent.Ref] != body {
+				t.Errorf("a body of %d bytes, want the %d that were sent", len(sink.bodies[sent.Ref]), len(body))
+			}
+		})
+	}
+}
