--- a/internal/nodeagent/long_answer_test.go
+++ b/internal/nodeagent/long_answer_test.go
@@ -27,7 +27,7 @@
 // than that, the connection is closed and the attempt may have run.
 func TestLongAnswerInPieces(t *testing.T) {
 	body := strings.Repeat("0123456789", 100_000)
-	for _, tt := range []struct {
+	for _, delivery := range []struct {
 		name  string
 		pause time.Duration // before each piece but the first
 		want  routing.Outcome
@@ -35,7 +35,7 @@
 		{"all within 250 ms", 15 * time.Millisecond, routing.Served}, // the last of 16 pieces comes after 225 ms
 		{"the last piece late", 17 * time.Millisecond, routing.ConnectionReset},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(delivery.name, func(t *testing.T) {
 			sink := bodySink{recordingSink{}, map[slotmap.Ref]string{}}
 			pool, loop := newPoolWithSink(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, sink, "a")
 			sent := attempt(1, "a")
@@ -45,7 +45,7 @@
 			rest := fmt.Sprintf("%s OK - %d\r\n%s\r\n", sent.ID, len(body), body)
 			for first := true; rest != "" && !conn.closed; first = false {
 				if !first {
-					loop.advance(tt.pause)
+					loop.advance(delivery.pause)
 				}
 				size := min(pieceSize, len(rest))
 				if !conn.closed {
@@ -55,10 +55,10 @@
 				}
 				rest = rest[size:]
 			}
-			if got, ok := sink.recordingSink[sent.Ref]; !ok || got != tt.want {
-				t.Fatalf("outcome %v (ended: %v), want %v", got, ok, tt.want)
+			if got, ok := sink.recordingSink[sent.Ref]; !ok || got != delivery.want {
+				t.Fatalf("outcome %v (ended: %v), want %v", got, ok, delivery.want)
 			}
-			if tt.want == routing.Served && sink.bodies[sent.Ref] != body {
+			if delivery.want == routing.Served && sink.bodies[sent.Ref] != body {
 				t.Errorf("a body of %d bytes, want the %d that were sent", len(sink.bodies[sent.Ref]), len(body))
 			}
 		})
