--- a/internal/stats/decay/decay_test.go
+++ b/internal/stats/decay/decay_test.go
@@ -12,7 +12,7 @@
 	var value decay.Value
 	value.Set(time.Second, 2)
 	if got := value.At(3*time.Second, 2*time.Second); math.Abs(got-2/math.E) > 1e-12 {
-		t.Errorf("after its time constant %v is left of 2", got)
+		t.Errorf("2 decayed to %v after one time constant, want 2/e", got)
 	}
 }
 
@@ -29,7 +29,7 @@
 		}
 	}
 	if got := peak.Within(24, 10); got != 0 {
-		t.Errorf("an old peak is %v", got)
+		t.Errorf("the expired peak is %v, want 0", got)
 	}
 }
 
@@ -48,6 +48,6 @@
 		window.Add(time.Duration(i))
 	}
 	if got := window.Within(10, 4); got != 4 {
-		t.Errorf("%d events within 4, want 4", got)
+		t.Errorf("%d events within a window of 4, want 4", got)
 	}
 }
--- a/internal/stats/ratelimit/token_bucket_test.go
+++ b/internal/stats/ratelimit/token_bucket_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// No more tokens are taken than the burst and what the rate has added since the start.
+// Guards against a bucket that gives out more tokens than the burst plus the refill since the start.
 func TestTokenBucketNeverExceedsLimit(t *testing.T) {
 	const roundingError = 1e-6
 	rapid.Check(t, func(rt *rapid.T) {
@@ -25,12 +25,12 @@
 				taken++
 			}
 			if limit := burst + rate*(now-start).Seconds() + roundingError; taken > limit {
-				rt.Fatalf("%v taken in %v, at most %v may be", taken, now-start, limit)
+				rt.Fatalf("%v tokens taken in %v, want at most %v", taken, now-start, limit)
 			}
 		}
 		refilled := now + time.Duration(float64(time.Second)/rate) + time.Millisecond
 		if !bucket.Take(refilled, 1, rate, burst) {
-			rt.Fatal("the token that was added since is not there")
+			rt.Fatal("no token available after the refill time of one token")
 		}
 	})
 }
--- a/internal/stats/ratelimit/window_limiter.go
+++ b/internal/stats/ratelimit/window_limiter.go
@@ -6,15 +6,15 @@
 	"calicohill/internal/stats/decay"
 )
 
-// WindowLimiter limits how many events are allowed within a sliding window: a fixed number, and more for each arrival
-// within the window. The zero WindowLimiter has seen nothing. It is not safe for concurrent use.
+// WindowLimiter limits the number of events in a sliding window to a fixed number plus an allowance for each arrival
+// in the window. The zero WindowLimiter is empty and ready to use. It is not safe for concurrent use.
 type WindowLimiter struct {
 	arrivals decay.Window
 	allowed  decay.Window
 }
 
-// RecordArrival counts an arrival for the length of a window. A window of 0 means that nothing is limited, and counts
-// nothing.
+// RecordArrival counts an arrival and removes those older than the window. A window of 0 means that there is no limit;
+// the arrival is then not counted.
 func (l *WindowLimiter) RecordArrival(now, window time.Duration) {
 	if window > 0 {
 		l.arrivals.Add(now)
@@ -22,9 +22,9 @@
 	}
 }
 
-// Allow counts one more event, or returns false if the limit is reached: base events and perArrival for each arrival
-// within the window. Arrivals of the first margin of the window don't count, since the time of an arrival is known only
-// to within that margin.
+// Allow counts one more event, or returns false if the limit is reached. The limit is base plus perArrival for each
+// arrival in the window. Arrivals in the oldest part of the window, of length margin, don't count, because arrival
+// times are known only to that precision.
 func (l *WindowLimiter) Allow(now, window, margin time.Duration, base, perArrival float64) bool {
 	arrivals := float64(l.arrivals.Within(now, window-margin))
 	if float64(l.allowed.Within(now, window)+1) > base+perArrival*arrivals {
--- a/internal/stats/ratelimit/window_limiter_test.go
+++ b/internal/stats/ratelimit/window_limiter_test.go
@@ -37,13 +37,13 @@
 				allowed++
 			}
 			if allowed != tt.want {
-				t.Errorf("%d allowed, want %d", allowed, tt.want)
+				t.Errorf("%d events allowed, want %d", allowed, tt.want)
 			}
 			if limiter.Allow(now+window, window, margin, base, each) {
-				t.Error("an event is allowed although the earlier ones are still in the window")
+				t.Error("an event is allowed while the earlier ones still fill the window")
 			}
 			if !limiter.Allow(now+window+1, window, margin, base, each) {
-				t.Error("no event is allowed although the earlier ones have left the window")
+				t.Error("no event is allowed after the earlier ones have left the window")
 			}
 		})
 	}
@@ -53,6 +53,6 @@
 	var limiter ratelimit.WindowLimiter
 	limiter.RecordArrival(time.Hour, 0)
 	if limiter.Allow(time.Hour, time.Second, 0, 0, 1) {
-		t.Error("an arrival with a window of 0 is counted")
+		t.Error("an arrival recorded with a window of 0 raises the limit")
 	}
 }
--- a/internal/stats/rendezvous/order.go
+++ b/internal/stats/rendezvous/order.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Order returns members by descending score for a key, ties by id. idAndWeight returns a member's id and its weight,
-// which is above 0. All who know the same members by the same ids and weights get the same order.
+// Order returns the members sorted by descending score for the key, with ties broken by id. idAndWeight returns a
+// member's id and its weight, which must be above 0. Callers that pass the same ids and weights get the same order.
 func Order[T any](key string, members []T, idAndWeight func(T) (id string, weight float64)) []T {
 	type scored struct {
 		member T
--- a/internal/stats/rendezvous/rendezvous.go
+++ b/internal/stats/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous implements weighted rendezvous hashing, also called highest random weight (Thaler and Ravishankar,
-// 1998): all who score the same members agree on their order for a key, and a change of the members moves only the keys
-// of those that changed.
+// Package rendezvous implements weighted rendezvous hashing, also called highest random weight hashing (Thaler and
+// Ravishankar, 1998). Processes that have the same set of members agree on their order for a key, and a change of the
+// set moves only the keys of the members that changed.
 package rendezvous
 
 import (
@@ -8,7 +8,7 @@
 	"math"
 )
 
-// The parameters of SplitMix64's finalizer.
+// Parameters of the SplitMix64 finalizer.
 const (
 	mixShift1      = 30
 	mixMultiplier1 = 0xbf58476d1ce4e5b9
@@ -18,25 +18,26 @@
 )
 
 const (
-	hashBits     = 64 // size of a hash
-	mantissaBits = 53 // precision of a float64
+	hashBits     = 64 // size of a hash in bits
+	mantissaBits = 53 // precision of a float64 in bits
 )
 
-// halfStep puts Uniform's numbers in the middle of the steps between 0 and 1, since the logarithm of 0 is infinite.
+// halfStep moves the results of Uniform to the middle of each step between 0 and 1. This excludes 0, whose logarithm is
+// infinite.
 const halfStep = 0.5
 
-// Score returns a member's score for a key; the member with the highest score comes first. The fraction of keys for
-// which a member comes first is its weight, which is above 0, divided by the sum of all weights.
+// Score returns a member's score for a key; the member with the highest score comes first. A member comes first for a
+// fraction of all keys equal to its weight divided by the sum of all weights. The weight must be above 0.
 func Score(key, member string, weight float64) float64 {
 	return -weight / math.Log(Uniform(key, member))
 }
 
-// Uniform returns a uniformly distributed number between 0 and 1, both excluded, that depends on a key and a member
-// alone.
+// Uniform returns a uniformly distributed number between 0 and 1, both excluded, that depends only on the key and the
+// member.
 func Uniform(key, member string) float64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(key + "\x00" + member))
-	// FNV mixes its last bytes badly, so its hash goes through SplitMix64's finalizer.
+	// FNV mixes the last bytes of its input poorly, so the hash goes through the SplitMix64 finalizer.
 	mixed := splitMix64(hash.Sum64())
 	return (float64(mixed>>(hashBits-mantissaBits)) + halfStep) / (1 << mantissaBits)
 }
--- a/internal/stats/rendezvous/rendezvous_test.go
+++ b/internal/stats/rendezvous/rendezvous_test.go
@@ -13,8 +13,8 @@
 
 func equalWeight(member string) (string, float64) { return member, 1 }
 
-// Removing a member leaves the order of the others as it was, whatever the members are and in whichever order they are
-// given.
+// Guards against a removed member that changes the order of the others, or an order that depends on the order of the
+// input.
 func TestRemovalKeepsOrderOfOthers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringN(1, 8, 8), 1, 20, rapid.ID[string]).Draw(rt, "members")
@@ -31,7 +31,7 @@
 	})
 }
 
-// The fraction of keys for which a member comes first is its share of the total weight.
+// Guards against a member that comes first for more or fewer keys than its share of the total weight.
 func TestWeights(t *testing.T) {
 	const (
 		keys        = 20000
