--- a/routing/concurrency/concurrency.go
+++ b/routing/concurrency/concurrency.go
@@ -1,57 +1,58 @@
-// Package concurrency limits how many requests of one scheduler are in flight at each worker.
+// Package concurrency limits the number of requests that one scheduler has in flight at each worker.
 //
-// The limit is found by additive increase and multiplicative decrease (AIMD), as TCP finds its window: a late
-// answer of a warm instance or a shed request lowers it, a quick answer raises it while it is in use. A
-// worker that sheds is left alone for a time that doubles with each shed in a row.
+// The limit follows additive increase and multiplicative decrease (AIMD), like TCP's congestion window. A
+// slow answer from a warm instance or a shed request lowers the limit; a fast answer raises it while the
+// limit is in use. A worker that sheds gets an exponential backoff, which doubles with each consecutive shed.
 package concurrency
 
 import "time"
 
 const (
-	initialFleetLimit = 12.0 // requests of all schedulers together that a worker's limit starts from
-	minInitialLimit   = 2    // smallest limit that one scheduler starts from
+	initialFleetLimit = 12.0 // initial limit of a worker, summed over all schedulers
+	minInitialLimit   = 2    // minimum initial limit of a worker at one scheduler
 	minLimit          = 1.0
 	maxLimit          = 48.0
-	readmissionLimit  = 2 // highest limit of a worker that returns from ejection
-	// An answer of a warm instance that takes longer than objectiveFraction of its latency objective
-	// multiplies the limit by decreaseFactor; one within half of that raises it.
+	readmissionLimit  = 2 // maximum limit of a worker that returns from ejection
+	// An answer from a warm instance that takes longer than objectiveFraction of its latency objective
+	// multiplies the limit by decreaseFactor. An answer within half of that time raises the limit.
 	objectiveFraction = 0.7
 	decreaseFactor    = 0.8
-	// After n sheds in a row a worker is left alone for 2^n of these parts of a service time.
+	// The backoff after n consecutive sheds, with n up to maxDoublings, is 2^n/backoffDivisor service times.
 	backoffDivisor = 16
 	maxDoublings   = 4
-	// Utilization up to which load may be spread: a loaded function over more workers, an overdue request
-	// over two.
+	// Highest utilization at which load may be spread: a loaded function over more workers, or an overdue
+	// request over two.
 	maxSpreadUtilization = 0.4
 )
 
-// Worker is the limit of one worker and its backoff.
+// Worker holds the concurrency limit and the backoff of one worker.
 type Worker struct {
-	limit            float64       // most requests in flight, beside those that wait for a load
-	consecutiveSheds int           // requests shed in a row, up to maxDoublings
-	backoffUntil     time.Duration // it gets nothing new until then
-	loadBackoffUntil time.Duration // it gets no new load until then
+	limit            float64       // maximum requests in flight, excluding those that wait for a load
+	consecutiveSheds int           // up to maxDoublings
+	backoffUntil     time.Duration // no new requests before this time
+	loadBackoffUntil time.Duration // no new loads before this time
 }
 
-// NewWorker returns the limit of a worker of which nothing is known, for one of so many schedulers.
+// NewWorker returns the initial state of a new worker at one of the given number of schedulers.
 func NewWorker(schedulers int) Worker {
 	return Worker{limit: max(minInitialLimit, initialFleetLimit/float64(schedulers))}
 }
 
-// Limit is the most requests that may be in flight at a worker.
+// Limit returns the maximum number of requests in flight at the worker.
 func (w *Worker) Limit() float64 { return w.limit }
 
-// HasCapacity reports whether a worker may get one more request beside those in flight.
+// HasCapacity reports whether the worker may be sent one more request in addition to those in flight.
 func (w *Worker) HasCapacity(now time.Duration, inFlight int) bool {
 	return float64(inFlight) < w.limit && now >= w.backoffUntil
 }
 
-// BacksOffLoads reports whether a worker gets no new load for now.
+// BacksOffLoads reports whether new loads at the worker are suspended by its backoff.
 func (w *Worker) BacksOffLoads(now time.Duration) bool { return now < w.loadBackoffUntil }
 
-// RecordShed backs off from a worker. A request for a warm instance met a full queue, one that needed a load
-// perhaps a lack of memory: the worker, or just new loads there, is left alone for part of a service time,
-// doubling, or queued requests use up their attempts.
+// RecordShed starts a backoff after the worker has shed a request. A shed of a request for a warm instance
+// means that the queue is full; a shed of a request that needed a load may mean that memory is short, and
+// then only loads are backed off. The backoff is a fraction of a service time that doubles with each
+// consecutive shed. Without it, queued requests use up their attempts at the worker.
 func (w *Worker) RecordShed(now time.Duration, serviceSeconds float64, mayNeedLoad bool) {
 	w.consecutiveSheds = min(w.consecutiveSheds+1, maxDoublings)
 	backoff := time.Duration(serviceSeconds / backoffDivisor * float64(time.Second))
@@ -63,53 +64,54 @@
 	}
 }
 
-// RecordServed ends a row of sheds.
+// RecordServed resets the count of consecutive sheds.
 func (w *Worker) RecordServed() { w.consecutiveSheds = 0 }
 
-// RecordWarmLatency adapts the limit to the latency of an answer of a warm instance, with so many requests
-// still in flight.
+// RecordWarmLatency adjusts the limit to the latency of an answer from a warm instance. inFlight is the
+// number of requests still in flight at the worker.
 func (w *Worker) RecordWarmLatency(latencySeconds, objectiveSeconds float64, inFlight int) {
-	late := latencySeconds > objectiveFraction*objectiveSeconds
-	quick := latencySeconds < objectiveFraction/2*objectiveSeconds
+	slow := latencySeconds > objectiveFraction*objectiveSeconds
+	fast := latencySeconds < objectiveFraction/2*objectiveSeconds
 	switch {
-	case late:
+	case slow:
 		w.decrease()
-	case quick && float64(inFlight+1) >= w.limit/2:
+	case fast && float64(inFlight+1) >= w.limit/2:
 		w.limit = min(maxLimit, w.limit+1/w.limit)
 	}
 }
 
-// Readmit lowers the limit of a worker that returns from ejection.
+// Readmit caps the limit of a worker that returns from ejection.
 func (w *Worker) Readmit() { w.limit = max(minLimit, min(w.limit, readmissionLimit)) }
 
 func (w *Worker) decrease() { w.limit = max(minLimit, w.limit*decreaseFactor) }
 
-// Capacity is the sum of the limits of the workers that may get requests, and the part of it that is in use.
+// Capacity sums the limits of the eligible workers and the requests in flight there.
 type Capacity struct {
 	total float64
 	used  float64
 }
 
-// Add counts a worker with so many requests in flight.
+// Add adds a worker that has inFlight requests in flight.
 func (c *Capacity) Add(worker *Worker, inFlight int) {
 	c.used += float64(inFlight)
 	c.total += worker.limit
 }
 
-// Total is the sum of the limits.
+// Total returns the sum of the limits.
 func (c *Capacity) Total() float64 { return c.total }
 
-// Divisor is the sum of the limits, and 1 where that is less: what work ahead is divided by.
+// Divisor returns the sum of the limits, but at least 1, so that the queued work can be divided by it.
 func (c *Capacity) Divisor() float64 { return max(c.total, 1) }
 
-// MaySpread reports whether there is enough capacity to spread load: most of it is free.
+// MaySpread reports whether enough capacity is free to spread load over more workers.
 func (c *Capacity) MaySpread() bool { return c.utilization() <= maxSpreadUtilization }
 
-// CanCarryWithout reports whether the other workers can carry the load of this one too.
+// CanCarryWithout reports whether the other workers can carry the current load of all workers at a
+// utilization below maxSpreadUtilization.
 func (c *Capacity) CanCarryWithout(worker *Worker) bool {
 	remaining := c.total - worker.limit
 	return c.utilization()*c.total < maxSpreadUtilization*remaining
 }
 
-// utilization is the part of the capacity that is in use.
+// utilization returns the fraction of the capacity that is in use.
 func (c *Capacity) utilization() float64 { return c.used / c.Divisor() }
--- a/routing/concurrency/concurrency_test.go
+++ b/routing/concurrency/concurrency_test.go
@@ -8,8 +8,8 @@
 	"calicohill/routing/concurrency"
 )
 
-// The limit starts from a part of 12, at least 2; late answers and sheds of warm instances lower it by a fifth, quick answers
-// while it is in use raise it by one part in the limit.
+// Guards the AIMD rules. The initial limit is an equal share of 12, but at least 2. A slow answer or a shed at a warm
+// instance lowers it by a fifth; a fast answer while the limit is in use raises it by its reciprocal.
 func TestLimit(t *testing.T) {
 	const objective = 1.0
 	for _, testCase := range []struct {
@@ -20,14 +20,14 @@
 	}{
 		{"initial", 3, func(*concurrency.Worker) {}, 4},
 		{"initial, many schedulers", 80, func(*concurrency.Worker) {}, 2},
-		{"late", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.71, objective, 0) }, 3.2},
-		{"neither late nor quick", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.36, objective, 9) }, 4},
-		{"quick, in use", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.34, objective, 1) }, 4.25},
-		{"quick, not in use", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.34, objective, 0) }, 4},
+		{"slow", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.71, objective, 0) }, 3.2},
+		{"neither slow nor fast", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.36, objective, 9) }, 4},
+		{"fast, in use", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.34, objective, 1) }, 4.25},
+		{"fast, not in use", 3, func(w *concurrency.Worker) { w.RecordWarmLatency(0.34, objective, 0) }, 4},
 		{"shed", 3, func(w *concurrency.Worker) { w.RecordShed(0, 1, false) }, 3.2},
-		{"shed for want of memory", 3, func(w *concurrency.Worker) { w.RecordShed(0, 1, true) }, 4},
+		{"shed, may need a load", 3, func(w *concurrency.Worker) { w.RecordShed(0, 1, true) }, 4},
 		{"readmitted", 3, func(w *concurrency.Worker) { w.Readmit() }, 2},
-		{"at its least", 80, func(w *concurrency.Worker) {
+		{"minimum", 80, func(w *concurrency.Worker) {
 			for range 10 {
 				w.RecordWarmLatency(2, objective, 0)
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// A worker that sheds is left alone for an eighth of a service time, which doubles with each shed in a row up to a whole
-// one. Where a load was needed it still gets requests for warm instances.
+// Guards against a backoff that does not start at an eighth of a service time and double with each consecutive shed up
+// to a full one, and against a backoff that blocks requests for warm instances after a shed that needed a load.
 func TestBackoffDoubles(t *testing.T) {
 	const now = time.Hour
 	for _, mayNeedLoad := range []bool{false, true} {
@@ -51,22 +51,22 @@
 			worker.RecordShed(now, 1, mayNeedLoad)
 			end := now + want*time.Millisecond
 			if !worker.BacksOffLoads(end-1) || worker.BacksOffLoads(end) {
-				t.Errorf("new loads are not left off for just %v ms", int64(want))
+				t.Errorf("the backoff of new loads does not last exactly %v ms", int64(want))
 			}
 			if worker.HasCapacity(end-1, 0) != mayNeedLoad || !worker.HasCapacity(end, 0) {
-				t.Errorf("load needed %v: no capacity for just %v ms is wrong", mayNeedLoad, int64(want))
+				t.Errorf("load needed %v: wrong backoff of requests during or after the %v ms", mayNeedLoad, int64(want))
 			}
 		}
 		worker.RecordServed()
 		later := now + time.Minute
 		worker.RecordShed(later, 1, mayNeedLoad)
 		if worker.BacksOffLoads(later + 125*time.Millisecond) {
-			t.Error("the first shed after an answer is not the first of a row")
+			t.Error("an answer does not reset the count of consecutive sheds")
 		}
 	}
 }
 
-// Reports of peers take out a worker only if the others keep to 0.4 of their capacity with its load too.
+// Guards against ejecting a worker on peers' reports when its load would raise the utilization of the others to 0.4.
 func TestCanCarryWithout(t *testing.T) {
 	for _, testCase := range []struct {
 		inFlight int // at each of three workers with a limit of 4
@@ -79,7 +79,7 @@
 			capacity.Add(&workers[i], testCase.inFlight)
 		}
 		if got := capacity.CanCarryWithout(&workers[0]); got != testCase.want {
-			t.Errorf("%d in flight at each of three: %v, want %v", testCase.inFlight, got, testCase.want)
+			t.Errorf("%d requests in flight at each of three workers: got %v, want %v", testCase.inFlight, got, testCase.want)
 		}
 	}
 }
--- a/routing/demand/demand.go
+++ b/routing/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand counts requests with exponential decay, so that what is called much now counts for more than
-// what was called much before. It decides nothing itself: the spread of a function over workers and the
-// budget of warming workers follow its counts.
+// Package demand counts requests with exponential decay, so that recent requests weigh more than old ones.
+// The package makes no decisions. Its counts determine over how many workers a function is spread, and they
+// enter the slow-start budget of workers that are warming up.
 package demand
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// countedKeepAlives is over how many keep-alives of an instance requests are counted.
-const countedKeepAlives = 2.0
+// windowKeepAlives is the length of the window in instance keep-alives.
+const windowKeepAlives = 2.0
 
-// Window is the time constant of counts.
+// Window is the decay time constant of counts.
 type Window struct{ seconds float64 }
 
-// NewWindow returns the window for instances that are kept idle for so long.
+// NewWindow returns the window for an instance keep-alive.
 func NewWindow(keepAlive time.Duration) Window {
-	return Window{countedKeepAlives * keepAlive.Seconds()}
+	return Window{windowKeepAlives * keepAlive.Seconds()}
 }
 
-// Seconds is the length of the window.
+// Seconds returns the length of the window.
 func (w Window) Seconds() float64 { return w.seconds }
 
-// Count is a decaying count of requests. The zero Count has counted none.
+// Count is a decaying count of requests. The zero Count is 0.
 type Count struct {
-	weight float64 // as of lastAt
-	lastAt time.Duration
+	weight float64       // at lastAt
+	lastAt time.Duration // time of the latest request
 }
 
-// NewCount returns a count with this weight at an earlier or the present time.
+// NewCount returns a count that had the given weight at countedAt, which must not be in the future.
 func NewCount(countedAt time.Duration, weight float64) Count {
 	return Count{weight: weight, lastAt: countedAt}
 }
@@ -39,13 +39,13 @@
 	c.lastAt = now
 }
 
-// At is what is left of the count at a time.
+// At returns the decayed count at the time now.
 func (c *Count) At(now time.Duration, window Window) float64 {
 	return c.weight * math.Exp(-(now-c.lastAt).Seconds()/window.seconds)
 }
 
-// PerKeepAlive is the number of requests in a keep-alive as of the latest request.
-func (c *Count) PerKeepAlive() float64 { return c.weight / countedKeepAlives }
+// PerKeepAlive returns the number of requests per instance keep-alive, measured at the latest request.
+func (c *Count) PerKeepAlive() float64 { return c.weight / windowKeepAlives }
 
-// LastAt is the time of the latest request.
+// LastAt returns the time of the latest request.
 func (c *Count) LastAt() time.Duration { return c.lastAt }
--- a/routing/latency/latency.go
+++ b/routing/latency/latency.go
@@ -1,8 +1,9 @@
-// Package latency estimates from answers how long functions run and load, and how workers compare.
+// Package latency estimates service times and load times of functions, and relative latencies of workers,
+// from the answers that a scheduler receives.
 //
-// All estimates are exponentially weighted means or recent maxima. They decay back to what holds without
-// knowledge while no answers come: a function's service time to the latency objective of its class, a
-// worker's ratio to 1.
+// All estimates are exponentially weighted means or recent maxima. While no answers arrive they decay to
+// their defaults: a function's service time to the latency objective of its class, a worker's latency ratio
+// to 1.
 package latency
 
 import (
@@ -12,76 +13,76 @@
 	"calicohill/internal/stats/decay"
 )
 
-// Weight of a new sample in each running mean.
+// Weight of a new sample in each moving average.
 const (
-	functionSampleWeight = 0.2  // of a function's service time
-	workerSampleWeight   = 0.5  // of what is known of one worker, which is sampled seldom
-	meanSampleWeight     = 0.05 // of the mean of all workers
+	functionSampleWeight = 0.2  // in a function's service time
+	workerSampleWeight   = 0.5  // in a worker's latency ratio; high, because each worker is sampled seldom
+	meanSampleWeight     = 0.05 // in the mean over all workers
 )
 
 const (
-	slowestKeepAlives = 2   // keep-alives over which the slowest latency of a function is kept
-	slowRatio         = 4.0 // latency over that of all workers from which a worker is slow
+	peakDecayTimes = 2   // maximum age of a function's highest latency, in decay time constants
+	slowRatio      = 4.0 // latency ratio above which a worker is slow
 )
 
-// Estimator holds what all workers and functions have in common: the mean latency.
+// Estimator holds the state that all workers and functions share: the mean latency.
 type Estimator struct {
-	fading time.Duration // time constant with which estimates decay
-	mean   float64       // running mean over all warm answers, in seconds
+	decayTime time.Duration // decay time constant of the estimates
+	mean      float64       // moving average over all answers from warm instances, in seconds
 }
 
-// Function is what is known of the latencies of one function.
+// Function holds the latency estimates of one function.
 type Function struct {
 	objective        time.Duration // latency objective of its class
-	declaredLoadTime time.Duration // usual time of a load as requests say; 0 if unknown
-	excess           decay.Value   // running mean of latencies over the objective, in seconds
-	slowest          decay.Peak    // the slowest recent one, in seconds
+	declaredLoadTime time.Duration // usual load time declared by requests; 0 if unknown
+	excess           decay.Value   // moving average of the latency minus the objective, in seconds
+	peak             decay.Peak    // highest recent latency, in seconds
 }
 
-// Worker is what is known of the latencies of one worker. The zero Worker is as fast as all.
+// Worker holds the latency estimate of one worker. The zero Worker has the mean latency.
 type Worker struct {
-	excess decay.Value // running mean of its latency over that of all workers, less 1
+	excess decay.Value // moving average of its latency divided by the mean of all workers, minus 1
 }
 
-// NewEstimator returns an Estimator whose estimates decay with this time constant.
-func NewEstimator(fading time.Duration) *Estimator { return &Estimator{fading: fading} }
+// NewEstimator returns an Estimator whose estimates decay with the time constant decayTime.
+func NewEstimator(decayTime time.Duration) *Estimator { return &Estimator{decayTime: decayTime} }
 
-// ServiceTime is the running mean of a function's latencies at warm instances, in seconds.
+// ServiceTime returns the moving average of a function's latency at warm instances, in seconds.
 func (e *Estimator) ServiceTime(function *Function, now time.Duration) float64 {
 	return function.objective.Seconds() + e.Excess(function, now)
 }
 
-// Excess is a function's service time over the latency objective of its class, in seconds.
+// Excess returns a function's service time minus the latency objective of its class, in seconds.
 func (e *Estimator) Excess(function *Function, now time.Duration) float64 {
-	return function.excess.At(now, e.fading)
+	return function.excess.At(now, e.decayTime)
 }
 
-// LoadTime estimates the time of a load, in seconds: as declared, else the function's slowest recent latency,
-// else the latency objective of its class.
+// LoadTime estimates the load time of a function, in seconds. It is the declared time if there is one,
+// otherwise the function's highest recent latency, otherwise the latency objective of its class.
 func (e *Estimator) LoadTime(function *Function, now time.Duration) float64 {
-	slowest := function.slowest.Within(now, slowestKeepAlives*e.fading)
-	if function.declaredLoadTime == 0 && slowest > 0 {
-		return slowest
+	peak := function.peak.Within(now, peakDecayTimes*e.decayTime)
+	if function.declaredLoadTime == 0 && peak > 0 {
+		return peak
 	}
 	return cmp.Or(function.declaredLoadTime, function.objective).Seconds()
 }
 
-// Ratio is how a worker's latencies compare with those of all workers; 1 is the same.
+// Ratio returns a worker's latency divided by the mean latency of all workers.
 func (e *Estimator) Ratio(worker *Worker, now time.Duration) float64 {
-	return 1 + worker.excess.At(now, e.fading)
+	return 1 + worker.excess.At(now, e.decayTime)
 }
 
-// IsSlow reports whether a worker answers much later than others.
+// IsSlow reports whether a worker's latency ratio is above slowRatio.
 func (e *Estimator) IsSlow(worker *Worker, now time.Duration) bool {
 	return e.Ratio(worker, now) > slowRatio
 }
 
-// Observe learns from the latency of any answer, which may include a load.
+// Observe records the latency of an answer, which may include a load.
 func (e *Estimator) Observe(function *Function, now time.Duration, seconds float64) {
-	function.slowest.Observe(now, slowestKeepAlives*e.fading, seconds)
+	function.peak.Observe(now, peakDecayTimes*e.decayTime, seconds)
 }
 
-// ObserveWarm learns from the latency of an answer of a warm instance.
+// ObserveWarm records the latency of an answer from a warm instance.
 func (e *Estimator) ObserveWarm(function *Function, worker *Worker, now time.Duration, seconds float64) {
 	e.mean = cmp.Or(e.mean, seconds)
 	ratio := e.Ratio(worker, now)
@@ -92,22 +93,22 @@
 	function.excess.Set(now, serviceTime-function.objective.Seconds())
 }
 
-// Declare takes in the latency objective of a function's class, and the usual time of a load if that is above
-// 0.
+// Declare sets the latency objective of the function's class. It also sets the usual load time if loadTime is
+// above 0.
 func (f *Function) Declare(objective, loadTime time.Duration) {
 	f.objective = objective
 	f.declaredLoadTime = cmp.Or(max(0, loadTime), f.declaredLoadTime)
 }
 
-// DeclaredLoadTime is the usual time of a load as requests say; 0 if unknown.
+// DeclaredLoadTime returns the usual load time declared by requests, or 0 if unknown.
 func (f *Function) DeclaredLoadTime() time.Duration { return f.declaredLoadTime }
 
-// RestoreExcess sets the service time to what was learned at an earlier time, in seconds over the objective.
+// RestoreExcess sets the service time to a value learned at learnedAt, in seconds above the objective.
 func (f *Function) RestoreExcess(learnedAt time.Duration, seconds float64) {
 	f.excess.Set(learnedAt, seconds)
 }
 
-// RestoreExcess sets the ratio of a worker to what was learned of it at an earlier time, less 1.
+// RestoreExcess sets the latency ratio to a value learned at learnedAt, given as the ratio minus 1.
 func (w *Worker) RestoreExcess(learnedAt time.Duration, excess float64) {
 	w.excess.Set(learnedAt, excess)
 }
