--- a/routing/lease/check.go
+++ b/routing/lease/check.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// IsFresh reports whether a lease need not be renewed yet.
+// IsFresh reports whether the worker's lease is valid and not yet due for renewal.
 func (t *Table) IsFresh(w *Worker, now time.Duration) bool {
 	return t.Valid(w, now) && now < t.expiry(w)-renewBefore
 }
 
-// MayCheck reports whether a worker may be asked for its health now.
+// MayCheck reports whether a health check of the worker may start now.
 func (t *Table) MayCheck(w *Worker, now time.Duration) bool {
 	return !w.checkInFlight && now >= w.nextCheckAt
 }
 
-// NeedsFirstCheck reports whether a worker came under suspicion and was not asked since.
+// NeedsFirstCheck reports whether the worker is suspected and no health check of it has failed since its last
+// success.
 func (t *Table) NeedsFirstCheck(w *Worker) bool { return t.Suspected(w) && w.failedChecks == 0 }
 
-// BeginCheck notes that a worker is asked for its health.
+// BeginCheck records the start of a health check.
 func (t *Table) BeginCheck(w *Worker, now time.Duration) {
 	w.checkInFlight = true
-	w.nextCheckAt = now + minCheckInterval<<min(max(0, w.failedChecks-quickChecks), maxCheckDoublings)
+	w.nextCheckAt = now + minCheckInterval<<min(max(0, w.failedChecks-baseIntervalChecks), maxCheckDoublings)
 }
 
-// EndCheck notes that a health check has ended, and whether it renewed the lease.
+// EndCheck records the end of a health check, and whether it renewed the lease.
 func (t *Table) EndCheck(w *Worker, renewed bool) {
 	w.checkInFlight = false
 	if renewed {
@@ -31,16 +32,18 @@
 	}
 }
 
-// IsChecked reports whether a health check of a worker is under way.
+// IsChecked reports whether a health check of the worker is in flight.
 func (w *Worker) IsChecked() bool { return w.checkInFlight }
 
-// ProvenAt is when a worker is known to have taken requests, by its own word; 0 if it never said so.
-func (w *Worker) ProvenAt() time.Duration { return w.provenAt }
+// ProvenAt returns the send time of the latest request or health check that the worker accepted, or 0 if
+// there is none.
+func (w *Worker) ProvenAt() time.Duration { return w.lastAcceptedAt }
 
-// Held is how many of so many workers a scheduler keeps leases on by health checks: as many as lets no
-// worker get more than checksPerWorker of all schedulers together. Those that serve requests need none.
+// Held returns the number of workers, out of the given number, on which a scheduler maintains leases by
+// health checks. The number is chosen so that no worker gets more than checksPerWorker health checks per
+// second from all schedulers together. Workers that serve requests need no health checks.
 func (t *Table) Held(workers int) int {
 	interval := (t.duration - renewBefore).Seconds()
-	held := int(checksPerWorker * interval * float64(workers) / float64(max(t.schedulers, 1)))
-	return min(workers, max(held, minHeld))
+	renewals := int(checksPerWorker * interval * float64(workers) / float64(max(t.schedulers, 1)))
+	return min(workers, max(renewals, minRenewals))
 }
--- a/routing/lease/lease.go
+++ b/routing/lease/lease.go
@@ -1,88 +1,95 @@
-// Package lease bounds for how long a worker is sent requests on what discovery once said of it.
+// Package lease limits how long a scheduler sends requests to a worker without new evidence that the worker
+// is in service.
 //
-// A change of the endpoint list counts as announced publicationBound after it was published, whether it was
-// delivered or not, and a drain binds a grace later. So what is known of a worker at one moment allows to
-// send to it for that long and no longer: the scheduler holds a lease on the worker, as a lock service
-// grants one. Three things renew it: discovery confirms the whole list, the worker accepts a request, or it
-// answers a health check. While discovery is out of reach the last two remain, and leases that nobody
-// renews expire.
+// A change of the endpoint list counts as announced publicationBound after its publication, whether it was
+// delivered or not, and a drain takes effect after a further grace period. Evidence that a worker was in
+// service at one time therefore permits sends for that long. The scheduler holds a lease on the worker, like
+// a lease of a lock service. A lease is renewed when discovery confirms the whole list, when the worker
+// accepts a request, or when it passes a health check. While discovery is unreachable only the last two can
+// renew a lease, and a lease that is not renewed expires.
 //
-// Leases are not limited before the first confirmation: where discovery pushes changes, none ever comes.
+// Leases do not expire before the first confirmation: a discovery service that pushes changes never sends
+// one.
 package lease
 
 import "time"
 
 const (
-	// publicationBound is how long after its publication a change of the list counts as announced at the
-	// latest.
+	// publicationBound is the longest time from the publication of a list change until it counts as
+	// announced.
 	publicationBound = 7 * time.Second
-	// expiryMargin is how long before the last permitted moment a lease expires: a request is decided on,
-	// and then written a little later.
+	// expiryMargin is how long before the last permitted time a lease expires. A request is written slightly
+	// later than it is dispatched.
 	expiryMargin = 100 * time.Millisecond
-	// renewBefore is how long before its expiry a lease is to be renewed: time for several health checks.
+	// renewBefore is how long before its expiry a lease is due for renewal. It leaves time for several health
+	// checks.
 	renewBefore = 2 * time.Second
-	// minCheckInterval is the least time between two health checks of a worker by one scheduler.
+	// minCheckInterval is the minimum interval between two health checks of a worker by one scheduler.
 	minCheckInterval = time.Second
-	// After quickChecks checks in a row that renewed nothing the interval doubles with each, up to
-	// maxCheckDoublings times.
-	quickChecks       = 2
-	maxCheckDoublings = 3
-	// checksPerWorker is how many health checks a second a worker gets of all schedulers together.
+	// After baseIntervalChecks consecutive failed checks the interval doubles with each further failure, up
+	// to maxCheckDoublings times.
+	baseIntervalChecks = 2
+	maxCheckDoublings  = 3
+	// checksPerWorker is the number of health checks per second that a worker gets from all schedulers
+	// together.
 	checksPerWorker = 4.0
-	// minHeld is how many leases a scheduler renews by health checks at the least.
-	minHeld = 3
-	// rejectionsToSuspect is how many requests rejected in a row make a worker suspected of draining, while
-	// no list can say so. A full queue rejects one now and then.
+	// minRenewals is the minimum number of leases that a scheduler renews by health checks.
+	minRenewals = 3
+	// rejectionsToSuspect is the number of consecutive rejected requests after which a worker is suspected of
+	// draining while list confirmation is overdue. One is not enough, because a full queue also rejects.
 	rejectionsToSuspect = 2
 )
 
-// Table holds what the leases of all workers have in common.
+// Table holds the state that the leases on all workers share.
 type Table struct {
-	duration    time.Duration // how long one proof allows sends
-	schedulers  int           // that share the workers
-	limited     bool          // the list was confirmed once: leases expire
-	confirmedAt time.Duration // the list is known to have been complete then
+	duration    time.Duration // validity of a lease after the evidence that renewed it
+	schedulers  int           // number of schedulers that share the workers
+	limited     bool          // leases expire: the list has been confirmed at least once
+	confirmedAt time.Duration // latest time at which the list is known to have been complete
 }
 
 // Worker is the lease on one worker.
 type Worker struct {
-	provenAt      time.Duration // when it is known to have taken requests, by its own word
-	rejections    int           // requests in a row that it did not take, while in doubt
-	rejectedAt    time.Duration // when the last of them was sent
-	downAt        time.Duration // when it said that it drains or could not be reached, in doubt; 0 if not
-	nextCheckAt   time.Duration // when it may be checked again
-	failedChecks  int           // health checks in a row that renewed nothing
-	checkInFlight bool
+	lastAcceptedAt time.Duration // send time of the latest request or health check that it accepted
+	rejections     int           // consecutive requests not accepted while list confirmation was overdue
+	rejectedAt     time.Duration // send time of the latest of these requests
+	downAt         time.Duration // when it was last draining or unreachable while confirmation was overdue, or 0
+	nextCheckAt    time.Duration // earliest time of the next health check
+	failedChecks   int           // consecutive health checks that did not renew the lease
+	checkInFlight  bool
 }
 
-// NewTable returns a Table for a deployment where a drain binds drainGrace after it counts as announced.
+// NewTable returns a Table for a deployment where a drain takes effect drainGrace after it counts as
+// announced.
 func NewTable(drainGrace time.Duration, schedulers int) *Table {
 	return &Table{duration: publicationBound + drainGrace - expiryMargin, schedulers: schedulers}
 }
 
-// Confirm notes that discovery's list is known to have been complete at a time. Zero says that there is a
-// list of unknown age.
+// Confirm records that the endpoint list was complete at the time asOf. Zero means that the age of the list
+// is unknown.
 func (t *Table) Confirm(asOf time.Duration) {
 	t.limited = true
 	t.confirmedAt = max(t.confirmedAt, asOf)
 }
 
-// Limited reports whether leases expire: the list was confirmed once.
+// Limited reports whether leases expire, which they do once the list has been confirmed.
 func (t *Table) Limited() bool { return t.limited }
 
-// ConfirmedAt is when the list is known to have been complete.
+// ConfirmedAt returns the latest time at which the list is known to have been complete.
 func (t *Table) ConfirmedAt() time.Duration { return t.confirmedAt }
 
-// InDoubt reports whether the list was not confirmed for so long that workers have to prove that they take
-// requests.
+// InDoubt reports whether confirmation of the list is overdue. Leases are then renewed only by workers that
+// accept requests or pass health checks.
 func (t *Table) InDoubt(now time.Duration) bool {
 	return t.limited && now >= t.confirmedAt+t.duration-renewBefore
 }
 
-// expiry is when the lease on a worker expires.
-func (t *Table) expiry(w *Worker) time.Duration { return max(t.confirmedAt, w.provenAt) + t.duration }
+// expiry returns the time at which the lease on a worker expires.
+func (t *Table) expiry(w *Worker) time.Duration {
+	return max(t.confirmedAt, w.lastAcceptedAt) + t.duration
+}
 
-// Remaining is how long the lease on a worker lasts from now on; 0 if leases are not limited.
+// Remaining returns the time left until the lease on a worker expires, or 0 if leases do not expire.
 func (t *Table) Remaining(w *Worker, now time.Duration) time.Duration {
 	if !t.limited {
 		return 0
@@ -90,25 +97,26 @@
 	return t.expiry(w) - now
 }
 
-// Valid reports whether a worker may be sent requests: its lease has not expired, and while the list is in
-// doubt nothing speaks for a drain.
+// Valid reports whether a worker may be sent requests. While confirmation of the list is overdue, its lease
+// must not have expired and it must not be suspected.
 func (t *Table) Valid(w *Worker, now time.Duration) bool {
 	return !t.InDoubt(now) || now < t.expiry(w) && !t.Suspected(w)
 }
 
-// Suspected reports whether a worker may be draining or have restarted since the list was confirmed: it
-// said so, could not be reached, or rejects requests, and has not accepted one since.
+// Suspected reports whether a worker may have drained or restarted since the list was confirmed. A worker is
+// suspected after it reported a drain, was unreachable or repeatedly rejected requests, until it accepts one.
 func (t *Table) Suspected(w *Worker) bool {
 	return t.isDown(w) || w.rejections >= rejectionsToSuspect && w.rejectedAt > t.confirmedAt
 }
 
-// isDown reports whether a worker was down after the list was confirmed.
+// isDown reports whether a worker was draining or unreachable after the list was confirmed, and has not
+// accepted a request since.
 func (t *Table) isDown(w *Worker) bool { return w.downAt > t.confirmedAt }
 
-// RecordAccepted notes that a worker accepted what was sent to it at a time, and reports whether it had
-// been down before, while the list was in doubt: it may have restarted.
+// RecordAccepted records that a worker accepted a request or health check sent at sentAt. It reports whether
+// the worker was down before while confirmation of the list was overdue; it may then have restarted.
 func (t *Table) RecordAccepted(w *Worker, sentAt time.Duration) (returned bool) {
-	w.provenAt = max(w.provenAt, sentAt)
+	w.lastAcceptedAt = max(w.lastAcceptedAt, sentAt)
 	w.rejections = 0
 	if sentAt <= w.downAt {
 		return false
@@ -118,10 +126,10 @@
 	return returned
 }
 
-// RecordRejected notes that a worker rejected a request that was sent to it at a time, and reports whether
-// that brought it under suspicion.
-func (t *Table) RecordRejected(w *Worker, now, sentAt time.Duration) (suspended bool) {
-	if !t.InDoubt(now) || sentAt <= w.provenAt {
+// RecordRejected records that a worker rejected a request sent at sentAt, and reports whether the worker is
+// now newly suspected.
+func (t *Table) RecordRejected(w *Worker, now, sentAt time.Duration) (suspected bool) {
+	if !t.InDoubt(now) || sentAt <= w.lastAcceptedAt {
 		return false
 	}
 	before := t.Suspected(w)
@@ -130,10 +138,11 @@
 	return !before && t.Suspected(w)
 }
 
-// RecordBroken notes that the connection broke under a request that was sent at a time, and reports whether
-// that brought the worker under suspicion. It may have ended; one that answers right after has not.
-func (t *Table) RecordBroken(w *Worker, now, sentAt time.Duration) (suspended bool) {
-	if !t.InDoubt(now) || sentAt <= w.provenAt {
+// RecordBroken records that the connection was reset during a request sent at sentAt, and reports whether the
+// worker is now newly suspected. The process may have ended; if the worker accepts a later request, it has
+// not.
+func (t *Table) RecordBroken(w *Worker, now, sentAt time.Duration) (suspected bool) {
+	if !t.InDoubt(now) || sentAt <= w.lastAcceptedAt {
 		return false
 	}
 	before := t.Suspected(w)
@@ -142,9 +151,9 @@
 	return !before
 }
 
-// RecordDown notes that a worker said that it drains, or that it could not be reached, and reports whether
-// that brought it under suspicion.
-func (t *Table) RecordDown(w *Worker, now time.Duration) (suspended bool) {
+// RecordDown records that a worker reported a drain or was unreachable, and reports whether it is now newly
+// suspected.
+func (t *Table) RecordDown(w *Worker, now time.Duration) (suspected bool) {
 	if !t.InDoubt(now) {
 		return false
 	}
@@ -153,5 +162,6 @@
 	return !before
 }
 
-// Restart forgets what a restart of the worker, which discovery announced, makes void.
+// Restart resets the lease after discovery has announced a restart of the worker. A health check in flight
+// stays recorded.
 func (w *Worker) Restart() { *w = Worker{checkInFlight: w.checkInFlight} }
--- a/routing/lease/lease_test.go
+++ b/routing/lease/lease_test.go
@@ -12,48 +12,49 @@
 const (
 	now   = time.Hour
 	grace = time.Second
-	// binding is how long after a worker was known to take requests a drain may bind, by the protocol.
-	binding = 7*time.Second + grace
+	// drainBound is the shortest time, by the protocol, from evidence that a worker is in service until a drain may
+	// have taken effect.
+	drainBound = 7*time.Second + grace
 )
 
-// Without a confirmation leases are not limited: the list comes unasked.
+// Guards against leases that expire where discovery pushes changes and therefore never confirms the list.
 func TestUnlimitedWithoutConfirmation(t *testing.T) {
 	table := lease.NewTable(grace, 1)
 	var worker lease.Worker
 	table.RecordRejected(&worker, now, now)
 	table.RecordDown(&worker, now)
 	if !table.Valid(&worker, now+time.Hour) || table.InDoubt(now) || table.Remaining(&worker, now) != 0 {
-		t.Error("a lease is limited though nothing was ever confirmed")
+		t.Error("the lease is limited although the list was never confirmed")
 	}
 }
 
-// A list of unknown age allows nothing; each worker has to prove itself.
+// Guards against sends that rely on a list of unknown age: a worker has no lease until it accepts a request.
 func TestListOfUnknownAge(t *testing.T) {
 	table := lease.NewTable(grace, 1)
 	table.Confirm(0)
 	var worker lease.Worker
 	if table.Valid(&worker, now) {
-		t.Error("a lease by a list of unknown age")
+		t.Error("a list of unknown age gives a valid lease")
 	}
 	table.RecordAccepted(&worker, now)
 	if !table.Valid(&worker, now) {
-		t.Error("no lease on a worker that has just taken a request")
+		t.Error("no valid lease on a worker that has just accepted a request")
 	}
 }
 
-// Once the list is in doubt a worker is suspended that rejects two requests in a row, says that it drains, cannot be
-// reached, or breaks a connection. What it accepts after that, or a confirmation, ends the suspicion. Before, when the
-// list is current, none of that has an effect.
+// Guards against sends to a worker that may be draining while confirmation of the list is overdue. Two consecutive
+// rejections, a reported drain, a failed connection attempt or a connection reset suspend the worker until it accepts a
+// later request or the list is confirmed. While the list is current they have no effect.
 func TestSuspicion(t *testing.T) {
-	for name, fault := range map[string]func(table *lease.Table, worker *lease.Worker, at time.Duration) (suspended bool){
-		"rejects": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
+	for name, fault := range map[string]func(table *lease.Table, worker *lease.Worker, at time.Duration) (suspected bool){
+		"two rejections": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
 			first := table.RecordRejected(worker, at, at)
 			return !first && table.RecordRejected(worker, at, at)
 		},
-		"says that it drains": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
+		"draining or unreachable": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
 			return table.RecordDown(worker, at)
 		},
-		"breaks a connection": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
+		"connection reset": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
 			return table.RecordBroken(worker, at, at)
 		},
 	} {
@@ -62,47 +63,47 @@
 			table.Confirm(now)
 			var worker lease.Worker
 			if fault(table, &worker, now+time.Second) || !table.Valid(&worker, now+time.Second) {
-				t.Error("suspended while the list is current")
+				t.Error("suspected while the list is current")
 			}
-			doubt := now + 6*time.Second
-			if !fault(table, &worker, doubt) || table.Valid(&worker, doubt) || !table.NeedsFirstCheck(&worker) {
-				t.Error("not suspended while the list is in doubt")
+			overdue := now + 6*time.Second
+			if !fault(table, &worker, overdue) || table.Valid(&worker, overdue) || !table.NeedsFirstCheck(&worker) {
+				t.Error("not suspected while confirmation of the list is overdue")
 			}
-			table.RecordAccepted(&worker, doubt+1)
-			if !table.Valid(&worker, doubt+1) {
-				t.Error("still suspended after it accepted a request")
+			table.RecordAccepted(&worker, overdue+1)
+			if !table.Valid(&worker, overdue+1) {
+				t.Error("still suspected after it accepted a request")
 			}
-			fault(table, &worker, doubt+2)
-			table.Confirm(doubt + 3)
-			if !table.Valid(&worker, doubt+4) {
-				t.Error("still suspended after a confirmation")
+			fault(table, &worker, overdue+2)
+			table.Confirm(overdue + 3)
+			if !table.Valid(&worker, overdue+4) {
+				t.Error("still suspected after a confirmation")
 			}
 		})
 	}
 }
 
-// A worker that was down and takes requests again may have restarted; one that rejected requests or broke a connection
-// has not ended.
-func TestReturned(t *testing.T) {
+// Guards against a missed or false restart: a worker that was down and accepts requests again may have restarted, one
+// that only rejected a request or reset a connection has not.
+func TestPossibleRestart(t *testing.T) {
 	table := lease.NewTable(grace, 1)
 	table.Confirm(now)
-	doubt := now + 6*time.Second
+	overdue := now + 6*time.Second
 	var worker lease.Worker
-	table.RecordBroken(&worker, doubt, doubt)
-	if table.RecordAccepted(&worker, doubt+1) {
-		t.Error("a worker whose connection broke counts as restarted")
+	table.RecordBroken(&worker, overdue, overdue)
+	if table.RecordAccepted(&worker, overdue+1) {
+		t.Error("a worker that reset a connection counts as restarted")
 	}
-	table.RecordDown(&worker, doubt+2)
-	if table.RecordAccepted(&worker, doubt+2) || table.Valid(&worker, doubt+2) {
-		t.Error("what was sent before the worker was down ends the suspicion")
+	table.RecordDown(&worker, overdue+2)
+	if table.RecordAccepted(&worker, overdue+2) || table.Valid(&worker, overdue+2) {
+		t.Error("accepting a request sent before the worker was down ends the suspicion")
 	}
-	if !table.RecordAccepted(&worker, doubt+3) || table.RecordAccepted(&worker, doubt+4) {
-		t.Error("a worker that was down counts as restarted not exactly once")
+	if !table.RecordAccepted(&worker, overdue+3) || table.RecordAccepted(&worker, overdue+4) {
+		t.Error("a worker that was down does not count as restarted exactly once")
 	}
 }
 
-// Health checks of a worker are a second apart, and further if they renew nothing; all schedulers together ask a worker
-// no more than four times a second, but each holds three leases.
+// Guards against too many health checks. Those of one worker are at least a second apart, with a backoff while they
+// fail. All schedulers together check a worker at most four times a second, but each maintains at least three leases.
 func TestChecksAreBounded(t *testing.T) {
 	table := lease.NewTable(grace, 300)
 	table.Confirm(now)
@@ -112,7 +113,7 @@
 		if table.MayCheck(&worker, at) {
 			table.BeginCheck(&worker, at)
 			if table.MayCheck(&worker, at+time.Hour) {
-				t.Error("a second check while one is under way")
+				t.Error("a second health check is allowed while one is in flight")
 			}
 			table.EndCheck(&worker, false)
 			times = append(times, at-now)
@@ -124,50 +125,50 @@
 	}
 	for i := range want {
 		if times[i] != want[i]*time.Second {
-			t.Errorf("check %d at %v, want at %d s", i, times[i], want[i])
+			t.Errorf("health check %d at %v, want at %d s", i, times[i], want[i])
 		}
 	}
-	for workers, held := range map[int]int{1: 1, 3: 3, 24: 3, 120: 9, 3200: 251} {
-		if got := table.Held(workers); got != held {
-			t.Errorf("holds %d of %d workers by health checks, want %d", got, workers, held)
+	for workers, want := range map[int]int{1: 1, 3: 3, 24: 3, 120: 9, 3200: 251} {
+		if got := table.Held(workers); got != want {
+			t.Errorf("%d of %d leases are renewed by health checks, want %d", got, workers, want)
 		}
 	}
 }
 
-// Whatever happens: nothing is sent to a worker later than a drain binds that was published right after the latest
-// proof that there was none, and the time that is left of a lease never outlasts that either. A confirmed list gives
-// leases on all workers.
+// Guards against sends to a draining worker after any sequence of events. A lease must expire before a drain that was
+// published right after the latest evidence of service can take effect. A confirmed list gives valid leases on all
+// workers.
 func TestLeaseEndsBeforeDrainBinds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := lease.NewTable(grace, rapid.IntRange(1, 900).Draw(rt, "schedulers"))
 		var worker lease.Worker
-		current, proof := now, now
+		current, evidence := now, now
 		table.Confirm(now)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			current += time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond
 			past := current - time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ago"))*time.Millisecond
-			switch rapid.SampledFrom([]string{"wait", "confirm", "accept", "reject", "down", "broken"}).Draw(rt, "event") {
+			switch rapid.SampledFrom([]string{"wait", "confirm", "accept", "reject", "down", "reset"}).Draw(rt, "event") {
 			case "confirm":
 				table.Confirm(past)
-				proof = max(proof, past)
+				evidence = max(evidence, past)
 			case "accept":
 				table.RecordAccepted(&worker, past)
-				proof = max(proof, past)
+				evidence = max(evidence, past)
 			case "reject":
 				table.RecordRejected(&worker, current, past)
 			case "down":
 				table.RecordDown(&worker, current)
-			case "broken":
+			case "reset":
 				table.RecordBroken(&worker, current, past)
 			}
-			if table.Valid(&worker, current) && current >= proof+binding {
-				rt.Fatalf("valid %v after the last proof", current-proof)
+			if table.Valid(&worker, current) && current >= evidence+drainBound {
+				rt.Fatalf("lease valid %v after the latest evidence, want at most %v", current-evidence, drainBound)
 			}
-			if left := table.Remaining(&worker, current); current+left >= proof+binding {
-				rt.Fatalf("%v left, %v after the last proof", left, current-proof)
+			if left := table.Remaining(&worker, current); current+left >= evidence+drainBound {
+				rt.Fatalf("%v remaining %v after the latest evidence, want %v in total at most", left, current-evidence, drainBound)
 			}
 			if !table.InDoubt(current) && !table.Valid(&worker, current) {
-				rt.Fatal("no lease though the list is confirmed")
+				rt.Fatal("no valid lease although the list is confirmed")
 			}
 		}
 	})
