--- a/routing/lease/lease.go
+++ b/routing/lease/lease.go
@@ -53,7 +53,7 @@
 	lastAcceptedAt time.Duration // send time of the latest request or health check that it accepted
 	rejections     int           // consecutive requests not accepted while list confirmation was overdue
 	rejectedAt     time.Duration // send time of the latest of these requests
-	downAt         time.Duration // when it was last draining or unreachable while confirmation was overdue, or 0
+	downAt         time.Duration // when it last was draining or unreachable while confirmation was overdue
 	nextCheckAt    time.Duration // earliest time of the next health check
 	failedChecks   int           // consecutive health checks that did not renew the lease
 	checkInFlight  bool
--- a/routing/outlier/outlier.go
+++ b/routing/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package outlier finds workers that do not serve, takes them out of use and lets them back.
+// Package outlier detects unhealthy workers, ejects them and readmits them.
 //
-// A worker is ejected when it answers nothing, cannot be reached, breaks its connections time and again, or
-// enough peers report it, as Envoy's outlier detection does; the reports of peers follow the idea of
-// suspicion in SWIM, weighed against what this scheduler sees itself. An ejected worker gets one probe at a
-// time, after a delay that doubles from baseProbationDelay up to maxProbationDoublings times; its first
-// answer ends the ejection.
+// A worker is ejected when it does not answer, is unreachable, repeatedly resets connections, or is reported
+// by enough peers. Ejection resembles Envoy's outlier detection. Peer reports resemble suspicion in SWIM;
+// recent observations of this scheduler override them. An ejected worker gets one probe at a time, after a
+// delay that starts at baseProbationDelay and doubles up to maxProbationDoublings times. Its first answer
+// ends the ejection.
 package outlier
 
 import (
@@ -14,97 +14,99 @@
 )
 
 const (
-	baseProbationDelay     = time.Second // before an ejected worker is probed; doubles with each probe
+	baseProbationDelay     = time.Second // before the first probe; doubles with each further probe
 	maxProbationDoublings  = 3
-	minProbationJitter     = 0.5         // randomized delays are this to this plus 1 of the longest
-	ownObservationLifetime = time.Second // own answers younger than this outweigh the reports of peers
+	minProbationJitter     = 0.5         // random delays are this to this plus 1 times the longest one
+	ownObservationLifetime = time.Second // maximum age of an own answer that overrides peer reports
 	reportRefreshInterval  = ownObservationLifetime / 4
-	maxConnectionResets    = 3    // breaks in a row, with no answer between, that eject a worker
-	maxErrorRate           = 0.15 // a worker above gets no requests that must not be repeated
+	maxConnectionResets    = 3    // consecutive resets without an answer that eject a worker
+	maxErrorRate           = 0.15 // above this rate a worker gets no requests that must not be repeated
 	errorSampleWeight      = 0.1  // weight of an answer in a worker's error rate
 	overdueToEject         = 2    // overdue attempts without an answer that eject a worker
 )
 
-// Fault is what is wrong with a worker.
+// Fault is a kind of fault of a worker.
 type Fault uint8
 
 // The faults.
 const (
 	Healthy      Fault = iota
-	Unresponsive       // takes requests and answers none
-	Slow               // answers much later than others
-	Failing            // answers errors
-	Unreachable        // takes no connections, or breaks them
+	Unresponsive       // accepts requests and does not answer them
+	Slow               // has a much higher latency than other workers
+	Failing            // answers with errors
+	Unreachable        // refuses or resets connections
 )
 
-// Verdict is what other schedulers together report of a worker.
+// Verdict is the combined result of the fault reports of peers on a worker.
 type Verdict uint8
 
-// The verdicts, each stronger than the one before.
+// The verdicts, in order of increasing certainty.
 const (
 	NotReported Verdict = iota
-	Reported            // some find it unhealthy
-	Confirmed           // more of them than may lie find it unresponsive or unreachable
+	Reported            // some peers report it unhealthy
+	Confirmed           // reported unresponsive or unreachable by more peers than may be byzantine
 )
 
-// Detector holds what the detection of all workers has in common.
+// Detector holds the state that the detection of all workers shares.
 type Detector struct {
-	fading    time.Duration // time constant with which error rates fade
+	decayTime time.Duration // decay time constant of error rates
 	reporting bool          // faults are reported to peers
 }
 
-// Worker is the health of one worker.
+// Worker is the health state of one worker.
 type Worker struct {
-	lastAnswerAt     time.Duration // when it answered last; at first, when it was first listed
-	answeredAt       time.Duration // when it answered last; 0 if it never did
-	recentErrors     decay.Value   // running share of errors in its answers, 0 to 1
-	connectionResets int           // times that connections broke with no answer since
-	lastResetAt      time.Duration // when one broke last
-	ejected          bool          // it gets only probes
-	probes           int           // probes sent since it was ejected
-	probationAt      time.Duration // when the next probe may be sent
-	verdict          Verdict       // what peers together report of it
-	reportedFault    Fault         // what this scheduler reported last
-	reportedAt       time.Duration // when that was observed
+	lastAnswerAt     time.Duration // time of the latest answer, or of the first listing if there is none
+	answeredAt       time.Duration // time of the latest answer, or 0 if there is none
+	errorRate        decay.Value   // moving average of the fraction of answers that are errors
+	connectionResets int           // connection resets since the latest answer
+	lastResetAt      time.Duration // time of the latest reset
+	ejected          bool          // gets only probes
+	probes           int           // probes sent since the ejection
+	probationAt      time.Duration // earliest time of the next probe
+	verdict          Verdict       // by the reports of peers
+	reportedFault    Fault         // latest fault reported by this scheduler
+	reportedAt       time.Duration // observation time of that fault
 }
 
-// NewDetector returns a Detector whose error rates fade with this time constant. Without reporting, no fault
-// is ever due to be reported.
-func NewDetector(fading time.Duration, reporting bool) *Detector {
-	return &Detector{fading: fading, reporting: reporting}
+// NewDetector returns a Detector whose error rates decay with the time constant decayTime. With reporting
+// false, ShouldReport always returns false.
+func NewDetector(decayTime time.Duration, reporting bool) *Detector {
+	return &Detector{decayTime: decayTime, reporting: reporting}
 }
 
-// NewWorker returns the health of a worker that is listed for the first time.
+// NewWorker returns the health state of a worker that is listed for the first time.
 func NewWorker(now time.Duration) Worker { return Worker{lastAnswerAt: now} }
 
-// ErrorRate is the share of a worker's recent answers that are errors, 0 to 1. It fades, since nothing but
-// new requests shows that errors have ceased.
+// ErrorRate returns the fraction of a worker's recent answers that are errors. The rate decays with time,
+// because a worker that is sent no requests cannot otherwise show that it has recovered.
 func (d *Detector) ErrorRate(worker *Worker, now time.Duration) float64 {
-	return worker.recentErrors.At(now, d.fading)
+	return worker.errorRate.At(now, d.decayTime)
 }
 
 // RecordError counts an error in a worker's error rate.
 func (d *Detector) RecordError(worker *Worker, now time.Duration) {
-	worker.recentErrors.Set(now, d.ErrorRate(worker, now)*(1-errorSampleWeight)+errorSampleWeight)
+	worker.errorRate.Set(now, d.ErrorRate(worker, now)*(1-errorSampleWeight)+errorSampleWeight)
 }
 
 // RecordServed counts an answer without an error in a worker's error rate.
 func (d *Detector) RecordServed(worker *Worker, now time.Duration) {
-	worker.recentErrors.Set(now, d.ErrorRate(worker, now)*(1-errorSampleWeight))
+	worker.errorRate.Set(now, d.ErrorRate(worker, now)*(1-errorSampleWeight))
 }
 
-// IsFailing reports whether a worker answers errors.
+// IsFailing reports whether a worker's error rate is above maxErrorRate.
 func (d *Detector) IsFailing(worker *Worker, now time.Duration) bool {
 	return d.ErrorRate(worker, now) > maxErrorRate
 }
 
-// IsUnhealthy reports whether a worker answers errors, or peers report it and it did not answer here lately.
+// IsUnhealthy reports whether a worker is failing, or is reported by peers and has not answered this
+// scheduler recently.
 func (d *Detector) IsUnhealthy(worker *Worker, now time.Duration) bool {
-	return d.IsFailing(worker, now) || worker.verdict > NotReported && !worker.answeredLately(now)
+	return d.IsFailing(worker, now) || worker.verdict > NotReported && !worker.answeredRecently(now)
 }
 
-// ShouldReport reports whether a fault is to be reported to peers, which is then taken as done: at once when
-// it changes, and again from time to time with newer evidence.
+// ShouldReport reports whether a fault is due to be reported to peers, and if so records it as reported. A
+// fault is due at once when it changes, and again when there is evidence newer by more than
+// reportRefreshInterval.
 func (d *Detector) ShouldReport(worker *Worker, fault Fault, observedAt time.Duration) bool {
 	if !d.reporting {
 		return false
@@ -118,7 +120,8 @@
 	return due
 }
 
-// AnswerFault is the fault that an answer shows: none, unless the worker often answers errors, or late.
+// AnswerFault returns the fault of a worker that has just answered. slow reports whether its latency is too
+// high.
 func (d *Detector) AnswerFault(worker *Worker, now time.Duration, slow bool) Fault {
 	switch {
 	case d.IsFailing(worker, now):
@@ -130,6 +133,6 @@
 	}
 }
 
-// ManyOverdue reports whether so many overdue attempts with no answer since the oldest was sent eject a
-// worker. One alone may be an expensive request.
+// ManyOverdue reports whether the number of overdue attempts is enough to eject a worker that has not
+// answered since the oldest was sent. A single overdue attempt may be an expensive request.
 func ManyOverdue(attempts int) bool { return attempts >= overdueToEject }
--- a/routing/outlier/worker.go
+++ b/routing/outlier/worker.go
@@ -7,33 +7,33 @@
 	"calicohill/internal/stats/decay"
 )
 
-// Ejected reports whether a worker gets only probes.
+// Ejected reports whether the worker is ejected and gets only probes.
 func (w *Worker) Ejected() bool { return w.ejected }
 
-// Eligible reports whether a worker with so many attempts in flight may get another: an ejected one gets only
-// one probe at a time.
+// Eligible reports whether the worker may be sent another attempt in addition to those in flight. An ejected
+// worker gets one probe at a time.
 func (w *Worker) Eligible(now time.Duration, inFlight int) bool {
 	return !w.ejected || inFlight == 0 && now >= w.probationAt
 }
 
-// AnsweredAfter reports whether a worker has answered after a time.
+// AnsweredAfter reports whether the worker has answered after the time at.
 func (w *Worker) AnsweredAfter(at time.Duration) bool { return w.lastAnswerAt > at }
 
-// SilentSince reports whether a worker has not answered since a time.
+// SilentSince reports whether the worker has not answered since the time at.
 func (w *Worker) SilentSince(at time.Duration) bool { return w.lastAnswerAt < at }
 
-// AnsweredWithin reports whether a worker has ever answered, and for the last time no longer ago than maxAge.
+// AnsweredWithin reports whether the worker has answered, and its latest answer is no older than maxAge.
 func (w *Worker) AnsweredWithin(now, maxAge time.Duration) bool {
 	return w.answeredAt != 0 && now-w.answeredAt <= maxAge
 }
 
-// answeredLately reports whether this scheduler's own observation outweighs the reports of peers.
-func (w *Worker) answeredLately(now time.Duration) bool {
+// answeredRecently reports whether the latest answer to this scheduler overrides the reports of peers.
+func (w *Worker) answeredRecently(now time.Duration) bool {
 	return now-w.lastAnswerAt <= ownObservationLifetime
 }
 
-// RecordAnswer notes that a worker answered, whatever it said: that ends an ejection. It reports whether
-// there was one.
+// RecordAnswer records any answer of the worker, which ends an ejection. It reports whether the worker was
+// ejected.
 func (w *Worker) RecordAnswer(now time.Duration) (readmitted bool) {
 	w.lastAnswerAt = now
 	w.answeredAt = now
@@ -46,18 +46,18 @@
 	return readmitted
 }
 
-// RecordReset counts a broken connection, and reports whether there were too many. One says little of its
-// worker: an answer that cannot be read breaks it too, and after a crash the next connection is refused. A
-// worker whose connections break time and again with no answer between is unhealthy.
+// RecordReset counts a connection reset, and reports whether there were too many. A single reset does not
+// show that a worker is unhealthy: an unreadable answer also resets the connection, and after a crash the
+// next connection attempt is refused. Repeated resets without an answer in between do.
 func (w *Worker) RecordReset(now time.Duration) (tooMany bool) {
-	if w.lastResetAt < now { // what was lost with one connection counts once
+	if w.lastResetAt < now { // attempts lost on one connection count once
 		w.connectionResets++
 	}
 	w.lastResetAt = now
 	return w.connectionResets >= maxConnectionResets
 }
 
-// Eject takes a worker out of use: it gets nothing but probes until it answers.
+// Eject ejects the worker: it gets only probes until it answers.
 func (w *Worker) Eject(now time.Duration, rng *rand.Rand) {
 	if w.ejected {
 		return
@@ -67,7 +67,8 @@
 	w.probationAt = now + w.probationDelay(rng)
 }
 
-// RecordSend notes that a worker was sent an attempt, which is a probe if it is ejected.
+// RecordSend records that an attempt was sent to the worker. If the worker is ejected, the attempt is a
+// probe.
 func (w *Worker) RecordSend(now time.Duration, rng *rand.Rand) {
 	if w.ejected {
 		w.probes++
@@ -75,8 +76,8 @@
 	}
 }
 
-// probationDelay is how long an ejected worker is left alone before a probe. Where peers find it unhealthy
-// too, the delays are spread at random, so that schedulers take turns.
+// probationDelay returns the delay before the next probe of an ejected worker. If peers confirm the fault the
+// delay is random, so that the schedulers do not all probe the worker at once.
 func (w *Worker) probationDelay(rng *rand.Rand) time.Duration {
 	if w.verdict == Confirmed {
 		longest := (baseProbationDelay << maxProbationDoublings).Seconds()
@@ -85,22 +86,22 @@
 	return baseProbationDelay << min(w.probes, maxProbationDoublings)
 }
 
-// SetVerdict takes in what peers report, and reports whether that is reason to eject the worker: enough of
-// them find it unhealthy, and it did not answer here lately.
+// SetVerdict sets the verdict of peers and reports whether the worker should be ejected. It should be if the
+// verdict is Confirmed and the worker has not answered this scheduler recently.
 func (w *Worker) SetVerdict(verdict Verdict, now time.Duration) (confirmed bool) {
 	w.verdict = verdict
-	return verdict == Confirmed && !w.answeredLately(now)
+	return verdict == Confirmed && !w.answeredRecently(now)
 }
 
-// Clear lets an ejected worker be probed at once: it has just answered a peer.
+// Clear allows an immediate probe of an ejected worker. It is called when the worker has answered a peer.
 func (w *Worker) Clear(now time.Duration) { w.probationAt = now }
 
-// Restart forgets what a restart of the worker makes void.
+// Restart ends the ejection and resets the error rate after a restart of the worker.
 func (w *Worker) Restart() {
 	w.ejected = false
 	w.probes = 0
-	w.recentErrors = decay.Value{}
+	w.errorRate = decay.Value{}
 }
 
-// Probed reports whether a worker was sent a probe since it was ejected.
+// Probed reports whether the worker has been sent a probe since it was ejected.
 func (w *Worker) Probed() bool { return w.probes > 0 }
