--- a/routing/latency/latency.go
+++ b/routing/latency/latency.go
@@ -16,7 +16,7 @@
 // Weight of a new sample in each moving average.
 const (
 	functionSampleWeight = 0.2  // in a function's service time
-	workerSampleWeight   = 0.5  // in a worker's latency ratio; high, because each worker is sampled seldom
+	workerSampleWeight   = 0.5  // in a worker's latency ratio; high because samples are rare
 	meanSampleWeight     = 0.05 // in the mean over all workers
 )
 
--- a/routing/pressure/pressure_test.go
+++ b/routing/pressure/pressure_test.go
@@ -12,18 +12,17 @@
 
 const (
 	testObjective = time.Second
-	testFading    = 8 * time.Second
+	testDecayTime = 8 * time.Second
 )
 
-// Functions leave a worker that all schedulers together put under pressure: the more pressure, the more of them, and
-// those that leave under little pressure leave under more too. They stay where the pressure is due to this scheduler
-// alone.
+// Guards against functions that stay at a worker that all schedulers together put under pressure. More functions move
+// under more pressure, including all that move under less. None move if there is only one scheduler.
 func TestFunctionsLeaveWorkerUnderPressure(t *testing.T) {
 	const now = time.Hour
-	// displacedFunctions returns those of 100 functions that leave w0, where answers take this long and it reports this
-	// utilization, while three other workers are at ease.
+	// displacedFunctions returns those of 100 functions that move away from w0, which has this utilization and latency.
+	// Three other workers are under low pressure.
 	displacedFunctions := func(schedulers int, utilization float64, latency time.Duration) map[string]bool {
-		estimator := pressure.NewEstimator(schedulers, testObjective, testFading)
+		estimator := pressure.NewEstimator(schedulers, testObjective, testDecayTime)
 		workers := make([]pressure.Worker, 4)
 		for range 8 {
 			for i := range workers {
@@ -48,24 +47,25 @@
 		}
 		return displaced
 	}
-	calm := displacedFunctions(80, 0.4, 50*time.Millisecond)
+	idle := displacedFunctions(80, 0.4, 50*time.Millisecond)
 	busy := displacedFunctions(80, 1, 50*time.Millisecond)
-	late := displacedFunctions(80, 1, 900*time.Millisecond)
-	if len(calm) != 0 || len(busy) < 5 || len(busy) > 60 || len(late) < 90 {
-		t.Errorf("of 100 functions %d leave a calm worker, %d a busy one and %d a busy one that answers late, want 0, 5 to 60 and at least 90",
-			len(calm), len(busy), len(late))
+	slow := displacedFunctions(80, 1, 900*time.Millisecond)
+	if len(idle) != 0 || len(busy) < 5 || len(busy) > 60 || len(slow) < 90 {
+		t.Errorf("of 100 functions %d move away from an idle worker, %d from a busy one and %d from a busy and slow one, "+
+			"want 0, 5 to 60 and at least 90", len(idle), len(busy), len(slow))
 	}
 	for name := range busy {
-		if !late[name] {
-			t.Errorf("%s leaves a busy worker and stays at a busy one that answers late", name)
+		if !slow[name] {
+			t.Errorf("%s moves away from a busy worker but stays at a busy and slow one", name)
 		}
 	}
 	if own := displacedFunctions(1, 1, 900*time.Millisecond); len(own) != 0 {
-		t.Errorf("%d functions leave a worker that only this scheduler puts under pressure", len(own))
+		t.Errorf("%d functions move away from a worker that only this scheduler puts under pressure", len(own))
 	}
 }
 
-// The first sample of a worker counts half in its excess over the mean, which it moves by a twentieth.
+// Guards against a wrong pressure of a sample by its result. The first sample enters the worker's excess with half its
+// pressure and the mean with a twentieth.
 func TestObserveByResult(t *testing.T) {
 	for _, testCase := range []struct {
 		name   string
@@ -84,7 +84,7 @@
 		{"inconclusive, report", pressure.Sample{Reported: true, Utilization: 0.3}, 0.5},
 		{"inconclusive, no report", pressure.Sample{Latency: time.Second}, 0},
 	} {
-		estimator := pressure.NewEstimator(1, testObjective, testFading)
+		estimator := pressure.NewEstimator(1, testObjective, testDecayTime)
 		var worker pressure.Worker
 		estimator.Observe(&worker, time.Hour, testCase.sample)
 		excess, mean := estimator.Excess(&worker, time.Hour), estimator.Mean()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Requests begin to be rejected at a pressure of 1.5, with a probability that ends at 0.8, and only for the work of peers.
+// Guards against rejecting requests below a pressure of 1.5, with a probability above 0.8, or without any peers.
 func TestRejectProbability(t *testing.T) {
 	for _, testCase := range []struct {
 		schedulers int
@@ -102,7 +102,7 @@
 		overload   float64
 		want       float64
 	}{{2, 1.5, 0, 0}, {2, 1.75, 0.5, 0.5 / 16}, {2, 3, 3, 0.8 / 16}, {1, 3, 3, 0}} {
-		estimator := pressure.NewEstimator(testCase.schedulers, testObjective, testFading)
+		estimator := pressure.NewEstimator(testCase.schedulers, testObjective, testDecayTime)
 		var worker pressure.Worker
 		worker.RestoreExcess(time.Hour, testCase.excess)
 		overload := estimator.Overload(&worker, time.Hour)
