--- a/routing/slowstart/slowstart.go
+++ b/routing/slowstart/slowstart.go
@@ -1,9 +1,11 @@
-// Package slowstart bounds what a worker that is warming up is sent, as slow start does in load balancers:
-// its capacity grows linearly from a fraction to all of it, and beyond a multiple of that it crashes.
+// Package slowstart limits the request rate of a worker that is warming up, like slow start in load
+// balancers. The capacity of such a worker grows linearly from a fraction to its full capacity, and the
+// worker crashes if it is sent more than a multiple of its current capacity.
 //
-// In each window that could overload a warming worker, this scheduler sends no more than its share of what
-// the worker can do. Schedulers do not ask each other: each estimates the throughput of warm workers from its
-// own answers, and rounds its quota at random, so that all together keep to the bound with high probability.
+// In each window long enough to overload a warming worker, a scheduler sends no more than its share of the
+// worker's budget. Schedulers do not coordinate. Each estimates the throughput of warm workers from the
+// answers that it receives, and rounds its quota at random, so that all schedulers together stay within the
+// budget with high probability.
 package slowstart
 
 import (
@@ -15,71 +17,73 @@
 )
 
 const (
-	budgetMargin = 0.9 // used part of a warming worker's budget
-	// A warming worker may be sent this multiple of the mean request rate, at the least. Per unit of active
-	// weight it is skewPerWeight: the preferred worker of a function with a tenth of all requests receives a
-	// tenth of their number times the mean, of which it bears six times minSkew.
+	budgetMargin = 0.9 // fraction of a warming worker's budget that is used
+	// The quota allows for a worker that receives a multiple of the mean request rate: skewPerWeight times
+	// the active weight, but at least minSkew. The preferred worker of a function with a tenth of all
+	// requests receives a tenth of the active weight times the mean rate, of which it can bear six times
+	// minSkew.
 	minSkew            = 3.0
 	skewPerWeight      = 0.025
-	maxWarmingWindow   = time.Second // window of the budget while all workers are warming up
-	windowOverlap      = 8           // a window is longer by one part in so many
-	throughputInterval = time.Second // between two measurements of throughput
+	maxWarmingWindow   = time.Second // maximum quota window while all workers are warming up
+	windowOverlap      = 8           // sends count for a window plus one windowOverlap-th of it
+	throughputInterval = time.Second // between two throughput measurements
 	throughputWeight   = 0.2         // weight of a new measurement
 )
 
-// Config is what the deployment says of workers that are warming up.
+// Config holds the properties of workers that are warming up.
 type Config struct {
-	Fraction         float64       // share of its capacity that a worker has at its start, at the least
-	Duration         time.Duration // time after its start until it has all of it, at the most
-	OverloadMultiple float64       // it crashes if it is sent more than this multiple of its capacity
-	OverloadDuration time.Duration // for this long; 0 means that nothing overloads it
-	InitialRate      float64       // requests a second that one unit of weight bears, before any was answered
+	Fraction         float64       // minimum capacity at the start, as a fraction of the full capacity
+	Duration         time.Duration // maximum time from the start to the full capacity
+	OverloadMultiple float64       // a worker crashes above this multiple of its capacity; 0 means never
+	OverloadDuration time.Duration // sustained for this time; 0 means never
+	InitialRate      float64       // requests per second per unit of weight, before the first answer
 }
 
-// Budget holds what all warming workers have in common: what warm ones do, and how many workers there are.
+// Budget holds the state that all warming workers share: the throughput of warm workers and the total
+// weights.
 type Budget struct {
 	config       Config
-	activeWeight float64 // weight of all workers that are ready and not ejected, as far as surveyed
-	warm         float64 // weight of the warm workers, as far as surveyed
-	effective    float64 // part of all weights that can be counted on, as far as surveyed
-	allWarmingUp bool    // there was no warm worker in the latest survey
-
-	servedAnswers       float64       // answers of warm workers since servedSince; of all if none is warm
-	servedSince         time.Duration // when the present measurement of throughput began
-	throughputPerWeight decay.Mean    // of a warm worker, in answers a second per unit of weight
+	activeWeight float64 // total weight of the workers that are ready and not ejected
+	warm         float64 // total weight of the ready workers that are warm
+	effective    float64 // total weight of the ready workers, each scaled by its Factor
+	allWarmingUp bool    // there was no warm worker when the totals were last completed
+
+	servedAnswers       float64       // answers since servedSince: of warm workers, or of all if none is warm
+	servedSince         time.Duration // start of the current throughput measurement
+	throughputPerWeight decay.Mean    // of a warm worker, in answers per second per unit of weight
 }
 
 // Worker is the quota of one worker that is warming up.
 type Worker struct {
-	quota      int             // requests that it may be sent in a window
-	quotaUntil time.Duration   // when the quota is drawn anew
-	sends      []time.Duration // when those of the latest window were sent
+	quota      int             // requests that may be sent in a window
+	quotaUntil time.Duration   // end of the quota's window
+	sends      []time.Duration // send times in the latest window
 }
 
-// Capacity is what the endpoint list says of the capacity of a worker.
+// Capacity holds the properties of a worker from the endpoint list that determine its capacity.
 type Capacity struct {
-	Started time.Duration // time of its latest start; 0 means long ago
+	Started time.Duration // time of the latest start; 0 means long ago
 	Weight  float64
 }
 
-// Demand is how many requests came lately, and in what time.
+// Demand is a recent number of requests and the time in which they arrived.
 type Demand struct {
 	Requests float64
 	Seconds  float64
 }
 
-// NewBudget returns a Budget for workers of which nothing is known.
+// NewBudget returns a Budget without any measurements.
 func NewBudget(config Config) *Budget { return &Budget{config: config} }
 
-// Begin starts the first measurement of throughput.
+// Begin starts the first throughput measurement.
 func (b *Budget) Begin(now time.Duration) { b.servedSince = now }
 
-// IsWarmingUp reports whether a worker has started so lately that it can do only part of its work.
+// IsWarmingUp reports whether a worker that started at the given time has not yet reached its full capacity.
 func (b *Budget) IsWarmingUp(now, started time.Duration) bool {
 	return started > 0 && now-started < b.config.Duration
 }
 
-// Factor is the share of its capacity that a worker can be counted on for.
+// Factor returns the minimum current capacity of a worker as a fraction of its full capacity.
 func (b *Budget) Factor(now, started time.Duration) float64 {
 	if !b.IsWarmingUp(now, started) {
 		return 1
@@ -88,30 +92,32 @@
 	return b.config.Fraction + (1-b.config.Fraction)*elapsed
 }
 
-// Limits reports whether a worker has a quota: it is warming up, and the deployment says what overloads it.
+// Limits reports whether a worker has a quota. It has one while it is warming up, if the configuration
+// defines an overload.
 func (b *Budget) Limits(now, started time.Duration) bool {
 	return b.IsWarmingUp(now, started) && b.config.OverloadMultiple != 0 && b.config.OverloadDuration != 0
 }
 
-// HasQuota reports whether a worker may be sent one more request within its quota. A quota whose window is
-// over is drawn anew before, see NeedsQuota.
+// HasQuota reports whether a worker may be sent one more request within its quota. If NeedsQuota returns
+// true, the caller must call DrawQuota first.
 func (b *Budget) HasQuota(worker *Worker, now time.Duration) bool {
 	_, window := b.rate()
-	// Any window counts, wherever it begins, and what waited for a connection arrives close to what follows.
+	// The budget holds for every window, regardless of its start. The overlap accounts for requests that
+	// waited for a connection and arrive together with later ones.
 	worker.sends = slices.DeleteFunc(worker.sends, func(sentAt time.Duration) bool {
 		return now-sentAt >= window+window/windowOverlap
 	})
 	return len(worker.sends) < worker.quota
 }
 
-// NeedsQuota reports whether the window of a worker's quota is over.
+// NeedsQuota reports whether the window of a worker's quota has ended.
 func (b *Budget) NeedsQuota(worker *Worker, now time.Duration) bool { return now >= worker.quotaUntil }
 
-// rate estimates the throughput per unit of weight, in requests a second, and gives the window in which it is
-// kept. It is what warm workers answer this scheduler. Where all workers are warming up it is what they
-// answer themselves, as far as they are: together all schedulers never send more than a multiple, below the
-// one that overloads, of what was answered. It begins at one request at a time, answered within the shortest
-// objective.
+// rate returns the estimated throughput per unit of weight, in requests per second, and the window for which
+// the quota is drawn. The throughput is measured by the answers of warm workers to this scheduler. If all
+// workers are warming up, it is measured by their answers in relation to their current capacity. All
+// schedulers together then send at most a multiple of the answered rate that is below OverloadMultiple. The
+// rate starts at InitialRate.
 func (b *Budget) rate() (perWeight float64, window time.Duration) {
 	perWeight, window = float64(b.throughputPerWeight), b.config.OverloadDuration
 	if b.allWarmingUp {
@@ -121,12 +127,14 @@
 	return perWeight, window
 }
 
-// DrawQuota draws how many requests this scheduler may send a warming worker within the window that begins
-// now. Shares of less than one request would add up if rounded, so each scheduler draws whether it has one.
+// DrawQuota sets the number of requests that this scheduler may send to a warming worker in the window that
+// starts now. A share of less than one request is rounded up or down at random, because shares that all
+// schedulers rounded up would exceed the budget in total.
 //
-// Most such draws are lost on workers that nothing is for just then. While requests come as usual, one is let
-// through by chance, so that a worker with minSkew times the mean rate bears it, and where there are hundreds
-// of workers, the preferred worker of a function that is called much.
+// Most quotas drawn this way remain unused, because no request for the worker arrives in the window. The
+// probability of a quota of one request is therefore raised to chance. At the usual request rate this does
+// not overload a worker that receives minSkew times the mean rate, nor, among hundreds of workers, the
+// preferred worker of a frequently called function.
 func (b *Budget) DrawQuota(
 	worker *Worker, now time.Duration, capacity Capacity, demand Demand, rng *rand.Rand,
 ) {
@@ -140,18 +148,18 @@
 	worker.quotaUntil = now + window
 }
 
-// RecordSend notes that a worker was sent a request.
+// RecordSend records that a request was sent to a worker.
 func (b *Budget) RecordSend(worker *Worker, now, started time.Duration) {
 	if b.IsWarmingUp(now, started) {
 		worker.sends = append(worker.sends, now)
 	}
 }
 
-// Restart begins the slow start of a worker anew.
+// Restart resets the quota after a restart of the worker.
 func (w *Worker) Restart() {
 	w.quotaUntil = 0
 	w.sends = nil
 }
 
-// QuotaUntil is the time when the quota of a worker is drawn anew.
+// QuotaUntil returns the end of the window of the worker's quota.
 func (w *Worker) QuotaUntil() time.Duration { return w.quotaUntil }
--- a/routing/slowstart/slowstart_test.go
+++ b/routing/slowstart/slowstart_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// The capacity of a worker grows linearly from the fraction at its start to all of it.
+// Guards against a capacity that does not grow linearly from the configured fraction at the start to the full capacity.
 func TestFactor(t *testing.T) {
 	budget := slowstart.NewBudget(testConfig())
 	for _, testCase := range []struct {
@@ -34,8 +34,8 @@
 	}
 }
 
-// measure has a budget learn that its workers answered so many requests in the second before the start, by one warm worker
-// or one that is warming up.
+// measure records a throughput measurement of one worker of weight 1, which gave this number of answers in the second
+// before started. workerStarted is the worker's start time, or 0 if it is warm.
 func measure(budget *slowstart.Budget, answers int, workerStarted time.Duration) {
 	budget.Begin(started - time.Second)
 	budget.BeginSurvey()
@@ -47,7 +47,8 @@
 	budget.Measure(started)
 }
 
-// A quota is 0.9 of what overloads the worker, rounded at random, and holds for a window and one part in eight beyond.
+// Guards against overloading a warming worker: its quota is 0.9 of the overload limit, rounded at random, and sends
+// count against it for a window and an eighth.
 func TestQuotaHoldsForWindow(t *testing.T) {
 	budget := slowstart.NewBudget(testConfig())
 	measure(budget, 20, 0)
@@ -60,24 +61,25 @@
 		budget.RecordSend(&worker, started, started)
 		sent++
 	}
-	if sent != 9 && sent != 10 { // 0.9 * 2 * 0.25 * 20 is 9, and less than one more
+	if sent != 9 && sent != 10 { // 0.9 * 2 * 0.25 * 20 = 9, plus a random number below 1
 		t.Errorf("%d requests are sent in a window, want 9 or 10", sent)
 	}
 	if budget.NeedsQuota(&worker, started+time.Second-1) || !budget.NeedsQuota(&worker, started+time.Second) {
-		t.Error("the quota is not drawn anew after just a second")
+		t.Error("a new quota is not needed after exactly one second")
 	}
 	overlap := started + time.Second + time.Second/8
 	if budget.HasQuota(&worker, overlap-1) || !budget.HasQuota(&worker, overlap) {
-		t.Error("what was sent does not count for a window and an eighth")
+		t.Error("sends do not count against the quota for exactly a window and an eighth")
 	}
 }
 
-// Throughput is measured once a second, per unit of weight; what warming workers answer raises it at once.
+// Guards against a wrong throughput: it is measured once per second, per unit of weight. While all workers are warming
+// up, a higher measurement replaces the average.
 func TestMeasure(t *testing.T) {
 	warm := slowstart.NewBudget(testConfig())
 	measure(warm, 20, 0)
 	if got := warm.ThroughputPerWeight(); got != 20 {
-		t.Errorf("first throughput of a warm worker is %v, want 20", got)
+		t.Errorf("the first throughput of a warm worker is %v, want 20", got)
 	}
 	if warm.Measure(started + time.Second - 1) {
 		t.Error("measured again in less than a second")
@@ -89,11 +91,11 @@
 	warming.RestoreThroughput(10)
 	measure(warming, 20, started) // its weight counts for a quarter
 	if got := warming.ThroughputPerWeight(); got != 80 {
-		t.Errorf("throughput while all workers are warming up is %v, want 80", got)
+		t.Errorf("the throughput while all workers are warming up is %v, want 80", got)
 	}
 }
 
-// Only a worker that is warming up has a quota, and only where something overloads it.
+// Guards against a quota for a warm worker, or in a deployment where a warming worker cannot be overloaded.
 func TestLimits(t *testing.T) {
 	noMultiple, noDuration := testConfig(), testConfig()
 	noMultiple.OverloadMultiple = 0
--- a/routing/slowstart/throughput.go
+++ b/routing/slowstart/throughput.go
@@ -6,15 +6,15 @@
 	"calicohill/internal/stats/decay"
 )
 
-// BeginSurvey starts to sum up the workers anew. A quota that is drawn before the survey has ended sees the
-// weight of the workers surveyed so far.
+// BeginSurvey resets the total weights. Until all workers have been added again, quotas are drawn from
+// partial totals.
 func (b *Budget) BeginSurvey() {
 	b.activeWeight = 0
 	b.warm = 0
 	b.effective = 0
 }
 
-// Survey counts a worker that is ready.
+// Survey adds a ready worker to the total weights.
 func (b *Budget) Survey(now time.Duration, capacity Capacity, ejected bool) {
 	b.effective += capacity.Weight * b.Factor(now, capacity.Started)
 	if !b.IsWarmingUp(now, capacity.Started) {
@@ -25,18 +25,17 @@
 	}
 }
 
-// EndSurvey ends the sum of the workers.
+// EndSurvey completes the total weights after the last worker has been added.
 func (b *Budget) EndSurvey() { b.allWarmingUp = b.warm == 0 }
 
-// RecordServed counts an answer of a worker that is warm, or of any where all are warming up.
+// RecordServed counts an answer. Answers of warming workers count only if all workers are warming up.
 func (b *Budget) RecordServed(now, started time.Duration) {
 	if b.allWarmingUp || !b.IsWarmingUp(now, started) {
 		b.servedAnswers++
 	}
 }
 
-// Measure takes in what workers answered, once in throughputInterval, and reports whether the interval was
-// over.
+// Measure updates the throughput once per throughputInterval, and reports whether the interval had ended.
 func (b *Budget) Measure(now time.Duration) bool {
 	elapsed := now - b.servedSince
 	if elapsed < throughputInterval {
@@ -47,24 +46,25 @@
 		weight = b.effective
 	}
 	if weight > 0 {
-		b.learn(b.servedAnswers / elapsed.Seconds() / weight)
+		b.updateThroughput(b.servedAnswers / elapsed.Seconds() / weight)
 	}
 	b.servedAnswers = 0
 	b.servedSince = now
 	return true
 }
 
-// learn takes in the throughput of the last interval, in requests a second per unit of weight.
-func (b *Budget) learn(perWeight float64) {
+// updateThroughput updates the average by the throughput of the last interval, in answers per second per unit
+// of weight.
+func (b *Budget) updateThroughput(perWeight float64) {
 	weight := throughputWeight
 	if b.allWarmingUp && perWeight > float64(b.throughputPerWeight) {
-		weight = 1 // what warming workers answered they can do, whatever they did before
+		weight = 1 // the observed throughput is a lower bound on the capacity of warming workers
 	}
 	b.throughputPerWeight.Update(perWeight, weight)
 }
 
-// ThroughputPerWeight is the throughput of a warm worker, in answers a second per unit of weight.
+// ThroughputPerWeight returns the throughput of a warm worker, in answers per second per unit of weight.
 func (b *Budget) ThroughputPerWeight() float64 { return float64(b.throughputPerWeight) }
 
-// RestoreThroughput sets the throughput to what an earlier process learned.
+// RestoreThroughput sets the throughput to a value learned by an earlier process.
 func (b *Budget) RestoreThroughput(perWeight float64) { b.throughputPerWeight = decay.Mean(perWeight) }
