--- a/routing/slowstart/slowstart.go
+++ b/routing/slowstart/slowstart.go
@@ -117,7 +117,8 @@
 // the quota is drawn. The throughput is measured by the answers of warm workers to this scheduler. If all
 // workers are warming up, it is measured by their answers in relation to their current capacity. All
 // schedulers together then send at most a multiple of the answered rate that is below OverloadMultiple. The
-// rate starts at InitialRate.
+// rate starts at InitialRate, which is one request at a time, each answered within the shortest latency
+// objective.
 func (b *Budget) rate() (perWeight float64, window time.Duration) {
 	perWeight, window = float64(b.throughputPerWeight), b.config.OverloadDuration
 	if b.allWarmingUp {
