--- a/routing/admission_internal_test.go
+++ b/routing/admission_internal_test.go
@@ -8,10 +8,10 @@
 	"calicohill/routing/concurrency"
 )
 
-// A request is rejected on arrival when the work ahead of it makes it miss its deadline.
+// Guards against queueing requests that cannot meet their deadline: they are rejected on arrival.
 func TestRejectsOnArrival(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
-	first := harness.send("first", "f") // no work ahead: never rejected
+	first := harness.send("first", "f") // no queued work: never rejected
 	answer := attemptEnd(first, 0, Served)
 	answer.Latency = 900 * millisecond
 	harness.step(900*millisecond, answer)
@@ -20,11 +20,12 @@
 		rejected += len(actionsOf[Reject](harness.step(0, newTestRequest(fmt.Sprint("r", i), "f"))))
 	}
 	if rejected == 0 {
-		t.Error("nothing rejected with a queue far longer than the deadline")
+		t.Error("no request rejected although the queued work takes far longer than the deadline")
 	}
 }
 
-// A function that loads more slowly than its clients wait would be rejected for ever if no request began its load.
+// Guards against a function that is never loaded because its load takes longer than its clients wait: the first request
+// is sent in order to start the load.
 func TestFirstRequestBeginsLoadDespiteDeadline(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(3)...)
 	s := harness.send("warm", "g")
@@ -33,19 +34,19 @@
 	slow := newTestRequest("first", "f")
 	slow.TimeLeft, slow.LoadTime = 2500*millisecond, 5*time.Second
 	if acts := harness.step(millisecond, slow); len(actionsOf[Send](acts)) != 1 {
-		t.Errorf("first request: %v, want it sent", acts)
+		t.Errorf("first request: got %v, want a Send", acts)
 	}
 	slow.ID = "second"
 	if acts := harness.step(millisecond, slow); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("second request, while the load that it needs ends too late: %v, want it rejected", acts)
+		t.Errorf("second request, whose deadline is before the end of the load: got %v, want a Reject", acts)
 	}
 }
 
-// With the same work ahead, classes with a short and with a long objective are rejected alike, or the short would
-// starve.
+// Guards against starvation of classes with a short latency objective: with the same queued work, requests of all
+// classes are rejected alike.
 func TestShortObjectivesDoNotStarve(t *testing.T) {
 	for _, testCase := range []struct {
-		ahead    float64 // seconds of work ahead, per unit of capacity
+		queued   float64 // seconds of queued work per unit of capacity
 		rejected bool
 	}{{0.1, false}, {0.3, false}, {0.5, true}, {0.9, true}} {
 		for class := range 2 {
@@ -59,18 +60,18 @@
 			harness.step(millisecond, attemptEnd(s, 0, Served))
 			objective := harness.router.settings.Classes[class].LatencyObjective.Seconds()
 			harness.router.placements.functions["f"].latency.RestoreExcess(harness.router.now, 0.3-objective)
-			harness.router.requests.inFlightWork = testCase.ahead * harness.router.fleet.capacity.Total()
+			harness.router.requests.inFlightWork = testCase.queued * harness.router.fleet.capacity.Total()
 			q.ID = "b"
 			if got := len(actionsOf[Reject](harness.step(millisecond, q))) > 0; got != testCase.rejected {
-				t.Errorf("class %d with %v s ahead: rejected %v, want %v", class, testCase.ahead, got, testCase.rejected)
+				t.Errorf("class %d, %v s of queued work: rejected is %v, want %v", class, testCase.queued, got, testCase.rejected)
 			}
 		}
 	}
 }
 
-// Slow answers of a shared worker show that peers have work in flight there: part of the requests is then rejected on
-// arrival, but never all, or no answer would show that the worker has recovered. A single scheduler knows what is in
-// flight and rejects none for slow answers.
+// Guards against overloading a worker that peers use too, and against rejecting all requests for it. Slow answers show
+// that peers have requests in flight: a part of the requests is then rejected on arrival, but not all, because
+// otherwise no answer would show that the worker has recovered. A single scheduler rejects none for slow answers.
 func TestRejectsForWorkOfPeers(t *testing.T) {
 	for _, testCase := range []struct {
 		name      string
@@ -79,7 +80,7 @@
 		some, all bool
 	}{
 		{"slow answers, many schedulers", manySchedulers, 1500 * millisecond, true, false},
-		{"quick answers, many schedulers", manySchedulers, 50 * millisecond, false, false},
+		{"fast answers, many schedulers", manySchedulers, 50 * millisecond, false, false},
 		{"slow answers, one scheduler", unchangedSettings, 1500 * millisecond, false, false},
 	} {
 		harness := newHarness(t, settings(testCase.change), readyWorkers(1)...)
@@ -99,7 +100,7 @@
 	}
 }
 
-// A tenant whose quota at this scheduler is less than one request a second is still admitted at that rate.
+// Guards against a tenant that is never admitted because its quota at one scheduler is below one request per second.
 func TestSmallQuotaAdmits(t *testing.T) {
 	deployed := settings(func(s *Settings) {
 		s.Schedulers, s.Tenants = 100, []Tenant{{QuotaFraction: 1, RequestsPerSecond: 20}}
@@ -107,17 +108,17 @@
 	quotas := deployed.tenantQuotas()
 	now := time.Hour + time.Minute
 	if quotas.Exceeded(now, 0) {
-		t.Error("the first request in a minute is over the tenant's quota")
+		t.Error("the first request in a minute exceeds the quota of 0.2 per second")
 	}
 	if !quotas.Exceeded(now, 0) {
-		t.Error("a second request right after it is within a quota of 0.2 a second")
+		t.Error("an immediate second request does not exceed the quota of 0.2 per second")
 	}
 	if quotas.Exceeded(now+6*time.Second, 0) {
-		t.Error("over its quota after 6 s at 0.2 a second")
+		t.Error("a request 6 s later exceeds the quota of 0.2 per second")
 	}
 }
 
-// Reports of peers eject no worker whose load the remaining workers do not have the capacity for.
+// Guards against ejecting workers on peers' reports when the remaining workers lack the capacity for their load.
 func TestKeepsWorkersThatAreNeeded(t *testing.T) {
 	harness := harnessAfterAnswers(t, 4)
 	harness.wait(2 * time.Second)
@@ -131,7 +132,7 @@
 	harness.router.applyPeerReports(confirmedReports("w0", "w1", "w2", "w3"))
 	for _, w := range harness.router.endpoints.list {
 		if w.health.Ejected() {
-			t.Errorf("%s is ejected though half of all capacity is in use", w.ID)
+			t.Errorf("%s is ejected although half of all capacity is in use", w.ID)
 		}
 	}
 }
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	benchmarkTick       = time.Millisecond      // virtual time between two steps: 1,000 requests a second
-	benchmarkLatency    = 60 * time.Millisecond // of every answer
+	benchmarkTick       = time.Millisecond      // virtual time per step: 1,000 requests per second
+	benchmarkLatency    = 60 * time.Millisecond // virtual latency of every answer
 	benchmarkTimer      = 10 * time.Millisecond // period of the Router's own timer
 	benchmarkFunctions  = 40
-	benchmarkWarmUp     = 5000 // steps before the measurement
+	benchmarkWarmUp     = 5000 // steps before the measurement starts
 	benchmarkTimerToken = 1
 )
 
-// benchmarkFleet simulates the workers of a benchmark: each attempt is answered after benchmarkLatency of virtual time.
+// benchmarkFleet simulates workers that answer each attempt after benchmarkLatency of virtual time.
 type benchmarkFleet struct {
 	router  *routing.Router
 	now     time.Duration
 	steps   int
-	ids     []string // used in turn: a request is answered long before its id is used again
+	ids     []string // request ids, used in rotation: a request is answered long before its id is used again
 	pending []pendingAnswer
 	events  []routing.Event
 }
 
-// pendingAnswer is an attempt that a worker will answer, and when.
+// pendingAnswer is an attempt in flight and the time of its answer.
 type pendingAnswer struct {
 	at   time.Duration
 	send routing.Send
@@ -70,7 +70,8 @@
 	return fleet
 }
 
-// step lets one tick pass: the answers that are due, one new request and, at its period, the timer.
+// step advances the time by one tick and reports the answers that are due, one new request and, once per
+// benchmarkTimer, the timer.
 func (f *benchmarkFleet) step(functions []string) {
 	f.now += benchmarkTick
 	f.events = f.events[:0]
@@ -104,7 +105,7 @@
 	}
 }
 
-// BenchmarkStep measures a Step with one request and, once warm, one answer.
+// BenchmarkStep measures a Step with one new request and one answer.
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{14, 100} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/routing/components_internal_test.go
+++ b/routing/components_internal_test.go
@@ -8,7 +8,7 @@
 	"calicohill/routing/pressure"
 )
 
-// The faults and verdicts of the detector are converted by their values.
+// Guards the conversion of faults and verdicts between this package and the detector, which relies on equal values.
 func TestFaultsMatchDetector(t *testing.T) {
 	for fault, want := range map[outlier.Fault]Fault{
 		outlier.Healthy:      Healthy,
@@ -18,7 +18,7 @@
 		outlier.Unreachable:  Unreachable,
 	} {
 		if Fault(fault) != want {
-			t.Errorf("%d of the detector is %v, want %v", fault, Fault(fault), want)
+			t.Errorf("fault %d of the detector converts to %v, want %v", fault, Fault(fault), want)
 		}
 	}
 	for verdict, want := range map[PeerVerdict]outlier.Verdict{
@@ -27,12 +27,13 @@
 		Confirmed:   outlier.Confirmed,
 	} {
 		if outlier.Verdict(verdict) != want {
-			t.Errorf("%v is %d of the detector, want %d", verdict, outlier.Verdict(verdict), want)
+			t.Errorf("%v converts to verdict %d of the detector, want %d", verdict, outlier.Verdict(verdict), want)
 		}
 	}
 }
 
-// What is due by a deadline is the head of the queue; requests due at the same time keep their order.
+// Guards the order of the queue: requests are returned by deadline, and those with the same deadline in order of
+// arrival.
 func TestQueueDueBy(t *testing.T) {
 	queue := &requestQueue{}
 	for i, dueAt := range []time.Duration{3, 1, 2, 1} {
@@ -44,16 +45,16 @@
 			got += req.ID
 		}
 		if got != want {
-			t.Errorf("due by %d: %q, want %q", deadline, got, want)
+			t.Errorf("requests due by %d: %q, want %q", deadline, got, want)
 		}
 	}
 }
 
-// A lost answer earns hedges up to 8, and each hedge spends one.
+// Guards against unlimited hedging: a lost answer earns credit for hedges, up to 8 in total, and each hedge spends one.
 func TestHedgeCredit(t *testing.T) {
 	var credit hedgeCredit
 	if !credit.exhausted() {
-		t.Error("hedges are allowed before an answer was lost")
+		t.Error("a hedge is allowed before any answer was lost")
 	}
 	for range 3 {
 		credit.earn(hedgeCreditPerTimeout)
@@ -63,17 +64,18 @@
 		credit.spend()
 	}
 	if spent != 8 {
-		t.Errorf("%d hedges after three time-outs, want 8", spent)
+		t.Errorf("%d hedges after three timeouts, want 8", spent)
 	}
 }
 
-// A repeat by key has to start while workers remember the key, less a tick; others may start at any time.
+// Guards against a repeat that starts after workers have forgotten its idempotency key. It has to start within the
+// deduplication window minus one tick. Requests that do not rely on a key may start at any time.
 func TestRetryStartsWithinDeduplicationWindow(t *testing.T) {
 	deployed := settings(dedupInZone)
 	policy := newRetryPolicy(&deployed)
 	req := &request{class: &deployed.Classes[0]}
 	if got := policy.startWithin(time.Hour, req); got != 0 {
-		t.Errorf("the first attempt has to start within %v", got)
+		t.Errorf("the first attempt has to start within %v, want no limit", got)
 	}
 	req.attempts = []*attempt{{sentAt: time.Hour, neverRan: true}, {sentAt: time.Hour + time.Second}}
 	if got, want := policy.startWithin(time.Hour+2*time.Second, req), 998*millisecond; got != want {
@@ -81,11 +83,11 @@
 	}
 	req.class.Idempotency = Idempotent
 	if got := policy.startWithin(time.Hour+2*time.Second, req); got != 0 {
-		t.Errorf("a repeat without a key has to start within %v", got)
+		t.Errorf("a repeat without a key has to start within %v, want no limit", got)
 	}
 }
 
-// A failed list call has the subscription renewed a second later, once.
+// Guards against a missing or repeated resubscription: it is due once, a second after a list call has failed.
 func TestResubscribesAfterFailedList(t *testing.T) {
 	deployed := settings()
 	endpoints := newEndpointTable(&deployed)
@@ -95,12 +97,13 @@
 		want  bool
 	}{{time.Second - 1, false}, {time.Second, true}, {time.Minute, false}} {
 		if got := endpoints.resubscriptionDue(time.Hour + testCase.after); got != testCase.want {
-			t.Errorf("%v after a failed call: due %v, want %v", testCase.after, got, testCase.want)
+			t.Errorf("%v after a failed call: due is %v, want %v", testCase.after, got, testCase.want)
 		}
 	}
 }
 
-// An attempt says of its worker's pressure what its outcome shows of a queue: nothing if it may have waited for a load.
+// Guards the mapping of outcomes to pressure results. An attempt that may have waited for a load is inconclusive,
+// unless its answer was lost.
 func TestPressureResult(t *testing.T) {
 	warm, unloaded, superseded := &attempt{}, &attempt{mayNeedLoad: true}, &attempt{superseded: true}
 	for _, testCase := range []struct {
@@ -119,7 +122,8 @@
 		{warm, Errored, pressure.Inconclusive},
 	} {
 		if got := pressureResult(testCase.ended, testCase.outcome); got != testCase.want {
-			t.Errorf("outcome %d, may need a load %v: %d, want %d", testCase.outcome, testCase.ended.mayNeedLoad, got, testCase.want)
+			t.Errorf("outcome %d, may need a load %v: got %d, want %d",
+				testCase.outcome, testCase.ended.mayNeedLoad, got, testCase.want)
 		}
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"calicohill/routing"
 )
 
-// A scheduler passes the Router its events and executes the actions that it returns.
+// A scheduler passes events to the Router and executes the actions that it returns.
 func Example() {
 	router, err := routing.New(routing.Settings{
 		Schedulers:           1,
--- a/routing/harness_internal_test.go
+++ b/routing/harness_internal_test.go
@@ -8,7 +8,7 @@
 
 const millisecond = time.Millisecond
 
-// settings returns the settings of a deployment with one scheduler and one idempotent class, with these changes.
+// settings returns the settings of a deployment with one scheduler and one idempotent class, with changes applied.
 func settings(changes ...func(*Settings)) Settings {
 	deployed := Settings{
 		Schedulers:           1,
@@ -40,7 +40,7 @@
 	return deployed
 }
 
-// Changes of settings, by what the deployment then allows or has.
+// The following functions are changes of settings, named by the resulting property of the deployment.
 
 func unchangedSettings(*Settings) {}
 func cancelForbidden(s *Settings) { s.CancelAllowed = false }
@@ -51,36 +51,36 @@
 func singleAttempt(s *Settings)   { s.MaxAttempts = 1 }
 func threeSchedulers(s *Settings) { s.Schedulers = 3 }
 
-// dedupInZone has the workers of a zone drop repeats with the same idempotency key.
+// dedupInZone configures deduplication by idempotency key among the workers of a zone.
 func dedupInZone(s *Settings) {
 	s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope = IdempotentByKey, ScopeZone
 }
 
-// dedupEverywhere has all workers drop repeats with the same idempotency key.
+// dedupEverywhere configures deduplication by idempotency key among all workers.
 func dedupEverywhere(s *Settings) {
 	s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope = IdempotentByKey, ScopeAll
 }
 
-// loadsAllowed allows two orders to load in five seconds.
+// loadsAllowed sets a load budget of two loads in five seconds.
 func loadsAllowed(s *Settings) {
 	s.LoadAllowed, s.LoadBudgetBase, s.LoadBudgetWindow = true, 2, 5*time.Second
 }
 
-// testHarness drives a Router by hand.
+// testHarness drives a Router in virtual time.
 type testHarness struct {
 	t      *testing.T
 	router *Router
 	now    time.Duration
 }
 
-// newHarness returns a harness for a new Router that has been given these workers.
+// newHarness returns a harness for a new Router with these workers.
 func newHarness(t *testing.T, deployed Settings, workers ...Worker) *testHarness {
 	t.Helper()
 	const anySeed = 7
 	return newSeededHarness(t, deployed, anySeed, workers...)
 }
 
-// newSeededHarness is newHarness with a seed: two schedulers of one deployment differ in it.
+// newSeededHarness is newHarness with a seed, which differs between the schedulers of a deployment.
 func newSeededHarness(t *testing.T, deployed Settings, seed uint64, workers ...Worker) *testHarness {
 	t.Helper()
 	router, err := New(deployed, seed)
@@ -92,13 +92,13 @@
 	return harness
 }
 
-// step lets time pass, reports the events to the Router and returns its actions.
+// step advances the time, passes the events to the Router and returns its actions.
 func (h *testHarness) step(after time.Duration, events ...Event) []Action {
 	h.now += after
 	return h.router.Step(h.now, events)
 }
 
-// wait lets time pass with nothing but the Router's own timer, and returns the actions that it returned meanwhile.
+// wait advances the time with no events except the Router's own timer, and returns all actions.
 func (h *testHarness) wait(d time.Duration) []Action {
 	var all []Action
 	for end := h.now + d; h.now < end; {
@@ -107,18 +107,18 @@
 	return all
 }
 
-// send reports a new request and returns its Send. It ends the test unless the request is sent exactly once, and at
-// once.
+// send passes a new request to the Router and returns its Send. It ends the test unless the Router returns exactly one
+// Send.
 func (h *testHarness) send(id, function string) Send {
 	h.t.Helper()
 	got := actionsOf[Send](h.step(millisecond, newTestRequest(id, function)))
 	if len(got) != 1 {
-		h.t.Fatalf("request %s: %d sends, want 1", id, len(got))
+		h.t.Fatalf("request %s: got %d sends, want 1", id, len(got))
 	}
 	return got[0]
 }
 
-// warmUp has requests of seven functions answered, so that the Router knows the throughput of warm workers.
+// warmUp answers requests for seven functions, so that the Router measures the throughput of warm workers.
 func (h *testHarness) warmUp(requests int, gap time.Duration) {
 	for i := range requests {
 		acts := h.step(gap, newTestRequest(fmt.Sprint("warm", i), fmt.Sprint("f", i%7)), TimerFired{tickToken})
@@ -139,12 +139,12 @@
 	return list
 }
 
-// newTestRequest returns a request whose client gives up after 3 s.
+// newTestRequest returns a request with a deadline in 3 s.
 func newTestRequest(id, function string) Request {
 	return Request{ID: id, Function: function, TimeLeft: 3 * time.Second, Concurrency: 2, LoadTime: 500 * millisecond}
 }
 
-// attemptEnd returns the end of an attempt at the worker of a Send, after 50 ms at a warm instance.
+// attemptEnd returns the end of an attempt, with a latency of 50 ms at a warm instance of the worker of the Send.
 func attemptEnd(s Send, attempt int, outcome Outcome) AttemptEnded {
 	return AttemptEnded{
 		ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: outcome, RequestAnswered: outcome == Served,
@@ -156,7 +156,7 @@
 	return Worker{ID: id, State: Ready, Weight: 1, Zone: zone}
 }
 
-// readyWorkers returns the workers w0, w1 and so on, by turns in the zones 0 and 1.
+// readyWorkers returns the workers w0, w1 and so on, alternating between the zones 0 and 1.
 func readyWorkers(n int) []Worker {
 	var list []Worker
 	for i := range n {
--- a/routing/learned_state_internal_test.go
+++ b/routing/learned_state_internal_test.go
@@ -18,8 +18,8 @@
 	return harness
 }
 
-// After a restart of the scheduler requests go where instances were loaded, and the throughput of warm workers is known
-// from the first request on.
+// Guards against a scheduler that starts cold after a restart. With the restored state, requests go to loaded instances
+// and the throughput of warm workers is known from the first request on.
 func TestRestoreState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(6)...)
 	state := harness.router.LearnedState()
@@ -27,20 +27,21 @@
 	restarted.now = harness.now + time.Second
 	restarted.step(0, StateRestored{state})
 	if got, want := restarted.router.slowStart.ThroughputPerWeight(), harness.router.slowStart.ThroughputPerWeight(); got != want || want == 0 {
-		t.Errorf("restored throughput of a warm worker is %v a second, want %v", got, want)
+		t.Errorf("the restored throughput of a warm worker is %v per second, want %v", got, want)
 	}
 	for i := range 7 {
 		f := restarted.router.placements.functions[fmt.Sprint("f", i)]
 		s := restarted.send(fmt.Sprint("r", i), f.name)
 		if p := f.placementAt(restarted.router.endpoints.byID[s.Worker]); !restarted.router.placements.isWarm(restarted.router.now, p) {
-			t.Errorf("%s went to %s, where no instance was loaded", f.name, s.Worker)
+			t.Errorf("%s sent to %s, where no instance is loaded", f.name, s.Worker)
 		}
 	}
 }
 
-// What no longer holds is ignored: instances that were idle for too long or whose worker restarted or is gone. The
-// whole state is ignored if something was learned already or it was captured in the future.
-func TestRestoreIgnoresVoidState(t *testing.T) {
+// Guards against restoring outdated state. Instances are ignored that were idle for too long, or whose worker has
+// restarted or is gone. The whole state is ignored if the Router has already learned something or if it was captured in
+// the future.
+func TestRestoreIgnoresOutdatedState(t *testing.T) {
 	harness := learnedHarness(t, readyWorkers(2)...)
 	state := harness.router.LearnedState()
 	restartedWorkers := []Worker{
@@ -54,11 +55,11 @@
 		requests int
 		warm     bool
 	}{
-		{"nothing changed", time.Second, readyWorkers(2), 0, true},
-		{"restarted", time.Second, restartedWorkers, 0, false},
+		{"unchanged workers", time.Second, readyWorkers(2), 0, true},
+		{"restarted workers", time.Second, restartedWorkers, 0, false},
 		{"other workers", time.Second, []Worker{readyWorker("x", 0)}, 0, false},
-		{"long ago", time.Minute, readyWorkers(2), 0, false},
-		{"learned already", time.Second, readyWorkers(2), 1, false},
+		{"captured too long ago", time.Minute, readyWorkers(2), 0, false},
+		{"already learned", time.Second, readyWorkers(2), 1, false},
 		{"captured in the future", -time.Minute, readyWorkers(2), 0, false},
 	} {
 		restarted := newHarness(t, settings(manySchedulers), testCase.workers...)
@@ -74,12 +75,13 @@
 			}
 		}
 		if warm != testCase.warm {
-			t.Errorf("%s: instances are believed warm: %v, want %v", testCase.name, warm, testCase.warm)
+			t.Errorf("%s: instances considered warm is %v, want %v", testCase.name, warm, testCase.warm)
 		}
 	}
 }
 
-// Whatever a restored state holds, the Router still sends requests, and the state that it exports then is plausible.
+// Guards against a corrupt restored state that stops the Router from sending requests or makes it export implausible
+// state.
 func TestRestoreArbitraryState(t *testing.T) {
 	figure := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1)}))
 	number := rapid.IntRange(-2, 5)
@@ -127,7 +129,7 @@
 			}
 		}
 		if answered == 0 {
-			rt.Fatal("no request is sent after the state was restored")
+			rt.Fatal("no request sent after the state was restored")
 		}
 		exported := harness.router.LearnedState()
 		if !plausible(exported.RequestWeight, exported.ThroughputPerWeight, exported.MeanPressure) ||
--- a/routing/outlier_internal_test.go
+++ b/routing/outlier_internal_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A worker that takes requests and answers none is ejected: requests go elsewhere until it answers one.
+// Guards against further requests to a worker that accepts requests and does not answer them: it is ejected until it
+// answers one.
 func TestEjectsUnresponsiveWorker(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -16,7 +17,7 @@
 	harness.send("c", "f")
 	harness.wait(1500 * millisecond)
 	if w := harness.router.endpoints.byID[s.Worker]; !w.health.Ejected() {
-		t.Fatal("two overdue requests and no answer: not ejected")
+		t.Fatal("not ejected after two overdue requests without an answer")
 	}
 	if d := harness.send("d", "f"); d.Worker == s.Worker {
 		t.Error("an ejected worker got another request")
@@ -27,7 +28,7 @@
 	}
 }
 
-// A single overdue attempt may be an expensive request.
+// Guards against ejecting a worker for a single overdue attempt, which may be an expensive request.
 func TestOneOverdueRequestDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(2)...)
 	s := harness.send("a", "f")
@@ -39,8 +40,8 @@
 	}
 }
 
-// A failed connection attempt ejects a worker and voids its warm instances, unless the worker has answered on another
-// connection since the attempt was sent.
+// Guards against ejecting a healthy worker for a failed connection attempt. The failure ejects the worker and discards
+// its warm instances only if it has not answered on another connection since the attempt was sent.
 func TestConnectFailureEjectsOnlyWithoutLaterAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		harness := newHarness(t, settings(), readyWorker("w0", 0))
@@ -52,26 +53,27 @@
 		harness.step(100*millisecond, attemptEnd(second, 0, ConnectFailed))
 		w := harness.router.endpoints.byID["w0"]
 		if w.health.Ejected() == answered || (w.incarnation == 0) != answered {
-			t.Errorf("answered meanwhile %v: ejected %v, incarnation %d", answered, w.health.Ejected(), w.incarnation)
+			t.Errorf("answered since is %v: ejected is %v, incarnation is %d", answered, w.health.Ejected(), w.incarnation)
 		}
 	}
 }
 
-// After a stall of the scheduler the timer may come before answers in the same batch: their worker is not ejected.
+// Guards against ejecting a worker after a stall of the scheduler, when the timer may precede the worker's answers in
+// the same batch of events.
 func TestStallDoesNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	one, two := harness.send("one", "f"), harness.send("two", "f")
 	acts := harness.step(2*time.Second, TimerFired{tickToken}, attemptEnd(one, 0, Served), attemptEnd(two, 0, Served))
 	if w := harness.router.endpoints.byID[one.Worker]; w.health.Ejected() {
-		t.Error("ejected though its answers came in the same batch")
+		t.Error("ejected although its answers are in the same batch")
 	}
 	if got := actionsOf[Cancel](acts); len(got) > 0 {
 		t.Errorf("canceled %v", got)
 	}
 }
 
-// harnessAfterAnswers returns a harness with n workers: fault reporting is on, and 4n requests for different functions
-// have just been answered.
+// harnessAfterAnswers returns a harness with n workers and fault reporting enabled, after answers to 4n requests for
+// different functions.
 func harnessAfterAnswers(t *testing.T, n int, change ...func(*Settings)) *testHarness {
 	t.Helper()
 	harness := newHarness(t, settings(append(change, faultReporting)...), readyWorkers(n)...)
@@ -82,7 +84,7 @@
 	return harness
 }
 
-// confirmedReports returns reports by which enough peers find each of these workers unhealthy.
+// confirmedReports returns peer reports with the verdict Confirmed for each of these workers.
 func confirmedReports(ids ...string) PeerReports {
 	reports := PeerReports{Verdicts: map[string]PeerVerdict{}}
 	for _, id := range ids {
@@ -91,18 +93,18 @@
 	return reports
 }
 
-// A worker that enough peers report is ejected, and gets nothing but probes, unless its own answers are recent. Its
-// answer to a peer has it probed at once. Reports never eject all workers; TestKeepsWorkersThatAreNeeded has the bound
-// by capacity.
+// Guards against requests to a worker that enough peers report: it is ejected and gets only probes, unless it has
+// answered this scheduler recently. After it has answered a peer it is probed at once. Reports never eject all workers;
+// TestKeepsWorkersThatAreNeeded covers the limit by capacity.
 func TestEjectsOnConfirmedReports(t *testing.T) {
 	harness := harnessAfterAnswers(t, 8)
 	harness.step(0, confirmedReports("w3"))
 	if harness.router.endpoints.byID["w3"].health.Ejected() {
-		t.Error("ejected though it has just answered")
+		t.Error("ejected although it has just answered")
 	}
 	harness.wait(2 * time.Second)
 	if acts := actionsOf[ReportFault](harness.step(0, confirmedReports("w3"))); len(acts) > 0 {
-		t.Errorf("reports of peers were passed on as observations of this scheduler: %v", acts)
+		t.Errorf("peer reports were forwarded as observations of this scheduler: %v", acts)
 	}
 	for i := range 40 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
@@ -112,11 +114,11 @@
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if !harness.router.endpoints.byID["w3"].health.Ejected() {
-		t.Error("not ejected though enough peers report it")
+		t.Error("not ejected although enough peers report it")
 	}
 	harness.step(0, PeerReports{Cleared: []string{"w3"}})
 	if w := harness.router.endpoints.byID["w3"]; !w.health.Eligible(harness.router.now, 0) {
-		t.Error("not to be probed at once, though a peer has had an answer")
+		t.Error("no immediate probe although it has answered a peer")
 	}
 	harness = harnessAfterAnswers(t, 8)
 	harness.wait(2 * time.Second)
@@ -128,12 +130,12 @@
 		}
 	}
 	if ejected == len(harness.router.endpoints.list) {
-		t.Error("all workers are ejected on reports of peers")
+		t.Error("all workers are ejected on peer reports")
 	}
 }
 
-// A worker that some peers report, too few to eject it, gets no requests that must not be repeated, unless all workers
-// are reported.
+// Guards against sending requests that must not be repeated to a worker that too few peers report to eject it. They are
+// still sent if all workers are reported.
 func TestSingleReportDivertsNonIdempotent(t *testing.T) {
 	harness := harnessAfterAnswers(t, 4, nonIdempotent)
 	harness.wait(2 * time.Second)
@@ -141,12 +143,12 @@
 	for i := range 20 {
 		s := harness.send(fmt.Sprintf("a%d", i), fmt.Sprintf("g%d", i))
 		if s.Worker == "w0" {
-			t.Fatal("a request that must not be repeated went to a worker that peers report")
+			t.Fatal("a request that must not be repeated was sent to a worker that a peer reports")
 		}
 		harness.step(millisecond, attemptEnd(s, 0, Served))
 	}
 	if harness.router.endpoints.byID["w0"].health.Ejected() {
-		t.Error("ejected though too few peers report it")
+		t.Error("ejected although too few peers report it")
 	}
 	harness.wait(2 * time.Second)
 	allReported := map[string]PeerVerdict{"w0": Reported, "w1": Reported, "w2": Reported, "w3": Reported}
@@ -154,8 +156,8 @@
 	harness.send("last", "f0")
 }
 
-// An unresponsive worker is reported with the time of the newest evidence, and later its recovery. Where nobody reads
-// the reports, there are none.
+// Guards against missing fault reports: an unresponsive worker is reported with the time of the latest evidence, and
+// its recovery is reported later. Without fault reporting there are no reports.
 func TestReportsFaults(t *testing.T) {
 	for _, reporting := range []bool{true, false} {
 		harness := newHarness(t, settings(func(s *Settings) { s.FaultReporting = reporting }), readyWorkers(1)...)
@@ -170,13 +172,13 @@
 		answeredAt := harness.now
 		lateAnswer := attemptEnd(Send{ID: "b0", Worker: "w0"}, 0, Served)
 		observed = append(observed, actionsOf[ReportFault](harness.step(0, lateAnswer))...)
-		// Both attempts are overdue in the same sweep, so there is one report with the time of the newer.
+		// Both attempts become overdue in the same sweep, so there is one report with the time of the later one.
 		want := []ReportFault{{"w0", Unresponsive, sentAt}, {"w0", Healthy, answeredAt}}
 		if !reporting {
 			want = nil
 		}
 		if !reflect.DeepEqual(observed, want) {
-			t.Errorf("fault reporting %v: reported %v, want %v", reporting, observed, want)
+			t.Errorf("fault reporting is %v: reported %v, want %v", reporting, observed, want)
 		}
 	}
 }
--- a/routing/picker_internal_test.go
+++ b/routing/picker_internal_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Requests go to the worker where the function was found loaded.
+// Guards against cold starts where a warm instance exists: requests go to the worker where the function is loaded.
 func TestPrefersWarmInstance(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(8)...)
 	s := harness.send("a", "f")
@@ -15,13 +15,14 @@
 	for i := range 10 {
 		again := harness.send(fmt.Sprint("b", i), "f")
 		if again.Worker != s.Worker {
-			t.Fatalf("sent to %s, but the function is warm at %s", again.Worker, s.Worker)
+			t.Fatalf("sent to %s, want %s, where the function is warm", again.Worker, s.Worker)
 		}
 		harness.step(50*millisecond, attemptEnd(again, 0, Served))
 	}
 }
 
-// Schedulers with different seeds choose the same worker for the first instance of a function.
+// Guards against duplicate loads by several schedulers: with different seeds they choose the same worker for the first
+// instance of a function.
 func TestSchedulersAgreeOnFirstLoad(t *testing.T) {
 	for i := range 10 {
 		f := fmt.Sprint("f", i)
@@ -29,24 +30,26 @@
 		two := newHarness(t, settings(threeSchedulers), readyWorkers(8)...)
 		two.router.rng = rand.New(rand.NewPCG(99, 0))
 		if a, b := one.send("a", f), two.send("b", f); a.Worker != b.Worker {
-			t.Errorf("%s goes to %s and to %s", f, a.Worker, b.Worker)
+			t.Errorf("%s is sent to %s by one scheduler and to %s by another", f, a.Worker, b.Worker)
 		}
 	}
 }
 
-// After a request that needed a load was shed, the worker gets no new load for a while.
+// Guards against retrying at once at a worker that shed a request that needed a load: it gets no new load during a
+// backoff.
 func TestBacksOffAfterShed(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(1)...)
 	s := harness.send("a", "f")
 	if acts := harness.step(millisecond, attemptEnd(s, 0, Shed)); len(actionsOf[Send](acts)) != 0 {
-		t.Errorf("sent back at once to a worker that shed it: %v", acts)
+		t.Errorf("retried at once at the worker that shed the request: %v", acts)
 	}
 	if acts := harness.wait(2500 * millisecond); len(actionsOf[Send](acts)) == 0 {
-		t.Error("never retried")
+		t.Error("not retried after the backoff")
 	}
 }
 
-// A function that gets many requests prefers several workers, the same ones at all schedulers; a rare one prefers one.
+// Guards against schedulers that spread a function over different workers. A frequently called function has several
+// preferred workers, the same at all schedulers; a rarely called one has one.
 func TestSchedulersAgreeOnPreferredWorkers(t *testing.T) {
 	var first []*worker
 	for seed := range uint64(3) {
@@ -63,7 +66,7 @@
 		hot := harness.router.picker.preferredWorkers(harness.router.now, harness.router.placements.functions["hot"])
 		rare := harness.router.picker.preferredWorkers(harness.router.now, harness.router.placements.functions["f198"])
 		if len(hot) < 5 || len(rare) != 1 {
-			t.Fatalf("%d preferred workers for the function with half of all requests and %d for a rare one, want at least 5 and 1",
+			t.Fatalf("%d preferred workers for a function with half of all requests and %d for a rare one, want at least 5 and 1",
 				len(hot), len(rare))
 		}
 		if first == nil {
@@ -77,7 +80,8 @@
 	}
 }
 
-// Requests of a pool stay in it, and go to its fallback where it has no capacity. A change of the pool holds at once.
+// Guards against requests sent outside their pool: they use its fallback if the pool has no capacity. A change of the
+// pool takes effect at once.
 func TestFallbackPool(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorkers(6)...)
 	second := &Pool{Workers: map[string]bool{"w2": true, "w3": true}}
@@ -92,34 +96,35 @@
 	}
 	harness.wait(3 * time.Second)
 	if sentTo["w4"]+sentTo["w5"] > 0 {
-		t.Errorf("sent outside the pools: %v", sentTo)
+		t.Errorf("sent outside the pool and its fallback: %v", sentTo)
 	}
 	if sentTo["w0"]+sentTo["w1"] == 0 || sentTo["w2"]+sentTo["w3"] == 0 {
-		t.Errorf("sent to only one of pool and fallback: %v", sentTo)
+		t.Errorf("sent only to the pool or only to its fallback: %v", sentTo)
 	}
 	first.Workers = map[string]bool{"w4": true}
 	arrival := newTestRequest("late", "g\x00lane")
 	arrival.Pool = first
 	if got := actionsOf[Send](harness.step(0, PoolsChanged{}, arrival)); len(got) != 1 || got[0].Worker != "w4" {
-		t.Errorf("after a change of the pool: %v, want one request sent to w4", got)
+		t.Errorf("after a change of the pool: got %v, want one Send to w4", got)
 	}
 }
 
-// Of two idle workers that many schedulers share, the one that answered this scheduler lately counts as less busy.
+// Guards against preferring a worker of unknown load: of two idle workers that many schedulers share, the one that
+// recently answered this scheduler counts as less busy.
 func TestPrefersWorkerThatAnsweredLately(t *testing.T) {
 	harness := newHarness(t, settings(manySchedulers), readyWorkers(2)...)
 	s := harness.send("a", "f")
 	harness.step(50*millisecond, attemptEnd(s, 0, Served))
-	answeredLately := harness.router.endpoints.byID[s.Worker]
+	answered := harness.router.endpoints.byID[s.Worker]
 	other := harness.router.endpoints.list[0]
-	if other == answeredLately {
+	if other == answered {
 		other = harness.router.endpoints.list[1]
 	}
-	if !harness.router.picker.busier(harness.router.now, harness.router.rng, other, answeredLately) || harness.router.picker.busier(harness.router.now, harness.router.rng, answeredLately, other) {
-		t.Error("a worker that never answered counts as less busy than one that did")
+	if !harness.router.picker.busier(harness.router.now, harness.router.rng, other, answered) || harness.router.picker.busier(harness.router.now, harness.router.rng, answered, other) {
+		t.Error("a worker that has not answered does not count as busier than one that has")
 	}
 	harness.wait(harness.router.settings.InstanceKeepAlive + time.Second)
-	if harness.router.picker.relativeLoad(harness.router.now, answeredLately) != harness.router.picker.relativeLoad(harness.router.now, other) {
-		t.Error("an old answer still counts")
+	if harness.router.picker.relativeLoad(harness.router.now, answered) != harness.router.picker.relativeLoad(harness.router.now, other) {
+		t.Error("an answer older than the keep-alive still lowers the load")
 	}
 }
--- a/routing/policy_files_test.go
+++ b/routing/policy_files_test.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	maxPolicyLines   = 300 // of a file that decides
-	maxPolicyColumns = 110 // of a line in it, with tabs of four
+	maxPolicyLines   = 300 // maximum lines of a policy file
+	maxPolicyColumns = 110 // maximum width of its lines, with a tab width of four
 )
 
-// plainFiles are the files of the package that decide nothing. Files of packages below it are never among them.
+// plainFiles are the files of this package that make no decisions. All files of the packages below it are policy files.
 var plainFiles = []string{"actions.go", "doc.go", "events.go", "learned_state.go", "request.go", "settings.go"}
 
-// decidingActions are the actions that say where a request goes, that it goes nowhere, or where a function is loaded.
+// decidingActions are the actions that determine where a request is sent or a function is loaded, or that end a
+// request.
 var decidingActions = []string{"Send", "Reject", "Fail", "Load"}
 
-// policyFiles returns the files that deploy/balancer.toml lists as policy, relative to this folder.
+// policyFiles returns the policy files listed in deploy/balancer.toml, relative to this directory.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deployFile, err := os.ReadFile("../deploy/balancer.toml")
@@ -34,20 +35,20 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deployFile)
 	if list == nil {
-		t.Fatal("no policy in deploy/balancer.toml")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	var names []string
 	for _, name := range strings.Split(string(list[1]), ", ") {
 		name, ok := strings.CutPrefix(strings.Trim(name, `"`), "routing/")
 		if !ok {
-			t.Errorf("policy file %s is outside this package and those below it", name)
+			t.Errorf("policy file %s is outside routing/", name)
 		}
 		names = append(names, name)
 	}
 	return names
 }
 
-// sourceFiles returns the files of this package and of all below it, without tests.
+// sourceFiles returns the Go files of this package and of all packages below it, except tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	var names []string
@@ -63,13 +64,13 @@
 	return names
 }
 
-// Each file of a decision is listed as policy, once, and exists. None is longer than maxPolicyLines, and no line in it is
-// wider than maxPolicyColumns.
+// Guards against policy files that are unlisted, missing, listed twice or too long, or that have lines that are too
+// wide.
 func TestPolicyFiles(t *testing.T) {
 	policy, sources := policyFiles(t), sourceFiles(t)
 	for _, name := range sources {
 		if slices.Contains(policy, name) == slices.Contains(plainFiles, name) {
-			t.Errorf("%s has to be either among the policy files or among the plain ones", name)
+			t.Errorf("%s must be either a policy file or a plain file", name)
 		}
 	}
 	for i, name := range policy {
@@ -83,18 +84,18 @@
 		}
 		lines := bytes.Split(bytes.TrimSuffix(text, []byte("\n")), []byte("\n"))
 		if len(lines) > maxPolicyLines {
-			t.Errorf("%s has %d lines, %d are allowed", name, len(lines), maxPolicyLines)
+			t.Errorf("%s has %d lines, want at most %d", name, len(lines), maxPolicyLines)
 		}
 		for number, line := range lines {
 			if width := len([]rune(string(bytes.ReplaceAll(line, []byte("\t"), []byte("    "))))); width > maxPolicyColumns {
-				t.Errorf("%s:%d is %d columns wide, %d are allowed", name, number+1, width, maxPolicyColumns)
+				t.Errorf("%s:%d is %d columns wide, want at most %d", name, number+1, width, maxPolicyColumns)
 			}
 		}
 	}
 }
 
-// Only the files that deploy/balancer.toml lists as policy decide: no other file of the package, or of one below it, makes
-// an action that decides, or draws a random number.
+// Guards against decisions outside the policy files listed in deploy/balancer.toml: no other file of this package or of
+// one below it may create a deciding action or use a random source.
 func TestOnlyPolicyFilesDecide(t *testing.T) {
 	policy := policyFiles(t)
 	checked := 0
@@ -109,8 +110,8 @@
 			t.Fatal(err)
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
-			if what := decisionIn(node); what != "" {
-				t.Errorf("%s: %s, but the file is not among the policy files", fileSet.Position(node.Pos()), what)
+			if decision := decisionIn(node); decision != "" {
+				t.Errorf("%s: %s, but the file is not a policy file", fileSet.Position(node.Pos()), decision)
 			}
 			return true
 		})
@@ -120,12 +121,12 @@
 	}
 }
 
-// decisionIn returns what a node of a syntax tree decides, "" if nothing.
+// decisionIn describes the decision that a node of a syntax tree makes, or returns "" if it makes none.
 func decisionIn(node ast.Node) string {
 	switch node := node.(type) {
 	case *ast.CompositeLit:
 		if action := lastName(node.Type); slices.Contains(decidingActions, action) {
-			return "makes a " + action
+			return "creates a " + action
 		}
 	case *ast.ImportSpec:
 		if strings.Contains(node.Path.Value, "math/rand") {
@@ -133,13 +134,13 @@
 		}
 	case *ast.SelectorExpr:
 		if node.Sel.Name == "rng" || lastName(node.X) == "rng" {
-			return "draws a random number"
+			return "uses a random source"
 		}
 	}
 	return ""
 }
 
-// lastName returns the last identifier of a name that may be qualified, "" for another expression.
+// lastName returns the last identifier of a qualified or unqualified name, or "" for any other expression.
 func lastName(expression ast.Expr) string {
 	switch expression := expression.(type) {
 	case *ast.Ident:
--- a/routing/queue_internal_test.go
+++ b/routing/queue_internal_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// A rejection advises the client when to retry: when the work ahead will be done, never later than clients follow, and
-// without advice where clients do not see it.
+// Guards against wrong Retry-After advice in rejections: it is the time until the queued work is done, at most
+// Settings.MaxRetryAfter, and absent where clients do not receive it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, testCase := range []struct {
 		name         string
-		honoured     bool
+		honored      bool
 		workers      int
 		inFlightWork float64 // seconds; one worker has a capacity of 12
 		want         time.Duration
 	}{
 		{"no worker", true, 0, 0, 500 * millisecond},
-		{"clients do not see Retry-After", false, 0, 0, 0},
-		{"little work ahead", true, 1, 2.4, 200 * millisecond},
-		{"next to no work ahead", true, 1, 0.001, tickInterval},
-		{"much work ahead", true, 1, 60, 500 * millisecond},
+		{"Retry-After not honored", false, 0, 0, 0},
+		{"short queue", true, 1, 2.4, 200 * millisecond},
+		{"almost empty queue", true, 1, 0.001, tickInterval},
+		{"long queue", true, 1, 60, 500 * millisecond},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			harness := newHarness(t, settings(func(s *Settings) {
-				s.HonorsRetryAfter, s.MaxRetryAfter = testCase.honoured, 500*millisecond
+				s.HonorsRetryAfter, s.MaxRetryAfter = testCase.honored, 500*millisecond
 			}), readyWorkers(testCase.workers)...)
 			harness.step(millisecond)
 			harness.router.requests.inFlightWork = testCase.inFlightWork
@@ -38,14 +38,14 @@
 	}
 }
 
-// The queue is served earliest deadline first.
+// Guards against a queue that is not served earliest deadline first.
 func TestEarliestDeadlineFirst(t *testing.T) {
 	harness := newHarness(t, settings())
-	late, soon := newTestRequest("late", "f"), newTestRequest("soon", "g")
-	soon.TimeLeft = 2 * time.Second
-	harness.step(millisecond, late, soon)
+	late, early := newTestRequest("late", "f"), newTestRequest("early", "g")
+	early.TimeLeft = 2 * time.Second
+	harness.step(millisecond, late, early)
 	got := actionsOf[Send](harness.step(millisecond, WorkerList{Workers: readyWorkers(2)}))
-	if len(got) != 2 || got[0].ID != "soon" || got[1].ID != "late" {
-		t.Errorf("sent in the order %v, want soon before late", got)
+	if len(got) != 2 || got[0].ID != "early" || got[1].ID != "late" {
+		t.Errorf("sent in the order %v, want early before late", got)
 	}
 }
--- a/routing/random_events_internal_test.go
+++ b/routing/random_events_internal_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// randomSimulation simulates the clients and workers of a Router at random. It checks three invariants of the package
-// on each action: one final answer, no unsafe repeat (for requests that must not be repeated at all) and nothing to
-// draining workers.
+// randomSimulation simulates the clients and workers of a Router with random events. It checks three invariants of the
+// package on each action: one final answer, no unsafe repeat (for requests that must not be repeated at all) and
+// nothing to draining workers.
 type randomSimulation struct {
 	t          *testing.T
 	settings   Settings
@@ -18,21 +18,21 @@
 	now        time.Duration
 	step       int
 	requests   map[string]*simulatedRequest
-	requestIDs []string // oldest first
+	requestIDs []string // in order of arrival
 	workers    []Worker
-	ready      map[string]bool // by worker
+	ready      map[string]bool // by worker id
 }
 
-// simulatedRequest is a request as its client and the workers see it.
+// simulatedRequest is the state of a request at its client and at the workers.
 type simulatedRequest struct {
-	end        time.Duration  // when the client gives up
-	inFlight   map[int]string // worker of each attempt without an end
+	deadline   time.Duration
+	inFlight   map[int]string // worker ids of the attempts in flight, by attempt number
 	attempts   int
 	mayHaveRun bool
 	answered   bool
 }
 
-// simulateRandomEvents feeds a Router random legal events and returns its actions, step by step.
+// simulateRandomEvents passes random valid events to a Router and returns its actions by step.
 func simulateRandomEvents(t *testing.T, deployed Settings, seed uint64, steps int) [][]Action {
 	t.Helper()
 	router, err := New(deployed, seed)
@@ -67,16 +67,16 @@
 	return all
 }
 
-// check fails the test if an action breaks an invariant, and records it otherwise.
+// check records an action, and fails the test if the action violates an invariant.
 func (s *randomSimulation) check(action Action) {
 	s.t.Helper()
 	mustNotRepeat := s.settings.Classes[0].Idempotency == NonIdempotent
 	switch action := action.(type) {
 	case Send:
 		req := s.requests[action.ID]
-		if req == nil || req.answered || s.now >= req.end || !s.ready[action.Worker] ||
+		if req == nil || req.answered || s.now >= req.deadline || !s.ready[action.Worker] ||
 			len(req.inFlight) > 0 && !s.settings.HedgingAllowed || req.mayHaveRun && mustNotRepeat {
-			s.t.Fatalf("step %d: %+v breaks an invariant, request %+v", s.step, action, req)
+			s.t.Fatalf("step %d: %+v violates an invariant, request %+v", s.step, action, req)
 		}
 		req.inFlight[req.attempts] = action.Worker
 		req.attempts++
@@ -89,7 +89,7 @@
 	case Reject:
 		req := s.requests[action.ID]
 		if req != nil && (req.mayHaveRun || len(req.inFlight) > 0) && mustNotRepeat {
-			s.t.Fatalf("step %d: %s rejected though it may have run", s.step, action.ID)
+			s.t.Fatalf("step %d: %s rejected although it may have run", s.step, action.ID)
 		}
 		s.checkFinal(action.ID)
 	}
@@ -104,18 +104,18 @@
 	s.requests[id].answered = true
 }
 
-// attemptEnds ends some of the attempts in flight, and fails the test if a request has no final answer in time.
+// attemptEnds returns the ends of some attempts in flight. It fails the test if a request has no final answer in time.
 func (s *randomSimulation) attemptEnds() []Event {
 	s.t.Helper()
 	var events []Event
 	for _, id := range s.requestIDs {
 		req := s.requests[id]
-		if !req.answered && s.now > req.end+s.settings.AnswerSlack {
+		if !req.answered && s.now > req.deadline+s.settings.AnswerSlack {
 			s.t.Fatalf("step %d: %s has no final answer in time", s.step, id)
 		}
 		for number := range req.attempts {
 			target, inFlight := req.inFlight[number]
-			expires := s.now >= req.end-5*millisecond
+			expires := s.now >= req.deadline-5*millisecond
 			if !inFlight || !expires && s.rng.IntN(12) > 0 {
 				continue
 			}
@@ -140,19 +140,19 @@
 	return events
 }
 
-// newRequests returns a new request in one step of three, on average.
+// newRequests returns a new request in one of three steps on average.
 func (s *randomSimulation) newRequests() []Event {
 	if s.rng.IntN(3) != 0 {
 		return nil
 	}
 	req := newTestRequest(fmt.Sprint("r", s.step), fmt.Sprint("f", s.rng.IntN(9)))
 	req.TimeLeft = time.Duration(100+s.rng.IntN(900)) * millisecond
-	s.requests[req.ID] = &simulatedRequest{end: s.now + req.TimeLeft, inFlight: map[int]string{}}
+	s.requests[req.ID] = &simulatedRequest{deadline: s.now + req.TimeLeft, inFlight: map[int]string{}}
 	s.requestIDs = append(s.requestIDs, req.ID)
 	return []Event{req}
 }
 
-// workerChanges changes the state of a worker in one step of a hundred, on average.
+// workerChanges changes the state of a worker in one of a hundred steps on average.
 func (s *randomSimulation) workerChanges() []Event {
 	if s.rng.IntN(100) != 0 {
 		return nil
@@ -163,6 +163,7 @@
 	return []Event{WorkerList{Workers: []Worker{changed}}}
 }
 
+// Guards against sequences of events that violate an invariant.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"idempotent": unchangedSettings, "non-idempotent": nonIdempotent,
@@ -176,7 +177,7 @@
 	}
 }
 
-// The same seed and events give the same actions.
+// Guards against non-determinism: the same seed and events must give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	one := simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000)
 	two := simulateRandomEvents(t, settings(hedgingAllowed, loadsAllowed), 5, 2000)
@@ -185,7 +186,8 @@
 	}
 }
 
-// A Router decides the same whether or not another Router is used in the same process.
+// Guards against state shared between Routers: a Router's actions must not depend on another Router in the same
+// process.
 func TestRoutersShareNothing(t *testing.T) {
 	stepOneRequest := func(r *Router, i int) []Action {
 		now := time.Hour + time.Duration(i)*millisecond
@@ -203,7 +205,7 @@
 	for i := range 200 {
 		want := stepOneRequest(alone, i)
 		if got := stepOneRequest(shared, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("step %d: with another Router in the process %v, alone %v", i, got, want)
+			t.Fatalf("step %d: got %v with another Router in the process, want %v", i, got, want)
 		}
 		stepOneRequest(other, 2*i)
 	}
--- a/routing/retry_internal_test.go
+++ b/routing/retry_internal_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// No unsafe repeat: what may follow an attempt that did not serve the request depends on its class and on the outcome.
+// No unsafe repeat: guards against a wrong action after an attempt that did not serve the request. The permitted action
+// depends on the class of the request and on the outcome.
 func TestRetriesByIdempotency(t *testing.T) {
 	const retry, reject, fail = "retry", "reject", "fail"
 	for _, testCase := range []struct {
@@ -47,7 +48,8 @@
 	}
 }
 
-// A retry by key goes to another worker that drops repeats of the same key.
+// Guards against a retry outside the deduplication scope: a retry by idempotency key goes to another worker that
+// deduplicates by the same key.
 func TestRetryByKeyStaysInDeduplicationScope(t *testing.T) {
 	zones := map[string]int{}
 	for _, w := range readyWorkers(6) {
@@ -58,13 +60,13 @@
 		s := harness.send("a", fmt.Sprint("f", i))
 		acts := actionsOf[Send](harness.step(10*millisecond, attemptEnd(s, 0, ConnectionReset)))
 		if len(acts) != 1 || zones[acts[0].Worker] != zones[s.Worker] || acts[0].Worker == s.Worker {
-			t.Fatalf("after %v: sent %v, want another worker of the same zone", s, acts)
+			t.Fatalf("after %v: sent %v, want a retry at another worker of the same zone", s, acts)
 		}
 	}
 }
 
-// The client already has the beginning of a stream that has started: when it breaks, the request is neither retried nor
-// given another answer.
+// Guards against a retry or a second answer after a stream has started and then broken: the client has already received
+// the beginning of the stream.
 func TestStartedStreamIsNotRetried(t *testing.T) {
 	harness := newHarness(t, settings(func(s *Settings) { s.Classes[0].Streaming = true }), readyWorkers(3)...)
 	s := harness.send("a", "f")
--- a/routing/slowstart_internal_test.go
+++ b/routing/slowstart_internal_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Slow-start budget: under steady traffic a warming worker is never sent more than it bears, in any second.
+// Slow-start budget: guards against overloading a warming worker in any second of steady traffic.
 func TestSlowStartBudget(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	requests := 0
@@ -23,7 +23,7 @@
 		}
 		return sentAt
 	}
-	serve(5 * time.Second) // about 100 requests a second on one warm worker
+	serve(5 * time.Second) // about 100 requests per second at one warm worker
 	rate := harness.router.slowStart.ThroughputPerWeight()
 	harness.step(0, WorkerList{Workers: []Worker{
 		{ID: "w1", State: Ready, Weight: 1, Started: harness.now},
@@ -34,12 +34,13 @@
 	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
-// checkSlowStartBudget fails the test if nothing was sent to a warming worker, or in any second more than overloads it.
-// It serves rate requests a second when warm; the fractions and the overload multiple of 2 are those of settings.
+// checkSlowStartBudget fails the test if nothing was sent to a warming worker, or more in any second than its overload
+// limit. rate is the throughput of the warm worker in requests per second; the capacity fractions and the overload
+// multiple of 2 are those of settings.
 func checkSlowStartBudget(t *testing.T, sentAt []time.Duration, started time.Duration, rate float64) {
 	t.Helper()
 	if len(sentAt) == 0 {
-		t.Fatal("nothing was sent to the warming worker")
+		t.Fatal("no request was sent to the warming worker")
 	}
 	for i, from := range sentAt {
 		sent := 0
@@ -50,13 +51,13 @@
 		}
 		capacityFraction := 0.25 + 0.75*(from+time.Second-started).Seconds()/10
 		if limit := 2 * capacityFraction * rate; float64(sent) > limit {
-			t.Fatalf("%d sends in the second from %v after the start, the worker is overloaded at %.0f", sent, from-started, limit)
+			t.Fatalf("%d sends in the second from %v after the start, want at most %.0f", sent, from-started, limit)
 		}
 	}
 }
 
-// Slow-start budget: it holds in any window, not only in those that a quota is drawn for. A quota that is used at the
-// end of one window is not followed at once by that of the next.
+// Slow-start budget: guards against exceeding it in a window that spans two quota windows, when a quota used up at the
+// end of one is followed at once by the next.
 func TestSlowStartBudgetInAnyWindow(t *testing.T) {
 	harness := newHarness(t, settings(), readyWorker("w0", 0))
 	requests := 0
@@ -74,7 +75,7 @@
 			harness.step(0, attemptEnd(s, 0, Served))
 		}
 	}
-	for range 500 { // about 100 requests a second on one warm worker
+	for range 500 { // about 100 requests per second at one warm worker
 		step(1)
 	}
 	rate := harness.router.slowStart.ThroughputPerWeight()
@@ -83,7 +84,7 @@
 		{ID: "w0", State: Draining},
 	}})
 	started := harness.now
-	for range 6 { // one request begins a window, bursts come around its end
+	for range 6 { // one request starts a window, and bursts arrive around its end
 		step(1)
 		for harness.now < harness.router.endpoints.byID["w1"].slowStart.QuotaUntil()-12*tickInterval {
 			step(0)
@@ -95,7 +96,7 @@
 	checkSlowStartBudget(t, sentAt, started, rate)
 }
 
-// Where nothing overloads a warming worker, it is sent requests like a warm one.
+// Guards against limiting a warming worker in a deployment where it cannot be overloaded.
 func TestNoSlowStartBudgetWithoutOverload(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no overload multiple": func(s *Settings) { s.OverloadMultiple = 0 },
@@ -106,15 +107,15 @@
 		for i := range 5 {
 			acts := harness.step(tickInterval, newTestRequest(fmt.Sprint("r", i), "f"))
 			if len(actionsOf[Send](acts)) != 1 {
-				t.Fatalf("%s: request %d is not sent", name, i)
+				t.Fatalf("%s: request %d was not sent", name, i)
 			}
 			harness.step(0, attemptEnd(actionsOf[Send](acts)[0], 0, Served))
 		}
 	}
 }
 
-// Slow-start budget of many schedulers: what they send together stays within it, though the quota of each is less than
-// one request and would exceed it if each rounded up.
+// Slow-start budget: guards against many schedulers that exceed it together, because the quota of each is less than one
+// request and each rounds it up.
 func TestSlowStartBudgetOfManySchedulers(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 80, 220} {
 		total, budget := 0, 0.0
@@ -127,7 +128,7 @@
 			budget += deployed.OverloadMultiple * deployed.SlowStartFraction * harness.router.slowStart.ThroughputPerWeight() *
 				deployed.OverloadDuration.Seconds()
 			for i := range 10 { // one window, with far more requests than the worker may get
-				for k := range 10 { // new functions: one in five has the new worker first in its rendezvous order
+				for k := range 10 { // new functions, of which one in five has the new worker first in its order
 					id := fmt.Sprint("c", i, "-", k)
 					for _, s := range actionsOf[Send](harness.step(5*millisecond, newTestRequest(id, "n"+id))) {
 						if s.Worker == "new" {
@@ -139,10 +140,10 @@
 			}
 		}
 		if got, allowed := float64(total), budget+3*math.Sqrt(budget)+1; got > allowed {
-			t.Errorf("%d schedulers sent %v requests to a warming worker within a window, %v are allowed", schedulers, got, allowed)
+			t.Errorf("%d schedulers sent %v requests to a warming worker in a window, want at most %v", schedulers, got, allowed)
 		}
 		if schedulers >= 80 && total == 0 {
-			t.Errorf("%d schedulers sent nothing to a warming worker", schedulers)
+			t.Errorf("%d schedulers sent no requests to a warming worker", schedulers)
 		}
 	}
 }
