--- a/routing/admission_internal_test.go
+++ b/routing/admission_internal_test.go
@@ -123,7 +123,7 @@
 	harness := harnessAfterAnswers(t, 4)
 	harness.wait(2 * time.Second)
 	for _, w := range harness.router.endpoints.list {
-		w.limit = concurrency.NewWorker(6) // the limit that 6 schedulers start from is 2
+		w.limit = concurrency.NewWorker(6) // the initial limit with 6 schedulers is 2
 		w.inFlight = make([]*attempt, 1)   // half of the capacity of each is in use
 		defer func() { w.inFlight = nil }()
 	}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -29,12 +29,12 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case routing.Send:
-			fmt.Printf("send %s to %s, at most %v\n", a.ID, a.Worker, a.Timeout)
+			fmt.Printf("send %s to %s, timeout %v\n", a.ID, a.Worker, a.Timeout)
 		case routing.SetTimer:
-			fmt.Printf("wake me in %v\n", a.After)
+			fmt.Printf("set timer to %v\n", a.After)
 		}
 	}
 	// Output:
-	// wake me in 10ms
-	// send r1 to w1, at most 4s
+	// set timer to 10ms
+	// send r1 to w1, timeout 4s
 }
--- a/routing/slowstart/slowstart.go
+++ b/routing/slowstart/slowstart.go
@@ -20,8 +20,8 @@
 	budgetMargin = 0.9 // fraction of a warming worker's budget that is used
 	// The quota allows for a worker that receives a multiple of the mean request rate: skewPerWeight times
 	// the active weight, but at least minSkew. The preferred worker of a function with a tenth of all
-	// requests receives a tenth of the active weight times the mean rate, of which it can bear six times
-	// minSkew.
+	// requests receives a tenth of the active weight times the mean rate, and can handle six times minSkew
+	// times the mean rate.
 	minSkew            = 3.0
 	skewPerWeight      = 0.025
 	maxWarmingWindow   = time.Second // maximum quota window while all workers are warming up
@@ -42,11 +42,11 @@
 // Budget holds the state that all warming workers share: the throughput of warm workers and the total
 // weights.
 type Budget struct {
-	config       Config
-	activeWeight float64 // total weight of the workers that are ready and not ejected
-	warm         float64 // total weight of the ready workers that are warm
-	effective    float64 // total weight of the ready workers, each scaled by its Factor
-	allWarmingUp bool    // there was no warm worker when the totals were last completed
+	config          Config
+	activeWeight    float64 // total weight of the workers that are ready and not ejected
+	warmWeight      float64 // total weight of the ready workers that are warm
+	effectiveWeight float64 // total weight of the ready workers, each scaled by its Factor
+	allWarmingUp    bool    // there was no warm worker when the totals were last completed
 
 	servedAnswers       float64       // answers since servedSince: of warm workers, or of all if none is warm
 	servedSince         time.Duration // start of the current throughput measurement
--- a/routing/slowstart/throughput.go
+++ b/routing/slowstart/throughput.go
@@ -10,15 +10,15 @@
 // partial totals.
 func (b *Budget) BeginSurvey() {
 	b.activeWeight = 0
-	b.warm = 0
-	b.effective = 0
+	b.warmWeight = 0
+	b.effectiveWeight = 0
 }
 
 // Survey adds a ready worker to the total weights.
 func (b *Budget) Survey(now time.Duration, capacity Capacity, ejected bool) {
-	b.effective += capacity.Weight * b.Factor(now, capacity.Started)
+	b.effectiveWeight += capacity.Weight * b.Factor(now, capacity.Started)
 	if !b.IsWarmingUp(now, capacity.Started) {
-		b.warm += capacity.Weight
+		b.warmWeight += capacity.Weight
 	}
 	if !ejected {
 		b.activeWeight += capacity.Weight
@@ -26,7 +26,7 @@
 }
 
 // EndSurvey completes the total weights after the last worker has been added.
-func (b *Budget) EndSurvey() { b.allWarmingUp = b.warm == 0 }
+func (b *Budget) EndSurvey() { b.allWarmingUp = b.warmWeight == 0 }
 
 // RecordServed counts an answer. Answers of warming workers count only if all workers are warming up.
 func (b *Budget) RecordServed(now, started time.Duration) {
@@ -41,9 +41,9 @@
 	if elapsed < throughputInterval {
 		return false
 	}
-	weight := b.warm
+	weight := b.warmWeight
 	if b.allWarmingUp {
-		weight = b.effective
+		weight = b.effectiveWeight
 	}
 	if weight > 0 {
 		b.updateThroughput(b.servedAnswers / elapsed.Seconds() / weight)
