--- a/routing/lease/lease_test.go
+++ b/routing/lease/lease_test.go
@@ -128,9 +128,9 @@
 			t.Errorf("health check %d at %v, want at %d s", i, times[i], want[i])
 		}
 	}
-	for workers, want := range map[int]int{1: 1, 3: 3, 24: 3, 120: 9, 3200: 251} {
-		if got := table.Held(workers); got != want {
-			t.Errorf("%d of %d leases are renewed by health checks, want %d", got, workers, want)
+	for workers, target := range map[int]int{1: 1, 3: 3, 24: 3, 120: 9, 3200: 251} {
+		if got := table.Held(workers); got != target {
+			t.Errorf("%d of %d leases are renewed by health checks, want %d", got, workers, target)
 		}
 	}
 }
--- a/routing/pressure/pressure_test.go
+++ b/routing/pressure/pressure_test.go
@@ -51,8 +51,8 @@
 	busy := displacedFunctions(80, 1, 50*time.Millisecond)
 	slow := displacedFunctions(80, 1, 900*time.Millisecond)
 	if len(idle) != 0 || len(busy) < 5 || len(busy) > 60 || len(slow) < 90 {
-		t.Errorf("of 100 functions %d move away from an idle worker, %d from a busy one and %d from a busy and slow one, "+
-			"want 0, 5 to 60 and at least 90", len(idle), len(busy), len(slow))
+		t.Errorf("of 100 functions %d leave an idle worker, %d a busy one and %d a busy and slow one, want 0, 5 to 60 and at least 90",
+			len(idle), len(busy), len(slow))
 	}
 	for name := range busy {
 		if !slow[name] {
