--- a/routing/admission.go
+++ b/routing/admission.go
@@ -70,7 +70,7 @@
 func (c *admissionController) missesDeadline(
 	now time.Duration, req *request, best candidate, work float64,
 ) bool {
-	finish := work/c.fleet.capacity.Divisor() + c.latency.ServiceTime(&req.function.latency, now)
+	finish := work/c.fleet.capacity.NonzeroTotal() + c.latency.ServiceTime(&req.function.latency, now)
 	if !best.warm && (best.target != nil || !c.placements.isWarmAnywhere(now, req.function)) {
 		finish += c.latency.LoadTime(&req.function.latency, now)
 	}
@@ -86,7 +86,7 @@
 // answer is late. The bound is the same for all classes, or those with short objectives would starve. Harm:
 // late answers that are worth much are lost.
 func (c *admissionController) missesObjective(now time.Duration, req *request, work float64) bool {
-	wait := work / c.fleet.capacity.Divisor()
+	wait := work / c.fleet.capacity.NonzeroTotal()
 	serviceTime := c.latency.ServiceTime(&req.function.latency, now)
 	return req.class.LateValue < 1 && wait+min(serviceTime, c.minObjective/2) > c.minObjective
 }
--- a/routing/concurrency/concurrency.go
+++ b/routing/concurrency/concurrency.go
@@ -100,18 +100,18 @@
 // Total returns the sum of the limits.
 func (c *Capacity) Total() float64 { return c.total }
 
-// Divisor returns the sum of the limits, but at least 1, so that the queued work can be divided by it.
-func (c *Capacity) Divisor() float64 { return max(c.total, 1) }
+// NonzeroTotal returns the sum of the limits, but at least 1, so that the queued work can be divided by it.
+func (c *Capacity) NonzeroTotal() float64 { return max(c.total, 1) }
 
 // MaySpread reports whether enough capacity is free to spread load over more workers.
 func (c *Capacity) MaySpread() bool { return c.utilization() <= maxSpreadUtilization }
 
-// CanCarryWithout reports whether the other workers can carry the current load of all workers at a
+// HasCapacityWithout reports whether the other workers can carry the current load of all workers at a
 // utilization below maxSpreadUtilization.
-func (c *Capacity) CanCarryWithout(worker *Worker) bool {
+func (c *Capacity) HasCapacityWithout(worker *Worker) bool {
 	remaining := c.total - worker.limit
 	return c.utilization()*c.total < maxSpreadUtilization*remaining
 }
 
 // utilization returns the fraction of the capacity that is in use.
-func (c *Capacity) utilization() float64 { return c.used / c.Divisor() }
+func (c *Capacity) utilization() float64 { return c.used / c.NonzeroTotal() }
--- a/routing/concurrency/concurrency_test.go
+++ b/routing/concurrency/concurrency_test.go
@@ -78,7 +78,7 @@
 			workers[i] = concurrency.NewWorker(3)
 			capacity.Add(&workers[i], testCase.inFlight)
 		}
-		if got := capacity.CanCarryWithout(&workers[0]); got != testCase.want {
+		if got := capacity.HasCapacityWithout(&workers[0]); got != testCase.want {
 			t.Errorf("%d requests in flight at each of three workers: got %v, want %v", testCase.inFlight, got, testCase.want)
 		}
 	}
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -61,12 +61,12 @@
 func (r *Router) applyPeerReports(reports PeerReports) {
 	for _, w := range r.endpoints.list {
 		confirmed := w.health.SetVerdict(outlier.Verdict(reports.Verdicts[w.ID]), r.now)
-		if confirmed && r.fleet.capacity.CanCarryWithout(&w.limit) {
+		if confirmed && r.fleet.capacity.HasCapacityWithout(&w.limit) {
 			w.health.Eject(r.now, r.rng)
 			r.refreshCapacity()
 		}
 		if slices.Contains(reports.Cleared, w.ID) {
-			w.health.Clear(r.now)
+			w.health.AllowProbe(r.now)
 		}
 	}
 }
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -26,7 +26,7 @@
 	if overdue > 0 { // where one alone proves little, peers may have one too
 		r.feedback.reportFault(suspect, outlier.Unresponsive, newest)
 	}
-	unresponsive := outlier.ManyOverdue(overdue)
+	unresponsive := outlier.TooManyOverdue(overdue)
 	if unresponsive {
 		suspect.health.Eject(r.now, r.rng)
 	}
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -60,7 +60,7 @@
 		return
 	}
 	k.sweepAt = now + leaseSweepInterval
-	if !k.leases.InDoubt(now) {
+	if !k.leases.ConfirmationOverdue(now) {
 		k.reportConfirmed(now)
 		return
 	}
@@ -72,7 +72,7 @@
 	for _, suspect := range survey.suspects {
 		k.checkHealth(now, suspect)
 	}
-	wanted := min(len(survey.candidates), k.leases.Held(survey.ready)-survey.fresh)
+	wanted := min(len(survey.candidates), k.leases.RenewalTarget(survey.ready)-survey.fresh)
 	if wanted <= 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 func sortForCheck(workers []*worker, rng *rand.Rand) {
 	rng.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
 	slices.SortStableFunc(workers, func(a, b *worker) int {
-		return cmp.Compare(b.lease.ProvenAt(), a.lease.ProvenAt())
+		return cmp.Compare(b.lease.LastAcceptedAt(), a.lease.LastAcceptedAt())
 	})
 }
 
@@ -103,7 +103,7 @@
 			found.usable++
 		}
 		switch {
-		case k.leases.IsFresh(&listed.lease, now) || listed.lease.IsChecked():
+		case k.leases.IsFresh(&listed.lease, now) || listed.lease.CheckInFlight():
 			found.fresh++
 		case !k.leases.MayCheck(&listed.lease, now):
 		case k.leases.NeedsFirstCheck(&listed.lease):
@@ -143,7 +143,7 @@
 // healthCheckEnded learns from a health check whether a worker takes requests. No answer proves nothing.
 func (k *leaseKeeper) healthCheckEnded(now time.Duration, end ProbeEnded) {
 	checked := k.endpoints.byID[end.Worker]
-	if checked == nil || !checked.lease.IsChecked() {
+	if checked == nil || !checked.lease.CheckInFlight() {
 		return
 	}
 	k.leases.EndCheck(&checked.lease, end.Outcome == Served)
@@ -169,7 +169,7 @@
 			k.out.emit(WorkerSuspended{target.ID, RejectedRequests})
 		}
 	case ConnectionReset:
-		if k.leases.RecordBroken(&target.lease, now, ended.sentAt) {
+		if k.leases.RecordConnectionReset(&target.lease, now, ended.sentAt) {
 			k.out.emit(WorkerSuspended{target.ID, ConnectionBroke})
 		}
 	case ConnectFailed:
--- a/routing/lease/check.go
+++ b/routing/lease/check.go
@@ -32,17 +32,17 @@
 	}
 }
 
-// IsChecked reports whether a health check of the worker is in flight.
-func (w *Worker) IsChecked() bool { return w.checkInFlight }
+// CheckInFlight reports whether a health check of the worker is in flight.
+func (w *Worker) CheckInFlight() bool { return w.checkInFlight }
 
-// ProvenAt returns the send time of the latest request or health check that the worker accepted, or 0 if
-// there is none.
-func (w *Worker) ProvenAt() time.Duration { return w.lastAcceptedAt }
+// LastAcceptedAt returns the send time of the latest request or health check that the worker accepted, or 0
+// if there is none.
+func (w *Worker) LastAcceptedAt() time.Duration { return w.lastAcceptedAt }
 
-// Held returns the number of workers, out of the given number, on which a scheduler maintains leases by
-// health checks. The number is chosen so that no worker gets more than checksPerWorker health checks per
+// RenewalTarget returns the number of workers, out of the given number, on which a scheduler maintains leases
+// by health checks. The number is chosen so that no worker gets more than checksPerWorker health checks per
 // second from all schedulers together. Workers that serve requests need no health checks.
-func (t *Table) Held(workers int) int {
+func (t *Table) RenewalTarget(workers int) int {
 	interval := (t.duration - renewBefore).Seconds()
 	renewals := int(checksPerWorker * interval * float64(workers) / float64(max(t.schedulers, 1)))
 	return min(workers, max(renewals, minRenewals))
--- a/routing/lease/lease.go
+++ b/routing/lease/lease.go
@@ -78,9 +78,9 @@
 // ConfirmedAt returns the latest time at which the list is known to have been complete.
 func (t *Table) ConfirmedAt() time.Duration { return t.confirmedAt }
 
-// InDoubt reports whether confirmation of the list is overdue. Leases are then renewed only by workers that
-// accept requests or pass health checks.
-func (t *Table) InDoubt(now time.Duration) bool {
+// ConfirmationOverdue reports whether confirmation of the list is overdue. Leases are then renewed only by
+// workers that accept requests or pass health checks.
+func (t *Table) ConfirmationOverdue(now time.Duration) bool {
 	return t.limited && now >= t.confirmedAt+t.duration-renewBefore
 }
 
@@ -100,7 +100,7 @@
 // Valid reports whether a worker may be sent requests. While confirmation of the list is overdue, its lease
 // must not have expired and it must not be suspected.
 func (t *Table) Valid(w *Worker, now time.Duration) bool {
-	return !t.InDoubt(now) || now < t.expiry(w) && !t.Suspected(w)
+	return !t.ConfirmationOverdue(now) || now < t.expiry(w) && !t.Suspected(w)
 }
 
 // Suspected reports whether a worker may have drained or restarted since the list was confirmed. A worker is
@@ -129,7 +129,7 @@
 // RecordRejected records that a worker rejected a request sent at sentAt, and reports whether the worker is
 // now newly suspected.
 func (t *Table) RecordRejected(w *Worker, now, sentAt time.Duration) (suspected bool) {
-	if !t.InDoubt(now) || sentAt <= w.lastAcceptedAt {
+	if !t.ConfirmationOverdue(now) || sentAt <= w.lastAcceptedAt {
 		return false
 	}
 	before := t.Suspected(w)
@@ -138,11 +138,11 @@
 	return !before && t.Suspected(w)
 }
 
-// RecordBroken records that the connection was reset during a request sent at sentAt, and reports whether the
-// worker is now newly suspected. The process may have ended; if the worker accepts a later request, it has
-// not.
-func (t *Table) RecordBroken(w *Worker, now, sentAt time.Duration) (suspected bool) {
-	if !t.InDoubt(now) || sentAt <= w.lastAcceptedAt {
+// RecordConnectionReset records that the connection was reset during a request sent at sentAt, and reports
+// whether the worker is now newly suspected. The process may have ended; if the worker accepts a later
+// request, it has not.
+func (t *Table) RecordConnectionReset(w *Worker, now, sentAt time.Duration) (suspected bool) {
+	if !t.ConfirmationOverdue(now) || sentAt <= w.lastAcceptedAt {
 		return false
 	}
 	before := t.Suspected(w)
@@ -154,7 +154,7 @@
 // RecordDown records that a worker reported a drain or was unreachable, and reports whether it is now newly
 // suspected.
 func (t *Table) RecordDown(w *Worker, now time.Duration) (suspected bool) {
-	if !t.InDoubt(now) {
+	if !t.ConfirmationOverdue(now) {
 		return false
 	}
 	before := t.Suspected(w)
--- a/routing/lease/lease_test.go
+++ b/routing/lease/lease_test.go
@@ -23,7 +23,7 @@
 	var worker lease.Worker
 	table.RecordRejected(&worker, now, now)
 	table.RecordDown(&worker, now)
-	if !table.Valid(&worker, now+time.Hour) || table.InDoubt(now) || table.Remaining(&worker, now) != 0 {
+	if !table.Valid(&worker, now+time.Hour) || table.ConfirmationOverdue(now) || table.Remaining(&worker, now) != 0 {
 		t.Error("the lease is limited although the list was never confirmed")
 	}
 }
@@ -55,7 +55,7 @@
 			return table.RecordDown(worker, at)
 		},
 		"connection reset": func(table *lease.Table, worker *lease.Worker, at time.Duration) bool {
-			return table.RecordBroken(worker, at, at)
+			return table.RecordConnectionReset(worker, at, at)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	table.Confirm(now)
 	overdue := now + 6*time.Second
 	var worker lease.Worker
-	table.RecordBroken(&worker, overdue, overdue)
+	table.RecordConnectionReset(&worker, overdue, overdue)
 	if table.RecordAccepted(&worker, overdue+1) {
 		t.Error("a worker that reset a connection counts as restarted")
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	for workers, target := range map[int]int{1: 1, 3: 3, 24: 3, 120: 9, 3200: 251} {
-		if got := table.Held(workers); got != target {
+		if got := table.RenewalTarget(workers); got != target {
 			t.Errorf("%d of %d leases are renewed by health checks, want %d", got, workers, target)
 		}
 	}
@@ -159,7 +159,7 @@
 			case "down":
 				table.RecordDown(&worker, current)
 			case "reset":
-				table.RecordBroken(&worker, current, past)
+				table.RecordConnectionReset(&worker, current, past)
 			}
 			if table.Valid(&worker, current) && current >= evidence+drainBound {
 				rt.Fatalf("lease valid %v after the latest evidence, want at most %v", current-evidence, drainBound)
@@ -167,7 +167,7 @@
 			if left := table.Remaining(&worker, current); current+left >= evidence+drainBound {
 				rt.Fatalf("%v remaining %v after the latest evidence, want %v in total at most", left, current-evidence, drainBound)
 			}
-			if !table.InDoubt(current) && !table.Valid(&worker, current) {
+			if !table.ConfirmationOverdue(current) && !table.Valid(&worker, current) {
 				rt.Fatal("no valid lease although the list is confirmed")
 			}
 		}
--- a/routing/outlier/outlier.go
+++ b/routing/outlier/outlier.go
@@ -133,6 +133,6 @@
 	}
 }
 
-// ManyOverdue reports whether the number of overdue attempts is enough to eject a worker that has not
+// TooManyOverdue reports whether the number of overdue attempts is enough to eject a worker that has not
 // answered since the oldest was sent. A single overdue attempt may be an expensive request.
-func ManyOverdue(attempts int) bool { return attempts >= overdueToEject }
+func TooManyOverdue(attempts int) bool { return attempts >= overdueToEject }
--- a/routing/outlier/worker.go
+++ b/routing/outlier/worker.go
@@ -93,8 +93,9 @@
 	return verdict == Confirmed && !w.answeredRecently(now)
 }
 
-// Clear allows an immediate probe of an ejected worker. It is called when the worker has answered a peer.
-func (w *Worker) Clear(now time.Duration) { w.probationAt = now }
+// AllowProbe allows an immediate probe of an ejected worker. It is called when the worker has answered a
+// peer.
+func (w *Worker) AllowProbe(now time.Duration) { w.probationAt = now }
 
 // Restart ends the ejection and resets the error rate after a restart of the worker.
 func (w *Worker) Restart() {
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -205,13 +205,13 @@
 
 // relativeLoad is how busy a worker is for its weight.
 func (p *picker) relativeLoad(now time.Duration, w *worker) float64 {
-	steps := max(math.Round(pressureSteps*p.pressure.Of(&w.pressure, now)), 1)
+	steps := max(math.Round(pressureSteps*p.pressure.Pressure(&w.pressure, now)), 1)
 	requests := 1 + float64(len(w.inFlight)) + w.pressure.PeerInFlight()
 	// Where many share a worker, meeting one more costs it and shows in none of its reports.
 	if !w.health.AnsweredWithin(now, p.keepAlive) {
 		requests += unansweredPenalty * p.pressure.PeerInfluence()
 	}
-	return requests * steps / (w.Weight * p.slowStart.Factor(now, w.Started))
+	return requests * steps / (w.Weight * p.slowStart.CapacityFraction(now, w.Started))
 }
 
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
@@ -234,10 +234,10 @@
 // withinSlowStartBudget reports whether a worker that is warming up may be sent one more request, where the
 // deployment says what overloads it.
 func (p *picker) withinSlowStartBudget(now time.Duration, rng *rand.Rand, warming *worker) bool {
-	if !p.slowStart.Limits(now, warming.Started) {
+	if !p.slowStart.QuotaApplies(now, warming.Started) {
 		return true
 	}
-	if p.slowStart.NeedsQuota(&warming.slowStart, now) {
+	if p.slowStart.QuotaExpired(&warming.slowStart, now) {
 		demand := slowstart.Demand{
 			Requests: p.placements.totalRequests(now),
 			Seconds:  p.placements.window.Seconds(),
--- a/routing/pressure/pressure.go
+++ b/routing/pressure/pressure.go
@@ -82,10 +82,10 @@
 // RestoreMean sets the mean to a value learned by an earlier process.
 func (e *Estimator) RestoreMean(mean float64) { e.mean = mean }
 
-// Of returns the estimated pressure of a worker. The estimate decays to the mean of all workers, but to no
-// more than displaceStart. Without that cap, a scheduler that samples only a few workers, all under pressure,
-// would reject requests for the other workers too.
-func (e *Estimator) Of(worker *Worker, now time.Duration) float64 {
+// Pressure returns the estimated pressure of a worker. The estimate decays to the mean of all workers, but to
+// no more than displaceStart. Without that cap, a scheduler that samples only a few workers, all under
+// pressure, would reject requests for the other workers too.
+func (e *Estimator) Pressure(worker *Worker, now time.Duration) float64 {
 	return min(e.mean, displaceStart) + e.Excess(worker, now)
 }
 
@@ -97,7 +97,7 @@
 // Overload returns how far the pressure of a worker is above 1+rejectExcess, the threshold of rejections, in
 // units of rejectExcess.
 func (e *Estimator) Overload(worker *Worker, now time.Duration) float64 {
-	return (e.Of(worker, now) - 1 - rejectExcess) / rejectExcess
+	return (e.Pressure(worker, now) - 1 - rejectExcess) / rejectExcess
 }
 
 // RejectProbability returns the probability of rejecting a request for a worker with this overload.
@@ -111,7 +111,7 @@
 // its own part of the load and keep sending to a worker that all of them together put under pressure. The
 // effect is weaker with few schedulers, since a scheduler's own counts then cover most of the worker's load.
 func (e *Estimator) Displaces(worker *Worker, now time.Duration, stickiness float64) bool {
-	return (e.Of(worker, now)-displaceStart)/(displaceAll-displaceStart)*e.peerInfluence > stickiness
+	return (e.Pressure(worker, now)-displaceStart)/(displaceAll-displaceStart)*e.peerInfluence > stickiness
 }
 
 // Observe updates the estimates from an attempt that has ended.
--- a/routing/router.go
+++ b/routing/router.go
@@ -114,7 +114,7 @@
 		return
 	}
 	r.started = true
-	r.slowStart.Begin(now)
+	r.slowStart.StartMeasurement(now)
 	r.out.emit(SetTimer{tickInterval, tickToken})
 	if r.settings.SubscriptionRequired {
 		r.out.emit(Subscribe{true})
@@ -182,16 +182,16 @@
 	if r.endpoints.resubscriptionDue(r.now) {
 		r.out.emit(Subscribe{true})
 	}
-	r.slowStart.BeginSurvey()
+	r.slowStart.ResetTotals()
 	for _, w := range r.endpoints.list {
 		r.checkOverdue(w)
 		if w.State == Ready {
-			r.slowStart.Survey(r.now, w.slowStartCapacity(), w.health.Ejected())
+			r.slowStart.AddToTotals(r.now, w.slowStartCapacity(), w.health.Ejected())
 		}
 	}
-	r.slowStart.EndSurvey()
+	r.slowStart.CompleteTotals()
 	r.leaseKeeper.renew(r.now, r.rng)
-	if r.slowStart.Measure(r.now) {
+	if r.slowStart.MeasureThroughput(r.now) {
 		r.endpoints.evictGone(r.now)
 		r.placements.evictIdle(r.now, r.endpoints, r.queue)
 	}
--- a/routing/slowstart/slowstart.go
+++ b/routing/slowstart/slowstart.go
@@ -45,7 +45,7 @@
 	config          Config
 	activeWeight    float64 // total weight of the workers that are ready and not ejected
 	warmWeight      float64 // total weight of the ready workers that are warm
-	effectiveWeight float64 // total weight of the ready workers, each scaled by its Factor
+	effectiveWeight float64 // total weight of the ready workers, each scaled by its CapacityFraction
 	allWarmingUp    bool    // there was no warm worker when the totals were last completed
 
 	servedAnswers       float64       // answers since servedSince: of warm workers, or of all if none is warm
@@ -75,16 +75,16 @@
 // NewBudget returns a Budget without any measurements.
 func NewBudget(config Config) *Budget { return &Budget{config: config} }
 
-// Begin starts the first throughput measurement.
-func (b *Budget) Begin(now time.Duration) { b.servedSince = now }
+// StartMeasurement starts the first throughput measurement.
+func (b *Budget) StartMeasurement(now time.Duration) { b.servedSince = now }
 
 // IsWarmingUp reports whether a worker that started at the given time has not yet reached its full capacity.
 func (b *Budget) IsWarmingUp(now, started time.Duration) bool {
 	return started > 0 && now-started < b.config.Duration
 }
 
-// Factor returns the minimum current capacity of a worker as a fraction of its full capacity.
-func (b *Budget) Factor(now, started time.Duration) float64 {
+// CapacityFraction returns the minimum current capacity of a worker as a fraction of its full capacity.
+func (b *Budget) CapacityFraction(now, started time.Duration) float64 {
 	if !b.IsWarmingUp(now, started) {
 		return 1
 	}
@@ -92,13 +92,13 @@
 	return b.config.Fraction + (1-b.config.Fraction)*elapsed
 }
 
-// Limits reports whether a worker has a quota. It has one while it is warming up, if the configuration
+// QuotaApplies reports whether a worker has a quota. It has one while it is warming up, if the configuration
 // defines an overload.
-func (b *Budget) Limits(now, started time.Duration) bool {
+func (b *Budget) QuotaApplies(now, started time.Duration) bool {
 	return b.IsWarmingUp(now, started) && b.config.OverloadMultiple != 0 && b.config.OverloadDuration != 0
 }
 
-// HasQuota reports whether a worker may be sent one more request within its quota. If NeedsQuota returns
+// HasQuota reports whether a worker may be sent one more request within its quota. If QuotaExpired returns
 // true, the caller must call DrawQuota first.
 func (b *Budget) HasQuota(worker *Worker, now time.Duration) bool {
 	_, window := b.rate()
@@ -110,8 +110,10 @@
 	return len(worker.sends) < worker.quota
 }
 
-// NeedsQuota reports whether the window of a worker's quota has ended.
-func (b *Budget) NeedsQuota(worker *Worker, now time.Duration) bool { return now >= worker.quotaUntil }
+// QuotaExpired reports whether the window of a worker's quota has ended.
+func (b *Budget) QuotaExpired(worker *Worker, now time.Duration) bool {
+	return now >= worker.quotaUntil
+}
 
 // rate returns the estimated throughput per unit of weight, in requests per second, and the window for which
 // the quota is drawn. The throughput is measured by the answers of warm workers to this scheduler. If all
@@ -141,7 +143,7 @@
 ) {
 	rate, window := b.rate()
 	budget := budgetMargin * b.config.OverloadMultiple * window.Seconds() *
-		b.Factor(now, capacity.Started) * capacity.Weight * rate
+		b.CapacityFraction(now, capacity.Started) * capacity.Weight * rate
 	usualRate := demand.Requests / (demand.Seconds * max(b.activeWeight, 1))
 	skew := max(minSkew, skewPerWeight*b.activeWeight)
 	chance := budget / (window.Seconds() * skew * max(rate, usualRate) * capacity.Weight)
--- a/routing/slowstart/slowstart_test.go
+++ b/routing/slowstart/slowstart_test.go
@@ -28,7 +28,7 @@
 		started, age time.Duration
 		want         float64
 	}{{started, 0, 0.25}, {started, 4 * time.Second, 0.55}, {started, 10 * time.Second, 1}, {0, 0, 1}, {started, -1, 0.25}} {
-		if got := budget.Factor(started+testCase.age, testCase.started); math.Abs(got-testCase.want) > 1e-12 {
+		if got := budget.CapacityFraction(started+testCase.age, testCase.started); math.Abs(got-testCase.want) > 1e-12 {
 			t.Errorf("started at %v, %v after %v: %v, want %v", testCase.started, testCase.age, started, got, testCase.want)
 		}
 	}
@@ -37,14 +37,14 @@
 // measure records a throughput measurement of one worker of weight 1, which gave this number of answers in the second
 // before started. workerStarted is the worker's start time, or 0 if it is warm.
 func measure(budget *slowstart.Budget, answers int, workerStarted time.Duration) {
-	budget.Begin(started - time.Second)
-	budget.BeginSurvey()
-	budget.Survey(started, slowstart.Capacity{Started: workerStarted, Weight: 1}, false)
-	budget.EndSurvey()
+	budget.StartMeasurement(started - time.Second)
+	budget.ResetTotals()
+	budget.AddToTotals(started, slowstart.Capacity{Started: workerStarted, Weight: 1}, false)
+	budget.CompleteTotals()
 	for range answers {
 		budget.RecordServed(started, workerStarted)
 	}
-	budget.Measure(started)
+	budget.MeasureThroughput(started)
 }
 
 // Guards against overloading a warming worker: its quota is 0.9 of the overload limit, rounded at random, and sends
@@ -64,7 +64,7 @@
 	if sent != 9 && sent != 10 { // 0.9 * 2 * 0.25 * 20 = 9, plus a random number below 1
 		t.Errorf("%d requests are sent in a window, want 9 or 10", sent)
 	}
-	if budget.NeedsQuota(&worker, started+time.Second-1) || !budget.NeedsQuota(&worker, started+time.Second) {
+	if budget.QuotaExpired(&worker, started+time.Second-1) || !budget.QuotaExpired(&worker, started+time.Second) {
 		t.Error("a new quota is not needed after exactly one second")
 	}
 	overlap := started + time.Second + time.Second/8
@@ -81,10 +81,10 @@
 	if got := warm.ThroughputPerWeight(); got != 20 {
 		t.Errorf("the first throughput of a warm worker is %v, want 20", got)
 	}
-	if warm.Measure(started + time.Second - 1) {
+	if warm.MeasureThroughput(started + time.Second - 1) {
 		t.Error("measured again in less than a second")
 	}
-	if !warm.Measure(started+time.Second) || warm.ThroughputPerWeight() != 16 {
+	if !warm.MeasureThroughput(started+time.Second) || warm.ThroughputPerWeight() != 16 {
 		t.Errorf("after a second without answers the throughput is %v, want 16", warm.ThroughputPerWeight())
 	}
 	warming := slowstart.NewBudget(testConfig())
@@ -110,7 +110,7 @@
 		"no overload multiple": {noMultiple, started, false},
 		"no overload duration": {noDuration, started, false},
 	} {
-		if got := slowstart.NewBudget(testCase.config).Limits(started+time.Second, testCase.started); got != testCase.want {
+		if got := slowstart.NewBudget(testCase.config).QuotaApplies(started+time.Second, testCase.started); got != testCase.want {
 			t.Errorf("%s: limited %v, want %v", name, got, testCase.want)
 		}
 	}
--- a/routing/slowstart/throughput.go
+++ b/routing/slowstart/throughput.go
@@ -6,17 +6,17 @@
 	"calicohill/internal/stats/decay"
 )
 
-// BeginSurvey resets the total weights. Until all workers have been added again, quotas are drawn from
+// ResetTotals resets the total weights. Until all workers have been added again, quotas are drawn from
 // partial totals.
-func (b *Budget) BeginSurvey() {
+func (b *Budget) ResetTotals() {
 	b.activeWeight = 0
 	b.warmWeight = 0
 	b.effectiveWeight = 0
 }
 
-// Survey adds a ready worker to the total weights.
-func (b *Budget) Survey(now time.Duration, capacity Capacity, ejected bool) {
-	b.effectiveWeight += capacity.Weight * b.Factor(now, capacity.Started)
+// AddToTotals adds a ready worker to the total weights.
+func (b *Budget) AddToTotals(now time.Duration, capacity Capacity, ejected bool) {
+	b.effectiveWeight += capacity.Weight * b.CapacityFraction(now, capacity.Started)
 	if !b.IsWarmingUp(now, capacity.Started) {
 		b.warmWeight += capacity.Weight
 	}
@@ -25,8 +25,8 @@
 	}
 }
 
-// EndSurvey completes the total weights after the last worker has been added.
-func (b *Budget) EndSurvey() { b.allWarmingUp = b.warmWeight == 0 }
+// CompleteTotals completes the total weights after the last worker has been added.
+func (b *Budget) CompleteTotals() { b.allWarmingUp = b.warmWeight == 0 }
 
 // RecordServed counts an answer. Answers of warming workers count only if all workers are warming up.
 func (b *Budget) RecordServed(now, started time.Duration) {
@@ -35,8 +35,9 @@
 	}
 }
 
-// Measure updates the throughput once per throughputInterval, and reports whether the interval had ended.
-func (b *Budget) Measure(now time.Duration) bool {
+// MeasureThroughput updates the throughput once per throughputInterval, and reports whether the interval had
+// ended.
+func (b *Budget) MeasureThroughput(now time.Duration) bool {
 	elapsed := now - b.servedSince
 	if elapsed < throughputInterval {
 		return false
