--- a/routing/lease/lease_test.go
+++ b/routing/lease/lease_test.go
@@ -138,7 +138,7 @@
 // Guards against sends to a draining worker after any sequence of events. A lease must expire before a drain that was
 // published right after the latest evidence of service can take effect. A confirmed list gives valid leases on all
 // workers.
-func TestLeaseEndsBeforeDrainBinds(t *testing.T) {
+func TestLeaseEndsBeforeDrainTakesEffect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := lease.NewTable(grace, rapid.IntRange(1, 900).Draw(rt, "schedulers"))
 		var worker lease.Worker
@@ -162,10 +162,10 @@
 				table.RecordConnectionReset(&worker, current, past)
 			}
 			if table.Valid(&worker, current) && current >= evidence+drainBound {
-				rt.Fatalf("lease valid %v after the latest evidence, want at most %v", current-evidence, drainBound)
+				rt.Fatalf("lease still valid %v after the latest evidence", current-evidence)
 			}
 			if left := table.Remaining(&worker, current); current+left >= evidence+drainBound {
-				rt.Fatalf("%v remaining %v after the latest evidence, want %v in total at most", left, current-evidence, drainBound)
+				rt.Fatalf("%v remaining on the lease %v after the latest evidence", left, current-evidence)
 			}
 			if !table.ConfirmationOverdue(current) && !table.Valid(&worker, current) {
 				rt.Fatal("no valid lease although the list is confirmed")
