--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -8,19 +8,19 @@
 	"calicohill/routing"
 )
 
-// attempt is one try of a request on one worker, while it is in flight.
+// attempt is an attempt in flight: one try of a request at one worker.
 type attempt struct {
 	ref           slotmap.Ref
 	request       *request
-	number        int // among the attempts of its request, from 0
+	number        int // index among the attempts of its request
 	worker        string
 	sentAt        time.Duration
-	deadline      time.Duration // it times out then
-	startDeadline time.Duration // it must not be written at or after this time
+	deadline      time.Duration // when the attempt times out
+	startDeadline time.Duration // the attempt must be written before this time
 	timer         deadline.Timer
 }
 
-// message is the attempt as the transport sends it at a moment.
+// message returns the Attempt for the transport, with the time left until the deadline.
 func (a *attempt) message(now time.Duration) Attempt {
 	req := a.request
 	message := Attempt{
@@ -38,11 +38,11 @@
 	return message
 }
 
-// attemptTable holds the attempts in flight, each with its deadline, from the Router's Send until they end or are
+// attemptTable holds the attempts in flight and their timers, from the Router's Send until an attempt ends or is
 // canceled. It belongs to a Dispatcher and is used on the event loop only.
 //
-// Each attempt is enqueued as exactly one AttemptEnded. The Router bounds the attempts of a request (Settings.MaxAttempts),
-// and the request table bounds the requests.
+// The table enqueues exactly one AttemptEnded for each attempt. The Router limits the attempts of a request
+// (Settings.MaxAttempts), and the request table limits the requests.
 type attemptTable struct {
 	loop      Loop
 	requests  *requestTable
@@ -56,8 +56,8 @@
 // setWorkers sets the transport that sends the attempts.
 func (t *attemptTable) setWorkers(workers Workers) { t.workers = workers }
 
-// start starts an attempt that the Router decided on. One that may not be sent any more is recorded and ended all the
-// same: the Router numbers the attempts by its Sends, and each Send is owed an AttemptEnded.
+// start starts an attempt that the Router requested with Send. An attempt that may no longer be sent is still recorded
+// and ended as NotSent: the Router numbers attempts by its Sends and expects an AttemptEnded for each.
 func (t *attemptTable) start(action routing.Send) {
 	req, ok := t.requests.find(action.ID)
 	if !ok {
@@ -93,10 +93,10 @@
 	return t.loop.Now() < min(att.deadline, att.startDeadline) && t.endpoints.isReady(att.worker)
 }
 
-// find returns an attempt that is in flight.
+// find returns the attempt of a Ref if it is in flight.
 func (t *attemptTable) find(ref slotmap.Ref) (*attempt, bool) { return t.attempts.Get(ref) }
 
-// cancelByNumber cancels an attempt that the Router gave up. One that has ended already is ignored.
+// cancelByNumber cancels an attempt at the Router's request. It ignores an attempt that has already ended.
 func (t *attemptTable) cancelByNumber(id string, number int) {
 	req, ok := t.requests.find(id)
 	if !ok {
@@ -107,9 +107,9 @@
 	}
 }
 
-// cancel abandons an attempt, with an outcome for one that was written, at least in part, and one for an attempt that was
-// not: that one has not run, whatever the reason for the cancellation. An attempt that timed out before it was written
-// found no connection in time, and counts as a failure to connect.
+// cancel cancels an attempt. Its outcome is ifWritten if any part of it was written, and ifNotWritten otherwise: an
+// attempt that was not written cannot have run, whatever the reason for the cancellation. An attempt that times out
+// before it is written got no connection in time, so the timer passes ConnectFailed as ifNotWritten.
 func (t *attemptTable) cancel(att *attempt, ifWritten, ifNotWritten routing.Outcome) {
 	outcome := ifNotWritten
 	if t.workers.Cancel(att.ref) {
@@ -118,7 +118,7 @@
 	t.finish(att, AttemptResult{Outcome: outcome, InFlightForFunction: InFlightUnknown})
 }
 
-// finish removes an attempt and enqueues its end. Its request is released after the step, if nothing else is owed.
+// finish removes an attempt and enqueues its AttemptEnded. The request is released after that step if it is complete.
 func (t *attemptTable) finish(att *attempt, result AttemptResult) {
 	t.loop.ClearDeadline(&att.timer)
 	t.attempts.Remove(att.ref)
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -9,10 +9,12 @@
 	"calicohill/routing"
 )
 
+// TestMaySend guards against writing an attempt that must no longer run: one that waited for a connection while its
+// client disconnected, its deadline passed or its worker became unavailable.
 func TestMaySend(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		after func(harness *testHarness, attempt dispatch.Attempt, ref slotmap.Ref) // what happens while the attempt waits for a connection
+		after func(harness *testHarness, attempt dispatch.Attempt, ref slotmap.Ref) // runs while the attempt waits for a connection
 		want  bool
 	}{
 		{"nothing has happened", func(*testHarness, dispatch.Attempt, slotmap.Ref) {}, true},
@@ -50,7 +52,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.CancelAllowed = false // or an attempt whose request is answered would end
+			settings.CancelAllowed = false // otherwise the Router cancels an attempt whose request is answered
 			harness := newHarness(t, settings, 0, "w")
 			attempt, ref, _ := harness.send("a", idempotent)
 			tt.after(harness, attempt, ref)
@@ -61,7 +63,8 @@
 	}
 }
 
-// Once another attempt of its request is served, an attempt that still waits for its connection may not be sent.
+// TestMaySendAfterAnswerOfHedge guards against writing an attempt that waited for a connection after another attempt of
+// its request was served.
 func TestMaySendAfterAnswerOfHedge(t *testing.T) {
 	settings := testSettings()
 	settings.CancelAllowed = false
@@ -76,8 +79,8 @@
 	}
 }
 
-// A retry of a request with an idempotency key may not be sent once the workers have forgotten the key, although the
-// client still waits.
+// TestMaySendWithinDeduplicationWindow guards against a request that runs twice: after the deduplication window, the
+// workers no longer recognize the idempotency key of the first attempt, even if the client still waits.
 func TestMaySendWithinDeduplicationWindow(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w1", "w2")
 	first, _, _ := harness.send("a", idempotentByKey)
@@ -99,7 +102,7 @@
 		want bool
 	}{
 		{"just before", startDeadline - 1, true},
-		{"from then on", startDeadline, false},
+		{"at the end of the window", startDeadline, false},
 	} {
 		harness.loop.now = tt.now
 		if got := harness.MaySend(retry.Ref); got != tt.want {
@@ -108,7 +111,8 @@
 	}
 }
 
-// The time of an attempt that was written runs out: the request may have run. One that was not written has not.
+// TestExpiredAttempt guards against a non-idempotent request that is rejected, and so retried by its client, although
+// its attempt was written before it timed out and may have run.
 func TestExpiredAttempt(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -131,7 +135,8 @@
 	}
 }
 
-// The Router's answer to a client leaves some time for the way, so that it arrives before the client gives up.
+// TestAnsweredBeforeClientGivesUp guards against answers that reach the client after its deadline because no time was
+// reserved for the network.
 func TestAnsweredBeforeClientGivesUp(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	attempt, _, tag := harness.send("a", idempotent)
@@ -142,8 +147,8 @@
 	harness.wantAnswers(tag, dispatch.Rejected)
 }
 
-// The slot of an attempt that has ended is used by the next one. What is reported late of the former is not taken for
-// the latter's result.
+// TestLateAttemptEndedOfReusedSlot guards against a late result of an ended attempt that is attributed to the next
+// attempt in the same slot.
 func TestLateAttemptEndedOfReusedSlot(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	old, oldRequest, oldTag := harness.send("old", idempotent)
@@ -152,7 +157,7 @@
 
 	next, nextRequest, nextTag := harness.send("next", idempotent)
 	if slot(old.Ref) != slot(next.Ref) || slot(oldRequest) != slot(nextRequest) {
-		t.Fatal("the slots are not reused, so that this test proves nothing")
+		t.Fatal("slots are not reused: the precondition of this test does not hold")
 	}
 	harness.AttemptEnded(old.Ref, served("late answer to old"))
 	harness.Cancel(oldRequest)
@@ -175,10 +180,11 @@
 	harness.wantLent(0)
 }
 
-// slot is the part of a Ref that is the same for all values of a slot.
+// slot returns the slot index of a Ref, without the generation.
 func slot(ref slotmap.Ref) slotmap.Ref { return ref >> 32 }
 
-// The answer of the other attempt comes in the same pass, so that the Router could not cancel it yet.
+// TestBothAttemptsServedInOnePass guards against two answers to one request if both of its attempts are served in one
+// pass, before the Router can cancel the second.
 func TestBothAttemptsServedInOnePass(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w1", "w2")
 	first, hedge, tag := harness.hedge()
@@ -195,7 +201,8 @@
 	harness.wantLent(0)
 }
 
-// The answer of one attempt has the other canceled, whose late end is ignored.
+// TestOtherAttemptIsCanceled guards against a first attempt that keeps running after its hedge was served, and against
+// a second answer when its result arrives late.
 func TestOtherAttemptIsCanceled(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w1", "w2")
 	first, hedge, tag := harness.hedge()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,14 +1,14 @@
 // Package dispatch connects the routing decisions with the network. A Dispatcher collects the events of one pass of the
-// event loop into one step of the Router, and carries out the Router's actions. Its components own the state: the
+// event loop into one step of the Router, and performs the Router's actions. Its components own the state: the
 // requests (requestTable), the attempts in flight (attemptTable), the listed workers (endpointTable) and the routes
-// (routeTable). All of it belongs to the event loop, so that nothing takes a lock.
+// (routeTable). All state is confined to the event loop and needs no locks.
 //
-// The Router decides at the end of a pass only, and while its actions are carried out the state may change already: a
-// front end may cancel one request while it is given the answer to another. This is why an attempt is checked once more
-// with MaySend before it is sent, and again before it is written.
+// The Router runs only at the end of a pass, and the state may change while its actions are performed: for example, a
+// front end may cancel one request while it receives the answer to another. An attempt is therefore checked again with
+// MaySend before it is sent, and once more before it is written.
 //
-// The package knows no protocol. A front end submits Calls and is a Responder, the transport to the workers implements
-// Workers, and whatever discovers workers passes on EndpointLists.
+// The package is independent of protocols. A front end submits Calls and implements Responder, the transport to the
+// workers implements Workers, and service discovery supplies EndpointLists.
 package dispatch
 
 import (
@@ -22,20 +22,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Loop is what a Dispatcher needs of the event loop.
+// Loop is the part of the event loop that a Dispatcher uses.
 type Loop interface {
-	// Now is the current time, the same clock as the deadlines'.
+	// Now returns the current time, on the same clock as the deadlines.
 	Now() time.Duration
-	// Post has a function called on the loop after the current pass.
+	// Post schedules a function to run on the loop after the current pass.
 	Post(fn func())
-	// SetDeadline has timer.Fire called on the loop at a time; a timer that is set already is moved.
+	// SetDeadline schedules timer.Fire to run on the loop at a time. It reschedules a timer that is already set.
 	SetDeadline(timer *deadline.Timer, at time.Duration)
-	// ClearDeadline stops a timer. One that is not set is ignored.
+	// ClearDeadline stops a timer. It does nothing if the timer is not set.
 	ClearDeadline(timer *deadline.Timer)
 }
 
-// Dispatcher drives the Router of a scheduler: it decides when the Router steps and in which order its components, the
-// transport and the front ends learn of what happened. All methods must be called on the event loop.
+// Dispatcher drives the Router of a scheduler: it runs the Router's steps and determines the order in which its
+// components, the transport and the front ends are notified of events. All methods must be called on the event loop.
 type Dispatcher struct {
 	loop    Loop
 	router  *routing.Router
@@ -49,12 +49,12 @@
 	events     []routing.Event // for the next step
 	stepPosted bool
 
-	observeFault func(routing.ReportFault) // nil if nobody observes faults
+	observeFault func(routing.ReportFault) // nil if there is no observer
 	log          *decisionLog
 }
 
-// New returns a Dispatcher that has at most maxOpenRequests requests open at once; 0 means no limit. Buffers of requests
-// are returned to the pool. SetWorkers must be called before any other method.
+// New returns a Dispatcher that allows at most maxOpenRequests open requests; 0 means no limit. It returns request
+// bodies to the pool. SetWorkers must be called before any other method.
 func New(loop Loop, router *routing.Router, pool *bufferpool.Pool, maxOpenRequests int) *Dispatcher {
 	dispatcher := &Dispatcher{
 		loop:      loop,
@@ -79,13 +79,14 @@
 	d.attempts.setWorkers(workers)
 }
 
-// SetFaultObserver sets the function that is called with each fault that the Router finds in a worker. It must not block.
+// SetFaultObserver sets the function that is called with each worker fault that the Router detects. It must not block.
 func (d *Dispatcher) SetFaultObserver(observe func(routing.ReportFault)) { d.observeFault = observe }
 
-// SetLog sets the log of what became of requests, attempts and workers; without it nothing is written.
+// SetLog sets the log for the outcomes of requests and attempts and for state changes of workers. Without it, nothing
+// is logged.
 func (d *Dispatcher) SetLog(log *logrus.Entry) { d.log.log = log }
 
-// enqueue adds an event to the Router step at the end of this pass of the loop.
+// enqueue adds an event to the Router's step at the end of the current pass of the loop.
 func (d *Dispatcher) enqueue(event routing.Event) {
 	d.events = append(d.events, event)
 	if !d.stepPosted {
@@ -94,8 +95,9 @@
 	}
 }
 
-// step passes the enqueued events to the Router, performs its actions, and releases the requests that are done. What the
-// actions enqueue is for another step. Requests are released last, because actions name them by ID.
+// step passes the enqueued events to the Router, performs its actions, and releases the requests that are complete.
+// Events that the actions enqueue are left for the next step. Requests are released last, because actions refer to them
+// by ID.
 func (d *Dispatcher) step() {
 	d.stepPosted = false
 	events := d.events
@@ -113,7 +115,7 @@
 	}
 }
 
-// perform carries out an action of the Router.
+// perform performs an action of the Router.
 func (d *Dispatcher) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.Send:
@@ -127,7 +129,7 @@
 		d.log.notServed(action.ID, Failed, action.Reason)
 		d.requests.answerByID(action.ID, Answer{Status: Failed})
 	case routing.SetTimer:
-		// The Router never stops a timer, so that nothing has to keep it.
+		// No reference to the timer is kept, because the Router never stops one.
 		timer := &deadline.Timer{Fire: func() { d.enqueue(routing.TimerFired{Token: action.Token}) }}
 		d.loop.SetDeadline(timer, d.loop.Now()+action.After)
 	case routing.ReportFault:
@@ -140,14 +142,15 @@
 	case routing.Probe:
 		d.workers.Probe(action.Worker)
 	case routing.Load:
-		// The transport has no message for it, so the Router learns that this one was never sent.
+		// The transport has no message to load an instance, so the action is reported to the Router as not sent.
 		d.enqueue(routing.LoadEnded{Worker: action.Worker, Function: action.Function, Outcome: routing.NotSent})
 	case routing.Unload, routing.Subscribe, routing.FetchList:
-		// Nothing to do: endpoint lists come unasked, and the transport has no message to unload an instance.
+		// Nothing to do: endpoint lists arrive without a request, and the transport has no message to unload an
+		// instance.
 	}
 }
 
-// stepRoutes passes an event to the routes, and notifies the Router if it changed the workers of a pool.
+// stepRoutes passes an event to the routes, and notifies the Router if the event changed the workers of a pool.
 func (d *Dispatcher) stepRoutes(event pools.Event) {
 	if d.routes.step(d.loop.Now(), event) {
 		d.enqueue(routing.PoolsChanged{})
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -13,25 +13,26 @@
 	"pgregory.net/rapid"
 )
 
-// randomRun is a run in which calls, answers, cancellations, endpoint lists and time come in any order.
+// randomRun exercises a Dispatcher with calls, answers, cancellations, endpoint updates and time steps in random order.
 type randomRun struct {
 	*testHarness
 	rt       *rapid.T
 	workers  []string
 	calls    []submitted
 	inFlight []dispatch.Attempt // sent, and neither ended nor canceled
-	sent     int                // how many attempts of fakeWorkers.sent have been taken into inFlight
+	sent     int                // number of attempts of fakeWorkers.sent that were added to inFlight
 }
 
-// submitted is a call of a randomRun.
+// submitted is a submitted call of a randomRun.
 type submitted struct {
 	ref, tag        slotmap.Ref
 	clientLeft      bool
 	answersWhenLeft int
 }
 
-// TestRandomOrders holds a Dispatcher to its contract whatever the order of events: one final answer to each call and
-// none after its client has left, each body buffer returned once, and nothing kept of what is done.
+// TestRandomOrders checks the contract of a Dispatcher for random orders of events. It guards against missing or
+// duplicate final answers, answers to canceled calls, body buffers that are leaked or returned twice, and records that
+// outlive their request.
 func TestRandomOrders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
@@ -50,7 +51,7 @@
 	})
 }
 
-// randomEvent has one event happen, in the present pass of the loop or at its end.
+// randomEvent generates one event. It may also end the current pass of the loop.
 func (r *randomRun) randomEvent() {
 	switch rapid.IntRange(0, 6).Draw(r.rt, "event") {
 	case 0:
@@ -74,7 +75,7 @@
 
 func (r *randomRun) submitCall() {
 	if len(r.calls) == poolLimit {
-		return // no body buffer might be left
+		return // the body buffers may all be in use
 	}
 	class := rapid.IntRange(idempotent, nonIdempotent).Draw(r.rt, "class")
 	call := r.call(fmt.Sprint(len(r.calls)), class)
@@ -84,7 +85,7 @@
 	r.calls = append(r.calls, submitted{ref: ref, tag: tag})
 }
 
-// endAttempt ends an attempt as a transport would: once, and only if it was not canceled.
+// endAttempt ends a random attempt in flight, then checks that a second end is ignored.
 func (r *randomRun) endAttempt() {
 	r.updateInFlight()
 	if len(r.inFlight) == 0 {
@@ -101,7 +102,7 @@
 	r.AttemptEnded(ref, served("a second end, which is ignored"))
 }
 
-// clientLeaves cancels a call, perhaps one that was answered or canceled before.
+// clientLeaves cancels a random call, which may have been answered or canceled before.
 func (r *randomRun) clientLeaves() {
 	if len(r.calls) == 0 {
 		return
@@ -114,7 +115,7 @@
 	}
 }
 
-// updateInFlight takes in the attempts that were sent and canceled meanwhile.
+// updateInFlight adds the attempts that were sent since the last call and removes those that were canceled.
 func (r *randomRun) updateInFlight() {
 	r.inFlight = append(r.inFlight, r.testHarness.workers.sent[r.sent:]...)
 	r.sent = len(r.testHarness.workers.sent)
@@ -123,7 +124,7 @@
 	})
 }
 
-// endAttempts ends the attempts that are still in flight, and the pass.
+// endAttempts ends all attempts in flight, and the pass.
 func (r *randomRun) endAttempts() {
 	r.updateInFlight()
 	for _, attempt := range r.inFlight {
@@ -133,7 +134,7 @@
 	r.loop.runPosted()
 }
 
-// check checks that no call has more than one final answer, and that none came after its client had left.
+// check checks that no call has more than one final answer, and that no canceled call was answered afterwards.
 func (r *randomRun) check() {
 	for i, call := range r.calls {
 		answers := len(r.responder.answers[call.tag])
@@ -141,12 +142,12 @@
 			r.rt.Fatalf("call %d has %d answers", i, answers)
 		}
 		if call.clientLeft && answers > call.answersWhenLeft {
-			r.rt.Fatalf("call %d was answered after its client had left", i)
+			r.rt.Fatalf("call %d was answered after it was canceled", i)
 		}
 	}
 }
 
-// checkEnd checks that every call was answered whose client had not left, and that nothing remains of any.
+// checkEnd checks that every call that was not canceled has an answer, and that all tables and buffers were released.
 func (r *randomRun) checkEnd() {
 	for i, call := range r.calls {
 		if !call.clientLeft && len(r.responder.answers[call.tag]) != 1 {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -8,12 +8,12 @@
 	"calicohill/routing"
 )
 
-// endpointTable holds the state and the attributes of the listed workers. It belongs to a Dispatcher and is used on the
-// event loop only. It is as large as the endpoint list: a worker that is gone is forgotten.
+// endpointTable holds the states and attributes of the listed workers. It belongs to a Dispatcher and is used on the
+// event loop only. Its size is that of the endpoint list, because workers that are gone are removed.
 type endpointTable struct {
 	states     map[string]routing.WorkerState
 	attributes map[string]pools.Attributes
-	known      bool // an endpoint list was applied
+	known      bool // an endpoint list has been applied
 }
 
 func newEndpointTable() *endpointTable {
@@ -23,7 +23,7 @@
 	}
 }
 
-// apply applies an endpoint list and returns it as the Router's event.
+// apply applies an endpoint list and returns the corresponding event for the Router.
 func (t *endpointTable) apply(list EndpointList) routing.WorkerList {
 	t.known = true
 	event := routing.WorkerList{Kind: routing.ListChanges}
@@ -40,6 +40,7 @@
 	return event
 }
 
+// record stores or removes the worker of an endpoint.
 func (t *endpointTable) record(endpoint *Endpoint) {
 	if endpoint.State == routing.Gone {
 		delete(t.states, endpoint.ID)
@@ -56,7 +57,7 @@
 	}
 }
 
-// isKnown reports whether an endpoint list was applied.
+// isKnown reports whether an endpoint list has been applied.
 func (t *endpointTable) isKnown() bool { return t.known }
 
 // isReady reports whether a worker is listed and accepts requests.
@@ -65,7 +66,8 @@
 // ids returns the IDs of the listed workers in ascending order.
 func (t *endpointTable) ids() []string { return slices.Sorted(maps.Keys(t.states)) }
 
-// changed is the list of workers as the conditions of pools see it, in ascending order of the IDs.
+// changed returns the event that updates the pools with the attributes of all listed workers, in ascending order of
+// their IDs.
 func (t *endpointTable) changed() pools.EndpointsChanged {
 	var event pools.EndpointsChanged
 	for _, id := range t.ids() {
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -12,12 +12,13 @@
 	"calicohill/routing"
 )
 
+// TestUpdateEndpoints guards against full lists and incremental updates that leave wrong workers in the endpoint list.
 func TestUpdateEndpoints(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0)
 	for _, tt := range []struct {
 		name string
 		list dispatch.EndpointList
-		want []string // WorkerIDs, the lists before included
+		want []string // WorkerIDs after this list and all previous ones
 	}{
 		{"full list", dispatch.EndpointList{Full: true, Endpoints: endpoints(routing.Ready, "b", "a")}, []string{"a", "b"}},
 		{"a worker is added", dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "c")}, []string{"a", "b", "c"}},
@@ -35,8 +36,8 @@
 	}
 }
 
-// A worker that is missing in a full list is gone for the Router too: a request waits for another instead of using up its
-// attempts there.
+// TestFullListReachesRouter guards against a Router that keeps using workers missing from a full list: requests would
+// spend their attempts on a worker that is gone instead of waiting for another.
 func TestFullListReachesRouter(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "old")
 	harness.UpdateEndpoints(dispatch.EndpointList{Full: true})
@@ -50,20 +51,21 @@
 	}
 }
 
+// TestHasEndpoints guards against an empty endpoint list that is treated as no list.
 func TestHasEndpoints(t *testing.T) {
 	dispatcher := dispatch.New(&fakeLoop{}, nil, nil, 0)
 	dispatcher.SetWorkers(&fakeWorkers{})
 	if dispatcher.HasEndpoints() {
 		t.Error("before the first list: HasEndpoints = true, want false")
 	}
-	dispatcher.UpdateEndpoints(dispatch.EndpointList{Full: true}) // no workers, but known to be none
+	dispatcher.UpdateEndpoints(dispatch.EndpointList{Full: true}) // an empty list counts
 	if !dispatcher.HasEndpoints() {
 		t.Error("after an empty list: HasEndpoints = false, want true")
 	}
 }
 
-// The transport ends attempts because of a list. The Router learns of the list first: a worker's failure belongs to its
-// new state.
+// TestRouterLearnsOfListBeforeTransport guards against failures that the Router attributes to the old state of a
+// worker. The transport ends attempts because of a list, so the Router must receive the list first.
 func TestRouterLearnsOfListBeforeTransport(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	attempt, _, _ := harness.send("a", idempotent)
@@ -83,7 +85,9 @@
 	}
 }
 
-// An attempt that the transport gives up because its worker drains is retried elsewhere, in the step of the list.
+// TestRetriedElsewhereWhenWorkerDrains guards against a retry that is late or goes to the draining worker again. An
+// attempt that the transport aborts because its worker drains is retried at another worker, in the step that applies
+// the list.
 func TestRetriedElsewhereWhenWorkerDrains(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w1", "w2")
 	first, _, tag := harness.send("a", nonIdempotent)
@@ -97,7 +101,8 @@
 	harness.wantAnswers(tag, dispatch.Served)
 }
 
-// What peers report of a worker counts for a request that is submitted after it in the same pass.
+// TestPeerReportsReachRouterBeforeSend guards against peer reports that are ignored for a request submitted later in
+// the same pass.
 func TestPeerReportsReachRouterBeforeSend(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -111,7 +116,7 @@
 			harness := newHarness(t, testSettings(), 0, "w1", "w2")
 			first, _, _ := harness.send("a", idempotent)
 			harness.AttemptEnded(first.Ref, served("answer"))
-			harness.loop.advance(2 * time.Second) // the worker's own answer no longer outweighs the reports
+			harness.loop.advance(2 * time.Second) // the worker's answer is too old to outweigh the peer reports
 
 			harness.ApplyPeerReports(routing.PeerReports{
 				Verdicts: map[string]routing.PeerVerdict{first.Worker: tt.verdict},
@@ -126,7 +131,8 @@
 	}
 }
 
-// A request whose route has pools goes to the workers of these only, as the routes were when it was submitted.
+// TestSetRoutes guards against requests that are sent to workers outside the pools of their route, including requests
+// that were submitted before the routes were replaced.
 func TestSetRoutes(t *testing.T) {
 	workers := []string{"w1", "w2", "w3"}
 	expression := func(source string) match.Expression { return match.Expression{Source: source} }
@@ -146,7 +152,7 @@
 				t.Errorf("sent %s to %s, want %s to %s", attempt.Function, attempt.Worker, call.Function, worker)
 			}
 
-			harness.setState(worker, routing.Draining) // nobody else may have what is routed
+			harness.setState(worker, routing.Draining) // no other worker may serve the route
 			waiting := harness.call("waiting", idempotent)
 			waiting.Route = "route"
 			_, tag := harness.submit(waiting)
@@ -163,13 +169,14 @@
 	}
 }
 
-// While the endpoint list may be stale, requests wait.
+// TestMarkStale guards against requests that are sent to workers from a stale endpoint list, or wait after it is
+// current.
 func TestMarkStale(t *testing.T) {
 	const stale = 100 * time.Millisecond
 	for _, tt := range []struct {
 		name   string
-		list   func(harness *testHarness) // what is heard of the list
-		sentAt time.Duration              // when the request is sent, at the latest; nothing is sent before
+		list   func(harness *testHarness) // updates the list's status
+		sentAt time.Duration              // latest time at which the request is sent
 	}{
 		{"until the time is over", func(*testHarness) {}, stale + 20*time.Millisecond},
 		{"until the list is current", func(harness *testHarness) { harness.MarkStale(0) }, 0},
@@ -191,7 +198,8 @@
 	}
 }
 
-// The observer is notified of faults that the Router finds, as the operator's peers are to know of them.
+// TestFaultObserver guards against faults detected by the Router that are not passed to the observer, and so never
+// reach the peers.
 func TestFaultObserver(t *testing.T) {
 	settings := testSettings()
 	settings.FaultReporting = true
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -2,15 +2,15 @@
 
 import "calicohill/routing"
 
-// What the package's tests see of the internals.
+// Internals that are exported for the tests of the package.
 
-// ResponseReserve is subtracted from each client's time.
+// ResponseReserve is the time reserved for the network, subtracted from each client's time.
 const ResponseReserve = responseReserve
 
-// PendingEvents returns the events for the next step of the Router.
+// PendingEvents returns the events that are enqueued for the Router's next step.
 func PendingEvents(d *Dispatcher) []routing.Event { return d.events }
 
-// RecordCounts returns how many requests, IDs of requests and attempts a Dispatcher holds.
+// RecordCounts returns the numbers of requests, request IDs and attempts in a Dispatcher's tables.
 func RecordCounts(d *Dispatcher) (requests, ids, attempts int) {
 	return d.requests.requests.Len(), len(d.requests.refs), d.attempts.attempts.Len()
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// fakeLoop is an event loop with a clock that the test sets. A pass of the loop ends when the test says so, with
-// runPosted: what a test does before it happens in one pass.
+// fakeLoop is an event loop whose clock and passes are controlled by the test. A pass lasts until the test calls
+// runPosted.
 type fakeLoop struct {
 	now       time.Duration
 	deadlines deadline.Queue
@@ -30,7 +30,7 @@
 
 func (l *fakeLoop) ClearDeadline(timer *deadline.Timer) { l.deadlines.Remove(timer) }
 
-// runPosted ends the pass: it calls what was posted, and what that posts in turn.
+// runPosted ends the pass: it calls the posted functions, including those posted by these calls.
 func (l *fakeLoop) runPosted() {
 	for len(l.posted) > 0 {
 		next := l.posted[0]
@@ -39,7 +39,7 @@
 	}
 }
 
-// skipTo sets the clock and fires the timers that are due then, all in the present pass.
+// skipTo sets the clock and fires all timers that are due by then, in the current pass.
 func (l *fakeLoop) skipTo(at time.Duration) {
 	l.now = at
 	for timer := l.deadlines.PopDue(l.now); timer != nil; timer = l.deadlines.PopDue(l.now) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// advance lets time pass: each timer fires when it is due, in a pass of its own.
+// advance moves the clock forward. Each timer fires when it is due, in a pass of its own.
 func (l *fakeLoop) advance(duration time.Duration) {
 	l.runPosted()
 	end := l.now + duration
@@ -59,12 +59,12 @@
 	l.now = end
 }
 
-// fakeWorkers is a transport that keeps the attempts for the test to end.
+// fakeWorkers is a transport that records attempts. The test reports their results.
 type fakeWorkers struct {
-	written  bool // what Cancel returns: attempts have been written
+	written  bool // returned by Cancel
 	sent     []dispatch.Attempt
 	canceled []slotmap.Ref
-	onUpdate func() // called by UpdateEndpoints; nil means nothing
+	onUpdate func() // called by UpdateEndpoints if not nil
 }
 
 func (w *fakeWorkers) UpdateEndpoints(dispatch.EndpointList) {
@@ -82,10 +82,11 @@
 
 func (*fakeWorkers) Probe(string) {}
 
-// fakeResponder is a front end that keeps the answers by tag, bodies copied, as they are valid during the call only.
+// fakeResponder is a front end that records the answers by tag. It copies the bodies, which are valid only during the
+// call.
 type fakeResponder struct {
 	answers map[slotmap.Ref][]dispatch.Answer
-	// onRespond is called with each answer that is given; nil means nothing.
+	// onRespond is called after each answer if not nil.
 	onRespond func(tag slotmap.Ref)
 }
 
@@ -105,12 +106,12 @@
 )
 
 const (
-	timeLeft            = time.Second            // of the harness's calls
+	timeLeft            = time.Second            // TimeLeft of the harness's calls
 	deduplicationWindow = 600 * time.Millisecond // of class idempotentByKey
-	poolLimit           = 20                     // body buffers of the harness
+	poolLimit           = 20                     // body buffers in the harness's pool
 )
 
-// testSettings returns settings of a small deployment, which allows a retry and a hedge.
+// testSettings returns settings that allow a retry, hedging and cancellation.
 func testSettings() routing.Settings {
 	class := routing.Class{
 		LatencyObjective:    500 * time.Millisecond,
@@ -144,7 +145,7 @@
 	lastTag   slotmap.Ref
 }
 
-// newHarness returns a harness whose endpoint list has these workers, all of them ready.
+// newHarness returns a harness with the given workers in its endpoint list, all ready.
 func newHarness(t rapid.TB, settings routing.Settings, maxOpenRequests int, workers ...string) *testHarness {
 	t.Helper()
 	router, err := routing.New(settings, 1)
@@ -165,7 +166,7 @@
 	return h
 }
 
-// endpoints returns an endpoint in this state for each ID.
+// endpoints returns an endpoint in the given state for each ID.
 func endpoints(state routing.WorkerState, ids ...string) []dispatch.Endpoint {
 	var list []dispatch.Endpoint
 	for _, id := range ids {
@@ -174,18 +175,18 @@
 	return list
 }
 
-// call returns a call of a function of its own, with a body out of the harness's pool.
+// call returns a call of a distinct function, with a body from the harness's pool.
 func (h *testHarness) call(id string, class int) dispatch.Call {
 	h.t.Helper()
 	body := h.pool.Get()
 	if body == nil {
-		h.t.Fatal("no body buffer is left")
+		h.t.Fatal("body buffer pool is exhausted")
 	}
 	body.Append([]byte("body of " + id))
 	return dispatch.Call{ID: id, Class: class, Function: "function " + id, IdempotencyKey: "key " + id, TimeLeft: timeLeft, Body: body}
 }
 
-// submit submits a call under a new tag, which must succeed.
+// submit submits a call with a new tag, and fails the test if Submit returns an error.
 func (h *testHarness) submit(call dispatch.Call) (ref, tag slotmap.Ref) {
 	h.t.Helper()
 	h.lastTag++
@@ -196,13 +197,13 @@
 	return ref, h.lastTag
 }
 
-// send submits a call of this class, ends the pass and returns the attempt that was sent for it.
+// send submits a call of a class, ends the pass and returns the attempt that was sent.
 func (h *testHarness) send(id string, class int) (attempt dispatch.Attempt, ref, tag slotmap.Ref) {
 	h.t.Helper()
 	return h.sendCall(h.call(id, class))
 }
 
-// sendCall submits a call, ends the pass and returns the attempt that was sent for it.
+// sendCall submits a call, ends the pass and returns the attempt that was sent.
 func (h *testHarness) sendCall(call dispatch.Call) (attempt dispatch.Attempt, ref, tag slotmap.Ref) {
 	h.t.Helper()
 	before := len(h.workers.sent)
@@ -214,12 +215,12 @@
 	return h.workers.sent[before], ref, tag
 }
 
-// hedge submits an idempotent call and has a second attempt sent for it while the first is in flight.
+// hedge submits an idempotent call and advances time until a hedge is sent while the first attempt is in flight.
 func (h *testHarness) hedge() (first, hedge dispatch.Attempt, tag slotmap.Ref) {
 	h.t.Helper()
 	first, _, tag = h.send("a", idempotent)
 	before := len(h.workers.sent)
-	h.setState(first.Worker, routing.Gone) // its attempt may still be answered
+	h.setState(first.Worker, routing.Gone) // its attempt stays in flight
 	h.loop.advance(timeLeft / 10)
 	if sent := h.workers.sent[before:]; len(sent) != 1 {
 		h.t.Fatalf("attempts sent: %v, want a hedge", sent)
@@ -227,22 +228,22 @@
 	return first, h.workers.sent[before], tag
 }
 
-// setState lists a worker in another state.
+// setState applies an endpoint update that changes the state of a worker.
 func (h *testHarness) setState(worker string, state routing.WorkerState) {
 	h.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(state, worker)})
 }
 
-// served is the result of an attempt that was answered with this body.
+// served returns the result of an attempt that was answered with a body.
 func served(body string) dispatch.AttemptResult {
 	return dispatch.AttemptResult{Outcome: routing.Served, Body: []byte(body), InFlightForFunction: dispatch.InFlightUnknown}
 }
 
-// ended is the result of an attempt that ended without a body.
+// ended returns the result of an attempt that ended without a body.
 func ended(outcome routing.Outcome) dispatch.AttemptResult {
 	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: dispatch.InFlightUnknown}
 }
 
-// wantAnswers checks which final answers a request was given: there should be one, or none.
+// wantAnswers checks the statuses of the final answers to a request. At most one is ever expected.
 func (h *testHarness) wantAnswers(tag slotmap.Ref, want ...dispatch.Status) {
 	h.t.Helper()
 	var got []dispatch.Status
@@ -262,8 +263,8 @@
 	return fmt.Sprint(names)
 }
 
-// wantLent checks how many body buffers have not been returned to the pool. A buffer that is returned twice makes it
-// one less.
+// wantLent checks how many body buffers are in use. A buffer that was returned to the pool twice lowers the count by
+// one.
 func (h *testHarness) wantLent(want int) {
 	h.t.Helper()
 	var free []*bufferpool.Buffer
@@ -274,6 +275,6 @@
 		h.pool.Put(buffer)
 	}
 	if got := poolLimit - len(free); got != want {
-		h.t.Errorf("%d body buffers are lent, want %d", got, want)
+		h.t.Errorf("%d body buffers in use, want %d", got, want)
 	}
 }
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -8,9 +8,9 @@
 	"calicohill/routing"
 )
 
-// Submit accepts a request; the responder gets exactly one final answer under the tag, unless Cancel comes first. If
-// Submit returns an error, ErrDuplicateID or ErrTooManyRequests, there will be no answer and the body remains the
-// caller's.
+// Submit accepts a request. The responder receives exactly one final answer with the tag, unless the request is
+// canceled first. If Submit returns an error, ErrDuplicateID or ErrTooManyRequests, no answer follows and the caller
+// keeps ownership of the body.
 func (d *Dispatcher) Submit(call Call, responder Responder, tag slotmap.Ref) (slotmap.Ref, error) {
 	now := d.loop.Now()
 	req, err := d.requests.add(now, &call, responder, tag)
@@ -31,9 +31,9 @@
 	return req.ref, nil
 }
 
-// Cancel withdraws a request whose client has left. It gets no answer, and no attempt is written for it from now on. An
-// attempt in flight is canceled by the Router at the end of the pass, if the settings allow that; until it has ended, the
-// request keeps its ID and its body.
+// Cancel cancels a request whose client has disconnected. The request gets no answer, and none of its attempts is
+// written after this call. The Router cancels an attempt in flight at the end of the pass, if the settings allow
+// cancellation. Until that attempt ends, the request keeps its ID and its body.
 func (d *Dispatcher) Cancel(ref slotmap.Ref) {
 	if req, ok := d.requests.withdraw(ref); ok {
 		d.log.canceled(req.ID)
@@ -41,22 +41,22 @@
 	}
 }
 
-// OpenRequests is the number of requests that are owed a final answer.
+// OpenRequests returns the number of requests without a final answer.
 func (d *Dispatcher) OpenRequests() int { return d.requests.openCount() }
 
-// MaySend reports whether an attempt may still be written. Since the Router's last step the client may have left, its
-// time have run out during a stall, or the worker have begun to drain; and workers may have forgotten the idempotency
-// key of an earlier attempt while this one waited for a connection.
+// MaySend reports whether an attempt may still be written. Several things can rule it out after the Router's last step:
+// the client disconnected, the deadline passed during a stall of the process, the worker started draining, or the
+// deduplication window of the idempotency key ended while the attempt waited for a connection.
 func (d *Dispatcher) MaySend(ref slotmap.Ref) bool { return d.attempts.maySend(ref) }
 
-// AttemptEnded reports the result of an attempt. One that has ended already, or was canceled, is ignored.
+// AttemptEnded reports the result of an attempt. It ignores an attempt that has already ended or was canceled.
 func (d *Dispatcher) AttemptEnded(ref slotmap.Ref, result AttemptResult) {
 	att, ok := d.attempts.find(ref)
 	if !ok {
 		return
 	}
-	// The client gets its answer now, not after the Router's step, since the body is valid only during this call. The
-	// Router learns of it by RequestAnswered.
+	// Answer the client before the Router's step, because the body is valid only during this call. RequestAnswered in
+	// the event tells the Router that the client has its answer.
 	if result.Outcome == routing.Served {
 		d.requests.answer(att.request, Answer{Status: Served, Body: result.Body})
 	}
@@ -65,7 +65,8 @@
 
 // ProbeEnded reports the result of a health check.
 func (d *Dispatcher) ProbeEnded(worker string, latency time.Duration, result AttemptResult) {
-	// The process may be stopped between this and the step: what the answer proves is of the time when it was asked for.
+	// Compute the send time here, because the process may be stopped before the step. The result describes the worker
+	// as of the time when the check was sent.
 	sentAt := d.loop.Now() - latency
 	d.enqueue(routing.ProbeEnded{
 		Worker: worker, SentAt: sentAt, Outcome: result.Outcome, Latency: latency, Report: result.Report,
@@ -75,46 +76,49 @@
 // HasEndpoints reports whether an endpoint list has been applied.
 func (d *Dispatcher) HasEndpoints() bool { return d.endpoints.isKnown() }
 
-// WorkerIDs returns the IDs of the listed workers in ascending order, without those that are gone.
+// WorkerIDs returns the IDs of the listed workers in ascending order. Workers that are gone are not listed.
 func (d *Dispatcher) WorkerIDs() []string { return d.endpoints.ids() }
 
 // UpdateEndpoints applies an endpoint list to the routes, the Router and the transport, in this order.
 func (d *Dispatcher) UpdateEndpoints(list EndpointList) {
 	event := d.endpoints.apply(list)
 	d.stepRoutes(d.endpoints.changed())
-	// The Router's event goes before those of the attempts that the transport ends because of the list.
+	// The Router must see the list before the ends of the attempts that the transport aborts because of it.
 	d.enqueue(event)
 	d.workers.UpdateEndpoints(list)
 }
 
-// MarkStale says that the endpoint list may be out of date for a duration from now; 0 that it is current.
+// MarkStale reports that the endpoint list may be out of date for a duration from now. A duration of 0 means that the
+// list is current.
 func (d *Dispatcher) MarkStale(duration time.Duration) {
 	d.enqueue(routing.EndpointsStale{Duration: duration})
 }
 
-// ConfirmEndpoints says that the endpoint list, as updated so far, is known to have been complete at a time; 0 stands for a
-// list of unknown age.
+// ConfirmEndpoints reports the latest time at which the endpoint list, as updated so far, was known to be complete. 0
+// means that the age of the list is unknown.
 func (d *Dispatcher) ConfirmEndpoints(asOf time.Duration) {
 	d.enqueue(routing.EndpointsConfirmed{AsOf: asOf})
 }
 
-// ApplyPeerReports passes on what other schedulers report of workers.
+// ApplyPeerReports passes other schedulers' verdicts on workers to the Router.
 func (d *Dispatcher) ApplyPeerReports(reports routing.PeerReports) { d.enqueue(reports) }
 
-// SetRoutes sets the routes for requests that are submitted from now on; nil means none. Requests that are open keep
-// the pools of their routes as they were last.
+// SetRoutes sets the routes for requests that are submitted from now on; nil means none. Open requests keep the worker
+// pools that their routes had before the call.
 func (d *Dispatcher) SetRoutes(routes *pools.Core) {
 	d.routes.set(routes)
 	d.stepRoutes(d.endpoints.changed())
 }
 
-// Shutdown has every open request get its final answer now, unserved, because the program is about to end.
+// Shutdown makes the Router reject or fail every open request at the end of the pass, because the process is about to
+// exit.
 func (d *Dispatcher) Shutdown() { d.enqueue(routing.Shutdown{}) }
 
-// LearnedState returns what the Router has learned.
+// LearnedState returns the Router's learned state.
 func (d *Dispatcher) LearnedState() routing.LearnedState { return d.router.LearnedState() }
 
-// RestoreState gives the Router what an earlier process learned. It must follow the first endpoint list.
+// RestoreState passes the learned state of an earlier process to the Router. It must be called after the first endpoint
+// list has been applied.
 func (d *Dispatcher) RestoreState(state routing.LearnedState) {
 	d.enqueue(routing.StateRestored{State: state})
 }
--- a/internal/dispatch/log.go
+++ b/internal/dispatch/log.go
@@ -8,13 +8,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// decisionLog writes what became of requests and attempts, at level debug, and what the Router notes of the workers. The
-// zero value writes nothing. It is used on the event loop only.
+// decisionLog logs the outcomes of requests and attempts at level debug, and the Router's state changes of workers and
+// the endpoint list. The zero value writes nothing. It is used on the event loop only.
 type decisionLog struct {
-	log *logrus.Entry // nil to write nothing
+	log *logrus.Entry // nil disables logging
 }
 
-// detailed returns the log of single requests, or nil if its level is not written.
+// detailed returns the entry for messages about single requests, or nil if level debug is disabled.
 func (l *decisionLog) detailed() *logrus.Entry {
 	if l.log == nil || !l.log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return nil
@@ -22,7 +22,7 @@
 	return l.log
 }
 
-// attemptEnded writes how an attempt ended.
+// attemptEnded logs the outcome of an attempt.
 func (l *decisionLog) attemptEnded(ended *attempt, outcome routing.Outcome, took time.Duration) {
 	if log := l.detailed(); log != nil {
 		log.WithFields(logrus.Fields{
@@ -32,7 +32,7 @@
 	}
 }
 
-// notServed writes why a request gets a final answer unserved.
+// notServed logs why a request is rejected or has failed.
 func (l *decisionLog) notServed(id string, status Status, reason routing.EndReason) {
 	if log := l.detailed(); log != nil {
 		message := "request failed"
@@ -43,14 +43,14 @@
 	}
 }
 
-// canceled writes that the client of a request has left.
+// canceled logs that the client canceled a request.
 func (l *decisionLog) canceled(id string) {
 	if log := l.detailed(); log != nil {
 		log.WithField("request", id).Debug("request canceled by its client")
 	}
 }
 
-// noted writes what the Router notes of the workers.
+// noted logs an action of the Router that only informs: a suspended worker, or the confirmation of the endpoint list.
 func (l *decisionLog) noted(note routing.Action) {
 	if l.log == nil {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// doubted writes that the endpoint list came into doubt, or is confirmed again.
+// doubted logs that the endpoint list has not been confirmed recently, or that it is confirmed again.
 func (l *decisionLog) doubted(note routing.EndpointsDoubted) {
 	log := l.log.WithField("age", note.Age.Round(time.Millisecond))
 	if !note.InDoubt {
@@ -71,5 +71,5 @@
 		return
 	}
 	log.WithFields(logrus.Fields{"ready": note.Ready, "usable": note.Usable}).
-		Warn("worker list in doubt: workers have to prove that they take requests")
+		Warn("worker list not confirmed recently: sending requests only to workers with a valid lease")
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -7,25 +7,25 @@
 	"calicohill/internal/runtime/slotmap"
 )
 
-// responseReserve is subtracted from each client's time: the request has been on its way, and the answer will be.
+// responseReserve is subtracted from each client's time to allow for the network latency of the request and the answer.
 const responseReserve = 3 * time.Millisecond
 
-// request is a client's request from Submit until it is answered or canceled and none of its attempts is in flight.
+// request is a client's request. It exists from Submit until it is answered or canceled and has no attempt in flight.
 type request struct {
 	Call
 	ref              slotmap.Ref
 	responder        Responder
-	tag              slotmap.Ref   // the responder's name for the request
-	deadline         time.Duration // when the client gives up, less responseReserve
-	answered         bool          // no answer is owed any more
+	tag              slotmap.Ref   // identifies the request to the responder
+	deadline         time.Duration // the client's deadline less responseReserve
+	answered         bool          // answered or canceled: no answer may follow
 	attempts         []slotmap.Ref // by attempt number
 	attemptsInFlight int
 }
 
-// isAnswered reports whether no answer is owed any more: the request was answered, or its client has left.
+// isAnswered reports whether the request was answered or canceled, so that no answer may follow.
 func (r *request) isAnswered() bool { return r.answered }
 
-// beginAttempt records an attempt that is in flight from now on, and returns its number, counted from 0.
+// beginAttempt records the start of an attempt and returns its number, counted from 0.
 func (r *request) beginAttempt(ref slotmap.Ref) (number int) {
 	number = len(r.attempts)
 	r.attempts = append(r.attempts, ref)
@@ -33,10 +33,11 @@
 	return number
 }
 
-// endAttempt records that one of the attempts is in flight no more.
+// endAttempt records the end of an attempt.
 func (r *request) endAttempt() { r.attemptsInFlight-- }
 
-// attemptRef returns the attempt of a number, in flight or not; the zero Ref if there was none.
+// attemptRef returns the Ref of the attempt with a number, whether it is in flight or not. It is the zero Ref if there
+// is no such attempt.
 func (r *request) attemptRef(number int) slotmap.Ref {
 	if number >= len(r.attempts) {
 		return 0
@@ -44,29 +45,29 @@
 	return r.attempts[number]
 }
 
-// requestTable holds the requests, by Ref and by ID, and gives each its one final answer. It belongs to a Dispatcher and
-// is used on the event loop only.
+// requestTable holds the requests by Ref and by ID, and delivers the final answers, one for each request. It belongs to
+// a Dispatcher and is used on the event loop only.
 //
-// At most maxOpen requests wait for their final answer at a time; 0 means no limit. A request that was answered is kept
-// while an attempt of it is in flight.
+// At most maxOpen requests wait for their final answer at a time; 0 means no limit. An answered request stays in the
+// table while one of its attempts is in flight.
 type requestTable struct {
 	requests slotmap.Table[*request]
 	refs     map[string]slotmap.Ref // by ID
 	open     int                    // requests without a final answer
 	maxOpen  int
-	buffers  *bufferpool.Pool // bodies are returned to it
+	buffers  *bufferpool.Pool // the bodies' pool
 }
 
 func newRequestTable(maxOpen int, buffers *bufferpool.Pool) *requestTable {
 	return &requestTable{refs: map[string]slotmap.Ref{}, maxOpen: maxOpen, buffers: buffers}
 }
 
-// openCount is the number of requests that are owed a final answer.
+// openCount returns the number of requests without a final answer.
 func (t *requestTable) openCount() int { return t.open }
 
-// add stores a request that was submitted now. The error is ErrDuplicateID or ErrTooManyRequests.
+// add stores a request that is submitted at now. The error is ErrDuplicateID or ErrTooManyRequests.
 func (t *requestTable) add(now time.Duration, call *Call, responder Responder, tag slotmap.Ref) (*request, error) {
-	// The Router ignores a request whose ID it still knows, and would never answer it.
+	// The Router ignores a request whose ID is in use, and would never answer it.
 	if _, ok := t.refs[call.ID]; ok {
 		return nil, ErrDuplicateID
 	}
@@ -80,10 +81,11 @@
 	return req, nil
 }
 
-// find returns the request with an ID. An unknown ID has the zero Ref, which refers to nothing.
+// find returns the request with an ID. An unknown ID maps to the zero Ref, which refers to no request.
 func (t *requestTable) find(id string) (*request, bool) { return t.requests.Get(t.refs[id]) }
 
-// withdraw marks a request whose client has left as answered. It returns false if no answer was owed any more.
+// withdraw marks a request as answered because its client has canceled it. It returns false if the request was answered
+// or canceled before.
 func (t *requestTable) withdraw(ref slotmap.Ref) (*request, bool) {
 	req, ok := t.requests.Get(ref)
 	if !ok || req.answered {
@@ -93,7 +95,7 @@
 	return req, true
 }
 
-// answer gives the final answer, unless the request was answered or withdrawn before.
+// answer delivers the final answer, unless the request was answered or canceled before.
 func (t *requestTable) answer(req *request, answer Answer) {
 	if req.answered {
 		return
@@ -102,7 +104,7 @@
 	req.responder.Respond(req.tag, answer)
 }
 
-// answerByID gives the final answer that the Router decided on, and releases the request if it is done.
+// answerByID delivers a final answer that the Router decided on, and releases the request if it is complete.
 func (t *requestTable) answerByID(id string, answer Answer) {
 	if req, ok := t.find(id); ok {
 		t.answer(req, answer)
@@ -115,21 +117,22 @@
 	t.open--
 }
 
-// releaseByID releases the request with an ID if it is done.
+// releaseByID releases the request with an ID if it is complete.
 func (t *requestTable) releaseByID(id string) {
 	if req, ok := t.find(id); ok {
 		t.releaseIfDone(req)
 	}
 }
 
-// releaseIfDone frees a request that is answered and has no attempt in flight. It is the only place that returns a body to
-// the pool: attempts in flight have the body lent, also those that nobody waits for any more.
+// releaseIfDone removes a request that is answered and has no attempt in flight, and returns its body to the pool.
+// Bodies are returned nowhere else: attempts in flight use the body even after the request has been answered or
+// canceled.
 func (t *requestTable) releaseIfDone(req *request) {
 	if !req.answered || req.attemptsInFlight > 0 {
 		return
 	}
 	if _, ok := t.requests.Get(req.ref); !ok {
-		return // released before
+		return // already released
 	}
 	t.requests.Remove(req.ref)
 	delete(t.refs, req.ID)
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -12,8 +12,9 @@
 	"calicohill/routing"
 )
 
-// A request has one attempt in flight when its answer, its expiry and the client's leaving come, in any order. The first
-// that takes effect decides; an expiry does so at the end of its pass, since the Router might retry the request.
+// TestOneFinalAnswer guards against duplicate or missing final answers if the answer, the expiry and the cancellation
+// of a request with one attempt in flight coincide, in any order. The first that takes effect decides. An expiry takes
+// effect at the end of its pass, because the Router might retry the request.
 func TestOneFinalAnswer(t *testing.T) {
 	const (
 		answer = "answer"
@@ -22,8 +23,8 @@
 	)
 	for _, tt := range []struct {
 		order          []string
-		onePass        []dispatch.Status // final answers if all come in one pass of the loop
-		separatePasses []dispatch.Status // if each comes in a pass of its own
+		onePass        []dispatch.Status // final answers if all events occur in one pass of the loop
+		separatePasses []dispatch.Status // final answers if each event occurs in a separate pass
 	}{
 		{[]string{answer, leave, expire}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
 		{[]string{answer, expire, leave}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
@@ -74,7 +75,8 @@
 	}
 }
 
-// A request that was not served is rejected, for the client to retry, where that is harmless; otherwise it has failed.
+// TestUnservedAnswer guards against a request that is rejected, and so retried by its client, although it may have run
+// and must not run twice.
 func TestUnservedAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -102,6 +104,8 @@
 	}
 }
 
+// TestAnswerCarriesBody guards against an answer that is delayed to the end of the pass, when its body is no longer
+// valid.
 func TestAnswerCarriesBody(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	attempt, _, tag := harness.send("a", idempotent)
@@ -115,7 +119,7 @@
 	}
 }
 
-// After the client has left, nothing more is sent for its request: neither its first attempt nor a retry.
+// TestNothingSentAfterCancel guards against attempts, first ones or retries, that are sent for a canceled request.
 func TestNothingSentAfterCancel(t *testing.T) {
 	t.Run("in the pass of Submit", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0, "w1", "w2")
@@ -158,14 +162,14 @@
 	})
 }
 
-// A front end may learn that clients have left while it writes an answer. Attempts for these that the Router decided on
-// in the same step are not sent.
+// TestNothingSentAfterCancelWithinRespond guards against an attempt that is sent although the front end canceled its
+// request during the same step. A front end may detect disconnected clients while it writes an answer to another.
 func TestNothingSentAfterCancelWithinRespond(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0)
 	late := harness.call("late", idempotent)
-	late.TimeLeft = 10 * time.Millisecond // too short for any attempt: rejected by the step that sends the other
+	late.TimeLeft = 10 * time.Millisecond // too short for an attempt: rejected in the step that sends the other
 	ref, tag := harness.submit(harness.call("other", idempotent))
-	harness.loop.runPosted() // it waits, as there is no worker
+	harness.loop.runPosted() // the request waits: there is no worker
 	_, lateTag := harness.submit(late)
 	harness.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "w")})
 	harness.responder.onRespond = func(answered slotmap.Ref) {
@@ -182,6 +186,8 @@
 	harness.wantLent(0)
 }
 
+// TestSubmitRejectsOpenID guards against two requests with one ID: the Router ignores the second, which is never
+// answered.
 func TestSubmitRejectsOpenID(t *testing.T) {
 	settings := testSettings()
 	settings.CancelAllowed = false
@@ -208,7 +214,8 @@
 	harness.wantAnswers(againTag, dispatch.Served)
 }
 
-// A request that is answered no longer counts as open, though it is kept while an attempt is in flight.
+// TestMaxOpenRequests guards against answered requests that count towards the limit on open requests. They stay in the
+// table while an attempt is in flight.
 func TestMaxOpenRequests(t *testing.T) {
 	const limit = 2
 	settings := testSettings()
@@ -234,9 +241,9 @@
 	if err := submit("c"); err != nil {
 		t.Errorf("Submit after an answer: %v, want success", err)
 	}
-	harness.Cancel(ref) // its attempt stays in flight, as cancellation is forbidden
+	harness.Cancel(ref) // its attempt stays in flight because the settings forbid cancellation
 	if err := submit("d"); err != nil {
-		t.Errorf("Submit after a client left: %v, want success", err)
+		t.Errorf("Submit after a cancellation: %v, want success", err)
 	}
 	if err := submit("e"); !errors.Is(err, dispatch.ErrTooManyRequests) {
 		t.Errorf("Submit beyond the limit: %v, want %v", err, dispatch.ErrTooManyRequests)
@@ -246,7 +253,8 @@
 	}
 }
 
-// The body of a request is lent to its attempts, so that it is returned to the pool after the last of them.
+// TestBodyReturnedAfterLastAttempt guards against a body that is returned to the pool, and reused, while an attempt of
+// its request is still in flight, and against bodies that are never returned.
 func TestBodyReturnedAfterLastAttempt(t *testing.T) {
 	t.Run("not while a hedge is in flight", func(t *testing.T) {
 		settings := testSettings()
@@ -292,7 +300,7 @@
 	})
 }
 
-// Shutdown has every open request answered at once; what comes for it later is ignored.
+// TestShutdown guards against open requests that get no answer at shutdown, or a second one from a late result.
 func TestShutdown(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	inFlight, _, tag := harness.send("in flight", nonIdempotent)
