--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -10,15 +10,16 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// errConnectionClosed is logged for a connection that the service closed without an error.
+// errConnectionClosed is the error for a connection that the service closed without an error.
 var errConnectionClosed = errors.New("closed")
 
-// connection is a connection to the list service, with one poll at a time. It belongs to a Watcher, is its own
-// eventloop.ConnHandler and is used on the event loop only. parseResponse bounds what is buffered of a response.
+// connection is a connection to the list service, with one poll at a time. It belongs to a Watcher, implements
+// eventloop.ConnHandler and is used on the event loop only. parseResponse limits the bytes that are buffered of a
+// response.
 type connection struct {
 	watcher *Watcher
-	number  int       // the planner's
-	socket  gnet.Conn // nil until it is up and once it is gone
+	number  int       // assigned by the planner
+	socket  gnet.Conn // nil before the connection is established and after it is closed
 }
 
 // isOpen reports whether the Watcher still uses the connection.
@@ -26,41 +27,40 @@
 
 // poll sends a poll.
 func (c *connection) poll(timeout time.Duration) {
-	// A failed write closes the connection and is seen by Closed.
+	// A failed write closes the connection, so Closed reports it.
 	_, _ = c.socket.Write(c.watcher.pollRequest(timeout))
 }
 
-// close closes the socket, if there is one.
 func (c *connection) close() {
 	if c.socket != nil {
 		closeSocket(c.socket)
 	}
 }
 
-// closeSocket closes a socket that is no longer used. The only error is that it is closed already.
+// closeSocket closes a socket that is no longer used. Close fails only if the socket is already closed.
 func closeSocket(socket gnet.Conn) { _ = socket.EventLoop().Close(socket) }
 
-// fail reports to the planner that the connection failed, unless it is no longer used. retryAfter is how long the service
-// asked not to be polled; 0 if it did not.
+// fail reports the failure of the connection to the planner, unless the Watcher no longer uses the connection.
+// retryAfter is the value of the service's Retry-After header; 0 if absent.
 func (c *connection) fail(err error, retryAfter time.Duration) {
 	if c.isOpen() {
 		c.watcher.failed(c.number, err, retryAfter)
 	}
 }
 
-// Opened is called by the event loop when the connection is up.
+// Opened is called by the event loop when the connection is established.
 func (c *connection) Opened(socket gnet.Conn) {
 	c.socket = socket
-	if !c.isOpen() { // the planner closed it during the dial
+	if !c.isOpen() { // closed by the planner while dialing
 		closeSocket(socket)
 		return
 	}
 	c.watcher.step(pollplan.Connected{Conn: c.number})
 }
 
-// Readable is called by the event loop when bytes were received. It handles the response to a poll once it is complete.
+// Readable is called by the event loop when data was received. It handles the response to a poll once it is complete.
 func (c *connection) Readable(socket gnet.Conn) error {
-	buffered, _ := socket.Peek(-1) // it is an error only to ask for more than there is
+	buffered, _ := socket.Peek(-1) // all buffered bytes; Peek fails only for more than are buffered
 	if len(buffered) == 0 {
 		return nil
 	}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Closed is called by the event loop when the connection is gone.
+// Closed is called by the event loop when the connection is closed.
 func (c *connection) Closed(_ gnet.Conn, err error) {
 	c.socket = nil
 	if err == nil {
--- a/internal/discovery/event_log.go
+++ b/internal/discovery/event_log.go
@@ -13,44 +13,45 @@
 	"github.com/sirupsen/logrus"
 )
 
-// eventLog applies the service's numbered events in order, each once, and keeps the list that they make up. It belongs to a
-// Watcher and is used on the event loop only. The list is as large as the service makes it, within maxBodyBytes a response.
+// eventLog applies the numbered events of the list service in order, each exactly once, and holds the resulting list.
+// It belongs to a Watcher and is used on the event loop only. The size of the list is limited only by maxBodyBytes for
+// each response.
 type eventLog struct {
-	zones    []string // the platform's names, by number
-	kinds    []string // the platform's names, by number
+	zones    []string // zone names by number
+	kinds    []string // names of machine kinds by number
 	sink     func(dispatch.EndpointList)
-	onChange func() // called after events that changed the list, never between two of them; nil if nobody takes snapshots
+	onChange func() // called after a batch of events that changed the list; nil if snapshots are disabled
 	log      logrus.FieldLogger
 
-	initial        Feed              // what applyInitial applies: configured or restored
-	restored       bool              // the list is an earlier process's, and the service has not answered yet
-	targets        map[string]target // current list by UID; kept only where onChange is set
-	lastEvent      int               // number of the last event applied; 0 requests the complete list
-	serviceEvent   int               // number of the last event that the service had at its latest response
-	malformedEvent int               // number of the latest event that was rejected; the next time it is read leniently
+	initial        Feed              // configured or restored events; applied by applyInitial
+	restored       bool              // the list comes from a snapshot and the service has not answered yet
+	targets        map[string]target // current list by UID; maintained only if onChange is set
+	lastEvent      int               // number of the last applied event; 0 requests the complete list
+	serviceEvent   int               // number of the service's last event as of its latest response
+	malformedEvent int               // number of the last rejected event, which is parsed leniently when received again
 	acceptedGap    int               // events up to this number may be missing: the service no longer has them
 }
 
-// progress is what a response did to the number of the last event applied.
+// progress is the effect of a response on the number of the last applied event.
 type progress int
 
 const (
 	unchanged progress = iota
 	advanced           // events were applied
-	rewound            // the complete list is to be read, at once
+	rewound            // the complete list must be requested at once
 )
 
-// last is the number of the last event applied; 0 requests the complete list.
+// last returns the number of the last applied event; 0 requests the complete list.
 func (l *eventLog) last() int { return l.lastEvent }
 
-// isComplete reports whether every event that the service had at its latest response was applied.
+// isComplete reports whether all events that the service had as of its latest response have been applied.
 func (l *eventLog) isComplete() bool { return l.lastEvent >= l.serviceEvent }
 
-// isRestored reports whether the list is an earlier process's, and the service has not answered yet.
+// isRestored reports whether the list comes from a snapshot and the service has not answered yet.
 func (l *eventLog) isRestored() bool { return l.restored }
 
-// restore makes the list of an earlier process the initial one if it is newer than the configured events, and returns
-// whether it is.
+// restore replaces the configured events with the list from the snapshot of an earlier process if the snapshot is
+// newer, and reports whether it is.
 func (l *eventLog) restore(snapshot []byte) (newer bool, err error) {
 	var feed Feed
 	if err := json.Unmarshal(snapshot, &feed); err != nil {
@@ -61,7 +62,7 @@
 	}
 	for _, event := range feed.Events {
 		if event.Roster == nil {
-			return false, fmt.Errorf("list: event %d without workers", event.Number)
+			return false, fmt.Errorf("list: event %d has no roster", event.Number)
 		}
 		if _, err := event.endpointList(l.zones, l.kinds, false); err != nil {
 			return false, fmt.Errorf("list: %w", err)
@@ -72,8 +73,8 @@
 	return true, nil
 }
 
-// snapshot returns the number of the last event and an encoder of the complete list, in the form of a poll's response and
-// ordered by UID. The encoder owns its data: it may be called on another goroutine, later.
+// snapshot returns the number of the last event and a function that encodes the complete list as a poll response,
+// ordered by UID. The function uses a copy of the list, so it may be called later on another goroutine.
 func (l *eventLog) snapshot() (number int, encode func() ([]byte, error)) {
 	number = l.lastEvent
 	all := slices.SortedFunc(maps.Values(l.targets), func(a, b target) int { return strings.Compare(a.UID, b.UID) })
@@ -83,11 +84,11 @@
 	}
 }
 
-// applyInitial applies the events known already, configured or restored. From now on changes of the list are passed to
-// onChange, which may be nil.
+// applyInitial applies the configured or restored events and sets the function to call after changes of the list, which
+// may be nil.
 func (l *eventLog) applyInitial(onChange func()) error {
 	l.onChange = onChange
-	if n := len(l.initial.Events); n > 0 { // nobody can supply events that are missing among these
+	if n := len(l.initial.Events); n > 0 { // events missing among these cannot be requested
 		l.acceptedGap = l.initial.Events[n-1].Number
 	}
 	err := l.applyEvents(&l.initial)
@@ -95,7 +96,8 @@
 	return err
 }
 
-// applyResponse parses the body of a response and applies its events. After an error some of them may have been applied.
+// applyResponse parses the body of a response and applies its events. Some events may have been applied if it returns
+// an error.
 func (l *eventLog) applyResponse(body []byte) (progress, error) {
 	before := l.lastEvent
 	if err := l.applyBody(body); err != nil {
@@ -117,25 +119,26 @@
 		return err
 	}
 	l.serviceEvent = feed.Number
-	// A service that was replaced since the snapshot numbers its events from 1 again: request the complete list.
+	// A service that was replaced after the snapshot numbers its events from 1 again. Request the complete list.
 	restarted := l.restored && feed.Number < l.lastEvent
 	l.restored = false
 	if restarted {
 		l.log.WithFields(logrus.Fields{"event": feed.Number, "known": l.lastEvent}).
-			Warn("event numbers restarted: the endpoint list is read from its beginning")
+			Warn("event numbers restarted: requesting the complete endpoint list")
 		l.lastEvent = 0
 		return nil
 	}
 	return l.applyEvents(&feed)
 }
 
-// applyEvents applies events in order, each once. An invalid event is an error, and is requested again; if it is still
-// invalid, it is read leniently, since later events may say which workers drain. If events are missing, a drain may be
-// among them: the complete list is requested, once for each such gap.
+// applyEvents applies events in order, each exactly once. It returns an error for an invalid event, which is then
+// requested again. If the event is still invalid, it is parsed leniently, because later events may announce draining
+// workers. If events are missing, the complete list is requested, once for each gap, because the missing events may
+// announce draining workers too.
 func (l *eventLog) applyEvents(feed *Feed) error {
 	before := l.lastEvent
 	defer func() {
-		if l.onChange != nil && l.lastEvent > before { // not between two events: a snapshot never gets older
+		if l.onChange != nil && l.lastEvent > before { // once per batch, and only forward: snapshots never get older
 			l.onChange()
 		}
 	}()
@@ -146,7 +149,7 @@
 		}
 		if l.missesEvents(event) {
 			l.log.WithFields(logrus.Fields{"event": event.Number, "known": l.lastEvent}).
-				Warn("events missing: the endpoint list is read from its beginning")
+				Warn("events missing: requesting the complete endpoint list")
 			l.acceptedGap = event.Number
 			l.lastEvent = 0
 			return nil
@@ -156,14 +159,14 @@
 		}
 		l.lastEvent = event.Number
 	}
-	if len(feed.Events) == 0 { // otherwise the next poll requests events that the response left out
+	if len(feed.Events) == 0 { // otherwise the next poll requests the events omitted from the response
 		l.lastEvent = max(l.lastEvent, feed.Number)
 	}
 	return nil
 }
 
-// missesEvents reports whether events between the last one applied and this one are missing. An event with the complete list
-// needs none before it.
+// missesEvents reports whether events between the last applied event and this one are missing. An event with the
+// complete list does not depend on earlier events.
 func (l *eventLog) missesEvents(event *event) bool {
 	if event.Roster != nil && event.Roster.All {
 		return false
@@ -171,7 +174,7 @@
 	return l.lastEvent > 0 && event.Number > l.lastEvent+1 && event.Number > l.acceptedGap
 }
 
-// applyEvent hands an event's endpoints to the sink.
+// applyEvent passes the endpoints of an event to the sink.
 func (l *eventLog) applyEvent(event *event) error {
 	if event.Roster == nil {
 		return nil
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// recordTargets keeps the current list for Snapshot.
+// recordTargets updates the current list that is used for snapshots.
 func (l *eventLog) recordTargets(list *roster) {
 	if l.targets == nil || list.All {
 		l.targets = map[string]target{}
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -11,23 +11,23 @@
 	"calicohill/routing"
 )
 
-// Feed is the list service's response to a poll: the events after the one that the poll named. Known events in the
-// configuration and the list in a snapshot have the same form.
+// Feed is the list service's response to a poll: the events after the event number in the request. Configured events
+// and the list in a snapshot have the same format.
 //
-// The structs of this file mirror the service's JSON and are named after its keys, because these names and the package's
-// stand in the text of JSON errors. What leaves the package is a dispatch.EndpointList.
+// The structs in this file mirror the service's JSON and are named after its keys, because JSON errors include the
+// names of the package and its types. The package exports the list as dispatch.EndpointList.
 type Feed struct {
-	Number int     `json:"no"` // number of the last event that the service has
+	Number int     `json:"no"` // number of the service's last event
 	Events []event `json:"items"`
 }
 
-// event is a numbered change of the endpoint list. An event without a roster changes nothing but the number.
+// event is a numbered change of the endpoint list. An event without a roster only advances the event number.
 type event struct {
 	Number int     `json:"no"`
 	Roster *roster `json:"roster"`
 }
 
-// roster is the complete endpoint list (All) or the targets that changed.
+// roster is the complete endpoint list (if All is set) or the changed targets.
 type roster struct {
 	All     bool     `json:"all"`
 	Targets []target `json:"targets"`
@@ -42,17 +42,18 @@
 	PodGroup   int      `json:"pod_group"`
 	State      string   `json:"state"` // a key of workerStates
 	Capacity   *float64 `json:"capacity_hint"`
-	BootMillis float64  `json:"boot_ms"` // start of the agent, in milliseconds of Unix time
+	BootMillis float64  `json:"boot_ms"` // when the agent started, in Unix milliseconds
 }
 
+// workerStates maps the states in the service's JSON to those of the Router.
 var workerStates = map[string]routing.WorkerState{
 	"SERVING":  routing.Ready,
 	"DRAINING": routing.Draining,
 	"DELETED":  routing.Gone,
 }
 
-// endpointList converts an event's roster. An invalid target is an error; with lenient set it is kept as draining
-// instead, so that it gets no new requests while the targets beside it still count.
+// endpointList converts the roster of an event. An invalid target is an error. If lenient is set, an invalid target is
+// listed as draining instead: it receives no new requests, and the valid targets are still used.
 func (e *event) endpointList(zones, kinds []string, lenient bool) (dispatch.EndpointList, error) {
 	list := dispatch.EndpointList{Full: e.Roster.All}
 	for i := range e.Roster.Targets {
@@ -74,7 +75,8 @@
 	return list, nil
 }
 
-// workerState is the state of a target, and whether the target is valid. A deleted one needs no endpoint.
+// workerState returns the state of a target and reports whether the target is valid. A deleted target needs no
+// endpoint.
 func (t *target) workerState() (state routing.WorkerState, valid bool) {
 	state, known := workerStates[t.State]
 	if t.UID == "" || !known {
@@ -84,7 +86,7 @@
 	return state, err == nil || state == routing.Gone
 }
 
-// worker converts a target. A zone or kind that the settings don't name counts as the first.
+// worker converts a target. A zone or kind that is not in the settings is treated as the first one.
 func (t *target) worker(state routing.WorkerState, zones, kinds []string) routing.Worker {
 	worker := routing.Worker{
 		ID:      t.UID,
@@ -101,13 +103,13 @@
 	return worker
 }
 
-// ValidateKnown returns an error that names the first invalid event among those configured, or nil.
+// ValidateKnown returns an error that identifies the first invalid configured event, or nil.
 func ValidateKnown(known []byte, zones, kinds []string) error {
 	_, err := parseKnown(known, zones, kinds)
 	return err
 }
 
-// parseKnown parses the configured events; without any the Feed is empty.
+// parseKnown parses the configured events. The Feed is empty if there are none.
 func parseKnown(known []byte, zones, kinds []string) (Feed, error) {
 	var feed Feed
 	if len(known) == 0 {
--- a/internal/discovery/pollplan/backoff.go
+++ b/internal/discovery/pollplan/backoff.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// minBackoff and maxBackoff bound the pause before the next poll where polls fail; it doubles with each failure. In a
-// fleet the reconnect window comes on top.
+// minBackoff and maxBackoff limit the delay before the next poll after a failure. The delay doubles with each failure.
+// In a fleet, the wait for the slot in the reconnect window is added to it.
 const (
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 640 * time.Millisecond
 )
 
-// backoff is the pause after failures in a row, exponential between minBackoff and maxBackoff. It belongs to a Planner.
+// backoff is an exponential backoff between minBackoff and maxBackoff. It belongs to a Planner.
 type backoff struct {
-	pause time.Duration // after the last failure; 0 if the last poll succeeded
+	pause time.Duration // delay after the last failure; 0 if the last poll succeeded
 }
 
-// grow records a failure and returns the pause after it.
+// grow records a failure and returns the delay after it.
 func (b *backoff) grow() time.Duration {
 	b.pause = min(max(2*b.pause, minBackoff), maxBackoff)
 	return b.pause
 }
 
-// reset ends the series of failures.
+// reset resets the delay after a success.
 func (b *backoff) reset() { b.pause = 0 }
 
-// isZero reports whether the last poll did not fail.
+// isZero reports whether no failure was recorded since the last reset.
 func (b *backoff) isZero() bool { return b.pause == 0 }
--- a/internal/discovery/pollplan/confirm_test.go
+++ b/internal/discovery/pollplan/confirm_test.go
@@ -8,7 +8,7 @@
 	"calicohill/internal/discovery/pollplan"
 )
 
-// withoutConfirm returns the actions but Confirm, which TestConfirm checks.
+// withoutConfirm returns the actions without Confirm, which TestConfirm checks.
 func withoutConfirm(actions []pollplan.Action) []pollplan.Action {
 	return slices.DeleteFunc(slices.Clone(actions), func(action pollplan.Action) bool {
 		_, isConfirm := action.(pollplan.Confirm)
@@ -16,7 +16,7 @@
 	})
 }
 
-// confirmations returns when the actions say that the list was complete.
+// confirmations returns the times of the Confirm actions.
 func confirmations(actions []pollplan.Action) (times []time.Duration) {
 	for _, action := range actions {
 		if confirm, ok := action.(pollplan.Confirm); ok {
@@ -26,17 +26,18 @@
 	return times
 }
 
-// A response proves that the list was complete when its poll was made, and at the end of the poll's wait if it came
-// without updates after that. One that lacks events proves nothing, nor does one of an earlier process.
+// TestConfirm guards against an endpoint list that is confirmed for a time at which a drain may have been missing from
+// it. A response confirms the list as of the time when its poll was sent. A response without updates after the poll's
+// timeout confirms it as of the timeout. An incomplete response and a restored list confirm nothing.
 func TestConfirm(t *testing.T) {
 	const now = time.Hour
-	const wait = pollplan.PollTimeout // of a poll of a lone scheduler
+	const wait = pollplan.PollTimeout // poll timeout of a single scheduler
 	for _, tt := range []struct {
 		name    string
 		started pollplan.Started
 		after   time.Duration // from the poll to its response
 		answer  pollplan.Answered
-		want    []time.Duration // at the start and by the response
+		want    []time.Duration // confirmations at startup and after the response
 	}{
 		{"no list yet", pollplan.Started{}, wait, pollplan.Answered{Conn: 1}, []time.Duration{now + wait}},
 		{"configured list", pollplan.Started{HasEndpoints: true}, wait, pollplan.Answered{Conn: 1}, []time.Duration{now, now + wait}},
@@ -59,9 +60,10 @@
 	}
 }
 
-// While the service answers, the list is confirmed in time: no poll waits until it is in doubt, whatever came between.
+// TestPollsKeepListConfirmed guards against long polls that let the confirmation of the list expire although the
+// service answers each poll.
 func TestPollsKeepListConfirmed(t *testing.T) {
-	const schedulers = 300 // so many poll for as long as the protocol lets them while the service is slow
+	const schedulers = 300 // a fleet of this size uses the longest poll timeout while the service is slow
 	now := time.Hour
 	planner := pollplan.New(schedulers, time.Second, 1)
 	planner.Step(now, pollplan.Started{})
@@ -69,13 +71,13 @@
 	actions := planner.Step(now, pollplan.Connected{Conn: 1})
 	for range 50 {
 		wait := pollTimeout(t, actions)
-		now += wait - time.Millisecond // an update comes just before the end of the wait
+		now += wait - time.Millisecond // an update arrives just before the timeout
 		actions = planner.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
 		for _, at := range confirmations(actions) {
 			confirmedAt = at
 		}
 		if age := now - confirmedAt; age > 6*time.Second {
-			t.Fatalf("the list was confirmed %v ago, though each poll was answered", age)
+			t.Fatalf("the list was last confirmed %v ago although each poll was answered", age)
 		}
 		if next, ok := planner.Next(); ok && len(withoutConfirm(actions)) == 0 {
 			now = next
@@ -84,7 +86,7 @@
 	}
 }
 
-// pollTimeout returns the wait of the poll among the actions.
+// pollTimeout returns the timeout of the Poll in the actions.
 func pollTimeout(t *testing.T, actions []pollplan.Action) time.Duration {
 	t.Helper()
 	for _, action := range actions {
@@ -92,6 +94,6 @@
 			return poll.Timeout
 		}
 	}
-	t.Fatalf("no poll among %v", actions)
+	t.Fatalf("no Poll in actions %v", actions)
 	return 0
 }
--- a/internal/discovery/pollplan/connection.go
+++ b/internal/discovery/pollplan/connection.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// phase is what a connection is used for at the moment.
+// phase is the state of a connection.
 type phase int
 
 const (
 	dialing phase = iota
 	polling       // a poll is in flight
-	idle          // the next poll waits for its time
+	idle          // waiting for the time of the next poll
 )
 
-// connection is a connection to the service and its poll, one at a time. It belongs to a Planner. Methods that say so accept
-// a nil connection, which stands for none.
+// connection is a connection to the service with at most one poll in flight. It belongs to a Planner. The methods
+// hasNumber, isPolling and isIdle accept a nil connection, which means no connection.
 type connection struct {
 	number    int
 	phase     phase
-	at        time.Duration // when the poll was made; while idle, when the next is due
-	timeoutAt time.Duration // until when the service may wait with the response
-	overdueAt time.Duration // when the poll is overdue
+	at        time.Duration // when the poll was sent; while idle, when the next poll is due
+	timeoutAt time.Duration // when the service must answer the poll
+	overdueAt time.Duration // when the poll becomes overdue
 }
 
-// startPoll notes that a poll is made. It is overdue lateness after the end of its wait.
+// startPoll records that a poll is sent. The poll is overdue when lateness has passed after its timeout.
 func (c *connection) startPoll(now, timeout, lateness time.Duration) {
 	c.phase = polling
 	c.at = now
@@ -29,16 +29,17 @@
 	c.overdueAt = c.timeoutAt + lateness
 }
 
-// pollAt plans the next poll.
+// pollAt schedules the next poll.
 func (c *connection) pollAt(at time.Duration) {
 	c.phase = idle
 	c.at = at
 }
 
-// allowUntil has the poll in flight be overdue at a time at the earliest.
+// allowUntil postpones the time at which the poll in flight becomes overdue to at, if that is later.
 func (c *connection) allowUntil(at time.Duration) { c.overdueAt = max(c.overdueAt, at) }
 
-// next returns when something is due on the connection; false if nothing is.
+// next returns when the connection needs attention: its poll becomes overdue or its next poll is due. It returns false
+// while dialing.
 func (c *connection) next() (time.Duration, bool) {
 	if c.phase == polling {
 		return c.overdueAt, true
@@ -46,14 +47,14 @@
 	return c.at, c.phase == idle
 }
 
-// hasNumber reports whether the connection, which may be nil, has a number.
+// hasNumber reports whether the connection is not nil and has the given number.
 func (c *connection) hasNumber(number int) bool { return c != nil && c.number == number }
 
-// isPolling reports whether a poll is in flight on the connection, which may be nil.
+// isPolling reports whether the connection is not nil and has a poll in flight.
 func (c *connection) isPolling() bool { return c != nil && c.phase == polling }
 
-// isIdle reports whether the next poll waits for its time on the connection, which may be nil.
+// isIdle reports whether the connection is not nil and waits for the time of its next poll.
 func (c *connection) isIdle() bool { return c != nil && c.phase == idle }
 
-// hasWait reports whether the service may wait with the response to the poll.
+// hasWait reports whether the poll has a timeout above 0, so that the service may delay its response.
 func (c *connection) hasWait() bool { return c.at < c.timeoutAt }
--- a/internal/discovery/pollplan/messages.go
+++ b/internal/discovery/pollplan/messages.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// Event is what happened: a Started, Connected, Answered, Failed, AddressChanged or Stalled.
+// Event is an input of the Planner: Started, Connected, Answered, Failed, AddressChanged or Stalled.
 type Event any
 
-// Started is the start of the scheduler.
+// Started reports that the scheduler has started.
 type Started struct {
-	HasEndpoints bool // an endpoint list is known already
-	Restored     bool // that list is an earlier process's
+	HasEndpoints bool // an endpoint list was configured or restored
+	Restored     bool // the list was restored from the snapshot of an earlier process
 }
 
-// Connected reports a connection that came up.
+// Connected reports that a connection was established.
 type Connected struct{ Conn int }
 
 // Answered reports a complete response to a poll.
 type Answered struct {
 	Conn              int
-	HasUpdates        bool // it had events that were not known before
-	Incomplete        bool // the list lacks events that the service has
-	ConnectionClosing bool // the service closes the connection after it
+	HasUpdates        bool // the response contained new events
+	Incomplete        bool // the service has events that the list does not include yet
+	ConnectionClosing bool // the service closes the connection after the response
 }
 
-// Failed reports a connection that did not come up or is lost, or a response that is an error.
+// Failed reports that a connection could not be established or was lost, or that a response was an error.
 type Failed struct {
 	Conn       int
-	RetryAfter time.Duration // how long the service asked not to be polled; 0 if it did not
+	RetryAfter time.Duration // value of the Retry-After header; 0 if absent
 }
 
-// AddressChanged reports that the service is at another address.
+// AddressChanged reports that the address of the service has changed.
 type AddressChanged struct{}
 
-// Stalled reports that the process did not run for a while: it was stopped, or had no processor.
+// Stalled reports that the process was stopped or did not get processor time for a while.
 type Stalled struct{}
 
-// Action is what the caller has to do: a Dial, Poll, Close, PollOverdue, MarkStale or Confirm.
+// Action is an output of the Planner for the caller to perform: Dial, Poll, Close, PollOverdue, MarkStale or Confirm.
 type Action any
 
-// Dial opens a connection under a number of its own. Connected or Failed follows.
+// Dial opens a connection with a new number. Connected or Failed follows.
 type Dial struct{ Conn int }
 
-// Poll sends a poll over a connection. Answered or Failed follows, or neither.
+// Poll sends a poll on a connection. Answered or Failed follows, or neither if the service does not
+// respond or the connection is closed.
 type Poll struct {
 	Conn    int
-	Timeout time.Duration // how long the service may wait for an update
+	Timeout time.Duration // maximum time that the service waits for an update
 }
 
-// Close closes a connection. No event of it is expected any more.
+// Close closes a connection. The caller reports no further events of it.
 type Close struct{ Conn int }
 
-// PollOverdue says that a poll is overdue and that a new one is made beside it.
+// PollOverdue reports that a poll is overdue and that another one is sent in parallel.
 type PollOverdue struct{}
 
-// MarkStale says that the list may be outdated for this long from now on, or until a MarkStale of 0: this scheduler did not
-// poll, and the protocol counts changes published meanwhile as delivered.
+// MarkStale reports that the list may be outdated for a duration from now, or until a MarkStale of 0. The scheduler did
+// not poll for a while, and the protocol counts changes published during that time as delivered.
 type MarkStale struct{ Duration time.Duration }
 
-// Confirm says that the list is known to have been complete at a time; 0 stands for a list of unknown age.
+// Confirm reports that the list was complete at a time. 0 means that the age of the list is unknown.
 type Confirm struct{ AsOf time.Duration }
--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -1,12 +1,12 @@
-// Package pollplan decides when a scheduler polls the list service, so that hundreds of schedulers which all lost it at the
-// same moment do not all reconnect at the same moment. It has no clock and does no I/O: Step takes events and returns
-// actions.
+// Package pollplan decides when a scheduler polls the list service. It prevents hundreds of schedulers that lose the
+// service at the same time from reconnecting at the same time. It has no clock and performs no I/O: Step takes events
+// and returns actions.
 //
-// A scheduler reconnects to the service in a slot of its own: time is divided into reconnect windows, and each window has
-// the scheduler's slot at the offset that it drew at its start. So a fault that hits the whole fleet, however often, brings
-// no more than one connection of each scheduler within a window, and does not synchronize schedulers that were not. Offsets
-// by rank would be more even, but hundreds of schedulers that were all given the same rank would connect at the same moment;
-// see docs/design/coldstart.md.
+// Each scheduler reconnects in its own time slot. Time is divided into reconnect windows, and a scheduler draws the
+// offset of its slot within each window once, at startup. Faults that hit the whole fleet, however often, therefore
+// cause at most one connection per scheduler and window, and do not synchronize the schedulers. Offsets derived from
+// the rank would be distributed more evenly, but hundreds of schedulers misconfigured with the same rank would connect
+// at the same time; see docs/design/coldstart.md.
 package pollplan
 
 import (
@@ -17,67 +17,69 @@
 
 // The long poll.
 const (
-	// PollTimeout is how long the service waits for an update before it answers a poll, in the mean. It is short so that an
-	// unresponsive service is noticed well before a change that it should have delivered counts as delivered.
+	// PollTimeout is the mean time that the service waits for an update before it answers a poll. It is short so that
+	// an unresponsive service is detected well before an undelivered change counts as delivered.
 	PollTimeout = 2 * time.Second
-	// maxPollTimeout is how long the protocol lets a poll wait. Polls of a large fleet wait that long after a response that
-	// was late or missing: the service may be overloaded, and polling it more often would only add to that.
+	// maxPollTimeout is the longest timeout that the protocol allows. A large fleet uses it after a late or missing
+	// response, because the service may be overloaded and frequent polls would add to its load.
 	maxPollTimeout = 5 * time.Second
-	// maxConfirmationAge is the age of the list's last confirmation by which a poll is to be answered. A change counts as
-	// delivered 7 s after it was published, so that an older list has to be taken for outdated soon after.
+	// maxConfirmationAge is the age of the list's last confirmation at which a poll must be answered. A change counts
+	// as delivered 7 s after it was published, so a list that is not confirmed by then may be outdated.
 	maxConfirmationAge = 6 * time.Second
-	// minPollTimeout is the shortest wait of a poll that is made for that reason.
+	// minPollTimeout is the shortest timeout of a poll that is shortened because of maxConfirmationAge.
 	minPollTimeout = 500 * time.Millisecond
-	// overdueAfter is how long after the end of its wait a poll is overdue, and another is made beside it.
+	// overdueAfter is the time from a poll's timeout until the poll is overdue and another one is sent in parallel.
 	overdueAfter = 500 * time.Millisecond
-	// maxOverdueAfter is the same where the service may be overloaded. A change counts as delivered 2 s after the end of the
-	// wait, whether it was polled or not, so that the longest poll may be late for longer.
+	// maxOverdueAfter is the longest overdueAfter, used while the service may be overloaded. A change counts as
+	// delivered 2 s after the longest poll timeout, whether it is polled or not, which limits how late a response may
+	// be.
 	maxOverdueAfter = 1500 * time.Millisecond
-	// abandonAfter is the age at which an overdue poll is closed to make way for the next. Until then it keeps its position
-	// in the queue of a service that is overloaded.
+	// abandonAfter is the age at which an overdue poll is closed and replaced by the next overdue poll. Until then it
+	// keeps its position in the queue of an overloaded service.
 	abandonAfter = 20 * time.Second
-	// minPollInterval is the least time from a poll to the next if the response had no updates.
+	// minPollInterval is the minimum time from a poll to the next after a response without updates.
 	minPollInterval = 500 * time.Millisecond
-	// pollIntervalGraceFraction bounds that interval by a fraction of the drain grace.
+	// pollIntervalGraceFraction limits that interval to a fraction of the drain grace.
 	pollIntervalGraceFraction = 0.5
-	// maxPollsPerSecond and maxPollBurst bound the polls of one scheduler, whatever the responses bring.
+	// maxPollsPerSecond and maxPollBurst limit the poll rate of one scheduler, whatever the responses contain.
 	maxPollsPerSecond = 20
 	maxPollBurst      = 40
 )
 
 // Failures.
 const (
-	// maxRetryAfter bounds the Retry-After that is obeyed: a change counts as delivered 7 s later.
+	// maxRetryAfter limits the Retry-After that is respected, because a change counts as delivered 7 s after it was
+	// published.
 	maxRetryAfter = 4 * time.Second
-	// staleAfterStall is how long the service's response is waited for after a stall before the list counts as stale.
+	// staleAfterStall is how long the list is marked stale after a stall while the service has not answered.
 	staleAfterStall = 250 * time.Millisecond
 )
 
-// Planner decides for one scheduler. At most two connections are open: the current one and one whose poll is overdue. How
-// polls are spread over the fleet (fleetSpread) and the pause after failures (backoff) are components of its own. It is not
-// safe for concurrent use.
+// Planner plans the polls of one scheduler. It keeps at most two connections open: the current one and one with an
+// overdue poll. Its components spread polls over the fleet (fleetSpread) and delay polls after failures (backoff). It
+// is not safe for concurrent use.
 type Planner struct {
 	spread           fleetSpread
-	pollInterval     time.Duration // least time from a poll whose response had no updates to the next
-	slowPollTimeout  time.Duration // of polls while the service may be overloaded
-	slowOverdueAfter time.Duration // in place of overdueAfter while the service may be overloaded
+	pollInterval     time.Duration // minimum time to the next poll after a response without updates
+	slowPollTimeout  time.Duration // replaces PollTimeout while the service may be overloaded
+	slowOverdueAfter time.Duration // replaces overdueAfter while the service may be overloaded
 
-	current      *connection   // nil while the next dial is waited for
+	current      *connection   // nil until the next dial
 	dialAt       time.Duration // when to dial next; 0 if no dial is planned
-	overdue      *connection   // the one whose poll got no response in time; nil if none
+	overdue      *connection   // connection with an overdue poll; nil if none
 	lastConn     int           // number of the last connection dialed
 	backoff      backoff
-	synchronized bool          // the whole fleet may just have been answered
-	serviceSlow  bool          // the last response came late, or there was none yet
-	stale        bool          // after a stall, no response to a later poll has come yet
-	hadUpdates   bool          // the last response had some
-	confirmedAt  time.Duration // the list is known to have been complete then
+	synchronized bool          // the service may just have answered the whole fleet
+	serviceSlow  bool          // the last response was late, or there was none yet
+	stale        bool          // no poll made after the last stall has been answered yet
+	hadUpdates   bool          // the last response contained updates
+	confirmedAt  time.Duration // latest time at which the list was known to be complete
 	pollLimit    ratelimit.TokenBucket
 	actions      []Action // returned by Step, and reused by the next
 }
 
-// New returns the Planner of one of a number of schedulers, which have to obey a drain within drainGrace after it was
-// published. The seed must differ between the schedulers.
+// New returns the Planner of one scheduler in a fleet. Each scheduler must stop sending requests to a draining worker
+// within drainGrace after the drain was published. The seed must be different for each scheduler.
 func New(schedulers int, drainGrace time.Duration, seed uint64) *Planner {
 	spread := newFleetSpread(schedulers, drainGrace, seed)
 	return &Planner{
@@ -89,8 +91,8 @@
 	}
 }
 
-// Step applies events and returns the actions to carry out, in order; the slice is valid until the next Step. now must not
-// decrease between calls, and counts from long ago, as Unix time does.
+// Step applies events and returns the actions to perform, in order. The slice is valid until the next Step. now must
+// not decrease between calls and must be a time since a distant origin, such as Unix time.
 func (p *Planner) Step(now time.Duration, events ...Event) []Action {
 	p.actions = p.actions[:0]
 	for _, event := range events {
@@ -125,7 +127,8 @@
 	}
 }
 
-// Next returns by when Step has to be called if there is no event before; false if it need not be.
+// Next returns the time at which Step must be called if no event occurs before. It returns false if there is no such
+// time.
 func (p *Planner) Next() (time.Duration, bool) {
 	if p.current == nil {
 		return p.dialAt, p.dialAt > 0
@@ -137,11 +140,11 @@
 func (p *Planner) started(now time.Duration, event Started) {
 	p.dialAt = now
 	p.synchronized = true
-	if event.HasEndpoints { // without endpoints a scheduler can serve nothing, and polls before the others
+	if event.HasEndpoints { // a scheduler without endpoints cannot serve requests, so it polls without delay
 		p.dialAt += p.spread.afterUpdate()
 	}
 	switch {
-	case event.Restored: // nobody knows what has changed since it was saved
+	case event.Restored: // changes since the snapshot are unknown
 		p.actions = append(p.actions, Confirm{0})
 	case event.HasEndpoints:
 		p.confirm(now)
@@ -152,7 +155,7 @@
 	}
 }
 
-// timerExpired does what is due at the time that Next returned.
+// timerExpired performs the work that is due at the time returned by Next.
 func (p *Planner) timerExpired(now time.Duration) {
 	switch {
 	case p.current == nil:
@@ -167,8 +170,9 @@
 	}
 }
 
-// pollOverdue replaces a poll that is overdue by a new one. The overdue poll stays open, since it keeps its position in the
-// service's queue; if an earlier overdue poll is still open, that one is kept instead until it is abandoned.
+// pollOverdue plans a new poll to replace an overdue one. The overdue poll stays open to keep its position in the
+// service's queue. If an earlier overdue poll is still open and not yet abandoned, that one is kept and the current one
+// is closed.
 func (p *Planner) pollOverdue(now time.Duration) {
 	if p.overdue != nil && now-p.overdue.at >= abandonAfter {
 		p.closeConnection(&p.overdue)
@@ -183,7 +187,7 @@
 	p.actions = append(p.actions, PollOverdue{})
 }
 
-// poll polls over the current connection, as soon as the bound on polls allows.
+// poll polls on the current connection, as soon as the rate limit allows.
 func (p *Planner) poll(now time.Duration) {
 	conn := p.current
 	if !p.pollLimit.Take(now, 1, maxPollsPerSecond, maxPollBurst) {
@@ -199,10 +203,10 @@
 	if p.synchronized {
 		timeout = p.spread.jittered(timeout)
 	}
-	if p.hadUpdates { // a response with updates confirms the list as of its poll, which may have waited for long
+	if p.hadUpdates { // the response confirmed the list only as of the start of its poll, perhaps long ago
 		timeout = min(timeout, max(minPollTimeout, p.confirmedAt+maxConfirmationAge-now))
 	}
-	if p.stale { // a response is needed at once, with updates or without
+	if p.stale { // the service must answer at once, even without updates
 		timeout = 0
 	}
 	conn.startPoll(now, timeout, lateness)
@@ -211,7 +215,7 @@
 	p.actions = append(p.actions, Poll{conn.number, timeout})
 }
 
-// answered plans the poll after a response.
+// answered plans the next poll after a response.
 func (p *Planner) answered(now time.Duration, event Answered) {
 	p.confirmBy(now, event)
 	if p.overdue.hasNumber(event.Conn) && !p.resume() {
@@ -222,7 +226,7 @@
 		return
 	}
 	if p.stale {
-		p.stale = conn.hasWait() // a poll with a wait was made before the stall
+		p.stale = conn.hasWait() // a poll with a timeout was made before the stall
 		if !p.stale {
 			p.actions = append(p.actions, MarkStale{0})
 		}
@@ -240,8 +244,9 @@
 	conn.pollAt(next)
 }
 
-// confirmBy confirms the list by a response. It was complete when the poll was made, since the service had the poll after
-// that; a response without updates came after the whole wait, if that is over.
+// confirmBy confirms the list after a response. The list was complete when the poll was sent, because the service
+// answered the poll later. If the response has no updates and the poll's timeout has passed, the list was complete at
+// the timeout.
 func (p *Planner) confirmBy(now time.Duration, event Answered) {
 	conn := p.current
 	if p.overdue.hasNumber(event.Conn) {
@@ -257,7 +262,7 @@
 	p.confirm(conn.at)
 }
 
-// confirm notes that the list was complete at a time.
+// confirm records that the list was complete at a time.
 func (p *Planner) confirm(asOf time.Duration) {
 	if asOf > p.confirmedAt {
 		p.confirmedAt = asOf
@@ -265,8 +270,8 @@
 	}
 }
 
-// resume makes the connection of the overdue poll, which was answered after all, the current one again. It returns false if
-// the poll that was to replace it is already in flight: then it closes the connection of the overdue poll.
+// resume makes the connection of the overdue poll current again after its poll was answered. If the replacement poll is
+// already in flight, it closes the overdue connection instead and returns false.
 func (p *Planner) resume() bool {
 	if p.current.isPolling() {
 		p.closeConnection(&p.overdue)
@@ -280,7 +285,7 @@
 	return true
 }
 
-// nextPoll is when to poll after a response on the current connection.
+// nextPoll returns when to poll after a response on the current connection.
 func (p *Planner) nextPoll(now time.Duration, event Answered) time.Duration {
 	next := now
 	if !event.HasUpdates && p.current.hasWait() {
@@ -293,8 +298,8 @@
 	return next
 }
 
-// stalled polls the service at once, unless a poll is still waiting there: what the service published meanwhile would have
-// answered it.
+// stalled plans an immediate poll, unless a poll is still waiting at the service. A change published during the stall
+// would have answered that poll.
 func (p *Planner) stalled(now time.Duration) {
 	conn := p.current
 	if conn.isPolling() && now < conn.timeoutAt {
@@ -307,12 +312,12 @@
 		p.dialAt = now
 	case conn.isIdle():
 		conn.pollAt(now)
-	case conn != nil: // its response may have come and not be read yet
+	case conn != nil: // a response may have been received but not read yet
 		conn.allowUntil(now + staleAfterStall)
 	}
 }
 
-// failed plans the next connection after the current one failed.
+// failed plans the next dial after the current connection failed.
 func (p *Planner) failed(now time.Duration, event Failed) {
 	if p.overdue.hasNumber(event.Conn) {
 		p.closeConnection(&p.overdue)
@@ -326,7 +331,7 @@
 	p.dialAt = p.spread.nextSlot(now + max(p.backoff.grow(), min(event.RetryAfter, maxRetryAfter)))
 }
 
-// closeConnection closes the connection that a field of the Planner holds, if any, and clears the field.
+// closeConnection closes the connection in a field of the Planner, if any, and clears the field.
 func (p *Planner) closeConnection(field **connection) {
 	if *field != nil {
 		p.actions = append(p.actions, Close{(*field).number})
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -14,14 +14,16 @@
 )
 
 const (
-	// fleetSize is the size of a large fleet.
+	// fleetSize is the number of schedulers in a large fleet.
 	fleetSize = 300
-	// evenPeak is how many polls there are within 100 ms when each scheduler of it polls once in the 2 s of the protocol.
+	// evenPeak is the number of polls within 100 ms if each scheduler polls once in 2 s and the polls are evenly
+	// spread.
 	evenPeak = fleetSize / 20
 )
 
-// Whatever fault 300 schedulers meet together, no tenth of a second sees more than twice the even spread of their polls
-// over the time that the protocol allows: 2 s after connections broke; 1 s, for a drain, where the service is healthy.
+// TestPollsSpreadAfterFaults guards against a thundering herd of polls or connections after a fault that hits all 300
+// schedulers at once. Within any 100 ms, the fleet may send at most twice the polls of an even distribution over the
+// time that the protocol allows: 2 s after broken connections, and 1 s, for a drain, while the service is healthy.
 func TestPollsSpreadAfterFaults(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -38,7 +40,7 @@
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
 		}},
-		// Answered all at once, they have to poll again within the second that a drain allows.
+		// The service answers all polls at once, so the schedulers must poll again within the drain grace of 1 s.
 		{"silent for 8 s", 2 * fleetSize / 10, func(fleet *virtual.PollSimulation) {
 			fleet.SetFault(standin.ListUnresponsive)
 			fleet.Run(8 * time.Second)
@@ -55,23 +57,24 @@
 			fleet := virtual.NewPollSimulation(fleetSize, time.Second, seed, true)
 			fleet.Run(10 * time.Second)
 			if got := report.PeakPer100ms(fleet.Polls, 0); got > 2*fleetSize/10 {
-				t.Errorf("start, seed %d: %d polls within 100 ms", seed, got)
+				t.Errorf("startup, seed %d: %d polls within 100 ms", seed, got)
 			}
 			at := fleet.Now
 			tt.do(fleet)
 			fleet.Run(30 * time.Second)
 			if got := report.PeakPer100ms(fleet.Polls, at); got > tt.bound {
-				t.Errorf("%s, seed %d: %d polls within 100 ms, even are %d", tt.name, seed, got, evenPeak)
+				t.Errorf("%s, seed %d: %d polls within 100 ms, evenly spread %d", tt.name, seed, got, evenPeak)
 			}
 			if got := report.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
-				t.Errorf("%s, seed %d: %d connections within 100 ms, even are %d", tt.name, seed, got, evenPeak)
+				t.Errorf("%s, seed %d: %d connections within 100 ms, evenly spread %d", tt.name, seed, got, evenPeak)
 			}
 		}
 	}
 }
 
-// What a healthy service publishes counts as delivered to all, also to schedulers that have just started or are between two
-// polls: each knows it in time to send nothing to a draining worker after the drain grace, however long that is.
+// TestHealthyServiceUpdatesInTime guards against schedulers that learn of a drain too late while the service is
+// healthy. An update counts as delivered even to schedulers that have just started or are between two polls, so every
+// scheduler must receive it within the drain grace.
 func TestHealthyServiceUpdatesInTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 300 * time.Millisecond, 100 * time.Millisecond} {
 		for seed := range uint64(5) {
@@ -82,7 +85,7 @@
 				fleet.Run(grace * 8 / 10)
 				for i, node := range fleet.Schedulers {
 					if node.LastEvent != fleet.Queue.LastEvent {
-						t.Fatalf("seed %d: scheduler %d does not know event %d after %v", seed, i, fleet.Queue.LastEvent, grace*8/10)
+						t.Fatalf("seed %d: scheduler %d has not received event %d after %v", seed, i, fleet.Queue.LastEvent, grace*8/10)
 					}
 				}
 				fleet.Run(time.Duration(rng.IntN(3000)) * time.Millisecond)
@@ -91,7 +94,8 @@
 	}
 }
 
-// An event answers all polls at once. The polls after it are spread, and soon no schedulers are synchronized.
+// TestNotSynchronizedAfterUpdate guards against schedulers that poll in lockstep after an event, which answers all
+// polls at once.
 func TestNotSynchronizedAfterUpdate(t *testing.T) {
 	fleet := virtual.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.Run(10 * time.Second)
@@ -99,15 +103,17 @@
 	at := fleet.Now
 	fleet.Run(10 * time.Second)
 	if got := report.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
-		t.Errorf("%d of %d poll within 100 ms after an event", got, fleetSize)
+		t.Errorf("%d of %d schedulers poll within 100 ms after an event", got, fleetSize)
 	}
 	if got := report.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
-		t.Errorf("%d poll within 100 ms a second after an event, even are %d", got, evenPeak)
+		t.Errorf("%d schedulers poll within 100 ms a second after an event, evenly spread %d", got, evenPeak)
 	}
 }
 
-// With a service that answers a tenth of what the fleet polls in its 2 s, all schedulers have the list after 1.3 times the
-// least possible time, and all together make at most 1.2 times the polls that the protocol's 7 s require.
+// TestRateLimitedService guards against retries that delay the fleet's first list or add load to a service with too
+// little capacity. The service answers a tenth of the polls that the fleet sends with a period of 2 s. All schedulers
+// must have the list within 1.3 times the minimum time, with at most 1.2 times the polls that the protocol's timeout of
+// 7 s requires.
 func TestRateLimitedService(t *testing.T) {
 	fleet := virtual.NewPollSimulation(fleetSize, time.Second, 1, true)
 	fleet.SetFault(standin.ListRateLimited)
@@ -119,7 +125,7 @@
 	polled, needed := 0, 0
 	for i, node := range fleet.Schedulers {
 		if node.LastEvent < 2 {
-			t.Errorf("scheduler %d has no list after 1.3 times the least time", i)
+			t.Errorf("scheduler %d has no list after 1.3 times the minimum time", i)
 		}
 		for _, at := range node.Polls {
 			if at < node.UpdatedAt {
@@ -129,12 +135,12 @@
 		needed += 1 + int((node.UpdatedAt-began)/(7*time.Second))
 	}
 	if polled*10 > needed*12 {
-		t.Errorf("polled %d times until all were listed, the protocol's times need %d", polled, needed)
+		t.Errorf("sent %d polls until all schedulers had the list, the protocol requires %d", polled, needed)
 	}
 }
 
-// Alone before a healthy service a scheduler polls as soon as it can: at the start, after each response, after its
-// connection broke.
+// TestLoneSchedulerPollsAtOnce guards against needless delays of a single scheduler with a healthy service. It must
+// poll immediately at startup, after each response and after a broken connection.
 func TestLoneSchedulerPollsAtOnce(t *testing.T) {
 	fleet := virtual.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
@@ -147,20 +153,21 @@
 	for _, at := range fleet.Schedulers[0].Polls {
 		got = append(got, (at - start).Round(time.Millisecond))
 	}
-	for i, want := range []time.Duration{1, 1002, 2013} { // milliseconds: a dial takes 1, an answer too
+	for i, want := range []time.Duration{1, 1002, 2013} { // in milliseconds; a dial and a response take 1 ms each
 		if want *= time.Millisecond; len(got) <= i || got[i] < want-2*time.Millisecond || got[i] > want+2*time.Millisecond {
-			t.Fatalf("polls at %v, want the %d. at %v", got, i+1, want)
+			t.Fatalf("polls at %v, want poll %d at %v", got, i+1, want)
 		}
 	}
 }
 
-// A process that was stopped does not know what was published meanwhile. The list counts as stale until the service has
-// answered a poll made after that, unless one waits there still: its response would be there to be read.
+// TestStaleAfterProcessStall guards against a scheduler that uses an outdated list after its process was stopped. The
+// list counts as stale until the service answers a poll sent after the stall. The exception is a poll whose timeout has
+// not passed: an update published during the stall would have answered it.
 func TestStaleAfterProcessStall(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		stop func(*pollplan.Planner, time.Duration) time.Duration // returns when the process goes on
-		want bool                                                 // that the list counts as stale
+		stop func(*pollplan.Planner, time.Duration) time.Duration // returns when the process resumes
+		want bool                                                 // the list counts as stale
 	}{
 		{"while a poll waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
 		{"past the end of its wait", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
@@ -182,28 +189,29 @@
 			continue
 		}
 		if polled := len(got) == 2 && got[1] == (pollplan.Poll{Conn: 1}); !polled {
-			// The old poll is answered first, and the next is made at once, for an answer at once.
+			// The old poll is answered first. The next poll is sent immediately, with timeout 0.
 			if got = withoutConfirm(planner.Step(now+1, pollplan.Answered{Conn: 1})); len(got) != 1 || got[0] != (pollplan.Poll{Conn: 1}) {
-				t.Errorf("%s: on the answer to the old poll %v", tt.name, got)
+				t.Errorf("%s: actions after the response to the old poll: %v", tt.name, got)
 			}
 		}
 		if got = withoutConfirm(planner.Step(now+2, pollplan.Answered{Conn: 1})); len(got) != 2 || got[0] != (pollplan.MarkStale{}) {
-			t.Errorf("%s: on the answer %v", tt.name, got)
+			t.Errorf("%s: actions after the response: %v", tt.name, got)
 		}
 	}
 }
 
-// A scheduler without an endpoint list polls before all others.
+// TestStartWithoutEndpointsPollsFirst guards against a startup delay of a scheduler without an endpoint list, which
+// cannot serve requests yet.
 func TestStartWithoutEndpointsPollsFirst(t *testing.T) {
 	for _, schedulers := range []int{1, fleetSize} {
 		planner := pollplan.New(schedulers, time.Second, 1)
 		if got := planner.Step(time.Hour, pollplan.Started{}); len(got) != 1 || got[0] != (pollplan.Dial{Conn: 1}) {
-			t.Errorf("of %d: at its start it does %v", schedulers, got)
+			t.Errorf("fleet of %d: actions at startup: %v, want one Dial", schedulers, got)
 		}
 	}
 }
 
-// listFaults has faults of the list service by name.
+// listFaults maps names to faults of the list service.
 var listFaults = map[string]standin.ListFault{
 	"well":   standin.ListHealthy,
 	"refuse": standin.ListRefusing,
@@ -212,9 +220,10 @@
 	"torn":   standin.ListTruncating,
 }
 
-// Whatever the order of faults: once the service has been healthy again for 7 s, a new event reaches every scheduler within
-// 2 s. After each step, the fleet has at most twice as many pending polls as schedulers, and no scheduler sends more than 60
-// polls within a second.
+// TestAnyOrderOfFaults guards against schedulers that do not recover, or that flood the service, after an arbitrary
+// sequence of faults. Once the service has been healthy for 7 s, a new event must reach every scheduler within 2 s.
+// After each step, the fleet may have at most twice as many pending polls as schedulers. No scheduler may send more
+// than 60 polls within a second.
 func TestAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
@@ -231,17 +240,17 @@
 			}
 			fleet.Run(time.Duration(rapid.IntRange(0, 9000).Draw(rt, "ms")) * time.Millisecond)
 			if fleet.Queue.Len() > 2*schedulers {
-				rt.Fatalf("%d polls pending of %d schedulers", fleet.Queue.Len(), schedulers)
+				rt.Fatalf("%d pending polls of %d schedulers", fleet.Queue.Len(), schedulers)
 			}
 		}
-		// A poll lasts for 7 s at most, so none that a fault has delayed is left after this.
+		// A poll lasts at most 7 s, so after this no poll delayed by a fault is left.
 		fleet.SetFault(standin.ListHealthy)
 		fleet.Run(7 * time.Second)
 		fleet.Publish()
 		fleet.Run(2 * time.Second)
 		for i, node := range fleet.Schedulers {
 			if node.LastEvent != fleet.Queue.LastEvent {
-				rt.Fatalf("scheduler %d knows event %d of %d", i, node.LastEvent, fleet.Queue.LastEvent)
+				rt.Fatalf("scheduler %d has received event %d of %d", i, node.LastEvent, fleet.Queue.LastEvent)
 			}
 			for k := range max(len(node.Polls)-60, 0) {
 				if node.Polls[k+60]-node.Polls[k] < time.Second {
--- a/internal/discovery/pollplan/spread.go
+++ b/internal/discovery/pollplan/spread.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	// maxReconnectWindow is the longest reconnect window: a change has to be known 2 s after a connection broke.
+	// maxReconnectWindow is the longest reconnect window. A scheduler must receive a change within 2 s after its
+	// connection broke.
 	maxReconnectWindow = 1900 * time.Millisecond
-	// reconnectWindowPerPeer is what each other scheduler adds to the window.
+	// reconnectWindowPerPeer is added to the reconnect window for each other scheduler.
 	reconnectWindowPerPeer = 20 * time.Millisecond
-	// maxUpdateWindow is the longest time over which polls are spread where nothing shows that the service is faulty: at a
-	// start, and when it has just answered the whole fleet. Its next change may be a drain, which counts as delivered
-	// whether anybody polls or not.
+	// maxUpdateWindow is the longest update window. Polls are spread over the update window while the service appears
+	// healthy: at startup, and after the service has answered the whole fleet at once. The window is short because the
+	// next change may be a drain, which counts as delivered whether it is polled or not.
 	maxUpdateWindow = 700 * time.Millisecond
-	// updateWindowPerPeer is what each other scheduler adds to the update window.
+	// updateWindowPerPeer is added to the update window for each other scheduler.
 	updateWindowPerPeer = 3 * time.Millisecond
-	// updateWindowGraceFraction bounds the update window by a fraction of the grace within which a drain has to be obeyed.
+	// updateWindowGraceFraction limits the update window to a fraction of the drain grace.
 	updateWindowGraceFraction = 0.7
-	// firstPollJitter is how far the timeout of the first poll after an event may be off PollTimeout: an event answers the
-	// polls of the whole fleet at once, and if all polls lasted equally long they would stay synchronized.
+	// firstPollJitter is the maximum deviation of the first poll's timeout after an event from the regular timeout. An
+	// event answers the polls of the whole fleet at once, and polls of equal length would stay synchronized.
 	firstPollJitter = time.Second
 )
 
-// pollStream is the second word of the random generator's seed, so that these draws are independent of the scheduler's
-// other draws from the same seed.
+// pollStream is the second word of the random generator's seed. It makes the polls independent of the scheduler's other
+// random generators, which use the same seed.
 const pollStream = 0x706f6c6c // "poll"
 
-// fleetSpread spreads the polls of a fleet over time: it has the windows that grow with the fleet, this scheduler's slot in
-// the reconnect window, and the random generator. It belongs to a Planner. Its windows are bounded by maxReconnectWindow and
-// maxUpdateWindow.
+// fleetSpread spreads the polls of a fleet over time. It holds the windows, which grow with the size of the fleet up to
+// maxReconnectWindow and maxUpdateWindow, this scheduler's slot in the reconnect window, and the random generator. It
+// belongs to a Planner.
 type fleetSpread struct {
 	reconnectWindow time.Duration
 	updateWindow    time.Duration
@@ -48,12 +49,13 @@
 	return spread
 }
 
-// interpolate is between low, for a scheduler alone, and high, for a fleet with the longest reconnect window.
+// interpolate returns a duration from low, for a single scheduler, to high, for a fleet with the longest reconnect
+// window.
 func (s *fleetSpread) interpolate(low, high time.Duration) time.Duration {
 	return low + (high-low)*s.reconnectWindow/maxReconnectWindow
 }
 
-// nextSlot returns the time of the scheduler's first slot at or after a time.
+// nextSlot returns the scheduler's first slot at or after a time.
 func (s *fleetSpread) nextSlot(from time.Duration) time.Duration {
 	if s.reconnectWindow == 0 {
 		return from
@@ -61,22 +63,22 @@
 	return from + (s.slot-from%s.reconnectWindow+s.reconnectWindow)%s.reconnectWindow
 }
 
-// afterUpdate draws a time within the update window.
+// afterUpdate returns a random delay within the update window.
 func (s *fleetSpread) afterUpdate() time.Duration { return s.draw(s.updateWindow) }
 
-// jittered draws the timeout of a poll that the fleet makes after the same response: around timeout, and at most
-// maxPollTimeout.
+// jittered returns a random poll timeout around timeout, and at most maxPollTimeout. It desynchronizes polls that
+// follow a response to the whole fleet.
 func (s *fleetSpread) jittered(timeout time.Duration) time.Duration {
 	jitter := min(firstPollJitter, s.reconnectWindow)
 	return min(timeout, maxPollTimeout-jitter) + s.draw(2*jitter) - jitter
 }
 
-// draw returns a random time from 0 to longest, both included.
+// draw returns a random duration in [0, longest].
 func (s *fleetSpread) draw(longest time.Duration) time.Duration {
 	return time.Duration(s.rng.Int64N(int64(longest) + 1))
 }
 
-// scaled is a fraction of a duration.
+// scaled returns a fraction of a duration.
 func scaled(duration time.Duration, fraction float64) time.Duration {
 	return time.Duration(fraction * float64(duration))
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Bounds on a response, against a peer that writes without end.
+// Size limits of a response. They protect against a peer that sends without end.
 const (
 	maxHeaderBytes      = 16 << 10
 	maxBodyBytes        = 4 << 20
-	maxChunkHeaderBytes = 64 // of one chunk of the chunked coding
+	maxChunkHeaderBytes = 64 // size line of a chunk
 )
 
-// lengthUnknown marks a response without Content-Length.
+// lengthUnknown is the contentLength of a response without a Content-Length header.
 const lengthUnknown = -1
 
 var (
@@ -24,13 +24,13 @@
 	headerTerminator = []byte("\r\n\r\n")
 )
 
-// errMalformedResponse is wrapped by the error of a response that is not valid HTTP/1, or exceeds the bounds above.
-var errMalformedResponse = errors.New("answer cannot be read")
+// errMalformedResponse is wrapped by errors for responses that are not valid HTTP/1 or exceed the limits above.
+var errMalformedResponse = errors.New("malformed response")
 
-// statusError is a response with another status than 200.
+// statusError is the error for a response with a status other than 200.
 type statusError struct {
 	status     string        // the status line after the version
-	retryAfter time.Duration // how long the service asks not to be polled; 0 if it doesn't
+	retryAfter time.Duration // value of the Retry-After header; 0 if absent
 }
 
 func (e statusError) Error() string { return fmt.Sprintf("status %.40q", e.status) }
@@ -38,11 +38,11 @@
 // response is an HTTP response at the beginning of a buffer.
 type response struct {
 	body    []byte
-	size    int  // bytes of the buffer that it takes; 0 if it is not complete yet
-	closing bool // the service closes the connection after it
+	size    int  // bytes used of the buffer; 0 if the response is incomplete
+	closing bool // the service closes the connection after the response
 }
 
-// responseHeader holds the fields that count of the header of a response with status 200.
+// responseHeader holds the header fields that are used of a response with status 200.
 type responseHeader struct {
 	contentLength int // bytes, or lengthUnknown
 	chunked       bool
@@ -55,7 +55,7 @@
 	headerEnd := bytes.Index(buffer[:min(len(buffer), maxHeaderBytes)], headerTerminator)
 	if headerEnd < 0 {
 		if len(buffer) >= maxHeaderBytes {
-			return response{}, fmt.Errorf("%w: head over %d bytes", errMalformedResponse, maxHeaderBytes)
+			return response{}, fmt.Errorf("%w: header exceeds %d bytes", errMalformedResponse, maxHeaderBytes)
 		}
 		return response{}, nil
 	}
@@ -71,11 +71,11 @@
 	return response{body: body, size: bodyStart + bodySize, closing: header.closing}, nil
 }
 
-// parseHeader parses the status line and the fields after it.
+// parseHeader parses the status line and the header fields.
 func parseHeader(lines []string) (responseHeader, error) {
 	version, status, _ := strings.Cut(lines[0], " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return responseHeader{}, fmt.Errorf("%w: %.40q", errMalformedResponse, lines[0])
+		return responseHeader{}, fmt.Errorf("%w: status line %.40q", errMalformedResponse, lines[0])
 	}
 	if !strings.HasPrefix(status, "200") {
 		return responseHeader{}, statusError{status: status, retryAfter: retryAfter(lines[1:])}
@@ -89,18 +89,18 @@
 	return header, nil
 }
 
-// parseField applies one field of the header. Of a repeated field the last one counts.
+// parseField parses one header field. If a field is repeated, the last one is used.
 func (h *responseHeader) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok {
-		return fmt.Errorf("%w: header %.40q", errMalformedResponse, line)
+		return fmt.Errorf("%w: header field %.40q without colon", errMalformedResponse, line)
 	}
 	value = strings.TrimSpace(value)
 	switch strings.ToLower(name) {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || length > maxBodyBytes {
-			return fmt.Errorf("%w: length %.20q", errMalformedResponse, value)
+			return fmt.Errorf("%w: invalid Content-Length %.20q", errMalformedResponse, value)
 		}
 		h.contentLength = int(length)
 	case "transfer-encoding":
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// retryAfter returns the Retry-After of a header (RFC 9110, 10.2.3), or 0 if there is none. A date counts as none, since
-// clocks differ.
+// retryAfter returns the value of the Retry-After header field (RFC 9110, section 10.2.3), or 0 if there is none. Dates
+// are ignored, because the clocks of the service and the scheduler may differ.
 func retryAfter(fields []string) time.Duration {
 	for _, line := range fields {
 		name, value, _ := strings.Cut(line, ":")
@@ -124,16 +124,16 @@
 	return 0
 }
 
-// incomplete is returned as the size of a body of which a part has not been received yet.
+// incomplete is returned as the size of a body that has not been received completely.
 const incomplete = -1
 
-// parseBody returns the body at the beginning of a buffer and how many bytes it takes there, or incomplete.
+// parseBody returns the body at the beginning of a buffer and its encoded size in bytes, or incomplete.
 func parseBody(buffer []byte, header responseHeader) (body []byte, size int, err error) {
 	if header.chunked {
 		return decodeChunked(buffer)
 	}
 	if header.contentLength == lengthUnknown {
-		return nil, incomplete, fmt.Errorf("%w: no length", errMalformedResponse)
+		return nil, incomplete, fmt.Errorf("%w: neither Content-Length nor chunked encoding", errMalformedResponse)
 	}
 	if len(buffer) < header.contentLength {
 		return nil, incomplete, nil
@@ -141,13 +141,13 @@
 	return buffer[:header.contentLength], header.contentLength, nil
 }
 
-// decodeChunked joins the chunks at the beginning of a buffer and returns how many bytes they take there, or incomplete.
+// decodeChunked joins the chunks at the beginning of a buffer and returns their encoded size in bytes, or incomplete.
 func decodeChunked(buffer []byte) (body []byte, size int, err error) {
 	for {
 		headerSize := bytes.Index(buffer[size:min(len(buffer), size+maxChunkHeaderBytes)], crlf)
 		if headerSize < 0 {
 			if len(buffer)-size >= maxChunkHeaderBytes {
-				return nil, incomplete, fmt.Errorf("%w: head of a chunk", errMalformedResponse)
+				return nil, incomplete, fmt.Errorf("%w: chunk header too long", errMalformedResponse)
 			}
 			return nil, incomplete, nil
 		}
@@ -163,7 +163,7 @@
 		body = append(body, buffer[start:end]...)
 		size = end + len(crlf)
 		if !bytes.Equal(buffer[end:size], crlf) {
-			return nil, incomplete, fmt.Errorf("%w: chunk runs on, or has a trailer", errMalformedResponse)
+			return nil, incomplete, fmt.Errorf("%w: chunk exceeds its size, or has a trailer", errMalformedResponse)
 		}
 		if length == 0 {
 			return body, size, nil
@@ -171,12 +171,12 @@
 	}
 }
 
-// parseChunkLength parses the hexadecimal length of a chunk, which may have extensions after a semicolon.
+// parseChunkLength parses the hexadecimal size of a chunk. It ignores chunk extensions.
 func parseChunkLength(header []byte, maxLength int) (int, error) {
 	text, _, _ := strings.Cut(string(header), ";")
 	length, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
 	if err != nil || int(length) > maxLength {
-		return 0, fmt.Errorf("%w: chunk of %.20q", errMalformedResponse, text)
+		return 0, fmt.Errorf("%w: invalid chunk size %.20q", errMalformedResponse, text)
 	}
 	return int(length), nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,8 +1,8 @@
-// Package discovery watches the endpoint list: it long-polls the list service (the bulletin, on the operators' pages) for
-// numbered events and hands the node agents that they name to a sink.
+// Package discovery watches the endpoint list. It long-polls the list service (called the bulletin in the operators'
+// documentation) for numbered events, and passes the node agents in them to a sink.
 //
-// When to poll is decided by package pollplan; this package has the connections, the HTTP responses and the order of the
-// events. All of it runs on the goroutine of the event loop.
+// Package pollplan decides when to poll. This package manages the connections, parses the HTTP responses and applies
+// the events in order. All code runs on the goroutine of the event loop.
 package discovery
 
 import (
@@ -18,19 +18,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// connectTimeout bounds how long a connection to the list service may take to come up.
+// connectTimeout limits the time to establish a connection to the list service.
 const connectTimeout = 250 * time.Millisecond
 
-// Loop is what a Watcher needs of the event loop.
+// Loop is the part of the event loop that a Watcher uses.
 type Loop interface {
 	dispatch.Loop
-	// Dial opens a connection and passes its events to the handler, or calls failed if that does not succeed in time.
+	// Dial opens a connection and passes its events to the handler. It calls failed if the connection is not
+	// established within the timeout.
 	Dial(addr string, timeout time.Duration, handler eventloop.ConnHandler, failed func(error))
 }
 
-// Watcher polls the list service when its Planner decides so, and passes each change of the endpoint list to a sink. It owns
-// the connections, at most two, and the timer of the next poll; the list is its eventLog's. All methods must be called on
-// the event loop.
+// Watcher polls the list service at the times that its Planner determines, and passes each change of the endpoint list
+// to a sink. It owns up to two connections and the timer of the next poll. Its eventLog owns the list. All methods must
+// be called on the event loop.
 type Watcher struct {
 	loop    Loop
 	addr    string
@@ -38,30 +39,31 @@
 	planner *pollplan.Planner
 	events  eventLog
 
-	// OnChange, if set before Start, is called after a response whose events changed the list, never between two of them.
+	// OnChange, if set before Start, is called after all events of a response that changed the list have been applied.
 	OnChange func()
-	// OnConfirmed, if set, is called with the time at which the list is known to have been complete, when that advances.
+	// OnConfirmed, if set, is called when the latest time at which the list was known to be complete advances.
 	OnConfirmed func(asOf time.Duration)
-	// OnStale, if set, is called with how long the list may be outdated after a stall, and with 0 once it is current again.
+	// OnStale, if set, is called after a stall with the duration for which the list may be outdated, and with 0 once it
+	// is current again.
 	OnStale func(time.Duration)
 
-	connections map[int]*connection // open or being opened, by the planner's number
-	unreachable bool                // the last poll failed, and that was logged
+	connections map[int]*connection // open or dialing, by the planner's connection number
+	unreachable bool                // the last poll failed and the failure was logged
 	pollTimer   deadline.Timer
 }
 
-// Options are the settings of a Watcher and what it works with.
+// Options are the settings and dependencies of a Watcher.
 type Options struct {
 	Address        string   // of the list service, host:port
-	KnownEndpoints []byte   // configured events in the form of a poll's response
-	Zones          []string // the platform's names, by number
-	WorkerKinds    []string // the platform's names, by number
+	KnownEndpoints []byte   // configured events, formatted as a poll response
+	Zones          []string // zone names by number
+	WorkerKinds    []string // names of machine kinds by number
 	Planner        *pollplan.Planner
-	Sink           func(dispatch.EndpointList) // is called with each change of the list
+	Sink           func(dispatch.EndpointList) // receives each change of the list
 	Log            logrus.FieldLogger
 }
 
-// New returns a Watcher that does nothing until Start. The error names the first of the known events that is invalid.
+// New returns a Watcher that is idle until Start. The error identifies the first invalid event in KnownEndpoints.
 func New(loop Loop, options Options) (*Watcher, error) {
 	watcher := &Watcher{
 		loop:    loop,
@@ -82,24 +84,24 @@
 	return watcher, err
 }
 
-// Restore makes the list of an earlier process the initial one if it is newer than the configured events, and returns
-// whether it is. It must be called before Start.
+// Restore replaces the configured events with the list from the snapshot of an earlier process if the snapshot is
+// newer, and reports whether it is. It must be called before Start.
 func (w *Watcher) Restore(snapshot []byte) (newer bool, err error) { return w.events.restore(snapshot) }
 
-// Snapshot returns the number of the last event and an encoder of the complete list, in the form of a poll's response and
-// ordered by UID. The encoder owns its data: it may be called on another goroutine, later.
+// Snapshot returns the number of the last event and a function that encodes the complete list as a poll response,
+// ordered by UID. The function uses a copy of the list, so it may be called later on another goroutine.
 func (w *Watcher) Snapshot() (number int, encode func() ([]byte, error)) { return w.events.snapshot() }
 
-// Start applies the events known already and begins to poll.
+// Start applies the configured or restored events and starts polling.
 func (w *Watcher) Start() {
 	if err := w.events.applyInitial(w.OnChange); err != nil {
-		w.log.WithError(err).Error("initial endpoint list rejected") // New has parsed it once
+		w.log.WithError(err).Error("initial endpoint list rejected") // unexpected: New or Restore has validated it
 	}
 	w.step(pollplan.Started{HasEndpoints: w.events.last() > 0, Restored: w.events.isRestored()})
 }
 
-// SetAddress polls the list service at another address from now on; the numbers of its events continue. Polls at the old
-// address end at once: one that still waited there would delay the first poll at the new address.
+// SetAddress changes the address of the list service; the event numbers continue. It closes the connections to the old
+// address, because a poll that waits there would delay the first poll at the new address.
 func (w *Watcher) SetAddress(addr string) {
 	if addr == w.addr {
 		return
@@ -108,12 +110,12 @@
 	w.step(pollplan.AddressChanged{})
 }
 
-// Stalled reports that the process did not run for a while.
+// Stalled reports that the process was stopped or did not get processor time for a while.
 func (w *Watcher) Stalled() { w.step(pollplan.Stalled{}) }
 
-// step passes events to the planner, carries out its actions and sets the timer for the next.
+// step passes events to the planner, performs its actions and sets the timer for the next step.
 func (w *Watcher) step(events ...pollplan.Event) {
-	// An action may lead to another step, which reuses the planner's slice.
+	// Clone the slice: an action may trigger a nested step, in which the planner reuses it.
 	for _, action := range slices.Clone(w.planner.Step(w.loop.Now(), events...)) {
 		w.perform(action)
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-// perform carries out an action of the planner.
+// perform performs an action of the planner.
 func (w *Watcher) perform(action pollplan.Action) {
 	switch action := action.(type) {
 	case pollplan.Dial:
@@ -144,11 +146,11 @@
 			w.OnConfirmed(action.AsOf)
 		}
 	case pollplan.PollOverdue:
-		w.log.Warn("poll overdue: polled once more")
+		w.log.Warn("poll overdue: sending another poll")
 	}
 }
 
-// dial opens a connection under the planner's number.
+// dial opens a connection with a number assigned by the planner.
 func (w *Watcher) dial(number int) {
 	conn := &connection{watcher: w, number: number}
 	w.connections[number] = conn
@@ -161,7 +163,7 @@
 		w.events.last(), timeout.Milliseconds(), w.addr)
 }
 
-// answered reports to the planner that a poll was answered, and what the response did to the list.
+// answered reports the response to a poll, and its effect on the list, to the planner.
 func (w *Watcher) answered(number int, result progress, connectionClosing bool) {
 	if w.unreachable {
 		w.unreachable = false
@@ -178,8 +180,8 @@
 	}
 }
 
-// failed reports to the planner that a connection failed. retryAfter is how long the service asked not to be polled; 0 if
-// it did not.
+// failed reports a failed connection to the planner. retryAfter is the value of the service's Retry-After header; 0 if
+// absent.
 func (w *Watcher) failed(number int, err error, retryAfter time.Duration) {
 	if !w.unreachable {
 		w.unreachable = true
