--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -177,7 +177,7 @@
 	if got, want := string(harness.responder.answers[nextTag][0].Body), "answer to next"; got != want {
 		t.Errorf("answered %q, want %q", got, want)
 	}
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
 
 // slot returns the slot index of a Ref, without the generation.
@@ -198,7 +198,7 @@
 	if len(harness.workers.canceled) != 0 {
 		t.Errorf("canceled %v, want nothing: both attempts have ended", harness.workers.canceled)
 	}
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
 
 // TestOtherAttemptIsCanceled guards against a first attempt that keeps running after its hedge was served, and against
@@ -211,9 +211,9 @@
 	if len(harness.workers.canceled) != 1 || harness.workers.canceled[0] != first.Ref {
 		t.Errorf("canceled %v, want %v", harness.workers.canceled, first.Ref)
 	}
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 	harness.AttemptEnded(first.Ref, served("late answer"))
 	harness.loop.advance(2 * timeLeft)
 	harness.wantAnswers(tag, dispatch.Served)
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -138,7 +138,7 @@
 			d.observeFault(action)
 		}
 	case routing.WorkerSuspended, routing.EndpointsDoubted:
-		d.log.noted(action)
+		d.log.stateChanged(action)
 	case routing.Probe:
 		d.workers.Probe(action.Worker)
 	case routing.Load:
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -18,16 +18,16 @@
 	*testHarness
 	rt       *rapid.T
 	workers  []string
-	calls    []submitted
+	calls    []submittedCall
 	inFlight []dispatch.Attempt // sent, and neither ended nor canceled
 	sent     int                // number of attempts of fakeWorkers.sent that were added to inFlight
 }
 
-// submitted is a submitted call of a randomRun.
-type submitted struct {
+// submittedCall is a call of a randomRun.
+type submittedCall struct {
 	ref, tag        slotmap.Ref
-	clientLeft      bool
-	answersWhenLeft int
+	canceled        bool
+	answersAtCancel int
 }
 
 // TestRandomOrders checks the contract of a Dispatcher for random orders of events. It guards against missing or
@@ -59,7 +59,7 @@
 	case 1:
 		r.endAttempt()
 	case 2:
-		r.clientLeaves()
+		r.cancelCall()
 	case 3:
 		worker := rapid.SampledFrom(r.workers).Draw(r.rt, "worker")
 		state := rapid.SampledFrom([]routing.WorkerState{routing.Ready, routing.Draining, routing.Gone}).Draw(r.rt, "state")
@@ -82,7 +82,7 @@
 	call.Function = fmt.Sprint("function ", rapid.IntRange(0, 2).Draw(r.rt, "function"))
 	call.TimeLeft = time.Duration(rapid.IntRange(1, int(timeLeft/time.Millisecond)).Draw(r.rt, "time left")) * time.Millisecond
 	ref, tag := r.submit(call)
-	r.calls = append(r.calls, submitted{ref: ref, tag: tag})
+	r.calls = append(r.calls, submittedCall{ref: ref, tag: tag})
 }
 
 // endAttempt ends a random attempt in flight, then checks that a second end is ignored.
@@ -102,16 +102,16 @@
 	r.AttemptEnded(ref, served("a second end, which is ignored"))
 }
 
-// clientLeaves cancels a random call, which may have been answered or canceled before.
-func (r *randomRun) clientLeaves() {
+// cancelCall cancels a random call, which may have been answered or canceled before.
+func (r *randomRun) cancelCall() {
 	if len(r.calls) == 0 {
 		return
 	}
 	call := &r.calls[rapid.IntRange(0, len(r.calls)-1).Draw(r.rt, "call")]
 	r.Cancel(call.ref)
-	if !call.clientLeft {
-		call.clientLeft = true
-		call.answersWhenLeft = len(r.responder.answers[call.tag])
+	if !call.canceled {
+		call.canceled = true
+		call.answersAtCancel = len(r.responder.answers[call.tag])
 	}
 }
 
@@ -141,7 +141,7 @@
 		if answers > 1 {
 			r.rt.Fatalf("call %d has %d answers", i, answers)
 		}
-		if call.clientLeft && answers > call.answersWhenLeft {
+		if call.canceled && answers > call.answersAtCancel {
 			r.rt.Fatalf("call %d was answered after it was canceled", i)
 		}
 	}
@@ -150,16 +150,16 @@
 // checkEnd checks that every call that was not canceled has an answer, and that all tables and buffers were released.
 func (r *randomRun) checkEnd() {
 	for i, call := range r.calls {
-		if !call.clientLeft && len(r.responder.answers[call.tag]) != 1 {
+		if !call.canceled && len(r.responder.answers[call.tag]) != 1 {
 			r.rt.Errorf("call %d has %d answers, want 1", i, len(r.responder.answers[call.tag]))
 		}
 	}
 	if got := r.OpenRequests(); got != 0 {
 		r.rt.Errorf("%d requests are open, want 0", got)
 	}
-	requests, ids, attempts := dispatch.RecordCounts(r.Dispatcher)
+	requests, ids, attempts := dispatch.TableSizes(r.Dispatcher)
 	if requests != 0 || ids != 0 || attempts != 0 {
 		r.rt.Errorf("%d requests, %d IDs and %d attempts remain, want none", requests, ids, attempts)
 	}
-	r.wantLent(0)
+	r.wantBuffersInUse(0)
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -13,7 +13,7 @@
 type endpointTable struct {
 	states     map[string]routing.WorkerState
 	attributes map[string]pools.Attributes
-	known      bool // an endpoint list has been applied
+	received   bool // an endpoint list has been applied
 }
 
 func newEndpointTable() *endpointTable {
@@ -25,7 +25,7 @@
 
 // apply applies an endpoint list and returns the corresponding event for the Router.
 func (t *endpointTable) apply(list EndpointList) routing.WorkerList {
-	t.known = true
+	t.received = true
 	event := routing.WorkerList{Kind: routing.ListChanges}
 	if list.Full {
 		event.Kind = routing.ListFull
@@ -57,8 +57,8 @@
 	}
 }
 
-// isKnown reports whether an endpoint list has been applied.
-func (t *endpointTable) isKnown() bool { return t.known }
+// hasList reports whether an endpoint list has been applied.
+func (t *endpointTable) hasList() bool { return t.received }
 
 // isReady reports whether a worker is listed and accepts requests.
 func (t *endpointTable) isReady(worker string) bool { return t.states[worker] == routing.Ready }
@@ -66,9 +66,9 @@
 // ids returns the IDs of the listed workers in ascending order.
 func (t *endpointTable) ids() []string { return slices.Sorted(maps.Keys(t.states)) }
 
-// changed returns the event that updates the pools with the attributes of all listed workers, in ascending order of
+// changeEvent returns the event that updates the pools with the attributes of all listed workers, in ascending order of
 // their IDs.
-func (t *endpointTable) changed() pools.EndpointsChanged {
+func (t *endpointTable) changeEvent() pools.EndpointsChanged {
 	var event pools.EndpointsChanged
 	for _, id := range t.ids() {
 		event.Workers = append(event.Workers, t.attributes[id])
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestRouterLearnsOfListBeforeTransport guards against failures that the Router attributes to the old state of a
+// TestRouterReceivesListBeforeTransport guards against failures that the Router attributes to the old state of a
 // worker. The transport ends attempts because of a list, so the Router must receive the list first.
-func TestRouterLearnsOfListBeforeTransport(t *testing.T) {
+func TestRouterReceivesListBeforeTransport(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	attempt, _, _ := harness.send("a", idempotent)
 	harness.workers.onUpdate = func() {
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -10,7 +10,7 @@
 // PendingEvents returns the events that are enqueued for the Router's next step.
 func PendingEvents(d *Dispatcher) []routing.Event { return d.events }
 
-// RecordCounts returns the numbers of requests, request IDs and attempts in a Dispatcher's tables.
-func RecordCounts(d *Dispatcher) (requests, ids, attempts int) {
+// TableSizes returns the numbers of requests, request IDs and attempts in a Dispatcher's tables.
+func TableSizes(d *Dispatcher) (requests, ids, attempts int) {
 	return d.requests.requests.Len(), len(d.requests.refs), d.attempts.attempts.Len()
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -263,9 +263,9 @@
 	return fmt.Sprint(names)
 }
 
-// wantLent checks how many body buffers are in use. A buffer that was returned to the pool twice lowers the count by
-// one.
-func (h *testHarness) wantLent(want int) {
+// wantBuffersInUse checks how many body buffers are in use. A buffer that was returned to the pool twice lowers the
+// count by one.
+func (h *testHarness) wantBuffersInUse(want int) {
 	h.t.Helper()
 	var free []*bufferpool.Buffer
 	for buffer := h.pool.Get(); buffer != nil; buffer = h.pool.Get() {
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -35,7 +35,7 @@
 // written after this call. The Router cancels an attempt in flight at the end of the pass, if the settings allow
 // cancellation. Until that attempt ends, the request keeps its ID and its body.
 func (d *Dispatcher) Cancel(ref slotmap.Ref) {
-	if req, ok := d.requests.withdraw(ref); ok {
+	if req, ok := d.requests.cancel(ref); ok {
 		d.log.canceled(req.ID)
 		d.enqueue(routing.ClientCanceled{ID: req.ID})
 	}
@@ -74,7 +74,7 @@
 }
 
 // HasEndpoints reports whether an endpoint list has been applied.
-func (d *Dispatcher) HasEndpoints() bool { return d.endpoints.isKnown() }
+func (d *Dispatcher) HasEndpoints() bool { return d.endpoints.hasList() }
 
 // WorkerIDs returns the IDs of the listed workers in ascending order. Workers that are gone are not listed.
 func (d *Dispatcher) WorkerIDs() []string { return d.endpoints.ids() }
@@ -82,7 +82,7 @@
 // UpdateEndpoints applies an endpoint list to the routes, the Router and the transport, in this order.
 func (d *Dispatcher) UpdateEndpoints(list EndpointList) {
 	event := d.endpoints.apply(list)
-	d.stepRoutes(d.endpoints.changed())
+	d.stepRoutes(d.endpoints.changeEvent())
 	// The Router must see the list before the ends of the attempts that the transport aborts because of it.
 	d.enqueue(event)
 	d.workers.UpdateEndpoints(list)
@@ -107,7 +107,7 @@
 // pools that their routes had before the call.
 func (d *Dispatcher) SetRoutes(routes *pools.Core) {
 	d.routes.set(routes)
-	d.stepRoutes(d.endpoints.changed())
+	d.stepRoutes(d.endpoints.changeEvent())
 }
 
 // Shutdown makes the Router reject or fail every open request at the end of the pass, because the process is about to
--- a/internal/dispatch/log.go
+++ b/internal/dispatch/log.go
@@ -14,8 +14,8 @@
 	log *logrus.Entry // nil disables logging
 }
 
-// detailed returns the entry for messages about single requests, or nil if level debug is disabled.
-func (l *decisionLog) detailed() *logrus.Entry {
+// debugLog returns the entry for messages about single requests, or nil if level debug is disabled.
+func (l *decisionLog) debugLog() *logrus.Entry {
 	if l.log == nil || !l.log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return nil
 	}
@@ -24,7 +24,7 @@
 
 // attemptEnded logs the outcome of an attempt.
 func (l *decisionLog) attemptEnded(ended *attempt, outcome routing.Outcome, took time.Duration) {
-	if log := l.detailed(); log != nil {
+	if log := l.debugLog(); log != nil {
 		log.WithFields(logrus.Fields{
 			"request": ended.request.ID, "attempt": ended.number, "worker": ended.worker,
 			"outcome": outcome.String(), "took": took.Round(time.Microsecond),
@@ -34,7 +34,7 @@
 
 // notServed logs why a request is rejected or has failed.
 func (l *decisionLog) notServed(id string, status Status, reason routing.EndReason) {
-	if log := l.detailed(); log != nil {
+	if log := l.debugLog(); log != nil {
 		message := "request failed"
 		if status == Rejected {
 			message = "request rejected"
@@ -45,31 +45,32 @@
 
 // canceled logs that the client canceled a request.
 func (l *decisionLog) canceled(id string) {
-	if log := l.detailed(); log != nil {
+	if log := l.debugLog(); log != nil {
 		log.WithField("request", id).Debug("request canceled by its client")
 	}
 }
 
-// noted logs an action of the Router that only informs: a suspended worker, or the confirmation of the endpoint list.
-func (l *decisionLog) noted(note routing.Action) {
+// stateChanged logs a state change that the Router reports: a suspended worker, or an endpoint list that is no longer
+// or again confirmed.
+func (l *decisionLog) stateChanged(action routing.Action) {
 	if l.log == nil {
 		return
 	}
-	switch note := note.(type) {
+	switch action := action.(type) {
 	case routing.WorkerSuspended:
-		l.log.WithFields(logrus.Fields{"worker": note.Worker, "reason": note.Reason.String()}).Warn("worker suspended")
+		l.log.WithFields(logrus.Fields{"worker": action.Worker, "reason": action.Reason.String()}).Warn("worker suspended")
 	case routing.EndpointsDoubted:
-		l.doubted(note)
+		l.listConfirmationChanged(action)
 	}
 }
 
-// doubted logs that the endpoint list has not been confirmed recently, or that it is confirmed again.
-func (l *decisionLog) doubted(note routing.EndpointsDoubted) {
-	log := l.log.WithField("age", note.Age.Round(time.Millisecond))
-	if !note.InDoubt {
+// listConfirmationChanged logs that the endpoint list has not been confirmed recently, or that it is confirmed again.
+func (l *decisionLog) listConfirmationChanged(action routing.EndpointsDoubted) {
+	log := l.log.WithField("age", action.Age.Round(time.Millisecond))
+	if !action.InDoubt {
 		log.Info("worker list confirmed again")
 		return
 	}
-	log.WithFields(logrus.Fields{"ready": note.Ready, "usable": note.Usable}).
+	log.WithFields(logrus.Fields{"ready": action.Ready, "usable": action.Usable}).
 		Warn("worker list not confirmed recently: sending requests only to workers with a valid lease")
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -84,9 +84,9 @@
 // find returns the request with an ID. An unknown ID maps to the zero Ref, which refers to no request.
 func (t *requestTable) find(id string) (*request, bool) { return t.requests.Get(t.refs[id]) }
 
-// withdraw marks a request as answered because its client has canceled it. It returns false if the request was answered
+// cancel marks a request as answered because its client has canceled it. It returns false if the request was answered
 // or canceled before.
-func (t *requestTable) withdraw(ref slotmap.Ref) (*request, bool) {
+func (t *requestTable) cancel(ref slotmap.Ref) (*request, bool) {
 	req, ok := t.requests.Get(ref)
 	if !ok || req.answered {
 		return nil, false
@@ -108,7 +108,7 @@
 func (t *requestTable) answerByID(id string, answer Answer) {
 	if req, ok := t.find(id); ok {
 		t.answer(req, answer)
-		t.releaseIfDone(req)
+		t.releaseIfComplete(req)
 	}
 }
 
@@ -120,14 +120,14 @@
 // releaseByID releases the request with an ID if it is complete.
 func (t *requestTable) releaseByID(id string) {
 	if req, ok := t.find(id); ok {
-		t.releaseIfDone(req)
+		t.releaseIfComplete(req)
 	}
 }
 
-// releaseIfDone removes a request that is answered and has no attempt in flight, and returns its body to the pool.
+// releaseIfComplete removes a request that is answered and has no attempt in flight, and returns its body to the pool.
 // Bodies are returned nowhere else: attempts in flight use the body even after the request has been answered or
 // canceled.
-func (t *requestTable) releaseIfDone(req *request) {
+func (t *requestTable) releaseIfComplete(req *request) {
 	if !req.answered || req.attemptsInFlight > 0 {
 		return
 	}
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -37,7 +37,7 @@
 		{[]string{leave, leave}, nil, nil},
 		{[]string{expire}, []dispatch.Status{dispatch.Rejected}, []dispatch.Status{dispatch.Rejected}},
 	} {
-		play := func(t *testing.T, settings routing.Settings, onePass bool) {
+		runOrder := func(t *testing.T, settings routing.Settings, onePass bool) {
 			t.Helper()
 			harness := newHarness(t, settings, 0, "w")
 			attempt, ref, tag := harness.send("a", idempotent)
@@ -63,15 +63,15 @@
 			if got := harness.OpenRequests(); got != 0 {
 				t.Errorf("%d requests are open, want 0", got)
 			}
-			harness.wantLent(0)
+			harness.wantBuffersInUse(0)
 		}
 		cancelForbidden := testSettings()
 		cancelForbidden.CancelAllowed = false
 		name := strings.Join(tt.order, ", then ")
-		t.Run(name+"/one pass", func(t *testing.T) { play(t, testSettings(), true) })
-		t.Run(name+"/separate passes", func(t *testing.T) { play(t, testSettings(), false) })
-		t.Run(name+"/one pass, cancel forbidden", func(t *testing.T) { play(t, cancelForbidden, true) })
-		t.Run(name+"/separate passes, cancel forbidden", func(t *testing.T) { play(t, cancelForbidden, false) })
+		t.Run(name+"/one pass", func(t *testing.T) { runOrder(t, testSettings(), true) })
+		t.Run(name+"/separate passes", func(t *testing.T) { runOrder(t, testSettings(), false) })
+		t.Run(name+"/one pass, cancel forbidden", func(t *testing.T) { runOrder(t, cancelForbidden, true) })
+		t.Run(name+"/separate passes, cancel forbidden", func(t *testing.T) { runOrder(t, cancelForbidden, false) })
 	}
 }
 
@@ -99,7 +99,7 @@
 			harness.AttemptEnded(attempt.Ref, ended(tt.outcome))
 			harness.loop.runPosted()
 			harness.wantAnswers(tag, tt.want)
-			harness.wantLent(0)
+			harness.wantBuffersInUse(0)
 		})
 	}
 }
@@ -130,7 +130,7 @@
 			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
 		}
 		harness.wantAnswers(tag)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("while it waits for a worker", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
@@ -143,7 +143,7 @@
 			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
 		}
 		harness.wantAnswers(tag)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("before its attempt fails", func(t *testing.T) {
 		settings := testSettings()
@@ -158,7 +158,7 @@
 			t.Errorf("attempts sent: %v, want the first only", harness.workers.sent)
 		}
 		harness.wantAnswers(tag)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 }
 
@@ -183,7 +183,7 @@
 	if len(harness.workers.sent) != 0 {
 		t.Errorf("attempts sent: %v, want none", harness.workers.sent)
 	}
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
 
 // TestSubmitRejectsOpenID guards against two requests with one ID: the Router ignores the second, which is never
@@ -207,7 +207,7 @@
 	wantDuplicate("while an attempt is in flight")
 	harness.AttemptEnded(attempt.Ref, served("late"))
 	harness.loop.runPosted()
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 	again, _, againTag := harness.send("a", idempotent) // released: the ID is free
 	harness.AttemptEnded(again.Ref, served("answer"))
 	harness.wantAnswers(tag)
@@ -236,7 +236,7 @@
 	if err := submit("c"); !errors.Is(err, dispatch.ErrTooManyRequests) {
 		t.Errorf("Submit beyond the limit: %v, want %v", err, dispatch.ErrTooManyRequests)
 	}
-	harness.wantLent(limit)
+	harness.wantBuffersInUse(limit)
 	harness.AttemptEnded(attempt.Ref, served("answer"))
 	if err := submit("c"); err != nil {
 		t.Errorf("Submit after an answer: %v, want success", err)
@@ -264,39 +264,39 @@
 		harness.AttemptEnded(hedge.Ref, served("answer of the hedge"))
 		harness.loop.runPosted()
 		harness.wantAnswers(tag, dispatch.Served)
-		harness.wantLent(1)
+		harness.wantBuffersInUse(1)
 		if got, want := string(first.Body), "body of a"; got != want {
 			t.Errorf("body of the attempt in flight is %q, want %q", got, want)
 		}
 		harness.AttemptEnded(first.Ref, served("answer of the first"))
 		harness.loop.runPosted()
 		harness.wantAnswers(tag, dispatch.Served)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("when the attempt is canceled", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0, "w")
 		attempt, ref, _ := harness.send("a", idempotent)
 		harness.Cancel(ref)
-		harness.wantLent(1)
+		harness.wantBuffersInUse(1)
 		harness.loop.runPosted()
 		if want := []slotmap.Ref{attempt.Ref}; !slices.Equal(harness.workers.canceled, want) {
 			t.Errorf("canceled %v, want %v", harness.workers.canceled, want)
 		}
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("without attempts", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
 		_, tag := harness.submit(harness.call("a", idempotent))
 		harness.loop.advance(timeLeft)
 		harness.wantAnswers(tag, dispatch.Rejected)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("no body", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
 		_, tag := harness.submit(dispatch.Call{ID: "a", Function: "function", TimeLeft: timeLeft})
 		harness.loop.advance(timeLeft)
 		harness.wantAnswers(tag, dispatch.Rejected)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 }
 
@@ -316,5 +316,5 @@
 	harness.wantAnswers(tag, dispatch.Failed)
 	harness.wantAnswers(waitingTag, dispatch.Rejected)
 	harness.wantAnswers(leftTag)
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
