--- a/internal/discovery/event_log.go
+++ b/internal/discovery/event_log.go
@@ -32,17 +32,17 @@
 	acceptedGap    int               // events up to this number may be missing: the service no longer has them
 }
 
-// progress is the effect of a response on the number of the last applied event.
-type progress int
+// applyResult is the effect of a response on the number of the last applied event.
+type applyResult int
 
 const (
-	unchanged progress = iota
-	advanced           // events were applied
-	rewound            // the complete list must be requested at once
+	unchanged applyResult = iota
+	advanced              // events were applied
+	rewound               // the complete list must be requested at once
 )
 
-// last returns the number of the last applied event; 0 requests the complete list.
-func (l *eventLog) last() int { return l.lastEvent }
+// lastEventNumber returns the number of the last applied event; 0 requests the complete list.
+func (l *eventLog) lastEventNumber() int { return l.lastEvent }
 
 // isComplete reports whether all events that the service had as of its latest response have been applied.
 func (l *eventLog) isComplete() bool { return l.lastEvent >= l.serviceEvent }
@@ -79,8 +79,8 @@
 	number = l.lastEvent
 	all := slices.SortedFunc(maps.Values(l.targets), func(a, b target) int { return strings.Compare(a.UID, b.UID) })
 	return number, func() ([]byte, error) {
-		whole := event{Number: number, Roster: &roster{All: true, Targets: all}}
-		return json.Marshal(Feed{Number: number, Events: []event{whole}})
+		complete := event{Number: number, Roster: &roster{All: true, Targets: all}}
+		return json.Marshal(Feed{Number: number, Events: []event{complete}})
 	}
 }
 
@@ -98,7 +98,7 @@
 
 // applyResponse parses the body of a response and applies its events. Some events may have been applied if it returns
 // an error.
-func (l *eventLog) applyResponse(body []byte) (progress, error) {
+func (l *eventLog) applyResponse(body []byte) (applyResult, error) {
 	before := l.lastEvent
 	if err := l.applyBody(body); err != nil {
 		return unchanged, err
@@ -147,7 +147,7 @@
 		if event.Number <= l.lastEvent {
 			continue
 		}
-		if l.missesEvents(event) {
+		if l.hasGapBefore(event) {
 			l.log.WithFields(logrus.Fields{"event": event.Number, "known": l.lastEvent}).
 				Warn("events missing: requesting the complete endpoint list")
 			l.acceptedGap = event.Number
@@ -165,9 +165,9 @@
 	return nil
 }
 
-// missesEvents reports whether events between the last applied event and this one are missing. An event with the
+// hasGapBefore reports whether events between the last applied event and this one are missing. An event with the
 // complete list does not depend on earlier events.
-func (l *eventLog) missesEvents(event *event) bool {
+func (l *eventLog) hasGapBefore(event *event) bool {
 	if event.Roster != nil && event.Roster.All {
 		return false
 	}
@@ -187,15 +187,15 @@
 	}
 	l.sink(list)
 	if l.onChange != nil {
-		l.recordTargets(event.Roster)
+		l.updateTargets(event.Roster)
 	}
 	l.log.WithFields(logrus.Fields{"event": event.Number, "targets": len(list.Endpoints), "all": list.Full}).
 		Info("worker list changed")
 	return nil
 }
 
-// recordTargets updates the current list that is used for snapshots.
-func (l *eventLog) recordTargets(list *roster) {
+// updateTargets updates the current list that is used for snapshots.
+func (l *eventLog) updateTargets(list *roster) {
 	if l.targets == nil || list.All {
 		l.targets = map[string]target{}
 	}
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -15,7 +15,7 @@
 // and the list in a snapshot have the same format.
 //
 // The structs in this file mirror the service's JSON and are named after its keys, because JSON errors include the
-// names of the package and its types. The package exports the list as dispatch.EndpointList.
+// names of the package and its types. Other packages receive the list as a dispatch.EndpointList.
 type Feed struct {
 	Number int     `json:"no"` // number of the service's last event
 	Events []event `json:"items"`
--- a/internal/discovery/pollplan/backoff.go
+++ b/internal/discovery/pollplan/backoff.go
@@ -14,8 +14,8 @@
 	pause time.Duration // delay after the last failure; 0 if the last poll succeeded
 }
 
-// grow records a failure and returns the delay after it.
-func (b *backoff) grow() time.Duration {
+// increase records a failure and returns the delay after it.
+func (b *backoff) increase() time.Duration {
 	b.pause = min(max(2*b.pause, minBackoff), maxBackoff)
 	return b.pause
 }
--- a/internal/discovery/pollplan/connection.go
+++ b/internal/discovery/pollplan/connection.go
@@ -35,8 +35,8 @@
 	c.at = at
 }
 
-// allowUntil postpones the time at which the poll in flight becomes overdue to at, if that is later.
-func (c *connection) allowUntil(at time.Duration) { c.overdueAt = max(c.overdueAt, at) }
+// postponeOverdue postpones the time at which the poll in flight becomes overdue to at, if that is later.
+func (c *connection) postponeOverdue(at time.Duration) { c.overdueAt = max(c.overdueAt, at) }
 
 // next returns when the connection needs attention: its poll becomes overdue or its next poll is due. It returns false
 // while dialing.
@@ -56,5 +56,5 @@
 // isIdle reports whether the connection is not nil and waits for the time of its next poll.
 func (c *connection) isIdle() bool { return c != nil && c.phase == idle }
 
-// hasWait reports whether the poll has a timeout above 0, so that the service may delay its response.
-func (c *connection) hasWait() bool { return c.at < c.timeoutAt }
+// isLongPoll reports whether the poll has a timeout above 0, so that the service may delay its response.
+func (c *connection) isLongPoll() bool { return c.at < c.timeoutAt }
--- a/internal/discovery/pollplan/planner.go
+++ b/internal/discovery/pollplan/planner.go
@@ -51,7 +51,7 @@
 	// maxRetryAfter limits the Retry-After that is respected, because a change counts as delivered 7 s after it was
 	// published.
 	maxRetryAfter = 4 * time.Second
-	// staleAfterStall is how long the list is marked stale after a stall while the service has not answered.
+	// staleAfterStall limits how long the list is marked stale after a stall if the service does not answer.
 	staleAfterStall = 250 * time.Millisecond
 )
 
@@ -217,8 +217,8 @@
 
 // answered plans the next poll after a response.
 func (p *Planner) answered(now time.Duration, event Answered) {
-	p.confirmBy(now, event)
-	if p.overdue.hasNumber(event.Conn) && !p.resume() {
+	p.confirmFromResponse(now, event)
+	if p.overdue.hasNumber(event.Conn) && !p.resumeOverdue() {
 		return
 	}
 	conn := p.current
@@ -226,7 +226,7 @@
 		return
 	}
 	if p.stale {
-		p.stale = conn.hasWait() // a poll with a timeout was made before the stall
+		p.stale = conn.isLongPoll() // a poll with a timeout was made before the stall
 		if !p.stale {
 			p.actions = append(p.actions, MarkStale{0})
 		}
@@ -244,10 +244,10 @@
 	conn.pollAt(next)
 }
 
-// confirmBy confirms the list after a response. The list was complete when the poll was sent, because the service
-// answered the poll later. If the response has no updates and the poll's timeout has passed, the list was complete at
-// the timeout.
-func (p *Planner) confirmBy(now time.Duration, event Answered) {
+// confirmFromResponse confirms the list after a response. The list was complete when the poll was sent, because the
+// service answered the poll later. If the response has no updates and the poll's timeout has passed, the list was
+// complete at the timeout.
+func (p *Planner) confirmFromResponse(now time.Duration, event Answered) {
 	conn := p.current
 	if p.overdue.hasNumber(event.Conn) {
 		conn = p.overdue
@@ -270,9 +270,9 @@
 	}
 }
 
-// resume makes the connection of the overdue poll current again after its poll was answered. If the replacement poll is
-// already in flight, it closes the overdue connection instead and returns false.
-func (p *Planner) resume() bool {
+// resumeOverdue makes the connection of the overdue poll current again after its poll was answered. If the replacement
+// poll is already in flight, it closes the overdue connection instead and returns false.
+func (p *Planner) resumeOverdue() bool {
 	if p.current.isPolling() {
 		p.closeConnection(&p.overdue)
 		p.backoff.reset()
@@ -288,7 +288,7 @@
 // nextPoll returns when to poll after a response on the current connection.
 func (p *Planner) nextPoll(now time.Duration, event Answered) time.Duration {
 	next := now
-	if !event.HasUpdates && p.current.hasWait() {
+	if !event.HasUpdates && p.current.isLongPoll() {
 		next = max(now, p.current.at+p.pollInterval)
 	}
 	p.synchronized = p.synchronized || event.HasUpdates || p.serviceSlow
@@ -313,7 +313,7 @@
 	case conn.isIdle():
 		conn.pollAt(now)
 	case conn != nil: // a response may have been received but not read yet
-		conn.allowUntil(now + staleAfterStall)
+		conn.postponeOverdue(now + staleAfterStall)
 	}
 }
 
@@ -328,7 +328,7 @@
 	}
 	p.closeConnection(&p.current)
 	p.serviceSlow = true
-	p.dialAt = p.spread.nextSlot(now + max(p.backoff.grow(), min(event.RetryAfter, maxRetryAfter)))
+	p.dialAt = p.spread.nextSlot(now + max(p.backoff.increase(), min(event.RetryAfter, maxRetryAfter)))
 }
 
 // closeConnection closes the connection in a field of the Planner, if any, and clears the field.
--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -16,9 +16,9 @@
 const (
 	// fleetSize is the number of schedulers in a large fleet.
 	fleetSize = 300
-	// evenPeak is the number of polls within 100 ms if each scheduler polls once in 2 s and the polls are evenly
+	// evenPer100ms is the number of polls within 100 ms if each scheduler polls once in 2 s and the polls are evenly
 	// spread.
-	evenPeak = fleetSize / 20
+	evenPer100ms = fleetSize / 20
 )
 
 // TestPollsSpreadAfterFaults guards against a thundering herd of polls or connections after a fault that hits all 300
@@ -30,12 +30,12 @@
 		bound int
 		do    func(*virtual.PollSimulation)
 	}{
-		{"refused for 8 s", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
+		{"refused for 8 s", 2 * evenPer100ms, func(fleet *virtual.PollSimulation) {
 			fleet.SetFault(standin.ListRefusing)
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
 		}},
-		{"busy for 8 s", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
+		{"busy for 8 s", 2 * evenPer100ms, func(fleet *virtual.PollSimulation) {
 			fleet.SetFault(standin.ListOverloaded)
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
@@ -46,8 +46,8 @@
 			fleet.Run(8 * time.Second)
 			fleet.SetFault(standin.ListHealthy)
 		}},
-		{"broken", 2 * evenPeak, (*virtual.PollSimulation).BreakConnections},
-		{"broken twice", 2 * evenPeak, func(fleet *virtual.PollSimulation) {
+		{"broken", 2 * evenPer100ms, (*virtual.PollSimulation).BreakConnections},
+		{"broken twice", 2 * evenPer100ms, func(fleet *virtual.PollSimulation) {
 			fleet.BreakConnections()
 			fleet.Run(time.Second)
 			fleet.BreakConnections()
@@ -63,10 +63,10 @@
 			tt.do(fleet)
 			fleet.Run(30 * time.Second)
 			if got := report.PeakPer100ms(fleet.Polls, at); got > tt.bound {
-				t.Errorf("%s, seed %d: %d polls within 100 ms, evenly spread %d", tt.name, seed, got, evenPeak)
+				t.Errorf("%s, seed %d: %d polls within 100 ms, evenly spread %d", tt.name, seed, got, evenPer100ms)
 			}
-			if got := report.PeakPer100ms(fleet.Dials, at); got > 2*evenPeak {
-				t.Errorf("%s, seed %d: %d connections within 100 ms, evenly spread %d", tt.name, seed, got, evenPeak)
+			if got := report.PeakPer100ms(fleet.Dials, at); got > 2*evenPer100ms {
+				t.Errorf("%s, seed %d: %d connections within 100 ms, evenly spread %d", tt.name, seed, got, evenPer100ms)
 			}
 		}
 	}
@@ -105,8 +105,8 @@
 	if got := report.PeakPer100ms(fleet.Polls, at); got > 2*fleetSize/10 {
 		t.Errorf("%d of %d schedulers poll within 100 ms after an event", got, fleetSize)
 	}
-	if got := report.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPeak {
-		t.Errorf("%d schedulers poll within 100 ms a second after an event, evenly spread %d", got, evenPeak)
+	if got := report.PeakPer100ms(fleet.Polls, at+time.Second); got > 2*evenPer100ms {
+		t.Errorf("%d schedulers poll within 100 ms a second after an event, evenly spread %d", got, evenPer100ms)
 	}
 }
 
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestLoneSchedulerPollsAtOnce guards against needless delays of a single scheduler with a healthy service. It must
-// poll immediately at startup, after each response and after a broken connection.
-func TestLoneSchedulerPollsAtOnce(t *testing.T) {
+// TestSingleSchedulerPollsImmediately guards against needless delays of a single scheduler with a healthy service. It
+// must poll immediately at startup, after each response and after a broken connection.
+func TestSingleSchedulerPollsImmediately(t *testing.T) {
 	fleet := virtual.NewPollSimulation(1, time.Second, 1, true)
 	start := fleet.Now
 	fleet.Run(time.Second)
@@ -220,11 +220,11 @@
 	"torn":   standin.ListTruncating,
 }
 
-// TestAnyOrderOfFaults guards against schedulers that do not recover, or that flood the service, after an arbitrary
-// sequence of faults. Once the service has been healthy for 7 s, a new event must reach every scheduler within 2 s.
-// After each step, the fleet may have at most twice as many pending polls as schedulers. No scheduler may send more
-// than 60 polls within a second.
-func TestAnyOrderOfFaults(t *testing.T) {
+// TestRecoveryAfterRandomFaults guards against schedulers that do not recover, or that flood the service, after an
+// arbitrary sequence of faults. Once the service has been healthy for 7 s, a new event must reach every scheduler
+// within 2 s. After each step, the fleet may have at most twice as many pending polls as schedulers. No scheduler may
+// send more than 60 polls within a second.
+func TestRecoveryAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedulers := rapid.IntRange(1, 30).Draw(rt, "schedulers")
 		fleet := virtual.NewPollSimulation(schedulers, time.Second, rapid.Uint64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "listed"))
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -97,7 +97,7 @@
 	if err := w.events.applyInitial(w.OnChange); err != nil {
 		w.log.WithError(err).Error("initial endpoint list rejected") // unexpected: New or Restore has validated it
 	}
-	w.step(pollplan.Started{HasEndpoints: w.events.last() > 0, Restored: w.events.isRestored()})
+	w.step(pollplan.Started{HasEndpoints: w.events.lastEventNumber() > 0, Restored: w.events.isRestored()})
 }
 
 // SetAddress changes the address of the list service; the event numbers continue. It closes the connections to the old
@@ -160,11 +160,11 @@
 // pollRequest returns the HTTP request for the events after the last one.
 func (w *Watcher) pollRequest(timeout time.Duration) []byte {
 	return fmt.Appendf(nil, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-		w.events.last(), timeout.Milliseconds(), w.addr)
+		w.events.lastEventNumber(), timeout.Milliseconds(), w.addr)
 }
 
 // answered reports the response to a poll, and its effect on the list, to the planner.
-func (w *Watcher) answered(number int, result progress, connectionClosing bool) {
+func (w *Watcher) answered(number int, result applyResult, connectionClosing bool) {
 	if w.unreachable {
 		w.unreachable = false
 		w.log.Info("list service reachable again")
