--- a/internal/discovery/pollplan/planner_test.go
+++ b/internal/discovery/pollplan/planner_test.go
@@ -170,7 +170,7 @@
 		want bool                                                 // the list counts as stale
 	}{
 		{"while a poll waits", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + time.Second }, false},
-		{"past the end of its wait", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
+		{"past the timeout of a poll", func(_ *pollplan.Planner, now time.Duration) time.Duration { return now + 9*time.Second }, true},
 		{"between two polls", func(planner *pollplan.Planner, now time.Duration) time.Duration {
 			planner.Step(now, pollplan.Answered{Conn: 1, HasUpdates: true})
 			return now + 600*time.Millisecond
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -178,7 +178,7 @@
 		list   func(harness *testHarness) // updates the list's status
 		sentAt time.Duration              // latest time at which the request is sent
 	}{
-		{"until the time is over", func(*testHarness) {}, stale + 20*time.Millisecond},
+		{"until the stale period ends", func(*testHarness) {}, stale + 20*time.Millisecond},
 		{"until the list is current", func(harness *testHarness) { harness.MarkStale(0) }, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -88,7 +88,7 @@
 		{"idempotent, error", idempotent, routing.Errored, dispatch.Rejected},
 		{"non-idempotent, connection reset", nonIdempotent, routing.ConnectionReset, dispatch.Failed},
 		{"non-idempotent, error", nonIdempotent, routing.Errored, dispatch.Failed},
-		{"non-idempotent, shed unseen", nonIdempotent, routing.Shed, dispatch.Rejected},
+		{"non-idempotent, shed before execution", nonIdempotent, routing.Shed, dispatch.Rejected},
 		{"non-idempotent, never sent", nonIdempotent, routing.NotSent, dispatch.Rejected},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
