--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -13,25 +13,26 @@
 	"pgregory.net/rapid"
 )
 
-// randomRun is a run in which calls, answers, cancellations, endpoint lists and time come in any order.
+// randomRun exercises a Dispatcher with calls, answers, cancellations, endpoint updates and time steps in random order.
 type randomRun struct {
 	*testHarness
 	rt       *rapid.T
 	workers  []string
-	calls    []submitted
+	calls    []submittedCall
 	inFlight []dispatch.Attempt // sent, and neither ended nor canceled
-	sent     int                // how many attempts of fakeWorkers.sent have been taken into inFlight
+	sent     int                // number of attempts of fakeWorkers.sent that were added to inFlight
 }
 
-// submitted is a call of a randomRun.
-type submitted struct {
+// submittedCall is a call of a randomRun.
+type submittedCall struct {
 	ref, tag        slotmap.Ref
-	clientLeft      bool
-	answersWhenLeft int
+	canceled        bool
+	answersAtCancel int
 }
 
-// TestRandomOrders holds a Dispatcher to its contract whatever the order of events: one final answer to each call and
-// none after its client has left, each body buffer returned once, and nothing kept of what is done.
+// TestRandomOrders checks the contract of a Dispatcher for random orders of events. It guards against missing or
+// duplicate final answers, answers to canceled calls, body buffers that are leaked or returned twice, and records that
+// outlive their request.
 func TestRandomOrders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
@@ -50,7 +51,7 @@
 	})
 }
 
-// randomEvent has one event happen, in the present pass of the loop or at its end.
+// randomEvent generates one event. It may also end the current pass of the loop.
 func (r *randomRun) randomEvent() {
 	switch rapid.IntRange(0, 6).Draw(r.rt, "event") {
 	case 0:
@@ -58,7 +59,7 @@
 	case 1:
 		r.endAttempt()
 	case 2:
-		r.clientLeaves()
+		r.cancelCall()
 	case 3:
 		worker := rapid.SampledFrom(r.workers).Draw(r.rt, "worker")
 		state := rapid.SampledFrom([]routing.WorkerState{routing.Ready, routing.Draining, routing.Gone}).Draw(r.rt, "state")
@@ -74,17 +75,17 @@
 
 func (r *randomRun) submitCall() {
 	if len(r.calls) == poolLimit {
-		return // no body buffer might be left
+		return // the body buffers may all be in use
 	}
 	class := rapid.IntRange(idempotent, nonIdempotent).Draw(r.rt, "class")
 	call := r.call(fmt.Sprint(len(r.calls)), class)
 	call.Function = fmt.Sprint("function ", rapid.IntRange(0, 2).Draw(r.rt, "function"))
 	call.TimeLeft = time.Duration(rapid.IntRange(1, int(timeLeft/time.Millisecond)).Draw(r.rt, "time left")) * time.Millisecond
 	ref, tag := r.submit(call)
-	r.calls = append(r.calls, submitted{ref: ref, tag: tag})
+	r.calls = append(r.calls, submittedCall{ref: ref, tag: tag})
 }
 
-// endAttempt ends an attempt as a transport would: once, and only if it was not canceled.
+// endAttempt ends a random attempt in flight, then checks that a second end is ignored.
 func (r *randomRun) endAttempt() {
 	r.updateInFlight()
 	if len(r.inFlight) == 0 {
@@ -101,20 +102,20 @@
 	r.AttemptEnded(ref, served("a second end, which is ignored"))
 }
 
-// clientLeaves cancels a call, perhaps one that was answered or canceled before.
-func (r *randomRun) clientLeaves() {
+// cancelCall cancels a random call, which may have been answered or canceled before.
+func (r *randomRun) cancelCall() {
 	if len(r.calls) == 0 {
 		return
 	}
 	call := &r.calls[rapid.IntRange(0, len(r.calls)-1).Draw(r.rt, "call")]
 	r.Cancel(call.ref)
-	if !call.clientLeft {
-		call.clientLeft = true
-		call.answersWhenLeft = len(r.responder.answers[call.tag])
+	if !call.canceled {
+		call.canceled = true
+		call.answersAtCancel = len(r.responder.answers[call.tag])
 	}
 }
 
-// updateInFlight takes in the attempts that were sent and canceled meanwhile.
+// updateInFlight adds the attempts that were sent since the last call and removes those that were canceled.
 func (r *randomRun) updateInFlight() {
 	r.inFlight = append(r.inFlight, r.testHarness.workers.sent[r.sent:]...)
 	r.sent = len(r.testHarness.workers.sent)
@@ -123,7 +124,7 @@
 	})
 }
 
-// endAttempts ends the attempts that are still in flight, and the pass.
+// endAttempts ends all attempts in flight, and the pass.
 func (r *randomRun) endAttempts() {
 	r.updateInFlight()
 	for _, attempt := range r.inFlight {
@@ -133,32 +134,32 @@
 	r.loop.runPosted()
 }
 
-// check checks that no call has more than one final answer, and that none came after its client had left.
+// check checks that no call has more than one final answer, and that no canceled call was answered afterwards.
 func (r *randomRun) check() {
 	for i, call := range r.calls {
 		answers := len(r.responder.answers[call.tag])
 		if answers > 1 {
 			r.rt.Fatalf("call %d has %d answers", i, answers)
 		}
-		if call.clientLeft && answers > call.answersWhenLeft {
-			r.rt.Fatalf("call %d was answered after its client had left", i)
+		if call.canceled && answers > call.answersAtCancel {
+			r.rt.Fatalf("call %d was answered after it was canceled", i)
 		}
 	}
 }
 
-// checkEnd checks that every call was answered whose client had not left, and that nothing remains of any.
+// checkEnd checks that every call that was not canceled has an answer, and that all tables and buffers were released.
 func (r *randomRun) checkEnd() {
 	for i, call := range r.calls {
-		if !call.clientLeft && len(r.responder.answers[call.tag]) != 1 {
+		if !call.canceled && len(r.responder.answers[call.tag]) != 1 {
 			r.rt.Errorf("call %d has %d answers, want 1", i, len(r.responder.answers[call.tag]))
 		}
 	}
 	if got := r.OpenRequests(); got != 0 {
 		r.rt.Errorf("%d requests are open, want 0", got)
 	}
-	requests, ids, attempts := dispatch.RecordCounts(r.Dispatcher)
+	requests, ids, attempts := dispatch.TableSizes(r.Dispatcher)
 	if requests != 0 || ids != 0 || attempts != 0 {
 		r.rt.Errorf("%d requests, %d IDs and %d attempts remain, want none", requests, ids, attempts)
 	}
-	r.wantLent(0)
+	r.wantBuffersInUse(0)
 }
--- a/internal/dispatch/log.go
+++ b/internal/dispatch/log.go
@@ -8,23 +8,23 @@
 	"github.com/sirupsen/logrus"
 )
 
-// decisionLog writes what became of requests and attempts, at level debug, and what the Router notes of the workers. The
-// zero value writes nothing. It is used on the event loop only.
+// decisionLog logs the outcomes of requests and attempts at level debug, and the Router's state changes of workers and
+// the endpoint list. The zero value writes nothing. It is used on the event loop only.
 type decisionLog struct {
-	log *logrus.Entry // nil to write nothing
+	log *logrus.Entry // nil disables logging
 }
 
-// detailed returns the log of single requests, or nil if its level is not written.
-func (l *decisionLog) detailed() *logrus.Entry {
+// debugLog returns the entry for messages about single requests, or nil if level debug is disabled.
+func (l *decisionLog) debugLog() *logrus.Entry {
 	if l.log == nil || !l.log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return nil
 	}
 	return l.log
 }
 
-// attemptEnded writes how an attempt ended.
+// attemptEnded logs the outcome of an attempt.
 func (l *decisionLog) attemptEnded(ended *attempt, outcome routing.Outcome, took time.Duration) {
-	if log := l.detailed(); log != nil {
+	if log := l.debugLog(); log != nil {
 		log.WithFields(logrus.Fields{
 			"request": ended.request.ID, "attempt": ended.number, "worker": ended.worker,
 			"outcome": outcome.String(), "took": took.Round(time.Microsecond),
@@ -32,9 +32,9 @@
 	}
 }
 
-// notServed writes why a request gets a final answer unserved.
+// notServed logs why a request is rejected or has failed.
 func (l *decisionLog) notServed(id string, status Status, reason routing.EndReason) {
-	if log := l.detailed(); log != nil {
+	if log := l.debugLog(); log != nil {
 		message := "request failed"
 		if status == Rejected {
 			message = "request rejected"
@@ -43,33 +43,34 @@
 	}
 }
 
-// canceled writes that the client of a request has left.
+// canceled logs that the client canceled a request.
 func (l *decisionLog) canceled(id string) {
-	if log := l.detailed(); log != nil {
+	if log := l.debugLog(); log != nil {
 		log.WithField("request", id).Debug("request canceled by its client")
 	}
 }
 
-// noted writes what the Router notes of the workers.
-func (l *decisionLog) noted(note routing.Action) {
+// stateChanged logs a state change that the Router reports: a suspended worker, or an endpoint list that is no longer
+// or again confirmed.
+func (l *decisionLog) stateChanged(action routing.Action) {
 	if l.log == nil {
 		return
 	}
-	switch note := note.(type) {
+	switch action := action.(type) {
 	case routing.WorkerSuspended:
-		l.log.WithFields(logrus.Fields{"worker": note.Worker, "reason": note.Reason.String()}).Warn("worker suspended")
+		l.log.WithFields(logrus.Fields{"worker": action.Worker, "reason": action.Reason.String()}).Warn("worker suspended")
 	case routing.EndpointsDoubted:
-		l.doubted(note)
+		l.listConfirmationChanged(action)
 	}
 }
 
-// doubted writes that the endpoint list came into doubt, or is confirmed again.
-func (l *decisionLog) doubted(note routing.EndpointsDoubted) {
-	log := l.log.WithField("age", note.Age.Round(time.Millisecond))
-	if !note.InDoubt {
+// listConfirmationChanged logs that the endpoint list has not been confirmed recently, or that it is confirmed again.
+func (l *decisionLog) listConfirmationChanged(action routing.EndpointsDoubted) {
+	log := l.log.WithField("age", action.Age.Round(time.Millisecond))
+	if !action.InDoubt {
 		log.Info("worker list confirmed again")
 		return
 	}
-	log.WithFields(logrus.Fields{"ready": note.Ready, "usable": note.Usable}).
-		Warn("worker list in doubt: workers have to prove that they take requests")
+	log.WithFields(logrus.Fields{"ready": action.Ready, "usable": action.Usable}).
+		Warn("worker list not confirmed recently: sending requests only to workers with a valid lease")
 }
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -12,8 +12,9 @@
 	"calicohill/routing"
 )
 
-// A request has one attempt in flight when its answer, its expiry and the client's leaving come, in any order. The first
-// that takes effect decides; an expiry does so at the end of its pass, since the Router might retry the request.
+// TestOneFinalAnswer guards against duplicate or missing final answers if the answer, the expiry and the cancellation
+// of a request with one attempt in flight coincide, in any order. The first that takes effect decides. An expiry takes
+// effect at the end of its pass, because the Router might retry the request.
 func TestOneFinalAnswer(t *testing.T) {
 	const (
 		answer = "answer"
@@ -22,8 +23,8 @@
 	)
 	for _, tt := range []struct {
 		order          []string
-		onePass        []dispatch.Status // final answers if all come in one pass of the loop
-		separatePasses []dispatch.Status // if each comes in a pass of its own
+		onePass        []dispatch.Status // final answers if all events occur in one pass of the loop
+		separatePasses []dispatch.Status // final answers if each event occurs in a separate pass
 	}{
 		{[]string{answer, leave, expire}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
 		{[]string{answer, expire, leave}, []dispatch.Status{dispatch.Served}, []dispatch.Status{dispatch.Served}},
@@ -36,7 +37,7 @@
 		{[]string{leave, leave}, nil, nil},
 		{[]string{expire}, []dispatch.Status{dispatch.Rejected}, []dispatch.Status{dispatch.Rejected}},
 	} {
-		play := func(t *testing.T, settings routing.Settings, onePass bool) {
+		runOrder := func(t *testing.T, settings routing.Settings, onePass bool) {
 			t.Helper()
 			harness := newHarness(t, settings, 0, "w")
 			attempt, ref, tag := harness.send("a", idempotent)
@@ -62,19 +63,20 @@
 			if got := harness.OpenRequests(); got != 0 {
 				t.Errorf("%d requests are open, want 0", got)
 			}
-			harness.wantLent(0)
+			harness.wantBuffersInUse(0)
 		}
 		cancelForbidden := testSettings()
 		cancelForbidden.CancelAllowed = false
 		name := strings.Join(tt.order, ", then ")
-		t.Run(name+"/one pass", func(t *testing.T) { play(t, testSettings(), true) })
-		t.Run(name+"/separate passes", func(t *testing.T) { play(t, testSettings(), false) })
-		t.Run(name+"/one pass, cancel forbidden", func(t *testing.T) { play(t, cancelForbidden, true) })
-		t.Run(name+"/separate passes, cancel forbidden", func(t *testing.T) { play(t, cancelForbidden, false) })
+		t.Run(name+"/one pass", func(t *testing.T) { runOrder(t, testSettings(), true) })
+		t.Run(name+"/separate passes", func(t *testing.T) { runOrder(t, testSettings(), false) })
+		t.Run(name+"/one pass, cancel forbidden", func(t *testing.T) { runOrder(t, cancelForbidden, true) })
+		t.Run(name+"/separate passes, cancel forbidden", func(t *testing.T) { runOrder(t, cancelForbidden, false) })
 	}
 }
 
-// A request that was not served is rejected, for the client to retry, where that is harmless; otherwise it has failed.
+// TestUnservedAnswer guards against a request that is rejected, and so retried by its client, although it may have run
+// and must not run twice.
 func TestUnservedAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -86,7 +88,7 @@
 		{"idempotent, error", idempotent, routing.Errored, dispatch.Rejected},
 		{"non-idempotent, connection reset", nonIdempotent, routing.ConnectionReset, dispatch.Failed},
 		{"non-idempotent, error", nonIdempotent, routing.Errored, dispatch.Failed},
-		{"non-idempotent, shed unseen", nonIdempotent, routing.Shed, dispatch.Rejected},
+		{"non-idempotent, shed before execution", nonIdempotent, routing.Shed, dispatch.Rejected},
 		{"non-idempotent, never sent", nonIdempotent, routing.NotSent, dispatch.Rejected},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -97,11 +99,13 @@
 			harness.AttemptEnded(attempt.Ref, ended(tt.outcome))
 			harness.loop.runPosted()
 			harness.wantAnswers(tag, tt.want)
-			harness.wantLent(0)
+			harness.wantBuffersInUse(0)
 		})
 	}
 }
 
+// TestAnswerCarriesBody guards against an answer that is delayed to the end of the pass, when its body is no longer
+// valid.
 func TestAnswerCarriesBody(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	attempt, _, tag := harness.send("a", idempotent)
@@ -115,7 +119,7 @@
 	}
 }
 
-// After the client has left, nothing more is sent for its request: neither its first attempt nor a retry.
+// TestNothingSentAfterCancel guards against attempts, first ones or retries, that are sent for a canceled request.
 func TestNothingSentAfterCancel(t *testing.T) {
 	t.Run("in the pass of Submit", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0, "w1", "w2")
@@ -126,7 +130,7 @@
 			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
 		}
 		harness.wantAnswers(tag)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("while it waits for a worker", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
@@ -139,7 +143,7 @@
 			t.Errorf("attempts sent: %v, want none", harness.workers.sent)
 		}
 		harness.wantAnswers(tag)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("before its attempt fails", func(t *testing.T) {
 		settings := testSettings()
@@ -154,18 +158,18 @@
 			t.Errorf("attempts sent: %v, want the first only", harness.workers.sent)
 		}
 		harness.wantAnswers(tag)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 }
 
-// A front end may learn that clients have left while it writes an answer. Attempts for these that the Router decided on
-// in the same step are not sent.
+// TestNothingSentAfterCancelWithinRespond guards against an attempt that is sent although the front end canceled its
+// request during the same step. A front end may detect disconnected clients while it writes an answer to another.
 func TestNothingSentAfterCancelWithinRespond(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0)
 	late := harness.call("late", idempotent)
-	late.TimeLeft = 10 * time.Millisecond // too short for any attempt: rejected by the step that sends the other
+	late.TimeLeft = 10 * time.Millisecond // too short for an attempt: rejected in the step that sends the other
 	ref, tag := harness.submit(harness.call("other", idempotent))
-	harness.loop.runPosted() // it waits, as there is no worker
+	harness.loop.runPosted() // the request waits: there is no worker
 	_, lateTag := harness.submit(late)
 	harness.UpdateEndpoints(dispatch.EndpointList{Endpoints: endpoints(routing.Ready, "w")})
 	harness.responder.onRespond = func(answered slotmap.Ref) {
@@ -179,9 +183,11 @@
 	if len(harness.workers.sent) != 0 {
 		t.Errorf("attempts sent: %v, want none", harness.workers.sent)
 	}
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
 
+// TestSubmitRejectsOpenID guards against two requests with one ID: the Router ignores the second, which is never
+// answered.
 func TestSubmitRejectsOpenID(t *testing.T) {
 	settings := testSettings()
 	settings.CancelAllowed = false
@@ -201,14 +207,15 @@
 	wantDuplicate("while an attempt is in flight")
 	harness.AttemptEnded(attempt.Ref, served("late"))
 	harness.loop.runPosted()
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 	again, _, againTag := harness.send("a", idempotent) // released: the ID is free
 	harness.AttemptEnded(again.Ref, served("answer"))
 	harness.wantAnswers(tag)
 	harness.wantAnswers(againTag, dispatch.Served)
 }
 
-// A request that is answered no longer counts as open, though it is kept while an attempt is in flight.
+// TestMaxOpenRequests guards against answered requests that count towards the limit on open requests. They stay in the
+// table while an attempt is in flight.
 func TestMaxOpenRequests(t *testing.T) {
 	const limit = 2
 	settings := testSettings()
@@ -229,14 +236,14 @@
 	if err := submit("c"); !errors.Is(err, dispatch.ErrTooManyRequests) {
 		t.Errorf("Submit beyond the limit: %v, want %v", err, dispatch.ErrTooManyRequests)
 	}
-	harness.wantLent(limit)
+	harness.wantBuffersInUse(limit)
 	harness.AttemptEnded(attempt.Ref, served("answer"))
 	if err := submit("c"); err != nil {
 		t.Errorf("Submit after an answer: %v, want success", err)
 	}
-	harness.Cancel(ref) // its attempt stays in flight, as cancellation is forbidden
+	harness.Cancel(ref) // its attempt stays in flight because the settings forbid cancellation
 	if err := submit("d"); err != nil {
-		t.Errorf("Submit after a client left: %v, want success", err)
+		t.Errorf("Submit after a cancellation: %v, want success", err)
 	}
 	if err := submit("e"); !errors.Is(err, dispatch.ErrTooManyRequests) {
 		t.Errorf("Submit beyond the limit: %v, want %v", err, dispatch.ErrTooManyRequests)
@@ -246,7 +253,8 @@
 	}
 }
 
-// The body of a request is lent to its attempts, so that it is returned to the pool after the last of them.
+// TestBodyReturnedAfterLastAttempt guards against a body that is returned to the pool, and reused, while an attempt of
+// its request is still in flight, and against bodies that are never returned.
 func TestBodyReturnedAfterLastAttempt(t *testing.T) {
 	t.Run("not while a hedge is in flight", func(t *testing.T) {
 		settings := testSettings()
@@ -256,43 +264,43 @@
 		harness.AttemptEnded(hedge.Ref, served("answer of the hedge"))
 		harness.loop.runPosted()
 		harness.wantAnswers(tag, dispatch.Served)
-		harness.wantLent(1)
+		harness.wantBuffersInUse(1)
 		if got, want := string(first.Body), "body of a"; got != want {
 			t.Errorf("body of the attempt in flight is %q, want %q", got, want)
 		}
 		harness.AttemptEnded(first.Ref, served("answer of the first"))
 		harness.loop.runPosted()
 		harness.wantAnswers(tag, dispatch.Served)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("when the attempt is canceled", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0, "w")
 		attempt, ref, _ := harness.send("a", idempotent)
 		harness.Cancel(ref)
-		harness.wantLent(1)
+		harness.wantBuffersInUse(1)
 		harness.loop.runPosted()
 		if want := []slotmap.Ref{attempt.Ref}; !slices.Equal(harness.workers.canceled, want) {
 			t.Errorf("canceled %v, want %v", harness.workers.canceled, want)
 		}
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("without attempts", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
 		_, tag := harness.submit(harness.call("a", idempotent))
 		harness.loop.advance(timeLeft)
 		harness.wantAnswers(tag, dispatch.Rejected)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 	t.Run("no body", func(t *testing.T) {
 		harness := newHarness(t, testSettings(), 0)
 		_, tag := harness.submit(dispatch.Call{ID: "a", Function: "function", TimeLeft: timeLeft})
 		harness.loop.advance(timeLeft)
 		harness.wantAnswers(tag, dispatch.Rejected)
-		harness.wantLent(0)
+		harness.wantBuffersInUse(0)
 	})
 }
 
-// Shutdown has every open request answered at once; what comes for it later is ignored.
+// TestShutdown guards against open requests that get no answer at shutdown, or a second one from a late result.
 func TestShutdown(t *testing.T) {
 	harness := newHarness(t, testSettings(), 0, "w")
 	inFlight, _, tag := harness.send("in flight", nonIdempotent)
@@ -308,5 +316,5 @@
 	harness.wantAnswers(tag, dispatch.Failed)
 	harness.wantAnswers(waitingTag, dispatch.Rejected)
 	harness.wantAnswers(leftTag)
-	harness.wantLent(0)
+	harness.wantBuffersInUse(0)
 }
