--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -7,32 +7,31 @@
 )
 
 const (
-	// maxRequested is how many records an Ack requests.
+	// maxRequested is the maximum number of records that an Ack requests.
 	maxRequested = maxItems / 2
-	// maxSummaries is how many members besides this one a ping has summaries of.
+	// maxSummaries is the maximum number of summaries of other members in a ping.
 	maxSummaries = maxItems/2 - 1
-	// maxUnlisted is how many records an Ack holds of members that the ping has no summary of.
+	// maxUnlisted is the maximum number of records in an Ack for members without a summary in the ping.
 	maxUnlisted = 3
 )
 
-// antiEntropy repairs what gossip has missed, as memberlist's push/pull: a ping carries summaries of some members in
-// turn, and its Ack sends the records that are newer and requests those of unknown members. Seeds that are not members
-// are pinged so that the sides of a partition find each other again. A message summarizes at most maxSummaries members
-// and requests at most maxRequested.
+// antiEntropy repairs updates that gossip missed, like memberlist's push/pull. A ping carries summaries of some
+// members, chosen round-robin. The receiver compares them with its own table: its Ack sends newer records and requests
+// the records of unknown members. Seeds that are not members are pinged too, so that the sides of a partition find each
+// other again.
 type antiEntropy struct {
-	addr   netip.AddrPort // this member's own
+	addr   netip.AddrPort // own address
 	seeds  []netip.AddrPort
-	cursor int // of the last summary sent, in the members sorted by name
+	cursor int // index of the last summarized member among the members sorted by name
 }
 
 func newAntiEntropy(addr netip.AddrPort, seeds []netip.AddrPort) *antiEntropy {
 	return &antiEntropy{addr: addr, seeds: seeds}
 }
 
-// setSeeds replaces the seeds.
 func (a *antiEntropy) setSeeds(seeds []netip.AddrPort) { a.seeds = seeds }
 
-// unreachedSeeds returns the seeds at whose address there is no member.
+// unreachedSeeds returns the seeds whose address belongs to no member in the fleet.
 func (a *antiEntropy) unreachedSeeds(table *memberTable) []netip.AddrPort {
 	reached := table.reachedAddrs()
 	reached[a.addr] = true
@@ -45,7 +44,7 @@
 	return unreached
 }
 
-// summaries returns claims about this member and some others, in turn.
+// summaries returns claims about this member and the next maxSummaries other members in round-robin order.
 func (a *antiEntropy) summaries(self *Record, table *memberTable) []Claim {
 	list := []Claim{{Name: self.Name, Epoch: self.Epoch, Incarnation: self.Incarnation}}
 	names := table.names()
@@ -56,10 +55,10 @@
 	return list
 }
 
-// recordPacker collects records up to a size.
+// recordPacker collects records up to a size limit.
 type recordPacker struct {
 	records []Record
-	free    int // bytes; negative once a record did not fit, and then none is added
+	free    int // bytes left; once a record does not fit it is negative and no more records are added
 }
 
 func (p *recordPacker) add(record *Record) {
@@ -69,8 +68,8 @@
 	}
 }
 
-// newAck returns the answer to a ping. By the summaries in it the Ack sends the records that the sender lacks, and
-// requests those that this member lacks. The sender is nil if it is not a member.
+// newAck returns the Ack to a ping. Based on the summaries in the ping, it sends records that the sender lacks and
+// requests records that this member lacks. sender is nil if it is not a member.
 func newAck(rng *rand.Rand, self *Record, table *memberTable, received Received, sender *member) *Message {
 	ping := received.Message
 	ack := &Message{Kind: Ack, Nonce: ping.Nonce}
@@ -82,7 +81,7 @@
 		ack.Want = append(ack.Want, received.From)
 	}
 	if sender != nil && sender.State > Alive {
-		ack.Claims = append(ack.Claims, sender.currentClaim()) // for it to refute
+		ack.Claims = append(ack.Claims, sender.currentClaim()) // lets the sender refute it
 	}
 	compareSummaries(self.Name, table, ping.Summaries, ack, &packer)
 	if len(ping.Summaries) > 0 || sender == nil {
@@ -92,14 +91,15 @@
 	return ack
 }
 
-// compareSummaries adds records that are newer than the summaries of a ping, and requests those of unknown members.
+// compareSummaries adds records that are newer than the summaries of a ping and requests the records of unknown
+// members.
 func compareSummaries(self string, table *memberTable, summaries []Claim, ack *Message, packer *recordPacker) {
 	for _, summary := range summaries {
 		m := table.get(summary.Name)
 		switch {
 		case summary.Name == self:
 		case m == nil:
-			// The record of a member that is gone would make it look alive.
+			// Dead and departed members are not requested: applying the record would mark the member alive.
 			if summary.State.InFleet() && len(ack.Want) < maxRequested {
 				ack.Want = append(ack.Want, summary.Name)
 				packer.free -= wantSize(summary.Name)
@@ -110,8 +110,8 @@
 	}
 }
 
-// packUnlisted adds the records of some members that a ping has no summary of: a sender that knows few members sends
-// few summaries.
+// packUnlisted adds the records of some random members that have no summary in the ping. Without it, a sender that
+// knows few members would learn of the others only slowly.
 func packUnlisted(rng *rand.Rand, table *memberTable, received Received, packer *recordPacker) {
 	listed := func(name string) bool {
 		return slices.ContainsFunc(received.Message.Summaries, func(s Claim) bool { return s.Name == name })
@@ -124,7 +124,7 @@
 	}
 }
 
-// newRequestedRecords returns a message with the records that another requests, as far as they are known and fit.
+// newRequestedRecords returns a message with those of the requested records that are known and fit.
 func newRequestedRecords(self *Record, table *memberTable, want []string) *Message {
 	packer := recordPacker{free: maxPayloadBytes}
 	for _, name := range want {
--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -12,14 +12,14 @@
 
 const (
 	benchMembers = 300
-	benchTick    = 10 * time.Millisecond // virtual time between two steps
+	benchTick    = 10 * time.Millisecond // virtual time between steps
 )
 
-// benchFleet makes the events that a member of a fleet receives.
+// benchFleet generates the events that a fleet member receives.
 type benchFleet struct {
 	rng     *rand.Rand
 	records []gossip.Record
-	unacked []gossip.Transmit // pings that the member sent
+	unacked []gossip.Transmit // pings sent by the member and not answered yet
 }
 
 func newBenchFleet(seed uint64) *benchFleet {
@@ -35,13 +35,13 @@
 
 func (f *benchFleet) randomRecord() *gossip.Record { return &f.records[f.rng.IntN(len(f.records))] }
 
-// receive returns the arrival of a message from a member.
+// receive returns the Received event for a message from a member.
 func (f *benchFleet) receive(from *gossip.Record, message *gossip.Message) gossip.Event {
 	return gossip.Received{From: from.Name, Addr: from.Addr.AddrPort, Epoch: from.Epoch, Message: message, Trusted: true}
 }
 
-// events returns what arrives for step i: a ping of one member, every fifth one with summaries, the acks of all
-// others' but every tenth ping, and every fourth step gossip with a refutation and a claim.
+// events returns the events for step i: a ping of one member, which carries summaries in every fifth step; Acks to 90 %
+// of the outstanding pings; and in every fourth step a gossip message with a refutation and a claim.
 func (f *benchFleet) events(i int) []gossip.Event {
 	ping := &gossip.Message{Kind: gossip.Ping, Nonce: uint64(i)}
 	if i%5 == 0 {
@@ -70,7 +70,7 @@
 	return events
 }
 
-// BenchmarkStep measures a step of a member that knows 300 others: it receives pings, acks and gossip, and its timers fire.
+// BenchmarkStep measures Core.Step in a fleet of 300 other members, with pings, acks, gossip and timers.
 func BenchmarkStep(b *testing.B) {
 	fleet := newBenchFleet(1)
 	core := gossip.New(gossip.Config{
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// retransmitMultiplier times the logarithm of the number of members is how often a broadcast is sent.
+	// retransmitMultiplier times the logarithm of the number of members is the transmit limit of a broadcast.
 	retransmitMultiplier = 2
-	// maxPayloadBytes is what a datagram has for the content of a message.
+	// maxPayloadBytes is the space for message content in a datagram.
 	maxPayloadBytes = MaxDatagram - fixedHeaderBytes - 2*(maxNameBytes+1) - signatureBytes - 64
 )
 
-// broadcastKind is what a broadcast carries.
+// broadcastKind is the type of content that a broadcast carries.
 type broadcastKind uint8
 
-// The kinds of broadcast, in the order in which they are sent if they were transmitted equally often.
+// The kinds of broadcast. Among broadcasts with equal transmit counts, kinds are sent in this order.
 const (
 	claimBroadcast broadcastKind = iota
 	recordBroadcast
@@ -27,25 +27,26 @@
 // broadcastKey identifies a broadcast. A new broadcast replaces an older one of the same key.
 type broadcastKey struct {
 	kind   broadcastKind
-	member string // whom it is about
+	member string // subject of the broadcast
 }
 
-// broadcast is queued to be piggybacked on messages. Exactly one of its first three fields is set.
+// broadcast is a queue entry to be piggybacked on messages. Exactly one of record, claim and statement is set.
 type broadcast struct {
 	record    *Record
 	claim     *Claim
 	statement *Statement
-	transmits int // how often it was sent
+	transmits int // number of transmissions so far
 }
 
-// dissemination is the infection-style dissemination of SWIM: broadcasts are piggybacked on messages, the least
-// transmitted first, each a number of times that grows with the logarithm of the fleet (as memberlist's
-// TransmitLimitedQueue). It holds one record or claim of each member, and the latest statements of at most maxAuthors.
+// dissemination implements SWIM's infection-style dissemination. It piggybacks broadcasts on messages, the least
+// transmitted first. Each broadcast is sent a number of times proportional to the logarithm of the fleet size, as in
+// memberlist's TransmitLimitedQueue. The queue holds one record or claim per member, and the latest statement of each
+// of at most maxAuthors authors.
 type dissemination struct {
-	self       string // this member's name
+	self       string // own name
 	maxAuthors int
 	queue      map[broadcastKey]*broadcast
-	statements map[string]Statement // the latest of each author
+	statements map[string]Statement // latest statement by author
 }
 
 func newDissemination(self string, maxAuthors int) *dissemination {
@@ -63,13 +64,13 @@
 // clear drops all queued broadcasts.
 func (d *dissemination) clear() { clear(d.queue) }
 
-// queueRecord queues the record of a member. It supersedes what was claimed about that member.
+// queueRecord queues the record of a member. It replaces a queued claim about that member.
 func (d *dissemination) queueRecord(record Record) {
 	delete(d.queue, broadcastKey{claimBroadcast, record.Name})
 	d.queue[broadcastKey{recordBroadcast, record.Name}] = &broadcast{record: &record}
 }
 
-// queueClaim queues what this member claims about another.
+// queueClaim queues this member's claim about another. It replaces a queued record of that member.
 func (d *dissemination) queueClaim(claim Claim) {
 	delete(d.queue, broadcastKey{recordBroadcast, claim.Name})
 	d.queue[broadcastKey{claimBroadcast, claim.Name}] = &broadcast{claim: &claim}
@@ -78,7 +79,8 @@
 // publish queues a statement of this member.
 func (d *dissemination) publish(statement Statement) { d.queueStatement(d.self, statement) }
 
-// forward queues a statement of another member that is newer than the latest of its author, and reports whether it is.
+// forward queues a statement of another member if it is newer than the latest known one of its author. It reports
+// whether the statement was queued.
 func (d *dissemination) forward(statement Statement) bool {
 	if statement.Name == d.self {
 		return false
@@ -99,7 +101,7 @@
 	d.queue[broadcastKey{statementBroadcast, author}] = &broadcast{statement: &statement}
 }
 
-// forget drops the broadcasts about a member and its statement.
+// forget drops the broadcasts about a member and the member's statement.
 func (d *dissemination) forget(name string) {
 	delete(d.queue, broadcastKey{recordBroadcast, name})
 	delete(d.queue, broadcastKey{claimBroadcast, name})
@@ -107,8 +109,8 @@
 	delete(d.statements, name)
 }
 
-// piggyback attaches as many broadcasts as a message has space for, the least transmitted first. The limit is how often
-// a broadcast is sent before it is dropped; contacted is whether the receiver has sent a message itself.
+// piggyback attaches as many broadcasts as fit into a message, the least transmitted first, and drops a broadcast once
+// it was sent limit times. contacted is true if the receiver has sent a message to this member before.
 func (d *dissemination) piggyback(message *Message, contacted bool, limit int) {
 	free := freeBytes(message)
 	for _, key := range d.order() {
@@ -125,7 +127,7 @@
 	}
 }
 
-// order returns the keys of the queued broadcasts, the least transmitted first.
+// order returns the keys of the queued broadcasts in transmit order.
 func (d *dissemination) order() []broadcastKey {
 	return slices.SortedFunc(maps.Keys(d.queue), func(a, b broadcastKey) int {
 		return cmp.Or(
@@ -136,13 +138,13 @@
 	})
 }
 
-// retransmitLimit is how often a broadcast is sent before it is dropped.
+// retransmitLimit returns the number of transmissions after which a broadcast is dropped.
 func retransmitLimit(members int) int {
-	fleetSize := float64(members + 1) // this member included
+	fleetSize := float64(members + 1) // including this member
 	return retransmitMultiplier * int(math.Ceil(math.Log2(fleetSize+1)))
 }
 
-// freeBytes is what a message that carries no broadcast yet has space for.
+// freeBytes returns the space for broadcasts in a message that carries none yet.
 func freeBytes(message *Message) int {
 	free := maxPayloadBytes - maxCertBytes
 	for _, record := range message.Records {
@@ -157,8 +159,9 @@
 	return free
 }
 
-// attach adds the broadcast to a message with free bytes left, and returns its size. Only a receiver that this member
-// has contacted is sent statements: it needs no certificate, whose space they may take.
+// attach adds the broadcast to a message with free bytes left and returns the size of the broadcast. Statements go only
+// to contacted receivers: these already have this member's certificate, so statements may use the space reserved for
+// it.
 func (b *broadcast) attach(message *Message, free int, contacted bool) (size int, attached bool) {
 	switch {
 	case b.record != nil:
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -9,22 +9,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed is returned for a datagram that does not hold a valid message.
-var ErrMalformed = errors.New("gossip: malformed")
+// ErrMalformed is returned for a datagram that does not contain a valid message.
+var ErrMalformed = errors.New("gossip: malformed datagram")
 
 var (
-	errAddress     = errors.New("gossip: not an address")
-	errOutOfBounds = fmt.Errorf("%w: out of bounds", ErrMalformed)
+	errAddress     = errors.New("gossip: invalid address encoding")
+	errOutOfBounds = fmt.Errorf("%w: field out of bounds", ErrMalformed)
 )
 
-// The lengths of an encoded address, in bytes: an IP address and a port.
+// Lengths of an encoded address (IP address and port), in bytes.
 const (
 	portBytes     = 2
 	ipv4AddrBytes = 4 + portBytes
 	ipv6AddrBytes = 16 + portBytes
 )
 
-// MarshalBinary encodes an address as 4 or 16 bytes and the port, and an invalid address as no bytes.
+// MarshalBinary encodes an address as the 4 or 16 bytes of the IP address followed by the port. An invalid address
+// encodes to no bytes.
 func (a Addr) MarshalBinary() ([]byte, error) {
 	if !a.IsValid() {
 		return []byte{}, nil
@@ -32,7 +33,7 @@
 	return binary.BigEndian.AppendUint16(a.Addr().AsSlice(), a.Port()), nil
 }
 
-// UnmarshalBinary decodes what MarshalBinary encoded.
+// UnmarshalBinary decodes an address in the format of MarshalBinary.
 func (a *Addr) UnmarshalBinary(encoded []byte) error {
 	if len(encoded) == 0 {
 		*a = Addr{}
@@ -47,13 +48,14 @@
 	return nil
 }
 
-// Bounds of the decoder, which reads bytes of senders that may be hostile.
+// Decoder limits. They protect against input from hostile senders.
 const (
 	maxNestedLevels = 6
 	maxMapPairs     = 16
 )
 
-// The codec: definite lengths, no tags, bounded arrays and nesting. The bounds of a message are checked after decoding.
+// The CBOR codec accepts only definite lengths, no tags, and bounded arrays and nesting. Message bounds are checked
+// after decoding.
 var (
 	encoder = newEncoder()
 	decoder = newDecoder()
@@ -98,7 +100,7 @@
 	return &message, nil
 }
 
-// withinBounds reports whether a decoded message keeps the bounds of all its parts.
+// withinBounds reports whether all fields of a decoded message are within their bounds.
 func (m *Message) withinBounds() bool {
 	if m.Kind < Ping || m.Kind > lastKind || len(m.Target) > maxNameBytes || len(m.Cert) > maxCertBytes {
 		return false
@@ -110,7 +112,7 @@
 		allWithin(m.Want, func(name *string) bool { return validName(*name) })
 }
 
-// allWithin reports whether there are no more than maxItems items and each is valid.
+// allWithin reports whether there are at most maxItems items and all of them are valid.
 func allWithin[Item any](items []Item, valid func(*Item) bool) bool {
 	if len(items) > maxItems {
 		return false
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -1,13 +1,17 @@
-// Package gossip maintains the membership of a fleet of schedulers. Failures are detected by probing and disseminated by
-// gossip as in SWIM (Das, Gupta and Motivala, 2002), with the local health multiplier of Lifeguard (Dadgar, Phillips
-// and Currey, 2018). It also disseminates statements, which their author signs and all others only forward.
+// Package gossip maintains the membership of a fleet of schedulers. It detects failures by probing and disseminates
+// them by gossip as in SWIM (Das, Gupta and Motivala, 2002), with the local health multiplier of Lifeguard (Dadgar,
+// Phillips and Currey, 2018). It also disseminates statements, which are signed by their author and forwarded
+// unchanged.
 //
-// Core makes every decision and does no I/O: Step is given the events that arrived and the time, and returns what is
-// to be sent and what changed. Guard authenticates datagrams, rejects replays, and bounds the work spent on both.
+// Core makes all protocol decisions and does no I/O: Step takes the current time and the events that arrived, and
+// returns the messages to send and the changes to report. Guard authenticates datagrams, rejects replays, and bounds
+// the cost of both.
 //
-// Whatever is received, these invariants hold: a Core sends at most Config.MaxMessagesPerSecond messages in any second, none
-// of them longer than MaxDatagram; it holds at most Config.MaxMembers members; and a member is declared dead only after it
-// failed to answer this member, or one that reported it, and did not refute the suspicion within Config.SuspicionTimeout.
+// The following invariants hold for any input:
+//   - A Core sends at most Config.MaxMessagesPerSecond messages in any second, none longer than MaxDatagram.
+//   - A Core stores at most Config.MaxMembers members.
+//   - A member is declared dead only after it failed to answer this member, or a member that reported it, and did not
+//     refute the suspicion within Config.SuspicionTimeout.
 package gossip
 
 import (
@@ -17,33 +21,33 @@
 	"time"
 )
 
-// pauseThreshold is by how much Step may come late before this member takes itself to have been paused.
+// pauseThreshold is the delay of a Step call above which the process is assumed to have been paused.
 const pauseThreshold = 1500 * time.Millisecond
 
 // Config configures a Core. Durations and counts must be positive.
 type Config struct {
 	Name                 string
-	Addr                 netip.AddrPort // where other members reach this one
-	Epoch                int64          // when this member started, Unix milliseconds
+	Addr                 netip.AddrPort // address at which other members reach this one
+	Epoch                int64          // start time of this member, Unix milliseconds
 	Seeds                []netip.AddrPort
-	ProbeInterval        time.Duration // interval between probes
-	ProbeTimeout         time.Duration // of a direct probe
-	SuspicionTimeout     time.Duration // suspicion timeout of a small fleet
-	MaxMessagesPerSecond int           // maximum number sent in any second
-	MaxMembers           int           // maximum number held
-	Seed                 uint64        // of the random numbers
-	// Sign signs this member's own record and must do nothing else. If it is nil, records are not signed.
+	ProbeInterval        time.Duration
+	ProbeTimeout         time.Duration // timeout of a direct probe
+	SuspicionTimeout     time.Duration // base value; larger fleets use a longer timeout
+	MaxMessagesPerSecond int           // limit for any one-second window
+	MaxMembers           int
+	Seed                 uint64 // seed of the random number generator
+	// Sign signs this member's own record and must have no other side effects. If it is nil, records are not signed.
 	Sign func(*Record)
 }
 
-// Core is one member's view of the fleet. It owns the order in which events, timers and actions follow each other; each
-// mechanism owns its state. It is not safe for concurrent use.
+// Core is one member's view of the fleet. It sequences events, timers and actions; each mechanism below owns its own
+// state. A Core is not safe for concurrent use.
 type Core struct {
 	config  Config
 	rng     *rand.Rand
 	now     time.Duration
 	started bool
-	stopped bool // this member left, or another has taken its name
+	stopped bool // this member left, or another member started later with the same name
 
 	self          *localMember
 	table         *memberTable
@@ -59,7 +63,7 @@
 	nextSweep     time.Duration
 }
 
-// New returns a Core that knows no other member.
+// New returns a Core without other members.
 func New(c Config) *Core {
 	core := &Core{
 		config:        c,
@@ -81,7 +85,8 @@
 // NumMembers returns the number of members that are alive or suspect, this one included.
 func (c *Core) NumMembers() int { return c.table.inFleet() + 1 }
 
-// AddKnownMembers adds members as alive and already contacted, for a start with a complete list.
+// AddKnownMembers adds members as alive and already contacted. It is meant for simulations and benchmarks that start
+// with a complete member list.
 func (c *Core) AddKnownMembers(now time.Duration, records []Record) {
 	for _, record := range records {
 		if record.Name != c.config.Name {
@@ -91,9 +96,9 @@
 	c.table.shuffle(c.rng)
 }
 
-// Step applies events that arrived by now, in order, does what is due, and returns the resulting actions in order.
+// Step applies events in order, runs the timers that are due at now, and returns the resulting actions in order.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
-	delay := now - c.Next() // since Step was due
+	delay := now - c.Next() // lateness of this call
 	if !c.started {
 		c.started = true
 		delay = 0
@@ -120,7 +125,7 @@
 	return c.outbox.actions
 }
 
-// Next returns by when Step must be called again.
+// Next returns the time at which Step must be called next, even if no event arrives.
 func (c *Core) Next() time.Duration {
 	if c.stopped {
 		return math.MaxInt64
@@ -135,25 +140,26 @@
 	return next
 }
 
-// hasGossip reports whether there is something that a round of gossip sends.
+// hasGossip reports whether a gossip round has anything to send.
 func (c *Core) hasGossip() bool {
 	return c.dissemination.pending() > 0 || c.table.hasCandidates()
 }
 
-// recoverFromPause gives up on what this member waited for while it did not run, and extends suspicions by the pause.
+// recoverFromPause abandons the probes that were in flight during a pause of the process, and extends suspicions by the
+// length of the pause.
 func (c *Core) recoverFromPause(pause time.Duration) {
 	c.detector.recoverFromPause()
 	c.table.extendSuspicions(pause)
 	c.nextProbe = c.now + c.config.ProbeInterval
 }
 
-// localMember is this member itself: its record, and what signs it.
+// localMember is this member's own record and the function that signs it.
 type localMember struct {
 	record Record
 	sign   func(*Record) // nil if records are not signed
 }
 
-// newLocalMember returns a member in its first incarnation.
+// newLocalMember returns the local member in its first incarnation.
 func newLocalMember(c Config) *localMember {
 	l := &localMember{
 		record: Record{Name: c.Name, Addr: Addr{c.Addr}, Epoch: c.Epoch, Incarnation: 1},
@@ -163,13 +169,13 @@
 	return l
 }
 
-// refute contradicts what is claimed about this member by a new incarnation.
+// refute starts a new incarnation, which overrides claims about the previous one.
 func (l *localMember) refute() {
 	l.record.Incarnation++
 	l.signRecord()
 }
 
-// leave marks this member as one that has left.
+// leave marks this member's record as having left the fleet.
 func (l *localMember) leave() {
 	l.record.Gone = true
 	l.signRecord()
--- a/internal/fleet/gossip/datagram.go
+++ b/internal/fleet/gossip/datagram.go
@@ -5,22 +5,22 @@
 const (
 	magic            = 0xca
 	formatVersion    = 1
-	versionBytes     = 2 // the magic and the format version
+	versionBytes     = 2 // magic byte and format version
 	epochBytes       = 8
 	incarnationBytes = 4
 	seqBytes         = 8
 	fixedHeaderBytes = versionBytes + cookieBytes + epochBytes + incarnationBytes + seqBytes
 )
 
-// header begins a datagram, before the signature and the message. It is enough to decide whether the signature is
-// worth verifying.
+// header is the start of a datagram, followed by the signature and the message. It contains what is needed to decide
+// whether to spend a signature check on the datagram.
 type header struct {
-	cookie      Cookie // the one that the receiver handed out, if the sender has it
+	cookie      Cookie // issued by the receiver; zero if the sender has none
 	from        string
-	to          string // empty while the sender does not know the receiver's name
+	to          string // empty if the sender does not know the receiver's name
 	epoch       int64  // of the sender
 	incarnation uint32 // of the sender
-	seq         uint64 // of the sender's datagrams
+	seq         uint64 // sequence number of the datagram within the sender's epoch
 }
 
 // appendTo appends the encoded header.
@@ -34,23 +34,22 @@
 	return appendName(b, h.to)
 }
 
-// appendName appends a name after its length in one byte.
+// appendName appends a name, prefixed with its length in one byte.
 func appendName(b []byte, name string) []byte {
 	b = append(b, byte(len(name)))
 	return append(b, name...)
 }
 
-// envelope is a datagram taken apart: the header, the signature and the encoded message. Nothing in it is verified, and
-// neither the signature nor the message is copied.
+// envelope is a parsed but unverified datagram. signature and body alias the datagram's bytes.
 type envelope struct {
 	header
 	signature []byte
-	body      []byte
+	body      []byte // encoded message
 }
 
-// parseEnvelope takes a datagram apart. Its error is ErrMalformed.
+// parseEnvelope splits a datagram into its parts. The only error it returns is ErrMalformed.
 func parseEnvelope(datagram []byte) (*envelope, error) {
-	const minBytes = fixedHeaderBytes + 2 + signatureBytes // with two empty names
+	const minBytes = fixedHeaderBytes + 2 + signatureBytes // both names empty
 	if len(datagram) < minBytes || len(datagram) > MaxDatagram || datagram[0] != magic || datagram[1] != formatVersion {
 		return nil, ErrMalformed
 	}
@@ -78,7 +77,8 @@
 	return &parsed, nil
 }
 
-// cutName decodes what appendName appended and returns what is after it; ok is false if there is no valid name.
+// cutName decodes a name in the format of appendName and returns the bytes after it. ok is false if the name is
+// invalid.
 func cutName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return "", nil, false
@@ -90,14 +90,16 @@
 	return string(b[1:end]), b[end:], true
 }
 
-// The domains of signed texts. Each begins its texts, so that a signature of one kind of text is none of another.
+// Domain separators. Each signed text starts with one, so that a signature over one type of content is not valid for
+// another.
 const (
 	domainMessage   = "calicohill gossip 1 message\x00"
 	domainRecord    = "calicohill gossip 1 record\x00"
 	domainStatement = "calicohill gossip 1 statement\x00"
 )
 
-// signedPrefix begins a signed text: each field after its length, so that no two lists of fields give the same text.
+// signedPrefix returns the start of a signed text: the domain and the length-prefixed fields. The length prefixes keep
+// different field lists from encoding to the same text.
 func signedPrefix(domain string, fields ...string) []byte {
 	text := []byte(domain)
 	for _, field := range fields {
@@ -107,9 +109,9 @@
 	return text
 }
 
-// signed is the text that the signature of a record is made over.
+// signed returns the text that is signed for a record.
 func (r *Record) signed(fleet string) []byte {
-	addr, _ := r.Addr.MarshalBinary() // it never fails
+	addr, _ := r.Addr.MarshalBinary() // never fails
 	text := signedPrefix(domainRecord, fleet, r.Name, string(addr))
 	text = binary.BigEndian.AppendUint64(text, uint64(r.Epoch))
 	text = binary.BigEndian.AppendUint32(text, r.Incarnation)
@@ -119,7 +121,7 @@
 	return append(text, 0)
 }
 
-// signed is the text that the signature of a statement is made over.
+// signed returns the text that is signed for a statement.
 func (s *Statement) signed(fleet string) []byte {
 	text := signedPrefix(domainStatement, fleet, s.Name)
 	text = binary.BigEndian.AppendUint64(text, uint64(s.Epoch))
@@ -128,8 +130,8 @@
 	return append(text, s.Body...)
 }
 
-// signed is the text that the signature of a message is made over. It leaves out the cookie, which serves to rank the
-// datagram before its signature is verified.
+// signed returns the text that is signed for a message. It excludes the cookie, which is checked before the signature
+// to choose the budget for the signature check.
 func (h *header) signed(fleet string, body []byte) []byte {
 	withoutCookie := *h
 	withoutCookie.cookie = Cookie{}
--- a/internal/fleet/gossip/golden_internal_test.go
+++ b/internal/fleet/gossip/golden_internal_test.go
@@ -23,7 +23,7 @@
 	goldenAuthority = "authority.key"
 )
 
-// goldenNames are the members with a golden key file each; goldenEpochs their starts.
+// The members with golden key files, their epochs and their addresses.
 var (
 	goldenNames  = []string{"a", "b", "c"}
 	goldenEpochs = map[string]int64{"a": 1_793_530_000_000, "b": 1_793_530_000_001, "c": 1_793_530_123_456}
@@ -34,25 +34,27 @@
 	}
 )
 
-// goldenNow is the time of the golden datagrams. The tests bring their own clock, so nothing expires with the calendar.
+// goldenNow is the wall clock time of the golden datagrams. Tests pass it explicitly, so that the certificates never
+// expire.
 var goldenNow = time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 
-// goldenUptime is for how long a Guard has run when it opens golden datagrams: its budgets of checks are filled.
+// goldenUptime is the uptime of a Guard that opens golden datagrams. By then its signature check budgets are full.
 const goldenUptime = time.Minute
 
-// The keys of the golden datagrams are read. Under -record they are made first, for the tests below too.
+// TestGoldenKeys guards against key files of earlier versions that can no longer be read. With -record it first creates
+// the keys, which the tests below use too.
 func TestGoldenKeys(t *testing.T) {
 	if golden.Recording() {
 		recordKeys(t)
 	}
 	for _, name := range goldenNames {
 		if got := readGoldenKey(t, name+".key").Name(); got != name {
-			t.Errorf("%s.key is of %q", name, got)
+			t.Errorf("%s.key contains the key of %q", name, got)
 		}
 	}
 }
 
-// recordKeys makes an authority and a key for each member, and writes them to the golden directory.
+// recordKeys creates an authority and a key for each member, and writes them to the golden directory.
 func recordKeys(t *testing.T) {
 	t.Helper()
 	if err := os.MkdirAll(golden.Path(""), 0o755); err != nil {
@@ -77,7 +79,7 @@
 	}
 }
 
-// readGoldenKey reads a golden key file from a copy of mode 0600: version control keeps no such mode.
+// readGoldenKey reads a copy of a golden key file with mode 0600, because Git does not preserve that mode.
 func readGoldenKey(t *testing.T, name string) *pki.Member {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -106,15 +108,15 @@
 	})
 }
 
-// goldenStep is one datagram of a dialogue: its sender, its receiver, its file and its message.
+// goldenStep is one golden datagram of a dialogue.
 type goldenStep struct {
 	file    string
 	from    string
-	to      string // empty if only the address is known
+	to      string // empty if the sender knows only the receiver's address
 	message Message
 }
 
-// goldenDialogue returns a datagram of each kind, all fields of a message among them.
+// goldenDialogue returns steps that cover all message kinds and all message fields.
 func goldenDialogue(guardA, guardB, guardC *Guard) []goldenStep {
 	newRecord := func(g *Guard, name string, inc uint32, gone bool) Record {
 		r := Record{Name: name, Addr: Addr{goldenAddrs[name]}, Epoch: goldenEpochs[name], Incarnation: inc, Gone: gone}
@@ -147,8 +149,9 @@
 	}
 }
 
-// Each datagram is sealed as the golden bytes, and the golden bytes are opened as its message.
-// The first two show no cookie: a ping to an address carries none, so the answer cannot show one.
+// TestGoldenDatagrams guards against changes of the wire format: Seal must produce the golden bytes, and Open must
+// return the original message from them. The first two datagrams contain no valid cookie, because the ping is sent to
+// an unnamed receiver and therefore issues none.
 func TestGoldenDatagrams(t *testing.T) {
 	guards := map[string]*Guard{}
 	for _, name := range goldenNames {
@@ -169,11 +172,11 @@
 			t.Fatalf("%s: %v", step.file, err)
 		}
 		if opened.From != step.from || opened.Epoch != goldenEpochs[step.from] || opened.Trusted != (i > 1) || len(opened.Equivocators) > 0 {
-			t.Errorf("%s: from %q, started %d, trusted %t, contradicting %v", step.file, opened.From, opened.Epoch,
+			t.Errorf("%s: from %q, epoch %d, trusted %t, equivocators %v", step.file, opened.From, opened.Epoch,
 				opened.Trusted, opened.Equivocators)
 		}
 		if !reflect.DeepEqual(opened.Message, &want) {
-			t.Errorf("%s: read as\n%+v\nwant\n%+v", step.file, opened.Message, &want)
+			t.Errorf("%s: opened as\n%+v\nwant\n%+v", step.file, opened.Message, &want)
 		}
 		if want.At != wall.UnixMilli() || !reflect.DeepEqual(want.Records, step.message.Records) ||
 			!reflect.DeepEqual(want.Statements, step.message.Statements) {
@@ -188,7 +191,8 @@
 	}
 }
 
-// The body of each golden datagram decodes, and encodes to the same bytes.
+// TestGoldenBodies guards against changes of the message encoding: each golden body must decode and encode to the same
+// bytes.
 func TestGoldenBodies(t *testing.T) {
 	for file, kind := range map[string]Kind{"ping": 1, "ack": 2, "nack": 3, "ask": 4, "gossip": 5, "empty-gossip": 5} {
 		datagram := golden.Read(t, file+".datagram")
@@ -205,16 +209,16 @@
 			t.Errorf("%s: kind %d, want %d", file, m.Kind, kind)
 		}
 		if encoded, err := encode(m); err != nil || !bytes.Equal(encoded, body) {
-			t.Errorf("%s: written as %x, %v, want %x", file, encoded, err, body)
+			t.Errorf("%s: encoded as %x, %v, want %x", file, encoded, err, body)
 		}
 	}
 }
 
-// The error texts of golden datagrams that are dropped.
+// TestGoldenErrors guards against accepting invalid datagrams and against changed error texts.
 func TestGoldenErrors(t *testing.T) {
-	whole := golden.Read(t, "ping.datagram")
-	forged, otherVersion := bytes.Clone(whole), bytes.Clone(whole)
-	forged[fixedHeaderBytes+3] ^= 1 // the first byte of the signature, behind the names "a" and ""
+	valid := golden.Read(t, "ping.datagram")
+	forged, otherVersion := bytes.Clone(valid), bytes.Clone(valid)
+	forged[fixedHeaderBytes+3] ^= 1 // first byte of the signature, after the names "a" and ""
 	otherVersion[1]++
 	for _, tt := range []struct {
 		name, receiver string
@@ -223,18 +227,18 @@
 		err            error
 		want           string
 	}{
-		{"cut off", "b", whole[:40], goldenNow, ErrMalformed, "gossip: malformed"},
-		{"another version", "b", otherVersion, goldenNow, ErrMalformed, "gossip: malformed"},
+		{"truncated", "b", valid[:40], goldenNow, ErrMalformed, "gossip: malformed datagram"},
+		{"another version", "b", otherVersion, goldenNow, ErrMalformed, "gossip: malformed datagram"},
 		{"forged", "b", forged, goldenNow, ErrSignature, "gossip: invalid signature"},
-		{"late", "b", whole, goldenNow.Add(time.Minute), ErrClock, "gossip: sent too long ago or in the future"},
-		{"its own", "a", whole, goldenNow, ErrReplayed, "gossip: replayed"},
-		{"to another", "c", golden.Read(t, "ack.datagram"), goldenNow, ErrNotForUs, "gossip: for another member"},
+		{"late", "b", valid, goldenNow.Add(time.Minute), ErrClock, "gossip: send time too far from the local clock"},
+		{"own datagram", "a", valid, goldenNow, ErrReplayed, "gossip: replayed datagram"},
+		{"wrong receiver", "c", golden.Read(t, "ack.datagram"), goldenNow, ErrNotForUs, "gossip: addressed to another member"},
 		{
 			"without certificate", "b", golden.Read(t, "gossip.datagram"), goldenNow, ErrUnknown,
 			"gossip: unknown sender without a certificate",
 		},
 		{
-			"early certificate", "b", whole, goldenNow.Add(-24 * time.Hour), pki.ErrExpired,
+			"certificate not yet valid", "b", valid, goldenNow.Add(-24 * time.Hour), pki.ErrExpired,
 			"the certificate is not valid now: it is valid from 2026-11-01 11:00:00 +0000 UTC to 2036-10-29 11:00:00 +0000 UTC",
 		},
 	} {
--- a/internal/fleet/gossip/goldenexchange_internal_test.go
+++ b/internal/fleet/gossip/goldenexchange_internal_test.go
@@ -31,26 +31,26 @@
 	return n
 }
 
-// The timetable of TestGoldenExchange, since the start of the members.
+// The schedule of TestGoldenExchange, as uptime of the members.
 const (
 	exchangeTick    = 10 * time.Millisecond
-	exchangeStart   = 100 * time.Millisecond // by then the budgets of signature checks allow some
+	exchangeStart   = 100 * time.Millisecond // by then the signature check budgets are no longer empty
 	exchangeEnd     = 16 * time.Second
-	statementAt     = time.Second // a makes a statement
-	partitionStart  = 4 * time.Second
-	partitionEnd    = 9 * time.Second // until then c is cut off
+	statementAt     = time.Second     // a publishes a statement
+	partitionStart  = 4 * time.Second // partitionedNode is unreachable from now on
+	partitionEnd    = 9 * time.Second
 	leaveAt         = 14 * time.Second
 	partitionedNode = "c"
 )
 
-// goldenExchange records what its members send and report.
+// goldenExchange records the datagrams and actions of its members.
 type goldenExchange struct {
 	byAddr map[netip.AddrPort]*goldenNode
 	lines  bytes.Buffer
 	kinds  map[Kind]int
 }
 
-// step steps a member with what has arrived for it, and performs its actions.
+// step steps a member with its pending events and performs the resulting actions.
 func (x *goldenExchange) step(t *testing.T, now time.Duration, node *goldenNode) {
 	t.Helper()
 	events := node.arrived
@@ -81,7 +81,7 @@
 	}
 }
 
-// transmit seals a message and, unless the partition is in the way, opens it at its receiver.
+// transmit seals a message and opens it at its receiver, unless the two are partitioned.
 func (x *goldenExchange) transmit(t *testing.T, now time.Duration, sender *goldenNode, action Transmit) {
 	t.Helper()
 	wall := goldenNow.Add(now)
@@ -108,8 +108,9 @@
 	})
 }
 
-// Three members with fixed keys and seeds send the golden datagrams and report the golden changes, in the golden order:
-// they join, one makes a statement, one is partitioned for a while and comes back, and one leaves.
+// TestGoldenExchange guards against unintended changes of protocol behaviour. Three members with fixed keys and random
+// seeds must produce the recorded datagrams and actions in the recorded order: they join, one publishes a statement,
+// one is partitioned and returns, and one leaves.
 func TestGoldenExchange(t *testing.T) {
 	exchange := &goldenExchange{byAddr: map[netip.AddrPort]*goldenNode{}, kinds: map[Kind]int{}}
 	var nodes []*goldenNode
--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -13,30 +13,31 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// Why a datagram is dropped. Open returns ErrMalformed, one of these, or an error of package pki, possibly wrapped.
+// Errors of Open, which state why a datagram is dropped. Open may also return ErrMalformed or an error of package pki.
+// Any of them may be wrapped.
 var (
 	ErrBudget    = errors.New("gossip: signature check budget exhausted")
-	ErrReplayed  = errors.New("gossip: replayed")
+	ErrReplayed  = errors.New("gossip: replayed datagram")
 	ErrSignature = errors.New("gossip: invalid signature")
 	ErrUnknown   = errors.New("gossip: unknown sender without a certificate")
-	ErrClock     = errors.New("gossip: sent too long ago or in the future")
-	ErrNotForUs  = errors.New("gossip: for another member")
+	ErrClock     = errors.New("gossip: send time too far from the local clock")
+	ErrNotForUs  = errors.New("gossip: addressed to another member")
 )
 
-// Guard authenticates the datagrams that are received and seals those that are sent. It holds each member's
-// certificate, epoch and latest sequence numbers. It reads no clock and is not safe for concurrent use.
+// Guard authenticates received datagrams and seals outgoing ones. It stores each member's certificate, epoch and latest
+// sequence numbers. It never reads a clock and is not safe for concurrent use.
 type Guard struct {
 	fleet        string
 	own          *pki.Member
 	epoch        int64
 	trust        *pki.Trust
-	cookieSecret []byte // new with each start, so that no datagram from before it shows a valid cookie
+	cookieSecret []byte // regenerated at each start, which invalidates cookies of earlier datagrams
 	clockSkew    time.Duration
-	seq          uint64 // of the last datagram sealed
+	seq          uint64 // sequence number of the last sealed datagram
 	peers        *peerTable
 	checks       *checkLimits
 
-	// SignaturesChecked counts the signatures verified since the start.
+	// SignaturesChecked is the number of signature verifications since the start.
 	SignaturesChecked uint64
 }
 
@@ -44,15 +45,15 @@
 type GuardConfig struct {
 	Fleet              string
 	Own                *pki.Member
-	Epoch              int64 // when this member started, Unix milliseconds
+	Epoch              int64 // start time of this member, Unix milliseconds
 	Trust              *pki.Trust
-	Secret             []byte           // random, new with each start
-	MaxChecksPerSecond int              // maximum number of signatures verified per second
+	Secret             []byte           // random key for cookies, regenerated at each start
+	MaxChecksPerSecond int              // limit of signature verifications per second
 	MaxClockSkew       time.Duration    // maximum difference between the clocks of two members
-	Seeds              []netip.AddrPort // known addresses at the start
+	Seeds              []netip.AddrPort // initial known addresses
 }
 
-// NewGuard returns a Guard that knows no other member.
+// NewGuard returns a Guard without state about other members.
 func NewGuard(c GuardConfig) *Guard {
 	return &Guard{
 		fleet:        c.Fleet,
@@ -66,18 +67,18 @@
 	}
 }
 
-// SetKnownAddresses replaces the addresses of seeds and members.
+// SetKnownAddresses replaces the set of seed and member addresses.
 func (g *Guard) SetKnownAddresses(addrs []netip.AddrPort) { g.checks.setKnownAddrs(addrs) }
 
-// UpdateTrust replaces this member's key and the trusted authorities. It forgets the members whose certificates are no
-// longer valid and returns their names.
+// UpdateTrust replaces this member's key and the trusted authorities. It drops members whose certificates are no longer
+// valid and returns their names.
 func (g *Guard) UpdateTrust(own *pki.Member, trust *pki.Trust, wall time.Time) (removed []string) {
 	g.own = own
 	g.trust = trust
 	return g.peers.removeUncertified(trust, wall)
 }
 
-// Forget drops what is known of a member.
+// Forget drops the state about a member.
 func (g *Guard) Forget(name string) { g.peers.remove(name) }
 
 // Certified reports whether the certificate of a member is known.
@@ -92,7 +93,7 @@
 // SignRecord signs this member's own record.
 func (g *Guard) SignRecord(r *Record) { r.Sig = ed25519.Sign(g.own.Key, r.signed(g.fleet)) }
 
-// SignStatement returns a signed statement of this member. Sequence numbers must grow within an epoch.
+// SignStatement returns a signed statement of this member. Sequence numbers must increase within an epoch.
 func (g *Guard) SignStatement(seq uint64, wall time.Time, body []byte) Statement {
 	statement := Statement{
 		Name:  g.own.Name(),
@@ -106,9 +107,9 @@
 	return statement
 }
 
-// Seal returns the datagram with a message to a member, or to whoever is at an address if the name is empty. It sets
-// the message's At, Cookie and Cert; a receiver that may not know this member is sent the certificate. If the message
-// does not fit with it, its Statements are dropped. A message that is still too long is an error.
+// Seal returns the signed datagram for a message. to is the receiver's name, or empty if only its address is known.
+// Seal sets the message's At, Cookie and Cert; Cert is set only if the receiver may not have this member's certificate.
+// If the message is then too long, its Statements are dropped. Seal fails if it is still too long.
 func (g *Guard) Seal(to string, inc uint32, wall time.Time, message *Message) ([]byte, error) {
 	g.seq++
 	head := header{from: g.own.Name(), to: to, epoch: g.epoch, incarnation: inc, seq: g.seq}
@@ -121,26 +122,26 @@
 		message.Cookie = g.cookieFor(to)
 	}
 	message.Cert = nil
-	// A receiver that has shown a cookie has read a message with the certificate. It may have restarted since, so the
-	// certificate goes along with summaries too.
+	// A receiver that has shown a valid cookie already has the certificate. It may have restarted since, so messages
+	// with summaries carry the certificate as well.
 	if receiver == nil || !receiver.cookieSeen || len(message.Summaries) > 0 {
 		message.Cert = g.own.Cert.Raw
 	}
 	datagram := head.appendTo(make([]byte, 0, MaxDatagram))
 	body, err := encodeWithin(message, MaxDatagram-signatureBytes-len(datagram))
 	if err != nil {
-		return nil, fmt.Errorf("gossip: sealing a message: %w", err)
+		return nil, fmt.Errorf("gossip: encode message: %w", err)
 	}
 	datagram = append(datagram, ed25519.Sign(g.own.Key, head.signed(g.fleet, body))...)
 	datagram = append(datagram, body...)
 	if len(datagram) > MaxDatagram {
-		return nil, fmt.Errorf("gossip: a message of %d bytes", len(datagram))
+		return nil, fmt.Errorf("gossip: datagram of %d bytes exceeds the limit of %d", len(datagram), MaxDatagram)
 	}
 	return datagram, nil
 }
 
-// encodeWithin encodes a message, without its Statements if it is longer than limit bytes with them: a certificate that
-// was not accounted for has taken their space, and other members send them again.
+// encodeWithin encodes a message and drops its Statements if the result exceeds limit bytes. This happens if Seal added
+// a certificate for which the sender reserved no space. Dropping them is safe because other members retransmit them.
 func encodeWithin(message *Message, limit int) ([]byte, error) {
 	body, err := encode(message)
 	if err != nil || len(body) <= limit || len(message.Statements) == 0 {
@@ -150,7 +151,7 @@
 	return encode(message)
 }
 
-// cookieFor returns the cookie that a member is to show. It is derived from the secret, so no table is needed.
+// cookieFor returns the cookie issued to a member. It is derived from the secret, so issued cookies need not be stored.
 func (g *Guard) cookieFor(name string) (cookie Cookie) {
 	mac := hmac.New(sha256.New, g.cookieSecret)
 	mac.Write([]byte(name))
@@ -158,7 +159,7 @@
 	return cookie
 }
 
-// verifyCert parses a certificate that a datagram carries, and checks that it is valid and of the member it names.
+// verifyCert parses a certificate carried by a datagram and checks that it is valid and issued to the named member.
 func (g *Guard) verifyCert(der []byte, name string, wall time.Time) (*x509.Certificate, error) {
 	g.SignaturesChecked++
 	cert, err := g.trust.Verify(der, wall)
@@ -166,7 +167,7 @@
 		return nil, err
 	}
 	if cert.Subject.CommonName != name {
-		return nil, fmt.Errorf("%w: of %s, not of %s", pki.ErrNotAMember, cert.Subject.CommonName, name)
+		return nil, fmt.Errorf("%w: issued to %s, not to %s", pki.ErrNotAMember, cert.Subject.CommonName, name)
 	}
 	return cert, nil
 }
--- a/internal/fleet/gossip/guard_internal_test.go
+++ b/internal/fleet/gossip/guard_internal_test.go
@@ -21,10 +21,12 @@
 // seqOffset is the offset of the sequence number in a datagram.
 const seqOffset = versionBytes + cookieBytes + epochBytes + incarnationBytes
 
+// TestOpen guards against accepting datagrams that are replayed, malformed, forged, misaddressed or outside the clock
+// skew, and against rejecting valid ones.
 func TestOpen(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
-	// The first message carries the certificate; from then on cookies are shown.
+	// The first message carries the certificate; later ones contain a cookie instead.
 	first := fleet.seal(sender, "", noon, Message{Kind: Ping, Nonce: 7})
 	opened, err := receiver.Open(time.Hour, noon, testAddr, first)
 	if err != nil || opened.From != "a" || opened.Nonce != 7 || opened.Trusted {
@@ -41,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	forged := fleet.guard("m", 400) // a member that uses another's certificate
+	forged := fleet.guard("m", 400) // a member that uses another member's certificate
 	forged.own = &pki.Member{Cert: sender.own.Cert, Key: forged.own.Key}
 	flip := func(d []byte, i int) []byte {
 		d = bytes.Clone(d)
@@ -55,24 +57,24 @@
 		want     error
 	}{
 		{"replayed", known, ErrReplayed},
-		{"nothing", nil, ErrMalformed},
-		{"junk", bytes.Repeat([]byte{0x5a}, 900), ErrMalformed},
+		{"empty", nil, ErrMalformed},
+		{"random bytes", bytes.Repeat([]byte{0x5a}, 900), ErrMalformed},
 		{"too long", append(bytes.Clone(fresh), make([]byte, MaxDatagram)...), ErrMalformed},
-		{"cut in the header", fresh[:20], ErrMalformed},
-		{"cut in the message", fresh[:len(fresh)-3], ErrMalformed},
-		{"a bit of the message", flip(fresh, len(fresh)-1), ErrSignature},
-		{"a bit of the sequence number", flip(fresh, seqOffset+6), ErrSignature},
-		{"to another", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
+		{"truncated header", fresh[:20], ErrMalformed},
+		{"truncated message", fresh[:len(fresh)-3], ErrMalformed},
+		{"bit flip in the message", flip(fresh, len(fresh)-1), ErrSignature},
+		{"bit flip in the sequence number", flip(fresh, seqOffset+6), ErrSignature},
+		{"wrong receiver", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
 		{"certificate of another key", fleet.seal(forged, "b", noon, Message{Kind: Gossip}), ErrSignature},
 		{"another authority", fleet.seal(stranger, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
 		{"another fleet", fleet.seal(fleet.guardOf(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), pki.ErrWrongFleet},
 		{"expired", fleet.seal(fleet.guardOf(expired, 500), "b", noon, Message{Kind: Gossip}), pki.ErrExpired},
 		{"sent too long ago", fleet.seal(sender, "b", noon.Add(-8*time.Second), Message{Kind: Gossip}), ErrClock},
 		{"sent in the future", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
-		{"an earlier epoch", fleet.seal(fleet.guardOf(sender.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
+		{"earlier epoch", fleet.seal(fleet.guardOf(sender.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
 		{"clocks 5 s apart", fleet.seal(sender, "b", noon.Add(-5*time.Second), Message{Kind: Gossip}), nil},
-		{"a later epoch", fleet.seal(fleet.guardOf(sender.own, 101), "b", noon, Message{Kind: Gossip}), nil},
-		{"an epoch that a later one has ended", fleet.seal(sender, "b", noon, Message{Kind: Gossip}), ErrReplayed},
+		{"later epoch", fleet.seal(fleet.guardOf(sender.own, 101), "b", noon, Message{Kind: Gossip}), nil},
+		{"epoch superseded by a later one", fleet.seal(sender, "b", noon, Message{Kind: Gossip}), ErrReplayed},
 	} {
 		if _, err := receiver.Open(time.Hour, noon, testAddr, tt.datagram); !errors.Is(err, tt.want) {
 			t.Errorf("%s: error %v, want %v", tt.name, err, tt.want)
@@ -80,7 +82,8 @@
 	}
 }
 
-// Datagrams recorded before a restart are not trusted after it: the cookies of both sides are no longer valid.
+// TestReplayAcrossRestart guards against replays after a restart. The receiver has lost its sequence numbers then, so
+// only the invalid cookie identifies a datagram recorded before the restart.
 func TestReplayAcrossRestart(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
@@ -89,14 +92,16 @@
 	restarted := fleet.guardOf(receiver.own, 300)
 	restarted.cookieSecret = []byte("another")
 	if o, err := restarted.Open(time.Hour, noon, testAddr, old); err == nil && o.Trusted {
-		t.Error("a message to an earlier epoch is trusted")
+		t.Error("a message to an earlier epoch was trusted")
 	}
 	if _, err := restarted.Open(time.Hour, noon.Add(9*time.Second), testAddr, old); err == nil {
-		t.Error("a message to an earlier epoch is opened when it is old")
+		t.Error("an old message to an earlier epoch was opened")
 	}
 }
 
-// A flood gets no more signature checks than its budget, and members that show a cookie are still opened.
+// TestFloodStaysWithinCheckBudget guards against a flood of forged datagrams that uses up the CPU or blocks other
+// members. The flood may use only its own budget of signature checks, and datagrams with a valid cookie must still be
+// opened.
 func TestFloodStaysWithinCheckBudget(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
@@ -107,11 +112,11 @@
 	fake := fleet.seal(sender, "b", noon, Message{Kind: Gossip})
 	for n, from := range []netip.AddrPort{unknownAddr, testAddr} {
 		before, start := receiver.SignaturesChecked, time.Duration(n+2)*time.Hour
-		for i := range 50000 { // 10 s of 5,000 a second
+		for i := range 50000 { // 5,000 per second for 10 s
 			forged := bytes.Clone(fake)
-			forged[versionBytes] ^= byte(i)%255 + 1 // an invalid cookie
-			forged[len(forged)-1] ^= 1              // an invalid signature
-			forged[seqOffset+4] = byte(i>>16) + 1   // sequence numbers never seen
+			forged[versionBytes] ^= byte(i)%255 + 1 // invalid cookie
+			forged[len(forged)-1] ^= 1              // invalid signature
+			forged[seqOffset+4] = byte(i>>16) + 1   // fresh sequence numbers
 			forged[seqOffset+5], forged[seqOffset+6] = byte(i>>8), byte(i)
 			now := start + time.Duration(i)*200*time.Microsecond
 			if _, err := receiver.Open(now, noon, from, forged); err == nil {
@@ -126,19 +131,20 @@
 			t.Errorf("from %v: %d signatures checked, at most %d are allowed", from, spent, maxChecks)
 		}
 		if _, err := receiver.Open(start+10*time.Second, noon, testAddr, fleet.seal(sender, "b", noon, Message{Kind: Gossip})); err != nil {
-			t.Errorf("a member is not opened during the flood: %v", err)
+			t.Errorf("a member was rejected during the flood: %v", err)
 		}
 	}
-	// An insider that floods with its own cookie does not use up the budget of others.
+	// A member that floods with a valid cookie does not use up the budget of others.
 	for range 3000 {
 		_, _ = receiver.Open(9*time.Hour, noon, unknownAddr, fleet.seal(insider, "b", noon, Message{Kind: Gossip}))
 	}
 	if _, err := receiver.Open(9*time.Hour, noon, testAddr, fleet.seal(sender, "b", noon, Message{Kind: Gossip})); err != nil {
-		t.Errorf("a member is not opened while another floods: %v", err)
+		t.Errorf("a member was rejected while another floods: %v", err)
 	}
 }
 
-// Records and statements are accepted only with their author's signature, and equivocation is detected.
+// TestRecordsNeedAuthorsSignature guards against forwarders that alter records or statements, and against undetected
+// equivocation.
 func TestRecordsNeedAuthorsSignature(t *testing.T) {
 	fleet := newTestFleet(t)
 	relay, receiver, author := fleet.guard("a", 100), fleet.guard("b", 200), fleet.guard("d", 300)
@@ -169,7 +175,8 @@
 	}
 }
 
-// A revoked certificate and a removed authority end a membership; an overlap keeps the old authority for a while.
+// TestTrustChanges guards against accepting members with a revoked certificate or a removed authority, and against
+// rejecting members of the old authority during the overlap.
 func TestTrustChanges(t *testing.T) {
 	fleet := newTestFleet(t)
 	revoked, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
@@ -203,24 +210,24 @@
 		t.Errorf("after the overlap: error %v", err)
 	}
 	if _, err := receiver.Open(time.Hour, late, testAddr, fleet.seal(next.guard("e", 1), "b", late, Message{Kind: Ping})); err != nil {
-		t.Errorf("of the new authority: %v", err)
+		t.Errorf("new authority: %v", err)
 	}
 	if _, err := pki.NewTrust("f", 0, []*x509.Certificate{next.authority.Cert}, []*x509.RevocationList{list}); !errors.Is(err, pki.ErrUnknownAuthority) {
-		t.Errorf("a list that no authority signed: error %v", err)
+		t.Errorf("revocation list not signed by an authority: error %v", err)
 	}
 }
 
-// Every message that a Core may send fits into a datagram, its certificate included.
+// TestMessageFitsDatagram guards against messages that exceed MaxDatagram because of the certificate they carry.
 func TestMessageFitsDatagram(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender := fleet.guard("a-scheduler-with-quite-a-long-name-1", 100)
 	if n := len(sender.Certificate()); n > maxCertBytes {
-		t.Errorf("a certificate of %d bytes, at most %d are allowed", n, maxCertBytes)
+		t.Errorf("certificate of %d bytes, want at most %d", n, maxCertBytes)
 	}
 	m := Message{Kind: Ping, Statements: []Statement{sender.SignStatement(1, noon, make([]byte, maxStatementBytes))}}
 	b := fleet.seal(sender, "", noon, m)
 	if len(b) > MaxDatagram {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("datagram of %d bytes, want at most %d", len(b), MaxDatagram)
 	}
 }
 
@@ -233,9 +240,9 @@
 	f.Add(bytes.Repeat([]byte{0x9f}, 700)) // deep nesting
 	f.Fuzz(func(t *testing.T, d []byte) {
 		if _, err := receiver.Open(time.Hour, noon, testAddr, d); err == nil && len(d) > MaxDatagram {
-			t.Error("a datagram that is too long was opened")
+			t.Error("an oversized datagram was opened")
 		}
-		// The message alone too, past the signature.
+		// Decode the input as a message body too, since random datagrams fail the signature check.
 		if m, err := decode(d); err == nil {
 			if _, err := encode(m); err != nil {
 				t.Errorf("a decoded message can't be encoded: %v", err)
--- a/internal/fleet/gossip/handlers.go
+++ b/internal/fleet/gossip/handlers.go
@@ -1,6 +1,6 @@
 package gossip
 
-// leaveFanout is how many members this one notifies directly when it leaves.
+// leaveFanout is the number of members that are notified directly when this member leaves.
 const leaveFanout = 2 * gossipFanout
 
 func (c *Core) handleEvent(event Event) {
@@ -19,7 +19,8 @@
 	}
 }
 
-// leave sends this member's last record to some members, which gossip it. Those it misses detect the silence.
+// leave sends this member's final record to some members, which gossip it further. Members that the record does not
+// reach detect the departure by failed probes.
 func (c *Core) leave() {
 	c.self.leave()
 	c.dissemination.queueRecord(c.self.record)
@@ -27,13 +28,13 @@
 	c.stopped = true
 }
 
-// stopForNameConflict stops this member for a later one of its name.
+// stopForNameConflict stops this member because another one with the same name started later.
 func (c *Core) stopForNameConflict(epoch int64) {
 	c.stopped = true
 	c.outbox.emit(NameConflict{epoch})
 }
 
-// handleMessage applies what a message carries, and then handles it by its kind.
+// handleMessage applies the content of a message and then dispatches on its kind.
 func (c *Core) handleMessage(received Received) {
 	message := received.Message
 	if received.From == c.config.Name {
@@ -65,7 +66,7 @@
 	c.handleKind(received, from)
 }
 
-// handleKind handles a message by its kind. The sender is nil if it is not a member.
+// handleKind dispatches on the kind of a message. from is nil if the sender is not a member.
 func (c *Core) handleKind(received Received, from *member) {
 	message := received.Message
 	switch message.Kind {
@@ -88,7 +89,7 @@
 	}
 }
 
-// handleAck ends the probe that an Ack answers.
+// handleAck ends the probe that an Ack answers, and relays the Ack or sends requested records.
 func (c *Core) handleAck(received Received) {
 	message := received.Message
 	p := c.detector.acknowledge(received.From, message.Nonce)
@@ -101,7 +102,8 @@
 	}
 }
 
-// handleIndirectPing pings a member on behalf of another that had no answer from it.
+// handleIndirectPing pings the target on behalf of the sender. It answers with a Nack at once if the target is unknown
+// or too many probes are in flight.
 func (c *Core) handleIndirectPing(received Received) {
 	target := c.table.get(received.Message.Target)
 	if target == nil || !c.detector.canRelay() {
@@ -112,8 +114,8 @@
 		target.Addr.AddrPort, nil)
 }
 
-// mergeRecord applies the record of a member. Where records are signed, one without a signature only makes its member
-// a candidate.
+// mergeRecord applies the record of a member. If records are signed, a record without a signature only adds a
+// candidate.
 func (c *Core) mergeRecord(record Record) {
 	if record.Name == c.config.Name {
 		if record.Epoch > c.self.record.Epoch && record.Sig != nil {
@@ -143,8 +145,8 @@
 	c.dissemination.queueRecord(record)
 }
 
-// ensureCapacity makes sure that one more member can be held. If need be it forgets the one that has been dead or
-// departed longest; it reports false if there is none.
+// ensureCapacity ensures that the table has space for one more member. If the table is full, it evicts the member that
+// has been dead or departed longest. It returns false if there is no such member.
 func (c *Core) ensureCapacity() bool {
 	if !c.table.full() {
 		return true
@@ -157,7 +159,7 @@
 	return true
 }
 
-// forgetMember drops all knowledge of a member.
+// forgetMember drops all state about a member.
 func (c *Core) forgetMember(name string) {
 	if m := c.table.get(name); m != nil {
 		c.setState(m, Left)
@@ -168,15 +170,15 @@
 	c.table.dropCandidate(name)
 }
 
-// setState changes the state of a member, and reports it if it is another.
+// setState changes the state of a member and emits MemberChanged if the state differs from the previous one.
 func (c *Core) setState(m *member, state State) {
 	if c.table.setState(c.now, m, state) {
 		c.outbox.emit(MemberChanged{m.Member})
 	}
 }
 
-// handleClaim applies what one member claims about another. A claim makes a member suspect at most: a member that is
-// there refutes it, and one that does not is declared dead after the suspicion timeout.
+// handleClaim applies a claim of one member about another. A claim of Suspect or Dead only makes its subject suspect:
+// the subject is declared dead after the suspicion timeout unless it refutes the claim.
 func (c *Core) handleClaim(from *member, claim Claim) {
 	if claim.State != Suspect && claim.State != Dead {
 		return
@@ -197,7 +199,7 @@
 	}
 }
 
-// refute contradicts a claim about this member with a new incarnation.
+// refute answers a claim about this member with a new incarnation.
 func (c *Core) refute(from *member, claim Claim) {
 	if claim.Epoch != c.self.record.Epoch {
 		return
@@ -208,13 +210,13 @@
 		c.dissemination.queueRecord(c.self.record)
 		c.nextGossip = c.now
 	}
-	// Gossip may miss a member. One that still holds this member suspect is answered directly.
+	// Gossip does not reach every member. A member that still suspects this one is answered directly.
 	if c.limits.allowAnswer(c.now, from) {
 		c.outbox.transmitTo(from, &Message{Kind: Gossip, Records: []Record{c.self.record}})
 	}
 }
 
-// declare changes the state of a member to suspect or dead, and tells the others so.
+// declare changes the state of a member to suspect or dead and broadcasts the claim.
 func (c *Core) declare(m *member, state State) {
 	c.setState(m, state)
 	c.dissemination.queueClaim(m.currentClaim())
--- a/internal/fleet/gossip/limits.go
+++ b/internal/fleet/gossip/limits.go
@@ -7,43 +7,44 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Fractions of Config.MaxMessagesPerSecond, as the rate per second and the burst of a token bucket.
+// Rates and bursts of the token buckets, as fractions of Config.MaxMessagesPerSecond. The rate and the burst for all
+// messages add up to 1, so that no one-second window exceeds the limit.
 const (
-	sendRateFraction    = 0.6 // the rate and the burst of all messages together are the most that any second sees
+	sendRateFraction    = 0.6 // all messages
 	sendBurstFraction   = 0.4
-	gossipRateFraction  = 0.2 // gossip takes a part only, so that pings and acks always find some budget
+	gossipRateFraction  = 0.2 // leaves budget for pings and acks
 	gossipBurstFraction = 0.3
-	answerFraction      = 0.3 // acks and other answers to all senders together
+	answerFraction      = 0.3 // acks and other answers, for all senders together
 	noticeFraction      = 0.1 // notices to suspects
 )
 
-// Limits per member, in messages per second and messages at once.
+// Rates (per second) and bursts of the token buckets for each member.
 const (
-	claimRate        = 1.0 // claims that are applied
+	claimRate        = 1.0 // applied claims
 	claimBurst       = 4.0
-	answerRate       = 1.0 // requests that are answered
+	answerRate       = 1.0 // answered requests
 	answerBurst      = 4.0
-	nonMembersFactor = 3.0 // senders that are not members are answered as often as this many members
+	nonMembersFactor = 3.0 // all non-members together have the answer budget of this many members
 )
 
-// rateLimits bounds what a Core sends by token buckets, one for each purpose: no more than perSecond messages leave in
-// any second, and neither gossip nor answers can use up what probes need.
+// rateLimits limits the messages that a Core sends with a token bucket for each purpose. At most perSecond messages are
+// sent in any second, and neither gossip nor answers can use up the budget for probes.
 type rateLimits struct {
 	perSecond        float64               // Config.MaxMessagesPerSecond
 	send             ratelimit.TokenBucket // all messages
 	gossip           ratelimit.TokenBucket
 	notices          ratelimit.TokenBucket
-	answers          ratelimit.TokenBucket // to all senders together
-	nonMemberAnswers ratelimit.TokenBucket // to senders that are not members
+	answers          ratelimit.TokenBucket // answers to all senders
+	nonMemberAnswers ratelimit.TokenBucket // answers to senders that are not members
 }
 
-// memberBudgets bounds the work that one member causes.
+// memberBudgets limits the work that a single member can cause.
 type memberBudgets struct {
-	answers ratelimit.TokenBucket // requests of it that are answered
-	claims  ratelimit.TokenBucket // claims of it that are applied
+	answers ratelimit.TokenBucket // answers to its requests
+	claims  ratelimit.TokenBucket // applied claims
 }
 
-// newRateLimits returns limits with empty budgets, which fill with time.
+// newRateLimits returns limits whose token buckets start empty.
 func newRateLimits(maxMessagesPerSecond int) *rateLimits {
 	return &rateLimits{perSecond: float64(maxMessagesPerSecond)}
 }
@@ -63,9 +64,9 @@
 	return l.take(now, &l.notices, noticeFraction, noticeFraction)
 }
 
-// allowAnswer takes one answer from the budget of a sender, which is nil for one that is not a member, and one from the
-// budget of all. Without these limits a member that sends requests all the time would use up what this member's own
-// pings and its answers to others need.
+// allowAnswer takes one answer from the budget of a sender and one from the shared answer budget. sender is nil for
+// non-members. Without these limits, a member that floods this one with requests would use up the budget for probes and
+// for answers to other members.
 func (l *rateLimits) allowAnswer(now time.Duration, sender *member) bool {
 	bucket := &l.nonMemberAnswers
 	factor := nonMembersFactor
@@ -77,7 +78,7 @@
 		l.take(now, &l.answers, answerFraction, answerFraction)
 }
 
-// take takes one message from a bucket that holds a fraction of the messages per second.
+// take takes one token from a bucket whose rate and burst are fractions of perSecond.
 func (l *rateLimits) take(now time.Duration, bucket *ratelimit.TokenBucket, rateFraction, burstFraction float64) bool {
 	return bucket.Take(now, 1, rateFraction*l.perSecond, burstFraction*l.perSecond)
 }
@@ -87,41 +88,41 @@
 	return b.claims.Take(now, 1, claimRate, claimBurst)
 }
 
-// Fractions of GuardConfig.MaxChecksPerSecond, which each have a budget of their own. So neither datagrams with forged
-// addresses nor one member can use up what is needed for the members that have shown a cookie.
+// Budgets of signature checks, as fractions of GuardConfig.MaxChecksPerSecond. They are separate so that neither
+// datagrams with forged addresses nor a single member can use up the budget of members that have shown a valid cookie.
 const (
-	peerCheckFraction    = 0.2  // for each member that shows a cookie
-	knownCheckFraction   = 0.25 // for all datagrams without one from addresses of members and seeds
-	unknownCheckFraction = 0.1  // for all others
+	peerCheckFraction    = 0.2  // for each member with a valid cookie
+	knownCheckFraction   = 0.25 // for all datagrams without a valid cookie from addresses of members and seeds
+	unknownCheckFraction = 0.1  // for all other datagrams
 )
 
-// checkLimits bounds the signatures that a Guard verifies for datagrams, by the rank of their apparent senders: members
-// that show a cookie have a budget each, known addresses one together, and all others one. No more than perSecond are
-// verified in a second, nor at once.
+// checkLimits limits the signature checks of a Guard. Each member with a valid cookie has its own budget, known
+// addresses share one, and all other addresses share another. In total, both the rate per second and the burst are
+// perSecond.
 type checkLimits struct {
 	perSecond  float64                 // GuardConfig.MaxChecksPerSecond
-	knownAddrs map[netip.AddrPort]bool // of seeds and members
-	total      ratelimit.TokenBucket   // for all datagrams
-	known      ratelimit.TokenBucket   // for datagrams without a cookie from known addresses
-	unknown    ratelimit.TokenBucket   // for all other datagrams without a cookie
+	knownAddrs map[netip.AddrPort]bool // addresses of seeds and members
+	total      ratelimit.TokenBucket   // all datagrams
+	known      ratelimit.TokenBucket   // datagrams without a valid cookie from known addresses
+	unknown    ratelimit.TokenBucket   // all other datagrams
 }
 
-// checkBudget is the budget of signature checks of a datagram's apparent sender.
+// checkBudget is the signature check budget that applies to a datagram.
 type checkBudget struct {
 	limits *checkLimits
 	bucket *ratelimit.TokenBucket
-	rate   float64 // per second; also the burst
+	rate   float64 // rate per second and burst
 	now    time.Duration
 }
 
-// newCheckLimits returns limits with empty budgets, which fill with time.
+// newCheckLimits returns limits whose token buckets start empty.
 func newCheckLimits(maxChecksPerSecond int, knownAddrs []netip.AddrPort) *checkLimits {
 	limits := &checkLimits{perSecond: float64(maxChecksPerSecond), knownAddrs: map[netip.AddrPort]bool{}}
 	limits.setKnownAddrs(knownAddrs)
 	return limits
 }
 
-// setKnownAddrs replaces the addresses of seeds and members.
+// setKnownAddrs replaces the set of seed and member addresses.
 func (l *checkLimits) setKnownAddrs(addrs []netip.AddrPort) {
 	clear(l.knownAddrs)
 	for _, addr := range addrs {
@@ -129,8 +130,8 @@
 	}
 }
 
-// budgetFor returns the budget for a datagram. The sender is trusted if it shows a valid cookie; else only the address,
-// which may be forged, ranks it.
+// budgetFor returns the budget for a datagram. trusted is true if the datagram has a valid cookie. Otherwise the budget
+// depends only on the source address, which may be forged.
 func (l *checkLimits) budgetFor(sender *peer, trusted bool, from netip.AddrPort, now time.Duration) checkBudget {
 	bucket := &l.unknown
 	fraction := unknownCheckFraction
@@ -145,20 +146,20 @@
 	return checkBudget{limits: l, bucket: bucket, rate: max(fraction*l.perSecond, 1), now: now}
 }
 
-// spend takes one check, from the sender's budget and from that of all senders.
+// spend takes one check from the budget of the sender and from the total budget. It reports whether both allowed it.
 func (b checkBudget) spend() bool {
 	total := b.limits.perSecond
 	return b.bucket.Take(b.now, 1, b.rate, b.rate) && b.limits.total.Take(b.now, 1, total, total)
 }
 
-// RateMeter measures how many messages a member sends in a second, to compare with Config.MaxMessagesPerSecond. The zero
-// RateMeter is ready for use.
+// RateMeter measures the peak message rate of a member, for comparison with Config.MaxMessagesPerSecond. The zero value
+// is ready to use.
 type RateMeter struct {
 	peak   int
-	recent []time.Duration // when the messages of the last second were sent
+	recent []time.Duration // send times within the last second
 }
 
-// Record counts a message that was sent now.
+// Record counts a message sent at now.
 func (m *RateMeter) Record(now time.Duration) {
 	m.recent = append(m.recent, now)
 	for now-m.recent[0] >= time.Second {
@@ -167,5 +168,5 @@
 	m.peak = max(m.peak, len(m.recent))
 }
 
-// Peak returns the largest number of messages in any second so far.
+// Peak returns the largest number of messages in any one-second window so far.
 func (m *RateMeter) Peak() int { return m.peak }
--- a/internal/fleet/gossip/membertable.go
+++ b/internal/fleet/gossip/membertable.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// deadRetention is how long a dead or departed member is remembered, so that stale records do not bring it back.
+	// deadRetention is how long a dead or departed member is kept, so that stale records do not revive it.
 	deadRetention = 60 * time.Second
-	// maxCandidates is how many candidates are held.
+	// maxCandidates is the maximum number of stored candidates.
 	maxCandidates = 64
 )
 
 // State is the state of a member.
 type State uint8
 
-// The states. Of two claims about one incarnation the one with the later state supersedes the other.
+// Member states. Of two claims about the same incarnation, the one with the higher state takes precedence.
 const (
 	Alive State = iota
 	Suspect
 	Dead
-	Left // left the fleet of its own accord
+	Left // announced its departure
 )
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// InFleet reports whether a member of this state still counts as one of the fleet.
+// InFleet reports whether a member in this state counts as part of the fleet.
 func (s State) InFleet() bool { return s <= Suspect }
 
-// Member is what a Core knows of another member.
+// Member is the state of another member as seen by a Core.
 type Member struct {
 	Record
 	State      State
-	StateSince time.Duration // when it entered the state
+	StateSince time.Duration // time of the last state change
 }
 
-// member is a Member with the bookkeeping that a Core needs for it.
+// member is a Member with the internal state of a Core about it.
 type member struct {
 	Member
 	budgets     memberBudgets
-	suspicion   suspicion     // while it is suspect
-	lastContact time.Duration // when it last sent a message itself; 0 if it never did
+	suspicion   suspicion     // valid while State is Suspect
+	lastContact time.Duration // arrival of the last message sent by it; 0 if there was none
 }
 
-// currentClaim is the claim that this member makes about another.
+// currentClaim returns a claim with the known state of the member.
 func (m *member) currentClaim() Claim {
 	return Claim{Name: m.Name, Epoch: m.Epoch, Incarnation: m.Incarnation, State: m.State}
 }
 
-// newerThan reports whether what is known of the member is newer than a summary of it.
+// newerThan reports whether the known state of the member is newer than a summary of it.
 func (m *member) newerThan(summary Claim) bool {
 	return cmp.Or(
 		cmp.Compare(m.Epoch, summary.Epoch),
@@ -61,33 +61,33 @@
 	) > 0
 }
 
-// memberTable is the membership list of SWIM: the other members, and candidates for it. It holds at most maxMembers
-// members and maxCandidates candidates.
+// memberTable is SWIM's membership list. It stores at most maxMembers other members and at most maxCandidates
+// candidates.
 type memberTable struct {
 	maxMembers int
 	members    map[string]*member
-	order      []string          // the names of all members, shuffled: in this order they are probed and chosen
-	notAlive   int               // members that were not alive at the last count, and those suspected since
-	candidates map[string]Record // members reported by others that have not answered yet
+	order      []string          // names of all members in shuffled probe order
+	notAlive   int               // members not alive at the last countNotAlive, plus those suspected since
+	candidates map[string]Record // members reported by others that have not sent a message yet
 }
 
 func newMemberTable(maxMembers int) *memberTable {
 	return &memberTable{maxMembers: maxMembers, members: map[string]*member{}, candidates: map[string]Record{}}
 }
 
-// get returns a member, or nil.
+// get returns a member, or nil if it is unknown.
 func (t *memberTable) get(name string) *member { return t.members[name] }
 
-// len returns the number of members, whatever their state.
+// len returns the number of members in any state.
 func (t *memberTable) len() int { return len(t.members) }
 
-// full reports whether no more members can be held.
+// full reports whether the table has no space for another member.
 func (t *memberTable) full() bool { return len(t.members) >= t.maxMembers }
 
-// at returns the member at an index of the order.
+// at returns the member at an index of the probe order.
 func (t *memberTable) at(i int) *member { return t.members[t.order[i]] }
 
-// inOrder returns all members in their order.
+// inOrder returns all members in probe order.
 func (t *memberTable) inOrder() []*member {
 	list := make([]*member, 0, len(t.order))
 	for _, name := range t.order {
@@ -119,10 +119,10 @@
 	return count
 }
 
-// hasNotAlive reports whether there may be members that are not alive.
+// hasNotAlive reports whether some members may not be alive.
 func (t *memberTable) hasNotAlive() bool { return t.notAlive > 0 }
 
-// reachedAddrs returns the addresses at which there is a member that is alive or suspect.
+// reachedAddrs returns the addresses of members that are alive or suspect.
 func (t *memberTable) reachedAddrs() map[netip.AddrPort]bool {
 	reached := map[netip.AddrPort]bool{}
 	for _, m := range t.members {
@@ -133,7 +133,7 @@
 	return reached
 }
 
-// addKnown adds a member as alive and already contacted, unless it is known or the table is full.
+// addKnown adds a member as alive and already contacted, unless the member exists or the table is full.
 func (t *memberTable) addKnown(now time.Duration, record Record) {
 	if t.members[record.Name] != nil || t.full() {
 		return
@@ -145,8 +145,8 @@
 	t.order = append(t.order, record.Name)
 }
 
-// insert adds a member at a random position of the order. It is dead until its record has been applied, so that this
-// shows as a change of state.
+// insert adds a member at a random position of the probe order. Its initial state is Dead, so that applying its record
+// counts as a state change.
 func (t *memberTable) insert(rng *rand.Rand, record Record) *member {
 	inserted := &member{Member: Member{Record: record, State: Dead}}
 	t.members[record.Name] = inserted
@@ -160,7 +160,7 @@
 	t.order = slices.DeleteFunc(t.order, func(other string) bool { return other == name })
 }
 
-// longestGone returns the member that has been dead or departed longest, or nil if all are in the fleet.
+// longestGone returns the member that has been dead or departed longest, or nil if all members are in the fleet.
 func (t *memberTable) longestGone() *member {
 	var oldest *member
 	for i := range t.order {
@@ -172,13 +172,13 @@
 	return oldest
 }
 
-// setRecord replaces the record of a member, which is no candidate any more.
+// setRecord replaces the record of a member and removes the member from the candidates.
 func (t *memberTable) setRecord(m *member, record Record) {
 	delete(t.candidates, record.Name)
 	m.Record = record
 }
 
-// setState changes the state of a member, and reports whether it is another.
+// setState sets the state of a member and reports whether it changed.
 func (t *memberTable) setState(now time.Duration, m *member, state State) (changed bool) {
 	if m.State == state {
 		return false
@@ -192,7 +192,7 @@
 	return true
 }
 
-// countNotAlive counts the members that are not alive.
+// countNotAlive recounts the members that are not alive.
 func (t *memberTable) countNotAlive() {
 	t.notAlive = 0
 	for _, m := range t.members {
@@ -202,7 +202,7 @@
 	}
 }
 
-// extendSuspicions has the present suspicions begin later, by the time in which nothing could be received.
+// extendSuspicions postpones the timeouts of current suspicions by a pause, in which no refutation could be received.
 func (t *memberTable) extendSuspicions(pause time.Duration) {
 	for _, m := range t.members {
 		if m.State == Suspect {
@@ -211,21 +211,21 @@
 	}
 }
 
-// markContacted notes that a member has sent a message itself.
+// markContacted records that a message from a member arrived.
 func (t *memberTable) markContacted(now time.Duration, m *member) { m.lastContact = now }
 
-// hasContacted reports whether a member has sent a message itself, so that both sides know each other's key.
+// hasContacted reports whether a message from a member has arrived, which means that both sides know each other's key.
 func (t *memberTable) hasContacted(name string) bool {
 	m := t.members[name]
 	return m != nil && m.lastContact > 0
 }
 
-// shuffle shuffles the order.
+// shuffle shuffles the probe order.
 func (t *memberTable) shuffle(rng *rand.Rand) {
 	rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
 }
 
-// random returns up to count random members that match.
+// random returns up to count random members for which match returns true.
 func (t *memberTable) random(rng *rand.Rand, count int, match func(*member) bool) []*member {
 	var chosen []*member
 	for _, i := range rng.Perm(len(t.order)) {
@@ -239,7 +239,8 @@
 	return chosen
 }
 
-// addCandidate notes where a member may be found whose record is not signed, unless it is a member already.
+// addCandidate stores an unsigned record, whose address a ping can verify, unless its subject is already a member in
+// the fleet.
 func (t *memberTable) addCandidate(record Record) {
 	known := t.members[record.Name]
 	if known != nil && known.Epoch >= record.Epoch && known.State.InFleet() {
@@ -253,8 +254,8 @@
 // hasCandidates reports whether there are candidates.
 func (t *memberTable) hasCandidates() bool { return len(t.candidates) > 0 }
 
-// takeCandidate removes one of the candidates, of which there must be some, and returns it. It is chosen at random, or a
-// member that reports ones which do not exist could make these always come first.
+// takeCandidate removes a random candidate and returns it. There must be at least one. The choice is random so that a
+// member that reports nonexistent candidates cannot make these always come first.
 func (t *memberTable) takeCandidate(rng *rand.Rand) Record {
 	names := slices.Sorted(maps.Keys(t.candidates))
 	name := names[rng.IntN(len(names))]
@@ -263,5 +264,4 @@
 	return candidate
 }
 
-// dropCandidate drops a candidate.
 func (t *memberTable) dropCandidate(name string) { delete(t.candidates, name) }
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -2,12 +2,12 @@
 
 import "net/netip"
 
-// MaxDatagram is the maximum length of a datagram that is sent or read, in bytes.
+// MaxDatagram is the maximum length of a datagram, in bytes.
 const MaxDatagram = 1200
 
-// Bounds of a message. A message that exceeds one is dropped.
+// Bounds of a message. Messages that exceed one are dropped.
 const (
-	maxItems          = 32 // of each of records, claims, statements, summaries and requested names
+	maxItems          = 32 // length of each list: records, claims, statements, summaries, requested names
 	maxStatementBytes = 480
 	maxCertBytes      = 560
 	maxNameBytes      = 64
@@ -15,54 +15,54 @@
 	cookieBytes       = 8
 )
 
-// Kind is the purpose of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of message.
 const (
-	Ping         Kind = iota + 1 // sent by a prober; asks for an Ack with the same Nonce
-	Ack                          // answers a Ping, or an IndirectPing once its target has answered
-	Nack                         // answers an IndirectPing whose target has not answered, so the relay at least is reachable
-	IndirectPing                 // sent to a relay when a probe timed out; asks it to ping Target and to forward its Ack
-	Gossip                       // only carries content
+	Ping         Kind = iota + 1 // direct probe; requests an Ack with the same Nonce
+	Ack                          // answers a Ping, or an IndirectPing after its target has answered
+	Nack                         // answers an IndirectPing whose target was silent; shows that the relay is reachable
+	IndirectPing                 // asks a relay to ping Target and forward its Ack after a direct probe timed out
+	Gossip                       // carries content only
 	lastKind     = Gossip
 )
 
-// Message is sent by one member to another. Its content is only as trustworthy as its sender, except for Records and
-// Statements, which are signed by their author.
+// Message is the content of a datagram. Its sender vouches for all fields except Records and Statements, which are
+// signed by their author.
 type Message struct {
 	_          struct{} `cbor:",toarray"`
 	Kind       Kind
 	Nonce      uint64
-	At         int64    // when it was sent by the sender's clock, Unix milliseconds
-	Target     string   // of an IndirectPing
-	Cookie     Cookie   // to be shown by the receiver on the datagrams that it sends back
-	Cert       []byte   // the sender's certificate, for a receiver that may not have it
-	Records    []Record // of members
-	Claims     []Claim  // of the sender, about other members
+	At         int64    // send time by the sender's clock, Unix milliseconds
+	Target     string   // member to ping (IndirectPing only)
+	Cookie     Cookie   // issued to the receiver, which includes it in the datagrams it sends back
+	Cert       []byte   // the sender's certificate, if the receiver may not have it
+	Records    []Record // records of any members
+	Claims     []Claim  // the sender's claims about members
 	Statements []Statement
-	Summaries  []Claim  // what the sender knows of some members; it asks for Records that are newer
-	Want       []string // names of the members whose Records are requested
+	Summaries  []Claim  // the sender's view of some members; requests newer Records
+	Want       []string // names of members whose Records are requested
 }
 
-// Cookie proves that its bearer has received a message from the member it is shown to since that member started.
+// Cookie proves that its bearer has received a message from the issuer since the issuer started.
 type Cookie [cookieBytes]byte
 
 // Addr is a UDP address.
 type Addr struct{ netip.AddrPort }
 
-// Record is what a member publishes about itself.
+// Record is a member's description of itself.
 type Record struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Addr        Addr
-	Epoch       int64  // when the member started by its own clock, Unix milliseconds
+	Epoch       int64  // start time of the member by its own clock, Unix milliseconds
 	Incarnation uint32 // incremented when the member refutes a suspicion
-	Gone        bool   // the member leaves
+	Gone        bool   // the member has left the fleet
 	Sig         []byte
 }
 
-// supersedes reports whether the record is newer than one of the same member with these properties.
+// supersedes reports whether the record is newer than a record of the same member with the given fields.
 func (r *Record) supersedes(epoch int64, incarnation uint32, gone bool) bool {
 	if r.Epoch != epoch {
 		return r.Epoch > epoch
@@ -73,7 +73,7 @@
 	return r.Gone && !gone
 }
 
-// Claim is the state that one member takes another to be in.
+// Claim is one member's view of the state of another.
 type Claim struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -88,13 +88,13 @@
 	Name  string
 	Epoch int64
 	Seq   uint64
-	At    int64 // when it was made by the clock of Name, Unix milliseconds
+	At    int64 // creation time by the author's clock, Unix milliseconds
 	Body  []byte
 	Cert  []byte
 	Sig   []byte
 }
 
-// supersedes reports whether the statement is newer than another of the same member.
+// supersedes reports whether the statement is newer than another of the same author.
 func (s *Statement) supersedes(other *Statement) bool {
 	if s.Epoch != other.Epoch {
 		return s.Epoch > other.Epoch
@@ -102,12 +102,12 @@
 	return s.Seq > other.Seq
 }
 
-// sameNumber reports whether two statements of a member have the same sequence number of the same epoch.
+// sameNumber reports whether two statements of an author have the same epoch and sequence number.
 func (s *Statement) sameNumber(other *Statement) bool {
 	return s.Epoch == other.Epoch && s.Seq == other.Seq
 }
 
-// The sizes of items in a datagram, in bytes at most: the bytes of variable length and the rest.
+// Upper bounds of the fixed part of an encoded item, in bytes. The size of an item adds its variable-length fields.
 const (
 	recordOverhead    = 48
 	claimOverhead     = 24
@@ -127,7 +127,7 @@
 // wantSize is the size of a name in Message.Want.
 func wantSize(name string) int { return len(name) + wantOverhead }
 
-// Size returns an estimate of the length of the datagram with the message, in bytes.
+// Size returns an estimate of the datagram length for the message, in bytes.
 func (m *Message) Size() int {
 	size := messageOverhead + len(m.Cert) + len(m.Target)
 	for _, record := range m.Records {
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// maxTransitTime is how old a datagram may be, in addition to the clock skew.
+	// maxTransitTime is the maximum age of a datagram, in addition to the clock skew.
 	maxTransitTime = 2 * time.Second
-	// maxStatementAge is how old a statement may be, in addition to the clock skew.
+	// maxStatementAge is the maximum age of a statement, in addition to the clock skew.
 	maxStatementAge = 10 * maxTransitTime
 )
 
 // Opened is an authenticated datagram.
 type Opened struct {
 	From  string
-	Epoch int64 // when its sender started, Unix milliseconds
+	Epoch int64 // start time of the sender, Unix milliseconds
 	*Message
-	Trusted bool // the sender has received a message of this member since both started, so it is not a replay
-	// Equivocators are the members that have signed two different statements with one sequence number.
+	Trusted bool // a valid cookie shows that the datagram is not a replay from before a restart
+	// Equivocators are members that signed two different statements with the same sequence number.
 	Equivocators []string
 }
 
-// Open authenticates a datagram. Cheap checks come first, and no signature is verified unless the budget of the
-// apparent sender allows it. Its records and statements are filtered: those that remain are new and signed by their
-// author, but records of members whose certificate is not known remain without a signature.
+// Open authenticates a datagram. Cheap checks come first, and each signature check needs budget of the apparent sender.
+// Open then removes records and statements that are not new or not signed by their author. Records of members whose
+// certificate is unknown are kept without their signature.
 func (g *Guard) Open(now time.Duration, wall time.Time, from netip.AddrPort, datagram []byte) (*Opened, error) {
 	sealed, err := parseEnvelope(datagram)
 	if err != nil {
@@ -60,9 +60,8 @@
 	return opened, nil
 }
 
-// authenticate returns the message of a datagram and its sender's certificate, after it has verified the signature and
-// that the message was sent lately, by another member or an earlier start of this one. The sender is nil if it is not
-// known.
+// authenticate returns the message of a datagram and its sender's certificate. It verifies the signature, that the
+// message was sent recently, and that this member did not send it in its current epoch. sender is nil if it is unknown.
 func (g *Guard) authenticate(
 	sealed *envelope, sender *peer, wall time.Time, checks checkBudget,
 ) (*Message, *x509.Certificate, error) {
@@ -81,24 +80,25 @@
 		return nil, nil, ErrClock
 	}
 	if sealed.from == g.own.Name() && sealed.epoch == g.epoch {
-		return nil, nil, ErrReplayed // this member's own, sent back
+		return nil, nil, ErrReplayed // own datagram sent back to this member
 	}
 	return message, cert, nil
 }
 
-// showsCookie reports whether a datagram shows the cookie that this member has handed to its sender.
+// showsCookie reports whether a datagram contains the cookie that this member issued to its sender.
 func (g *Guard) showsCookie(h *header) bool {
 	want := g.cookieFor(h.from)
 	return subtle.ConstantTimeCompare(want[:], h.cookie[:]) == 1
 }
 
-// isRecent reports whether a time in Unix milliseconds by another member's clock is at most maxAge from now.
+// isRecent reports whether a timestamp of another member's clock differs from wall by at most maxAge plus the clock
+// skew.
 func (g *Guard) isRecent(unixMilli int64, wall time.Time, maxAge time.Duration) bool {
 	return wall.Sub(time.UnixMilli(unixMilli)).Abs() <= g.clockSkew+maxAge
 }
 
-// senderCert returns the currently valid certificate of a datagram's sender: the one that is known, or one that the
-// datagram carries.
+// senderCert returns the valid certificate of a datagram's sender. A certificate carried by the datagram takes
+// precedence over the known one if they differ.
 func (g *Guard) senderCert(
 	name string, sender *peer, carried []byte, wall time.Time, checks checkBudget,
 ) (*x509.Certificate, error) {
@@ -124,8 +124,8 @@
 	return cert, nil
 }
 
-// filterRecords keeps the records that are new and signed by their author. Those of members whose certificate is not
-// known are accepted without their signature: they are only used as addresses at which a member may be found.
+// filterRecords keeps the records that are new and signed by their author. Records of members whose certificate is
+// unknown are kept without their signature: the Core uses them only as candidate addresses to ping.
 func (g *Guard) filterRecords(opened *Opened, checks checkBudget) {
 	accepted := opened.Records[:0]
 	for _, record := range opened.Records {
@@ -145,13 +145,13 @@
 	opened.Records = accepted
 }
 
-// acceptOwnRecord reports whether a record shows that another member with this member's name and key started later.
+// acceptOwnRecord reports whether a record proves that another member with this member's name and key started later.
 func (g *Guard) acceptOwnRecord(record *Record, checks checkBudget) bool {
 	return record.Epoch > g.epoch && checks.spend() &&
 		g.verifySignature(g.own.Cert, record.signed(g.fleet), record.Sig)
 }
 
-// acceptRecord reports whether a record of a known member is new and signed by it, and notes it as the latest.
+// acceptRecord reports whether a record of a known member is new and signed by it, and stores it as the latest if so.
 func (g *Guard) acceptRecord(author *peer, record *Record, checks checkBudget) bool {
 	if !record.supersedes(author.recordEpoch, author.recordIncarnation, author.recordGone) || !checks.spend() {
 		return false
@@ -163,7 +163,7 @@
 	return true
 }
 
-// filterStatements keeps the statements that are new and signed by their author, and notes equivocators.
+// filterStatements keeps the statements that are new and signed by their author, and records equivocators.
 func (g *Guard) filterStatements(opened *Opened, wall time.Time, checks checkBudget) {
 	accepted := opened.Statements[:0]
 	for _, statement := range opened.Statements {
@@ -172,7 +172,7 @@
 			continue
 		}
 		if statement.sameNumber(&author.lastStatement) {
-			// Ed25519 signs the same text in the same way, and the signatures differ: these are two texts.
+			// Ed25519 is deterministic, so different signatures mean different statements.
 			opened.Equivocators = append(opened.Equivocators, statement.Name)
 			continue
 		}
@@ -182,8 +182,8 @@
 	opened.Statements = accepted
 }
 
-// authenticateStatement returns the author of a statement that is not older than its latest, nor the same, and carries
-// its signature. It returns nil for others.
+// authenticateStatement returns the author of a statement, or nil if the statement is outdated, a duplicate, or not
+// signed by the author.
 func (g *Guard) authenticateStatement(statement *Statement, wall time.Time, checks checkBudget) *peer {
 	if statement.Name == g.own.Name() || !g.isRecent(statement.At, wall, maxStatementAge) {
 		return nil
@@ -206,7 +206,8 @@
 	return author
 }
 
-// mayBeNew reports whether a statement is newer than the latest of its author, or has its number but another signature.
+// mayBeNew reports whether a statement is newer than the latest one of its author, or has the same number but a
+// different signature.
 func mayBeNew(statement, latest *Statement) bool {
 	if statement.sameNumber(latest) {
 		return !bytes.Equal(statement.Sig, latest.Sig)
@@ -214,8 +215,8 @@
 	return statement.supersedes(latest)
 }
 
-// statementCert returns the known certificate of a statement's author, or the one that the statement carries. It
-// returns nil if there is none that is valid, or the budget does not allow to verify it.
+// statementCert returns the known certificate of a statement's author, or else the one carried by the statement. It
+// returns nil if the carried certificate is invalid or the budget does not allow a check.
 func (g *Guard) statementCert(author *peer, statement *Statement, wall time.Time, checks checkBudget) *x509.Certificate {
 	if author != nil && author.cert != nil {
 		return author.cert
--- a/internal/fleet/gossip/peer.go
+++ b/internal/fleet/gossip/peer.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	// maxPeers is how many members a Guard knows.
+	// maxPeers is the maximum number of members in a peerTable.
 	maxPeers = 4096
-	// replayWindowBits is by how much a sequence number may be below the highest one before it counts as replayed.
+	// replayWindowBits is the size of the replay window. Sequence numbers below the window count as replayed.
 	replayWindowBits = 64
 )
 
-// peer is what a Guard knows of another member.
+// peer is the state of a Guard about another member.
 type peer struct {
 	cert         *x509.Certificate
 	epoch        int64
-	highestSeq   uint64 // of its datagrams in this epoch
+	highestSeq   uint64 // highest sequence number received in this epoch
 	replayWindow uint64 // bit i is set if highestSeq-i was received
-	cookie       Cookie // to show to it
-	cookieSeen   bool   // it has shown this member's cookie in this epoch
+	cookie       Cookie // issued by the peer, sent back in datagrams to it
+	cookieSeen   bool   // the peer has sent back this member's cookie in this epoch
 	checkBudget  ratelimit.TokenBucket
 	lastSeen     time.Duration
 
 	lastStatement Statement
-	// Of its latest record:
+	// Fields of the latest record:
 	recordEpoch       int64
 	recordIncarnation uint32
 	recordGone        bool
 }
 
-// peerTable holds what a Guard knows of other members: at most maxPeers.
+// peerTable stores the state about at most maxPeers other members.
 type peerTable struct {
 	byName map[string]*peer
 }
 
 func newPeerTable() *peerTable { return &peerTable{byName: map[string]*peer{}} }
 
-// get returns a member, or nil.
+// get returns a member, or nil if it is unknown.
 func (t *peerTable) get(name string) *peer { return t.byName[name] }
 
-// add adds a member that was not known. If the table is full, the member that was silent longest is dropped.
+// add adds an unknown member. If the table is full, it evicts the least recently seen member.
 func (t *peerTable) add(name string, now time.Duration) *peer {
 	if len(t.byName) >= maxPeers {
 		oldest := ""
@@ -59,10 +59,9 @@
 	return added
 }
 
-// remove drops a member.
 func (t *peerTable) remove(name string) { delete(t.byName, name) }
 
-// removeUncertified drops the members whose certificates are not accepted any more, and returns their names.
+// removeUncertified drops the members whose certificates are no longer valid and returns their names.
 func (t *peerTable) removeUncertified(trust *pki.Trust, wall time.Time) (removed []string) {
 	for name, p := range t.byName {
 		if p.cert != nil && trust.Current(p.cert, wall) != nil {
@@ -73,12 +72,12 @@
 	return removed
 }
 
-// replayed reports whether a datagram is of an earlier epoch, was received before, or is too old to tell.
+// replayed reports whether a datagram belongs to an earlier epoch or is not fresh.
 func (p *peer) replayed(h *header) bool {
 	return h.epoch < p.epoch || h.epoch == p.epoch && !p.isFresh(h.seq)
 }
 
-// isFresh reports whether a sequence number was not received yet and is not too old to tell.
+// isFresh reports whether a sequence number was not received yet and is not below the replay window.
 func (p *peer) isFresh(seq uint64) bool {
 	if seq > p.highestSeq {
 		return true
@@ -87,16 +86,16 @@
 	return age < replayWindowBits && p.replayWindow>>age&1 == 0
 }
 
-// markSeen notes that a sequence number was received, which isFresh must have allowed.
+// markSeen marks a fresh sequence number as received.
 func (p *peer) markSeen(seq uint64) {
 	if seq > p.highestSeq {
-		p.replayWindow <<= seq - p.highestSeq // by 64 and more it becomes 0
+		p.replayWindow <<= seq - p.highestSeq // shifts of 64 and more give 0
 		p.highestSeq = seq
 	}
 	p.replayWindow |= 1 << (p.highestSeq - seq)
 }
 
-// startEpoch resets what belongs to the member's previous epoch.
+// startEpoch resets the state of the member's previous epoch.
 func (p *peer) startEpoch(epoch int64) {
 	p.epoch = epoch
 	p.highestSeq = 0
@@ -105,7 +104,8 @@
 	p.cookieSeen = false
 }
 
-// update applies the header and the cookie of an authenticated datagram.
+// update applies the header and the cookie of an authenticated datagram. trusted is true if the datagram contained a
+// valid cookie.
 func (p *peer) update(h *header, trusted bool, cookie Cookie) {
 	if h.epoch > p.epoch {
 		p.startEpoch(h.epoch)
@@ -117,18 +117,16 @@
 	}
 }
 
-// identify notes the certificate that a member has proved to own, and when that was.
+// identify stores the certificate for which a member has proved ownership, and the time of the proof.
 func (p *peer) identify(cert *x509.Certificate, now time.Duration) {
 	p.cert = cert
 	p.lastSeen = now
 }
 
-// setRecord notes the latest record of a member.
 func (p *peer) setRecord(record *Record) {
 	p.recordEpoch = record.Epoch
 	p.recordIncarnation = record.Incarnation
 	p.recordGone = record.Gone
 }
 
-// setStatement notes the latest statement of a member.
 func (p *peer) setStatement(statement Statement) { p.lastStatement = statement }
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// indirectProbes is how many members are asked to ping one that did not answer.
+	// indirectProbes is the number of relays that are asked to ping a target that did not answer.
 	indirectProbes = 3
-	// maxRelayedProbes is the number of probes in flight from which indirect pings are answered with a Nack at once.
+	// maxRelayedProbes is the number of probes in flight at which new indirect pings are answered with a Nack at once.
 	maxRelayedProbes = 64
-	// maxProbes is the number of probes in flight of which the answers are awaited; the answers to more are ignored.
+	// maxProbes is the maximum number of tracked probes in flight. Answers to further probes are ignored.
 	maxProbes = 2 * maxRelayedProbes
-	// probesPerSync is how often a probe also carries summaries: every which one.
+	// probesPerSync is the interval of probes that carry summaries: every fifth one.
 	probesPerSync = 5
-	// After this fraction of the probe timeout a relay sends its Nack, to arrive before the requester's own timeout.
+	// A relay sends its Nack after this fraction of the probe timeout, so that it arrives before the requester's
+	// timeout.
 	nackTimeoutNumerator, nackTimeoutDenominator = 4, 5
-	// probeStages is how many stages of a probe share a probe interval: the direct and the indirect one.
+	// probeStages is the number of stages of a probe that share a probe interval: direct and indirect.
 	probeStages = 2
 )
 
 // probe is a ping in flight.
 type probe struct {
-	target   string // empty for a seed, whose name is not known
+	target   string // empty for a seed, whose name is unknown
 	nonce    uint64
 	sentAt   time.Duration
-	indirect bool // other members were asked to ping the target
-	relays   int  // how many of them
-	nacks    int  // answers of them that the target was silent
-	// Of a probe on behalf of another member:
-	requester      string // the member that asked for it; empty for a probe of this member's own
+	indirect bool // relays were asked to ping the target
+	relays   int  // number of relays
+	nacks    int  // number of Nacks received from relays
+	// Fields of a probe on behalf of another member:
+	requester      string // member that sent the IndirectPing; empty for own probes
 	requesterNonce uint64
 	nackSent       bool
 }
 
-// start gives the probe the nonce and the time of its ping.
+// start sets the nonce and the send time of the ping.
 func (p *probe) start(now time.Duration, nonce uint64) {
 	p.nonce = nonce
 	p.sentAt = now
 }
 
-// requestIndirectPings asks random members to ping the target, which did not answer.
+// requestIndirectPings asks random alive members to ping the target, which did not answer.
 func (p *probe) requestIndirectPings(rng *rand.Rand, out *outbox, table *memberTable, target *member) {
 	relays := table.random(rng, indirectProbes, func(m *member) bool { return m.State == Alive && m != target })
 	for _, relay := range relays {
@@ -52,33 +53,33 @@
 	}
 }
 
-// answerRequester sends an Ack or a Nack to the member that asked for the probe.
+// answerRequester sends an Ack or a Nack to the member that requested the probe.
 func (p *probe) answerRequester(out *outbox, table *memberTable, kind Kind) {
 	if requester := table.get(p.requester); requester != nil {
 		out.transmitTo(requester, &Message{Kind: kind, Nonce: p.requesterNonce})
 	}
 }
 
-// probeStep is what has to be done about a probe in flight.
+// probeStep is the next step for a probe in flight.
 type probeStep int
 
 const (
-	awaitAnswer     probeStep = iota // nothing: its timeout has not passed
-	endSilently                      // it is over, and nobody is to be told
-	sendNack                         // notify the member that asked for it
-	probeIndirectly                  // ask other members to ping the target
-	declareFailed                    // nobody had an answer from the target
+	awaitAnswer     probeStep = iota // the timeout has not expired
+	endSilently                      // the probe has ended without further action
+	sendNack                         // send a Nack to the requester
+	probeIndirectly                  // ask relays to ping the target
+	declareFailed                    // neither this member nor a relay had an answer from the target
 )
 
-// failureDetector is the failure detector of SWIM with Lifeguard's local health: each interval one member is pinged, in
-// an order that is shuffled after each round; one that does not answer is pinged by indirectProbes others. It awaits the
-// answers of at most maxProbes probes.
+// failureDetector is SWIM's failure detector with Lifeguard's local health. Each interval it pings one member, in an
+// order that is reshuffled after each round. If the member does not answer, indirectProbes relays are asked to ping it.
+// At most maxProbes probes are tracked.
 type failureDetector struct {
 	probeInterval time.Duration
 	probeTimeout  time.Duration
 	health        awareness
-	probes        []*probe // in flight, in the order they were sent
-	orderIndex    int      // of the next member to probe in the order of the member table
+	probes        []*probe // probes in flight in send order
+	orderIndex    int      // index of the next target in the probe order
 	probeCount    int
 }
 
@@ -86,10 +87,10 @@
 	return &failureDetector{probeInterval: probeInterval, probeTimeout: probeTimeout}
 }
 
-// interval is the time until the next probe.
+// interval returns the time between two probes.
 func (d *failureDetector) interval() time.Duration { return d.health.scale(d.probeInterval) }
 
-// nextTarget returns the member to probe next, or nil if none is in the fleet.
+// nextTarget returns the next member to probe, or nil if no other member is in the fleet.
 func (d *failureDetector) nextTarget(rng *rand.Rand, table *memberTable) *member {
 	d.probeCount++
 	for range table.len() {
@@ -106,28 +107,28 @@
 	return nil
 }
 
-// carriesSummaries reports whether the probe of the last target is one that carries summaries.
+// carriesSummaries reports whether the probe of the last target returned by nextTarget carries summaries.
 func (d *failureDetector) carriesSummaries() bool { return d.probeCount%probesPerSync == 0 }
 
-// await notes a ping that was sent. Its answer is ignored if too many are awaited.
+// await tracks a probe whose ping was sent. If maxProbes probes are already tracked, the answer will be ignored.
 func (d *failureDetector) await(p *probe) {
 	if len(d.probes) < maxProbes {
 		d.probes = append(d.probes, p)
 	}
 }
 
-// inFlight returns the probes whose answers are awaited, in the order they were sent.
+// inFlight returns the tracked probes in send order.
 func (d *failureDetector) inFlight() []*probe { return slices.Clone(d.probes) }
 
-// canRelay reports whether a probe on behalf of another member may be begun.
+// canRelay reports whether another probe on behalf of a requester may be started.
 func (d *failureDetector) canRelay() bool { return len(d.probes) < maxRelayedProbes }
 
-// end no longer awaits the answer to a probe.
+// end stops tracking a probe.
 func (d *failureDetector) end(p *probe) {
 	d.probes = slices.DeleteFunc(d.probes, func(other *probe) bool { return other == p })
 }
 
-// byNonce returns the probe in flight with a nonce, or nil.
+// byNonce returns the tracked probe with a nonce, or nil.
 func (d *failureDetector) byNonce(nonce uint64) *probe {
 	i := slices.IndexFunc(d.probes, func(p *probe) bool { return p.nonce == nonce })
 	if i < 0 {
@@ -136,8 +137,8 @@
 	return d.probes[i]
 }
 
-// acknowledge ends the probe that an Ack answers and returns it, or nil if it answers none. Until other members were
-// asked to ping the target, nobody but the target was sent the nonce, so only its own Ack counts.
+// acknowledge ends the probe that an Ack answers and returns it, or nil if there is none. Before relays are involved,
+// only the target has received the nonce, so an Ack of any other sender is ignored.
 func (d *failureDetector) acknowledge(sender string, nonce uint64) *probe {
 	p := d.byNonce(nonce)
 	if p == nil {
@@ -153,14 +154,14 @@
 	return p
 }
 
-// countNack counts a member that could not reach the target of an indirect probe but is itself reachable.
+// countNack counts a Nack: the relay is reachable but had no answer from the target.
 func (d *failureDetector) countNack(nonce uint64) {
 	if p := d.byNonce(nonce); p != nil {
 		p.nacks++
 	}
 }
 
-// timeout is how long after its ping a probe enters its next stage.
+// timeout returns the time from the ping of a probe to its next stage.
 func (d *failureDetector) timeout(p *probe) time.Duration {
 	switch {
 	case p.requester != "" && !p.nackSent:
@@ -172,7 +173,7 @@
 	}
 }
 
-// nextTimeout returns when the next probe in flight enters its next stage.
+// nextTimeout returns the earliest time at which a probe in flight enters its next stage.
 func (d *failureDetector) nextTimeout() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, p := range d.probes {
@@ -181,8 +182,8 @@
 	return next
 }
 
-// advance takes a probe whose timeout has passed to its next stage: from direct to indirect to failed, or, on behalf of
-// another member, from pending to Nack sent to ended. It returns what has to be done for that.
+// advance moves a probe whose timeout has expired to its next stage and returns the step to perform. Own probes go from
+// direct to indirect to failed. Probes on behalf of a requester go from pending to Nack sent to ended.
 func (d *failureDetector) advance(now time.Duration, pending *probe, targetKnown bool) probeStep {
 	switch {
 	case now-pending.sentAt < d.timeout(pending):
@@ -202,19 +203,19 @@
 	}
 }
 
-// noteRefutation records that this member was suspected: it may be slow or cut off itself.
+// noteRefutation lowers the local health after this member was suspected, since it may be slow or partitioned itself.
 func (d *failureDetector) noteRefutation() { d.health.raise(1) }
 
-// fail ends a probe that nobody had an answer to. Where the relays did not send a Nack either, this member is as likely
-// to be the one that is cut off, and its health score grows by half their number.
+// fail ends an unanswered probe and raises the health score. Each missingNacksPerPenalty relays without a Nack raise it
+// by 1 more, because this member may be the one that is partitioned.
 func (d *failureDetector) fail(p *probe) {
 	d.end(p)
 	missingNacks := max(0, p.relays-p.nacks)
 	d.health.raise(1 + missingNacks/missingNacksPerPenalty)
 }
 
-// recoverFromPause abandons the probes that were in flight while this member did not run: that nothing was received in
-// that time proves nothing.
+// recoverFromPause drops the probes that were in flight during a pause of the process. Their missing answers are no
+// evidence of failures.
 func (d *failureDetector) recoverFromPause() {
 	d.probes = nil
 	d.health.raise(pausePenalty)
--- a/internal/fleet/gossip/recording_test.go
+++ b/internal/fleet/gossip/recording_test.go
@@ -12,14 +12,14 @@
 	"calicohill/internal/fleet/gossip"
 )
 
-// The timetable of a recording: a member crashes and restarts, one is partitioned, one pauses, one leaves, one has its
-// key revoked, and one has its name taken.
+// The schedule of a recording. One member each crashes and restarts, is partitioned, is paused, leaves, has its key
+// revoked, and has its name used by a later member.
 const (
 	recordingMembers = 12
 	recordingTick    = 10 * time.Millisecond
 	recordingEnd     = 150 * time.Second
-	recordingLoss    = 0.05 // probability that a message is lost
-	unsignedRecords  = 0.2  // probability that a message arrives with its records unsigned
+	recordingLoss    = 0.05 // message loss probability
+	unsignedRecords  = 0.2  // probability that the records of a message arrive unsigned
 
 	seedsUpdatedAt  = 5 * time.Second
 	crashAt         = 10 * time.Second
@@ -43,14 +43,14 @@
 	arrived []gossip.Event
 }
 
-// recording is a fleet in virtual time, of which all actions are recorded in their order.
+// recording runs a fleet in virtual time and records all actions in order.
 type recording struct {
 	config  gossip.Config
 	rng     *rand.Rand
 	members []*recordedMember
 	byAddr  map[netip.AddrPort]*recordedMember
-	lines   bytes.Buffer   // one for each action and each step
-	actions map[string]int // by type
+	lines   bytes.Buffer   // one line for each action and each step
+	actions map[string]int // number of actions by type
 }
 
 func newRecording(config gossip.Config, seed uint64) *recording {
@@ -70,7 +70,7 @@
 	return fleet
 }
 
-// start starts a member, whose seed is the first one.
+// start starts a member with the first member as its seed.
 func (r *recording) start(m *recordedMember, now time.Duration) {
 	config := r.config
 	config.Name, config.Addr, config.Seed = m.name, m.addr, r.rng.Uint64()
@@ -81,7 +81,7 @@
 	m.arrived = nil
 }
 
-// schedule applies what the timetable has for a time.
+// schedule applies the scheduled faults and events that are due at now.
 func (r *recording) schedule(now time.Duration) {
 	deliver := func(i int, event gossip.Event) { r.members[i].arrived = append(r.members[i].arrived, event) }
 	switch now {
@@ -109,7 +109,7 @@
 	}
 }
 
-// step steps a member with what has arrived, if anything has or its timers are due, and records its actions.
+// step steps a member and records its actions, unless it is down, paused, or has neither events nor due timers.
 func (r *recording) step(now time.Duration, i int) {
 	stepped := r.members[i]
 	paused := i == 7 && now >= pauseFrom && now < pauseTo
@@ -130,7 +130,7 @@
 	fmt.Fprintln(&r.lines, stepped.core.Next(), stepped.core.NumMembers())
 }
 
-// deliver passes a message to its receiver, which gets it at its next step, unless it is lost.
+// deliver queues a message for the next step of its receiver, unless it is lost or the two are partitioned.
 func (r *recording) deliver(now time.Duration, from int, transmit gossip.Transmit) {
 	receiver := r.byAddr[transmit.Addr]
 	lost := r.rng.Float64() < recordingLoss
@@ -155,7 +155,8 @@
 	})
 }
 
-// The actions of a fleet with fixed seeds, with faults of each kind, are to the bit those that were recorded.
+// TestRecordedActions guards against unintended changes of protocol behaviour. A fleet with fixed random seeds and
+// faults of each type must produce exactly the recorded actions.
 func TestRecordedActions(t *testing.T) {
 	config := gossip.Config{
 		ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 3 * time.Second,
@@ -171,12 +172,12 @@
 		name   string
 		config gossip.Config
 		seed   uint64
-		want   string // the start of the hash of all actions
+		want   string // prefix of the hash of all actions
 	}{
 		{"unsigned records", config, 1, "e3763a90d4cf5299"},
 		{"signed records", signed, 2, "9a9b765045c6f34f"},
-		{"fewer places than members", crowded, 3, "f707a20d893bb6e3"},
-		{"few messages", frugal, 4, "21a847e01133cb06"},
+		{"fewer slots than members", crowded, 3, "f707a20d893bb6e3"},
+		{"low message rate", frugal, 4, "21a847e01133cb06"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			fleet := newRecording(tt.config, tt.seed)
--- a/internal/fleet/gossip/tasks.go
+++ b/internal/fleet/gossip/tasks.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// gossipFanout is how many random members a round of gossip goes to.
+	// gossipFanout is the number of random members that a gossip round is sent to.
 	gossipFanout = 3
-	// gossipInterval is the pause between rounds of gossip.
+	// gossipInterval is the time between gossip rounds.
 	gossipInterval = 200 * time.Millisecond
-	// reconnectInterval is how often a seed that is not a member, and a dead member, are pinged.
+	// reconnectInterval is the time between pings to seeds that are not members and to dead members.
 	reconnectInterval = 5 * time.Second
-	// sweepInterval is how often members that are not alive are checked for timeouts.
+	// sweepInterval is the time between timeout checks of members that are not alive.
 	sweepInterval = 100 * time.Millisecond
 )
 
-// expireProbes takes the probes whose timeout has passed to their next stage.
+// expireProbes advances the probes whose timeout has expired.
 func (c *Core) expireProbes() {
 	for _, pending := range c.detector.inFlight() {
 		target := c.table.get(pending.target)
@@ -34,8 +34,8 @@
 	}
 }
 
-// sweepMembers declares suspects dead whose timeout has passed, notifies the others, and forgets members that have been
-// gone long enough.
+// sweepMembers declares suspects dead whose timeout has expired, sends due notices to the other suspects, and forgets
+// members that have been dead or departed for deadRetention.
 func (c *Core) sweepMembers() {
 	if c.now < c.nextSweep {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// runPeriodicTasks probes, reconnects and gossips when these are due.
+// runPeriodicTasks runs the probe, reconnect and gossip tasks that are due.
 func (c *Core) runPeriodicTasks() {
 	if c.now >= c.nextProbe {
 		c.nextProbe = c.now + c.detector.interval()
@@ -89,8 +89,8 @@
 	c.sendPing(&probe{target: target.Name}, target.Addr.AddrPort, summaries)
 }
 
-// reconnect pings a random seed that is not a member, and a random dead member, so that the sides of a partition find
-// each other again. Alone in the fleet, it is repeated sooner.
+// reconnect pings a random seed that is not a member and a random dead member, so that the sides of a partition find
+// each other again. A member without other members repeats this at the probe interval.
 func (c *Core) reconnect() {
 	if seeds := c.antiEntropy.unreachedSeeds(c.table); len(seeds) > 0 {
 		c.sendPing(&probe{}, seeds[c.rng.IntN(len(seeds))], c.antiEntropy.summaries(&c.self.record, c.table))
@@ -103,7 +103,7 @@
 	}
 }
 
-// pingCandidate pings one of the candidates.
+// pingCandidate pings a random candidate to verify its address and obtain its signed record.
 func (c *Core) pingCandidate() {
 	if !c.table.hasCandidates() || !c.limits.allowGossip(c.now) {
 		return
@@ -112,7 +112,7 @@
 	c.sendPing(&probe{target: candidate.Name}, candidate.Addr.AddrPort, c.antiEntropy.summaries(&c.self.record, c.table))
 }
 
-// sendGossip sends queued broadcasts to random members in messages of their own.
+// sendGossip sends queued broadcasts to random members in separate Gossip messages.
 func (c *Core) sendGossip(fanout int) {
 	for _, m := range c.table.random(c.rng, fanout, func(m *member) bool { return m.State.InFleet() }) {
 		if c.dissemination.pending() == 0 || !c.limits.allowGossip(c.now) {
@@ -123,16 +123,16 @@
 		}
 	}
 	if c.table.len() == 0 {
-		c.dissemination.clear() // there is no member to receive them; one that joins requests what it lacks
+		c.dissemination.clear() // no member can receive them; a joining member requests missing records
 	}
 }
 
-// sendPing begins a probe: it pings the target, or whoever is at the address if the target has no name. Nothing is begun
-// if the budget does not allow the ping.
+// sendPing starts a probe by sending a ping to an address. The probe is not started if the rate limit does not allow
+// the ping.
 func (c *Core) sendPing(p *probe, addr netip.AddrPort, summaries []Claim, claims ...Claim) {
 	p.start(c.now, c.rng.Uint64())
 	ping := &Message{Kind: Ping, Nonce: p.nonce, Summaries: summaries, Claims: claims}
-	// A member that may not know this one is sent its record.
+	// Receivers that may not know this member also get its record.
 	if !c.table.hasContacted(p.target) || len(summaries) > 0 {
 		ping.Records = []Record{c.self.record}
 	}
--- a/internal/fleet/gossip/testfleet_internal_test.go
+++ b/internal/fleet/gossip/testfleet_internal_test.go
@@ -8,7 +8,7 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// testFleet is the authority of a fleet, and makes guards of its members.
+// testFleet is the authority of a fleet. It creates Guards for members.
 type testFleet struct {
 	tb        testing.TB
 	authority *pki.Authority
@@ -57,7 +57,7 @@
 	return b
 }
 
-// acquaint makes two guards know each other, cookies included.
+// acquaint lets two guards exchange certificates and cookies.
 func (f *testFleet) acquaint(a, b *Guard) {
 	f.tb.Helper()
 	for range 2 {
