--- a/internal/fleet/transport/cores.go
+++ b/internal/fleet/transport/cores.go
@@ -11,12 +11,12 @@
 
 const (
 	maxMembers  = 4096
-	secretBytes = 32 // of the cookies
+	secretBytes = 32 // length of the cookie secret
 )
 
 func newGuard(settings operatorfile.Gossip, own *pki.Member, trust *pki.Trust, epoch int64) *gossip.Guard {
 	secret := make([]byte, secretBytes)
-	rand.Read(secret) // which never fails
+	rand.Read(secret) // never fails
 	return gossip.NewGuard(gossip.GuardConfig{
 		Fleet:              settings.Fleet,
 		Own:                own,
--- a/internal/fleet/transport/engine.go
+++ b/internal/fleet/transport/engine.go
@@ -16,13 +16,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// engine steps the cores of gossip and fault reports and performs their actions. It has no goroutine and no lock: all of
-// it belongs to the goroutine of Node.run, but own's name and the fleet, which do not change.
+// engine steps the gossip core and the fault report core, and performs their actions. It has no goroutine and no lock:
+// only the goroutine of Node.run may access it. The name of own and settings.Fleet never change and may be read
+// elsewhere.
 type engine struct {
 	log            *logrus.Entry
 	rateLimitedLog logging.RateLimited
 	onPeerReports  func(routing.PeerReports)
-	conn           *net.UDPConn // only written to
+	conn           *net.UDPConn // used for writes only
 	start          time.Time
 
 	settings     operatorfile.Gossip
@@ -31,13 +32,13 @@
 	guard        *gossip.Guard
 	core         *gossip.Core
 	faultReports *faultreport.Core
-	faultEvents  []faultreport.Event // for the next step of faultReports
+	faultEvents  []faultreport.Event // input of the next step of faultReports
 	statementSeq uint64
-	verdicts     map[string]routing.PeerVerdict // by worker ID
+	verdicts     map[string]routing.PeerVerdict // last published verdicts, by worker ID
 	sent         sentTraffic
 }
 
-// sentTraffic counts the datagrams that were sent.
+// sentTraffic counts sent datagrams.
 type sentTraffic struct {
 	messages int
 	bytes    int
@@ -51,7 +52,7 @@
 	s.rate.Record(now)
 }
 
-// newEngine returns an engine that sends by a socket and knows no other member. It calls onPeerReports whenever the
+// newEngine returns an engine that sends on conn and has no other members yet. It calls onPeerReports whenever the
 // verdicts of peers on workers change.
 func newEngine(
 	settings operatorfile.Gossip, own *pki.Member, trust *pki.Trust,
@@ -75,18 +76,18 @@
 	return created
 }
 
-// now is the time that the cores are given: Unix time at the start, continued by the monotonic clock.
+// now returns the time for the cores: the Unix time at the start plus the elapsed time of the monotonic clock.
 func (e *engine) now() time.Duration {
 	return time.Duration(e.start.UnixNano()) + time.Since(e.start)
 }
 
-// next is by when step must be called again.
+// next returns the time at which step must be called next, even if no event arrives.
 func (e *engine) next() time.Duration { return min(e.core.Next(), e.faultReports.Next()) }
 
-// addFaultEvent has the next step pass an event to the core of fault reports.
+// addFaultEvent queues an event for the next step of the fault report core.
 func (e *engine) addFaultEvent(event faultreport.Event) { e.faultEvents = append(e.faultEvents, event) }
 
-// step steps both cores until neither has an event for the other.
+// step steps both cores until neither produces events for the other.
 func (e *engine) step(events []gossip.Event) {
 	now := e.now()
 	for {
@@ -122,8 +123,8 @@
 	}
 }
 
-// stepFaultReports steps the core of fault reports with the events so far, performs its actions, and returns the
-// events that these are for the gossip core.
+// stepFaultReports steps the fault report core with the queued events, performs its actions, and returns the resulting
+// events for the gossip core.
 func (e *engine) stepFaultReports(now time.Duration) []gossip.Event {
 	faultEvents := e.faultEvents
 	e.faultEvents = nil
@@ -147,7 +148,7 @@
 	return events
 }
 
-// transmit seals a message and sends it.
+// transmit seals and sends a message.
 func (e *engine) transmit(transmit gossip.Transmit) {
 	datagram, err := e.guard.Seal(transmit.To, transmit.Incarnation, time.Now(), transmit.Message)
 	if err == nil {
@@ -160,8 +161,8 @@
 	e.sent.record(e.now(), len(datagram))
 }
 
-// membershipChanged gives the guard the addresses of seeds and members, and the core of fault reports the names of the
-// members that are in the fleet.
+// membershipChanged updates the known addresses of the guard, and the names of the certified members of the fleet in
+// the fault report core.
 func (e *engine) membershipChanged() {
 	addrs := append([]netip.AddrPort(nil), e.settings.Seeds...)
 	var names []string
@@ -175,7 +176,8 @@
 	e.addFaultEvent(faultreport.MembersChanged{Names: names})
 }
 
-// publishPeerReports passes on the reports of peers, and logs which workers are now, or no longer, confirmed faulty.
+// publishPeerReports passes peer reports to onPeerReports and logs workers that became or ceased to be confirmed
+// faulty.
 func (e *engine) publishPeerReports(reports routing.PeerReports) {
 	for worker, verdict := range reports.Verdicts {
 		if verdict == routing.Confirmed && e.verdicts[worker] != routing.Confirmed {
@@ -192,7 +194,8 @@
 	e.onPeerReports(reports)
 }
 
-// openDatagram appends the event of a datagram, if the guard opens it.
+// openDatagram authenticates a datagram and appends its event to events. A datagram that fails authentication is logged
+// and dropped.
 func (e *engine) openDatagram(events []gossip.Event, received datagram) []gossip.Event {
 	opened, err := e.guard.Open(e.now(), time.Now(), received.from, received.content)
 	if err != nil {
@@ -211,8 +214,8 @@
 	})
 }
 
-// reload applies new keys and settings, and returns the events that they are for the gossip core. Authorities that the
-// settings no longer name stay trusted for the overlap.
+// reload applies new keys and settings and returns the resulting events for the gossip core. Authorities missing from
+// the new settings stay trusted during AuthorityOverlap.
 func (e *engine) reload(settings operatorfile.Gossip, own *pki.Member, trust *pki.Trust) []gossip.Event {
 	e.trust = trust.MergePrevious(e.trust, time.Now(), settings.AuthorityOverlap)
 	removed := e.guard.UpdateTrust(own, e.trust, time.Now())
@@ -227,7 +230,7 @@
 	return events
 }
 
-// logEnd logs what was sent.
+// logEnd logs traffic statistics at shutdown.
 func (e *engine) logEnd() {
 	e.log.WithFields(logrus.Fields{
 		"seconds": time.Since(e.start).Seconds(),
--- a/internal/fleet/transport/fleet_internal_test.go
+++ b/internal/fleet/transport/fleet_internal_test.go
@@ -19,12 +19,12 @@
 
 const (
 	testFleetName = "lab"
-	validity      = time.Hour // of certificates
-	// readTimeout ends a test that waits for a datagram that was never sent.
+	validity      = time.Hour // validity of certificates
+	// readTimeout fails a test that waits for a datagram that was never sent.
 	readTimeout = 10 * time.Second
 )
 
-// testFleet is the authority of a fleet, and the directory of the files that its members read.
+// testFleet is the authority of a fleet and the directory with the files of its members.
 type testFleet struct {
 	t         *testing.T
 	dir       string
@@ -42,10 +42,10 @@
 	return fleet
 }
 
-// path returns the path of one of the fleet's files.
+// path returns the path of a file in the fleet's directory.
 func (f *testFleet) path(name string) string { return filepath.Join(f.dir, name) }
 
-// write writes one of the fleet's files and returns its path.
+// write writes a file into the fleet's directory and returns its path.
 func (f *testFleet) write(name string, content []byte) string {
 	f.t.Helper()
 	if err := os.WriteFile(f.path(name), content, 0o600); err != nil {
@@ -54,7 +54,7 @@
 	return f.path(name)
 }
 
-// issue makes a member whose certificate is valid from a time on, and writes its key file.
+// issue creates a member whose certificate is valid starting at from, and writes its key file.
 func (f *testFleet) issue(name string, from time.Time) *pki.Member {
 	f.t.Helper()
 	member, err := f.authority.Issue(name, from, validity)
@@ -67,7 +67,7 @@
 	return member
 }
 
-// revoke writes a revocation list with a member's certificate, and returns its path.
+// revoke writes a revocation list that contains a member's certificate, and returns its path.
 func (f *testFleet) revoke(member *pki.Member) string {
 	f.t.Helper()
 	list, err := f.authority.Revoke(nil, time.Now(), member.Cert.SerialNumber)
@@ -77,8 +77,8 @@
 	return f.write("revoked.crl", pki.EncodeRevocationList(list))
 }
 
-// settings returns the settings of the member with this name. Nothing in them is due while a test runs, so that
-// datagrams are sent for its events only; and no budget is used up.
+// settings returns the settings of the member with this name. All intervals are longer than a test, so that datagrams
+// are sent only in response to events. All rate limits are too high to be reached.
 func (f *testFleet) settings(name string) operatorfile.Gossip {
 	return operatorfile.Gossip{
 		Listen:                      netip.MustParseAddrPort("127.0.0.1:0"),
@@ -97,14 +97,14 @@
 	}
 }
 
-// testNode is a Node whose goroutines do not run: the test steps it and hands it its datagrams, one by one.
+// testNode is a Node without running goroutines. The test steps it and passes it each datagram.
 type testNode struct {
 	*Node
 	t        *testing.T
 	addr     netip.AddrPort
 	log      *logtest.Hook
 	reports  []routing.PeerReports // passed to onPeerReports
-	received int                   // datagrams read from the socket
+	received int                   // number of datagrams read from the socket
 }
 
 // open opens the Node of a member on a free port of the loopback interface.
@@ -119,20 +119,20 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { _ = node.conn.Close() }) // closed already if the test has closed the Node
+	f.t.Cleanup(func() { _ = node.conn.Close() }) // fails harmlessly if the test has closed the Node
 	opened.Node = node
 	local, ok := node.conn.LocalAddr().(*net.UDPAddr)
 	if !ok {
 		f.t.Fatalf("listening on %v, want a UDP address", node.conn.LocalAddr())
 	}
 	opened.addr = local.AddrPort()
-	// Only now is the port known that others are to be told.
+	// The port to advertise is known only after the socket is bound, so the core is created again.
 	node.engine.settings.Advertise = opened.addr
 	node.engine.core = newCore(node.engine.settings, node.engine.own, node.engine.guard, node.engine.start.UnixMilli())
 	return opened
 }
 
-// receiveFrom reads and applies all datagrams that another node has sent to this one, which are all that it has sent.
+// receiveFrom reads and applies the datagrams sent by another node. The sender must have sent all of them to this node.
 func (n *testNode) receiveFrom(sender *testNode) {
 	n.t.Helper()
 	for n.received < sender.engine.sent.messages {
@@ -155,7 +155,7 @@
 	return datagram{netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:size]}
 }
 
-// exchange has two nodes, of which no other sends anything, receive from each other until neither has sent more.
+// exchange delivers datagrams between two nodes until neither sends more. No other node may send to them.
 func exchange(a, b *testNode) {
 	a.t.Helper()
 	for a.received < b.engine.sent.messages || b.received < a.engine.sent.messages {
@@ -164,7 +164,7 @@
 	}
 }
 
-// join returns two nodes that are members of each other's fleet.
+// join returns two nodes that have joined the same fleet.
 func (f *testFleet) join(nameA, nameB string) (a, b *testNode) {
 	f.t.Helper()
 	a = f.open(nameA)
@@ -177,20 +177,20 @@
 	return a, b
 }
 
-// runCalls runs the calls that are queued.
+// runCalls runs the queued calls.
 func (n *testNode) runCalls() {
 	for len(n.calls) > 0 {
 		(<-n.calls)()
 	}
 }
 
-// fillCalls queues calls until there is no space for more.
+// fillCalls fills the call queue.
 func (n *testNode) fillCalls() {
 	for n.post(func() {}) {
 	}
 }
 
-// wantMember checks that another member is known, in this state.
+// wantMember checks that another member is known and in the given state.
 func (n *testNode) wantMember(name string, want gossip.State) {
 	n.t.Helper()
 	for _, member := range n.engine.core.Members() {
@@ -201,10 +201,10 @@
 			return
 		}
 	}
-	n.t.Errorf("%s: member %s is not known, want it %s", n.engine.own.Name(), name, want)
+	n.t.Errorf("%s: member %s is unknown, want %s", n.engine.own.Name(), name, want)
 }
 
-// messages returns the messages of the log since the last call.
+// messages returns the log messages since the last call.
 func (n *testNode) messages() []string {
 	var messages []string
 	for _, entry := range n.log.AllEntries() {
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -9,15 +9,15 @@
 	"calicohill/internal/fleet/pki"
 )
 
-// readKeys reads the key, authorities and revocation list that the settings name, and checks that the key's
-// certificate is valid now.
+// readKeys reads the files named in the settings: the key, the authorities and the revocation list. It checks that the
+// certificate of the key is currently valid.
 func readKeys(settings operatorfile.Gossip) (*pki.Member, *pki.Trust, error) {
 	key, cert, err := pki.ReadKeyFile(settings.Key)
 	if err != nil {
 		return nil, nil, fmt.Errorf("gossip: %w", err)
 	}
 	if cert.IsCA {
-		return nil, nil, fmt.Errorf("gossip: %s is the key of an authority, which no scheduler should hold", settings.Key)
+		return nil, nil, fmt.Errorf("gossip: %s is the key of an authority; a scheduler needs a member key", settings.Key)
 	}
 	trust, err := readTrust(settings)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return &pki.Member{Cert: cert, Key: key}, trust, nil
 }
 
-// readTrust reads the authorities and the revocation list that the settings name.
+// readTrust reads the authorities and the revocation list named in the settings.
 func readTrust(settings operatorfile.Gossip) (*pki.Trust, error) {
 	var authorities []*x509.Certificate
 	for _, path := range settings.Authorities {
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -1,5 +1,5 @@
 // Package transport connects the cores of packages gossip and faultreport to a UDP socket, key files and the clock. It
-// runs beside the request loop on two goroutines of its own: neither waits for the loop, nor the loop for them.
+// runs on two goroutines separate from the request loop. Neither side ever blocks on the other.
 package transport
 
 import (
@@ -19,29 +19,30 @@
 )
 
 const (
-	queueLength       = 256 // datagrams, and calls, that wait for the goroutine of Node.run
+	queueLength       = 256 // capacity of the datagram queue and of the call queue of Node.run
 	socketBufferBytes = 256 << 10
-	// maxBatch is how many queued datagrams are opened, besides the first, before the cores are stepped.
+	// maxBatch is the maximum number of queued datagrams that are opened after the first one before the cores are
+	// stepped.
 	maxBatch = 64
-	// minStepInterval is the minimum time until a step that nothing but the clock causes.
+	// minStepInterval is the minimum delay before a step that is triggered by the timer.
 	minStepInterval = time.Millisecond
 )
 
-// Node is this scheduler's membership in its fleet. Its methods may be called from any goroutine; Run and Close are to
-// be called once each.
+// Node runs this scheduler's membership in its fleet. Its methods are safe for concurrent use. Run and Close must be
+// called at most once each.
 type Node struct {
 	log       *logrus.Entry
 	conn      *net.UDPConn
-	engine    *engine       // of the goroutine of run
-	datagrams chan datagram // received
-	calls     chan func()   // to be run by the goroutine of run
+	engine    *engine       // accessed only by the goroutine of run
+	datagrams chan datagram // received datagrams
+	calls     chan func()   // functions to call on the goroutine of run
 	quit      chan struct{}
 	done      chan struct{}
-	endpoints atomic.Pointer[[]string] // worker IDs that the next step takes; nil if they have not changed
+	endpoints atomic.Pointer[[]string] // worker IDs for the next step; nil if unchanged
 }
 
 // Open reads the keys, binds the socket and returns a Node that is idle until Run. onPeerReports is called on the
-// Node's goroutine whenever the verdicts of peers on workers change, and must not wait for the Node.
+// goroutine of run whenever the verdicts of peers on workers change. It must not block on the Node.
 func Open(settings operatorfile.Gossip, onPeerReports func(routing.PeerReports), log *logrus.Entry) (*Node, error) {
 	own, trust, err := readKeys(settings)
 	if err != nil {
@@ -51,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	// On an error the socket keeps the system's buffer size, which is enough.
+	// On error the socket keeps the default buffer size, which is sufficient.
 	_ = conn.SetReadBuffer(socketBufferBytes)
 	return &Node{
 		log:       log,
@@ -64,7 +65,7 @@
 	}, nil
 }
 
-// Run starts the Node.
+// Run starts the goroutines of the Node.
 func (n *Node) Run() {
 	go n.receive()
 	go n.run()
@@ -73,14 +74,14 @@
 	}).Info("gossip started")
 }
 
-// Close announces that this member leaves, and stops the Node.
+// Close announces that this member leaves and waits until the Node has stopped.
 func (n *Node) Close() {
 	close(n.quit)
 	<-n.done
 }
 
-// post queues a function for the goroutine of run. It reports false, and drops the function, if the queue is full: the
-// request loop must not wait.
+// post queues a function for the goroutine of run. If the queue is full, post drops the function and returns false,
+// because the request loop must not block.
 func (n *Node) post(call func()) bool {
 	select {
 	case n.calls <- call:
@@ -90,7 +91,7 @@
 	}
 }
 
-// FaultObserved records a fault that this scheduler observes, or no longer observes, of a worker. It never waits.
+// FaultObserved records that this scheduler observes a fault of a worker, or that the fault has ended. It never blocks.
 func (n *Node) FaultObserved(report routing.ReportFault) {
 	n.post(func() {
 		n.engine.addFaultEvent(faultreport.FaultObserved{
@@ -99,24 +100,24 @@
 	})
 }
 
-// EndpointsChanged records the IDs of the workers in the endpoint list. It never waits.
+// EndpointsChanged records the IDs of the workers in the endpoint list. It never blocks.
 func (n *Node) EndpointsChanged(workers []string) {
 	n.endpoints.Store(&workers)
-	n.post(func() {}) // wakes run; if the queue is full, run is about to step anyway
+	n.post(func() {}) // wakes run; if the queue is full, run will step soon anyway
 }
 
-// ErrBusy is returned when a prepared reload is not applied because the queue of the Node is full.
-var ErrBusy = errors.New("gossip: too many events are waiting")
+// ErrBusy is returned if a prepared reload cannot be applied because the call queue of the Node is full.
+var ErrBusy = errors.New("gossip: call queue is full")
 
-// Prepare reads and checks the keys that new settings name, and returns a function that applies both. Until that is
-// called nothing changes. A different name or fleet is an error, since it takes a restart.
+// Prepare reads and checks the keys named in new settings, and returns a function that applies keys and settings.
+// Nothing changes until that function is called. A changed name or fleet is an error, since it requires a restart.
 func (n *Node) Prepare(settings operatorfile.Gossip) (apply func() error, err error) {
 	own, trust, err := readKeys(settings)
 	if err != nil {
 		return nil, err
 	}
 	if own.Name() != n.engine.own.Name() || settings.Fleet != n.engine.settings.Fleet {
-		return nil, fmt.Errorf("gossip: %s of fleet %s can't become %s of fleet %s without a restart",
+		return nil, fmt.Errorf("gossip: cannot change from %s of fleet %s to %s of fleet %s without a restart",
 			n.engine.own.Name(), n.engine.settings.Fleet, own.Name(), settings.Fleet)
 	}
 	return func() error {
@@ -133,10 +134,10 @@
 	n.log.Info("gossip settings reloaded")
 }
 
-// run steps the cores with what arrives and when they are due, until the Node is closed.
+// run steps the cores on datagrams, calls and timers until the Node is closed.
 func (n *Node) run() {
 	defer close(n.done)
-	defer func() { _ = n.conn.Close() }() // nothing is left to do about an error
+	defer func() { _ = n.conn.Close() }() // an error at shutdown has no consequence
 	timer := time.NewTimer(0)
 	for {
 		var events []gossip.Event
@@ -156,7 +157,7 @@
 	}
 }
 
-// step steps the engine with events and what the other goroutines have left for it.
+// step steps the engine with events and the latest endpoint list, if it changed.
 func (n *Node) step(events []gossip.Event) {
 	if workers := n.endpoints.Swap(nil); workers != nil {
 		n.engine.addFaultEvent(faultreport.EndpointsChanged{Workers: *workers})
@@ -164,7 +165,7 @@
 	n.engine.step(events)
 }
 
-// leave announces that this member leaves.
+// leave announces that this member leaves and logs the traffic statistics.
 func (n *Node) leave() {
 	n.step([]gossip.Event{gossip.Leave{}})
 	n.engine.logEnd()
--- a/internal/fleet/transport/node_internal_test.go
+++ b/internal/fleet/transport/node_internal_test.go
@@ -19,16 +19,16 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 )
 
-// openErrorCase is a member with keys that its fleet would not accept.
+// openErrorCase describes settings with keys that the fleet does not accept.
 type openErrorCase struct {
 	name   string
 	member string
 	change func(*operatorfile.Gossip)
-	want   error  // wrapped by the error; nil if only its text counts
-	text   string // part of the error
+	want   error  // error to be wrapped; nil if only the text is checked
+	text   string // substring of the error text
 }
 
-// openErrorCases are cases of a fleet and another one, with the revocation lists of both.
+// openErrorCases returns the cases for a fleet and another one, given the paths of their revocation lists.
 func openErrorCases(fleet, other *testFleet, list, foreignList string) []openErrorCase {
 	return []openErrorCase{
 		{"no key file", "nobody", nil, fs.ErrNotExist, fleet.path("nobody.key")},
@@ -65,7 +65,8 @@
 	}
 }
 
-// A Node does not open with keys that the fleet would not accept. The error names the file or the reason.
+// TestOpenErrors guards against opening a Node with keys that other members would reject, and against errors that name
+// neither the file nor the reason.
 func TestOpenErrors(t *testing.T) {
 	now := time.Now()
 	fleet := newTestFleet(t, testFleetName)
@@ -88,7 +89,7 @@
 			}
 			_, err := Open(settings, nil, nil)
 			if err == nil || !strings.HasPrefix(err.Error(), "gossip: ") || !strings.Contains(err.Error(), tt.text) {
-				t.Errorf("Open: %v, want an error of gossip with %q", err, tt.text)
+				t.Errorf("Open: %v, want an error with prefix \"gossip: \" and substring %q", err, tt.text)
 			}
 			if tt.want != nil && !errors.Is(err, tt.want) {
 				t.Errorf("Open: %v, want it to wrap %v", err, tt.want)
@@ -107,7 +108,7 @@
 	}
 }
 
-// A member that is given the address of another joins its fleet, and leaves it again.
+// TestJoinAndLeave guards against a member that cannot join through a seed, or whose departure is not announced.
 func TestJoinAndLeave(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -124,8 +125,9 @@
 	}
 }
 
-// A stranger is not let in, even if its authority calls its fleet the same: this fleet's did not sign its certificate.
-func TestStrangerIsNotLetIn(t *testing.T) {
+// TestUnknownAuthorityRejected guards against admitting a member whose certificate was signed by another authority. The
+// fleet name alone must not be sufficient.
+func TestUnknownAuthorityRejected(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
 	nodeA := fleet.open("a")
@@ -134,7 +136,7 @@
 	nodeB := stranger.open("b", nodeA.addr)
 	nodeB.step(nil)
 	if nodeB.engine.sent.messages == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no datagram was sent")
 	}
 	nodeA.receiveFrom(nodeB)
 	if members := nodeA.engine.core.Members(); len(members) != 0 || nodeA.engine.sent.messages != 0 {
@@ -145,7 +147,7 @@
 	}
 }
 
-// What does not come from a member is dropped, whatever it is, and costs no event.
+// TestMalformedDatagramIsDropped guards against malformed datagrams that cause events or stay in the queue.
 func TestMalformedDatagramIsDropped(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -157,7 +159,8 @@
 	}
 }
 
-// A fault that one scheduler observes reaches the Router of another as a report of a peer.
+// TestFaultObservedReachesPeer guards against an observed fault that does not reach the Router of another scheduler as
+// a peer report, or that is returned to its own observer.
 func TestFaultObservedReachesPeer(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -173,18 +176,19 @@
 	nodeA.step(nil)
 	exchange(nodeA, nodeB)
 	if len(nodeA.reports) != 0 {
-		t.Errorf("a was notified of %v, want nothing: it is its own report", nodeA.reports)
+		t.Errorf("a was notified of %v, want nothing, since the report is its own", nodeA.reports)
 	}
 	if len(nodeB.reports) == 0 {
-		t.Fatal("b was notified of nothing")
+		t.Fatal("b was not notified")
 	}
 	verdicts := nodeB.reports[len(nodeB.reports)-1].Verdicts
 	if len(verdicts) != 1 || verdicts["w1"] != routing.Reported {
-		t.Errorf("b was notified of verdicts %v, want w1 to be reported", verdicts)
+		t.Errorf("b was notified of verdicts %v, want only w1 as reported", verdicts)
 	}
 }
 
-// The log says when peers confirm a fault and when they withdraw that, each once; the Router gets every report.
+// TestPublishPeerReports guards against missing or repeated log entries when peers confirm or withdraw a fault, and
+// against reports that are not passed to the Router.
 func TestPublishPeerReports(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -192,7 +196,7 @@
 	for _, tt := range []struct {
 		name     string
 		verdicts map[string]routing.PeerVerdict
-		want     []string // of the log
+		want     []string // log messages
 	}{
 		{"reported", map[string]routing.PeerVerdict{"w": routing.Reported}, nil},
 		{"confirmed", map[string]routing.PeerVerdict{"w": routing.Confirmed}, []string{"worker confirmed faulty by peers"}},
@@ -211,11 +215,12 @@
 	}
 }
 
-// The request loop calls these while the Node's goroutine may be behind: they drop what finds no space rather than wait.
+// TestCallsDoNotWait guards against methods that block the request loop while the goroutine of run lags behind. If the
+// call queue is full, calls must be dropped.
 func TestCallsDoNotWait(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
-	node := fleet.open("a") // nothing takes calls out of its queue
+	node := fleet.open("a") // no goroutine drains the call queue
 	node.fillCalls()
 	node.FaultObserved(routing.ReportFault{Worker: "w", Fault: routing.Unreachable})
 	node.EndpointsChanged([]string{"old"})
@@ -227,7 +232,7 @@
 	if len(node.engine.faultEvents) != 0 {
 		t.Errorf("events %v, want none: the call was dropped", node.engine.faultEvents)
 	}
-	// The endpoint list is not dropped, as it is not repeated: the next step takes the latest.
+	// The endpoint list must not be dropped, because it is not sent again. The next step uses the latest one.
 	if got := node.endpoints.Load(); got == nil || !slices.Equal(*got, []string{"new"}) {
 		t.Errorf("endpoints for the next step: %v, want the latest", got)
 	}
@@ -237,7 +242,7 @@
 	}
 }
 
-// Datagrams that no member sends, because they are empty or too long, are not queued.
+// TestReceive guards against queueing empty or oversized datagrams, which no member sends.
 func TestReceive(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -267,13 +272,13 @@
 			t.Errorf("received from %v, want %v", got.from, sender.LocalAddr())
 		}
 	}
-	if err := node.conn.Close(); err != nil { // ends receive
+	if err := node.conn.Close(); err != nil { // stops receive
 		t.Error(err)
 	}
 	<-returned
 }
 
-// Close returns once the Node has announced that it leaves and has closed its socket.
+// TestClose guards against a Close that returns before the Node has left the fleet and closed its socket.
 func TestClose(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -288,7 +293,7 @@
 		t.Errorf("writing to the socket: %v, want %v", err, net.ErrClosed)
 	}
 	if last := hook.LastEntry(); last == nil || last.Message != "gossip ended" {
-		t.Errorf("last entry of the log: %v, want that gossip ended", last)
+		t.Errorf("last log entry: %v, want \"gossip ended\"", last)
 	}
-	node.FaultObserved(routing.ReportFault{Worker: "w"}) // the request loop may outlive the Node: still no wait
+	node.FaultObserved(routing.ReportFault{Worker: "w"}) // must not block: the request loop may outlive the Node
 }
--- a/internal/fleet/transport/receive.go
+++ b/internal/fleet/transport/receive.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxReadsPerSlice is how many datagrams are read in a readSlice; the system drops those beyond its buffer. Reading
-	// 10,000 datagrams per second takes some hundredths of a core.
+	// maxReadsPerSlice is the maximum number of datagrams read per readSlice; the kernel drops further ones once its
+	// buffer is full. Reading 10,000 datagrams per second takes a few hundredths of a core.
 	maxReadsPerSlice = 1000
 	readSlice        = 100 * time.Millisecond
 )
 
-// datagram is a datagram that was received.
+// datagram is a received datagram.
 type datagram struct {
 	from    netip.AddrPort
 	content []byte
 }
 
-// readLimiter limits the rate of reads, by the number in each slice of time.
+// readLimiter limits the rate of reads to maxReadsPerSlice per readSlice.
 type readLimiter struct {
 	reads      int
 	sliceStart time.Time
 }
 
-// wait counts a read. After the last read that a slice allows it sleeps until the slice is over.
+// wait counts a read. After the last read allowed in a slice it sleeps until the slice ends.
 func (l *readLimiter) wait() {
 	l.reads++
 	elapsed := time.Since(l.sliceStart)
@@ -42,10 +42,10 @@
 	l.sliceStart = time.Now()
 }
 
-// receive queues the datagrams that the socket receives until it is closed. If the queue is full, a datagram is
-// dropped as if the network had lost it.
+// receive reads datagrams from the socket and queues them until the socket is closed. Datagrams that do not fit into
+// the queue are dropped, like a loss in the network.
 func (n *Node) receive() {
-	buffer := make([]byte, gossip.MaxDatagram+1) // one byte more, to detect datagrams that are too long
+	buffer := make([]byte, gossip.MaxDatagram+1) // one extra byte to detect oversized datagrams
 	limiter := readLimiter{sliceStart: time.Now()}
 	for {
 		size, addr, err := n.conn.ReadFromUDPAddrPort(buffer)
@@ -66,7 +66,7 @@
 	}
 }
 
-// openQueued opens a datagram, and up to maxBatch more that are queued already, and returns their events.
+// openQueued opens a datagram and up to maxBatch further ones from the queue, and returns their events.
 func (n *Node) openQueued(first datagram) []gossip.Event {
 	events := n.engine.openDatagram(nil, first)
 	for range maxBatch {
--- a/internal/fleet/transport/reload_internal_test.go
+++ b/internal/fleet/transport/reload_internal_test.go
@@ -12,6 +12,7 @@
 	"calicohill/internal/fleet/gossip"
 )
 
+// TestPrepareErrors guards against queueing a reload with unreadable files or a different name or fleet.
 func TestPrepareErrors(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -26,7 +27,7 @@
 	for _, tt := range []struct {
 		name     string
 		settings operatorfile.Gossip
-		want     string // part of the error
+		want     string // substring of the error text
 	}{
 		{"no key file", fleet.settings("nobody"), fleet.path("nobody.key")},
 		{"no authority file", missing, fleet.path("none.crt")},
@@ -45,7 +46,8 @@
 	}
 }
 
-// Prepared settings change nothing until they are applied. Then a member whose certificate they revoke is removed.
+// TestReload guards against settings that take effect before they are applied, and against members that stay in the
+// fleet after their certificate was revoked.
 func TestReload(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
@@ -82,6 +84,7 @@
 	}
 }
 
+// TestReloadWhileBusy guards against a reload that is dropped without an error if the call queue is full.
 func TestReloadWhileBusy(t *testing.T) {
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
