--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -91,8 +91,7 @@
 	return ack
 }
 
-// compareSummaries adds records that are newer than the summaries of a ping and requests the records of unknown
-// members.
+// compareSummaries adds records that are newer than their summaries, and requests the records of unknown members.
 func compareSummaries(self string, table *memberTable, summaries []Claim, ack *Message, packer *recordPacker) {
 	for _, summary := range summaries {
 		m := table.get(summary.Name)
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -159,9 +159,8 @@
 	return free
 }
 
-// attach adds the broadcast to a message with free bytes left and returns the size of the broadcast. Statements go only
-// to contacted receivers: these already have this member's certificate, so statements may use the space reserved for
-// it.
+// attach adds the broadcast to a message with free bytes left and returns the size of the broadcast. Statements are
+// sent only to contacted receivers. These already have this member's certificate, so its reserved space is available.
 func (b *broadcast) attach(message *Message, free int, contacted bool) (size int, attached bool) {
 	switch {
 	case b.record != nil:
--- a/internal/fleet/gossip/handlers.go
+++ b/internal/fleet/gossip/handlers.go
@@ -114,8 +114,7 @@
 		target.Addr.AddrPort, nil)
 }
 
-// mergeRecord applies the record of a member. If records are signed, a record without a signature only adds a
-// candidate.
+// mergeRecord applies the record of a member. In a fleet with signed records, an unsigned one only adds a candidate.
 func (c *Core) mergeRecord(record Record) {
 	if record.Name == c.config.Name {
 		if record.Epoch > c.self.record.Epoch && record.Sig != nil {
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -20,7 +20,7 @@
 	From  string
 	Epoch int64 // start time of the sender, Unix milliseconds
 	*Message
-	Trusted bool // a valid cookie shows that the datagram is not a replay from before a restart
+	Trusted bool // contains a cookie issued since this member started, so it is not a replay
 	// Equivocators are members that signed two different statements with the same sequence number.
 	Equivocators []string
 }
@@ -91,8 +91,7 @@
 	return subtle.ConstantTimeCompare(want[:], h.cookie[:]) == 1
 }
 
-// isRecent reports whether a timestamp of another member's clock differs from wall by at most maxAge plus the clock
-// skew.
+// isRecent reports whether a timestamp by another member's clock is within maxAge plus the clock skew of wall.
 func (g *Guard) isRecent(unixMilli int64, wall time.Time, maxAge time.Duration) bool {
 	return wall.Sub(time.UnixMilli(unixMilli)).Abs() <= g.clockSkew+maxAge
 }
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -14,10 +14,10 @@
 	maxRelayedProbes = 64
 	// maxProbes is the maximum number of tracked probes in flight. Answers to further probes are ignored.
 	maxProbes = 2 * maxRelayedProbes
-	// probesPerSync is the interval of probes that carry summaries: every fifth one.
+	// Every probesPerSync-th probe carries summaries.
 	probesPerSync = 5
-	// A relay sends its Nack after this fraction of the probe timeout, so that it arrives before the requester's
-	// timeout.
+	// A relay sends its Nack after this fraction of the probe timeout, so that it arrives before the requester times
+	// out.
 	nackTimeoutNumerator, nackTimeoutDenominator = 4, 5
 	// probeStages is the number of stages of a probe that share a probe interval: direct and indirect.
 	probeStages = 2
@@ -117,7 +117,7 @@
 	}
 }
 
-// inFlight returns the tracked probes in send order.
+// inFlight returns a copy of the tracked probes in send order.
 func (d *failureDetector) inFlight() []*probe { return slices.Clone(d.probes) }
 
 // canRelay reports whether another probe on behalf of a requester may be started.
@@ -203,7 +203,7 @@
 	}
 }
 
-// noteRefutation lowers the local health after this member was suspected, since it may be slow or partitioned itself.
+// noteRefutation raises the health score after this member was suspected, since it may be slow or partitioned itself.
 func (d *failureDetector) noteRefutation() { d.health.raise(1) }
 
 // fail ends an unanswered probe and raises the health score. Each missingNacksPerPenalty relays without a Nack raise it
--- a/internal/fleet/gossip/ratemeter_test.go
+++ b/internal/fleet/gossip/ratemeter_test.go
@@ -15,7 +15,7 @@
 		"no messages":                {nil, 0},
 		"one message":                {[]time.Duration{time.Hour}, 1},
 		"two at once":                {[]time.Duration{time.Hour, time.Hour}, 2},
-		"two within a second":        {[]time.Duration{0, time.Second - 1}, 2},
+		"two in less than a second":  {[]time.Duration{0, time.Second - 1}, 2},
 		"two a second apart":         {[]time.Duration{0, time.Second}, 1},
 		"across a whole second":      {[]time.Duration{900 * time.Millisecond, 1000 * time.Millisecond, 1100 * time.Millisecond}, 3},
 		"the peak outlasts a pause":  {[]time.Duration{0, 1, 2, time.Hour}, 3},
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -28,8 +28,8 @@
 	minStepInterval = time.Millisecond
 )
 
-// Node runs this scheduler's membership in its fleet. Its methods are safe for concurrent use. Run and Close must be
-// called at most once each.
+// Node runs this scheduler's membership in its fleet. Its methods are safe for concurrent use. Run must be called once,
+// and then Close once.
 type Node struct {
 	log       *logrus.Entry
 	conn      *net.UDPConn
