--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -135,7 +135,7 @@
 	datagram = append(datagram, ed25519.Sign(g.own.Key, head.signed(g.fleet, body))...)
 	datagram = append(datagram, body...)
 	if len(datagram) > MaxDatagram {
-		return nil, fmt.Errorf("gossip: datagram of %d bytes exceeds the limit of %d", len(datagram), MaxDatagram)
+		return nil, fmt.Errorf("gossip: sealed datagram too long: %d bytes", len(datagram))
 	}
 	return datagram, nil
 }
--- a/internal/fleet/gossip/guard_internal_test.go
+++ b/internal/fleet/gossip/guard_internal_test.go
@@ -227,7 +227,7 @@
 	m := Message{Kind: Ping, Statements: []Statement{sender.SignStatement(1, noon, make([]byte, maxStatementBytes))}}
 	b := fleet.seal(sender, "", noon, m)
 	if len(b) > MaxDatagram {
-		t.Errorf("datagram of %d bytes, want at most %d", len(b), MaxDatagram)
+		t.Errorf("datagram too long: %d bytes", len(b))
 	}
 }
 
