--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -11,8 +11,8 @@
 	maxRequested = maxItems / 2
 	// maxSummaries is the maximum number of summaries of other members in a ping.
 	maxSummaries = maxItems/2 - 1
-	// maxUnlisted is the maximum number of records in an Ack for members without a summary in the ping.
-	maxUnlisted = 3
+	// maxUnsummarized is the maximum number of records in an Ack for members without a summary in the ping.
+	maxUnsummarized = 3
 )
 
 // antiEntropy repairs updates that gossip missed, like memberlist's push/pull. A ping carries summaries of some
@@ -85,7 +85,7 @@
 	}
 	compareSummaries(self.Name, table, ping.Summaries, ack, &packer)
 	if len(ping.Summaries) > 0 || sender == nil {
-		packUnlisted(rng, table, received, &packer)
+		packUnsummarized(rng, table, received, &packer)
 	}
 	ack.Records = packer.records
 	return ack
@@ -109,16 +109,16 @@
 	}
 }
 
-// packUnlisted adds the records of some random members that have no summary in the ping. Without it, a sender that
+// packUnsummarized adds the records of some random members that have no summary in the ping. Without it, a sender that
 // knows few members would learn of the others only slowly.
-func packUnlisted(rng *rand.Rand, table *memberTable, received Received, packer *recordPacker) {
-	listed := func(name string) bool {
+func packUnsummarized(rng *rand.Rand, table *memberTable, received Received, packer *recordPacker) {
+	summarized := func(name string) bool {
 		return slices.ContainsFunc(received.Message.Summaries, func(s Claim) bool { return s.Name == name })
 	}
-	unlisted := table.random(rng, maxUnlisted, func(m *member) bool {
-		return m.State == Alive && m.Name != received.From && !listed(m.Name)
+	unsummarized := table.random(rng, maxUnsummarized, func(m *member) bool {
+		return m.State == Alive && m.Name != received.From && !summarized(m.Name)
 	})
-	for _, m := range unlisted {
+	for _, m := range unsummarized {
 		packer.add(&m.Record)
 	}
 }
--- a/internal/fleet/gossip/broadcast.go
+++ b/internal/fleet/gossip/broadcast.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// pending returns the number of queued broadcasts.
-func (d *dissemination) pending() int { return len(d.queue) }
+// numQueued returns the number of queued broadcasts.
+func (d *dissemination) numQueued() int { return len(d.queue) }
 
 // clear drops all queued broadcasts.
 func (d *dissemination) clear() { clear(d.queue) }
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -142,7 +142,7 @@
 
 // hasGossip reports whether a gossip round has anything to send.
 func (c *Core) hasGossip() bool {
-	return c.dissemination.pending() > 0 || c.table.hasCandidates()
+	return c.dissemination.numQueued() > 0 || c.table.hasCandidates()
 }
 
 // recoverFromPause abandons the probes that were in flight during a pause of the process, and extends suspicions by the
--- a/internal/fleet/gossip/datagram.go
+++ b/internal/fleet/gossip/datagram.go
@@ -65,7 +65,7 @@
 	rest = rest[seqBytes:]
 	for _, name := range []*string{&parsed.from, &parsed.to} {
 		var ok bool
-		if *name, rest, ok = cutName(rest); !ok {
+		if *name, rest, ok = consumeName(rest); !ok {
 			return nil, ErrMalformed
 		}
 	}
@@ -77,9 +77,8 @@
 	return &parsed, nil
 }
 
-// cutName decodes a name in the format of appendName and returns the bytes after it. ok is false if the name is
-// invalid.
-func cutName(b []byte) (name string, rest []byte, ok bool) {
+// consumeName decodes a name written by appendName and returns the bytes after it. ok is false if the name is invalid.
+func consumeName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return "", nil, false
 	}
@@ -109,8 +108,8 @@
 	return text
 }
 
-// signed returns the text that is signed for a record.
-func (r *Record) signed(fleet string) []byte {
+// signedText returns the text to sign for a record.
+func (r *Record) signedText(fleet string) []byte {
 	addr, _ := r.Addr.MarshalBinary() // never fails
 	text := signedPrefix(domainRecord, fleet, r.Name, string(addr))
 	text = binary.BigEndian.AppendUint64(text, uint64(r.Epoch))
@@ -121,8 +120,8 @@
 	return append(text, 0)
 }
 
-// signed returns the text that is signed for a statement.
-func (s *Statement) signed(fleet string) []byte {
+// signedText returns the text to sign for a statement.
+func (s *Statement) signedText(fleet string) []byte {
 	text := signedPrefix(domainStatement, fleet, s.Name)
 	text = binary.BigEndian.AppendUint64(text, uint64(s.Epoch))
 	text = binary.BigEndian.AppendUint64(text, s.Seq)
@@ -130,9 +129,9 @@
 	return append(text, s.Body...)
 }
 
-// signed returns the text that is signed for a message. It excludes the cookie, which is checked before the signature
+// signedText returns the text to sign for a message. It excludes the cookie, which is checked before the signature
 // to choose the budget for the signature check.
-func (h *header) signed(fleet string, body []byte) []byte {
+func (h *header) signedText(fleet string, body []byte) []byte {
 	withoutCookie := *h
 	withoutCookie.cookie = Cookie{}
 	text := signedPrefix(domainMessage, fleet)
--- a/internal/fleet/gossip/golden_internal_test.go
+++ b/internal/fleet/gossip/golden_internal_test.go
@@ -230,11 +230,11 @@
 		{"truncated", "b", valid[:40], goldenNow, ErrMalformed, "gossip: malformed datagram"},
 		{"another version", "b", otherVersion, goldenNow, ErrMalformed, "gossip: malformed datagram"},
 		{"forged", "b", forged, goldenNow, ErrSignature, "gossip: invalid signature"},
-		{"late", "b", valid, goldenNow.Add(time.Minute), ErrClock, "gossip: send time too far from the local clock"},
+		{"late", "b", valid, goldenNow.Add(time.Minute), ErrClockSkew, "gossip: send time too far from the local clock"},
 		{"own datagram", "a", valid, goldenNow, ErrReplayed, "gossip: replayed datagram"},
-		{"wrong receiver", "c", golden.Read(t, "ack.datagram"), goldenNow, ErrNotForUs, "gossip: addressed to another member"},
+		{"wrong receiver", "c", golden.Read(t, "ack.datagram"), goldenNow, ErrWrongReceiver, "gossip: addressed to another member"},
 		{
-			"without certificate", "b", golden.Read(t, "gossip.datagram"), goldenNow, ErrUnknown,
+			"without certificate", "b", golden.Read(t, "gossip.datagram"), goldenNow, ErrUnknownSender,
 			"gossip: unknown sender without a certificate",
 		},
 		{
--- a/internal/fleet/gossip/goldenexchange_internal_test.go
+++ b/internal/fleet/gossip/goldenexchange_internal_test.go
@@ -16,7 +16,7 @@
 	name    string
 	core    *Core
 	guard   *Guard
-	arrived []Event
+	pending []Event
 }
 
 func newGoldenNode(t *testing.T, name string, seed uint64) *goldenNode {
@@ -53,8 +53,8 @@
 // step steps a member with its pending events and performs the resulting actions.
 func (x *goldenExchange) step(t *testing.T, now time.Duration, node *goldenNode) {
 	t.Helper()
-	events := node.arrived
-	node.arrived = nil
+	events := node.pending
+	node.pending = nil
 	if now == statementAt && node.name == "a" {
 		events = append(events, Broadcast{node.guard.SignStatement(1, goldenNow.Add(now), []byte("statement"))})
 	}
@@ -102,7 +102,7 @@
 		fmt.Fprintf(&x.lines, "%v %s drops: %v\n", now, receiver.name, err)
 		return
 	}
-	receiver.arrived = append(receiver.arrived, Received{
+	receiver.pending = append(receiver.pending, Received{
 		From: opened.From, Addr: goldenAddrs[sender.name],
 		Epoch: opened.Epoch, Message: opened.Message, Trusted: opened.Trusted,
 	})
--- a/internal/fleet/gossip/guard.go
+++ b/internal/fleet/gossip/guard.go
@@ -16,12 +16,12 @@
 // Errors of Open, which state why a datagram is dropped. Open may also return ErrMalformed or an error of package pki.
 // Any of them may be wrapped.
 var (
-	ErrBudget    = errors.New("gossip: signature check budget exhausted")
-	ErrReplayed  = errors.New("gossip: replayed datagram")
-	ErrSignature = errors.New("gossip: invalid signature")
-	ErrUnknown   = errors.New("gossip: unknown sender without a certificate")
-	ErrClock     = errors.New("gossip: send time too far from the local clock")
-	ErrNotForUs  = errors.New("gossip: addressed to another member")
+	ErrCheckBudget   = errors.New("gossip: signature check budget exhausted")
+	ErrReplayed      = errors.New("gossip: replayed datagram")
+	ErrSignature     = errors.New("gossip: invalid signature")
+	ErrUnknownSender = errors.New("gossip: unknown sender without a certificate")
+	ErrClockSkew     = errors.New("gossip: send time too far from the local clock")
+	ErrWrongReceiver = errors.New("gossip: addressed to another member")
 )
 
 // Guard authenticates received datagrams and seals outgoing ones. It stores each member's certificate, epoch and latest
@@ -75,14 +75,14 @@
 func (g *Guard) UpdateTrust(own *pki.Member, trust *pki.Trust, wall time.Time) (removed []string) {
 	g.own = own
 	g.trust = trust
-	return g.peers.removeUncertified(trust, wall)
+	return g.peers.removeInvalid(trust, wall)
 }
 
 // Forget drops the state about a member.
 func (g *Guard) Forget(name string) { g.peers.remove(name) }
 
-// Certified reports whether the certificate of a member is known.
-func (g *Guard) Certified(name string) bool {
+// HasCertificate reports whether the certificate of a member is known.
+func (g *Guard) HasCertificate(name string) bool {
 	p := g.peers.get(name)
 	return p != nil && p.cert != nil
 }
@@ -91,7 +91,7 @@
 func (g *Guard) Certificate() []byte { return g.own.Cert.Raw }
 
 // SignRecord signs this member's own record.
-func (g *Guard) SignRecord(r *Record) { r.Sig = ed25519.Sign(g.own.Key, r.signed(g.fleet)) }
+func (g *Guard) SignRecord(r *Record) { r.Sig = ed25519.Sign(g.own.Key, r.signedText(g.fleet)) }
 
 // SignStatement returns a signed statement of this member. Sequence numbers must increase within an epoch.
 func (g *Guard) SignStatement(seq uint64, wall time.Time, body []byte) Statement {
@@ -103,16 +103,16 @@
 		Body:  body,
 		Cert:  g.own.Cert.Raw,
 	}
-	statement.Sig = ed25519.Sign(g.own.Key, statement.signed(g.fleet))
+	statement.Sig = ed25519.Sign(g.own.Key, statement.signedText(g.fleet))
 	return statement
 }
 
 // Seal returns the signed datagram for a message. to is the receiver's name, or empty if only its address is known.
 // Seal sets the message's At, Cookie and Cert; Cert is set only if the receiver may not have this member's certificate.
 // If the message is then too long, its Statements are dropped. Seal fails if it is still too long.
-func (g *Guard) Seal(to string, inc uint32, wall time.Time, message *Message) ([]byte, error) {
+func (g *Guard) Seal(to string, ownIncarnation uint32, wall time.Time, message *Message) ([]byte, error) {
 	g.seq++
-	head := header{from: g.own.Name(), to: to, epoch: g.epoch, incarnation: inc, seq: g.seq}
+	head := header{from: g.own.Name(), to: to, epoch: g.epoch, incarnation: ownIncarnation, seq: g.seq}
 	receiver := g.peers.get(to)
 	if receiver != nil {
 		head.cookie = receiver.cookie
@@ -124,7 +124,7 @@
 	message.Cert = nil
 	// A receiver that has shown a valid cookie already has the certificate. It may have restarted since, so messages
 	// with summaries carry the certificate as well.
-	if receiver == nil || !receiver.cookieSeen || len(message.Summaries) > 0 {
+	if receiver == nil || !receiver.cookieConfirmed || len(message.Summaries) > 0 {
 		message.Cert = g.own.Cert.Raw
 	}
 	datagram := head.appendTo(make([]byte, 0, MaxDatagram))
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: encode message: %w", err)
 	}
-	datagram = append(datagram, ed25519.Sign(g.own.Key, head.signed(g.fleet, body))...)
+	datagram = append(datagram, ed25519.Sign(g.own.Key, head.signedText(g.fleet, body))...)
 	datagram = append(datagram, body...)
 	if len(datagram) > MaxDatagram {
 		return nil, fmt.Errorf("gossip: sealed datagram too long: %d bytes", len(datagram))
--- a/internal/fleet/gossip/guard_internal_test.go
+++ b/internal/fleet/gossip/guard_internal_test.go
@@ -32,12 +32,12 @@
 	if err != nil || opened.From != "a" || opened.Nonce != 7 || opened.Trusted {
 		t.Fatalf("first message: %+v, %v", opened, err)
 	}
-	fleet.acquaint(sender, receiver)
+	fleet.exchangeCookies(sender, receiver)
 	known := fleet.seal(sender, "b", noon, Message{Kind: Gossip})
 	if opened, err := receiver.Open(time.Hour, noon, testAddr, known); err != nil || !opened.Trusted || len(opened.Cert) > 0 {
 		t.Fatalf("a known sender: %+v, %v", opened, err)
 	}
-	stranger := newTestFleet(t).guard("a", 300)
+	otherAuthority := newTestFleet(t).guard("a", 300)
 	wrongFleet := newOtherFleetMember(t, "a")
 	expired, err := fleet.authority.Issue("x", noon.Add(-2*time.Hour), time.Hour)
 	if err != nil {
@@ -64,16 +64,16 @@
 		{"truncated message", fresh[:len(fresh)-3], ErrMalformed},
 		{"bit flip in the message", flip(fresh, len(fresh)-1), ErrSignature},
 		{"bit flip in the sequence number", flip(fresh, seqOffset+6), ErrSignature},
-		{"wrong receiver", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrNotForUs},
+		{"wrong receiver", fleet.seal(sender, "c", noon, Message{Kind: Gossip}), ErrWrongReceiver},
 		{"certificate of another key", fleet.seal(forged, "b", noon, Message{Kind: Gossip}), ErrSignature},
-		{"another authority", fleet.seal(stranger, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
-		{"another fleet", fleet.seal(fleet.guardOf(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), pki.ErrWrongFleet},
-		{"expired", fleet.seal(fleet.guardOf(expired, 500), "b", noon, Message{Kind: Gossip}), pki.ErrExpired},
-		{"sent too long ago", fleet.seal(sender, "b", noon.Add(-8*time.Second), Message{Kind: Gossip}), ErrClock},
-		{"sent in the future", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClock},
-		{"earlier epoch", fleet.seal(fleet.guardOf(sender.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
+		{"another authority", fleet.seal(otherAuthority, "b", noon, Message{Kind: Gossip}), pki.ErrUnknownAuthority},
+		{"another fleet", fleet.seal(fleet.guardFor(wrongFleet, 500), "b", noon, Message{Kind: Gossip}), pki.ErrWrongFleet},
+		{"expired", fleet.seal(fleet.guardFor(expired, 500), "b", noon, Message{Kind: Gossip}), pki.ErrExpired},
+		{"sent too long ago", fleet.seal(sender, "b", noon.Add(-8*time.Second), Message{Kind: Gossip}), ErrClockSkew},
+		{"sent in the future", fleet.seal(sender, "b", noon.Add(8*time.Second), Message{Kind: Gossip}), ErrClockSkew},
+		{"earlier epoch", fleet.seal(fleet.guardFor(sender.own, 99), "b", noon, Message{Kind: Gossip}), ErrReplayed},
 		{"clocks 5 s apart", fleet.seal(sender, "b", noon.Add(-5*time.Second), Message{Kind: Gossip}), nil},
-		{"later epoch", fleet.seal(fleet.guardOf(sender.own, 101), "b", noon, Message{Kind: Gossip}), nil},
+		{"later epoch", fleet.seal(fleet.guardFor(sender.own, 101), "b", noon, Message{Kind: Gossip}), nil},
 		{"epoch superseded by a later one", fleet.seal(sender, "b", noon, Message{Kind: Gossip}), ErrReplayed},
 	} {
 		if _, err := receiver.Open(time.Hour, noon, testAddr, tt.datagram); !errors.Is(err, tt.want) {
@@ -87,9 +87,9 @@
 func TestReplayAcrossRestart(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
-	fleet.acquaint(sender, receiver)
+	fleet.exchangeCookies(sender, receiver)
 	old := fleet.seal(sender, "b", noon, Message{Kind: Gossip, Claims: []Claim{{Name: "z", State: Dead}}})
-	restarted := fleet.guardOf(receiver.own, 300)
+	restarted := fleet.guardFor(receiver.own, 300)
 	restarted.cookieSecret = []byte("another")
 	if o, err := restarted.Open(time.Hour, noon, testAddr, old); err == nil && o.Trusted {
 		t.Error("a message to an earlier epoch was trusted")
@@ -105,15 +105,15 @@
 func TestFloodStaysWithinCheckBudget(t *testing.T) {
 	fleet := newTestFleet(t)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
-	fleet.acquaint(sender, receiver)
-	insider := fleet.guard("d", 300)
-	fleet.acquaint(insider, receiver)
+	fleet.exchangeCookies(sender, receiver)
+	flooding := fleet.guard("d", 300)
+	fleet.exchangeCookies(flooding, receiver)
 	receiver.SetKnownAddresses([]netip.AddrPort{testAddr})
-	fake := fleet.seal(sender, "b", noon, Message{Kind: Gossip})
+	template := fleet.seal(sender, "b", noon, Message{Kind: Gossip})
 	for n, from := range []netip.AddrPort{unknownAddr, testAddr} {
 		before, start := receiver.SignaturesChecked, time.Duration(n+2)*time.Hour
 		for i := range 50000 { // 5,000 per second for 10 s
-			forged := bytes.Clone(fake)
+			forged := bytes.Clone(template)
 			forged[versionBytes] ^= byte(i)%255 + 1 // invalid cookie
 			forged[len(forged)-1] ^= 1              // invalid signature
 			forged[seqOffset+4] = byte(i>>16) + 1   // fresh sequence numbers
@@ -136,7 +136,7 @@
 	}
 	// A member that floods with a valid cookie does not use up the budget of others.
 	for range 3000 {
-		_, _ = receiver.Open(9*time.Hour, noon, unknownAddr, fleet.seal(insider, "b", noon, Message{Kind: Gossip}))
+		_, _ = receiver.Open(9*time.Hour, noon, unknownAddr, fleet.seal(flooding, "b", noon, Message{Kind: Gossip}))
 	}
 	if _, err := receiver.Open(9*time.Hour, noon, testAddr, fleet.seal(sender, "b", noon, Message{Kind: Gossip})); err != nil {
 		t.Errorf("a member was rejected while another floods: %v", err)
@@ -148,19 +148,19 @@
 func TestRecordsNeedAuthorsSignature(t *testing.T) {
 	fleet := newTestFleet(t)
 	relay, receiver, author := fleet.guard("a", 100), fleet.guard("b", 200), fleet.guard("d", 300)
-	fleet.acquaint(relay, receiver)
-	fleet.acquaint(relay, author)
-	fleet.acquaint(author, receiver)
+	fleet.exchangeCookies(relay, receiver)
+	fleet.exchangeCookies(relay, author)
+	fleet.exchangeCookies(author, receiver)
 	own := Record{Name: "d", Addr: Addr{testAddr}, Epoch: 300, Incarnation: 4}
-	lie := own
+	forgedRecord := own
 	author.SignRecord(&own)
-	lie.Incarnation, lie.Sig = 9, own.Sig
+	forgedRecord.Incarnation, forgedRecord.Sig = 9, own.Sig
 	statement := author.SignStatement(1, noon, []byte("one"))
-	wrong := statement
-	wrong.Seq = 2
+	forgedStatement := statement
+	forgedStatement.Seq = 2
 	opened, err := receiver.Open(time.Hour, noon, testAddr, fleet.seal(relay, "b", noon, Message{
-		Kind: Gossip, Records: []Record{lie, own},
-		Statements: []Statement{wrong, statement},
+		Kind: Gossip, Records: []Record{forgedRecord, own},
+		Statements: []Statement{forgedStatement, statement},
 	}))
 	if err != nil || len(opened.Records) != 1 || opened.Records[0].Incarnation != 4 || len(opened.Statements) != 1 || opened.Statements[0].Seq != 1 {
 		t.Fatalf("kept %+v, %v", opened, err)
@@ -180,7 +180,7 @@
 func TestTrustChanges(t *testing.T) {
 	fleet := newTestFleet(t)
 	revoked, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
-	fleet.acquaint(revoked, receiver)
+	fleet.exchangeCookies(revoked, receiver)
 	list, err := fleet.authority.Revoke(nil, noon, revoked.own.Cert.SerialNumber)
 	if err != nil {
 		t.Fatal(err)
@@ -191,13 +191,13 @@
 	if removed := receiver.UpdateTrust(receiver.own, fleet.trust(list), noon); len(removed) != 1 || removed[0] != "a" {
 		t.Errorf("removed %v, want a", removed)
 	}
-	if _, err := receiver.Open(time.Hour, noon, testAddr, fleet.seal(fleet.guardOf(revoked.own, 500), "b", noon, Message{Kind: Ping})); !errors.Is(err, pki.ErrRevoked) {
+	if _, err := receiver.Open(time.Hour, noon, testAddr, fleet.seal(fleet.guardFor(revoked.own, 500), "b", noon, Message{Kind: Ping})); !errors.Is(err, pki.ErrRevoked) {
 		t.Errorf("revoked: error %v", err)
 	}
 
 	next := newTestFleet(t)
 	overlapping := fleet.guard("d", 300)
-	fleet.acquaint(overlapping, receiver)
+	fleet.exchangeCookies(overlapping, receiver)
 	trust := next.trust().MergePrevious(receiver.trust, noon, time.Minute)
 	if removed := receiver.UpdateTrust(receiver.own, trust, noon); len(removed) != 0 {
 		t.Errorf("removed %v within the overlap", removed)
@@ -234,7 +234,7 @@
 func FuzzOpen(f *testing.F) {
 	fleet := newTestFleet(f)
 	sender, receiver := fleet.guard("a", 100), fleet.guard("b", 200)
-	fleet.acquaint(sender, receiver)
+	fleet.exchangeCookies(sender, receiver)
 	f.Add(fleet.seal(sender, "b", noon, Message{Kind: Gossip, Claims: []Claim{{Name: "z", State: Dead}}, Want: []string{"q"}}))
 	f.Add(fleet.seal(sender, "", noon, Message{Kind: Ping, Records: []Record{{Name: "a", Addr: Addr{testAddr}}}}))
 	f.Add(bytes.Repeat([]byte{0x9f}, 700)) // deep nesting
--- a/internal/fleet/gossip/handlers.go
+++ b/internal/fleet/gossip/handlers.go
@@ -150,7 +150,7 @@
 	if !c.table.full() {
 		return true
 	}
-	oldest := c.table.longestGone()
+	oldest := c.table.longestOutOfFleet()
 	if oldest == nil {
 		return false
 	}
@@ -205,7 +205,7 @@
 	}
 	if claim.Incarnation == c.self.record.Incarnation {
 		c.self.refute()
-		c.detector.noteRefutation()
+		c.detector.recordRefutation()
 		c.dissemination.queueRecord(c.self.record)
 		c.nextGossip = c.now
 	}
--- a/internal/fleet/gossip/membertable.go
+++ b/internal/fleet/gossip/membertable.go
@@ -160,8 +160,8 @@
 	t.order = slices.DeleteFunc(t.order, func(other string) bool { return other == name })
 }
 
-// longestGone returns the member that has been dead or departed longest, or nil if all members are in the fleet.
-func (t *memberTable) longestGone() *member {
+// longestOutOfFleet returns the member that has been dead or departed longest, or nil if all members are in the fleet.
+func (t *memberTable) longestOutOfFleet() *member {
 	var oldest *member
 	for i := range t.order {
 		m := t.at(i)
--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -34,16 +34,16 @@
 		return nil, err
 	}
 	if sealed.to != "" && sealed.to != g.own.Name() {
-		return nil, ErrNotForUs
+		return nil, ErrWrongReceiver
 	}
 	sender := g.peers.get(sealed.from)
 	if sender != nil && sender.replayed(&sealed.header) {
 		return nil, ErrReplayed
 	}
-	trusted := sender != nil && g.showsCookie(&sealed.header)
+	trusted := sender != nil && g.hasValidCookie(&sealed.header)
 	checks := g.checks.budgetFor(sender, trusted, from, now)
 	if !checks.spend() {
-		return nil, ErrBudget
+		return nil, ErrCheckBudget
 	}
 	message, cert, err := g.authenticate(sealed, sender, wall, checks)
 	if err != nil {
@@ -53,7 +53,7 @@
 		sender = g.peers.add(sealed.from, now)
 	}
 	sender.update(&sealed.header, trusted, message.Cookie)
-	sender.identify(cert, now)
+	sender.setCert(cert, now)
 	opened := &Opened{From: sealed.from, Epoch: sealed.epoch, Message: message, Trusted: trusted}
 	g.filterRecords(opened, checks)
 	g.filterStatements(opened, wall, checks)
@@ -73,11 +73,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if !g.verifySignature(cert, sealed.signed(g.fleet, sealed.body), sealed.signature) {
+	if !g.verifySignature(cert, sealed.signedText(g.fleet, sealed.body), sealed.signature) {
 		return nil, nil, ErrSignature
 	}
 	if !g.isRecent(message.At, wall, maxTransitTime) {
-		return nil, nil, ErrClock
+		return nil, nil, ErrClockSkew
 	}
 	if sealed.from == g.own.Name() && sealed.epoch == g.epoch {
 		return nil, nil, ErrReplayed // own datagram sent back to this member
@@ -85,8 +85,8 @@
 	return message, cert, nil
 }
 
-// showsCookie reports whether a datagram contains the cookie that this member issued to its sender.
-func (g *Guard) showsCookie(h *header) bool {
+// hasValidCookie reports whether a datagram contains the cookie that this member issued to its sender.
+func (g *Guard) hasValidCookie(h *header) bool {
 	want := g.cookieFor(h.from)
 	return subtle.ConstantTimeCompare(want[:], h.cookie[:]) == 1
 }
@@ -107,7 +107,7 @@
 	}
 	if len(carried) > 0 && (cert == nil || !bytes.Equal(cert.Raw, carried)) {
 		if !checks.spend() {
-			return nil, ErrBudget
+			return nil, ErrCheckBudget
 		}
 		var err error
 		if cert, err = g.verifyCert(carried, name, wall); err != nil {
@@ -115,7 +115,7 @@
 		}
 	}
 	if cert == nil {
-		return nil, ErrUnknown
+		return nil, ErrUnknownSender
 	}
 	if err := g.trust.Current(cert, wall); err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 		author := g.peers.get(record.Name)
 		switch {
 		case record.Name == g.own.Name():
-			if !g.acceptOwnRecord(&record, checks) {
+			if !g.provesNameConflict(&record, checks) {
 				continue
 			}
 		case author == nil || author.cert == nil:
@@ -144,10 +144,10 @@
 	opened.Records = accepted
 }
 
-// acceptOwnRecord reports whether a record proves that another member with this member's name and key started later.
-func (g *Guard) acceptOwnRecord(record *Record, checks checkBudget) bool {
+// provesNameConflict reports whether a record proves that another member with this member's name and key started later.
+func (g *Guard) provesNameConflict(record *Record, checks checkBudget) bool {
 	return record.Epoch > g.epoch && checks.spend() &&
-		g.verifySignature(g.own.Cert, record.signed(g.fleet), record.Sig)
+		g.verifySignature(g.own.Cert, record.signedText(g.fleet), record.Sig)
 }
 
 // acceptRecord reports whether a record of a known member is new and signed by it, and stores it as the latest if so.
@@ -155,7 +155,7 @@
 	if !record.supersedes(author.recordEpoch, author.recordIncarnation, author.recordGone) || !checks.spend() {
 		return false
 	}
-	if !g.verifySignature(author.cert, record.signed(g.fleet), record.Sig) {
+	if !g.verifySignature(author.cert, record.signedText(g.fleet), record.Sig) {
 		return false
 	}
 	author.setRecord(record)
@@ -195,12 +195,12 @@
 	if cert == nil || g.trust.Current(cert, wall) != nil || !checks.spend() {
 		return nil
 	}
-	if !g.verifySignature(cert, statement.signed(g.fleet), statement.Sig) {
+	if !g.verifySignature(cert, statement.signedText(g.fleet), statement.Sig) {
 		return nil
 	}
 	if author == nil {
 		author = g.peers.add(statement.Name, 0)
-		author.identify(cert, 0)
+		author.setCert(cert, 0)
 	}
 	return author
 }
--- a/internal/fleet/gossip/peer.go
+++ b/internal/fleet/gossip/peer.go
@@ -17,14 +17,14 @@
 
 // peer is the state of a Guard about another member.
 type peer struct {
-	cert         *x509.Certificate
-	epoch        int64
-	highestSeq   uint64 // highest sequence number received in this epoch
-	replayWindow uint64 // bit i is set if highestSeq-i was received
-	cookie       Cookie // issued by the peer, sent back in datagrams to it
-	cookieSeen   bool   // the peer has sent back this member's cookie in this epoch
-	checkBudget  ratelimit.TokenBucket
-	lastSeen     time.Duration
+	cert            *x509.Certificate
+	epoch           int64
+	highestSeq      uint64 // highest sequence number received in this epoch
+	replayWindow    uint64 // bit i is set if highestSeq-i was received
+	cookie          Cookie // issued by the peer, sent back in datagrams to it
+	cookieConfirmed bool   // the peer has sent back this member's cookie in this epoch
+	checkBudget     ratelimit.TokenBucket
+	lastSeen        time.Duration
 
 	lastStatement Statement
 	// Fields of the latest record:
@@ -61,8 +61,8 @@
 
 func (t *peerTable) remove(name string) { delete(t.byName, name) }
 
-// removeUncertified drops the members whose certificates are no longer valid and returns their names.
-func (t *peerTable) removeUncertified(trust *pki.Trust, wall time.Time) (removed []string) {
+// removeInvalid drops the members whose certificates are no longer valid and returns their names.
+func (t *peerTable) removeInvalid(trust *pki.Trust, wall time.Time) (removed []string) {
 	for name, p := range t.byName {
 		if p.cert != nil && trust.Current(p.cert, wall) != nil {
 			delete(t.byName, name)
@@ -101,7 +101,7 @@
 	p.highestSeq = 0
 	p.replayWindow = 0
 	p.cookie = Cookie{}
-	p.cookieSeen = false
+	p.cookieConfirmed = false
 }
 
 // update applies the header and the cookie of an authenticated datagram. trusted is true if the datagram contained a
@@ -110,15 +110,15 @@
 	if h.epoch > p.epoch {
 		p.startEpoch(h.epoch)
 	}
-	p.cookieSeen = p.cookieSeen || trusted
+	p.cookieConfirmed = p.cookieConfirmed || trusted
 	p.markSeen(h.seq)
 	if cookie != (Cookie{}) {
 		p.cookie = cookie
 	}
 }
 
-// identify stores the certificate for which a member has proved ownership, and the time of the proof.
-func (p *peer) identify(cert *x509.Certificate, now time.Duration) {
+// setCert stores the certificate for which a member has proved ownership, and the time of the proof.
+func (p *peer) setCert(cert *x509.Certificate, now time.Duration) {
 	p.cert = cert
 	p.lastSeen = now
 }
--- a/internal/fleet/gossip/probe.go
+++ b/internal/fleet/gossip/probe.go
@@ -110,8 +110,9 @@
 // carriesSummaries reports whether the probe of the last target returned by nextTarget carries summaries.
 func (d *failureDetector) carriesSummaries() bool { return d.probeCount%probesPerSync == 0 }
 
-// await tracks a probe whose ping was sent. If maxProbes probes are already tracked, the answer will be ignored.
-func (d *failureDetector) await(p *probe) {
+// track adds a probe whose ping was sent to the tracked probes. If maxProbes are already tracked, the answer will be
+// ignored.
+func (d *failureDetector) track(p *probe) {
 	if len(d.probes) < maxProbes {
 		d.probes = append(d.probes, p)
 	}
@@ -203,8 +204,8 @@
 	}
 }
 
-// noteRefutation raises the health score after this member was suspected, since it may be slow or partitioned itself.
-func (d *failureDetector) noteRefutation() { d.health.raise(1) }
+// recordRefutation raises the health score after this member was suspected, since it may be slow or partitioned itself.
+func (d *failureDetector) recordRefutation() { d.health.raise(1) }
 
 // fail ends an unanswered probe and raises the health score. Each missingNacksPerPenalty relays without a Nack raise it
 // by 1 more, because this member may be the one that is partitioned.
--- a/internal/fleet/gossip/recording_test.go
+++ b/internal/fleet/gossip/recording_test.go
@@ -30,7 +30,7 @@
 	pauseTo         = 54 * time.Second
 	leaveAt         = 60 * time.Second
 	removalAt       = 70 * time.Second
-	nameTakenAt     = 80 * time.Second
+	nameConflictAt  = 80 * time.Second
 	statementsEvery = 3 * time.Second
 )
 
@@ -40,7 +40,7 @@
 	addr    netip.AddrPort
 	core    *gossip.Core // nil while it is down
 	epoch   int64
-	arrived []gossip.Event
+	pending []gossip.Event
 }
 
 // recording runs a fleet in virtual time and records all actions in order.
@@ -78,12 +78,12 @@
 	m.epoch = 1000 + now.Milliseconds()
 	config.Epoch = m.epoch
 	m.core = gossip.New(config)
-	m.arrived = nil
+	m.pending = nil
 }
 
 // schedule applies the scheduled faults and events that are due at now.
 func (r *recording) schedule(now time.Duration) {
-	deliver := func(i int, event gossip.Event) { r.members[i].arrived = append(r.members[i].arrived, event) }
+	deliver := func(i int, event gossip.Event) { r.members[i].pending = append(r.members[i].pending, event) }
 	switch now {
 	case seedsUpdatedAt:
 		deliver(2, gossip.UpdateSeeds{Seeds: []netip.AddrPort{r.members[0].addr, r.members[1].addr, netip.MustParseAddrPort("127.0.9.9:1")}})
@@ -97,7 +97,7 @@
 		for i := range recordingMembers {
 			deliver(i, gossip.RemoveMember{Name: "m5"})
 		}
-	case nameTakenAt:
+	case nameConflictAt:
 		deliver(6, gossip.Received{From: "m6", Addr: r.members[6].addr, Epoch: 1 << 40, Message: &gossip.Message{Kind: gossip.Gossip}})
 	default: // nothing is due
 	}
@@ -113,11 +113,11 @@
 func (r *recording) step(now time.Duration, i int) {
 	stepped := r.members[i]
 	paused := i == 7 && now >= pauseFrom && now < pauseTo
-	if stepped.core == nil || paused || len(stepped.arrived) == 0 && stepped.core.Next() > now {
+	if stepped.core == nil || paused || len(stepped.pending) == 0 && stepped.core.Next() > now {
 		return
 	}
-	events := stepped.arrived
-	stepped.arrived = nil
+	events := stepped.pending
+	stepped.pending = nil
 	for _, action := range stepped.core.Step(now, events) {
 		r.actions[fmt.Sprintf("%T", action)]++
 		if transmit, ok := action.(gossip.Transmit); ok {
@@ -150,7 +150,7 @@
 			message.Records[i].Sig = nil
 		}
 	}
-	receiver.arrived = append(receiver.arrived, gossip.Received{
+	receiver.pending = append(receiver.pending, gossip.Received{
 		From: sender.name, Addr: sender.addr, Epoch: sender.epoch, Message: &message, Trusted: r.rng.Float64() < 0.9,
 	})
 }
@@ -164,10 +164,10 @@
 	}
 	signed := config
 	signed.Sign = func(record *gossip.Record) { record.Sig = []byte(record.Name) }
-	crowded := signed
-	crowded.MaxMembers = 8
-	frugal := config
-	frugal.MaxMessagesPerSecond = 6
+	smallTable := signed
+	smallTable.MaxMembers = 8
+	lowRate := config
+	lowRate.MaxMessagesPerSecond = 6
 	for _, tt := range []struct {
 		name   string
 		config gossip.Config
@@ -176,8 +176,8 @@
 	}{
 		{"unsigned records", config, 1, "e3763a90d4cf5299"},
 		{"signed records", signed, 2, "9a9b765045c6f34f"},
-		{"fewer slots than members", crowded, 3, "f707a20d893bb6e3"},
-		{"low message rate", frugal, 4, "21a847e01133cb06"},
+		{"fewer slots than members", smallTable, 3, "f707a20d893bb6e3"},
+		{"low message rate", lowRate, 4, "21a847e01133cb06"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			fleet := newRecording(tt.config, tt.seed)
--- a/internal/fleet/gossip/tasks.go
+++ b/internal/fleet/gossip/tasks.go
@@ -115,7 +115,7 @@
 // sendGossip sends queued broadcasts to random members in separate Gossip messages.
 func (c *Core) sendGossip(fanout int) {
 	for _, m := range c.table.random(c.rng, fanout, func(m *member) bool { return m.State.InFleet() }) {
-		if c.dissemination.pending() == 0 || !c.limits.allowGossip(c.now) {
+		if c.dissemination.numQueued() == 0 || !c.limits.allowGossip(c.now) {
 			return
 		}
 		if !c.outbox.transmitTo(m, &Message{Kind: Gossip}) {
@@ -137,6 +137,6 @@
 		ping.Records = []Record{c.self.record}
 	}
 	if c.outbox.transmit(p.target, addr, ping) {
-		c.detector.await(p)
+		c.detector.track(p)
 	}
 }
--- a/internal/fleet/gossip/testfleet_internal_test.go
+++ b/internal/fleet/gossip/testfleet_internal_test.go
@@ -39,9 +39,9 @@
 	return m
 }
 
-func (f *testFleet) guard(name string, epoch int64) *Guard { return f.guardOf(f.member(name), epoch) }
+func (f *testFleet) guard(name string, epoch int64) *Guard { return f.guardFor(f.member(name), epoch) }
 
-func (f *testFleet) guardOf(m *pki.Member, epoch int64) *Guard {
+func (f *testFleet) guardFor(m *pki.Member, epoch int64) *Guard {
 	return NewGuard(GuardConfig{
 		Fleet: "f", Own: m, Epoch: epoch, Trust: f.trust(), Secret: []byte(m.Name() + "secret"),
 		MaxChecksPerSecond: 400, MaxClockSkew: 5 * time.Second,
@@ -57,8 +57,8 @@
 	return b
 }
 
-// acquaint lets two guards exchange certificates and cookies.
-func (f *testFleet) acquaint(a, b *Guard) {
+// exchangeCookies lets two guards exchange certificates and cookies.
+func (f *testFleet) exchangeCookies(a, b *Guard) {
 	f.tb.Helper()
 	for range 2 {
 		for _, p := range [][2]*Guard{{a, b}, {b, a}} {
--- a/internal/fleet/transport/engine.go
+++ b/internal/fleet/transport/engine.go
@@ -168,7 +168,7 @@
 	var names []string
 	for _, member := range e.core.Members() {
 		addrs = append(addrs, member.Addr.AddrPort)
-		if member.State.InFleet() && e.guard.Certified(member.Name) {
+		if member.State.InFleet() && e.guard.HasCertificate(member.Name) {
 			names = append(names, member.Name)
 		}
 	}
@@ -230,8 +230,8 @@
 	return events
 }
 
-// logEnd logs traffic statistics at shutdown.
-func (e *engine) logEnd() {
+// logTraffic logs traffic statistics at shutdown.
+func (e *engine) logTraffic() {
 	e.log.WithFields(logrus.Fields{
 		"seconds": time.Since(e.start).Seconds(),
 		"sent":    e.sent.messages,
--- a/internal/fleet/transport/node.go
+++ b/internal/fleet/transport/node.go
@@ -143,7 +143,7 @@
 		var events []gossip.Event
 		select {
 		case received := <-n.datagrams:
-			events = n.openQueued(received)
+			events = n.openBatch(received)
 		case call := <-n.calls:
 			call()
 		case <-timer.C:
@@ -168,5 +168,5 @@
 // leave announces that this member leaves and logs the traffic statistics.
 func (n *Node) leave() {
 	n.step([]gossip.Event{gossip.Leave{}})
-	n.engine.logEnd()
+	n.engine.logTraffic()
 }
--- a/internal/fleet/transport/node_internal_test.go
+++ b/internal/fleet/transport/node_internal_test.go
@@ -131,9 +131,9 @@
 	fleet := newTestFleet(t, testFleetName)
 	fleet.issue("a", time.Now())
 	nodeA := fleet.open("a")
-	stranger := newTestFleet(t, testFleetName)
-	stranger.issue("b", time.Now())
-	nodeB := stranger.open("b", nodeA.addr)
+	otherAuthority := newTestFleet(t, testFleetName)
+	otherAuthority.issue("b", time.Now())
+	nodeB := otherAuthority.open("b", nodeA.addr)
 	nodeB.step(nil)
 	if nodeB.engine.sent.messages == 0 {
 		t.Fatal("no datagram was sent")
@@ -154,7 +154,7 @@
 	nodeA := fleet.open("a")
 	nodeA.datagrams <- datagram{nodeA.addr, []byte("second")}
 	nodeA.datagrams <- datagram{nodeA.addr, make([]byte, gossip.MaxDatagram)}
-	if events := nodeA.openQueued(datagram{nodeA.addr, []byte("first")}); len(events) != 0 || len(nodeA.datagrams) != 0 {
+	if events := nodeA.openBatch(datagram{nodeA.addr, []byte("first")}); len(events) != 0 || len(nodeA.datagrams) != 0 {
 		t.Errorf("events %v and %d datagrams left, want none", events, len(nodeA.datagrams))
 	}
 }
--- a/internal/fleet/transport/receive.go
+++ b/internal/fleet/transport/receive.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// openQueued opens a datagram and up to maxBatch further ones from the queue, and returns their events.
-func (n *Node) openQueued(first datagram) []gossip.Event {
+// openBatch opens a datagram and up to maxBatch further ones from the queue, and returns their events.
+func (n *Node) openBatch(first datagram) []gossip.Event {
 	events := n.engine.openDatagram(nil, first)
 	for range maxBatch {
 		select {
