--- a/internal/fleet/gossip/recording_test.go
+++ b/internal/fleet/gossip/recording_test.go
@@ -12,14 +12,14 @@
 	"calicohill/internal/fleet/gossip"
 )
 
-// The timetable of a recording: a member crashes and restarts, one is partitioned, one pauses, one leaves, one has its
-// key revoked, and one has its name taken.
+// The schedule of a recording. One member each crashes and restarts, is partitioned, is paused, leaves, has its key
+// revoked, and has its name used by a later member.
 const (
 	recordingMembers = 12
 	recordingTick    = 10 * time.Millisecond
 	recordingEnd     = 150 * time.Second
-	recordingLoss    = 0.05 // probability that a message is lost
-	unsignedRecords  = 0.2  // probability that a message arrives with its records unsigned
+	recordingLoss    = 0.05 // message loss probability
+	unsignedRecords  = 0.2  // probability that the records of a message arrive unsigned
 
 	seedsUpdatedAt  = 5 * time.Second
 	crashAt         = 10 * time.Second
@@ -30,7 +30,7 @@
 	pauseTo         = 54 * time.Second
 	leaveAt         = 60 * time.Second
 	removalAt       = 70 * time.Second
-	nameTakenAt     = 80 * time.Second
+	nameConflictAt  = 80 * time.Second
 	statementsEvery = 3 * time.Second
 )
 
@@ -40,17 +40,17 @@
 	addr    netip.AddrPort
 	core    *gossip.Core // nil while it is down
 	epoch   int64
-	arrived []gossip.Event
+	pending []gossip.Event
 }
 
-// recording is a fleet in virtual time, of which all actions are recorded in their order.
+// recording runs a fleet in virtual time and records all actions in order.
 type recording struct {
 	config  gossip.Config
 	rng     *rand.Rand
 	members []*recordedMember
 	byAddr  map[netip.AddrPort]*recordedMember
-	lines   bytes.Buffer   // one for each action and each step
-	actions map[string]int // by type
+	lines   bytes.Buffer   // one line for each action and each step
+	actions map[string]int // number of actions by type
 }
 
 func newRecording(config gossip.Config, seed uint64) *recording {
@@ -70,7 +70,7 @@
 	return fleet
 }
 
-// start starts a member, whose seed is the first one.
+// start starts a member with the first member as its seed.
 func (r *recording) start(m *recordedMember, now time.Duration) {
 	config := r.config
 	config.Name, config.Addr, config.Seed = m.name, m.addr, r.rng.Uint64()
@@ -78,12 +78,12 @@
 	m.epoch = 1000 + now.Milliseconds()
 	config.Epoch = m.epoch
 	m.core = gossip.New(config)
-	m.arrived = nil
+	m.pending = nil
 }
 
-// schedule applies what the timetable has for a time.
+// schedule applies the scheduled faults and events that are due at now.
 func (r *recording) schedule(now time.Duration) {
-	deliver := func(i int, event gossip.Event) { r.members[i].arrived = append(r.members[i].arrived, event) }
+	deliver := func(i int, event gossip.Event) { r.members[i].pending = append(r.members[i].pending, event) }
 	switch now {
 	case seedsUpdatedAt:
 		deliver(2, gossip.UpdateSeeds{Seeds: []netip.AddrPort{r.members[0].addr, r.members[1].addr, netip.MustParseAddrPort("127.0.9.9:1")}})
@@ -97,7 +97,7 @@
 		for i := range recordingMembers {
 			deliver(i, gossip.RemoveMember{Name: "m5"})
 		}
-	case nameTakenAt:
+	case nameConflictAt:
 		deliver(6, gossip.Received{From: "m6", Addr: r.members[6].addr, Epoch: 1 << 40, Message: &gossip.Message{Kind: gossip.Gossip}})
 	default: // nothing is due
 	}
@@ -109,15 +109,15 @@
 	}
 }
 
-// step steps a member with what has arrived, if anything has or its timers are due, and records its actions.
+// step steps a member and records its actions, unless it is down, paused, or has neither events nor due timers.
 func (r *recording) step(now time.Duration, i int) {
 	stepped := r.members[i]
 	paused := i == 7 && now >= pauseFrom && now < pauseTo
-	if stepped.core == nil || paused || len(stepped.arrived) == 0 && stepped.core.Next() > now {
+	if stepped.core == nil || paused || len(stepped.pending) == 0 && stepped.core.Next() > now {
 		return
 	}
-	events := stepped.arrived
-	stepped.arrived = nil
+	events := stepped.pending
+	stepped.pending = nil
 	for _, action := range stepped.core.Step(now, events) {
 		r.actions[fmt.Sprintf("%T", action)]++
 		if transmit, ok := action.(gossip.Transmit); ok {
@@ -130,7 +130,7 @@
 	fmt.Fprintln(&r.lines, stepped.core.Next(), stepped.core.NumMembers())
 }
 
-// deliver passes a message to its receiver, which gets it at its next step, unless it is lost.
+// deliver queues a message for the next step of its receiver, unless it is lost or the two are partitioned.
 func (r *recording) deliver(now time.Duration, from int, transmit gossip.Transmit) {
 	receiver := r.byAddr[transmit.Addr]
 	lost := r.rng.Float64() < recordingLoss
@@ -150,12 +150,13 @@
 			message.Records[i].Sig = nil
 		}
 	}
-	receiver.arrived = append(receiver.arrived, gossip.Received{
+	receiver.pending = append(receiver.pending, gossip.Received{
 		From: sender.name, Addr: sender.addr, Epoch: sender.epoch, Message: &message, Trusted: r.rng.Float64() < 0.9,
 	})
 }
 
-// The actions of a fleet with fixed seeds, with faults of each kind, are to the bit those that were recorded.
+// TestRecordedActions guards against unintended changes of protocol behaviour. A fleet with fixed random seeds and
+// faults of each type must produce exactly the recorded actions.
 func TestRecordedActions(t *testing.T) {
 	config := gossip.Config{
 		ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 150 * time.Millisecond, SuspicionTimeout: 3 * time.Second,
@@ -163,20 +164,20 @@
 	}
 	signed := config
 	signed.Sign = func(record *gossip.Record) { record.Sig = []byte(record.Name) }
-	crowded := signed
-	crowded.MaxMembers = 8
-	frugal := config
-	frugal.MaxMessagesPerSecond = 6
+	smallTable := signed
+	smallTable.MaxMembers = 8
+	lowRate := config
+	lowRate.MaxMessagesPerSecond = 6
 	for _, tt := range []struct {
 		name   string
 		config gossip.Config
 		seed   uint64
-		want   string // the start of the hash of all actions
+		want   string // prefix of the hash of all actions
 	}{
 		{"unsigned records", config, 1, "e3763a90d4cf5299"},
 		{"signed records", signed, 2, "9a9b765045c6f34f"},
-		{"fewer places than members", crowded, 3, "f707a20d893bb6e3"},
-		{"few messages", frugal, 4, "21a847e01133cb06"},
+		{"fewer slots than members", smallTable, 3, "f707a20d893bb6e3"},
+		{"low message rate", lowRate, 4, "21a847e01133cb06"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			fleet := newRecording(tt.config, tt.seed)
