--- a/internal/fleet/faultreport/codec.go
+++ b/internal/fleet/faultreport/codec.go
@@ -11,32 +11,32 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of a statement, which has to fit into a datagram together with its signature.
+// Limits on a statement. A statement and its signature must fit into one datagram.
 const (
-	MaxReports        = 12  // reports in a statement
-	MaxWorkerIDBytes  = 48  // length of a worker's id in a report
+	MaxReports        = 12  // reports per statement
+	MaxWorkerIDBytes  = 48  // length of a worker ID in a report
 	maxStatementBytes = 480 // length of an encoded statement
 )
 
-// Bounds of the decoder, which reads bytes of peers that may be hostile.
+// Limits of the decoder. Its input comes from peers and may be hostile.
 const (
 	maxNestedLevels  = 4
 	maxArrayElements = 16
 	maxMapPairs      = 16
 )
 
-// ErrMalformed is wrapped by every error of Decode.
+// ErrMalformed is wrapped by every error that Decode returns.
 var ErrMalformed = errors.New("faultreport: malformed statement")
 
-// Report is one scheduler's report of a fault of a worker. Times are ages in milliseconds at the time of the
-// statement, so that the members' clocks need not agree.
+// Report is one scheduler's report of a fault of a worker. Times are encoded as ages in milliseconds relative to the
+// statement, so members do not need synchronized clocks.
 type Report struct {
 	_            struct{} `cbor:",toarray"`
 	Worker       string
 	Fault        routing.Fault
-	FirstSeenAgo uint32 // age of the oldest request that shows the fault
-	LastSeenAgo  uint32 // age of the newest request that shows it
-	Attempts     uint16 // number of requests that show it
+	FirstSeenAgo uint32 // age of the oldest request that showed the fault
+	LastSeenAgo  uint32 // age of the newest request that showed the fault
+	Attempts     uint16 // number of requests that showed the fault
 }
 
 var (
@@ -44,7 +44,7 @@
 	statementDecoder = newStatementDecoder()
 )
 
-// newStatementEncoder returns the deterministic encoder; it panics on bad options, which are constant.
+// newStatementEncoder returns the deterministic encoder. It panics on invalid options; the options are constant.
 func newStatementEncoder() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return mode
 }
 
-// newStatementDecoder returns the bounded decoder; it panics on bad options, which are constant.
+// newStatementDecoder returns the size-limited decoder. It panics on invalid options; the options are constant.
 func newStatementDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:  maxNestedLevels,
@@ -69,8 +69,8 @@
 	return mode
 }
 
-// Encode returns the body of a statement with the most recent reports, as many as fit. Reports of workers whose id is
-// longer than MaxWorkerIDBytes are left out.
+// Encode returns a statement body with as many of the most recent reports as fit. It omits reports whose worker ID is
+// longer than MaxWorkerIDBytes.
 func Encode(list []Report) ([]byte, error) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b Report) int {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Decode returns the reports in the body of a statement. Any error wraps ErrMalformed.
+// Decode returns the reports in a statement body. All errors wrap ErrMalformed.
 func Decode(body []byte) ([]Report, error) {
 	if len(body) > maxStatementBytes {
 		return nil, ErrMalformed
--- a/internal/fleet/faultreport/core.go
+++ b/internal/fleet/faultreport/core.go
@@ -1,12 +1,13 @@
-// Package faultreport decides how much the fault reports of other schedulers about workers count.
+// Package faultreport aggregates the fault reports that schedulers exchange about workers.
 //
-// Each scheduler broadcasts what it observed itself, and only first-hand reports count, once for each signer. The
-// reports together give each worker a verdict; the Router decides what it does with that. Core does no I/O and reads
-// no clock: Step is given the events and the current time.
+// Each scheduler broadcasts only the faults that it observed itself, and each signer counts once per worker. Core
+// combines the reports into one verdict per worker; the Router decides how to act on it. Core does no I/O and reads no
+// clock: the caller passes the events and the current time to Step.
 //
-// The following holds whatever is received, as long as no more than the configured number of members are byzantine:
-// no worker has the verdict Confirmed unless an honest member finds it unhealthy; never more than Config.MaxEjectedFraction
-// of the listed workers are Confirmed; and no report counts for longer than Config.ReportTTL unless it is repeated.
+// As long as no more than the configured number of members are byzantine, Core guarantees the following for any input:
+//   - A worker is Confirmed only if at least one honest member reports it as faulty.
+//   - At most Config.MaxEjectedFraction of the listed workers are Confirmed.
+//   - A report expires after Config.ReportTTL unless it is repeated.
 package faultreport
 
 import (
@@ -15,25 +16,25 @@
 	"calicohill/routing"
 )
 
-// idleStepInterval is the longest time between two steps while there is nothing to broadcast or publish, so that
-// reporters and findings still expire.
+// idleStepInterval is the longest time between two steps while there is nothing to broadcast or publish. Reporters and
+// findings expire during a step.
 const idleStepInterval = time.Second
 
-// Why a reporter is ignored. Operators find these in the log.
+// Reasons for ignoring a reporter, as they appear in the log.
 const (
-	reasonContradicted = "answers here belie what it says"
-	reasonEquivocation = "it tells different stories" // it signed two statements with one sequence number
-	reasonMassReports  = "it accuses most of the workers"
+	reasonContradicted = "its reports contradict responses received here"
+	reasonEquivocation = "it signed two different statements with one sequence number"
+	reasonMassReports  = "it reported most workers as faulty"
 )
 
-// Core is one scheduler's view of the fault reports in the fleet. It owns the order in which events are applied and
-// actions emitted; findings, reporters and verdicts own their state. It is not safe for concurrent use.
+// Core is one scheduler's view of the fault reports in the fleet. It orders the events and the actions; the findings,
+// reporters and verdicts manage their own state. It is not safe for concurrent use.
 type Core struct {
 	config    Config
 	now       time.Duration
-	fleetSize int // members, this one included
+	fleetSize int // number of members, including this one
 	endpoints map[string]bool
-	actions   []Action // of the step in progress
+	actions   []Action // actions of the current step
 
 	findings    *findingTable
 	broadcaster broadcaster
@@ -41,7 +42,7 @@
 	verdicts    *verdictBoard
 }
 
-// New returns a Core that knows no workers, members or reports.
+// New returns a Core without workers, members or reports.
 func New(c Config) *Core {
 	return &Core{
 		config:    c,
@@ -53,8 +54,8 @@
 	}
 }
 
-// Step applies the events of one moment in order and returns the actions to carry out. Time never goes back: an
-// earlier now counts as the latest one.
+// Step applies events in order at the time now and returns the actions to carry out. If now is earlier than in a
+// previous call, Step uses the latest time so far.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
 	c.now = max(now, c.now)
 	c.actions = nil
@@ -72,7 +73,7 @@
 	return c.actions
 }
 
-// Next is the time by which Step must be called again.
+// Next returns the time by which Step must be called again.
 func (c *Core) Next() time.Duration {
 	if c.verdicts.empty() && !c.broadcaster.repeats() && !c.findings.changed {
 		return c.now + idleStepInterval
@@ -80,11 +81,11 @@
 	return c.now + minBroadcastInterval
 }
 
-// Quorum returns how many reporters it takes to have a worker ejected: one more than may be byzantine, and at least
-// minQuorum.
+// Quorum returns the number of reporters required to eject a worker: one more than the tolerated byzantine members, and
+// at least minQuorum.
 func (c *Core) Quorum() int { return quorumOf(c.fleetSize, c.config.MaxByzantine) }
 
-// maxEjected is how many workers may be Confirmed.
+// maxEjected returns the maximum number of Confirmed workers.
 func (c *Core) maxEjected() int {
 	return int(c.config.MaxEjectedFraction * float64(len(c.endpoints)))
 }
@@ -111,7 +112,7 @@
 	}
 }
 
-// setEndpoints replaces the listed workers and drops the findings on those that are gone.
+// setEndpoints replaces the listed workers and drops the findings on workers that are no longer listed.
 func (c *Core) setEndpoints(workers []string) {
 	clear(c.endpoints)
 	for _, worker := range workers {
@@ -120,8 +121,8 @@
 	c.findings.retain(c.endpoints)
 }
 
-// receive replaces the reports of a member with those of its new statement. Malformed statements and those of unknown
-// members are dropped.
+// receive replaces the reports of a member with the reports in its new statement. It drops malformed statements and
+// statements of unknown members.
 func (c *Core) receive(statement StatementReceived) {
 	sender := c.reporters.get(statement.From)
 	if sender == nil {
@@ -135,7 +136,7 @@
 	listed := 0
 	for _, report := range list {
 		if !c.endpoints[report.Worker] {
-			continue // the sender may have a newer or an older endpoint list
+			continue // the sender may have a different version of the endpoint list
 		}
 		listed++
 		counts := sender.store(c.now, c.config.ReportTTL, report, previous)
@@ -150,8 +151,8 @@
 	c.verdicts.clear(sender.withdrawn(c.now, c.config.ReportTTL, previous))
 }
 
-// contradict lowers the reputation of those whose reports of a worker are contradicted by a response that it gave to a
-// request which was sent at the given time.
+// contradict lowers the reputation of each member whose report on the worker conflicts with a response. at is the time
+// at which the answered request was sent.
 func (c *Core) contradict(worker string, at time.Duration) {
 	for _, name := range c.reporters.names() {
 		if sender := c.reporters.get(name); sender.contradict(c.now, worker, at) {
@@ -160,13 +161,13 @@
 	}
 }
 
-// mute ignores a member for a while.
+// mute ignores a member for muteDuration and announces it.
 func (c *Core) mute(name string, sender *reporter, reason string) {
 	sender.mute(c.now)
 	c.announceDiscredit(name, sender, reason)
 }
 
-// announceDiscredit emits Discredited, once until the member is trusted again.
+// announceDiscredited emits Discredited at most once until the member is trusted again.
 func (c *Core) announceDiscredit(name string, sender *reporter, reason string) {
 	if sender.markDiscredited() {
 		c.actions = append(c.actions, Discredited{From: name, Why: reason})
--- a/internal/fleet/faultreport/findings.go
+++ b/internal/fleet/faultreport/findings.go
@@ -10,30 +10,30 @@
 
 const (
 	minBroadcastInterval = 200 * time.Millisecond // between two statements
-	broadcastsPerTTL     = 3                      // statements within Config.ReportTTL while there is a fault to report
+	broadcastsPerTTL     = 3                      // statements per Config.ReportTTL while there is a fault to report
 	maxFindings          = 4096                   // workers with a finding
-	maxAttempts          = 1<<15 + 1              // where the count of requests that show a fault stops
+	maxAttempts          = 1<<15 + 1              // upper limit of finding.attempts
 )
 
-// finding is what this scheduler observed of a worker itself.
+// finding is this scheduler's own observation of a worker.
 type finding struct {
 	fault       routing.Fault
-	firstSeen   time.Duration // when the oldest request was sent that shows the fault
-	lastSeen    time.Duration // when the newest one was sent
-	attempts    uint16        // requests that show it
-	lastHealthy time.Duration // when the latest request was sent that got a response, 0 for none
+	firstSeen   time.Duration // send time of the oldest request that showed the fault
+	lastSeen    time.Duration // send time of the newest request that showed the fault
+	attempts    uint16        // number of requests that showed the fault
+	lastHealthy time.Duration // send time of the latest request that got a response; 0 for none
 }
 
-// findingTable holds what this scheduler observed itself: findings on at most maxFindings workers.
+// findingTable stores this scheduler's own findings on at most maxFindings workers.
 type findingTable struct {
 	byWorker map[string]*finding
-	changed  bool // since the reports were last taken
+	changed  bool // since the last call of takeReports
 }
 
 func newFindingTable() *findingTable { return &findingTable{byWorker: map[string]*finding{}} }
 
-// observe records an observation of a worker, and reports whether it was. One of a worker without a finding is dropped
-// if the worker is not listed or the table is full.
+// observe records an observation of a worker and reports whether it was recorded. It drops the observation if the
+// worker has no finding yet and is not listed, or if the table is full.
 func (t *findingTable) observe(observed FaultObserved, listed bool) bool {
 	own := t.ensure(observed.Worker, listed)
 	if own == nil {
@@ -62,7 +62,7 @@
 	t.clearFault(own)
 }
 
-// clearFault clears the fault of a finding, if there is one.
+// clearFault resets a finding to healthy.
 func (t *findingTable) clearFault(own *finding) {
 	if own.fault != routing.Healthy {
 		t.changed = true
@@ -71,7 +71,8 @@
 	own.attempts = 0
 }
 
-// ensure returns the finding on a worker. It is nil for a new one that is not listed or finds the table full.
+// ensure returns the finding on a worker and creates it if necessary. It returns nil instead of creating one if the
+// worker is not listed or the table is full.
 func (t *findingTable) ensure(worker string, listed bool) *finding {
 	if own := t.byWorker[worker]; own != nil {
 		return own
@@ -84,7 +85,7 @@
 	return own
 }
 
-// lastHealthy returns when the latest request to a worker was sent that got a response, 0 for none.
+// lastHealthy returns the send time of the latest request to the worker that got a response, or 0 if there is none.
 func (t *findingTable) lastHealthy(worker string) time.Duration {
 	own := t.byWorker[worker]
 	if own == nil {
@@ -93,7 +94,7 @@
 	return own.lastHealthy
 }
 
-// retain drops the findings on workers that are not listed.
+// retain drops the findings on workers that are not in endpoints.
 func (t *findingTable) retain(endpoints map[string]bool) {
 	for worker, own := range t.byWorker {
 		if endpoints[worker] {
@@ -106,7 +107,7 @@
 	}
 }
 
-// expire clears the faults that no request has shown for a time to live.
+// expire clears faults that no request has shown within ttl.
 func (t *findingTable) expire(now, ttl time.Duration) {
 	for _, own := range t.byWorker {
 		if own.fault != routing.Healthy && now-own.lastSeen >= ttl {
@@ -115,7 +116,7 @@
 	}
 }
 
-// takeReports returns the findings that are faults, sorted by worker, and marks them as unchanged.
+// takeReports returns reports of all current faults, sorted by worker, and marks the table as unchanged.
 func (t *findingTable) takeReports(now time.Duration) []Report {
 	t.changed = false
 	var reports []Report
@@ -137,18 +138,17 @@
 
 func millisecondsSince(now, at time.Duration) uint32 { return uint32(max(0, now-at).Milliseconds()) }
 
-// broadcaster decides when the findings are broadcast: when they have changed, and periodically as long as there is a
-// fault; at most once in minBroadcastInterval. A statement without a report is repeated, since the first may be lost on
-// its way.
+// broadcaster decides when to broadcast the findings: when they change, and periodically while there is a fault, but at
+// most once per minBroadcastInterval. It repeats an empty statement, because the first one may be lost.
 type broadcaster struct {
 	sentAt    time.Duration
-	emptyLeft int // statements without a report that are still to be broadcast
+	emptyLeft int // number of empty statements still to be broadcast
 }
 
-// repeats reports whether statements without a report are still to be broadcast.
+// hasRepeats reports whether an empty statement is still to be broadcast.
 func (b *broadcaster) repeats() bool { return b.emptyLeft > 0 }
 
-// next returns the statement to broadcast now; ok is false if there is none.
+// next returns the statement to broadcast now. ok is false if there is nothing to broadcast.
 func (b *broadcaster) next(now, ttl time.Duration, findings *findingTable) (statement Broadcast, ok bool) {
 	elapsed := now - b.sentAt
 	due := elapsed >= ttl/broadcastsPerTTL
--- a/internal/fleet/faultreport/messages.go
+++ b/internal/fleet/faultreport/messages.go
@@ -8,39 +8,39 @@
 
 // Config holds the settings of a Core.
 type Config struct {
-	MaxByzantine       int           // byzantine members to tolerate; negative: as many as are under a third of the fleet
-	MaxEjectedFraction float64       // largest fraction of the listed workers that may be Confirmed
-	ReportTTL          time.Duration // how long a report counts after the newest request that shows the fault
+	MaxByzantine       int           // tolerated byzantine members; negative for the maximum under a third of the fleet
+	MaxEjectedFraction float64       // maximum fraction of the listed workers that are Confirmed
+	ReportTTL          time.Duration // lifetime of a report, from the newest request that showed the fault
 }
 
 // Event is an input of Core.Step. The concrete types are FaultObserved, EndpointsChanged, MembersChanged,
 // StatementReceived, EquivocationDetected and Configure.
 type Event interface{ event() }
 
-// FaultObserved carries this scheduler's own finding on a worker; the fault Healthy stands for a response. At is when
-// the request that shows it was sent.
+// FaultObserved carries this scheduler's own observation of a worker. The fault Healthy stands for a response. At is
+// the send time of the observed request.
 type FaultObserved struct {
 	Worker string
 	Fault  routing.Fault
 	At     time.Duration
 }
 
-// EndpointsChanged carries the workers of the current endpoint list, in place of those before.
+// EndpointsChanged carries all workers of the current endpoint list.
 type EndpointsChanged struct{ Workers []string }
 
-// MembersChanged carries the names of the live members, without this one, in place of those before.
+// MembersChanged carries the names of all live members except this one.
 type MembersChanged struct{ Names []string }
 
-// StatementReceived carries a statement of another member, whose signature was verified. Body is what Encode returned there.
+// StatementReceived carries a statement of another member. Its signature has been verified. Body is encoded by Encode.
 type StatementReceived struct {
 	From string
 	Body []byte
 }
 
-// EquivocationDetected reports that a member equivocated: it signed two different statements with one sequence number.
+// EquivocationDetected reports that a member signed two different statements with one sequence number.
 type EquivocationDetected struct{ From string }
 
-// Configure replaces the settings.
+// Configure replaces the configuration.
 type Configure struct{ Config }
 
 func (FaultObserved) event()        {}
@@ -53,16 +53,16 @@
 // Action is an output of Core.Step. The concrete types are Broadcast, PublishVerdicts and Discredited.
 type Action interface{ action() }
 
-// Broadcast asks for a statement with these reports to be broadcast to all members, in place of the one before.
+// Broadcast asks the caller to send a statement with these reports to all members. It replaces the previous statement.
 type Broadcast struct{ Reports []Report }
 
-// PublishVerdicts hands the Router the verdicts of peers on workers, in place of all before; a worker that is not
-// named is NotReported. It is emitted when a verdict changes, and periodically as long as there is one, since the
-// Router weighs verdicts against its own observations, which age.
+// PublishVerdicts passes the peers' verdicts to the Router and replaces all previous verdicts. A worker without a
+// verdict is NotReported. It is emitted when a verdict changes, and periodically while there is a verdict, because the
+// Router compares verdicts with its own observations, which expire.
 type PublishVerdicts struct{ routing.PeerReports }
 
-// Discredited announces that the reports of a member are ignored for now, and why. It is emitted once until the
-// member is trusted again.
+// Discredited announces that the reports of a member are being ignored. It is emitted at most once until the member is
+// trusted again.
 type Discredited struct {
 	From string
 	Why  string
--- a/internal/fleet/faultreport/quorum.go
+++ b/internal/fleet/faultreport/quorum.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	minQuorum              = 2                      // a single reporter never has a worker ejected
-	byzantineDivisor       = 3                      // fewer than this part of the members may be byzantine by default
-	verdictRefreshInterval = 500 * time.Millisecond // how often unchanged verdicts are published again
+	minQuorum              = 2                      // a single reporter must not be able to eject a worker
+	byzantineDivisor       = 3                      // by default, fewer than 1/3 of the members may be byzantine
+	verdictRefreshInterval = 500 * time.Millisecond // interval at which unchanged verdicts are republished
 )
 
-// quorumOf returns how many reporters it takes to have a worker ejected in a fleet of a size: one more than may be
-// byzantine, and at least minQuorum.
+// quorumSize returns the number of reporters required to eject a worker: one more than the tolerated byzantine members,
+// and at least minQuorum. A negative maxByzantine stands for the largest number under a third of the fleet.
 func quorumOf(fleetSize, maxByzantine int) int {
 	byzantine := maxByzantine
 	if byzantine < 0 {
@@ -25,17 +25,17 @@
 	return max(minQuorum, byzantine+1)
 }
 
-// reportCounts holds the number of trusted reporters of each worker.
+// reportCounts counts the trusted reporters of each worker.
 type reportCounts struct {
-	any      map[string]int // of any fault
-	ejecting map[string]int // of a fault that warrants ejection
+	any      map[string]int // reporters of any fault
+	ejecting map[string]int // reporters of a fault that warrants ejection
 }
 
-// verdictBoard holds the verdicts that are published, and the workers that were cleared since.
+// verdictPublisher holds the last published verdicts and the workers cleared since then.
 type verdictBoard struct {
 	verdicts    map[string]routing.PeerVerdict
 	publishedAt time.Duration
-	cleared     []string // workers that a reporter has just withdrawn its report of
+	cleared     []string // workers on which a reporter withdrew its report
 }
 
 func newVerdictBoard() *verdictBoard {
@@ -45,12 +45,12 @@
 // empty reports whether no worker has a verdict.
 func (b *verdictBoard) empty() bool { return len(b.verdicts) == 0 }
 
-// clear notes workers that a reporter has withdrawn its report of.
+// addCleared adds workers on which a reporter withdrew its report.
 func (b *verdictBoard) clear(workers []string) { b.cleared = append(b.cleared, workers...) }
 
-// next computes the verdict on each worker, and returns what to publish: when a verdict has changed, when a worker was
-// cleared, and every verdictRefreshInterval as long as there are any. At most limit workers are Confirmed; ok is false
-// if there is nothing to publish.
+// next computes the verdicts, of which at most limit are Confirmed. It returns them for publication if a verdict has
+// changed or a worker was cleared, and every verdictRefreshInterval while there are any. ok is false if there is
+// nothing to publish.
 func (b *verdictBoard) next(now time.Duration, counts reportCounts, quorum, limit int) (published PublishVerdicts, ok bool) {
 	verdicts := map[string]routing.PeerVerdict{}
 	for worker := range counts.any {
@@ -70,8 +70,8 @@
 	return published, true
 }
 
-// confirmed returns the workers with a quorum, at most limit. Where not all fit, those that are Confirmed already come
-// first, so that the choice is stable, then those with the most reporters.
+// confirmed returns at most limit workers that a quorum reports. If there are more, workers that are already Confirmed
+// take precedence, which keeps the selection stable, followed by the workers with the most reporters.
 func (b *verdictBoard) confirmed(reporters map[string]int, quorum, limit int) []string {
 	var candidates []string
 	for worker, n := range reporters {
@@ -89,7 +89,7 @@
 	return candidates[:min(len(candidates), limit)]
 }
 
-// verdictRank is 1 for a worker that is Confirmed already and 0 for others.
+// verdictRank returns the sort key of a worker's last verdict: 1 for Confirmed and 0 otherwise.
 func verdictRank(verdict routing.PeerVerdict) int {
 	if verdict == routing.Confirmed {
 		return 1
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -8,20 +8,20 @@
 	"calicohill/routing"
 )
 
-// Reputation is in 0..1 and starts at 1. A reporter whose reports the own observations contradict loses it.
+// Reputation ranges from 0 to 1. A reporter loses reputation when this scheduler's observations contradict its reports.
 const (
 	initialReputation           = 1.0
 	maxReputation               = 1.0
-	minReputation               = 0.6 // below it a reporter is ignored
-	contradictionFactor         = 0.5 // applied to the reputation for each contradicted report
+	minReputation               = 0.6 // a reporter below it is ignored
+	contradictionFactor         = 0.5 // multiplies the reputation on each contradicted report
 	reputationRecoveryPerSecond = 0.02
-	// contradictionMargin is by how much the request of a response must be later than the first, and earlier than the last,
-	// that a report is about to contradict the report.
+	// contradictionMargin is the minimum distance between the send time of a request that got a response and both ends
+	// of the reported outage. A response closer to either end does not contradict the report.
 	contradictionMargin = 300 * time.Millisecond
 )
 
-// A reporter with a fault report on more than massReportFraction of the listed workers and on more than
-// massReportThreshold is muted: its own network is the likelier fault.
+// A reporter is muted if it reports more than massReportFraction of the listed workers and more than
+// massReportThreshold workers: a fault of its own network is the more likely cause.
 const (
 	massReportFraction  = 0.5
 	massReportThreshold = 4
@@ -29,56 +29,56 @@
 	maxReporters        = 4096
 )
 
-// reporter is another member, with the reports of its latest statement.
+// reporter is the state of another member, including the reports of its latest statement.
 type reporter struct {
-	isMember           bool // among the live members
+	isMember           bool // whether it is a live member
 	reputation         float64
-	reputationAt       time.Duration // when reputation had this value
+	reputationAt       time.Duration // time of the last change of reputation
 	mutedUntil         time.Duration
 	discreditAnnounced bool
 	reports            map[string]peerReport    // by worker
-	clearedAt          map[string]time.Duration // when its withdrawal of a report last counted, by worker
+	clearedAt          map[string]time.Duration // time of its last withdrawal that was counted, by worker
 }
 
-// peerReport is a received report, with times by this scheduler's clock.
+// peerReport is a received report, with its times converted to this scheduler's clock.
 type peerReport struct {
 	fault        routing.Fault
 	firstSeen    time.Duration
 	lastSeen     time.Duration
 	expiresAt    time.Duration
-	contradicted bool // by a response that this scheduler got meanwhile; it does not count
+	contradicted bool // whether a response to this scheduler contradicts it; such a report is ignored
 }
 
-// warrantsEjection reports whether a worker may be ejected for a fault. One that is only slow or fails some requests
-// still serves.
+// warrantsEjection reports whether a worker may be ejected for a fault. A worker that is slow or fails some requests is
+// not ejected, because it still serves other requests.
 func warrantsEjection(fault routing.Fault) bool {
 	return fault == routing.Unresponsive || fault == routing.Unreachable
 }
 
-// reputationNow is the reputation with what was regained since it last changed.
+// currentReputation returns the reputation including the recovery since its last change.
 func (r *reporter) reputationNow(now time.Duration) float64 {
 	return min(maxReputation, r.reputation+reputationRecoveryPerSecond*(now-r.reputationAt).Seconds())
 }
 
-// isTrusted reports whether the reports of the member count now.
+// isTrusted reports whether the reports of the member are counted.
 func (r *reporter) isTrusted(now time.Duration) bool {
 	return r.isMember && now >= r.mutedUntil && r.reputationNow(now) >= minReputation
 }
 
-// isClean reports whether nothing is held against the member.
+// hasFullReputation reports whether the member is not muted and has fully recovered its reputation.
 func (r *reporter) isClean(now time.Duration) bool {
 	return now >= r.mutedUntil && r.reputationNow(now) >= maxReputation
 }
 
-// takeReports removes the reports of the latest statement and returns them by worker.
+// takeReports removes and returns the reports of the latest statement, by worker.
 func (r *reporter) takeReports() map[string]peerReport {
 	taken := r.reports
 	r.reports = map[string]peerReport{}
 	return taken
 }
 
-// store keeps a received report unless it has expired, and reports whether it counts. A report that was contradicted
-// stays so however often it is repeated, as long as it is about the same outage.
+// store stores a received report unless it has expired, and reports whether it counts. Repeating a contradicted report
+// of the same outage does not make it count again.
 func (r *reporter) store(now, ttl time.Duration, received Report, previous map[string]peerReport) (counts bool) {
 	report := peerReport{
 		fault:     received.Fault,
@@ -96,8 +96,8 @@
 	return !report.contradicted
 }
 
-// withdrawn returns the workers that the member no longer reports: it has had a response from them. A byzantine member
-// may pretend that, which costs one probe at most; so it counts once in a time to live for each worker.
+// withdrawn returns the workers that the member no longer reports because it got a response from them. A false
+// withdrawal by a byzantine member costs one probe, so at most one withdrawal per worker counts within ttl.
 func (r *reporter) withdrawn(now, ttl time.Duration, previous map[string]peerReport) []string {
 	var cleared []string
 	for _, worker := range slices.Sorted(maps.Keys(previous)) {
@@ -115,9 +115,9 @@
 	return cleared
 }
 
-// contradict lowers the reputation of a member that reports a worker as unresponsive or unreachable over a time in which
-// it responded to this scheduler: to a request that was sent at the given time. It reports whether that left the member
-// too little.
+// contradict lowers the reputation of the member if it reports the worker as unresponsive or unreachable during a
+// period in which the worker responded to this scheduler. at is the send time of the answered request. contradict
+// reports whether the reputation has dropped below minReputation.
 func (r *reporter) contradict(now time.Duration, worker string, at time.Duration) (discredited bool) {
 	report, ok := r.reports[worker]
 	if !ok || report.contradicted || !warrantsEjection(report.fault) {
@@ -133,20 +133,20 @@
 	return r.reputation < minReputation
 }
 
-// mute drops the reports of the member and ignores it for muteDuration.
+// mute drops the reports of the member and ignores its statements for muteDuration.
 func (r *reporter) mute(now time.Duration) {
 	r.mutedUntil = now + muteDuration
 	clear(r.reports)
 }
 
-// markDiscredited notes that the member is announced as discredited, and reports whether it was not yet.
+// markDiscredited marks the member as announced as discredited, and reports whether it was not marked before.
 func (r *reporter) markDiscredited() (first bool) {
 	first = !r.discreditAnnounced
 	r.discreditAnnounced = true
 	return first
 }
 
-// expire drops expired reports and those of workers that are not listed.
+// expire drops expired reports and reports on workers that are not listed.
 func (r *reporter) expire(now, ttl time.Duration, endpoints map[string]bool) {
 	maps.DeleteFunc(r.reports, func(worker string, report peerReport) bool {
 		return now >= report.expiresAt || !endpoints[worker]
@@ -157,15 +157,14 @@
 	}
 }
 
-// reporterTable holds the other members with their reputation and their reports: at most maxReporters, each with the
-// reports of one statement.
+// reporterTable holds the reputation and the latest reports of at most maxReporters other members.
 type reporterTable struct {
 	byName map[string]*reporter
 }
 
 func newReporterTable() *reporterTable { return &reporterTable{byName: map[string]*reporter{}} }
 
-// get returns the reporter of a name, or nil.
+// get returns the reporter with the given name, or nil.
 func (t *reporterTable) get(name string) *reporter { return t.byName[name] }
 
 // names returns the names of all reporters, sorted.
@@ -183,7 +182,7 @@
 	}
 }
 
-// ensure returns the reporter of a name, nil for a new one if the table is full.
+// ensure returns the reporter with the given name and creates it if necessary. It returns nil if the table is full.
 func (t *reporterTable) ensure(name string) *reporter {
 	known := t.byName[name]
 	if known == nil && len(t.byName) < maxReporters {
@@ -197,7 +196,7 @@
 	return known
 }
 
-// expire drops expired reports and the reporters that have left with nothing held against them.
+// expire drops expired reports. It also drops former members that have no reports and full reputation.
 func (t *reporterTable) expire(now, ttl time.Duration, endpoints map[string]bool) {
 	maps.DeleteFunc(t.byName, func(_ string, known *reporter) bool {
 		known.expire(now, ttl, endpoints)
