--- a/internal/fleet/quota/account.go
+++ b/internal/fleet/quota/account.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// lendableDivisor is the part of its quota that a member lends at most.
+// lendableDivisor sets the largest share of its quota that a member lends: 1/lendableDivisor.
 const lendableDivisor = 2
 
-// budgetAccount is the account of one budget. It owns the leases, as a lender (lender.go) and as a borrower
-// (borrower.go).
+// budgetAccount is this member's account of one budget. It manages the leases granted to others (lender.go) and the
+// leases borrowed from others (borrower.go).
 type budgetAccount struct {
 	Budget
-	demand         int64                      // units that this member has a use for
-	limit          int64                      // units that it may use, as last announced by LimitChanged
-	granted        []grantedLease             // units lent to others
-	borrowed       []borrowedLease            // units borrowed from others
-	requestedUnits int64                      // units that the current lease request asks for, 0 without one
-	requestNumber  uint32                     // of the current lease request
-	nextRequestAt  time.Duration              // when the next one may be made
-	answered       map[string]answeredRequest // the latest lease request received, by member
+	demand         int64                      // units that this member needs
+	limit          int64                      // units that this member may use, as last announced by LimitChanged
+	granted        []grantedLease             // leases granted to other members
+	borrowed       []borrowedLease            // leases granted by other members
+	requestedUnits int64                      // units in the current lease request; 0 if there is none
+	requestNumber  uint32                     // number of the current lease request
+	nextRequestAt  time.Duration              // earliest time of the next lease request
+	answered       map[string]answeredRequest // latest lease request received from each member
 }
 
 func newBudgetAccount(budget Budget) *budgetAccount {
 	return &budgetAccount{Budget: budget, answered: map[string]answeredRequest{}}
 }
 
-// setDemand replaces the number of units that this member has a use for.
+// setDemand sets the number of units that this member needs.
 func (a *budgetAccount) setDemand(units int64) { a.demand = max(units, 0) }
 
-// updateLimit returns the units that may be used now; changed is false if they are those that were announced last.
+// updateLimit recomputes the number of usable units. changed reports whether it differs from the last announcement.
 func (a *budgetAccount) updateLimit(step *stepContext) (announcement LimitChanged, changed bool) {
 	usable := a.usableUnits(step)
 	changed = usable != a.limit
@@ -38,11 +38,12 @@
 	return LimitChanged{Budget: a.Name, Units: usable}, changed
 }
 
-// forget drops what was received from a member. What it has lent stays borrowed until it expires.
+// removeMember drops the state received from a member, except for the leases borrowed from it, which stay until they
+// expire.
 func (a *budgetAccount) forget(member string) { delete(a.answered, member) }
 
-// fixedQuota is what a member owns of a budget. It follows from the configured size of the fleet and never from the
-// members that are reachable, so that a partition doesn't change it.
+// fixedQuota returns the number of units that each member owns. It depends on the configured fleet size and not on the
+// reachable members, so that a network partition does not change it.
 func (a *budgetAccount) fixedQuota(step *stepContext) int64 {
 	if seeded == quotaFromSeenMembers {
 		return a.Total / int64(len(a.answered)+1)
@@ -50,12 +51,13 @@
 	return a.Total / int64(step.config.FleetSize)
 }
 
-// maxLendable is the most that a member lends of its quota: half. A new start does without that half until leases of
-// the start before have expired.
+// maxLendable returns the largest number of units that a member lends: half of its quota. After a restart, a member
+// does not use that half until the leases granted by its previous incarnation have expired.
 func maxLendable(quota int64) int64 { return quota / lendableDivisor }
 
-// ownQuota is the part of the fixed quota that this start of the member may count on. It has no record of the start
-// before, whose units may be in use for HoldTime and whose leases last for a lease duration more.
+// availableQuota returns the part of the fixed quota that this incarnation of the member may use or lend. It has no
+// record of the previous incarnation: units taken then may remain in use for HoldTime, and leases granted then for
+// LeaseDuration plus HoldTime.
 func (a *budgetAccount) ownQuota(step *stepContext) int64 {
 	quota := a.fixedQuota(step)
 	if seeded == ignoresPreviousStart {
@@ -71,7 +73,7 @@
 	}
 }
 
-// usableUnits is how many units this member may have in use now.
+// usableUnits returns the number of units that this member may have in use now.
 func (a *budgetAccount) usableUnits(step *stepContext) int64 {
 	usable := a.ownQuota(step) - a.lentUnits()
 	for _, lease := range a.borrowed {
@@ -80,7 +82,7 @@
 	return max(usable, 0)
 }
 
-// lentUnits is the sum of the granted leases that have not expired.
+// lentUnits returns the number of units in granted leases that have not expired.
 func (a *budgetAccount) lentUnits() int64 {
 	if seeded == usesLentUnits {
 		return 0
@@ -92,14 +94,14 @@
 	return units
 }
 
-// expireLeases drops the granted and borrowed leases that have ended.
+// expireLeases drops granted and borrowed leases that have expired.
 func (a *budgetAccount) expireLeases(now time.Duration) {
 	a.granted = slices.DeleteFunc(a.granted, func(lease grantedLease) bool { return now >= lease.expiresAt })
 	a.borrowed = slices.DeleteFunc(a.borrowed, func(lease borrowedLease) bool { return now >= lease.expiresAt })
 }
 
-// nextChange is when a lease of the budget ends, more is requested, or more of the own quota becomes usable after a
-// start.
+// nextChange returns the earliest time at which a lease expires, the next lease request is due, or more of the fixed
+// quota becomes available after a restart.
 func (a *budgetAccount) nextChange(step *stepContext) time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, lease := range a.granted {
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	renewalDivisor      = 2 // a lease is replaced once less than this part of its duration is left
-	requestsPerDuration = 4 // lease requests of a budget in a lease duration
+	renewalDivisor      = 2 // a lease is renewed when less than 1/renewalDivisor of its duration is left
+	requestsPerDuration = 4 // maximum lease requests per budget and lease duration
 )
 
-// borrowedLease holds units that another member lent.
+// borrowedLease is a lease granted by another member.
 type borrowedLease struct {
 	lender      string
 	lenderEpoch int64
-	request     uint32 // number of the request that it answers
+	request     uint32 // number of the lease request that was granted
 	units       int64
 	expiresAt   time.Duration
 }
 
-// requestLog holds when lease requests were made, for those whose leases may still be used. Requests are numbered in
-// order over all budgets.
+// requestLog records the times of the lease requests whose leases may not have expired yet. Requests are numbered
+// consecutively across all budgets.
 type requestLog struct {
 	latest uint32          // number of the latest request
 	first  uint32          // number of the first request in times
-	times  []time.Duration // when requests were made, in order
+	times  []time.Duration // times of consecutive requests
 }
 
-// add numbers a request that is made now, and drops those made a lease duration ago or before.
+// add records a request at the time now and returns its number. It drops requests that are at least leaseDuration old.
 func (l *requestLog) add(now, leaseDuration time.Duration) uint32 {
 	l.latest++
 	if len(l.times) == 0 {
@@ -41,7 +41,7 @@
 	return l.latest
 }
 
-// madeAt returns when a request was made; ok is false if it is not in the log.
+// requestTime returns the time of a request. ok is false if the request is not in the log.
 func (l *requestLog) madeAt(number uint32) (at time.Duration, ok bool) {
 	if number < l.first || number-l.first >= uint32(len(l.times)) {
 		return 0, false
@@ -49,8 +49,8 @@
 	return l.times[number-l.first], true
 }
 
-// requestLease asks for the units that this member lacks, and those that it will lack once half a lease duration has
-// passed.
+// requestLease requests the units that this member lacks now or will lack within half a lease duration, when leases
+// expire.
 func (a *budgetAccount) requestLease(step *stepContext, requests *requestLog) {
 	lacking := a.demand - a.ownQuota(step) + a.lentUnits()
 	for _, lease := range a.borrowed {
@@ -70,8 +70,8 @@
 	a.nextRequestAt = step.now + step.config.LeaseDuration/requestsPerDuration
 }
 
-// sumLeases adds up the units of this budget in received leases. The sum is capped above Total, so that the figures of
-// a peer can't make it overflow.
+// sumLeases returns the total units of this budget in the received leases. It caps the sum above Total, because the
+// units sent by a peer could make it overflow.
 func (a *budgetAccount) sumLeases(leases []Lease) int64 {
 	limit := a.Total + 1
 	var sum int64
@@ -83,7 +83,7 @@
 	return sum
 }
 
-// acceptLeases accepts the leases of a budget that are for this start of this member.
+// acceptLeases accepts the leases of this budget that were granted to this incarnation of this member.
 func (a *budgetAccount) acceptLeases(step *stepContext, requests *requestLog, received StatementReceived) {
 	for _, lease := range received.Leases {
 		isOurs := lease.Borrower == step.config.Self && lease.BorrowerEpoch == step.config.Epoch
@@ -93,9 +93,8 @@
 	}
 }
 
-// acceptLease borrows the units of a lease, once however often it is received. The lease counts from when the request
-// was made, which was before anybody granted it: so it expires here before it does at the lender, whatever the clocks
-// show.
+// acceptLease adds a lease to the borrowed leases and ignores duplicates. The lease runs from the time of the request,
+// which precedes the grant, so it expires here before it expires at the lender. This needs no synchronized clocks.
 func (a *budgetAccount) acceptLease(step *stepContext, requests *requestLog, received StatementReceived, lease Lease) {
 	requestedAt, ok := requests.madeAt(lease.Request)
 	if seeded == leaseFromArrival {
--- a/internal/fleet/quota/checker_internal_test.go
+++ b/internal/fleet/quota/checker_internal_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// The fleet that the checker explores: three members that may have six units in use together.
+// Parameters of the fleet that the checker explores.
 const (
 	checkedMembers  = 3
 	totalUnits      = 6
-	demandedUnits   = 4 // of a member that has any demand
+	demandedUnits   = 4 // demand of a member that has any demand
 	checkedDrift    = 1.0 / 3
-	checkedDuration = 6 * time.Second // of a lease
+	checkedDuration = 6 * time.Second // lease duration
 )
 
-// How far a clock moves on in a tick of true time; slow and fast are at the bounds of checkedDrift.
+// Clock rates: the time by which a clock advances per tick of true time. slow and fast are the limits of checkedDrift.
 const (
 	slow  = 2 * time.Second
 	exact = 3 * time.Second
@@ -27,17 +27,17 @@
 
 var clockRateSets = [][]time.Duration{{slow, fast, fast}, {fast, slow, slow}, {slow, slow, fast}, {exact, exact, exact}}
 
-// fleetState is a state of the fleet that a history of events leads to.
+// fleetState is the state of the fleet after a history of events.
 type fleetState struct {
 	members    []*Core
 	clocks     []time.Duration
 	clockRates []time.Duration
 	stopped    []bool
-	inTransit  []sentStatement // may still arrive, any number of times and in any order
-	history    []string        // events so far
+	inTransit  []sentStatement // statements that may still arrive, repeatedly and in any order
+	history    []string        // descriptions of the events so far
 }
 
-// sentStatement is a statement with the index of the member that sent it.
+// sentStatement is a statement with the index of its sender.
 type sentStatement struct {
 	from int
 	StatementReceived
@@ -54,7 +54,7 @@
 	}
 }
 
-// newFleetState returns a fleet that has been running for an hour.
+// newFleetState returns a fleet that has been running for an hour, without statements in transit.
 func newFleetState(rates ...time.Duration) *fleetState {
 	state := &fleetState{
 		clockRates: rates,
@@ -75,7 +75,7 @@
 	return state
 }
 
-// step steps a member and puts what it broadcasts in transit.
+// step steps a member and adds the statement it broadcasts to those in transit.
 func (s *fleetState) step(member int, events ...Event) {
 	core := s.members[member]
 	for _, action := range core.Step(s.clocks[member], events) {
@@ -120,7 +120,8 @@
 	return &copied
 }
 
-// key identifies a state. Times are relative to the member's clock, so that states that differ in age alone are one.
+// key identifies a state. Times are relative to the member's clock, so that states that differ only in age have equal
+// keys.
 func (s *fleetState) key() string {
 	var key strings.Builder
 	for i, core := range s.members {
@@ -150,7 +151,8 @@
 	return key.String()
 }
 
-// usableUnits is the sum of what all running members may have in use now, if each asks its accounts first as it has to.
+// usableUnits returns the total units that all running members may have in use now. Members must call usableUnits of
+// their account before each use.
 func (s *fleetState) usableUnits() int64 {
 	var units int64
 	for i, core := range s.members {
@@ -161,7 +163,7 @@
 	return units
 }
 
-// after returns the state that one more event leads to.
+// after returns the state after one more event.
 func (s *fleetState) after(event string, apply func(*fleetState)) *fleetState {
 	next := s.clone()
 	apply(next)
@@ -169,7 +171,7 @@
 	return next
 }
 
-// tick lets one tick of true time go by.
+// tick advances true time by one tick.
 func (s *fleetState) tick() {
 	for i := range s.members {
 		s.clocks[i] += s.clockRates[i]
@@ -179,7 +181,7 @@
 	}
 }
 
-// restart starts a member anew, without any records.
+// restart replaces a member by a new incarnation without any state.
 func (s *fleetState) restart(member int) {
 	fresh, err := New(checkedConfig(member, s.members[member].config.Epoch+1))
 	if err != nil {
@@ -189,7 +191,7 @@
 	s.step(member)
 }
 
-// successors returns every state that one event leads to.
+// successors returns all states that are one event away.
 func (s *fleetState) successors() []*fleetState {
 	list := []*fleetState{s.after("tick", (*fleetState).tick)}
 	for i, core := range s.members {
@@ -215,7 +217,7 @@
 	return list
 }
 
-// deliveries returns every state in which a member has received one more of the statements in transit.
+// deliveries returns all states in which a member has received one more statement in transit.
 func (s *fleetState) deliveries(member int) []*fleetState {
 	var list []*fleetState
 	for i, sent := range s.inTransit {
@@ -231,8 +233,8 @@
 	return list
 }
 
-// explore visits every state that up to depth events lead to, breadth first. It returns the first history that exceeds
-// the budget, nil if there is none, and the number of states that were visited.
+// explore visits all states within depth events, breadth first. It returns the first history that exceeds the budget,
+// or nil if there is none, and the number of visited states.
 func explore(depth int, rates ...time.Duration) (violation []string, states int) {
 	seen := map[string]bool{}
 	frontier := []*fleetState{newFleetState(rates...)}
@@ -256,7 +258,8 @@
 	return nil, len(seen)
 }
 
-// No history of up to maxDepth events exceeds the budget, with clocks at the bounds of the configured drift.
+// No history of up to maxDepth events may exceed the budget, even with clock rates at the limits of the configured
+// drift.
 func TestNoHistoryExceedsTotal(t *testing.T) {
 	for _, rates := range clockRateSets {
 		t.Run(fmt.Sprint(rates), func(t *testing.T) {
--- a/internal/fleet/quota/core.go
+++ b/internal/fleet/quota/core.go
@@ -1,16 +1,16 @@
-// Package quota shares budgets among the schedulers of a fleet: how many units each may use of a resource of which all
-// of them together must not use more than a total. Each member owns a fixed quota, by the configured size of the fleet.
-// What it does not need it lends to members that need more, as leases, after the demarcation protocol (Barbara and
-// Garcia-Molina, 1992) and the leases of Gray and Cheriton (1989).
+// Package quota shares budgets among the schedulers of a fleet. A budget limits the total number of units of a resource
+// that all schedulers together may use. Each member owns a fixed quota, which is the total divided by the configured
+// fleet size. Members lend spare units to members that need more, as leases. The design follows the demarcation
+// protocol (Barbara and Garcia-Molina, 1992) and leases (Gray and Cheriton, 1989).
 //
-// Core decides all of it, does no I/O and reads no clock: Step is given the events and the current time, and returns
-// the statement to broadcast and the units that may be used.
+// Core implements the protocol without I/O and without reading a clock: the caller passes the events and the current
+// time to Step, which returns the statement to broadcast and the number of usable units.
 //
-// The safety property: the units that all members may use, together with those still in use, never exceed the total.
-// It holds whatever messages are lost, duplicated, late or reordered and whichever members stop or restart, as long as
-// each clock runs between 1 - MaxClockDrift and 1 + MaxClockDrift of true time, and every running member is configured
-// with a fleet size no smaller than the number of running members. The argument is in docs/design/shared.md, and the
-// checker in this package's tests searches for a history that violates it.
+// Safety property: the units that all members may use, plus the units still in use, never exceed the total. It holds
+// even if messages are lost, duplicated, delayed or reordered, and if members stop or restart. It requires that each
+// clock runs at a rate between 1 - MaxClockDrift and 1 + MaxClockDrift of true time, and that every running member is
+// configured with a fleet size of at least the number of running members. The argument is in docs/design/shared.md, and
+// the checker in this package's tests searches for a history that violates the property.
 package quota
 
 import (
@@ -21,30 +21,30 @@
 	"time"
 )
 
-// maxBudgetTotal is the largest Budget.Total: sums of two stay in range.
+// maxBudgetTotal is the largest valid Budget.Total. Sums of two totals do not overflow.
 const maxBudgetTotal = math.MaxInt64 / 4
 
-// ErrInvalidConfig is wrapped by every error of New.
+// ErrInvalidConfig is wrapped by every error that New returns.
 var ErrInvalidConfig = errors.New("quota: invalid settings")
 
-// Budget is a resource of which all members together may have a number of units in use.
+// Budget is a limit on the units of a resource that all members together may have in use.
 type Budget struct {
 	Name     string
-	Total    int64         // units, of all members together
-	HoldTime time.Duration // how long a unit may stay in use once it is taken
+	Total    int64         // maximum units in use across all members
+	HoldTime time.Duration // maximum time for which a unit stays in use once taken
 }
 
 // Config holds the settings of a Core.
 type Config struct {
 	Self          string // name of this member
-	Epoch         int64  // of this start of the member; later starts have greater ones
-	FleetSize     int    // number of members; while it changes, the largest that any member may still be configured with
+	Epoch         int64  // epoch of this incarnation; it increases with every restart
+	FleetSize     int    // number of members; during a resize, the largest size configured at any member
 	Budgets       []Budget
 	LeaseDuration time.Duration
-	MaxClockDrift float64 // fraction of true time by which a clock may be fast or slow, below 1
+	MaxClockDrift float64 // maximum relative deviation of a clock's rate from true time; below 1
 }
 
-// Core holds one member's accounts. It is not safe for concurrent use.
+// Core holds the accounts of one member. It is not safe for concurrent use.
 type Core struct {
 	stepContext
 	started         bool
@@ -54,7 +54,7 @@
 	distrusted      map[string]bool // members that lent more than they own
 }
 
-// New returns a Core that has received nothing. Errors wrap ErrInvalidConfig.
+// New returns a Core without demand and leases. Errors wrap ErrInvalidConfig.
 func New(config Config) (*Core, error) {
 	invalidDrift := config.MaxClockDrift < 0 || config.MaxClockDrift >= 1
 	if config.Self == "" || config.FleetSize < 1 || config.LeaseDuration <= 0 || invalidDrift {
@@ -71,8 +71,8 @@
 	return c, nil
 }
 
-// Step applies the events of one moment in order and returns the actions to carry out. After the process was suspended
-// nothing may be used until Step has returned: what was usable before may have expired.
+// Step applies events in order at the time now and returns the actions to carry out. After the process was suspended,
+// the caller must not use any units before it has called Step, because leases may have expired in the meantime.
 func (c *Core) Step(now time.Duration, events []Event) []Action {
 	c.now = max(c.now, now)
 	if !c.started {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// Next is the time by which Step must be called again.
+// Next returns the time by which Step must be called again.
 func (c *Core) Next() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, account := range c.accounts {
@@ -129,7 +129,7 @@
 	return next
 }
 
-// findAccount returns the account of a budget, nil if there is none of this name.
+// findAccount returns the account of the named budget, or nil if there is none.
 func (c *Core) findAccount(name string) *budgetAccount {
 	i := slices.IndexFunc(c.accounts, func(account *budgetAccount) bool { return account.Name == name })
 	if i < 0 {
@@ -138,13 +138,14 @@
 	return c.accounts[i]
 }
 
-// receive checks the leases of a member's statement, accepts those for this member and answers the requests.
+// receive validates the leases in a member's statement, accepts those granted to this member and answers lease
+// requests.
 func (c *Core) receive(received StatementReceived) []Action {
 	var actions []Action
 	for _, account := range c.accounts {
 		lent := account.sumLeases(received.Leases)
-		// A member that is configured with a smaller fleet owns more by what it knows: it is not distrusted for that, but
-		// its leases are not accepted either.
+		// A sender configured with a smaller fleet size computes a larger quota. That alone does not make it
+		// distrusted, but leases above the quota computed here are not accepted.
 		theirQuota := account.Total / int64(max(received.FleetSize, 1))
 		if lent > maxLendable(theirQuota) && !c.distrusted[received.From] {
 			c.distrusted[received.From] = true
@@ -164,7 +165,7 @@
 	return actions
 }
 
-// grantedLeases is the number of granted leases of all budgets.
+// grantedLeases returns the number of granted leases across all budgets.
 func (c *Core) grantedLeases() int {
 	count := 0
 	for _, account := range c.accounts {
--- a/internal/fleet/quota/core_internal_test.go
+++ b/internal/fleet/quota/core_internal_test.go
@@ -9,24 +9,24 @@
 	"pgregory.net/rapid"
 )
 
-// Settings of the members that TestTotalNeverExceeded draws events for.
+// Parameters of the members in TestTotalNeverExceeded.
 const (
 	drawnLease        = 4 * time.Second
 	longestDrawnHold  = 4 // seconds
 	silenceUntilReset = 10 * time.Minute
 )
 
-// simulatedMember is a member whose units in use last for HoldTime by its own clock, also after it was killed.
+// simulatedMember is a member that keeps each unit in use for HoldTime on its own clock, even after a restart.
 type simulatedMember struct {
 	*Core
 	epoch   int64
 	clock   time.Duration
-	rate    float64 // of the clock, 1 for true time
+	rate    float64 // clock rate; 1 is true time
 	stopped bool
-	inUse   []time.Duration // when each unit in use is free again, by its clock
+	inUse   []time.Duration // release time of each unit in use, on the member's clock
 }
 
-// simulatedFleet holds members whose statements are delivered when a test draws it.
+// simulatedFleet is a fleet in which the test delivers statements at random.
 type simulatedFleet struct {
 	tb       interface{ Fatal(args ...any) }
 	total    int64
@@ -36,7 +36,7 @@
 	sent     []StatementReceived
 }
 
-// start gives a member a new Core.
+// start creates a new Core for a member.
 func (f *simulatedFleet) start(member *simulatedMember, index, fleetSize int) {
 	core, err := New(Config{
 		Self:          fmt.Sprint("n", index),
@@ -60,21 +60,21 @@
 	}
 }
 
-// pass lets true time go by, and units in use become free.
+// advance advances true time and releases units whose hold time has ended.
 func (f *simulatedFleet) pass(duration time.Duration) {
 	for _, member := range f.members {
 		member.clock += time.Duration(float64(duration) * member.rate)
 		if !member.stopped {
 			f.step(member)
 		}
-		// A member that has more units in use than it may does not give them back sooner.
+		// A member over its limit does not release units early.
 		for len(member.inUse) > 0 && member.inUse[0] <= member.clock {
 			member.inUse = member.inUse[1:]
 		}
 	}
 }
 
-// use has the running members take all units that they demand and may use, and returns how many are in use at all members.
+// takeUnits makes running members take units up to their demand and limit. It returns the units in use at all members.
 func (f *simulatedFleet) use() int64 {
 	sum := 0
 	for _, member := range f.members {
@@ -90,7 +90,7 @@
 	return int64(sum)
 }
 
-// drawFleet draws the settings of a fleet and starts its members.
+// drawFleet returns a running fleet with random settings.
 func drawFleet(rt *rapid.T) *simulatedFleet {
 	fleetSize := rapid.IntRange(2, 7).Draw(rt, "members")
 	fleet := &simulatedFleet{tb: rt}
@@ -120,7 +120,7 @@
 	return member
 }
 
-// drawnEvents are the events that may be drawn, by name, and the check after each.
+// drawnEvents returns the random events by name. The action without a name is the check after each event.
 func (f *simulatedFleet) drawnEvents() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"pass": func(rt *rapid.T) {
@@ -161,7 +161,8 @@
 	}
 }
 
-// Whatever happens, no more than the total is in use, and members that receive nothing have their fixed quota back.
+// The units in use must never exceed the total, for any random order of events. A member that has received no statement
+// for long enough must be able to use exactly its fixed quota again.
 func TestTotalNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := drawFleet(rt)
@@ -181,7 +182,7 @@
 	})
 }
 
-// instantFleet is four members whose statements arrive at once, in order.
+// instantFleet is a fleet of four members in which statements arrive immediately and in order.
 type instantFleet struct {
 	now   time.Duration
 	cores []*Core
@@ -208,7 +209,7 @@
 	return fleet
 }
 
-// step steps a member and delivers its statements, those that answer them, and so on.
+// step steps a member and delivers its statements and all statements sent in response.
 func (f *instantFleet) step(core *Core, events ...Event) {
 	type output struct {
 		from    *Core
@@ -232,11 +233,11 @@
 	}
 }
 
-// borrowerDemand is what the first member of an instantFleet demands: it owns 10 units, and the others can lend 5 each.
+// borrowerDemand is the demand of the first member. It owns 10 units and can borrow 5 from each other member.
 const borrowerDemand = 22
 
-// borrow has the first member of a fleet demand units that it has to borrow, lets 10 s go by, and returns the fewest units
-// that the member could use at any moment.
+// borrow sets the demand of the first member above its quota, runs the fleet for 10 s, and returns the smallest number
+// of units that the member could use during that time.
 func (f *instantFleet) borrow() int64 {
 	borrower := f.cores[0]
 	f.step(borrower, DemandChanged{"b", borrowerDemand})
@@ -251,14 +252,14 @@
 	return minUsable
 }
 
-// A member that lacks units borrows what others can spare, and renews the leases before they expire.
+// A member that lacks units must borrow the spare units of others, and renew the leases before they expire.
 func TestLeasesCoverDemand(t *testing.T) {
 	if minUsable := newInstantFleet(t).borrow(); minUsable < borrowerDemand {
-		t.Errorf("%d units at some moment, %d are demanded and can be had", minUsable, borrowerDemand)
+		t.Errorf("usable units dropped to %d, want at least %d", minUsable, borrowerDemand)
 	}
 }
 
-// A member that lends more than it owns is reported, and what it lends is not used.
+// A member that lends more than it owns must be reported, and its leases must not be used.
 func TestOverlendingIsDetected(t *testing.T) {
 	fleet := newInstantFleet(t)
 	borrower := fleet.cores[0]
@@ -277,7 +278,7 @@
 	}
 }
 
-// The usable units are computed for each request.
+// BenchmarkUsable measures usableUnits, which runs on every request.
 func BenchmarkUsable(b *testing.B) {
 	core, err := New(Config{
 		Self:          "n0",
@@ -293,7 +294,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if core.accounts[0].usableUnits(&core.stepContext) != 0 {
-			b.Fatal("a new start has usable units")
+			b.Fatal("a restarted member has usable units")
 		}
 	}
 }
--- a/internal/fleet/quota/depth_internal_test.go
+++ b/internal/fleet/quota/depth_internal_test.go
@@ -2,4 +2,4 @@
 
 package quota
 
-const maxDepth = 6 // events of a history that the checker explores
+const maxDepth = 6 // maximum events per history that the checker explores
--- a/internal/fleet/quota/depth_race_internal_test.go
+++ b/internal/fleet/quota/depth_race_internal_test.go
@@ -2,4 +2,4 @@
 
 package quota
 
-const maxDepth = 4 // the race detector makes the checker ten times slower, and nothing here is concurrent
+const maxDepth = 4 // the race detector slows the checker down tenfold, and the checked code is not concurrent
--- a/internal/fleet/quota/lender.go
+++ b/internal/fleet/quota/lender.go
@@ -7,32 +7,33 @@
 	"calicohill/internal/stats/rendezvous"
 )
 
-// targetOfferRatio is how many times the requested units all members together offer, if each has all that it may lend
-// to spare. It is above 1 since some have nothing to spare.
+// targetOfferRatio is the ratio of units that all members together offer to the units requested, if every member can
+// lend its full share. It is above 1 because some members have no spare units.
 const targetOfferRatio = 2.0
 
-// earlyReclaimDivisor is the part of a lease duration after which the seeded fault reclaimsEarly takes units back.
+// earlyReclaimDivisor sets the time after which the seeded fault reclaimsEarly takes units back: LeaseDuration divided
+// by it.
 const earlyReclaimDivisor = 2
 
-// grantedLease holds units that this member lent.
+// grantedLease is a lease granted to another member.
 type grantedLease struct {
 	Lease
-	expiresAt time.Duration // until when the units count as lent
+	expiresAt time.Duration // time until which the units count as lent
 }
 
-// answeredRequest identifies a lease request that was received and needs no further answer.
+// requestID identifies a lease request of a member.
 type answeredRequest struct {
 	epoch  int64
 	number uint32
 }
 
-// supersedes reports whether the request is the same as another one of the same member, or later.
+// supersedes reports whether the request is the same as or later than another request of the same member.
 func (r answeredRequest) supersedes(other answeredRequest) bool {
 	return r.epoch > other.epoch || r.epoch == other.epoch && r.number >= other.number
 }
 
-// answerRequest grants a lease of what this member can spare, at most once for a request, if another lease may be
-// granted at all.
+// answerRequest grants a lease of this member's spare units. It processes each request at most once. mayGrant is false
+// if the limit of granted leases is reached.
 func (a *budgetAccount) answerRequest(step *stepContext, received StatementReceived, request LeaseRequest, mayGrant bool) {
 	id := answeredRequest{epoch: received.Epoch, number: request.Number}
 	if latest, ok := a.answered[received.From]; ok && latest.supersedes(id) {
@@ -60,15 +61,17 @@
 	a.granted = append(a.granted, grantedLease{Lease: lease, expiresAt: expiresAt})
 }
 
-// isDrawnToAnswer reports whether this member is one of those that answer a request. Each member draws by a hash of the
-// request and its own name, with such odds that together they offer targetOfferRatio of it and not all that they have.
+// isSelectedToAnswer reports whether this member is selected to answer a request. Each member decides by a hash of the
+// request and its own name. The probability is such that the selected members together offer about targetOfferRatio
+// times the requested units rather than all their spare units.
 func (a *budgetAccount) isDrawnToAnswer(step *stepContext, borrower string, request LeaseRequest) bool {
 	fleetLendable := float64(maxLendable(a.fixedQuota(step))) * float64(step.config.FleetSize)
 	draw := rendezvous.Uniform(fmt.Sprint(borrower, request.Number), step.config.Self)
 	return draw*fleetLendable <= targetOfferRatio*float64(request.Units)
 }
 
-// spareUnits is how many units this member can lend now: none until leases of the start before have expired.
+// spareUnits returns the number of units that this member can lend now. It is 0 until the leases granted by the
+// previous incarnation have expired.
 func (a *budgetAccount) spareUnits(step *stepContext) int64 {
 	if step.now-step.startedAt < step.leaseReservation(a.HoldTime) && seeded != ignoresPreviousStart {
 		return 0
--- a/internal/fleet/quota/messages.go
+++ b/internal/fleet/quota/messages.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// maxStatementEntries bounds the lease requests in a statement, and the leases.
+// maxStatementEntries limits the lease requests and the leases in a statement.
 const maxStatementEntries = 8
 
-// Statement is what a member broadcasts. A later one replaces an earlier one of the same member.
+// Statement is the message that a member broadcasts. It replaces the member's previous statement.
 type Statement struct {
-	FleetSize int            `cbor:"1,keyasint"` // as the member is configured
+	FleetSize int            `cbor:"1,keyasint"` // fleet size configured at the sender
 	Requests  []LeaseRequest `cbor:"2,keyasint,omitempty"`
-	Leases    []Lease        `cbor:"3,keyasint,omitempty"` // all that it has granted and counts as lent
+	Leases    []Lease        `cbor:"3,keyasint,omitempty"` // all unexpired leases granted by the sender
 }
 
-// LeaseRequest asks all members for units of a budget.
+// LeaseRequest asks all members to lend units of a budget.
 type LeaseRequest struct {
 	Budget string `cbor:"1,keyasint"`
-	Number uint32 `cbor:"2,keyasint"` // of the request; later ones of a member are greater
+	Number uint32 `cbor:"2,keyasint"` // sequence number of the request
 	Units  int64  `cbor:"3,keyasint"`
 }
 
-// Lease lends units of a budget to a member, in answer to a request of it.
+// Lease lends units of a budget to a member in response to its request.
 type Lease struct {
 	Budget        string `cbor:"1,keyasint"`
 	Borrower      string `cbor:"2,keyasint"`
-	BorrowerEpoch int64  `cbor:"3,keyasint"` // the start of the borrower that made the request
+	BorrowerEpoch int64  `cbor:"3,keyasint"` // epoch in which the borrower made the request
 	Request       uint32 `cbor:"4,keyasint"` // number of the request
 	Units         int64  `cbor:"5,keyasint"`
 }
@@ -32,7 +32,7 @@
 	return a.FleetSize == b.FleetSize && slices.Equal(a.Requests, b.Requests) && slices.Equal(a.Leases, b.Leases)
 }
 
-// currentStatement is the statement for the present accounts.
+// currentStatement returns the statement for the current state of the accounts.
 func (c *Core) currentStatement() Statement {
 	statement := Statement{FleetSize: c.config.FleetSize}
 	for _, account := range c.accounts {
@@ -48,26 +48,26 @@
 }
 
 // Event is an input of Core.Step. The concrete types are DemandChanged, StatementReceived, FleetResized and
-// MemberForgotten.
+// MemberRemoved.
 type Event interface{ event() }
 
-// DemandChanged says how many units of a budget this member has a use for, those in use included.
+// DemandChanged carries the number of units of a budget that this member needs, including units in use.
 type DemandChanged struct {
 	Budget string
 	Units  int64
 }
 
-// StatementReceived carries a statement of another member, whose signature was verified.
+// StatementReceived carries a statement of another member. Its signature has been verified.
 type StatementReceived struct {
 	From  string
-	Epoch int64 // of the start of the member that made the statement
+	Epoch int64 // epoch of the sender when it made the statement
 	Statement
 }
 
-// FleetResized carries a new configured size of the fleet.
+// FleetResized carries the new configured fleet size.
 type FleetResized struct{ FleetSize int }
 
-// MemberForgotten says that a member is no longer known. What it has lent stays borrowed until it expires.
+// MemberRemoved reports that a member was removed from the member list. Leases borrowed from it stay until they expire.
 type MemberForgotten struct{ Name string }
 
 func (MemberForgotten) event()   {}
@@ -78,16 +78,16 @@
 // Action is an output of Core.Step. The concrete types are Broadcast, LimitChanged and OverlendingDetected.
 type Action interface{ action() }
 
-// Broadcast asks for a statement to be sent to all members, in place of the one before.
+// Broadcast asks the caller to send a statement to all members. It replaces the previous statement.
 type Broadcast struct{ Statement }
 
-// LimitChanged says how many units of a budget this member may have in use from now on.
+// LimitChanged announces the number of units of a budget that this member may have in use from now on.
 type LimitChanged struct {
 	Budget string
 	Units  int64
 }
 
-// OverlendingDetected reports that a member lends more than it owns. Nothing more is borrowed from it.
+// OverlendingDetected reports that a member lends more than it owns. No further leases are accepted from it.
 type OverlendingDetected struct{ From string }
 
 func (Broadcast) action()           {}
--- a/internal/fleet/quota/recording_test.go
+++ b/internal/fleet/quota/recording_test.go
@@ -11,7 +11,7 @@
 	"calicohill/internal/fleet/quota"
 )
 
-// recordedFleet are members of one fleet that receive each other's statements late, twice or never.
+// recordedFleet is a fleet in which statements may arrive late, repeatedly or never.
 type recordedFleet struct {
 	rng     *rand.Rand
 	cores   []*quota.Core
@@ -44,7 +44,7 @@
 	return events
 }
 
-// The actions of a fleet with fixed seeds are those that were recorded.
+// The actions of a fleet for random events with fixed seeds must match the recorded hashes.
 func TestRecordedActions(t *testing.T) {
 	for seed, want := range map[uint64]string{1: "b16fb475682dd397", 2: "e2087ed7e6c9e876"} {
 		fleet := &recordedFleet{rng: rand.New(rand.NewPCG(seed, 9)), actions: map[string]int{}}
--- a/internal/fleet/quota/seeded.go
+++ b/internal/fleet/quota/seeded.go
@@ -1,15 +1,16 @@
 package quota
 
-// seededFault is a fault that can be built in on purpose, with the build tag faults, to show that the checker finds it.
+// seededFault is a deliberate fault. The build tag faults enables seeded faults, to verify that the checker detects
+// them.
 type seededFault int
 
 const (
 	noFault              seededFault = iota
-	ignoresPreviousStart             // a new start counts on its whole quota at once
-	leaseFromArrival                 // a lease counts from when it arrives, not from when it was requested
-	ignoresClockDrift                // a lender takes the borrower's clock to run like its own
-	reclaimsEarly                    // a lender takes units back before the lease has expired
-	acceptsDuplicates                // a lease that is received again counts again
-	quotaFromSeenMembers             // the fixed quota follows from the members that a request was received from
-	usesLentUnits                    // a lender goes on using what it lent
+	ignoresPreviousStart             // a restarted member uses its whole quota immediately
+	leaseFromArrival                 // a lease runs from its arrival instead of the time of the request
+	ignoresClockDrift                // a lender assumes that the borrower's clock runs at the rate of its own
+	reclaimsEarly                    // a lender reclaims units before the lease has expired
+	acceptsDuplicates                // a duplicate of a lease is accepted as another lease
+	quotaFromSeenMembers             // the fixed quota depends on the members that sent lease requests
+	usesLentUnits                    // a lender continues to use units that it lent
 )
--- a/internal/fleet/quota/seeded_off.go
+++ b/internal/fleet/quota/seeded_off.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// seeded is the fault that is built in: none outside the build tag faults.
+// seeded is the enabled seeded fault: none without the build tag faults.
 const seeded = noFault
--- a/internal/fleet/quota/seeded_on.go
+++ b/internal/fleet/quota/seeded_on.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// seeded is the fault that is built in; a test sets it.
+// seeded is the enabled seeded fault. Tests set it.
 var seeded = noFault
--- a/internal/fleet/quota/stepcontext.go
+++ b/internal/fleet/quota/stepcontext.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// stepContext holds what all accounts need to know in a step: the settings, the time now and that of the start.
+// stepContext holds the parameters of a step that all accounts share.
 type stepContext struct {
 	config    Config
 	now       time.Duration
 	startedAt time.Duration // time of the first Step
 }
 
-// previousUseReservation is how long after a start units may still be in use that the start before took.
+// previousUseReservation returns the time after a restart for which units taken by the previous incarnation may still
+// be in use.
 func (s *stepContext) previousUseReservation(holdTime time.Duration) time.Duration {
 	return s.reservationTime(holdTime)
 }
 
-// leaseReservation is how long after a lease was granted units of it may still be in use at the borrower.
+// leaseReservation returns the time after the grant of a lease for which the borrower may still use its units.
 func (s *stepContext) leaseReservation(holdTime time.Duration) time.Duration {
 	return s.reservationTime(s.config.LeaseDuration + holdTime)
 }
 
-// reservationTime converts a duration by another member's clock into the time by this member's clock after which it
-// has surely passed there: this clock may be the fastest while the other is the slowest.
+// maxLocalTime returns the longest time on this member's clock that can pass while the given time passes on another
+// member's clock. The worst case is that this clock is the fastest and the other one the slowest.
 func (s *stepContext) reservationTime(theirs time.Duration) time.Duration {
 	drift := s.config.MaxClockDrift
 	if seeded == ignoresClockDrift {
