--- a/internal/fleet/pki/authority.go
+++ b/internal/fleet/pki/authority.go
@@ -1,8 +1,8 @@
-// Package pki is the public-key infrastructure of a fleet of schedulers: an authority signs a certificate for each
-// member (X.509 with Ed25519 keys, RFC 5280 and 8410) and a revocation list of those that it withdraws. The
-// organization of a certificate is the fleet, its common name the member.
+// Package pki implements the public-key infrastructure of a fleet of schedulers. A certificate authority signs a
+// certificate for each member (X.509 with Ed25519 keys, RFC 5280 and RFC 8410) and a list of revoked certificates. The
+// organization of a certificate is the name of the fleet, and the common name is the name of the member.
 //
-// Only the functions that read and write files do I/O, and nothing reads a clock: the caller passes the time.
+// Only the functions that read and write files do I/O. The package reads no clock: the caller passes the time.
 package pki
 
 import (
@@ -16,17 +16,18 @@
 	"time"
 )
 
-// MaxName is the longest name of a member or a fleet, in bytes.
+// MaxNameBytes is the maximum length of the name of a member or a fleet.
 const MaxName = 64
 
 const (
 	serialNumberBits = 63
 
-	// Revocation lists are issued by hand, and each is valid until the next one.
+	// Revocation lists are issued manually. Each must remain valid until the next one is issued.
 	revocationListYears = 100
 )
 
-// ValidName reports whether a member or a fleet may have this name: 1 to MaxName letters, digits, '-', '_' and '.'.
+// ValidName reports whether name is a valid name for a member or a fleet: 1 to MaxNameBytes letters, digits, '-', '_'
+// and '.'.
 func ValidName(name string) bool {
 	for _, c := range []byte(name) {
 		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -44,20 +45,20 @@
 	Key  ed25519.PrivateKey
 }
 
-// Member is a member of a fleet with its own private key.
+// Member is the certificate and private key of a member.
 type Member struct {
 	Cert *x509.Certificate
 	Key  ed25519.PrivateKey
 }
 
-// Name is the member's name.
+// Name returns the name of the member.
 func (m *Member) Name() string { return m.Cert.Subject.CommonName }
 
-// NewAuthority generates a key and a self-signed certificate for the authority of a fleet, valid from now on. The fleet
-// must have a ValidName.
+// NewAuthority generates a key and a self-signed certificate for the authority of a fleet. The certificate is valid
+// from now for the given duration. ValidName must accept the name of the fleet.
 func NewAuthority(fleet string, now time.Time, validity time.Duration) (*Authority, error) {
 	if !ValidName(fleet) {
-		return nil, fmt.Errorf("fleet %q: letters, digits, '-', '_' and '.' are allowed, %d at most", fleet, MaxName)
+		return nil, fmt.Errorf("invalid fleet name %q: must be 1 to %d letters, digits, '-', '_' or '.'", fleet, MaxName)
 	}
 	template := &x509.Certificate{
 		Subject:               pkix.Name{Organization: []string{fleet}},
@@ -75,13 +76,14 @@
 	return &Authority{Cert: cert, Key: key}, nil
 }
 
-// Fleet is the fleet that the authority signs for.
+// Fleet returns the name of the fleet of the authority.
 func (a *Authority) Fleet() string { return fleetOf(a.Cert) }
 
-// Issue generates a member's key and certificate, valid from now on. The member must have a ValidName.
+// Issue generates a key and a certificate for a member. The certificate is valid from now for the given duration.
+// ValidName must accept the name of the member.
 func (a *Authority) Issue(name string, now time.Time, validity time.Duration) (*Member, error) {
 	if !ValidName(name) {
-		return nil, fmt.Errorf("name %q: letters, digits, '-', '_' and '.' are allowed, %d at most", name, MaxName)
+		return nil, fmt.Errorf("invalid member name %q: must be 1 to %d letters, digits, '-', '_' or '.'", name, MaxName)
 	}
 	template := &x509.Certificate{
 		Subject:   pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
@@ -96,7 +98,8 @@
 	return &Member{Cert: cert, Key: key}, nil
 }
 
-// Revoke returns a revocation list with the entries of the previous one, which may be nil, and more serial numbers.
+// Revoke returns a new revocation list with the entries of the previous list, which may be nil, and the given serial
+// numbers.
 func (a *Authority) Revoke(previous *x509.RevocationList, now time.Time, more ...*big.Int) (*x509.RevocationList, error) {
 	list := &x509.RevocationList{
 		Number:     big.NewInt(1),
@@ -118,8 +121,8 @@
 	return x509.ParseRevocationList(der)
 }
 
-// newCertificate generates a key, and a certificate for it by a template and with a random serial number. The certificate is
-// signed by the issuer, or by its own key if there is none.
+// newCertificate generates a key and a certificate for it from a template, with a random serial number. The issuer
+// signs the certificate. If issuer is nil, the certificate is self-signed.
 func newCertificate(template *x509.Certificate, issuer *Authority) (*x509.Certificate, ed25519.PrivateKey, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -144,7 +147,7 @@
 	return cert, private, nil
 }
 
-// fleetOf is the fleet of a certificate, empty if it doesn't name exactly one.
+// fleetOf returns the fleet of a certificate, or an empty string unless the certificate names exactly one.
 func fleetOf(cert *x509.Certificate) string {
 	if len(cert.Subject.Organization) != 1 {
 		return ""
--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -10,7 +10,7 @@
 	"os"
 )
 
-// The types of PEM blocks in files.
+// Types of PEM blocks.
 const (
 	pemPrivateKey     = "PRIVATE KEY"
 	pemCertificate    = "CERTIFICATE"
@@ -21,20 +21,20 @@
 	maxFileBytes = 1 << 20
 
 	keyFileMode     fs.FileMode = 0o600
-	otherUsersPerms fs.FileMode = 0o077 // of group and others; a key file must have none of them
+	otherUsersPerms fs.FileMode = 0o077 // permissions of group and others, which a key file must not grant
 )
 
-// Errors of the content of a file. They are wrapped with its path.
+// Errors for invalid file contents. Callers wrap them with the path.
 var (
 	errNotEd25519    = errors.New("not an Ed25519 key")
-	errIncomplete    = errors.New("a key and its certificate are needed")
-	errNotCertOfKey  = errors.New("the certificate is not that of the key")
-	errNoCertificate = errors.New("no certificate in it")
+	errIncomplete    = errors.New("must contain a private key and its certificate")
+	errNotCertOfKey  = errors.New("the certificate does not match the private key")
+	errNoCertificate = errors.New("no certificate found")
 	errNotList       = errors.New("not a list of revoked certificates")
 )
 
-// WriteKeyFile writes a private key with its certificate to a new file of mode 0600. An existing file is left as it is,
-// and the error is fs.ErrExist.
+// WriteKeyFile writes a private key and its certificate to a new file with mode 0600. It does not overwrite an existing
+// file: the error then wraps fs.ErrExist.
 func WriteKeyFile(path string, key ed25519.PrivateKey, cert *x509.Certificate) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -60,15 +60,15 @@
 	return pem.EncodeToMemory(&pem.Block{Type: pemRevocationList, Bytes: list.Raw})
 }
 
-// ReadKeyFile reads a file that WriteKeyFile wrote. It is an error if group or others have any permission for it, or
-// if the key and the certificate don't belong together. Errors name the path.
+// ReadKeyFile reads a file written by WriteKeyFile. It returns an error if group or others have any permission for the
+// file, or if the key and the certificate do not match. Errors include the path.
 func ReadKeyFile(path string) (ed25519.PrivateKey, *x509.Certificate, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	if mode := info.Mode().Perm(); mode&otherUsersPerms != 0 {
-		return nil, nil, fmt.Errorf("%s: mode %04o lets others at the key: 0600 is needed", path, mode)
+		return nil, nil, fmt.Errorf("%s: mode %04o gives other users access to the key: 0600 is needed", path, mode)
 	}
 	blocks, err := readPEMFile(path)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return key, cert, nil
 }
 
-// parseKeyBlocks returns the private key and the certificate in the blocks of a key file. If there are several of one
-// type the last counts.
+// parseKeyBlocks returns the private key and the certificate from the blocks of a key file. If there are several blocks
+// of a type, the last one counts.
 func parseKeyBlocks(blocks []*pem.Block) (ed25519.PrivateKey, *x509.Certificate, error) {
 	var key ed25519.PrivateKey
 	var cert *x509.Certificate
@@ -120,7 +120,7 @@
 	return key, nil
 }
 
-// ReadCertificateFile reads the first certificate in a file. Errors name the path.
+// ReadCertificateFile reads the first certificate in a file. Errors include the path.
 func ReadCertificateFile(path string) (*x509.Certificate, error) {
 	blocks, err := readPEMFile(path)
 	if err != nil {
@@ -139,8 +139,8 @@
 	return nil, fmt.Errorf("%s: %w", path, errNoCertificate)
 }
 
-// ReadRevocationListFile reads a file with a revocation list. If there is no such file it returns nil without an error
-// where the list is optional. Errors name the path.
+// ReadRevocationListFile reads a revocation list from a file. If the file does not exist and optional is set, it
+// returns nil and no error. Errors include the path.
 func ReadRevocationListFile(path string, optional bool) (*x509.RevocationList, error) {
 	blocks, err := readPEMFile(path)
 	if optional && errors.Is(err, fs.ErrNotExist) {
@@ -159,14 +159,14 @@
 	return list, nil
 }
 
-// readPEMFile returns the PEM blocks of a regular file of up to maxFileBytes.
+// readPEMFile returns the PEM blocks of a regular file of at most maxFileBytes.
 func readPEMFile(path string) ([]*pem.Block, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: not a file of up to %d bytes", path, maxFileBytes)
+		return nil, fmt.Errorf("%s: not a regular file of at most %d bytes", path, maxFileBytes)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -23,12 +23,12 @@
 	authorityKeyFile  = "authority.key"
 	authorityCertFile = "authority.crt"
 	memberFile        = "member.key"
-	revokedFile       = "revoked.key" // of a member whose certificate is on the second revocation list
+	revokedFile       = "revoked.key" // key of a member whose certificate is on the second revocation list
 	firstListFile     = "first.crl"
 	secondListFile    = "second.crl"
 )
 
-// The times of the golden files. The tests bring their own clock, so nothing expires with the calendar.
+// Times in the golden files. The tests pass these times explicitly, so the certificates do not expire in real time.
 var (
 	goldenNow     = time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 	goldenRevoked = goldenNow.Add(36 * time.Hour)
@@ -42,7 +42,7 @@
 // goldenNumber is a serial number on both revocation lists.
 var goldenNumber = big.NewInt(0x1234_5678_9abc)
 
-// recordFiles makes an authority, two members and two revocation lists and writes them to the golden directory.
+// recordFiles creates an authority, two members and two revocation lists and writes them to the golden directory.
 func recordFiles(t *testing.T) {
 	t.Helper()
 	if err := os.MkdirAll(golden.Path(""), 0o755); err != nil {
@@ -78,7 +78,8 @@
 	golden.Record(t, secondListFile, pki.EncodeRevocationList(second))
 }
 
-// writePrivate puts content in a new file of mode 0600, as key files need it: version control keeps no such mode.
+// writePrivate writes content to a new file with mode 0600, which key files require. Version control does not preserve
+// this mode.
 func writePrivate(t *testing.T, content []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -112,8 +113,8 @@
 	return list
 }
 
-// A golden key file is read, and what was read is written as the same bytes, with mode 0600. Under -record all golden
-// files are made first, for the tests below too.
+// The format of key files must not change: reading a golden key file and writing it again gives the same bytes, with
+// mode 0600. With -record, this test first creates the golden files of all tests in this file.
 func TestGoldenKeyFiles(t *testing.T) {
 	if golden.Recording() {
 		recordFiles(t)
@@ -147,11 +148,12 @@
 		t.Errorf("certificate written as\n%s\nwant\n%s", got, want)
 	}
 	if !cert.Equal(readAuthority(t).Cert) {
-		t.Error("the authority's two files hold different certificates")
+		t.Error("the key file and the certificate file of the authority contain different certificates")
 	}
 }
 
-// The golden authority is what it was made as, and a new one differs from it in key, number and signature only.
+// The certificate of an authority must not change: a new one differs from the golden one only in its key, serial number
+// and signature.
 func TestGoldenAuthority(t *testing.T) {
 	authority := readAuthority(t)
 	if authority.Fleet() != goldenFleet {
@@ -180,7 +182,8 @@
 	}
 }
 
-// The golden member is what it was made as, and a new one of its name differs in key, number and signature only.
+// The certificate of a member must not change: a new one differs from the golden one only in its key, serial number and
+// signature.
 func TestGoldenMember(t *testing.T) {
 	authority := readAuthority(t)
 	key, cert := readKeyFile(t, memberFile)
@@ -204,7 +207,7 @@
 	}
 }
 
-// compareTemplates compares what is the same in all certificates of one subject, issuer and time.
+// compareTemplates compares the fields that all certificates with the same subject, issuer and validity have in common.
 func compareTemplates(t *testing.T, got, want *x509.Certificate) {
 	t.Helper()
 	if !bytes.Equal(got.RawSubject, want.RawSubject) || !bytes.Equal(got.RawIssuer, want.RawIssuer) {
@@ -216,7 +219,8 @@
 	}
 }
 
-// The golden revocation lists are read, and made again from the same keys and times as the same bytes.
+// The encoding of revocation lists must not change: the golden lists are read, and creating them again from the same
+// keys and times gives the same bytes.
 func TestGoldenRevocationLists(t *testing.T) {
 	authority := readAuthority(t)
 	_, revoked := readKeyFile(t, revokedFile)
--- a/internal/fleet/pki/goldenerrors_test.go
+++ b/internal/fleet/pki/goldenerrors_test.go
@@ -15,7 +15,7 @@
 	"calicohill/internal/testbed/golden"
 )
 
-// What trust in the golden authority and its second list says of certificates, and the error texts.
+// Certificates must be accepted or rejected with these errors by a Trust in the golden authority and its second list.
 func TestGoldenVerify(t *testing.T) {
 	authority := readAuthority(t)
 	_, member := readKeyFile(t, memberFile)
@@ -66,7 +66,7 @@
 		}
 	}
 	_, err = pki.NewTrust("other", goldenSkew, []*x509.Certificate{authority.Cert}, nil)
-	if want := `authority: the certificate is of another fleet: "gt-registros", not "other", or no authority`; err == nil || err.Error() != want {
+	if want := `authority: the certificate is of another fleet: "gt-registros", not "other", or not an authority`; err == nil || err.Error() != want {
 		t.Errorf("error %v, want %s", err, want)
 	}
 	_, err = pki.NewTrust(goldenFleet, goldenSkew, nil, lists)
@@ -75,7 +75,7 @@
 	}
 }
 
-// A brokenFile is a file that can't be read, and the error text behind its path.
+// brokenFile is an invalid file with the error text that is expected after its path.
 type brokenFile struct {
 	name    string
 	read    func(path string) error
@@ -83,7 +83,7 @@
 	want    string
 }
 
-// brokenFiles are files that miss a block, or hold a broken one.
+// brokenFiles returns files that lack a block, contain an invalid one or are too large.
 func brokenFiles(t *testing.T) []brokenFile {
 	t.Helper()
 	member, other := golden.Read(t, memberFile), golden.Read(t, revokedFile)
@@ -94,17 +94,17 @@
 	readCert := func(path string) error { _, err := pki.ReadCertificateFile(path); return err }
 	readList := func(path string) error { _, err := pki.ReadRevocationListFile(path, true); return err }
 	return []brokenFile{
-		{"key without certificate", readKey, pem.EncodeToMemory(keyBlock), "a key and its certificate are needed"},
-		{"certificate without key", readKey, pem.EncodeToMemory(certBlock), "a key and its certificate are needed"},
-		{"cut off", readKey, member[:40], "a key and its certificate are needed"},
+		{"key without certificate", readKey, pem.EncodeToMemory(keyBlock), "must contain a private key and its certificate"},
+		{"certificate without key", readKey, pem.EncodeToMemory(certBlock), "must contain a private key and its certificate"},
+		{"cut off", readKey, member[:40], "must contain a private key and its certificate"},
 		{
 			"another's key", readKey, append(pem.EncodeToMemory(otherKey), pem.EncodeToMemory(certBlock)...),
-			"the certificate is not that of the key",
+			"the certificate does not match the private key",
 		},
 		{"broken key", readKey, broken("PRIVATE KEY"), "asn1: structure error: "},
 		{"broken certificate", readKey, broken("CERTIFICATE"), "x509: malformed certificate"},
-		{"too large", readKey, make([]byte, 1<<20+1), "not a file of up to 1048576 bytes"},
-		{"no certificate", readCert, golden.Read(t, firstListFile), "no certificate in it"},
+		{"too large", readKey, make([]byte, 1<<20+1), "not a regular file of at most 1048576 bytes"},
+		{"no certificate", readCert, golden.Read(t, firstListFile), "no certificate found"},
 		{"broken certificate alone", readCert, broken("CERTIFICATE"), "x509: malformed certificate"},
 		{"no list", readList, member, "not a list of revoked certificates"},
 		{"empty list", readList, nil, "not a list of revoked certificates"},
@@ -117,7 +117,7 @@
 	return err
 }
 
-// The error texts of broken files, behind the file's path.
+// Invalid files must be rejected with these error texts, and existing key files must not be overwritten.
 func TestGoldenFileErrors(t *testing.T) {
 	for _, tt := range brokenFiles(t) {
 		path := writePrivate(t, tt.content)
@@ -126,7 +126,7 @@
 			t.Errorf("%s: read, want an error", tt.name)
 			continue
 		}
-		// Behind a text that ends so, the standard library says more, which may change with its version.
+		// The rest of the error comes from the standard library and may change with its version.
 		exact := !strings.HasSuffix(tt.want, ": ")
 		if want := path + ": " + tt.want; !strings.HasPrefix(err.Error(), want) || exact && err.Error() != want {
 			t.Errorf("%s: error %v, want %s", tt.name, err, want)
@@ -136,22 +136,22 @@
 	if err := os.Chmod(path, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if want := path + ": mode 0644 lets others at the key: 0600 is needed"; readKey(path) == nil || readKey(path).Error() != want {
+	if want := path + ": mode 0644 gives other users access to the key: 0600 is needed"; readKey(path) == nil || readKey(path).Error() != want {
 		t.Errorf("error %v, want %s", readKey(path), want)
 	}
 	if list, err := pki.ReadRevocationListFile(filepath.Join(t.TempDir(), "none"), true); list != nil || err != nil {
-		t.Errorf("a missing list that may be: %v, %v", list, err)
+		t.Errorf("reading a missing optional list: %v, %v", list, err)
 	}
 	key, cert := readKeyFile(t, memberFile)
 	if err := pki.WriteKeyFile(path, key, cert); !errors.Is(err, os.ErrExist) {
-		t.Errorf("writing over a file: %v", err)
+		t.Errorf("writing to an existing file: %v", err)
 	}
 	if _, err := pki.NewAuthority("a b", goldenNow, time.Hour); err == nil ||
-		err.Error() != `fleet "a b": letters, digits, '-', '_' and '.' are allowed, 64 at most` {
+		err.Error() != `invalid fleet name "a b": must be 1 to 64 letters, digits, '-', '_' or '.'` {
 		t.Errorf("error %v", err)
 	}
 	if _, err := readAuthority(t).Issue("", goldenNow, time.Hour); err == nil ||
-		err.Error() != `name "": letters, digits, '-', '_' and '.' are allowed, 64 at most` {
+		err.Error() != `invalid member name "": must be 1 to 64 letters, digits, '-', '_' or '.'` {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/fleet/pki/trust.go
+++ b/internal/fleet/pki/trust.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Errors of Trust.Verify and Trust.Current, wrapped with details. NewTrust wraps ErrWrongFleet and ErrUnknownAuthority.
+// Errors that Trust.Verify and Trust.Recheck wrap with details. NewTrust wraps ErrWrongFleet and ErrUnknownAuthority.
 var (
 	ErrUnknownAuthority = errors.New("no authority of the fleet signed the certificate")
 	ErrExpired          = errors.New("the certificate is not valid now")
@@ -20,39 +20,39 @@
 	ErrNotAMember       = errors.New("not the certificate of a member")
 )
 
-// Trust decides which certificates are accepted. The zero Trust accepts none.
+// Trust verifies certificates against a set of authorities and their revocation lists. The zero value accepts none.
 type Trust struct {
 	Fleet     string
-	ClockSkew time.Duration // how far clocks may be apart
+	ClockSkew time.Duration // maximum difference between clocks
 	roots     []trustedRoot
 	revoked   map[string]bool // by revocationKey
 }
 
-// trustedRoot is the certificate of an authority.
+// trustedRoot is the certificate of a trusted authority.
 type trustedRoot struct {
 	cert         *x509.Certificate
-	trustedUntil time.Time // end of the overlap of an authority that is no longer configured; zero if it is configured
+	trustedUntil time.Time // end of trust in an authority removed from the configuration; zero if it is configured
 }
 
-// isTrusted reports whether the authority is configured or within its overlap.
+// isTrusted reports whether the authority is configured, or was removed less than the overlap ago.
 func (r trustedRoot) isTrusted(now time.Time) bool {
 	return r.trustedUntil.IsZero() || !now.After(r.trustedUntil)
 }
 
-// issued reports whether a certificate names this authority as its issuer. The signature isn't checked.
+// issued reports whether the certificate names this authority as its issuer. It does not check the signature.
 func (r trustedRoot) issued(cert *x509.Certificate) bool {
 	return bytes.Equal(cert.RawIssuer, r.cert.RawSubject) && bytes.Equal(cert.AuthorityKeyId, r.cert.SubjectKeyId)
 }
 
-// NewTrust returns the trust in authorities and their revocation lists. It is an error if none of the authorities
-// signed a list, or if one is not an authority of this fleet.
+// NewTrust returns a Trust in the given authorities and their revocation lists. It returns an error if one of the
+// authorities is not a certificate authority of the fleet, or if none of them signed one of the lists.
 func NewTrust(
 	fleet string, skew time.Duration, authorities []*x509.Certificate, lists []*x509.RevocationList,
 ) (*Trust, error) {
 	trust := &Trust{Fleet: fleet, ClockSkew: skew, revoked: map[string]bool{}}
 	for _, authority := range authorities {
 		if !authority.IsCA || fleetOf(authority) != fleet || authority.PublicKeyAlgorithm != x509.Ed25519 {
-			return nil, fmt.Errorf("authority: %w: %q, not %q, or no authority", ErrWrongFleet, fleetOf(authority), fleet)
+			return nil, fmt.Errorf("authority: %w: %q, not %q, or not an authority", ErrWrongFleet, fleetOf(authority), fleet)
 		}
 		trust.roots = append(trust.roots, trustedRoot{cert: authority})
 	}
@@ -75,8 +75,8 @@
 	return string(authority.RawSubjectPublicKeyInfo) + serial.String()
 }
 
-// MergePrevious returns this trust merged with the one before a reload: authorities that are no longer configured stay
-// trusted for the overlap, and what was revoked before stays revoked.
+// MergePrevious returns this Trust merged with the Trust before a reload. Authorities that are no longer configured
+// stay trusted for the overlap, and revoked certificates stay revoked.
 func (t *Trust) MergePrevious(before *Trust, now time.Time, overlap time.Duration) *Trust {
 	merged := &Trust{Fleet: t.Fleet, ClockSkew: t.ClockSkew, roots: slices.Clone(t.roots), revoked: map[string]bool{}}
 	maps.Copy(merged.revoked, t.revoked)
@@ -94,8 +94,8 @@
 	return merged
 }
 
-// Verify parses the DER encoding of a member's certificate and checks that it is accepted now. It checks one signature for
-// each authority that may have issued the certificate; Current checks none.
+// Verify parses a DER-encoded member certificate and verifies it. It checks one signature for each authority that the
+// certificate may name as its issuer.
 func (t *Trust) Verify(der []byte, now time.Time) (*x509.Certificate, error) {
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
@@ -107,19 +107,20 @@
 	return cert, t.check(cert, now, true)
 }
 
-// isMemberCertificate reports whether the fields of a certificate are those of a member's.
+// isMemberCertificate reports whether the fields of a certificate are valid for a member certificate.
 func isMemberCertificate(cert *x509.Certificate) bool {
 	canSign := cert.KeyUsage&x509.KeyUsageDigitalSignature != 0
 	isKnownForm := cert.PublicKeyAlgorithm == x509.Ed25519 && len(cert.UnhandledCriticalExtensions) == 0
 	return !cert.IsCA && canSign && isKnownForm && ValidName(cert.Subject.CommonName)
 }
 
-// Current checks that a certificate that Verify has accepted is still accepted.
+// Recheck verifies that a certificate accepted by Verify is still valid. It does not check signatures again.
 func (t *Trust) Current(cert *x509.Certificate, now time.Time) error {
 	return t.check(cert, now, false)
 }
 
-// check checks the fleet, validity, issuer and revocation of a certificate, and its signature on request.
+// check checks the fleet, the validity period, the issuer and the revocation of a certificate, and optionally its
+// signature.
 func (t *Trust) check(cert *x509.Certificate, now time.Time, checkSignature bool) error {
 	if fleetOf(cert) != t.Fleet {
 		return fmt.Errorf("%w: %q", ErrWrongFleet, fleetOf(cert))
