--- a/internal/snapshot/export_test.go
+++ b/internal/snapshot/export_test.go
@@ -1,9 +1,9 @@
 package snapshot
 
-// FormatName begins every snapshot, of whatever version.
+// FormatName is the prefix of every snapshot, regardless of its version.
 const FormatName = formatName
 
-// The bounds of the times between writes.
+// Limits of the time between writes.
 const (
 	MinInterval = minInterval
 	MaxBackoff  = maxBackoff
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is encoded to the golden bytes, and the golden bytes decode to the record.
+// The format of snapshots must not change: a record encodes to the golden bytes, and those decode to the record.
 func TestGoldenRecord(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -35,12 +35,12 @@
 			t.Fatalf("%s: %v", tt.name, err)
 		}
 		if !reflect.DeepEqual(decoded, tt.record) {
-			t.Errorf("%s: read as\n%+v\nwant\n%+v", tt.name, decoded, tt.record)
+			t.Errorf("%s: decoded as\n%+v\nwant\n%+v", tt.name, decoded, tt.record)
 		}
 	}
 }
 
-// A record of a version that kept no learned state is read, with the learned state empty.
+// Snapshots written by versions that did not save learned state must remain readable. Their learned state is empty.
 func TestGoldenRecordWithoutLearnedState(t *testing.T) {
 	const name = "without-memory.snapshot"
 	if golden.Recording() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// The error texts of golden bytes that do not count.
+// Invalid snapshots must be rejected with these error texts.
 func TestGoldenErrors(t *testing.T) {
 	complete := golden.Read(t, "full.snapshot")
 	damaged := bytes.Clone(complete)
--- a/internal/snapshot/record.go
+++ b/internal/snapshot/record.go
@@ -1,6 +1,6 @@
-// Package snapshot defines what a scheduler saves over a restart, the endpoint list and the state that it learned, and
-// decides when it is saved. Snapshots are for installations with a persistent disk. The package reads no clock and does
-// no I/O: internal/snapshot/snapshotfile does both.
+// Package snapshot defines the format of snapshots and decides when they are written. A snapshot preserves the endpoint
+// list and the learned state of a scheduler across restarts, in installations with a persistent disk. The package reads
+// no clock and does no I/O; package snapshotfile does both.
 package snapshot
 
 import (
@@ -16,50 +16,52 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxSize is the size of the largest valid snapshot, in bytes: the largest answer that is accepted from the endpoint
-// list service, the learned state saved with it, and the header.
+// MaxSize is the maximum size of a valid snapshot in bytes. It covers the largest accepted response of the list
+// service, the learned state and the header.
 const MaxSize = 6<<20 + 4096
 
 // Record is the content of a snapshot. The CBOR keys are part of the file format.
 type Record struct {
-	// Fleet names the fleet that the endpoint list belongs to.
+	// Fleet is the name of the fleet that the endpoint list belongs to.
 	Fleet string `cbor:"1,keyasint"`
-	// EventNumber is the number of the last event that the endpoint list includes; 0 if there was none.
+	// EventNumber is the number of the last event that the endpoint list includes, or 0 if there is none.
 	EventNumber int `cbor:"2,keyasint"`
-	// CreatedAt is the Unix time at which the record was made.
+	// CreatedAt is the Unix time at which the record was created.
 	CreatedAt time.Duration `cbor:"3,keyasint"`
-	// Endpoints is the complete endpoint list, in the form of an answer of the list service.
+	// Endpoints is the complete endpoint list, in the format of a response of the list service.
 	Endpoints []byte `cbor:"4,keyasint"`
-	// State is what the router learned; empty in records of versions that did not save it.
+	// State is the learned state of the router. It is empty in records of versions that did not save it.
 	State routing.LearnedState `cbor:"5,keyasint"`
 }
 
-// The reasons for which Decode rejects a snapshot, and Encode a record; found with errors.Is.
+// Errors for which Decode rejects a snapshot and Encode rejects a record. Test for them with errors.Is.
 var (
-	ErrIncomplete = errors.New("incomplete or damaged") // truncated, damaged, or no snapshot at all
-	ErrVersion    = errors.New("of another version")    // of the file format
+	ErrIncomplete = errors.New("incomplete or damaged") // truncated, damaged or not a snapshot
+	ErrVersion    = errors.New("of another version")    // different version of the file format
 	ErrWrongFleet = errors.New("of another fleet")
 	ErrExpired    = errors.New("too old")
-	ErrFromFuture = errors.New("created in the future") // made further ahead of the clock than maxClockSkew
+	ErrFromFuture = errors.New("created in the future") // more than maxClockSkew ahead of the clock
 	ErrTooLarge   = errors.New("too large")             // more than MaxSize bytes
 )
 
 const (
-	// formatName begins every snapshot, of whatever version.
+	// formatName is the prefix of every snapshot, regardless of its version.
 	formatName = "calicohill snapshot "
-	// magic is the first line of a snapshot, with the version of the format. The checksum of the body follows it.
+	// magic is the first line of a snapshot. It contains the format version and is followed by the checksum of the
+	// body.
 	magic = formatName + "1\n"
-	// checksumSize is the length of the checksum in bytes: CRC-32C, big endian.
+	// checksumSize is the length in bytes of the checksum, a big-endian CRC-32C.
 	checksumSize = crc32.Size
-	// headerSize is the length of what precedes the body, in bytes.
+	// headerSize is the length in bytes of the header that precedes the body.
 	headerSize = len(magic) + checksumSize
-	// maxClockSkew is how far the clock may have been set back since a record was made.
+	// maxClockSkew is the maximum time by which the clock may have been set back since a record was created.
 	maxClockSkew = time.Minute
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the bytes of a snapshot. The error is ErrTooLarge where Decode would reject them.
+// Encode returns the encoded snapshot of a record. It returns ErrTooLarge if Decode would reject the snapshot for its
+// size.
 func Encode(r Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
@@ -72,8 +74,8 @@
 	return append(header, body...), nil
 }
 
-// Decode returns the record in a snapshot. It rejects a snapshot that is incomplete, of another version or fleet, older
-// than maxAge, or from the future; now is the Unix time.
+// Decode returns the record in a snapshot. It rejects snapshots that are incomplete, of another version or fleet, older
+// than maxAge, or created in the future. now is the Unix time.
 func Decode(data []byte, fleet string, now, maxAge time.Duration) (Record, error) {
 	body, err := checkedBody(data)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return record, nil
 }
 
-// checkedBody returns the body of a snapshot whose size, version and checksum are right.
+// verifiedBody checks the size, version and checksum of a snapshot and returns its body.
 func checkedBody(data []byte) ([]byte, error) {
 	switch {
 	case len(data) > MaxSize:
--- a/internal/snapshot/record_test.go
+++ b/internal/snapshot/record_test.go
@@ -9,7 +9,7 @@
 	"calicohill/internal/snapshot"
 )
 
-// encode returns the snapshot of a record.
+// encode returns the encoded snapshot of a record.
 func encode(tb testing.TB, r snapshot.Record) []byte {
 	tb.Helper()
 	data, err := snapshot.Encode(r)
@@ -19,7 +19,7 @@
 	return data
 }
 
-// A snapshot decodes to the record that was encoded, and is rejected where anything is wrong with it.
+// A snapshot must decode to the record that was encoded. Invalid, truncated and corrupted snapshots must be rejected.
 func TestDecode(t *testing.T) {
 	const fleet, day = "gt-registros", 24 * time.Hour
 	record := snapshot.Record{Fleet: fleet, EventNumber: 41, CreatedAt: 100 * day, Endpoints: []byte(`{"no":41,"items":[]}`)}
@@ -50,20 +50,20 @@
 	}
 	for n := range complete {
 		if _, err := snapshot.Decode(complete[:n], fleet, 100*day, day); err == nil {
-			t.Errorf("cut off after %d of %d bytes it is accepted", n, len(complete))
+			t.Errorf("snapshot truncated to %d of %d bytes is accepted", n, len(complete))
 		}
 		damaged := bytes.Clone(complete)
 		damaged[n] ^= 0x10
 		if _, err := snapshot.Decode(damaged, fleet, 100*day, day); err == nil {
-			t.Errorf("with byte %d changed it is accepted", n)
+			t.Errorf("snapshot with byte %d changed is accepted", n)
 		}
 	}
 	if _, err := snapshot.Encode(snapshot.Record{Endpoints: make([]byte, snapshot.MaxSize)}); !errors.Is(err, snapshot.ErrTooLarge) {
-		t.Errorf("a record that Decode would reject is encoded: %v", err)
+		t.Errorf("encoding a record that is too large: %v", err)
 	}
 }
 
-// FuzzDecode decodes arbitrary bytes: a snapshot of another fleet is never accepted.
+// FuzzDecode decodes arbitrary bytes. A snapshot of another fleet must never be accepted.
 func FuzzDecode(f *testing.F) {
 	f.Add(encode(f, snapshot.Record{Fleet: "a", EventNumber: 1, CreatedAt: time.Hour, Endpoints: []byte("{}")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/snapshot/schedule.go
+++ b/internal/snapshot/schedule.go
@@ -3,51 +3,51 @@
 import "time"
 
 const (
-	// settleTime is how long after a change of the endpoint list a snapshot is written: changes come in bursts.
+	// settleTime is the delay from a change of the endpoint list to the write. Changes come in bursts.
 	settleTime = 100 * time.Millisecond
-	// minInterval is the shortest time between the starts of two writes.
+	// minInterval is the minimum time between the starts of two writes.
 	minInterval = time.Second
-	// refreshInterval is how long after a successful write the next one follows even if the list stays the same. The
-	// router learns all the time, and a loaded instance in the learned state is only trusted for some ten seconds.
+	// refreshInterval is the time from a successful write to the next one if the list does not change. The learned
+	// state changes continuously, and a loaded instance in it is trusted only for about ten seconds.
 	refreshInterval = 5 * time.Second
-	// minBackoff is the pause after the first failed write; it doubles with each further one, up to maxBackoff.
+	// minBackoff is the delay after the first failed write. It doubles with each further failure, up to maxBackoff.
 	minBackoff = 2 * time.Second
 	maxBackoff = time.Minute
 )
 
-// Event is an input of Scheduler.Step: Changed or Written.
+// Event is an input of WriteScheduler.Step: Changed or Written.
 type Event any
 
 // Changed reports that the endpoint list has changed.
 type Changed struct{}
 
-// Written reports that the write which the last Write asked for has ended.
+// Written reports that the write requested by the last Write has ended.
 type Written struct {
 	Err error // nil if the snapshot was written
 }
 
-// Action is an output of Scheduler.Step: Write or ReportStatus.
+// Action is an output of WriteScheduler.Step: Write or ReportStatus.
 type Action any
 
-// Write asks the caller to capture a record now and to write it. The caller reports the end of it by Written.
+// Write asks the caller to capture a record now and to write it. The caller reports the end of the write with Written.
 type Write struct{}
 
-// ReportStatus asks the caller to report that writes have begun to fail, or that they succeed again.
+// ReportStatus asks the caller to report that writes have started to fail or succeed again.
 type ReportStatus struct {
 	Err error // nil if writes succeed again
 }
 
-// Scheduler decides when snapshots are written: soon after each change of the endpoint list, and periodically to save
-// what was learned. There is at most one write at a time, and writes start at least minInterval apart. The zero value
-// is ready to use and writes nothing before the first Changed.
+// WriteScheduler decides when to write snapshots: shortly after each change of the endpoint list, and periodically to
+// save the learned state. It runs at most one write at a time and starts writes at least minInterval apart. The zero
+// value is ready to use; it starts no write before the first Changed.
 type Scheduler struct {
-	nextWrite time.Duration // when the next write is due; 0 if none is
+	nextWrite time.Duration // time of the next write; 0 if none is due
 	notBefore time.Duration // earliest time of the next write
 	writing   bool          // whether a write is in progress
-	backoff   time.Duration // pause after the last failure; 0 if the last write succeeded
+	backoff   time.Duration // delay after the last failure; 0 if the last write succeeded
 }
 
-// Step handles events and returns what the caller has to do. now must not decrease between calls.
+// Step applies events and returns the actions to carry out. now must not decrease between calls.
 func (s *Scheduler) Step(now time.Duration, events ...Event) []Action {
 	var actions []Action
 	for _, event := range events {
@@ -67,7 +67,7 @@
 	return actions
 }
 
-// listChanged makes a write due once the burst of changes has settled, unless an earlier one is due already.
+// listChanged schedules a write after settleTime, but not before notBefore. An earlier scheduled write is kept.
 func (s *Scheduler) listChanged(now time.Duration) {
 	settled := max(now+settleTime, s.notBefore)
 	if s.nextWrite == 0 || s.nextWrite > settled {
@@ -75,7 +75,7 @@
 	}
 }
 
-// writeEnded schedules the write that follows another: the retry of a failed one, or the next refresh.
+// writeEnded schedules the retry of a failed write, or the next refresh after a successful one.
 func (s *Scheduler) writeEnded(actions []Action, now time.Duration, err error) []Action {
 	s.writing = false
 	if err != nil {
@@ -97,7 +97,8 @@
 	return actions
 }
 
-// Next returns the time at which Step has to be called at the latest; false if only an event can make a write due.
+// Next returns the time by which Step must be called again. It returns false if Step need not be called before the next
+// event.
 func (s *Scheduler) Next() (time.Duration, bool) {
 	return s.nextWrite, s.nextWrite > 0 && !s.writing
 }
--- a/internal/snapshot/schedule_test.go
+++ b/internal/snapshot/schedule_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// schedulerModel is what the test knows of a Scheduler: the write in progress, what was saved and what was reported.
+// schedulerModel tracks the expected state of a WriteScheduler: the write in progress, the saved list and the reports.
 type schedulerModel struct {
 	scheduler       snapshot.Scheduler
 	now             time.Duration
@@ -18,17 +18,17 @@
 	writing         bool
 	reportedFailing bool
 	listVersion     int
-	writingVersion  int // in the write in progress
-	savedVersion    int // in the last write that succeeded
+	writingVersion  int // list version in the write in progress
+	savedVersion    int // list version in the last successful write
 }
 
-// step gives the Scheduler events and checks its actions.
+// step passes events to the WriteScheduler and checks its actions.
 func (m *schedulerModel) step(rt *rapid.T, events ...snapshot.Event) {
 	for _, action := range m.scheduler.Step(m.now, events...) {
 		switch action := action.(type) {
 		case snapshot.Write:
 			if m.writing || m.now-m.lastStart < snapshot.MinInterval {
-				rt.Fatalf("a write %v after the last, another in progress: %v", m.now-m.lastStart, m.writing)
+				rt.Fatalf("write started %v after the previous one, write in progress: %v", m.now-m.lastStart, m.writing)
 			}
 			m.writing = true
 			m.lastStart = m.now
@@ -51,8 +51,8 @@
 	m.step(rt, snapshot.Written{err})
 }
 
-// For any order of changes, slow writes and failures: there is one write at a time, none within MinInterval of the last,
-// and the last change is written in the end. A series of failures is reported once.
+// For any order of changes, slow writes and failures: at most one write is in progress, writes start at least
+// MinInterval apart, the last change is eventually written, and a series of failures is reported once.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		model := schedulerModel{now: time.Hour}
@@ -78,7 +78,7 @@
 			model.step(rt)
 		}
 		if model.savedVersion != model.listVersion {
-			rt.Fatalf("list %d is saved, the last is %d", model.savedVersion, model.listVersion)
+			rt.Fatalf("list version %d is saved, want %d", model.savedVersion, model.listVersion)
 		}
 	})
 }
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -1,5 +1,5 @@
-// Package snapshotfile writes and reads the file of a snapshot. internal/snapshot decides when it is written; writes run on
-// goroutines of their own, so that the event loop never waits for the disk.
+// Package snapshotfile reads and writes snapshot files. Package snapshot decides when a file is written. Each write
+// runs on its own goroutine, so that the event loop does not wait for the disk.
 package snapshotfile
 
 import (
@@ -19,30 +19,30 @@
 )
 
 const (
-	temporarySuffix = ".new"   // of a file that is being written
-	rejectedSuffix  = ".aside" // of a file that Read has rejected
+	temporarySuffix = ".new"   // suffix of a file that is being written
+	rejectedSuffix  = ".aside" // suffix of a file that Read has rejected
 	fileMode        = 0o600
 )
 
-// Loop is the part of the event loop that a File uses.
+// Loop is the event loop that a File runs on.
 type Loop interface {
 	Now() time.Duration
 	SetDeadline(e *deadline.Timer, at time.Duration)
 	Post(func())
 }
 
-// Options are the settings of a File and the sources of what it saves. Both sources are called on the loop.
+// Options are the settings of a File. The functions Endpoints and State are called on the event loop.
 type Options struct {
 	Path  string
-	Fleet string // the file is valid for this fleet alone
+	Fleet string // name of the fleet that the snapshot is for
 	// Endpoints captures the endpoint list. It returns the number of the list's last event and a function that encodes
-	// the list, which is called off the loop.
+	// the list. The encode function is called on another goroutine.
 	Endpoints func() (eventNumber int, encode func() ([]byte, error))
-	State     func() routing.LearnedState
+	State     func() routing.LearnedState // captures the learned state
 	Log       logrus.FieldLogger
 }
 
-// File keeps the snapshot file of a scheduler up to date. Its methods are called on the event loop.
+// File keeps a scheduler's snapshot file up to date. Its methods must be called on the event loop.
 type File struct {
 	loop    Loop
 	options Options
@@ -58,10 +58,10 @@
 	return f
 }
 
-// Changed notifies the File that the endpoint list has changed.
+// Changed must be called when the endpoint list has changed.
 func (f *File) Changed() { f.step(snapshot.Changed{}) }
 
-// step passes events to the scheduler, carries out its actions, and sets the timer for the next step.
+// step passes events to the write scheduler, carries out its actions, and sets the timer for the next step.
 func (f *File) step(events ...snapshot.Event) {
 	now := f.loop.Now()
 	for _, action := range f.scheduler.Step(now, events...) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// startWrite captures a record and writes it on a goroutine of its own.
+// startWrite captures a record and writes it on a new goroutine.
 func (f *File) startWrite(now time.Duration) {
 	eventNumber, encodeEndpoints := f.options.Endpoints()
 	record := snapshot.Record{Fleet: f.options.Fleet, EventNumber: eventNumber, CreatedAt: now, State: f.options.State()}
@@ -95,8 +95,8 @@
 	f.options.Log.Info("snapshot writes succeed again")
 }
 
-// write replaces the file by one with the record. Whatever fails, and whenever the machine goes down, the file is
-// either the old one or the new one, complete.
+// write atomically replaces the snapshot file. After an error or a crash, the file is complete: either the old one or
+// the new one.
 func (f *File) write(record snapshot.Record, encodeEndpoints func() ([]byte, error)) error {
 	endpoints, err := encodeEndpoints()
 	if err != nil {
@@ -117,7 +117,7 @@
 	return syncDirectory(filepath.Dir(f.options.Path))
 }
 
-// writeSynced writes a file and waits until it is on the disk.
+// writeSynced writes a file and syncs it to disk.
 func writeSynced(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// syncDirectory waits until a rename in a directory is on the disk.
+// syncDirectory syncs a directory to disk, so that a rename in it is durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -139,9 +139,10 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Read returns the record in a snapshot file; an empty one if there is no file. now is the Unix time, maxAge the age
-// up to which a record is accepted. A file that can't be read, or that snapshot.Decode rejects, is renamed to
-// FILE.aside, so that it neither stops this start nor gets lost, and the error says why.
+// Read returns the record in a snapshot file, or an empty record if the file does not exist. now is the Unix time, and
+// maxAge the maximum age of an accepted record. If the file cannot be read or snapshot.Decode rejects it, Read renames
+// it to FILE.aside and returns the reason as an error. The rename preserves the file and lets the process start without
+// it.
 func Read(path, fleet string, now, maxAge time.Duration) (snapshot.Record, error) {
 	data, err := readFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -157,19 +158,19 @@
 	return record, nil
 }
 
-// readFile returns the content of a regular file, up to one byte more than a valid snapshot can have.
+// readFile returns the content of a regular file, limited to one byte more than the maximum size of a snapshot.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.Mode().IsRegular() { // opening a named pipe would block
-		return nil, fmt.Errorf("%s is not a file", path)
+		return nil, fmt.Errorf("%s: not a regular file", path)
 	}
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // an error of Close does not affect what was read
+	defer func() { _ = file.Close() }() // the file is only read, so an error of Close is harmless
 	return io.ReadAll(io.LimitReader(file, snapshot.MaxSize+1))
 }
--- a/internal/snapshot/snapshotfile/golden_internal_test.go
+++ b/internal/snapshot/snapshotfile/golden_internal_test.go
@@ -16,7 +16,7 @@
 
 const goldenName = "workers.snapshot"
 
-// writeGolden has a File write the golden record to a new directory, and returns the path.
+// writeGolden writes the golden record to a file in a new directory and returns its path.
 func writeGolden(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), goldenName)
@@ -29,7 +29,7 @@
 	return path
 }
 
-// A snapshot file is written as the golden bytes, with mode 0600 and nothing beside it.
+// The content of a snapshot file must match the golden bytes. The file has mode 0600, and no temporary file is left.
 func TestGoldenWrite(t *testing.T) {
 	path := writeGolden(t)
 	got, err := os.ReadFile(path)
@@ -49,11 +49,11 @@
 		t.Fatal(err)
 	}
 	if len(entries) != 1 {
-		t.Errorf("beside the file: %v", entries)
+		t.Errorf("directory contains %v, want only the snapshot file", entries)
 	}
 }
 
-// The golden file is read as the endpoint list and the learned state that it was made of.
+// Reading the golden file must return the endpoint list and the learned state that it was created from.
 func TestGoldenRead(t *testing.T) {
 	got, err := Read(golden.Path(goldenName), snapshottest.Fleet, snapshottest.Time+time.Minute, snapshottest.MaxAge)
 	if err != nil {
@@ -63,11 +63,11 @@
 		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
 	}
 	if err := discovery.ValidateKnown(got.Endpoints, []string{"az-a", "az-b"}, []string{"m5", "m6"}); err != nil {
-		t.Errorf("the list in it: %v", err)
+		t.Errorf("invalid endpoint list: %v", err)
 	}
 }
 
-// A golden file that is cut off gives a known error text, and is set aside under a known name.
+// A truncated file must be rejected with a fixed error text and renamed with the suffix ".aside".
 func TestGoldenTruncated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), goldenName)
 	truncated := golden.Read(t, goldenName)[:100]
@@ -79,9 +79,9 @@
 		t.Errorf("error %v, want %s", err, want)
 	}
 	if moved, err := os.ReadFile(path + ".aside"); err != nil || !bytes.Equal(moved, truncated) {
-		t.Errorf("set aside: %q, %v", moved, err)
+		t.Errorf("renamed file: %q, %v", moved, err)
 	}
 	if got, err := Read(path, snapshottest.Fleet, snapshottest.Time, snapshottest.MaxAge); err != nil || !reflect.DeepEqual(got, snapshot.Record{}) {
-		t.Errorf("without a file: %+v, %v", got, err)
+		t.Errorf("reading a missing file: %+v, %v", got, err)
 	}
 }
--- a/internal/snapshot/snapshottest/record.go
+++ b/internal/snapshot/snapshottest/record.go
@@ -1,5 +1,5 @@
-// Package snapshottest holds the record that the golden files of packages snapshot and snapshotfile were made of. It is for
-// tests only.
+// Package snapshottest provides the record from which the golden files of packages snapshot and snapshotfile were
+// created. It is for tests only.
 package snapshottest
 
 import (
@@ -9,21 +9,21 @@
 	"calicohill/routing"
 )
 
-// The arguments with which the golden records are read.
+// Parameters for reading the golden records.
 const (
-	Fleet  = "gt-registros"              // name of their fleet
-	Time   = 1_790_000_000 * time.Second // Unix time at which they were made
+	Fleet  = "gt-registros"              // name of the fleet
+	Time   = 1_790_000_000 * time.Second // Unix time at which the records were created
 	MaxAge = time.Hour                   // maximum age of a record
 )
 
-// Feed is an endpoint list in the form of an answer of the list service.
+// EndpointList is an endpoint list in the format of a response of the list service.
 const Feed = `{"no":41,"items":[{"no":41,"roster":{"all":true,"targets":[` +
 	`{"uid":"w-1","endpoint":"127.0.0.1:9001","az":"az-a","model":"m5","pod_group":1,"state":"SERVING",` +
 	`"capacity_hint":1.5,"boot_ms":1789990000000},` +
 	`{"uid":"w-2","endpoint":"[::1]:9002","az":"az-b","model":"m6","pod_group":0,"state":"DRAINING",` +
 	`"capacity_hint":null,"boot_ms":1789990000250.5}]}}]}`
 
-// Record returns the record that the golden files hold. Each call returns a new one.
+// Record returns a new copy of the record in the golden files.
 func Record() snapshot.Record {
 	return snapshot.Record{Fleet: Fleet, EventNumber: 41, CreatedAt: Time, Endpoints: []byte(Feed), State: routing.LearnedState{
 		CapturedAt:          Time - 250*time.Millisecond,
