--- a/internal/fleet/faultreport/core.go
+++ b/internal/fleet/faultreport/core.go
@@ -39,7 +39,7 @@
 	findings    *findingTable
 	broadcaster broadcaster
 	reporters   *reporterTable
-	verdicts    *verdictBoard
+	verdicts    *verdictPublisher
 }
 
 // New returns a Core without workers, members or reports.
@@ -50,7 +50,7 @@
 		endpoints: map[string]bool{},
 		findings:  newFindingTable(),
 		reporters: newReporterTable(),
-		verdicts:  newVerdictBoard(),
+		verdicts:  newVerdictPublisher(),
 	}
 }
 
@@ -75,7 +75,7 @@
 
 // Next returns the time by which Step must be called again.
 func (c *Core) Next() time.Duration {
-	if c.verdicts.empty() && !c.broadcaster.repeats() && !c.findings.changed {
+	if c.verdicts.empty() && !c.broadcaster.hasRepeats() && !c.findings.changed {
 		return c.now + idleStepInterval
 	}
 	return c.now + minBroadcastInterval
@@ -83,7 +83,7 @@
 
 // Quorum returns the number of reporters required to eject a worker: one more than the tolerated byzantine members, and
 // at least minQuorum.
-func (c *Core) Quorum() int { return quorumOf(c.fleetSize, c.config.MaxByzantine) }
+func (c *Core) Quorum() int { return quorumSize(c.fleetSize, c.config.MaxByzantine) }
 
 // maxEjected returns the maximum number of Confirmed workers.
 func (c *Core) maxEjected() int {
@@ -148,7 +148,7 @@
 		c.mute(statement.From, sender, reasonMassReports)
 		return
 	}
-	c.verdicts.clear(sender.withdrawn(c.now, c.config.ReportTTL, previous))
+	c.verdicts.addCleared(sender.withdrawn(c.now, c.config.ReportTTL, previous))
 }
 
 // contradict lowers the reputation of each member whose report on the worker conflicts with a response. at is the time
@@ -156,7 +156,7 @@
 func (c *Core) contradict(worker string, at time.Duration) {
 	for _, name := range c.reporters.names() {
 		if sender := c.reporters.get(name); sender.contradict(c.now, worker, at) {
-			c.announceDiscredit(name, sender, reasonContradicted)
+			c.announceDiscredited(name, sender, reasonContradicted)
 		}
 	}
 }
@@ -164,12 +164,12 @@
 // mute ignores a member for muteDuration and announces it.
 func (c *Core) mute(name string, sender *reporter, reason string) {
 	sender.mute(c.now)
-	c.announceDiscredit(name, sender, reason)
+	c.announceDiscredited(name, sender, reason)
 }
 
 // announceDiscredited emits Discredited at most once until the member is trusted again.
-func (c *Core) announceDiscredit(name string, sender *reporter, reason string) {
+func (c *Core) announceDiscredited(name string, sender *reporter, reason string) {
 	if sender.markDiscredited() {
-		c.actions = append(c.actions, Discredited{From: name, Why: reason})
+		c.actions = append(c.actions, Discredited{From: name, Reason: reason})
 	}
 }
--- a/internal/fleet/faultreport/findings.go
+++ b/internal/fleet/faultreport/findings.go
@@ -35,72 +35,72 @@
 // observe records an observation of a worker and reports whether it was recorded. It drops the observation if the
 // worker has no finding yet and is not listed, or if the table is full.
 func (t *findingTable) observe(observed FaultObserved, listed bool) bool {
-	own := t.ensure(observed.Worker, listed)
-	if own == nil {
+	entry := t.ensure(observed.Worker, listed)
+	if entry == nil {
 		return false
 	}
 	if observed.Fault == routing.Healthy {
-		t.observeHealthy(own, observed)
+		t.observeHealthy(entry, observed)
 		return true
 	}
-	if own.fault != observed.Fault {
-		own.fault = observed.Fault
-		own.firstSeen = observed.At
-		own.attempts = 0
+	if entry.fault != observed.Fault {
+		entry.fault = observed.Fault
+		entry.firstSeen = observed.At
+		entry.attempts = 0
 		t.changed = true
-	} else if observed.At > own.lastSeen {
+	} else if observed.At > entry.lastSeen {
 		t.changed = true // newer evidence
 	}
-	own.lastSeen = max(own.lastSeen, observed.At)
-	own.attempts = min(own.attempts, maxAttempts-1) + 1
+	entry.lastSeen = max(entry.lastSeen, observed.At)
+	entry.attempts = min(entry.attempts, maxAttempts-1) + 1
 	return true
 }
 
 // observeHealthy clears the finding on a worker that responded.
-func (t *findingTable) observeHealthy(own *finding, observed FaultObserved) {
-	own.lastHealthy = max(own.lastHealthy, observed.At)
-	t.clearFault(own)
+func (t *findingTable) observeHealthy(entry *finding, observed FaultObserved) {
+	entry.lastHealthy = max(entry.lastHealthy, observed.At)
+	t.clearFault(entry)
 }
 
 // clearFault resets a finding to healthy.
-func (t *findingTable) clearFault(own *finding) {
-	if own.fault != routing.Healthy {
+func (t *findingTable) clearFault(entry *finding) {
+	if entry.fault != routing.Healthy {
 		t.changed = true
 	}
-	own.fault = routing.Healthy
-	own.attempts = 0
+	entry.fault = routing.Healthy
+	entry.attempts = 0
 }
 
 // ensure returns the finding on a worker and creates it if necessary. It returns nil instead of creating one if the
 // worker is not listed or the table is full.
 func (t *findingTable) ensure(worker string, listed bool) *finding {
-	if own := t.byWorker[worker]; own != nil {
-		return own
+	if entry := t.byWorker[worker]; entry != nil {
+		return entry
 	}
 	if len(t.byWorker) >= maxFindings || !listed {
 		return nil
 	}
-	own := &finding{}
-	t.byWorker[worker] = own
-	return own
+	entry := &finding{}
+	t.byWorker[worker] = entry
+	return entry
 }
 
 // lastHealthy returns the send time of the latest request to the worker that got a response, or 0 if there is none.
 func (t *findingTable) lastHealthy(worker string) time.Duration {
-	own := t.byWorker[worker]
-	if own == nil {
+	entry := t.byWorker[worker]
+	if entry == nil {
 		return 0
 	}
-	return own.lastHealthy
+	return entry.lastHealthy
 }
 
 // retain drops the findings on workers that are not in endpoints.
 func (t *findingTable) retain(endpoints map[string]bool) {
-	for worker, own := range t.byWorker {
+	for worker, entry := range t.byWorker {
 		if endpoints[worker] {
 			continue
 		}
-		if own.fault != routing.Healthy {
+		if entry.fault != routing.Healthy {
 			t.changed = true
 		}
 		delete(t.byWorker, worker)
@@ -109,9 +109,9 @@
 
 // expire clears faults that no request has shown within ttl.
 func (t *findingTable) expire(now, ttl time.Duration) {
-	for _, own := range t.byWorker {
-		if own.fault != routing.Healthy && now-own.lastSeen >= ttl {
-			t.clearFault(own)
+	for _, entry := range t.byWorker {
+		if entry.fault != routing.Healthy && now-entry.lastSeen >= ttl {
+			t.clearFault(entry)
 		}
 	}
 }
@@ -121,16 +121,16 @@
 	t.changed = false
 	var reports []Report
 	for _, worker := range slices.Sorted(maps.Keys(t.byWorker)) {
-		own := t.byWorker[worker]
-		if own.fault == routing.Healthy {
+		entry := t.byWorker[worker]
+		if entry.fault == routing.Healthy {
 			continue
 		}
 		reports = append(reports, Report{
 			Worker:       worker,
-			Fault:        own.fault,
-			FirstSeenAgo: millisecondsSince(now, own.firstSeen),
-			LastSeenAgo:  millisecondsSince(now, own.lastSeen),
-			Attempts:     own.attempts,
+			Fault:        entry.fault,
+			FirstSeenAgo: millisecondsSince(now, entry.firstSeen),
+			LastSeenAgo:  millisecondsSince(now, entry.lastSeen),
+			Attempts:     entry.attempts,
 		})
 	}
 	return reports
@@ -141,12 +141,12 @@
 // broadcaster decides when to broadcast the findings: when they change, and periodically while there is a fault, but at
 // most once per minBroadcastInterval. It repeats an empty statement, because the first one may be lost.
 type broadcaster struct {
-	sentAt    time.Duration
-	emptyLeft int // number of empty statements still to be broadcast
+	sentAt         time.Duration
+	emptyRemaining int // number of empty statements still to be broadcast
 }
 
 // hasRepeats reports whether an empty statement is still to be broadcast.
-func (b *broadcaster) repeats() bool { return b.emptyLeft > 0 }
+func (b *broadcaster) hasRepeats() bool { return b.emptyRemaining > 0 }
 
 // next returns the statement to broadcast now. ok is false if there is nothing to broadcast.
 func (b *broadcaster) next(now, ttl time.Duration, findings *findingTable) (statement Broadcast, ok bool) {
@@ -158,11 +158,11 @@
 	reports := findings.takeReports(now)
 	switch {
 	case len(reports) > 0:
-		b.emptyLeft = broadcastsPerTTL
-	case b.emptyLeft == 0:
+		b.emptyRemaining = broadcastsPerTTL
+	case b.emptyRemaining == 0:
 		return Broadcast{}, false
 	default:
-		b.emptyLeft--
+		b.emptyRemaining--
 	}
 	b.sentAt = now
 	return Broadcast{reports}, true
--- a/internal/fleet/faultreport/messages.go
+++ b/internal/fleet/faultreport/messages.go
@@ -64,8 +64,8 @@
 // Discredited announces that the reports of a member are being ignored. It is emitted at most once until the member is
 // trusted again.
 type Discredited struct {
-	From string
-	Why  string
+	From   string
+	Reason string
 }
 
 func (Broadcast) action()       {}
--- a/internal/fleet/faultreport/reporter.go
+++ b/internal/fleet/faultreport/reporter.go
@@ -56,18 +56,18 @@
 }
 
 // currentReputation returns the reputation including the recovery since its last change.
-func (r *reporter) reputationNow(now time.Duration) float64 {
+func (r *reporter) currentReputation(now time.Duration) float64 {
 	return min(maxReputation, r.reputation+reputationRecoveryPerSecond*(now-r.reputationAt).Seconds())
 }
 
 // isTrusted reports whether the reports of the member are counted.
 func (r *reporter) isTrusted(now time.Duration) bool {
-	return r.isMember && now >= r.mutedUntil && r.reputationNow(now) >= minReputation
+	return r.isMember && now >= r.mutedUntil && r.currentReputation(now) >= minReputation
 }
 
 // hasFullReputation reports whether the member is not muted and has fully recovered its reputation.
-func (r *reporter) isClean(now time.Duration) bool {
-	return now >= r.mutedUntil && r.reputationNow(now) >= maxReputation
+func (r *reporter) hasFullReputation(now time.Duration) bool {
+	return now >= r.mutedUntil && r.currentReputation(now) >= maxReputation
 }
 
 // takeReports removes and returns the reports of the latest statement, by worker.
@@ -128,7 +128,7 @@
 	}
 	report.contradicted = true
 	r.reports[worker] = report
-	r.reputation = r.reputationNow(now) * contradictionFactor
+	r.reputation = r.currentReputation(now) * contradictionFactor
 	r.reputationAt = now
 	return r.reputation < minReputation
 }
@@ -172,8 +172,8 @@
 
 // setMembers replaces the live members.
 func (t *reporterTable) setMembers(names []string) {
-	for _, known := range t.byName {
-		known.isMember = false
+	for _, entry := range t.byName {
+		entry.isMember = false
 	}
 	for _, name := range names {
 		if member := t.ensure(name); member != nil {
@@ -184,29 +184,29 @@
 
 // ensure returns the reporter with the given name and creates it if necessary. It returns nil if the table is full.
 func (t *reporterTable) ensure(name string) *reporter {
-	known := t.byName[name]
-	if known == nil && len(t.byName) < maxReporters {
-		known = &reporter{
+	entry := t.byName[name]
+	if entry == nil && len(t.byName) < maxReporters {
+		entry = &reporter{
 			reputation: initialReputation,
 			reports:    map[string]peerReport{},
 			clearedAt:  map[string]time.Duration{},
 		}
-		t.byName[name] = known
+		t.byName[name] = entry
 	}
-	return known
+	return entry
 }
 
 // expire drops expired reports. It also drops former members that have no reports and full reputation.
 func (t *reporterTable) expire(now, ttl time.Duration, endpoints map[string]bool) {
-	maps.DeleteFunc(t.byName, func(_ string, known *reporter) bool {
-		known.expire(now, ttl, endpoints)
-		return !known.isMember && len(known.reports) == 0 && known.isClean(now)
+	maps.DeleteFunc(t.byName, func(_ string, entry *reporter) bool {
+		entry.expire(now, ttl, endpoints)
+		return !entry.isMember && len(entry.reports) == 0 && entry.hasFullReputation(now)
 	})
 }
 
 // count counts the trusted reporters of each worker.
 func (t *reporterTable) count(now time.Duration) reportCounts {
-	counts := reportCounts{any: map[string]int{}, ejecting: map[string]int{}}
+	counts := reportCounts{anyFault: map[string]int{}, ejectionFault: map[string]int{}}
 	for _, sender := range t.byName {
 		if !sender.isTrusted(now) {
 			continue
@@ -215,9 +215,9 @@
 			if report.contradicted {
 				continue
 			}
-			counts.any[worker]++
+			counts.anyFault[worker]++
 			if warrantsEjection(report.fault) {
-				counts.ejecting[worker]++
+				counts.ejectionFault[worker]++
 			}
 		}
 	}
--- a/internal/fleet/transport/engine.go
+++ b/internal/fleet/transport/engine.go
@@ -141,7 +141,7 @@
 		case faultreport.PublishVerdicts:
 			e.publishPeerReports(action.PeerReports)
 		case faultreport.Discredited:
-			e.log.WithFields(logrus.Fields{"peer": action.From, "why": action.Why}).Warn("peer reports ignored for a while")
+			e.log.WithFields(logrus.Fields{"peer": action.From, "why": action.Reason}).Warn("peer reports ignored for a while")
 		}
 	}
 	return events
