--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -118,7 +118,7 @@
 	if cert == nil {
 		return nil, ErrUnknown
 	}
-	if err := g.trust.Current(cert, wall); err != nil {
+	if err := g.trust.Recheck(cert, wall); err != nil {
 		return nil, err
 	}
 	return cert, nil
@@ -193,7 +193,7 @@
 		return nil
 	}
 	cert := g.statementCert(author, statement, wall, checks)
-	if cert == nil || g.trust.Current(cert, wall) != nil || !checks.spend() {
+	if cert == nil || g.trust.Recheck(cert, wall) != nil || !checks.spend() {
 		return nil
 	}
 	if !g.verifySignature(cert, statement.signed(g.fleet), statement.Sig) {
--- a/internal/fleet/gossip/peer.go
+++ b/internal/fleet/gossip/peer.go
@@ -65,7 +65,7 @@
 // removeUncertified drops the members whose certificates are not accepted any more, and returns their names.
 func (t *peerTable) removeUncertified(trust *pki.Trust, wall time.Time) (removed []string) {
 	for name, p := range t.byName {
-		if p.cert != nil && trust.Current(p.cert, wall) != nil {
+		if p.cert != nil && trust.Recheck(p.cert, wall) != nil {
 			delete(t.byName, name)
 			removed = append(removed, name)
 		}
--- a/internal/fleet/pki/authority.go
+++ b/internal/fleet/pki/authority.go
@@ -17,7 +17,7 @@
 )
 
 // MaxNameBytes is the maximum length of the name of a member or a fleet.
-const MaxName = 64
+const MaxNameBytes = 64
 
 const (
 	serialNumberBits = 63
@@ -36,7 +36,7 @@
 			return false
 		}
 	}
-	return name != "" && len(name) <= MaxName
+	return name != "" && len(name) <= MaxNameBytes
 }
 
 // Authority is the certificate authority of a fleet.
@@ -58,7 +58,7 @@
 // from now for the given duration. ValidName must accept the name of the fleet.
 func NewAuthority(fleet string, now time.Time, validity time.Duration) (*Authority, error) {
 	if !ValidName(fleet) {
-		return nil, fmt.Errorf("invalid fleet name %q: must be 1 to %d letters, digits, '-', '_' or '.'", fleet, MaxName)
+		return nil, fmt.Errorf("invalid fleet name %q: must be 1 to %d letters, digits, '-', '_' or '.'", fleet, MaxNameBytes)
 	}
 	template := &x509.Certificate{
 		Subject:               pkix.Name{Organization: []string{fleet}},
@@ -83,7 +83,7 @@
 // ValidName must accept the name of the member.
 func (a *Authority) Issue(name string, now time.Time, validity time.Duration) (*Member, error) {
 	if !ValidName(name) {
-		return nil, fmt.Errorf("invalid member name %q: must be 1 to %d letters, digits, '-', '_' or '.'", name, MaxName)
+		return nil, fmt.Errorf("invalid member name %q: must be 1 to %d letters, digits, '-', '_' or '.'", name, MaxNameBytes)
 	}
 	template := &x509.Certificate{
 		Subject:   pkix.Name{Organization: []string{a.Fleet()}, CommonName: name},
@@ -100,7 +100,7 @@
 
 // Revoke returns a new revocation list with the entries of the previous list, which may be nil, and the given serial
 // numbers.
-func (a *Authority) Revoke(previous *x509.RevocationList, now time.Time, more ...*big.Int) (*x509.RevocationList, error) {
+func (a *Authority) Revoke(previous *x509.RevocationList, now time.Time, serials ...*big.Int) (*x509.RevocationList, error) {
 	list := &x509.RevocationList{
 		Number:     big.NewInt(1),
 		ThisUpdate: now,
@@ -110,7 +110,7 @@
 		list.RevokedCertificateEntries = slices.Clone(previous.RevokedCertificateEntries)
 		list.Number = new(big.Int).Add(previous.Number, big.NewInt(1))
 	}
-	for _, number := range more {
+	for _, number := range serials {
 		entry := x509.RevocationListEntry{SerialNumber: number, RevocationTime: now}
 		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries, entry)
 	}
--- a/internal/fleet/pki/files.go
+++ b/internal/fleet/pki/files.go
@@ -26,11 +26,11 @@
 
 // Errors for invalid file contents. Callers wrap them with the path.
 var (
-	errNotEd25519    = errors.New("not an Ed25519 key")
-	errIncomplete    = errors.New("must contain a private key and its certificate")
-	errNotCertOfKey  = errors.New("the certificate does not match the private key")
-	errNoCertificate = errors.New("no certificate found")
-	errNotList       = errors.New("not a list of revoked certificates")
+	errNotEd25519        = errors.New("not an Ed25519 key")
+	errIncomplete        = errors.New("must contain a private key and its certificate")
+	errKeyMismatch       = errors.New("the certificate does not match the private key")
+	errNoCertificate     = errors.New("no certificate found")
+	errNotRevocationList = errors.New("not a list of revoked certificates")
 )
 
 // WriteKeyFile writes a private key and its certificate to a new file with mode 0600. It does not overwrite an existing
@@ -103,7 +103,7 @@
 	}
 	public, ok := cert.PublicKey.(ed25519.PublicKey)
 	if !ok || !public.Equal(key.Public()) {
-		return nil, nil, errNotCertOfKey
+		return nil, nil, errKeyMismatch
 	}
 	return key, cert, nil
 }
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	if len(blocks) != 1 || blocks[0].Type != pemRevocationList {
-		return nil, fmt.Errorf("%s: %w", path, errNotList)
+		return nil, fmt.Errorf("%s: %w", path, errNotRevocationList)
 	}
 	list, err := x509.ParseRevocationList(blocks[0].Bytes)
 	if err != nil {
--- a/internal/fleet/pki/golden_test.go
+++ b/internal/fleet/pki/golden_test.go
@@ -39,8 +39,8 @@
 	memberValidity    = 90 * 24 * time.Hour
 )
 
-// goldenNumber is a serial number on both revocation lists.
-var goldenNumber = big.NewInt(0x1234_5678_9abc)
+// goldenSerial is a serial number on both revocation lists.
+var goldenSerial = big.NewInt(0x1234_5678_9abc)
 
 // recordFiles creates an authority, two members and two revocation lists and writes them to the golden directory.
 func recordFiles(t *testing.T) {
@@ -65,7 +65,7 @@
 			t.Fatal(err)
 		}
 	}
-	first, err := authority.Revoke(nil, goldenNow, goldenNumber)
+	first, err := authority.Revoke(nil, goldenNow, goldenSerial)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 	if authority.Fleet() != goldenFleet {
 		t.Errorf("fleet %q, want %q", authority.Fleet(), goldenFleet)
 	}
-	made, err := pki.NewAuthority(goldenFleet, goldenNow, authorityValidity)
+	created, err := pki.NewAuthority(goldenFleet, goldenNow, authorityValidity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,11 +170,11 @@
 	if !cert.NotBefore.Equal(goldenNow) || !cert.NotAfter.Equal(goldenNow.Add(authorityValidity)) {
 		t.Errorf("valid from %v to %v", cert.NotBefore, cert.NotAfter)
 	}
-	compareTemplates(t, made.Cert, cert)
-	if len(made.Cert.Extensions) != len(cert.Extensions) {
-		t.Fatalf("%d extensions, want %d", len(made.Cert.Extensions), len(cert.Extensions))
+	compareTemplates(t, created.Cert, cert)
+	if len(created.Cert.Extensions) != len(cert.Extensions) {
+		t.Fatalf("%d extensions, want %d", len(created.Cert.Extensions), len(cert.Extensions))
 	}
-	for i, got := range made.Cert.Extensions {
+	for i, got := range created.Cert.Extensions {
 		want := cert.Extensions[i]
 		if !got.Id.Equal(want.Id) || got.Critical != want.Critical || len(got.Value) != len(want.Value) {
 			t.Errorf("extension %v, want %v", got, want)
@@ -197,13 +197,13 @@
 	if !cert.NotBefore.Equal(goldenNow) || !cert.NotAfter.Equal(goldenNow.Add(memberValidity)) {
 		t.Errorf("valid from %v to %v", cert.NotBefore, cert.NotAfter)
 	}
-	made, err := authority.Issue(goldenMember, goldenNow, memberValidity)
+	created, err := authority.Issue(goldenMember, goldenNow, memberValidity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareTemplates(t, made.Cert, cert)
-	if !reflect.DeepEqual(made.Cert.Extensions, cert.Extensions) {
-		t.Errorf("extensions %v, want %v", made.Cert.Extensions, cert.Extensions)
+	compareTemplates(t, created.Cert, cert)
+	if !reflect.DeepEqual(created.Cert.Extensions, cert.Extensions) {
+		t.Errorf("extensions %v, want %v", created.Cert.Extensions, cert.Extensions)
 	}
 }
 
@@ -232,8 +232,8 @@
 		at      time.Time
 		entries []*big.Int
 	}{
-		{firstListFile, first, 1, goldenNow, []*big.Int{goldenNumber}},
-		{secondListFile, second, 2, goldenRevoked, []*big.Int{goldenNumber, revoked.SerialNumber}},
+		{firstListFile, first, 1, goldenNow, []*big.Int{goldenSerial}},
+		{secondListFile, second, 2, goldenRevoked, []*big.Int{goldenSerial, revoked.SerialNumber}},
 	} {
 		if tt.list.Number.Cmp(big.NewInt(tt.number)) != 0 || !tt.list.ThisUpdate.Equal(tt.at) ||
 			!tt.list.NextUpdate.Equal(tt.at.AddDate(100, 0, 0)) {
@@ -250,18 +250,18 @@
 			t.Errorf("%s: written as\n%s\nwant\n%s", tt.name, got, want)
 		}
 	}
-	madeFirst, err := authority.Revoke(nil, goldenNow, goldenNumber)
+	createdFirst, err := authority.Revoke(nil, goldenNow, goldenSerial)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(madeFirst.Raw, first.Raw) {
-		t.Errorf("first list made as %x, want %x", madeFirst.Raw, first.Raw)
+	if !bytes.Equal(createdFirst.Raw, first.Raw) {
+		t.Errorf("first list created as %x, want %x", createdFirst.Raw, first.Raw)
 	}
-	madeSecond, err := authority.Revoke(first, goldenRevoked, revoked.SerialNumber)
+	createdSecond, err := authority.Revoke(first, goldenRevoked, revoked.SerialNumber)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(madeSecond.Raw, second.Raw) {
-		t.Errorf("second list made as %x, want %x", madeSecond.Raw, second.Raw)
+	if !bytes.Equal(createdSecond.Raw, second.Raw) {
+		t.Errorf("second list created as %x, want %x", createdSecond.Raw, second.Raw)
 	}
 }
--- a/internal/fleet/pki/goldenerrors_test.go
+++ b/internal/fleet/pki/goldenerrors_test.go
@@ -28,7 +28,7 @@
 	if _, err := trust.Verify(member.Raw, goldenNow); err != nil {
 		t.Errorf("a member: %v", err)
 	}
-	nobody := &pki.Trust{Fleet: goldenFleet}
+	emptyTrust := &pki.Trust{Fleet: goldenFleet}
 	other := &pki.Trust{Fleet: "other"}
 	forged := bytes.Clone(member.Raw)
 	forged[len(forged)-1] ^= 1
@@ -52,7 +52,7 @@
 			"early", trust, member.Raw, goldenNow.Add(-time.Minute), pki.ErrExpired,
 			"the certificate is not valid now: it is valid from 2026-11-01 12:00:00 +0000 UTC to 2027-01-30 12:00:00 +0000 UTC",
 		},
-		{"no authority", nobody, member.Raw, goldenNow, pki.ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
+		{"no authority", emptyTrust, member.Raw, goldenNow, pki.ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
 		{"forged", trust, forged, goldenNow, pki.ErrUnknownAuthority, "no authority of the fleet signed the certificate"},
 		{"other fleet", other, member.Raw, goldenNow, pki.ErrWrongFleet, `the certificate is of another fleet: "gt-registros"`},
 		{"an authority", trust, authority.Cert.Raw, goldenNow, pki.ErrNotAMember, "not the certificate of a member"},
--- a/internal/fleet/pki/trust.go
+++ b/internal/fleet/pki/trust.go
@@ -110,12 +110,12 @@
 // isMemberCertificate reports whether the fields of a certificate are valid for a member certificate.
 func isMemberCertificate(cert *x509.Certificate) bool {
 	canSign := cert.KeyUsage&x509.KeyUsageDigitalSignature != 0
-	isKnownForm := cert.PublicKeyAlgorithm == x509.Ed25519 && len(cert.UnhandledCriticalExtensions) == 0
-	return !cert.IsCA && canSign && isKnownForm && ValidName(cert.Subject.CommonName)
+	isSupported := cert.PublicKeyAlgorithm == x509.Ed25519 && len(cert.UnhandledCriticalExtensions) == 0
+	return !cert.IsCA && canSign && isSupported && ValidName(cert.Subject.CommonName)
 }
 
 // Recheck verifies that a certificate accepted by Verify is still valid. It does not check signatures again.
-func (t *Trust) Current(cert *x509.Certificate, now time.Time) error {
+func (t *Trust) Recheck(cert *x509.Certificate, now time.Time) error {
 	return t.check(cert, now, false)
 }
 
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("gossip: %w", err)
 	}
-	if err := trust.Current(cert, time.Now()); err != nil {
+	if err := trust.Recheck(cert, time.Now()); err != nil {
 		return nil, nil, fmt.Errorf("gossip: key %s: %w", settings.Key, err)
 	}
 	return &pki.Member{Cert: cert, Key: key}, trust, nil
