--- a/internal/fleet/quota/account.go
+++ b/internal/fleet/quota/account.go
@@ -13,18 +13,18 @@
 // leases borrowed from others (borrower.go).
 type budgetAccount struct {
 	Budget
-	demand         int64                      // units that this member needs
-	limit          int64                      // units that this member may use, as last announced by LimitChanged
-	granted        []grantedLease             // leases granted to other members
-	borrowed       []borrowedLease            // leases granted by other members
-	requestedUnits int64                      // units in the current lease request; 0 if there is none
-	requestNumber  uint32                     // number of the current lease request
-	nextRequestAt  time.Duration              // earliest time of the next lease request
-	answered       map[string]answeredRequest // latest lease request received from each member
+	demand         int64                // units that this member needs
+	limit          int64                // units that this member may use, as last announced by LimitChanged
+	granted        []grantedLease       // leases granted to other members
+	borrowed       []borrowedLease      // leases granted by other members
+	requestedUnits int64                // units in the current lease request; 0 if there is none
+	requestNumber  uint32               // number of the current lease request
+	nextRequestAt  time.Duration        // earliest time of the next lease request
+	lastRequests   map[string]requestID // latest lease request received from each member
 }
 
 func newBudgetAccount(budget Budget) *budgetAccount {
-	return &budgetAccount{Budget: budget, answered: map[string]answeredRequest{}}
+	return &budgetAccount{Budget: budget, lastRequests: map[string]requestID{}}
 }
 
 // setDemand sets the number of units that this member needs.
@@ -40,13 +40,13 @@
 
 // removeMember drops the state received from a member, except for the leases borrowed from it, which stay until they
 // expire.
-func (a *budgetAccount) forget(member string) { delete(a.answered, member) }
+func (a *budgetAccount) removeMember(member string) { delete(a.lastRequests, member) }
 
 // fixedQuota returns the number of units that each member owns. It depends on the configured fleet size and not on the
 // reachable members, so that a network partition does not change it.
 func (a *budgetAccount) fixedQuota(step *stepContext) int64 {
 	if seeded == quotaFromSeenMembers {
-		return a.Total / int64(len(a.answered)+1)
+		return a.Total / int64(len(a.lastRequests)+1)
 	}
 	return a.Total / int64(step.config.FleetSize)
 }
@@ -58,15 +58,15 @@
 // availableQuota returns the part of the fixed quota that this incarnation of the member may use or lend. It has no
 // record of the previous incarnation: units taken then may remain in use for HoldTime, and leases granted then for
 // LeaseDuration plus HoldTime.
-func (a *budgetAccount) ownQuota(step *stepContext) int64 {
+func (a *budgetAccount) availableQuota(step *stepContext) int64 {
 	quota := a.fixedQuota(step)
-	if seeded == ignoresPreviousStart {
+	if seeded == ignoresPreviousIncarnation {
 		return quota
 	}
 	switch age := step.now - step.startedAt; {
-	case age < step.previousUseReservation(a.HoldTime):
+	case age < step.previousUseTime(a.HoldTime):
 		return 0
-	case age < step.leaseReservation(a.HoldTime):
+	case age < step.leaseUseTime(a.HoldTime):
 		return quota - maxLendable(quota)
 	default:
 		return quota
@@ -75,7 +75,7 @@
 
 // usableUnits returns the number of units that this member may have in use now.
 func (a *budgetAccount) usableUnits(step *stepContext) int64 {
-	usable := a.ownQuota(step) - a.lentUnits()
+	usable := a.availableQuota(step) - a.lentUnits()
 	for _, lease := range a.borrowed {
 		usable += lease.units
 	}
@@ -113,8 +113,8 @@
 	if a.demand > a.limit {
 		next = min(next, a.nextRequestAt)
 	}
-	for _, reservation := range []time.Duration{step.previousUseReservation(a.HoldTime), step.leaseReservation(a.HoldTime)} {
-		if at := step.startedAt + reservation; at > step.now {
+	for _, useTime := range []time.Duration{step.previousUseTime(a.HoldTime), step.leaseUseTime(a.HoldTime)} {
+		if at := step.startedAt + useTime; at > step.now {
 			next = min(next, at)
 		}
 	}
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	renewalDivisor      = 2 // a lease is renewed when less than 1/renewalDivisor of its duration is left
-	requestsPerDuration = 4 // maximum lease requests per budget and lease duration
+	renewalDivisor   = 2 // a lease is renewed when less than 1/renewalDivisor of its duration is left
+	requestsPerLease = 4 // maximum lease requests per budget and lease duration
 )
 
 // borrowedLease is a lease granted by another member.
@@ -42,7 +42,7 @@
 }
 
 // requestTime returns the time of a request. ok is false if the request is not in the log.
-func (l *requestLog) madeAt(number uint32) (at time.Duration, ok bool) {
+func (l *requestLog) requestTime(number uint32) (at time.Duration, ok bool) {
 	if number < l.first || number-l.first >= uint32(len(l.times)) {
 		return 0, false
 	}
@@ -52,22 +52,22 @@
 // requestLease requests the units that this member lacks now or will lack within half a lease duration, when leases
 // expire.
 func (a *budgetAccount) requestLease(step *stepContext, requests *requestLog) {
-	lacking := a.demand - a.ownQuota(step) + a.lentUnits()
+	shortfall := a.demand - a.availableQuota(step) + a.lentUnits()
 	for _, lease := range a.borrowed {
 		if lease.expiresAt-step.now > step.config.LeaseDuration/renewalDivisor {
-			lacking -= lease.units
+			shortfall -= lease.units
 		}
 	}
-	if lacking <= 0 {
+	if shortfall <= 0 {
 		a.requestedUnits = 0
 		return
 	}
 	if step.now < a.nextRequestAt {
 		return
 	}
-	a.requestedUnits = lacking
+	a.requestedUnits = shortfall
 	a.requestNumber = requests.add(step.now, step.config.LeaseDuration)
-	a.nextRequestAt = step.now + step.config.LeaseDuration/requestsPerDuration
+	a.nextRequestAt = step.now + step.config.LeaseDuration/requestsPerLease
 }
 
 // sumLeases returns the total units of this budget in the received leases. It caps the sum above Total, because the
@@ -86,8 +86,8 @@
 // acceptLeases accepts the leases of this budget that were granted to this incarnation of this member.
 func (a *budgetAccount) acceptLeases(step *stepContext, requests *requestLog, received StatementReceived) {
 	for _, lease := range received.Leases {
-		isOurs := lease.Borrower == step.config.Self && lease.BorrowerEpoch == step.config.Epoch
-		if isOurs && lease.Budget == a.Name && lease.Units > 0 {
+		isForThisIncarnation := lease.Borrower == step.config.Self && lease.BorrowerEpoch == step.config.Epoch
+		if isForThisIncarnation && lease.Budget == a.Name && lease.Units > 0 {
 			a.acceptLease(step, requests, received, lease)
 		}
 	}
@@ -96,7 +96,7 @@
 // acceptLease adds a lease to the borrowed leases and ignores duplicates. The lease runs from the time of the request,
 // which precedes the grant, so it expires here before it expires at the lender. This needs no synchronized clocks.
 func (a *budgetAccount) acceptLease(step *stepContext, requests *requestLog, received StatementReceived, lease Lease) {
-	requestedAt, ok := requests.madeAt(lease.Request)
+	requestedAt, ok := requests.requestTime(lease.Request)
 	if seeded == leaseFromArrival {
 		requestedAt = step.now
 		ok = true
--- a/internal/fleet/quota/checker_internal_test.go
+++ b/internal/fleet/quota/checker_internal_test.go
@@ -114,7 +114,7 @@
 		copiedAccount := *account
 		copiedAccount.granted = slices.Clone(account.granted)
 		copiedAccount.borrowed = slices.Clone(account.borrowed)
-		copiedAccount.answered = maps.Clone(account.answered)
+		copiedAccount.lastRequests = maps.Clone(account.lastRequests)
 		copied.accounts = append(copied.accounts, &copiedAccount)
 	}
 	return &copied
@@ -140,7 +140,7 @@
 		for _, lease := range account.borrowed {
 			fmt.Fprint(&key, lease.lender, lease.lenderEpoch, lease.request, lease.units, lease.expiresAt-now, ";")
 		}
-		fmt.Fprint(&key, account.answered, "/")
+		fmt.Fprint(&key, account.lastRequests, "/")
 	}
 	statements := make([]string, 0, len(s.inTransit))
 	for _, sent := range s.inTransit {
--- a/internal/fleet/quota/core.go
+++ b/internal/fleet/quota/core.go
@@ -111,10 +111,10 @@
 		}
 	case FleetResized:
 		c.config.FleetSize = max(event.FleetSize, 1)
-	case MemberForgotten:
+	case MemberRemoved:
 		delete(c.distrusted, event.Name)
 		for _, account := range c.accounts {
-			account.forget(event.Name)
+			account.removeMember(event.Name)
 		}
 	}
 	return nil
@@ -146,8 +146,8 @@
 		lent := account.sumLeases(received.Leases)
 		// A sender configured with a smaller fleet size computes a larger quota. That alone does not make it
 		// distrusted, but leases above the quota computed here are not accepted.
-		theirQuota := account.Total / int64(max(received.FleetSize, 1))
-		if lent > maxLendable(theirQuota) && !c.distrusted[received.From] {
+		senderQuota := account.Total / int64(max(received.FleetSize, 1))
+		if lent > maxLendable(senderQuota) && !c.distrusted[received.From] {
 			c.distrusted[received.From] = true
 			actions = append(actions, OverlendingDetected{From: received.From})
 		}
--- a/internal/fleet/quota/core_internal_test.go
+++ b/internal/fleet/quota/core_internal_test.go
@@ -11,9 +11,9 @@
 
 // Parameters of the members in TestTotalNeverExceeded.
 const (
-	drawnLease        = 4 * time.Second
-	longestDrawnHold  = 4 // seconds
-	silenceUntilReset = 10 * time.Minute
+	testLeaseDuration = 4 * time.Second
+	maxHoldSeconds    = 4
+	silenceDuration   = 10 * time.Minute
 )
 
 // simulatedMember is a member that keeps each unit in use for HoldTime on its own clock, even after a restart.
@@ -43,7 +43,7 @@
 		Epoch:         member.epoch,
 		FleetSize:     fleetSize,
 		Budgets:       []Budget{{"b", f.total, f.holdTime}},
-		LeaseDuration: drawnLease,
+		LeaseDuration: testLeaseDuration,
 		MaxClockDrift: f.drift,
 	})
 	if err != nil {
@@ -61,7 +61,7 @@
 }
 
 // advance advances true time and releases units whose hold time has ended.
-func (f *simulatedFleet) pass(duration time.Duration) {
+func (f *simulatedFleet) advance(duration time.Duration) {
 	for _, member := range f.members {
 		member.clock += time.Duration(float64(duration) * member.rate)
 		if !member.stopped {
@@ -75,7 +75,7 @@
 }
 
 // takeUnits makes running members take units up to their demand and limit. It returns the units in use at all members.
-func (f *simulatedFleet) use() int64 {
+func (f *simulatedFleet) takeUnits() int64 {
 	sum := 0
 	for _, member := range f.members {
 		if !member.stopped {
@@ -96,14 +96,14 @@
 	fleet := &simulatedFleet{tb: rt}
 	fleet.total = rapid.Int64Range(0, 60).Draw(rt, "total")
 	fleet.drift = rapid.SampledFrom([]float64{0, 0.01, 0.3}).Draw(rt, "drift")
-	fleet.holdTime = time.Duration(rapid.IntRange(0, longestDrawnHold).Draw(rt, "hold time")) * time.Second
+	fleet.holdTime = time.Duration(rapid.IntRange(0, maxHoldSeconds).Draw(rt, "hold time")) * time.Second
 	for i := range fleetSize {
 		member := &simulatedMember{epoch: 1, rate: 1 + fleet.drift*rapid.Float64Range(-1, 1).Draw(rt, "rate")}
 		fleet.start(member, i, fleetSize)
 		fleet.members = append(fleet.members, member)
 		fleet.step(member)
 	}
-	fleet.pass(time.Minute)
+	fleet.advance(time.Minute)
 	return fleet
 }
 
@@ -120,11 +120,11 @@
 	return member
 }
 
-// drawnEvents returns the random events by name. The action without a name is the check after each event.
-func (f *simulatedFleet) drawnEvents() map[string]func(*rapid.T) {
+// randomEvents returns the random events by name. The action without a name is the check after each event.
+func (f *simulatedFleet) randomEvents() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"pass": func(rt *rapid.T) {
-			f.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
+			f.advance(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
 		},
 		"demand": func(rt *rapid.T) {
 			member := f.drawRunning(rt)
@@ -154,7 +154,7 @@
 			f.step(member)
 		},
 		"": func(rt *rapid.T) {
-			if inUse := f.use(); inUse > f.total {
+			if inUse := f.takeUnits(); inUse > f.total {
 				rt.Fatalf("%d of %d in use", inUse, f.total)
 			}
 		},
@@ -166,17 +166,17 @@
 func TestTotalNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := drawFleet(rt)
-		rt.Repeat(fleet.drawnEvents())
+		rt.Repeat(fleet.randomEvents())
 		for _, member := range fleet.members {
 			member.stopped = false
 			fleet.step(member, DemandChanged{"b", 0})
 		}
-		fleet.pass(silenceUntilReset)
+		fleet.advance(silenceDuration)
 		for _, member := range fleet.members {
 			fixedQuota := fleet.total / int64(len(fleet.members))
 			if got := member.accounts[0].usableUnits(&member.stepContext); got != fixedQuota {
 				rt.Fatalf("%s may use %d units after %v of silence, want its fixed quota %d",
-					member.config.Self, got, silenceUntilReset, fixedQuota)
+					member.config.Self, got, silenceDuration, fixedQuota)
 			}
 		}
 	})
--- a/internal/fleet/quota/lender.go
+++ b/internal/fleet/quota/lender.go
@@ -22,32 +22,32 @@
 }
 
 // requestID identifies a lease request of a member.
-type answeredRequest struct {
+type requestID struct {
 	epoch  int64
 	number uint32
 }
 
 // supersedes reports whether the request is the same as or later than another request of the same member.
-func (r answeredRequest) supersedes(other answeredRequest) bool {
+func (r requestID) supersedes(other requestID) bool {
 	return r.epoch > other.epoch || r.epoch == other.epoch && r.number >= other.number
 }
 
 // answerRequest grants a lease of this member's spare units. It processes each request at most once. mayGrant is false
 // if the limit of granted leases is reached.
 func (a *budgetAccount) answerRequest(step *stepContext, received StatementReceived, request LeaseRequest, mayGrant bool) {
-	id := answeredRequest{epoch: received.Epoch, number: request.Number}
-	if latest, ok := a.answered[received.From]; ok && latest.supersedes(id) {
+	id := requestID{epoch: received.Epoch, number: request.Number}
+	if latest, ok := a.lastRequests[received.From]; ok && latest.supersedes(id) {
 		return
 	}
-	a.answered[received.From] = id
-	if !a.isDrawnToAnswer(step, received.From, request) {
+	a.lastRequests[received.From] = id
+	if !a.isSelectedToAnswer(step, received.From, request) {
 		return
 	}
 	units := min(a.spareUnits(step), request.Units)
 	if units <= 0 || !mayGrant {
 		return
 	}
-	expiresAt := step.now + step.leaseReservation(a.HoldTime)
+	expiresAt := step.now + step.leaseUseTime(a.HoldTime)
 	if seeded == reclaimsEarly {
 		expiresAt = step.now + step.config.LeaseDuration/earlyReclaimDivisor
 	}
@@ -64,16 +64,16 @@
 // isSelectedToAnswer reports whether this member is selected to answer a request. Each member decides by a hash of the
 // request and its own name. The probability is such that the selected members together offer about targetOfferRatio
 // times the requested units rather than all their spare units.
-func (a *budgetAccount) isDrawnToAnswer(step *stepContext, borrower string, request LeaseRequest) bool {
+func (a *budgetAccount) isSelectedToAnswer(step *stepContext, borrower string, request LeaseRequest) bool {
 	fleetLendable := float64(maxLendable(a.fixedQuota(step))) * float64(step.config.FleetSize)
-	draw := rendezvous.Uniform(fmt.Sprint(borrower, request.Number), step.config.Self)
-	return draw*fleetLendable <= targetOfferRatio*float64(request.Units)
+	sample := rendezvous.Uniform(fmt.Sprint(borrower, request.Number), step.config.Self)
+	return sample*fleetLendable <= targetOfferRatio*float64(request.Units)
 }
 
 // spareUnits returns the number of units that this member can lend now. It is 0 until the leases granted by the
 // previous incarnation have expired.
 func (a *budgetAccount) spareUnits(step *stepContext) int64 {
-	if step.now-step.startedAt < step.leaseReservation(a.HoldTime) && seeded != ignoresPreviousStart {
+	if step.now-step.startedAt < step.leaseUseTime(a.HoldTime) && seeded != ignoresPreviousIncarnation {
 		return 0
 	}
 	return min(maxLendable(a.fixedQuota(step))-a.lentUnits(), a.usableUnits(step)-a.demand)
--- a/internal/fleet/quota/messages.go
+++ b/internal/fleet/quota/messages.go
@@ -68,9 +68,9 @@
 type FleetResized struct{ FleetSize int }
 
 // MemberRemoved reports that a member was removed from the member list. Leases borrowed from it stay until they expire.
-type MemberForgotten struct{ Name string }
+type MemberRemoved struct{ Name string }
 
-func (MemberForgotten) event()   {}
+func (MemberRemoved) event()     {}
 func (DemandChanged) event()     {}
 func (StatementReceived) event() {}
 func (FleetResized) event()      {}
--- a/internal/fleet/quota/recording_test.go
+++ b/internal/fleet/quota/recording_test.go
@@ -36,7 +36,7 @@
 	case 0:
 		events = append(events, quota.FleetResized{FleetSize: 3 + f.rng.IntN(3)})
 	case 1:
-		events = append(events, quota.MemberForgotten{Name: fmt.Sprint("n", f.rng.IntN(4))})
+		events = append(events, quota.MemberRemoved{Name: fmt.Sprint("n", f.rng.IntN(4))})
 	case 2:
 		lent := quota.Statement{FleetSize: 4, Leases: []quota.Lease{{Budget: "b0", Borrower: "n0", BorrowerEpoch: 1, Units: 1 << 20}}}
 		events = append(events, quota.StatementReceived{From: "n9", Epoch: 1, Statement: lent})
--- a/internal/fleet/quota/seeded_internal_test.go
+++ b/internal/fleet/quota/seeded_internal_test.go
@@ -11,7 +11,7 @@
 // The checker must detect every seeded fault; otherwise it could miss a real one.
 func TestSeededFaultsAreFound(t *testing.T) {
 	defer func() { seeded = noFault }()
-	for seeded = ignoresPreviousStart; seeded <= usesLentUnits; seeded++ {
+	for seeded = ignoresPreviousIncarnation; seeded <= usesLentUnits; seeded++ {
 		found := false
 		for _, rates := range clockRateSets {
 			if found {
