--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -44,7 +44,7 @@
 func TestGoldenRecordWithoutLearnedState(t *testing.T) {
 	const name = "without-memory.snapshot"
 	if golden.Recording() {
-		body, err := cbor.Marshal(map[int]any{1: snapshottest.Fleet, 2: 41, 3: snapshottest.Time, 4: []byte(snapshottest.Feed)})
+		body, err := cbor.Marshal(map[int]any{1: snapshottest.Fleet, 2: 41, 3: snapshottest.Time, 4: []byte(snapshottest.EndpointList)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/snapshot/record.go
+++ b/internal/snapshot/record.go
@@ -77,7 +77,7 @@
 // Decode returns the record in a snapshot. It rejects snapshots that are incomplete, of another version or fleet, older
 // than maxAge, or created in the future. now is the Unix time.
 func Decode(data []byte, fleet string, now, maxAge time.Duration) (Record, error) {
-	body, err := checkedBody(data)
+	body, err := verifiedBody(data)
 	if err != nil {
 		return Record{}, err
 	}
@@ -97,7 +97,7 @@
 }
 
 // verifiedBody checks the size, version and checksum of a snapshot and returns its body.
-func checkedBody(data []byte) ([]byte, error) {
+func verifiedBody(data []byte) ([]byte, error) {
 	switch {
 	case len(data) > MaxSize:
 		return nil, fmt.Errorf("snapshot of %d bytes: %w", len(data), ErrTooLarge)
--- a/internal/snapshot/schedule.go
+++ b/internal/snapshot/schedule.go
@@ -40,7 +40,7 @@
 // WriteScheduler decides when to write snapshots: shortly after each change of the endpoint list, and periodically to
 // save the learned state. It runs at most one write at a time and starts writes at least minInterval apart. The zero
 // value is ready to use; it starts no write before the first Changed.
-type Scheduler struct {
+type WriteScheduler struct {
 	nextWrite time.Duration // time of the next write; 0 if none is due
 	notBefore time.Duration // earliest time of the next write
 	writing   bool          // whether a write is in progress
@@ -48,7 +48,7 @@
 }
 
 // Step applies events and returns the actions to carry out. now must not decrease between calls.
-func (s *Scheduler) Step(now time.Duration, events ...Event) []Action {
+func (s *WriteScheduler) Step(now time.Duration, events ...Event) []Action {
 	var actions []Action
 	for _, event := range events {
 		switch event := event.(type) {
@@ -68,7 +68,7 @@
 }
 
 // listChanged schedules a write after settleTime, but not before notBefore. An earlier scheduled write is kept.
-func (s *Scheduler) listChanged(now time.Duration) {
+func (s *WriteScheduler) listChanged(now time.Duration) {
 	settled := max(now+settleTime, s.notBefore)
 	if s.nextWrite == 0 || s.nextWrite > settled {
 		s.nextWrite = settled
@@ -76,7 +76,7 @@
 }
 
 // writeEnded schedules the retry of a failed write, or the next refresh after a successful one.
-func (s *Scheduler) writeEnded(actions []Action, now time.Duration, err error) []Action {
+func (s *WriteScheduler) writeEnded(actions []Action, now time.Duration, err error) []Action {
 	s.writing = false
 	if err != nil {
 		if s.backoff == 0 {
@@ -99,6 +99,6 @@
 
 // Next returns the time by which Step must be called again. It returns false if Step need not be called before the next
 // event.
-func (s *Scheduler) Next() (time.Duration, bool) {
+func (s *WriteScheduler) Next() (time.Duration, bool) {
 	return s.nextWrite, s.nextWrite > 0 && !s.writing
 }
--- a/internal/snapshot/schedule_test.go
+++ b/internal/snapshot/schedule_test.go
@@ -12,7 +12,7 @@
 
 // schedulerModel tracks the expected state of a WriteScheduler: the write in progress, the saved list and the reports.
 type schedulerModel struct {
-	scheduler       snapshot.Scheduler
+	scheduler       snapshot.WriteScheduler
 	now             time.Duration
 	lastStart       time.Duration
 	writing         bool
@@ -42,8 +42,8 @@
 	}
 }
 
-// end ends the write in progress.
-func (m *schedulerModel) end(rt *rapid.T, err error) {
+// endWrite reports the end of the write in progress to the WriteScheduler.
+func (m *schedulerModel) endWrite(rt *rapid.T, err error) {
 	m.writing = false
 	if err == nil {
 		m.savedVersion = m.writingVersion
@@ -63,16 +63,16 @@
 				model.listVersion++
 				model.step(rt, snapshot.Changed{})
 			case choice == 1 && model.writing:
-				model.end(rt, nil)
+				model.endWrite(rt, nil)
 			case choice == 2 && model.writing:
-				model.end(rt, errors.New("no space"))
+				model.endWrite(rt, errors.New("no space"))
 			default:
 				model.step(rt)
 			}
 		}
 		for range 10 {
 			if model.writing {
-				model.end(rt, nil)
+				model.endWrite(rt, nil)
 			}
 			model.now += snapshot.MaxBackoff
 			model.step(rt)
--- a/internal/snapshot/snapshotfile/file.go
+++ b/internal/snapshot/snapshotfile/file.go
@@ -47,7 +47,7 @@
 	loop    Loop
 	options Options
 
-	scheduler snapshot.Scheduler
+	scheduler snapshot.WriteScheduler
 	timer     deadline.Timer
 }
 
--- a/internal/snapshot/snapshotfile/golden_internal_test.go
+++ b/internal/snapshot/snapshotfile/golden_internal_test.go
@@ -23,7 +23,7 @@
 	r := snapshottest.Record()
 	r.Endpoints = nil
 	f := &File{options: Options{Path: path, Fleet: snapshottest.Fleet}}
-	if err := f.write(r, func() ([]byte, error) { return []byte(snapshottest.Feed), nil }); err != nil {
+	if err := f.write(r, func() ([]byte, error) { return []byte(snapshottest.EndpointList), nil }); err != nil {
 		t.Fatal(err)
 	}
 	return path
--- a/internal/snapshot/snapshottest/record.go
+++ b/internal/snapshot/snapshottest/record.go
@@ -17,7 +17,7 @@
 )
 
 // EndpointList is an endpoint list in the format of a response of the list service.
-const Feed = `{"no":41,"items":[{"no":41,"roster":{"all":true,"targets":[` +
+const EndpointList = `{"no":41,"items":[{"no":41,"roster":{"all":true,"targets":[` +
 	`{"uid":"w-1","endpoint":"127.0.0.1:9001","az":"az-a","model":"m5","pod_group":1,"state":"SERVING",` +
 	`"capacity_hint":1.5,"boot_ms":1789990000000},` +
 	`{"uid":"w-2","endpoint":"[::1]:9002","az":"az-b","model":"m6","pod_group":0,"state":"DRAINING",` +
@@ -25,7 +25,7 @@
 
 // Record returns a new copy of the record in the golden files.
 func Record() snapshot.Record {
-	return snapshot.Record{Fleet: Fleet, EventNumber: 41, CreatedAt: Time, Endpoints: []byte(Feed), State: routing.LearnedState{
+	return snapshot.Record{Fleet: Fleet, EventNumber: 41, CreatedAt: Time, Endpoints: []byte(EndpointList), State: routing.LearnedState{
 		CapturedAt:          Time - 250*time.Millisecond,
 		RequestWeight:       1234.5678,
 		ThroughputPerWeight: 17.25,
