--- a/internal/fleet/gossip/open.go
+++ b/internal/fleet/gossip/open.go
@@ -117,7 +117,7 @@
 	if cert == nil {
 		return nil, ErrUnknownSender
 	}
-	if err := g.trust.Current(cert, wall); err != nil {
+	if err := g.trust.Recheck(cert, wall); err != nil {
 		return nil, err
 	}
 	return cert, nil
@@ -192,7 +192,7 @@
 		return nil
 	}
 	cert := g.statementCert(author, statement, wall, checks)
-	if cert == nil || g.trust.Current(cert, wall) != nil || !checks.spend() {
+	if cert == nil || g.trust.Recheck(cert, wall) != nil || !checks.spend() {
 		return nil
 	}
 	if !g.verifySignature(cert, statement.signedText(g.fleet), statement.Sig) {
--- a/internal/fleet/quota/core_internal_test.go
+++ b/internal/fleet/quota/core_internal_test.go
@@ -9,24 +9,24 @@
 	"pgregory.net/rapid"
 )
 
-// Settings of the members that TestTotalNeverExceeded draws events for.
+// Parameters of the members in TestTotalNeverExceeded.
 const (
-	drawnLease        = 4 * time.Second
-	longestDrawnHold  = 4 // seconds
-	silenceUntilReset = 10 * time.Minute
+	testLeaseDuration = 4 * time.Second
+	maxHoldSeconds    = 4
+	silenceDuration   = 10 * time.Minute
 )
 
-// simulatedMember is a member whose units in use last for HoldTime by its own clock, also after it was killed.
+// simulatedMember is a member that keeps each unit in use for HoldTime on its own clock, even after a restart.
 type simulatedMember struct {
 	*Core
 	epoch   int64
 	clock   time.Duration
-	rate    float64 // of the clock, 1 for true time
+	rate    float64 // clock rate; 1 is true time
 	stopped bool
-	inUse   []time.Duration // when each unit in use is free again, by its clock
+	inUse   []time.Duration // release time of each unit in use, on the member's clock
 }
 
-// simulatedFleet holds members whose statements are delivered when a test draws it.
+// simulatedFleet is a fleet in which the test delivers statements at random.
 type simulatedFleet struct {
 	tb       interface{ Fatal(args ...any) }
 	total    int64
@@ -36,14 +36,14 @@
 	sent     []StatementReceived
 }
 
-// start gives a member a new Core.
+// start creates a new Core for a member.
 func (f *simulatedFleet) start(member *simulatedMember, index, fleetSize int) {
 	core, err := New(Config{
 		Self:          fmt.Sprint("n", index),
 		Epoch:         member.epoch,
 		FleetSize:     fleetSize,
 		Budgets:       []Budget{{"b", f.total, f.holdTime}},
-		LeaseDuration: drawnLease,
+		LeaseDuration: testLeaseDuration,
 		MaxClockDrift: f.drift,
 	})
 	if err != nil {
@@ -60,22 +60,22 @@
 	}
 }
 
-// pass lets true time go by, and units in use become free.
-func (f *simulatedFleet) pass(duration time.Duration) {
+// advance advances true time and releases units whose hold time has ended.
+func (f *simulatedFleet) advance(duration time.Duration) {
 	for _, member := range f.members {
 		member.clock += time.Duration(float64(duration) * member.rate)
 		if !member.stopped {
 			f.step(member)
 		}
-		// A member that has more units in use than it may does not give them back sooner.
+		// A member over its limit does not release units early.
 		for len(member.inUse) > 0 && member.inUse[0] <= member.clock {
 			member.inUse = member.inUse[1:]
 		}
 	}
 }
 
-// use has the running members take all units that they demand and may use, and returns how many are in use at all members.
-func (f *simulatedFleet) use() int64 {
+// takeUnits makes running members take units up to their demand and limit. It returns the units in use at all members.
+func (f *simulatedFleet) takeUnits() int64 {
 	sum := 0
 	for _, member := range f.members {
 		if !member.stopped {
@@ -90,20 +90,20 @@
 	return int64(sum)
 }
 
-// drawFleet draws the settings of a fleet and starts its members.
+// drawFleet returns a running fleet with random settings.
 func drawFleet(rt *rapid.T) *simulatedFleet {
 	fleetSize := rapid.IntRange(2, 7).Draw(rt, "members")
 	fleet := &simulatedFleet{tb: rt}
 	fleet.total = rapid.Int64Range(0, 60).Draw(rt, "total")
 	fleet.drift = rapid.SampledFrom([]float64{0, 0.01, 0.3}).Draw(rt, "drift")
-	fleet.holdTime = time.Duration(rapid.IntRange(0, longestDrawnHold).Draw(rt, "hold time")) * time.Second
+	fleet.holdTime = time.Duration(rapid.IntRange(0, maxHoldSeconds).Draw(rt, "hold time")) * time.Second
 	for i := range fleetSize {
 		member := &simulatedMember{epoch: 1, rate: 1 + fleet.drift*rapid.Float64Range(-1, 1).Draw(rt, "rate")}
 		fleet.start(member, i, fleetSize)
 		fleet.members = append(fleet.members, member)
 		fleet.step(member)
 	}
-	fleet.pass(time.Minute)
+	fleet.advance(time.Minute)
 	return fleet
 }
 
@@ -120,11 +120,11 @@
 	return member
 }
 
-// drawnEvents are the events that may be drawn, by name, and the check after each.
-func (f *simulatedFleet) drawnEvents() map[string]func(*rapid.T) {
+// randomEvents returns the random events by name. The action without a name is the check after each event.
+func (f *simulatedFleet) randomEvents() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"pass": func(rt *rapid.T) {
-			f.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
+			f.advance(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond)
 		},
 		"demand": func(rt *rapid.T) {
 			member := f.drawRunning(rt)
@@ -154,34 +154,35 @@
 			f.step(member)
 		},
 		"": func(rt *rapid.T) {
-			if inUse := f.use(); inUse > f.total {
+			if inUse := f.takeUnits(); inUse > f.total {
 				rt.Fatalf("%d of %d in use", inUse, f.total)
 			}
 		},
 	}
 }
 
-// Whatever happens, no more than the total is in use, and members that receive nothing have their fixed quota back.
+// The units in use must never exceed the total, for any random order of events. A member that has received no statement
+// for long enough must be able to use exactly its fixed quota again.
 func TestTotalNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := drawFleet(rt)
-		rt.Repeat(fleet.drawnEvents())
+		rt.Repeat(fleet.randomEvents())
 		for _, member := range fleet.members {
 			member.stopped = false
 			fleet.step(member, DemandChanged{"b", 0})
 		}
-		fleet.pass(silenceUntilReset)
+		fleet.advance(silenceDuration)
 		for _, member := range fleet.members {
 			fixedQuota := fleet.total / int64(len(fleet.members))
 			if got := member.accounts[0].usableUnits(&member.stepContext); got != fixedQuota {
 				rt.Fatalf("%s may use %d units after %v of silence, want its fixed quota %d",
-					member.config.Self, got, silenceUntilReset, fixedQuota)
+					member.config.Self, got, silenceDuration, fixedQuota)
 			}
 		}
 	})
 }
 
-// instantFleet is four members whose statements arrive at once, in order.
+// instantFleet is a fleet of four members in which statements arrive immediately and in order.
 type instantFleet struct {
 	now   time.Duration
 	cores []*Core
@@ -208,7 +209,7 @@
 	return fleet
 }
 
-// step steps a member and delivers its statements, those that answer them, and so on.
+// step steps a member and delivers its statements and all statements sent in response.
 func (f *instantFleet) step(core *Core, events ...Event) {
 	type output struct {
 		from    *Core
@@ -232,11 +233,11 @@
 	}
 }
 
-// borrowerDemand is what the first member of an instantFleet demands: it owns 10 units, and the others can lend 5 each.
+// borrowerDemand is the demand of the first member. It owns 10 units and can borrow 5 from each other member.
 const borrowerDemand = 22
 
-// borrow has the first member of a fleet demand units that it has to borrow, lets 10 s go by, and returns the fewest units
-// that the member could use at any moment.
+// borrow sets the demand of the first member above its quota, runs the fleet for 10 s, and returns the smallest number
+// of units that the member could use during that time.
 func (f *instantFleet) borrow() int64 {
 	borrower := f.cores[0]
 	f.step(borrower, DemandChanged{"b", borrowerDemand})
@@ -251,14 +252,14 @@
 	return minUsable
 }
 
-// A member that lacks units borrows what others can spare, and renews the leases before they expire.
+// A member that lacks units must borrow the spare units of others, and renew the leases before they expire.
 func TestLeasesCoverDemand(t *testing.T) {
 	if minUsable := newInstantFleet(t).borrow(); minUsable < borrowerDemand {
-		t.Errorf("%d units at some moment, %d are demanded and can be had", minUsable, borrowerDemand)
+		t.Errorf("usable units dropped to %d, want at least %d", minUsable, borrowerDemand)
 	}
 }
 
-// A member that lends more than it owns is reported, and what it lends is not used.
+// A member that lends more than it owns must be reported, and its leases must not be used.
 func TestOverlendingIsDetected(t *testing.T) {
 	fleet := newInstantFleet(t)
 	borrower := fleet.cores[0]
@@ -277,7 +278,7 @@
 	}
 }
 
-// The usable units are computed for each request.
+// BenchmarkUsable measures usableUnits, which runs on every request.
 func BenchmarkUsable(b *testing.B) {
 	core, err := New(Config{
 		Self:          "n0",
@@ -293,7 +294,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if core.accounts[0].usableUnits(&core.stepContext) != 0 {
-			b.Fatal("a new start has usable units")
+			b.Fatal("a restarted member has usable units")
 		}
 	}
 }
--- a/internal/fleet/quota/recording_test.go
+++ b/internal/fleet/quota/recording_test.go
@@ -11,7 +11,7 @@
 	"calicohill/internal/fleet/quota"
 )
 
-// recordedFleet are members of one fleet that receive each other's statements late, twice or never.
+// recordedFleet is a fleet in which statements may arrive late, repeatedly or never.
 type recordedFleet struct {
 	rng     *rand.Rand
 	cores   []*quota.Core
@@ -36,7 +36,7 @@
 	case 0:
 		events = append(events, quota.FleetResized{FleetSize: 3 + f.rng.IntN(3)})
 	case 1:
-		events = append(events, quota.MemberForgotten{Name: fmt.Sprint("n", f.rng.IntN(4))})
+		events = append(events, quota.MemberRemoved{Name: fmt.Sprint("n", f.rng.IntN(4))})
 	case 2:
 		lent := quota.Statement{FleetSize: 4, Leases: []quota.Lease{{Budget: "b0", Borrower: "n0", BorrowerEpoch: 1, Units: 1 << 20}}}
 		events = append(events, quota.StatementReceived{From: "n9", Epoch: 1, Statement: lent})
@@ -44,7 +44,7 @@
 	return events
 }
 
-// The actions of a fleet with fixed seeds are those that were recorded.
+// The actions of a fleet for random events with fixed seeds must match the recorded hashes.
 func TestRecordedActions(t *testing.T) {
 	for seed, want := range map[uint64]string{1: "b16fb475682dd397", 2: "e2087ed7e6c9e876"} {
 		fleet := &recordedFleet{rng: rand.New(rand.NewPCG(seed, 9)), actions: map[string]int{}}
