--- a/internal/frontend/fastcgi/admission.go
+++ b/internal/frontend/fastcgi/admission.go
@@ -9,13 +9,14 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Accept returns the handler of a new connection, or nil if there are too many and none can be closed for it.
+// Accept returns the handler of a new connection. It returns nil, which rejects the connection, if the connection limit
+// is reached and no open connection can be evicted.
 func (s *Server) Accept(socket gnet.Conn) eventloop.ConnHandler {
 	if s.conns.isFull() && !s.evictConn() {
 		s.warn("client rejected: too many connections", nil)
 		return nil
 	}
-	s.noteReceived()
+	s.recordReceived()
 	accepted := &conn{server: s, socket: socket, requests: map[requestID]*request{}}
 	accepted.timer.Fire = accepted.timerFired
 	accepted.startInputTimer()
@@ -23,10 +24,10 @@
 	return accepted
 }
 
-// AcceptFailed notes that a connection could not be accepted; it waits, and is accepted later.
+// AcceptFailed logs that a connection could not be accepted. It stays in the listen backlog and is accepted later.
 func (s *Server) AcceptFailed(err error) { s.warn("accept failed", err) }
 
-// evictConn closes the connection that will be missed least, and reports whether there was one.
+// evictConn closes the best eviction candidate and reports whether there was one.
 func (s *Server) evictConn() bool {
 	victim := s.conns.evictionCandidate(s.loop.Now())
 	if victim == nil {
@@ -36,14 +37,14 @@
 	return true
 }
 
-// incompleteRequests holds the requests that are not complete, in the order in which they began. It belongs to a Server
-// and is used on the event loop only. requestTimeout and the buffers that its requests hold bound it.
+// incompleteRequests lists the requests that have not been received completely, oldest first. It belongs to a Server
+// and is used only on the event loop. Its size is bounded by requestTimeout and by the size of the buffer pool.
 type incompleteRequests struct{ requests orderedList[*request] }
 
-// add adds a request that begins.
+// add appends a new request.
 func (l *incompleteRequests) add(begun *request) { begun.incompleteElement = l.requests.add(begun) }
 
-// remove removes a request of which nothing more is awaited. It may be called again.
+// remove removes a request that is complete or has ended. Repeated calls have no effect.
 func (l *incompleteRequests) remove(done *request) {
 	if done.incompleteElement != nil {
 		l.requests.remove(done.incompleteElement)
@@ -51,13 +52,14 @@
 	}
 }
 
-// oldest returns the request that began first; false if all are complete.
+// oldest returns the oldest request. It returns false if all requests are complete.
 func (l *incompleteRequests) oldest() (*request, bool) { return l.requests.first() }
 
-// borrowBuffer returns a buffer of the pool for a request, or nil if none is free.
+// borrowBuffer returns a buffer from the pool for a request, or nil if none is free.
 //
-// It guards against requests that begin by the thousand and are never completed: until they time out they would hold all
-// buffers. The one that began first is rejected, once it has had as long as a client takes that means to send it.
+// If the pool is empty, it rejects the oldest incomplete request, provided that this request is older than
+// firstRequestGrace. Otherwise thousands of requests that are begun but never completed could hold all buffers until
+// they time out.
 func (s *Server) borrowBuffer(borrower *request) *bufferpool.Buffer {
 	buffer := s.pool.Get()
 	for buffer == nil {
@@ -66,9 +68,9 @@
 			return nil
 		}
 		if oldest == borrower || s.loop.Now()-oldest.begunAt < firstRequestGrace {
-			return nil // those after it are younger
+			return nil // all other requests are younger
 		}
-		oldest.reject(http.StatusRequestTimeout, errBuffersNeeded)
+		oldest.reject(http.StatusRequestTimeout, errBuffersReclaimed)
 		buffer = s.pool.Get()
 	}
 	return buffer
--- a/internal/frontend/fastcgi/call.go
+++ b/internal/frontend/fastcgi/call.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// classPath begins the path of a call; the name of the class follows.
+	// classPath is the path prefix of a call. The name of the class follows it.
 	classPath = "/rpc/"
 	// healthPath is the path of a health check.
 	healthPath = "/health"
 
-	// maxBudget bounds how long a client may say that it waits; a longer time is rejected as nonsense.
+	// maxBudget is the longest time budget that is accepted as valid.
 	maxBudget = 10 * time.Minute
-	// budgetBits is the size of the integer, in milliseconds, that a budget must fit into.
+	// budgetBits is the size in bits of the integer that holds a budget in milliseconds.
 	budgetBits = 31
 
 	maxIdempotencyKeyLen = 128
 	hexIDLen             = 16
 )
 
-// fields are the parameters of a request that mean something to the scheduler, as the client sent them.
+// fields holds the parameters of a request that the scheduler uses, unvalidated, as the client sent them.
 type fields struct {
 	path           string        // SCRIPT_NAME
 	method         string        // REQUEST_METHOD
@@ -39,11 +39,11 @@
 	idempotencyKey string        // Once-Key
 	budgetMS       string        // Budget-Ms
 	spec           string        // X-Spec
-	ruleParams     []match.Param // by slot, those that rules read
+	ruleParams     []match.Param // by slot; the parameters that rules read
 }
 
-// parseFields reads the parameters of a request. Those that rules read, named in slotByParam, go into their slots of
-// ruleParams. The error is errTruncatedPair.
+// parseFields parses the parameters of a request. Parameters named in slotByParam, which rules read, are stored in
+// their slots of ruleParams. The only error is errTruncatedPair.
 func parseFields(params []byte, slotByParam map[string]int) (fields, error) {
 	var parsed fields
 	known := map[string]*string{
@@ -70,43 +70,44 @@
 	return parsed, err
 }
 
-// budget is the time that the client waits for an answer. An error means that it is no number.
+// budget parses how long the client waits for a response.
 func (f *fields) budget() (time.Duration, error) {
 	ms, err := strconv.ParseUint(f.budgetMS, 10, budgetBits)
 	return time.Duration(ms) * time.Millisecond, err
 }
 
-// call validates the fields of a request. What passes can be written to a worker as it is.
+// call validates the fields and converts them to a dispatch.Call. The strings of a valid call are safe to write to a
+// worker without escaping.
 func (f *fields) call(settings *deployment.Settings, classByName map[string]int) (dispatch.Call, error) {
 	name, underClassPath := strings.CutPrefix(f.path, classPath)
 	class, known := classByName[name]
 	if !underClassPath || !known {
-		return dispatch.Call{}, fmt.Errorf("path %.40q", f.path)
+		return dispatch.Call{}, fmt.Errorf("unknown path %.40q", f.path)
 	}
 	call := dispatch.Call{ID: f.id, Class: class, Function: f.function, IdempotencyKey: f.idempotencyKey}
 	if !isHexID(f.id) {
-		return call, fmt.Errorf("Request-Id %.40q", f.id)
+		return call, fmt.Errorf("invalid Request-Id %.40q", f.id)
 	}
 	if !isHexID(f.function) {
-		return call, fmt.Errorf("Resource-Key %.40q", f.function)
+		return call, fmt.Errorf("invalid Resource-Key %.40q", f.function)
 	}
 	budget, err := f.budget()
 	if err != nil || budget == 0 || budget > maxBudget {
-		return call, fmt.Errorf("Budget-Ms %.40q", f.budgetMS)
+		return call, fmt.Errorf("invalid Budget-Ms %.40q", f.budgetMS)
 	}
 	call.TimeLeft = budget
 	if f.idempotencyKey == "" && settings.Classes[class].Idempotency == routing.IdempotentByKey {
-		return call, errors.New("no Once-Key")
+		return call, errors.New("missing Once-Key")
 	}
 	if !isIdempotencyKey(f.idempotencyKey) {
-		return call, fmt.Errorf("Once-Key %.40q", f.idempotencyKey)
+		return call, fmt.Errorf("invalid Once-Key %.40q", f.idempotencyKey)
 	}
 	err = parseSpec(f.spec, &call)
 	return call, err
 }
 
-// parseSpec reads what the client knows of the function, as in memory_mb:512;lanes:2, into a call. Unknown names are
-// skipped. What stands before a part that is malformed has been read when the error is returned.
+// parseSpec parses the client's description of the function, such as memory_mb:512;lanes:2, into a call. It ignores
+// unknown names. It stops at the first malformed item; the items before it have been stored in the call.
 func parseSpec(spec string, call *dispatch.Call) error {
 	if spec == "" {
 		return nil
@@ -115,7 +116,7 @@
 		name, text, found := strings.Cut(item, ":")
 		value, err := strconv.ParseFloat(text, 64)
 		if !found || err != nil || math.IsNaN(value) || value < 0 || value > math.MaxInt32 {
-			return fmt.Errorf("X-Spec %.40q", item)
+			return fmt.Errorf("invalid X-Spec item %.40q", item)
 		}
 		switch name {
 		case "memory_mb":
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// isHexID reports whether a text is 16 hexadecimal digits, of either case.
+// isHexID reports whether text consists of 16 hexadecimal digits in either case.
 func isHexID(text string) bool {
 	if len(text) != hexIDLen {
 		return false
@@ -142,8 +143,8 @@
 	return true
 }
 
-// isIdempotencyKey reports whether a key can be written to a worker as an element of a list. The empty key, which stands
-// for none, can.
+// isIdempotencyKey reports whether key can be written to a worker as an element of a list. The empty key, which means
+// no key, is valid.
 func isIdempotencyKey(key string) bool {
 	if len(key) > maxIdempotencyKeyLen {
 		return false
--- a/internal/frontend/fastcgi/call_internal_test.go
+++ b/internal/frontend/fastcgi/call_internal_test.go
@@ -8,7 +8,7 @@
 	"calicohill/routing"
 )
 
-// ordinaryParams is the content of the PARAMS stream of an ordinary request, as it stands in the request's records.
+// ordinaryParams returns the content of the PARAMS stream of a typical request.
 func ordinaryParams(tb testing.TB) []byte {
 	tb.Helper()
 	var params []byte
--- a/internal/frontend/fastcgi/client.go
+++ b/internal/frontend/fastcgi/client.go
@@ -16,42 +16,42 @@
 	"time"
 )
 
-// Request is a request as a client makes it.
+// Request is a request that a client sends.
 type Request struct {
 	Path           string        // SCRIPT_NAME, as in /rpc/consulta
 	ID             string        // Request-Id: 16 hexadecimal digits, unique for each request
 	Function       string        // Resource-Key: 16 hexadecimal digits
-	IdempotencyKey string        // Once-Key; "" if none
-	Budget         time.Duration // how long the client waits for the answer; sent as a millisecond if it is less
-	Spec           string        // X-Spec; "" if none
-	Params         []Param       // further parameters; one without a value is not sent
+	IdempotencyKey string        // Once-Key; "" for none
+	Budget         time.Duration // how long the client waits for the response; at least 1 ms is sent
+	Spec           string        // X-Spec; "" for none
+	Params         []Param       // additional parameters; those with an empty value are not sent
 	Body           []byte
 }
 
-// Param is a parameter of a request, as CGI names them: HTTP_X_CENTRE is the header X-Centre.
+// Param is a CGI parameter of a request. The header X-Centre, for example, is named HTTP_X_CENTRE.
 type Param struct {
 	Name  string
 	Value string
 }
 
-// Reply is the answer to a Request.
+// Reply is the response to a Request.
 type Reply struct {
 	Status     int           // HTTP status; 0 if the scheduler ended the request as OVERLOADED
-	RetryAfter time.Duration // 0 if the scheduler gave no advice
+	RetryAfter time.Duration // 0 if the scheduler sent none
 	Body       []byte
 }
 
-// Outcome is how a request ended, by its reply. Its text is the protocol's word.
+// Outcome classifies how a request ended. Its value is the protocol's term for the outcome.
 type Outcome string
 
 // The outcomes of requests.
 const (
 	OutcomeServed   Outcome = "served"
-	OutcomeRejected Outcome = "refused" // a retry is harmless
+	OutcomeRejected Outcome = "refused" // safe to retry
 	OutcomeFailed   Outcome = "failed"
 )
 
-// Outcome tells served, rejected and failed requests apart, as the protocol does.
+// Outcome returns the outcome that the protocol defines for the status of the reply.
 func (r Reply) Outcome() Outcome {
 	switch r.Status {
 	case http.StatusOK:
@@ -63,23 +63,23 @@
 	}
 }
 
-// ErrTooManyRequests is the error of a Client that has as many requests open as a connection carries.
+// ErrTooManyRequests is returned by Client.Do if the connection already has the maximum number of open requests.
 var ErrTooManyRequests = errors.New("fastcgi: 32 requests are open on the connection")
 
-// Client is a connection to a scheduler that carries up to 32 requests at a time. It is safe for concurrent use.
-// When the connection breaks, all requests that are open on it fail, and so does every later one.
+// Client is a connection to a scheduler that carries up to 32 concurrent requests. It is safe for concurrent use.
+// When the connection breaks, all open requests and all later requests fail.
 type Client struct {
 	conn net.Conn
 
 	mu      sync.Mutex
 	pending map[requestID]*pendingReply
 	lastID  requestID
-	err     error // why the connection has ended; nil while it has not
+	err     error // why the connection ended; nil while it is open
 }
 
-// pendingReply is a request that waits for its reply.
+// pendingReply collects the reply to an open request.
 type pendingReply struct {
-	reply  chan Reply // closed without a Reply when the connection ends
+	reply  chan Reply // closed without a value when the connection ends
 	stdout []byte
 }
 
@@ -98,8 +98,8 @@
 // Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Do sends a request and waits for its reply. When the context ends first, the request is aborted. The error is
-// ErrTooManyRequests, the context's, or what ended the connection.
+// Do sends a request and waits for its reply. If the context ends first, it aborts the request. The error is
+// ErrTooManyRequests, the error of the context, or the error that ended the connection.
 func (c *Client) Do(ctx context.Context, request Request) (Reply, error) {
 	id, pending, err := c.send(request)
 	if err != nil {
@@ -116,14 +116,14 @@
 	case <-ctx.Done():
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		// The ID stays in use until the scheduler has ended the request too.
-		// A failed write is a broken connection, which readLoop notices.
+		// The ID stays in use until the scheduler ends the request.
+		// A failed write means that the connection is broken, which readLoop detects.
 		_, _ = c.conn.Write(appendHeader(nil, typeAbortRequest, id, 0))
 		return Reply{}, ctx.Err()
 	}
 }
 
-// send writes a request under an ID that is not in use.
+// send writes a request with an unused ID.
 func (c *Client) send(request Request) (requestID, *pendingReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +143,7 @@
 	return id, pending, nil
 }
 
-// nextID returns the next ID that is not in use. There is one, since fewer than maxRequestsPerConn are.
+// nextID returns the next unused ID. One exists, because fewer than maxRequestsPerConn IDs are in use.
 func (c *Client) nextID() requestID {
 	c.lastID++
 	for c.lastID == noRequest || c.pending[c.lastID] != nil {
@@ -160,7 +160,7 @@
 	return appendStream(buf, typeStdin, id, request.Body, nil)
 }
 
-// requestParams is the content of the PARAMS stream of a request.
+// requestParams returns the content of the PARAMS stream of a request.
 func requestParams(request Request) []byte {
 	budgetMS := max(request.Budget.Milliseconds(), 1)
 	params := append([]Param{
@@ -180,20 +180,20 @@
 	return stream
 }
 
-// readLoop reads replies until the connection ends, and fails the requests that are open then.
+// readLoop reads replies until the connection ends, and then fails all open requests.
 func (c *Client) readLoop() {
 	err := c.readRecords(bufio.NewReader(c.conn))
 	c.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.err = fmt.Errorf("fastcgi: the connection ended: %w", err)
+	c.err = fmt.Errorf("fastcgi: connection ended: %w", err)
 	for id, pending := range c.pending {
 		delete(c.pending, id)
 		close(pending.reply)
 	}
 }
 
-// readRecords handles records until one cannot be read or understood.
+// readRecords reads and handles records until an error occurs.
 func (c *Client) readRecords(r io.Reader) error {
 	buf := make([]byte, headerLen+maxContentLen+maxPaddingLen)
 	for {
@@ -216,7 +216,7 @@
 	}
 }
 
-// handleRecord handles a record of a reply. Those of requests that are not open are ignored.
+// handleRecord handles a record of a reply. Records of requests that are not open are ignored.
 func (c *Client) handleRecord(rec record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,7 +227,7 @@
 		pending.stdout = append(pending.stdout, rec.content...)
 	case rec.kind == typeEndRequest && len(rec.content) == controlBodyLen:
 		delete(c.pending, rec.id)
-		reply, err := replyOf(pending.stdout, protocolStatus(rec.content[4]))
+		reply, err := newReply(pending.stdout, protocolStatus(rec.content[4]))
 		if err != nil {
 			return err
 		}
@@ -236,27 +236,27 @@
 	return nil
 }
 
-// replyOf is the reply to a request that has ended.
-func replyOf(stdout []byte, status protocolStatus) (Reply, error) {
+// newReply returns the reply to a request that has ended.
+func newReply(stdout []byte, status protocolStatus) (Reply, error) {
 	if status != statusComplete || len(stdout) == 0 {
 		return Reply{}, nil
 	}
 	return parseReply(stdout)
 }
 
-// parseReply reads the header fields and the body of a reply.
+// parseReply parses the header fields and the body of a reply.
 func parseReply(stdout []byte) (Reply, error) {
 	reader := bufio.NewReader(bytes.NewReader(stdout))
 	header, err := textproto.NewReader(reader).ReadMIMEHeader()
 	if err != nil {
-		return Reply{}, fmt.Errorf("answer: %w", err)
+		return Reply{}, fmt.Errorf("malformed reply: %w", err)
 	}
 	var reply Reply
 	code, _, _ := bytes.Cut([]byte(header.Get("Status")), []byte(" "))
 	if reply.Status, err = strconv.Atoi(string(code)); err != nil {
-		return reply, fmt.Errorf("answer: status %.40q", header.Get("Status"))
+		return reply, fmt.Errorf("malformed reply: status %.40q", header.Get("Status"))
 	}
-	retryAfterMS, _ := strconv.Atoi(header.Get(retryAfterHeader)) // none, or a malformed one, is no advice
+	retryAfterMS, _ := strconv.Atoi(header.Get(retryAfterHeader)) // a missing or malformed value means no advice
 	reply.RetryAfter = time.Duration(retryAfterMS) * time.Millisecond
 	reply.Body, err = io.ReadAll(reader)
 	return reply, err
--- a/internal/frontend/fastcgi/connection.go
+++ b/internal/frontend/fastcgi/connection.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// requestTimeout is how long a request may take from its first record to its last, a record from its first byte to
-	// its last, and a new connection until its first request is complete. Whoever sends anything else, or nothing, is
-	// owed an answer or a close within 3 s of connecting.
+	// requestTimeout limits the time from the first to the last record of a request, from the first to the last byte of
+	// a record, and from the accept of a connection to its first complete request. Every client must get a response
+	// or a close within 3 s of connecting, whatever it sends.
 	requestTimeout = 2 * time.Second
-	// lingerTimeout is how long a connection that is to be closed is kept for what has not been sent on it yet.
+	// lingerTimeout limits how long the close of a connection is delayed by unsent bytes.
 	lingerTimeout = 3 * time.Second
-	// lingerPollInterval is how often a connection that is to be closed is checked for unsent bytes.
+	// lingerPollInterval is the interval at which a lingering connection is checked for unsent bytes.
 	lingerPollInterval = 20 * time.Millisecond
 )
 
-// conn is a client's connection, from its accept to its close: its records, the wait for input, and the wait for unsent
-// answers before a close. It is an eventloop.ConnHandler and is used on the event loop only. It carries at most
-// maxRequestsPerConn requests, and at most maxUnsentPerConn bytes wait on it.
+// conn is a client's connection from accept to close. It handles records, limits the wait for input, and lingers until
+// responses are sent before it closes. It implements eventloop.ConnHandler and is used only on the event loop. It
+// carries at most maxRequestsPerConn requests and buffers at most maxUnsentPerConn unsent bytes.
 type conn struct {
-	server    *Server
-	socket    gnet.Conn // nil once it is closed
-	clientIP  string    // the client's address, once it was asked for
-	requests  map[requestID]*request
-	unreadFor time.Duration // how long the latest bytes had waited to be read
-
-	established bool    // a request was complete on it, or was answered
-	listing     listing // the connTable's
-
-	reading       bool           // records that were read are being handled
-	timer         deadline.Timer // for input or, while the connection lingers, for output
-	awaitingInput bool           // timer is set for the first request, or for the rest of a record
-	closeWhenIdle bool           // close it once no request is open
-	lingerUntil   time.Duration  // it lingers: nothing more is read, and it is closed by then; 0 if it does not
+	server     *Server
+	socket     gnet.Conn // nil after the close
+	clientIP   string    // cache of clientAddress; "" until its first call
+	requests   map[requestID]*request
+	unreadTime time.Duration // how long the latest bytes waited in the receive buffer
+
+	established bool      // a request was completed or answered
+	listEntry   listEntry // owned by the connTable
+
+	reading       bool           // Readable is handling records
+	timer         deadline.Timer // for input, or for output while the connection lingers
+	awaitingInput bool           // timer is set for the first request or for the rest of a record
+	closeWhenIdle bool           // close once no request is open
+	lingerUntil   time.Duration  // latest time of the close while the connection lingers; 0 if it does not linger
 }
 
-// Opened does nothing: the client speaks first.
+// Opened does nothing, because the client sends first.
 func (c *conn) Opened(gnet.Conn) {}
 
-// Readable handles the records that have arrived. An error closes the connection.
+// Readable handles the records that were received. An error closes the connection.
 func (c *conn) Readable(socket gnet.Conn) error {
-	c.server.noteReceived()
+	c.server.recordReceived()
 	if c.lingerUntil > 0 {
 		discardAll(socket)
 		return nil
 	}
-	c.unreadFor = eventloop.UnreadFor(socket)
+	c.unreadTime = eventloop.UnreadFor(socket)
 	c.reading = true
 	for {
 		more, err := c.readRecord(socket)
@@ -64,8 +64,8 @@
 	}
 }
 
-// closeIfDrained closes a connection of a server that drains, if nothing is open on it: no request, no part of one that was
-// read already, and no answer that is not sent.
+// closeIfDrained closes the connection if the server is draining and the connection has no open request, no partially
+// received record and no unsent response.
 func (c *conn) closeIfDrained() {
 	if !c.server.draining || c.socket == nil || c.reading || c.awaitingInput || len(c.requests) > 0 {
 		return
@@ -75,9 +75,9 @@
 	}
 }
 
-// readRecord handles the next record if all of it has arrived, and reports whether another may follow it.
+// readRecord handles the next record if it was received completely. It reports whether another record may follow.
 func (c *conn) readRecord(socket gnet.Conn) (more bool, err error) {
-	buf, _ := socket.Peek(-1) // it is an error only to ask for more than there is
+	buf, _ := socket.Peek(-1) // Peek fails only if more is requested than is buffered
 	if len(buf) == 0 {
 		return false, nil
 	}
@@ -93,11 +93,11 @@
 		err = c.handleRecord(rec)
 	}
 	if err != nil {
-		c.server.warn("client closed: protocol error", err)
+		c.server.warn("client connection closed: protocol error", err)
 		return false, err
 	}
 	if c.socket == nil {
-		return false, nil // closed by the record
+		return false, nil // handling the record closed the connection
 	}
 	if c.lingerUntil > 0 {
 		discardAll(socket)
@@ -109,11 +109,11 @@
 	return true, nil
 }
 
-// discardAll drops what a client has sent on a connection that is to be closed, whatever the result.
+// discardAll drops the input of a connection that is about to be closed. Errors do not matter there.
 func discardAll(socket gnet.Conn) { _, _ = socket.Discard(-1) }
 
-// handleRecord handles a record. An error, which wraps errFraming, means that what follows on the connection cannot be
-// understood. Records of requests that are not open, or that have ended their streams, are ignored.
+// handleRecord handles a record. Records of requests that are not open and records of streams that have ended are
+// ignored. An error wraps errFraming and means that the rest of the connection cannot be parsed.
 func (c *conn) handleRecord(rec record) error {
 	if rec.id == noRequest {
 		return c.handleManagementRecord(rec)
@@ -148,7 +148,8 @@
 	return nil
 }
 
-// markEstablished notes that the client sends complete requests: from now on only the rest of a record is awaited.
+// markEstablished records that the client has completed a request. From now on, the input timer runs only while a
+// record is incomplete.
 func (c *conn) markEstablished() {
 	if !c.established {
 		c.established = true
@@ -157,8 +158,8 @@
 	c.server.conns.update(c, c.server.loop.Now())
 }
 
-// endRequest removes a request that has ended and writes its last records. The connection is closed after its last
-// request if a client asked for that.
+// endRequest removes a request that has ended and writes its last records. If a request did not ask to keep the
+// connection open, the connection is closed after the last open request.
 func (c *conn) endRequest(ended *request, records []byte) {
 	delete(c.requests, ended.id)
 	c.markEstablished()
@@ -172,8 +173,8 @@
 	c.closeIfDrained()
 }
 
-// startInputTimer bounds the wait for the first request, or for the rest of a record. It does not extend a wait that has
-// begun.
+// startInputTimer limits the wait for the first request or for the rest of a record. It does not restart a running
+// timer.
 func (c *conn) startInputTimer() {
 	if !c.awaitingInput {
 		c.awaitingInput = true
@@ -188,8 +189,8 @@
 	}
 }
 
-// timerFired goes on with a lingering connection, and closes one whose input did not come. Requests that the dispatcher
-// has are answered first.
+// timerFired closes a connection whose input timed out, or continues the close of a lingering one. A connection with
+// submitted requests stays open until they are answered.
 func (c *conn) timerFired() {
 	c.awaitingInput = false
 	if c.lingerUntil > 0 {
@@ -202,17 +203,16 @@
 			return
 		}
 	}
-	c.server.warn("client closed: no complete request or record in time", nil)
+	c.server.warn("client connection closed: timed out waiting for a complete request or record", nil)
 	for _, req := range c.requests {
 		req.respond(http.StatusRequestTimeout, "", nil)
 	}
 	c.closeWhenSent()
 }
 
-// closeWhenSent closes the connection once everything that was written is sent, after lingerTimeout at the latest.
-// Nothing more is read.
+// closeWhenSent stops reading and closes the connection once all written bytes are sent, or after lingerTimeout.
 //
-// It guards against truncated answers: what the system does not take at once waits in the program, and a close drops it.
+// An immediate close would truncate responses, because it drops bytes that the kernel has not accepted yet.
 func (c *conn) closeWhenSent() {
 	if c.socket == nil {
 		return
@@ -231,12 +231,12 @@
 
 func (c *conn) close() {
 	if c.socket != nil {
-		// On the event loop gnet closes the connection at once and calls Closed, whatever the error.
+		// On the event loop, gnet closes the connection and calls Closed before it returns, whatever the error.
 		_ = c.socket.EventLoop().Close(c.socket)
 	}
 }
 
-// Closed releases the requests that are open, and withdraws those that the dispatcher has.
+// Closed releases the open requests and cancels those that were submitted to the dispatcher.
 func (c *conn) Closed(gnet.Conn, error) {
 	server := c.server
 	c.socket = nil
--- a/internal/frontend/fastcgi/connection_table.go
+++ b/internal/frontend/fastcgi/connection_table.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// firstRequestGrace is how long after connecting a client that means to send a request has done so.
+	// firstRequestGrace is the time in which a well-behaved client sends its first request after connecting.
 	firstRequestGrace = 250 * time.Millisecond
-	// clientKeepAlive is how long after its last request a client closes a connection by itself.
+	// clientKeepAlive is the time after which clients close an idle connection themselves.
 	clientKeepAlive = 4 * time.Second
 )
 
-// connTable knows how many connections are open, at most maxConns, and which of them would be missed least. It belongs to
-// a Server and is used on the event loop only.
+// connTable tracks the open connections, at most maxConns, and selects connections to evict. It belongs to a Server and
+// is used only on the event loop.
 type connTable struct {
 	maxConns       int
 	open           map[*conn]struct{}
-	withoutRequest orderedList[*conn] // no request was complete on it yet; in the order they were accepted
-	idle           orderedList[*conn] // the others without an open request; in the order they became idle
+	withoutRequest orderedList[*conn] // have not completed a request yet; in order of accept
+	idle           orderedList[*conn] // have completed a request and have none open; in the order they became idle
 }
 
-// listing is a connection's place in a connTable, which alone changes it.
-type listing struct {
-	list    *orderedList[*conn] // nil if no list holds the connection
+// listEntry is a connection's position in the lists of a connTable. Only the connTable changes it.
+type listEntry struct {
+	list    *orderedList[*conn] // nil if the connection is in no list
 	element *list.Element
 	since   time.Duration // when the connection was added to that list
 }
 
-// isFull reports whether as many connections are open as may be.
+// isFull reports whether the connection limit is reached.
 func (t *connTable) isFull() bool { return len(t.open) >= t.maxConns }
 
 // list returns all open connections.
 func (t *connTable) list() []*conn { return slices.Collect(maps.Keys(t.open)) }
 
-// add adds a connection that was accepted now.
+// add adds a newly accepted connection.
 func (t *connTable) add(accepted *conn, now time.Duration) {
 	t.open[accepted] = struct{}{}
 	t.update(accepted, now)
@@ -51,24 +51,23 @@
 // update moves a connection to the list that matches its state.
 func (t *connTable) update(moved *conn, now time.Duration) {
 	target := t.matchingList(moved)
-	if target == moved.listing.list {
+	if target == moved.listEntry.list {
 		return
 	}
 	t.unlist(moved)
 	if target != nil {
-		moved.listing = listing{list: target, element: target.add(moved), since: now}
+		moved.listEntry = listEntry{list: target, element: target.add(moved), since: now}
 	}
 }
 
 func (t *connTable) unlist(listed *conn) {
-	if listed.listing.list != nil {
-		listed.listing.list.remove(listed.listing.element)
+	if listed.listEntry.list != nil {
+		listed.listEntry.list.remove(listed.listEntry.element)
 	}
-	listed.listing = listing{}
+	listed.listEntry = listEntry{}
 }
 
-// matchingList is the list of connections without a request or of idle ones; nil for a connection that is closed or has
-// requests open.
+// matchingList returns the list that a connection belongs in, or nil if the connection is closed or has open requests.
 func (t *connTable) matchingList(c *conn) *orderedList[*conn] {
 	switch {
 	case c.socket == nil:
@@ -82,11 +81,14 @@
 	}
 }
 
-// evictionCandidate returns the connection that will be missed least, or nil: a connection idle for longer than clients keep
-// any; else one whose first request is overdue; else the one idle for longest; else the one accepted first.
+// evictionCandidate returns the connection to close in favor of a new one, or nil. In order of preference, it is:
+//  1. the connection that has been idle longest, if longer than clientKeepAlive;
+//  2. the oldest connection without a request, if older than firstRequestGrace;
+//  3. the connection that has been idle longest;
+//  4. the oldest connection without a request.
 //
-// It guards against clients that occupy connections for good so that others find no capacity. Where each request comes
-// on a connection of its own, the connection accepted last must not be the next to go: its request is on its way.
+// Eviction keeps clients that hold connections without using them from locking out others. The newest connection is the
+// last choice: where clients open a connection for each request, its request is about to arrive.
 func (t *connTable) evictionCandidate(now time.Duration) *conn {
 	victim, idleFor := oldestFlushed(&t.idle, now)
 	silent, silentFor := oldestFlushed(&t.withoutRequest, now)
@@ -96,12 +98,12 @@
 	return victim
 }
 
-// oldestFlushed returns the first connection of a list that has nothing unsent, and for how long it has been in the
-// list; nil and 0 if there is none. A connection whose answer is not sent completely is idle in name only.
+// oldestFlushed returns the first connection of a list that has no unsent bytes, and how long it has been in the list.
+// It returns nil and 0 if there is none. A connection with unsent bytes is not idle: part of its response is missing.
 func oldestFlushed(conns *orderedList[*conn], now time.Duration) (*conn, time.Duration) {
 	for candidate := range conns.all() {
 		if candidate.socket.OutboundBuffered() == 0 {
-			return candidate, now - candidate.listing.since
+			return candidate, now - candidate.listEntry.since
 		}
 	}
 	return nil, 0
--- a/internal/frontend/fastcgi/fuzz_internal_test.go
+++ b/internal/frontend/fastcgi/fuzz_internal_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzParse reads any bytes as records, and their contents as name-value pairs: nothing may be read past its end,
-// and each record must take something.
+// FuzzParse parses arbitrary bytes as records and their contents as name-value pairs. It fails if the parser reads past
+// the end of the input or returns a record shorter than a header.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{1, 1, 0, 1, 0, 8, 0, 0, 0, 1, 1, 0, 0, 0, 0, 0})
 	f.Add([]byte{1, 4, 0, 1, 0, 9, 3, 0, 0x80, 0, 0, 1, 1, 'a', 'b', 0, 0, 0, 0, 0})
--- a/internal/frontend/fastcgi/ordered_list.go
+++ b/internal/frontend/fastcgi/ordered_list.go
@@ -5,17 +5,16 @@
 	"iter"
 )
 
-// orderedList holds values in the order in which they were added, any of which can be removed. The zero orderedList is
-// empty.
+// orderedList holds values in insertion order and supports the removal of any of them. The zero value is an empty list.
 type orderedList[T any] struct{ elements list.List }
 
-// add appends a value and returns what remove takes.
+// add appends a value and returns the element to pass to remove.
 func (l *orderedList[T]) add(value T) *list.Element { return l.elements.PushBack(value) }
 
 // remove removes a value that is in the list.
 func (l *orderedList[T]) remove(element *list.Element) { l.elements.Remove(element) }
 
-// all iterates over the values, the one added first first.
+// all iterates over the values in insertion order.
 func (l *orderedList[T]) all() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for element := l.elements.Front(); element != nil; element = element.Next() {
@@ -26,7 +25,7 @@
 	}
 }
 
-// first returns the value that was added first; false if the list is empty.
+// first returns the value that was added first. It returns false if the list is empty.
 func (l *orderedList[T]) first() (value T, ok bool) {
 	for value = range l.all() {
 		return value, true
--- a/internal/frontend/fastcgi/record.go
+++ b/internal/frontend/fastcgi/record.go
@@ -10,7 +10,7 @@
 // recordType is the type of a FastCGI record.
 type recordType uint8
 
-// The record types of FastCGI 1.0 that mean something here.
+// The record types of FastCGI 1.0 that this package uses.
 const (
 	typeBeginRequest    recordType = 1
 	typeAbortRequest    recordType = 2
@@ -27,14 +27,14 @@
 // protocolStatus is the protocol status of an END_REQUEST record.
 type protocolStatus uint8
 
-// The protocol statuses that are sent.
+// The protocol statuses that the server sends.
 const (
 	statusComplete    protocolStatus = 0
 	statusOverloaded  protocolStatus = 2
 	statusUnknownRole protocolStatus = 3
 )
 
-// The other constants of the protocol.
+// Other constants of the protocol.
 const (
 	protocolVersion = 1
 	roleResponder   = 1
@@ -46,18 +46,20 @@
 	// controlBodyLen is the length of the content of BEGIN_REQUEST, END_REQUEST and UNKNOWN_TYPE records.
 	controlBodyLen = 8
 
-	// A length of a name or a value takes one byte, or from longLength on four bytes with the highest bit set.
+	// The length of a name or a value takes one byte if it is below longLength. Otherwise it takes four bytes, and the
+	// highest bit is set.
 	longLength     = 0x80
 	longLengthFlag = 1 << 31
 	longLengthSize = 4
 )
 
-// requestID is the number of a request on its connection. noRequest is that of the records that manage a connection.
+// requestID identifies a request on its connection. Management records, which concern the connection, have the ID
+// noRequest.
 type requestID uint16
 
 const noRequest requestID = 0
 
-// record is one record of the protocol. Its content is part of the buffer that it was read from.
+// record is a FastCGI record. Its content aliases the buffer that it was parsed from.
 type record struct {
 	kind    recordType
 	id      requestID
@@ -65,12 +67,12 @@
 }
 
 var (
-	errFraming       = errors.New("broken framing")
-	errTruncatedPair = errors.New("name-value pair cut short")
+	errFraming       = errors.New("invalid FastCGI framing")
+	errTruncatedPair = errors.New("truncated name-value pair")
 )
 
-// parseRecord reads the record at the start of a buffer and returns how many bytes it takes, padding included; 0 means
-// that the record is not complete yet. An error, which wraps errFraming, means that no record begins there.
+// parseRecord parses the record at the start of a buffer and returns its size in bytes, including padding. The size is
+// 0 if the record is incomplete. An error wraps errFraming and means that the buffer does not start with a record.
 func parseRecord(buf []byte) (rec record, size int, err error) {
 	if len(buf) < headerLen {
 		return record{}, 0, nil
@@ -92,7 +94,7 @@
 	return rec, size, nil
 }
 
-// forEachPair calls visit for each name-value pair of a stream, up to the first that is truncated, for which it returns
+// forEachPair calls visit for each name-value pair of a stream. It stops at a truncated pair and returns
 // errTruncatedPair.
 func forEachPair(stream []byte, visit func(name, value []byte)) error {
 	for len(stream) > 0 {
@@ -104,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		// With 64 bits, since two lengths whose sum needs more than 32 would look short.
+		// The sum of two lengths can overflow 32 bits.
 		pairLen := uint64(nameLen) + uint64(valueLen)
 		if pairLen > uint64(len(rest)) {
 			return errTruncatedPair
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// readLength reads the length of a name or a value, and returns what follows it.
+// readLength reads the length of a name or a value and returns the rest of the buffer.
 func readLength(buf []byte) (length uint32, rest []byte, err error) {
 	switch {
 	case len(buf) >= 1 && buf[0] < longLength:
@@ -127,7 +129,7 @@
 	}
 }
 
-// appendLength appends the length of a name or a value.
+// appendLength appends the encoded length of a name or a value.
 func appendLength(buf []byte, length int) []byte {
 	if length < longLength {
 		return append(buf, byte(length))
@@ -143,13 +145,13 @@
 	return append(buf, value...)
 }
 
-// appendHeader appends the header of a record without padding.
+// appendHeader appends the header of a record that has no padding.
 func appendHeader(buf []byte, kind recordType, id requestID, contentLen int) []byte {
 	return append(buf, protocolVersion, byte(kind), byte(id>>8), byte(id), byte(contentLen>>8), byte(contentLen), 0, 0)
 }
 
-// appendStream appends a stream of records and the empty record that ends it. The content of the stream is head followed
-// by body.
+// appendStream appends the records of a stream, including the empty record that ends it. The content of the stream is
+// head followed by body.
 func appendStream(buf []byte, kind recordType, id requestID, head, body []byte) []byte {
 	for len(head)+len(body) > 0 {
 		contentLen := min(len(head)+len(body), maxContentLen)
@@ -170,14 +172,14 @@
 	return append(buf, 0, 0, 0, 0, byte(status), 0, 0, 0)
 }
 
-// appendUnknownType appends the answer to a record whose type is not known.
+// appendUnknownType appends the response to a record of an unknown type.
 func appendUnknownType(buf []byte, kind recordType) []byte {
 	buf = appendHeader(buf, typeUnknownType, noRequest, controlBodyLen)
 	return append(buf, byte(kind), 0, 0, 0, 0, 0, 0, 0)
 }
 
-// appendGetValuesResult appends the answer to a GET_VALUES record with the given content: those of the variables asked
-// for that are known, each once.
+// appendGetValuesResult appends the response to a GET_VALUES record with the given content. The response contains each
+// requested variable once and omits unknown ones.
 func appendGetValuesResult(buf, content []byte, maxConns int) ([]byte, error) {
 	values := map[string]string{
 		"FCGI_MAX_CONNS":  strconv.Itoa(maxConns),
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -15,39 +15,39 @@
 	"calicohill/internal/runtime/slotmap"
 )
 
-// Reasons to reject a request, as they are logged.
+// Reasons for rejecting a request. They appear in the log.
 var (
-	errRequestTimeout   = errors.New("request not complete in time")
-	errBuffersNeeded    = errors.New("incomplete request dropped, its buffers were needed")
+	errRequestTimeout   = errors.New("timed out waiting for the complete request")
+	errBuffersReclaimed = errors.New("incomplete request dropped to free its buffers")
 	errParamsTooLong    = errors.New("parameters too long")
-	errBodyBeforeParams = errors.New("body ended before the parameters")
+	errBodyBeforeParams = errors.New("body ended before the parameters were complete")
 )
 
-// request is a request on a connection, from its BEGIN_REQUEST to its END_REQUEST: its streams, its validation, and its
-// one answer. It belongs to its conn and is used on the event loop only. Parameters and body take at most one buffer of the
-// pool each, and it has to be complete within requestTimeout.
+// request is a request on a connection, from BEGIN_REQUEST to END_REQUEST. It collects the streams, validates them and
+// writes exactly one response. It belongs to its conn and is used only on the event loop. Parameters and body use at
+// most one pooled buffer each. The request must be received completely within requestTimeout.
 type request struct {
-	ref      slotmap.Ref // the tag of the call that it becomes
+	ref      slotmap.Ref // key in Server.requests; passed to the dispatcher as the tag
 	conn     *conn
 	id       requestID
-	keepConn bool // the client wants to use the connection further
+	keepConn bool // keep the connection open after this request
 
-	params         *bufferpool.Buffer // nil once they are complete
-	body           *bufferpool.Buffer // nil while it is empty, and once the dispatcher has it
+	params         *bufferpool.Buffer // nil once the parameters are complete
+	body           *bufferpool.Buffer // nil while it is empty, and after the request is submitted
 	fields         fields             // set once the parameters are complete
 	call           dispatch.Call      // set once the parameters are complete
 	paramsComplete bool
 
 	begunAt           time.Duration
-	incompleteElement *list.Element  // incompleteRequests'; nil once the request is complete
-	timer             deadline.Timer // for the rest of the request
-	submitted         slotmap.Ref    // the dispatcher's name for the request; 0 until it has the request
+	incompleteElement *list.Element  // in Server.incomplete; nil once the request is complete
+	timer             deadline.Timer // limits the wait for the rest of the request
+	submitted         slotmap.Ref    // the dispatcher's reference to the request; 0 until it is submitted
 }
 
 // beginRequest handles a BEGIN_REQUEST record.
 func (c *conn) beginRequest(rec record) error {
 	if c.requests[rec.id] != nil {
-		return fmt.Errorf("%w: request %d begun twice", errFraming, rec.id)
+		return fmt.Errorf("%w: request %d already open", errFraming, rec.id)
 	}
 	if len(rec.content) != controlBodyLen {
 		return fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", errFraming, len(rec.content))
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// handleRecord handles a record of an open request. One of a stream that has ended is ignored.
+// handleRecord handles a record of an open request. Records of a stream that has ended are ignored.
 func (r *request) handleRecord(rec record) {
 	switch rec.kind {
 	case typeAbortRequest:
@@ -88,11 +88,11 @@
 			r.appendBody(rec.content)
 		}
 	default:
-		// Only a Filter reads DATA, and this is a Responder.
+		// DATA streams are for the Filter role; this server is a Responder.
 	}
 }
 
-// appendParams handles the content of a PARAMS record; an empty one ends the parameters.
+// appendParams handles the content of a PARAMS record. An empty record ends the parameters.
 func (r *request) appendParams(content []byte) {
 	if len(content) == 0 {
 		r.completeParams()
@@ -103,8 +103,8 @@
 	}
 }
 
-// completeParams reads the parameters, applies the rules, and validates what the dispatcher will be given. A request
-// that is not valid is rejected.
+// completeParams parses the parameters, applies the rules and validates the resulting call. It rejects an invalid
+// request.
 func (r *request) completeParams() {
 	server := r.conn.server
 	r.paramsComplete = true
@@ -119,7 +119,7 @@
 	if parsed.path == healthPath {
 		return
 	}
-	// Rules may replace the path, which only the call depends on from here.
+	// The rules may replace the path in parsed. From here on, only the call uses the path.
 	decided := server.applyRules(&parsed, r.conn)
 	r.call, err = parsed.call(server.deployment, server.classByName)
 	if err != nil {
@@ -130,7 +130,7 @@
 	r.call.Route = decided.route
 }
 
-// appendBody handles the content of a STDIN record; an empty one ends the body and with it the request.
+// appendBody handles the content of a STDIN record. An empty record ends the body and completes the request.
 func (r *request) appendBody(content []byte) {
 	if len(content) == 0 {
 		r.complete()
@@ -148,14 +148,14 @@
 	}
 }
 
-// complete answers a health check, and submits any other request.
+// complete responds to a health check and submits any other request.
 func (r *request) complete() {
 	if !r.paramsComplete {
 		r.reject(http.StatusBadRequest, errBodyBeforeParams)
 		return
 	}
 	if r.fields.path == healthPath {
-		r.answerHealthCheck()
+		r.respondToHealthCheck()
 		return
 	}
 	size := 0
@@ -170,7 +170,7 @@
 	r.submit()
 }
 
-// submit hands the request to the dispatcher.
+// submit passes the request to the dispatcher.
 func (r *request) submit() {
 	server := r.conn.server
 	if server.draining {
@@ -178,8 +178,8 @@
 		return
 	}
 	r.call.Body = r.body
-	// The client's time runs from its last byte, which may have waited to be read.
-	r.call.TimeLeft = max(r.call.TimeLeft-r.conn.unreadFor, 0)
+	// The budget starts when the last byte of the request arrives, so the time until it was read counts.
+	r.call.TimeLeft = max(r.call.TimeLeft-r.conn.unreadTime, 0)
 	ref, err := server.dispatcher.Submit(r.call, server, r.ref)
 	if errors.Is(err, dispatch.ErrTooManyRequests) {
 		r.shed()
@@ -190,13 +190,14 @@
 		return
 	}
 	r.submitted = ref
-	r.body = nil // the dispatcher's now
+	r.body = nil // owned by the dispatcher now
 	server.incomplete.remove(r)
 	server.loop.ClearDeadline(&r.timer)
 	r.conn.markEstablished()
 }
 
-// abort ends a request that its client waits for no more. No answer is owed, but the ID may be used again.
+// abort ends a request that the client has aborted. It sends END_REQUEST without a response, so that the client can
+// reuse the ID.
 func (r *request) abort() {
 	server := r.conn.server
 	r.finish(appendEndRequest(server.scratch[:0], r.id, statusComplete))
@@ -205,7 +206,7 @@
 	}
 }
 
-// release gives back what the request holds. It may be called again.
+// release frees the resources of the request. Repeated calls have no effect.
 func (r *request) release() {
 	server := r.conn.server
 	server.incomplete.remove(r)
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -9,10 +9,10 @@
 	"calicohill/internal/runtime/slotmap"
 )
 
-// retryAfterHeader is the header field with the advice when to retry, in milliseconds.
+// retryAfterHeader is the header field for the time to wait before a retry, in milliseconds.
 const retryAfterHeader = "Back-Off-Ms"
 
-// Respond writes the final answer to a request. One whose client has left meanwhile is ignored.
+// Respond writes the response to a request. It does nothing if the client has disconnected or aborted the request.
 func (s *Server) Respond(tag slotmap.Ref, answer dispatch.Answer) {
 	req, ok := s.requests.Get(tag)
 	if !ok {
@@ -32,8 +32,8 @@
 	}
 }
 
-// answerHealthCheck answers whether the scheduler is ready.
-func (r *request) answerHealthCheck() {
+// respondToHealthCheck reports to the client whether the scheduler is ready.
+func (r *request) respondToHealthCheck() {
 	if r.conn.server.dispatcher.HasEndpoints() {
 		r.respond(http.StatusOK, "", []byte("ok\n"))
 		return
@@ -41,20 +41,20 @@
 	r.respond(http.StatusServiceUnavailable, "", nil)
 }
 
-// shed ends a request for which there is no capacity, as OVERLOADED.
+// shed ends a request with the status OVERLOADED because of a lack of capacity.
 func (r *request) shed() {
 	server := r.conn.server
-	server.warn("request shed: too many are open", nil)
+	server.warn("request shed: too many open requests", nil)
 	r.finish(appendEndRequest(server.scratch[:0], r.id, statusOverloaded))
 }
 
-// reject answers a request that is not valid with an HTTP status.
+// reject responds to an invalid request with an HTTP error status.
 func (r *request) reject(status int, reason error) {
 	r.conn.server.warn("request rejected", fmt.Errorf("status %d: %w", status, reason))
 	r.respond(status, "", nil)
 }
 
-// respond writes a complete answer. Each of the additional header lines ends with CRLF.
+// respond writes a complete response. Each line in headerLines must end with CRLF.
 func (r *request) respond(status int, headerLines string, body []byte) {
 	header := fmt.Appendf(nil, "Status: %d %s\r\n%sContent-Length: %d\r\n\r\n",
 		status, http.StatusText(status), headerLines, len(body))
@@ -68,14 +68,14 @@
 	r.conn.endRequest(r, records)
 }
 
-// write writes records, which may have been built in the server's scratch buffer; nothing if the connection is closed.
-// A client that lets too much wait unsent is closed.
+// write writes records, which may have been built in the server's scratch buffer. It does nothing if the connection is
+// closed. It closes the connection if too many bytes are unsent because the client does not read.
 func (c *conn) write(records []byte) {
 	if c.socket == nil {
 		return
 	}
-	c.server.reuse(records)
-	// An error closes the connection, which Closed handles.
+	c.server.reuseScratch(records)
+	// After an error, gnet closes the connection and calls Closed.
 	_, _ = c.socket.Write(records)
 	if c.socket == nil {
 		return
@@ -84,7 +84,7 @@
 	switch {
 	case unsent == 0:
 	case unsent > maxUnsentPerConn:
-		c.server.warn("client closed: it does not read", nil)
+		c.server.warn("client connection closed: client does not read", nil)
 		c.close()
 	default:
 		c.server.unsent.add(c)
--- a/internal/frontend/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -11,13 +11,13 @@
 	"calicohill/internal/rules/match"
 )
 
-// Rules are the operators' rules that decide on requests.
+// Rules holds the operators' rules that are applied to requests.
 type Rules struct {
 	table       *match.Table
-	slotByParam map[string]int // where a request's fields hold the parameters that rules read
+	slotByParam map[string]int // index in fields.ruleParams of each parameter that rules read
 }
 
-// NewRules returns the rules of a table, or nil if it has none.
+// NewRules returns the rules of a table, or nil if the table is nil or empty.
 func NewRules(table *match.Table) *Rules {
 	if table == nil || table.Len() == 0 {
 		return nil
@@ -29,7 +29,7 @@
 	return rules
 }
 
-// Counts returns how often each rule was evaluated so far, and with which result; nil for nil rules.
+// Counts returns the number of evaluations of each rule by result. It returns nil if r is nil.
 func (r *Rules) Counts() []match.RuleCounts {
 	if r == nil {
 		return nil
@@ -37,7 +37,7 @@
 	return r.table.Counts()
 }
 
-// paramSlots is where parameters that rules read go; nil for nil rules.
+// paramSlots returns slotByParam, or nil if r is nil.
 func (r *Rules) paramSlots() map[string]int {
 	if r == nil {
 		return nil
@@ -45,27 +45,27 @@
 	return r.slotByParam
 }
 
-// SetRules sets the rules for requests whose parameters are complete from now on; nil means none. Earlier requests
-// keep what was decided for them.
+// SetRules sets the rules for requests whose parameters are completed from now on. Earlier requests keep the decisions
+// of the previous rules. Nil means no rules.
 func (s *Server) SetRules(rules *Rules) { s.rules = rules }
 
-// Rules returns the rules in use; nil if there are none.
+// Rules returns the rules in use, or nil if there are none.
 func (s *Server) Rules() *Rules { return s.rules }
 
-// decision is what rules decided for a request beside its class.
+// decision holds the affinity key and the route that rules set for a request.
 type decision struct {
 	affinity string // "" if no rule set it
 	route    string // "" if no rule set it
 }
 
-// applyRules evaluates the rules for a request. The class that they choose replaces the one in the request's path.
+// applyRules evaluates the rules for a request. If they set a class, it replaces the class in the request's path.
 func (s *Server) applyRules(request *fields, conn *conn) decision {
 	if s.rules == nil {
 		return decision{}
 	}
-	result := s.rules.table.Match(matchRequest(request, conn.clientAddress()))
+	result := s.rules.table.Match(toMatchRequest(request, conn.clientAddress()))
 	for _, failed := range result.Failed {
-		// The reason may hold what the client sent: within the message it would get around the rate limit.
+		// The reason may contain client input. As part of the message it would bypass the rate limit for each message.
 		name, reason, _ := strings.Cut(failed, ": ")
 		s.rulesLog.Warn(s.loop.Now(), "rule failed: "+name, errors.New(reason))
 	}
@@ -79,9 +79,9 @@
 	return decision{affinity: result.Key, route: result.Route}
 }
 
-// matchRequest is a request as rules see it. It has not been validated: a malformed field has its zero value here, or
-// what could be read of it, and has the request rejected later, whatever rules decide.
-func matchRequest(request *fields, clientAddress string) *match.Request {
+// toMatchRequest converts a request to the input of rules. The request has not been validated: a malformed field is zero
+// or partially parsed here, and the request is rejected later regardless of the rules.
+func toMatchRequest(request *fields, clientAddress string) *match.Request {
 	class, underClassPath := strings.CutPrefix(request.path, classPath)
 	if !underClassPath {
 		class = ""
@@ -107,7 +107,7 @@
 	}
 }
 
-// clientAddress returns the client's IP address; "" if it is not known.
+// clientAddress returns the client's IP address, or "" if it is unknown.
 func (c *conn) clientAddress() string {
 	if c.clientIP == "" && c.socket != nil {
 		if address, err := netip.ParseAddrPort(c.socket.RemoteAddr().String()); err == nil {
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -1,5 +1,5 @@
-// Package fastcgi is the front end for clients. A Server reads their requests from FastCGI connections, submits them to
-// the dispatcher, and writes the answers. A Client is the other side of such a connection.
+// Package fastcgi implements the FastCGI front end. A Server reads requests from client connections, submits them to
+// the dispatcher and writes the responses. A Client implements the client side of a connection.
 package fastcgi
 
 import (
@@ -15,61 +15,61 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxRequestsPerConn is how many requests a connection may have open.
+// maxRequestsPerConn is the maximum number of open requests on a connection.
 const maxRequestsPerConn = 32
 
-// Dispatcher is what a Server needs of the dispatcher.
+// Dispatcher is the part of the dispatcher that a Server uses.
 type Dispatcher interface {
-	// Submit accepts a request, see dispatch.Dispatcher. An accepted request owns its body.
+	// Submit accepts a request; see dispatch.Dispatcher. If it succeeds, the dispatcher owns the body.
 	Submit(call dispatch.Call, responder dispatch.Responder, tag slotmap.Ref) (slotmap.Ref, error)
-	// Cancel withdraws a request: its client has left.
+	// Cancel cancels a request whose client has disconnected or aborted it.
 	Cancel(ref slotmap.Ref)
-	// HasEndpoints reports whether workers are known, so that the scheduler is ready.
+	// HasEndpoints reports whether any workers are known, which makes the scheduler ready.
 	HasEndpoints() bool
 }
 
-// Loop is what a Server needs of the event loop.
+// Loop is the part of the event loop that a Server uses.
 type Loop interface {
-	// Now is the current time, the same clock as the deadlines'.
+	// Now returns the current time on the clock of the deadlines.
 	Now() time.Duration
-	// SetDeadline has timer.Fire called on the loop at a time; a timer that is set already is moved.
+	// SetDeadline schedules a call of timer.Fire on the loop. A timer that is already set is rescheduled.
 	SetDeadline(timer *deadline.Timer, at time.Duration)
-	// ClearDeadline stops a timer. One that is not set is ignored.
+	// ClearDeadline stops a timer. It does nothing if the timer is not set.
 	ClearDeadline(timer *deadline.Timer)
 }
 
-// Server holds the connections of clients and the requests on them. It is a dispatch.Responder. All methods must be
-// called on the event loop. Which connections are open (connTable), which requests are not complete (incompleteRequests)
-// and which clients do not read (unsentConns) are components of their own.
+// Server serves client connections and the requests on them. It implements dispatch.Responder. All methods must be
+// called on the event loop. Separate components track the open connections (connTable), the requests that are not
+// complete (incompleteRequests) and the connections with unsent bytes (unsentConns).
 type Server struct {
 	loop           Loop
 	dispatcher     Dispatcher
 	pool           *bufferpool.Pool
 	deployment     *deployment.Settings
 	classByName    map[string]int
-	maxUnsentBytes int // for all clients together
+	maxUnsentBytes int // total for all clients
 	log            logging.RateLimited
 	rulesLog       logging.RateLimited
 	rules          *Rules // nil if there are none
 
 	conns      connTable
 	incomplete incompleteRequests
-	requests   slotmap.Table[*request] // that have begun and not ended
+	requests   slotmap.Table[*request] // open requests
 	unsent     unsentConns
 
 	draining     bool          // Drain was called
-	lastReceived time.Duration // when bytes last came from a client, or a client connected
-	scratch      []byte        // reused for what is written
+	lastReceived time.Duration // when bytes were last received or a client last connected
+	scratch      []byte        // reused buffer for outgoing records
 }
 
-// Options are the settings and limits of a Server.
+// Options holds the settings and limits of a Server.
 type Options struct {
 	Deployment     *deployment.Settings
-	Buffers        *bufferpool.Pool   // for requests
-	MaxConns       int                // connections of clients
-	MaxUnsentBytes int                // for all clients together that do not read
-	Log            logrus.FieldLogger // of clients and their connections
-	RulesLog       logrus.FieldLogger // of the operator's rules
+	Buffers        *bufferpool.Pool   // holds request parameters and bodies
+	MaxConns       int                // limit on client connections
+	MaxUnsentBytes int                // limit on unsent bytes for all clients together
+	Log            logrus.FieldLogger // for events of clients and their connections
+	RulesLog       logrus.FieldLogger // for events of the operator's rules
 }
 
 // New returns a Server without connections.
@@ -92,15 +92,16 @@
 	return server
 }
 
-// OpenRequests returns the number of requests that have begun and not ended.
+// OpenRequests returns the number of requests that have begun but not ended.
 func (s *Server) OpenRequests() int { return s.requests.Len() }
 
-// LastReceived returns when bytes last came from a client, or a client connected.
+// LastReceived returns when bytes were last received or a client last connected.
 func (s *Server) LastReceived() time.Duration { return s.lastReceived }
 
-// Drain has no further request served, since the process is about to end: each is rejected as it comes, and a connection is
-// closed once no request is open on it and its answers are sent, so that its client goes elsewhere. A request that crosses
-// such a close is sent again by its client. Connections whose answers were not sent yet are looked at by the next call.
+// Drain prepares for shutdown. From now on, new requests are rejected. A connection is closed once it has no open
+// requests and its responses are sent, so that the client connects to another scheduler. If a request crosses the
+// close, the client sends it again. Drain must be called repeatedly to close connections that still had unsent
+// responses.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, c := range s.conns.list() {
@@ -108,12 +109,12 @@
 	}
 }
 
-// noteReceived notes that bytes came from a client now, or a client connected.
-func (s *Server) noteReceived() { s.lastReceived = s.loop.Now() }
+// recordReceived records that bytes were received or a client connected.
+func (s *Server) recordReceived() { s.lastReceived = s.loop.Now() }
 
-// reuse keeps the memory of records that were written for those to come.
-func (s *Server) reuse(records []byte) { s.scratch = records[:0] }
+// reuseScratch keeps the memory of written records for later records.
+func (s *Server) reuseScratch(records []byte) { s.scratch = records[:0] }
 
-// warn logs a fault of a client or an overload, each message at a limited rate: thousands of bad requests must not
-// become thousands of lines.
+// warn logs a client error or an overload. It limits the rate of each message, so that a flood of bad requests does not
+// flood the log.
 func (s *Server) warn(message string, err error) { s.log.Warn(s.loop.Now(), message, err) }
--- a/internal/frontend/fastcgi/unsent.go
+++ b/internal/frontend/fastcgi/unsent.go
@@ -1,21 +1,21 @@
 package fastcgi
 
 const (
-	// maxUnsentPerConn is how many bytes may wait unsent for a client until it counts as not reading.
+	// maxUnsentPerConn is the maximum number of unsent bytes on a connection. A client above it counts as not reading.
 	maxUnsentPerConn = 4 << 20
 )
 
-// unsentConns holds the connections that may have bytes which the system has not taken yet. It belongs to a Server and is
-// used on the event loop only. Server.limitUnsent keeps their bytes below Options.MaxUnsentBytes.
+// unsentConns tracks the connections that may have bytes that the kernel has not accepted yet. It belongs to a Server
+// and is used only on the event loop. Server.limitUnsent keeps the total within Options.MaxUnsentBytes.
 type unsentConns struct{ conns map[*conn]struct{} }
 
-// add adds a connection on which something waits.
+// add adds a connection that has unsent bytes.
 func (u *unsentConns) add(c *conn) { u.conns[c] = struct{}{} }
 
-// remove removes a connection that is closed.
+// remove removes a closed connection.
 func (u *unsentConns) remove(c *conn) { delete(u.conns, c) }
 
-// bytes returns how many bytes wait, and removes the connections on which nothing waits any more.
+// bytes returns the total number of unsent bytes. It removes connections that have none left.
 func (u *unsentConns) bytes() int {
 	total := 0
 	for c := range u.conns {
@@ -28,7 +28,7 @@
 	return total
 }
 
-// slowestReader returns the connection with the most unsent bytes; nil if nothing is unsent.
+// slowestReader returns the connection with the most unsent bytes, or nil if there is none.
 func (u *unsentConns) slowestReader() *conn {
 	var slowest *conn
 	for c := range u.conns {
@@ -39,14 +39,14 @@
 	return slowest
 }
 
-// UnsentBytes returns how many bytes are written for clients and not sent yet.
+// UnsentBytes returns the number of bytes that are buffered for clients and not sent yet.
 func (s *Server) UnsentBytes() int { return s.unsent.bytes() }
 
-// limitUnsent closes connections whose clients do not read, the one with the most unsent bytes first, until what waits
-// for all clients is within its bound.
+// limitUnsent closes connections, the one with the most unsent bytes first, until the total for all clients is within
+// maxUnsentBytes.
 func (s *Server) limitUnsent() {
 	for s.UnsentBytes() > s.maxUnsentBytes {
-		s.warn("client closed: too much waits for clients that do not read", nil)
+		s.warn("client connection closed: too many unsent bytes for all clients", nil)
 		s.unsent.slowestReader().close()
 	}
 }
