--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -110,14 +110,14 @@
 	s.dispatcher = dispatch.New(s.loop, router, buffers, deployment.MaxOpenRequests)
 	s.dispatcher.SetLog(s.loggers.Component("routing"))
 	agents := nodeagent.New(s.loop, s.dispatcher, nodeagent.Options{
-		Classes:        deployment.ClassNames,
-		PipelineDepth:  deployment.PipelineDepth,
-		Schedulers:     deployment.Schedulers,
-		IdleCloseAfter: deployment.IdleCloseAfter,
-		ConnectTimeout: deployment.ConnectTimeout,
-		MaxConns:       limits.workerConns,
-		MaxDescriptors: limits.workerDescriptors,
-		MaxAnswerBytes: limits.answerBytes,
+		Classes:          deployment.ClassNames,
+		PipelineDepth:    deployment.PipelineDepth,
+		Schedulers:       deployment.Schedulers,
+		IdleCloseAfter:   deployment.IdleCloseAfter,
+		ConnectTimeout:   deployment.ConnectTimeout,
+		MaxConns:         limits.workerConns,
+		MaxDescriptors:   limits.workerDescriptors,
+		MaxResponseBytes: limits.answerBytes,
 	}, s.loggers.Component("agent"))
 	s.dispatcher.SetWorkers(agents)
 	s.server = fastcgi.New(s.loop, s.dispatcher, fastcgi.Options{
--- a/internal/frontend/fastcgi/rules.go
+++ b/internal/frontend/fastcgi/rules.go
@@ -79,8 +79,8 @@
 	return decision{affinity: result.Key, route: result.Route}
 }
 
-// toMatchRequest converts a request to the input of rules. The request has not been validated: a malformed field is zero
-// or partially parsed here, and the request is rejected later regardless of the rules.
+// toMatchRequest converts a request to the input of rules. The request has not been validated: a malformed field is
+// zero or partially parsed here, and the request is rejected later regardless of the rules.
 func toMatchRequest(request *fields, clientAddress string) *match.Request {
 	class, underClassPath := strings.CutPrefix(request.path, classPath)
 	if !underClassPath {
--- a/internal/nodeagent/call.go
+++ b/internal/nodeagent/call.go
@@ -10,42 +10,42 @@
 	"calicohill/routing"
 )
 
-// maxWriteAttempts is how many connections may turn out to be dead when a call is written until the call fails.
+// maxWriteAttempts is the number of broken connections on which the write of a call may fail before the call fails.
 const maxWriteAttempts = 3
 
 // call is an attempt or a health check.
 type call struct {
 	dispatch.Attempt
 	target           *worker
-	conn             *conn // nil until it is written
+	conn             *conn // nil until the call is written
 	isHealthCheck    bool
-	writeAttempts    int // connections that turned out to be dead when it was to be written
+	writeAttempts    int // writes that failed because the connection was broken
 	writtenAt        time.Duration
-	healthCheckTimer deadline.Timer // the timers of attempts belong to the dispatcher
+	healthCheckTimer deadline.Timer // the dispatcher owns the timers of attempts
 }
 
-// beginWrite notes that the call is written to a connection from now on.
+// beginWrite records the connection and the time before the call is written.
 func (c *call) beginWrite(to *conn, now time.Duration) {
 	c.conn = to
 	c.writtenAt = now
 }
 
-// writeFailed notes that nothing of the call was written, since its connection was dead, and reports whether it may be
-// written to another.
+// writeFailed records that no part of the call was written because the connection was broken. It reports whether the
+// call may be written to another connection.
 func (c *call) writeFailed() (retry bool) {
 	c.conn = nil
 	c.writeAttempts++
 	return c.writeAttempts < maxWriteAttempts
 }
 
-// withoutAnswer is the result of a call that ended without an answer of its agent.
-func withoutAnswer(outcome routing.Outcome) dispatch.AttemptResult {
+// resultWithoutResponse returns the result of a call that ended without a response from the agent.
+func resultWithoutResponse(outcome routing.Outcome) dispatch.AttemptResult {
 	return dispatch.AttemptResult{Outcome: outcome, InFlightForFunction: dispatch.InFlightUnknown}
 }
 
-// callTable holds the attempts that have not ended, and reports the end of attempts and health checks to the Sink. It
-// belongs to a Pool and is used on the event loop only. The Sink bounds the attempts, and Options.ConnectTimeout the life
-// of a health check.
+// callTable holds the open attempts and reports the results of attempts and health checks to the Sink. It belongs to a
+// Pool and is used only on the event loop. The Sink limits the number of attempts. Options.ConnectTimeout limits the
+// lifetime of a health check.
 type callTable struct {
 	loop       Loop
 	sink       Sink
@@ -53,15 +53,15 @@
 	probeCount uint64
 }
 
-// addAttempt adds an attempt for a worker, which is nil if it is not listed.
+// addAttempt adds an attempt. The target is nil if the worker is not listed.
 func (t *callTable) addAttempt(attempt *dispatch.Attempt, target *worker) *call {
 	added := &call{Attempt: *attempt, target: target}
 	t.attempts[attempt.Ref] = added
 	return added
 }
 
-// newHealthCheck returns a health check of a worker, which is nil if it is not listed. onTimeout is called after timeout
-// unless the health check has ended.
+// newHealthCheck returns a new health check. The target is nil if the worker is not listed. If the health check has not
+// ended after timeout, onTimeout is called.
 func (t *callTable) newHealthCheck(id string, target *worker, timeout time.Duration, onTimeout func(*call)) *call {
 	t.probeCount++
 	now := t.loop.Now()
@@ -76,7 +76,7 @@
 	return check
 }
 
-// take removes an attempt, whose end is then not reported; nil if it has ended.
+// take removes and returns an attempt, so that its result is not reported. It returns nil if the attempt has ended.
 func (t *callTable) take(ref slotmap.Ref) *call {
 	taken := t.attempts[ref]
 	delete(t.attempts, ref)
@@ -88,7 +88,7 @@
 	return waiting.isHealthCheck || t.sink.MaySend(waiting.Ref)
 }
 
-// finish reports how a call ended.
+// finish ends a call and reports its result.
 func (t *callTable) finish(ended *call, result dispatch.AttemptResult) {
 	if ended.isHealthCheck {
 		t.loop.ClearDeadline(&ended.healthCheckTimer)
--- a/internal/nodeagent/command.go
+++ b/internal/nodeagent/command.go
@@ -6,12 +6,12 @@
 	"calicohill/internal/dispatch"
 )
 
-// crlf ends each line of the agents' protocol and each body.
+// crlf terminates each line and each body in the agent protocol.
 var crlf = []byte("\r\n")
 
-// commandBuffer builds one command at a time, in memory that it reuses: a command is valid until the next is built.
+// commandBuffer builds commands in a buffer that it reuses. A command is valid until the next one is built.
 type commandBuffer struct {
-	classes []string // names, by class number
+	classes []string // class names by class number
 	buffer  []byte
 }
 
@@ -31,7 +31,7 @@
 	return b.buffer
 }
 
-// appendStart appends the command that starts an attempt. The timeout goes in whole milliseconds, at least one.
+// appendStart appends the command that starts an attempt. The timeout is sent in whole milliseconds, at least 1.
 func appendStart(buffer []byte, attempt *dispatch.Attempt, class string) []byte {
 	buffer = append(buffer, "go "...)
 	buffer = append(buffer, attempt.ID...)
@@ -52,12 +52,12 @@
 	return append(buffer, crlf...)
 }
 
-// appendCancel appends the command that cancels an attempt. It has no answer.
+// appendCancel appends the command that cancels an attempt. The agent does not respond to it.
 func appendCancel(buffer []byte, id string) []byte {
 	return appendCommand(buffer, "halt ", id)
 }
 
-// appendHealthCheck appends the command that asks for a worker's health and load report.
+// appendHealthCheck appends the command that requests a worker's health and load report.
 func appendHealthCheck(buffer []byte, id string) []byte {
 	return appendCommand(buffer, "stat ", id)
 }
--- a/internal/nodeagent/connection.go
+++ b/internal/nodeagent/connection.go
@@ -11,10 +11,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// idleRecheckDivisor gives the least pause between two checks of a connection: the idle timeout divided by it.
+// idleRecheckDivisor sets the minimum interval between idle checks of a connection: the idle timeout divided by it.
 const idleRecheckDivisor = 8
 
-// drainReason is why a connection gets no new calls, as logged.
+// drainReason is the logged reason why a connection gets no new calls.
 type drainReason string
 
 const (
@@ -22,11 +22,11 @@
 	drainUnresponsive drainReason = "unresponsive"
 )
 
-// errConnClosed is logged for calls in flight on a connection that was closed from this side.
-var errConnClosed = errors.New("closed")
+// errConnClosed is logged if the scheduler closed a connection with calls in flight.
+var errConnClosed = errors.New("closed by the scheduler")
 
-// conn is a connection to a worker's agent, from its dial to its close. It implements eventloop.ConnHandler and is used on
-// the event loop only. It carries Options.PipelineDepth calls at most.
+// conn is a connection to a worker's agent from dial to close. It implements eventloop.ConnHandler and is used only on
+// the event loop. It carries at most Options.PipelineDepth calls.
 type conn struct {
 	pool   *Pool
 	target *worker
@@ -35,19 +35,19 @@
 
 	openedAt    time.Duration
 	lastWriteAt time.Duration // when the last call was written
-	lastReadAt  time.Duration // when something was last received
+	lastReadAt  time.Duration // when bytes were last received
 
-	unansweredCancels   int           // canceled calls since lastReadAt
-	idleBeforeUse       time.Duration // before the latest call that found nothing else in flight
-	idleReuseUnresolved bool          // nothing was received since that call was written
-	draining            bool          // gets no new calls
-	partialAnswer       bool          // part of an answer was received, the rest was not
+	unansweredCancels   int           // calls canceled without a response since lastReadAt
+	idleBeforeUse       time.Duration // idle time before the latest call that was written while none was in flight
+	idleReuseUnresolved bool          // nothing has been received since that call was written
+	draining            bool          // no new calls are written
+	partialResponse     bool          // the last received response is incomplete
 
-	idleTimer          deadline.Timer
-	partialAnswerTimer deadline.Timer // for the rest of that answer
+	idleTimer            deadline.Timer
+	partialResponseTimer deadline.Timer // limits the wait for the rest of that response
 }
 
-// Opened adds the established connection to those of its worker, or closes it if the worker is gone by now.
+// Opened adds the established connection to its worker, or closes it if the worker is no longer listed.
 func (c *conn) Opened(socket gnet.Conn) {
 	pool, target := c.pool, c.target
 	c.socket = socket
@@ -56,7 +56,7 @@
 	pool.dialer.opened(c)
 	target.addConn(c)
 	c.idleTimer.Fire = c.onIdleTimer
-	c.partialAnswerTimer.Fire = c.onPartialAnswerTimeout
+	c.partialResponseTimer.Fire = c.onPartialResponseTimeout
 	c.checkIdleAt(c.lastReadAt + pool.idle.timeout())
 	defer pool.dialer.startQueued()
 	if target.isGone() {
@@ -69,19 +69,19 @@
 	}
 }
 
-// Closed ends all calls in flight. They were written, so they may have run.
+// Closed ends all calls in flight with ConnectionReset: they were written, so they may have run.
 func (c *conn) Closed(_ gnet.Conn, err error) {
 	pool, target := c.pool, c.target
 	c.socket = nil
 	pool.dialer.closed(c)
 	pool.loop.ClearDeadline(&c.idleTimer)
-	pool.loop.ClearDeadline(&c.partialAnswerTimer)
+	pool.loop.ClearDeadline(&c.partialResponseTimer)
 	target.removeConn(c)
 	lost := c.calls.len()
-	if c.idleReuseUnresolved && lost > 0 && err != nil { // without an error it was closed from this side
+	if c.idleReuseUnresolved && lost > 0 && err != nil { // without an error, the scheduler closed it
 		c.resolveIdleReuse(true)
 	}
-	c.calls.drop(func(dropped *call) { pool.calls.finish(dropped, withoutAnswer(routing.ConnectionReset)) })
+	c.calls.removeAll(func(dropped *call) { pool.calls.finish(dropped, resultWithoutResponse(routing.ConnectionReset)) })
 	if lost > 0 {
 		if err == nil {
 			err = errConnClosed
@@ -91,7 +91,7 @@
 	pool.dialer.startQueued()
 }
 
-// drain stops new calls on the connection. closeIfDrained closes it after the last one in flight.
+// drain stops new calls on the connection. closeIfDrained closes it after the last call in flight.
 func (c *conn) drain(reason drainReason) {
 	if c.draining {
 		return
@@ -107,25 +107,25 @@
 	}
 }
 
-// close closes the connection, if it is open. gnet calls Closed before this returns, since it runs on the event loop.
+// close closes the connection if it is open. On the event loop, gnet calls Closed before close returns.
 func (c *conn) close() {
 	if c.socket == nil {
 		return
 	}
-	// Closed has the outcome; an error here means that the connection was gone already.
+	// Closed handles the result. An error here means that the connection was already closed.
 	_ = c.socket.EventLoop().Close(c.socket)
 }
 
-// lastActivity is when something was last written or received.
+// lastActivity returns when a call was last written or bytes were last received.
 func (c *conn) lastActivity() time.Duration { return max(c.lastWriteAt, c.lastReadAt) }
 
-// idleFor is how long nothing was written or received.
+// idleFor returns the time since lastActivity.
 func (c *conn) idleFor(now time.Duration) time.Duration { return now - c.lastActivity() }
 
-// checkIdleAt sets when it is next checked whether the connection has reached the idle timeout.
+// checkIdleAt schedules the next check of the idle timeout.
 func (c *conn) checkIdleAt(at time.Duration) { c.pool.loop.SetDeadline(&c.idleTimer, at) }
 
-// onIdleTimer closes a connection that has reached the idle timeout, or sets the timer again.
+// onIdleTimer closes the connection if it has reached the idle timeout. Otherwise it schedules the next check.
 func (c *conn) onIdleTimer() {
 	now := c.pool.loop.Now()
 	timeout := c.pool.idle.timeout()
@@ -136,7 +136,7 @@
 	c.close()
 }
 
-// resolveIdleReuse records whether the connection survived its first use after being idle.
+// resolveIdleReuse records whether the first call after an idle time met a connection reset.
 func (c *conn) resolveIdleReuse(reset bool) {
 	c.idleReuseUnresolved = false
 	if c.pool.idle.record(c.pool.loop.Now(), c.idleBeforeUse, reset) {
--- a/internal/nodeagent/connection_read.go
+++ b/internal/nodeagent/connection_read.go
@@ -10,10 +10,10 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// partialAnswerTimeout is how long the rest of an answer may take once part of it was received.
-const partialAnswerTimeout = 250 * time.Millisecond
+// partialResponseTimeout limits the wait for the rest of a response after its first part was received.
+const partialResponseTimeout = 250 * time.Millisecond
 
-// outcomes maps the status of an answer to the outcome of its call.
+// outcomes maps the status of a response to the outcome of its call.
 var outcomes = map[string]routing.Outcome{
 	statusOK:      routing.Served,
 	statusMiss:    routing.NotLoaded,
@@ -24,7 +24,7 @@
 	statusDown:    routing.Errored,
 }
 
-// Readable reads all complete answers. An error closes the connection.
+// Readable handles all complete responses. An error closes the connection.
 func (c *conn) Readable(socket gnet.Conn) error {
 	c.lastReadAt = c.pool.loop.Now()
 	c.unansweredCancels = 0
@@ -32,21 +32,21 @@
 		c.resolveIdleReuse(false)
 	}
 	for {
-		received, _ := socket.Peek(-1) // it is an error only to ask for more than there is
+		received, _ := socket.Peek(-1) // Peek fails only if more is requested than is buffered
 		if len(received) == 0 {
 			return nil
 		}
-		ans, size, err := parseAnswer(received, c.pool.options.MaxAnswerBytes)
+		resp, size, err := parseResponse(received, c.pool.options.MaxResponseBytes)
 		if err != nil {
-			c.pool.log.WithError(err).WithField("worker", c.target.id).Warn("agent connection closed: malformed answer")
+			c.pool.log.WithError(err).WithField("worker", c.target.id).Warn("agent connection closed: malformed response")
 			return err
 		}
 		if size == 0 {
-			c.awaitRestOfAnswer()
+			c.awaitRestOfResponse()
 			return nil
 		}
-		c.answerComplete()
-		c.handleAnswer(ans)
+		c.responseComplete()
+		c.handleResponse(resp)
 		if c.socket == nil {
 			return nil
 		}
@@ -60,48 +60,48 @@
 	}
 }
 
-// awaitRestOfAnswer starts the timer for the rest of an answer. It guards against an agent that stops in the middle
-// of one: nothing else is received on the connection until the rest has come.
-func (c *conn) awaitRestOfAnswer() {
-	if c.partialAnswer {
+// awaitRestOfResponse starts the timer for the rest of a response. An agent that stops in the middle of a response
+// would otherwise block all later responses on the connection.
+func (c *conn) awaitRestOfResponse() {
+	if c.partialResponse {
 		return
 	}
-	c.partialAnswer = true
-	c.pool.loop.SetDeadline(&c.partialAnswerTimer, c.lastReadAt+partialAnswerTimeout)
+	c.partialResponse = true
+	c.pool.loop.SetDeadline(&c.partialResponseTimer, c.lastReadAt+partialResponseTimeout)
 }
 
-// answerComplete stops the timer of awaitRestOfAnswer.
-func (c *conn) answerComplete() {
-	if !c.partialAnswer {
+// responseComplete stops the timer of awaitRestOfResponse.
+func (c *conn) responseComplete() {
+	if !c.partialResponse {
 		return
 	}
-	c.partialAnswer = false
-	c.pool.loop.ClearDeadline(&c.partialAnswerTimer)
+	c.partialResponse = false
+	c.pool.loop.ClearDeadline(&c.partialResponseTimer)
 }
 
-// onPartialAnswerTimeout closes a connection on which the rest of an answer was not received.
-func (c *conn) onPartialAnswerTimeout() {
-	c.pool.log.WithField("worker", c.target.id).Warn("agent connection closed: incomplete answer")
+// onPartialResponseTimeout closes the connection because the rest of a response was not received in time.
+func (c *conn) onPartialResponseTimeout() {
+	c.pool.log.WithField("worker", c.target.id).Warn("agent connection closed: incomplete response")
 	c.close()
 }
 
-// handleAnswer ends the call that an answer is for.
-func (c *conn) handleAnswer(ans answer) {
-	answered := c.calls.take(ans.id)
+// handleResponse ends the call that a response belongs to.
+func (c *conn) handleResponse(resp response) {
+	answered := c.calls.take(resp.id)
 	if answered == nil {
-		return // it was canceled before
+		return // the call was canceled
 	}
-	if ans.status != statusOK { // OK ends the request, so that no further attempt has its id
-		c.calls.recordEnded(ans.id, c.pool.loop.Now())
+	if resp.status != statusOK { // OK ends the request, so no later attempt reuses its ID
+		c.calls.recordEnded(resp.id, c.pool.loop.Now())
 	}
 	result := dispatch.AttemptResult{
-		Outcome:             outcomes[ans.status],
-		Body:                ans.body,
+		Outcome:             outcomes[resp.status],
+		Body:                resp.body,
 		InFlightForFunction: dispatch.InFlightUnknown,
-		Report:              ans.loadReport,
+		Report:              resp.loadReport,
 	}
-	if ans.status == statusOK || ans.status == statusBusy {
-		result.InFlightForFunction = ans.inFlightForFunction
+	if resp.status == statusOK || resp.status == statusBusy {
+		result.InFlightForFunction = resp.inFlightForFunction
 	}
 	c.pool.calls.finish(answered, result)
 }
--- a/internal/nodeagent/connection_write.go
+++ b/internal/nodeagent/connection_write.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// maxOutboundBytes is how much may wait unsent on a connection until the agent counts as not reading.
+	// maxOutboundBytes is the maximum number of unsent bytes on a connection. An agent above it counts as not reading.
 	maxOutboundBytes = 256 << 10
-	// maxUnansweredCancels is how many calls in a row may be canceled on a connection on which nothing was received
-	// meanwhile: the calls of impatient clients end before unresponsiveTimeout.
+	// maxUnansweredCancels is the number of consecutive canceled calls, with nothing received in between, at which a
+	// connection is drained. It covers calls with short budgets, which end before unresponsiveTimeout.
 	maxUnansweredCancels = 3
-	// minUnansweredCancelAge is how long a canceled call must have been in flight to count as unanswered. Clients that
-	// cancel hundreds at once are no evidence of a fault of the worker.
+	// minUnansweredCancelAge is the minimum time in flight of a canceled call that counts as unanswered. Clients may
+	// cancel hundreds of calls at once, which is no evidence of a worker fault.
 	minUnansweredCancelAge = 200 * time.Millisecond
 )
 
-// usable reports whether new calls may be written to a connection.
+// usable reports whether new calls may be written to the connection.
 func (c *conn) usable(now time.Duration) bool {
-	if c.draining || c.partialAnswer || c.calls.unresponsive(c.lastReadAt, now) {
+	if c.draining || c.partialResponse || c.calls.unresponsive(c.lastReadAt, now) {
 		return false
 	}
 	if c.calls.isFull() {
 		return false
 	}
-	// What waits in the outbound buffer can't be taken back: by the time that it is sent its client may have left, or
-	// its worker begun to drain.
+	// Buffered bytes cannot be withdrawn. By the time they are sent, the client may have disconnected or the worker may
+	// have started draining.
 	if c.socket.OutboundBuffered() > 0 {
 		return false
 	}
 	return c.calls.len() > 0 || c.pool.idle.allowsUse(c.idleFor(now))
 }
 
-// write writes a call. From here on it may have run, unless the operating system accepted nothing of it.
+// write writes a call. Unless the write fails with no byte written, the call may run.
 func (c *conn) write(outgoing *call) {
 	pool := c.pool
 	now := pool.loop.Now()
@@ -43,28 +43,28 @@
 		c.idleReuseUnresolved = true
 	}
 	c.lastWriteAt = now
-	// The call joins those in flight only after the write: Closed, called from within it, must not end it. Nothing
-	// waits in the outbound buffer before this, so an error with no byte written means that nothing was sent.
+	// The call is added to the pipeline only after the write, because Closed, which a failed write calls, must not end
+	// it. The outbound buffer is empty before the write, so an error with no byte written means that nothing was sent.
 	written, err := c.socket.Write(pool.commands.start(outgoing))
 	if err == nil {
 		c.calls.add(outgoing)
 		return
 	}
 	if written != 0 {
-		pool.calls.finish(outgoing, withoutAnswer(routing.ConnectionReset))
+		pool.calls.finish(outgoing, resultWithoutResponse(routing.ConnectionReset))
 		return
 	}
-	// The agent may be healthy, since connections are reset at any time. Another connection shows it.
+	// A connection can be reset although the agent is healthy, so try another connection.
 	if outgoing.writeFailed() {
 		pool.assign(outgoing)
 		return
 	}
-	pool.calls.finish(outgoing, withoutAnswer(routing.ConnectFailed))
+	pool.calls.finish(outgoing, resultWithoutResponse(routing.ConnectFailed))
 }
 
-// writeControl writes a command that has no answer. It closes a connection whose agent does not read.
+// writeControl writes a command that has no response. It closes the connection if the agent does not read.
 func (c *conn) writeControl(command []byte) {
-	// An error closes the connection and is reported by Closed.
+	// After an error, gnet closes the connection and calls Closed.
 	_, err := c.socket.Write(command)
 	if err == nil && c.socket != nil && c.socket.OutboundBuffered() > maxOutboundBytes {
 		c.pool.log.WithField("worker", c.target.id).Warn("agent connection closed: agent does not read")
@@ -72,8 +72,8 @@
 	}
 }
 
-// countUnansweredCancel drains the connection if too many calls, or one that was in flight for long, are canceled
-// with nothing received since they were written.
+// countUnansweredCancel counts a canceled call if nothing was received since the call was written. It drains the
+// connection after maxUnansweredCancels such calls, or after one that was in flight longer than unresponsiveTimeout.
 func (c *conn) countUnansweredCancel(canceled *call) {
 	age := c.pool.loop.Now() - canceled.writtenAt
 	if c.lastReadAt >= canceled.writtenAt || age < minUnansweredCancelAge {
--- a/internal/nodeagent/dialer.go
+++ b/internal/nodeagent/dialer.go
@@ -6,43 +6,45 @@
 )
 
 const (
-	// maxConnsPerWorker is how many connections to one worker may be open, unresponsive ones included.
+	// maxConnsPerWorker is the maximum number of open connections to a worker, including unresponsive ones.
 	maxConnsPerWorker = 8
-	// reservedConnsDivisor gives the part of all connections allowed that is reserved for workers that have none.
+	// reservedConnsDivisor sets the share of all connections that is reserved for workers without one: 1/2. Extra
+	// connections to a worker may not use it.
 	reservedConnsDivisor = 2
-	// dialBackoff is how long no extra connection is added to those of a worker after a dial has failed.
+	// dialBackoff is how long a worker gets no extra connection after a failed dial.
 	dialBackoff = time.Second
-	// minRedialPause is the pause before a dial that failed for a fault of this machine is repeated. It doubles with each
-	// such failure in a row, of which maxRedials are made up for.
+	// minRedialPause is the pause before the first retry of a dial that failed because of a local fault. It doubles
+	// with each further retry, up to maxRedials retries.
 	minRedialPause = 5 * time.Millisecond
 	maxRedials     = 6
-	// descriptorsPerDial is how many file descriptors a dial holds for a moment.
+	// descriptorsPerDial is the number of file descriptors that a dial uses temporarily.
 	descriptorsPerDial = 2
 )
 
-// dialer opens connections within the limits of connections and file descriptors, and queues the dials that have to wait
-// for descriptors. It belongs to a Pool and is used on the event loop only. A worker is in the queue once at most.
+// dialer opens connections within the limits on connections and file descriptors. It queues dials that have to wait for
+// descriptors; the queue holds each worker at most once. It belongs to a Pool and is used only on the event loop.
 //
-// Without the bound on descriptors the program could run out of them, and could not accept clients.
+// Without the limit on descriptors, the process could run out of them and be unable to accept clients.
 type dialer struct {
-	maxConns       int           // connections to all workers
-	maxDescriptors int           // file descriptors for connections and dials
-	connect        func(*worker) // starts a dial, which opened or failed follows
+	maxConns       int           // limit on connections to all workers
+	maxDescriptors int           // limit on file descriptors for connections and dials
+	connect        func(*worker) // starts a dial; opened or failed is called when it ends
 
-	conns      map[*conn]struct{} // open, to all workers
-	inProgress int                // dials to all workers
-	queue      []*worker          // workers whose dial waits for file descriptors
+	conns      map[*conn]struct{} // open connections to all workers
+	inProgress int                // dials in progress to all workers
+	queue      []*worker          // workers whose dials wait for file descriptors
 }
 
-// workerDials is what a dialer, which alone changes it, knows of the dials to one worker.
+// workerDials is the state of the dials to one worker. Only the dialer changes it.
 type workerDials struct {
 	inProgress int
-	// noExtraConnUntil is when a connection may again be added to the existing ones, after a dial has failed.
+	// noExtraConnUntil is the time until which the worker gets no extra connection because a dial failed.
 	noExtraConnUntil time.Duration
-	redials          int // dials repeated since one succeeded, or failed for the worker
+	redials          int // retries since the last dial that succeeded or failed for good
 }
 
-// nextRedial returns the pause before a dial is repeated that failed for a fault of this machine, and whether it is.
+// nextRedial returns the pause before the next retry of a dial that failed because of a local fault. It returns false
+// if no retries are left.
 func (d *workerDials) nextRedial() (pause time.Duration, more bool) {
 	if d.redials >= maxRedials {
 		return 0, false
@@ -52,7 +54,7 @@
 	return pause, true
 }
 
-// dial starts a dial to a worker, or queues it until there are file descriptors for it.
+// dial starts a dial to a worker, or queues it until file descriptors are available.
 func (d *dialer) dial(target *worker) {
 	if !d.hasDescriptors() {
 		if !slices.Contains(d.queue, target) {
@@ -84,7 +86,7 @@
 // closed records that a connection has closed.
 func (d *dialer) closed(gone *conn) { delete(d.conns, gone) }
 
-// startQueued starts the dials that waited for file descriptors, as far as they are still needed.
+// startQueued starts queued dials that are still needed, as far as file descriptors are available.
 func (d *dialer) startQueued() {
 	for len(d.queue) > 0 && d.hasDescriptors() {
 		next := d.queue[0]
@@ -95,12 +97,12 @@
 	}
 }
 
-// atLimit reports whether a worker, or all workers together, have as many connections and dials as allowed.
+// atLimit reports whether the limit on connections and dials is reached for the worker or for all workers together.
 func (d *dialer) atLimit(target *worker) bool {
 	return target.atConnLimit() || d.connsAndDials() >= d.maxConns
 }
 
-// mayAddConn reports whether a connection may be added to those of a worker, for the calls to come.
+// mayAddConn reports whether an extra connection to the worker may be opened.
 func (d *dialer) mayAddConn(target *worker, now time.Duration) bool {
 	if target.dials.inProgress > 0 || len(target.conns) >= maxConnsPerWorker || now < target.dials.noExtraConnUntil {
 		return false
--- a/internal/nodeagent/fakes_test.go
+++ b/internal/nodeagent/fakes_test.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// fakeLoop is an event loop with a clock that the test sets. It keeps the dials for the test to complete or fail.
+// fakeLoop is an event loop whose clock the test controls. It collects dials for the test to complete or fail.
 type fakeLoop struct {
 	now       time.Duration
 	deadlines deadline.Queue
@@ -42,7 +42,7 @@
 	l.dials = append(l.dials, pendingDial{addr: addr, handler: handler, onFailure: onFailure})
 }
 
-// advance lets time pass and fires the timers that come due.
+// advance advances the clock and fires the timers that expire.
 func (l *fakeLoop) advance(d time.Duration) {
 	l.now += d
 	for timer := l.deadlines.PopDue(l.now); timer != nil; timer = l.deadlines.PopDue(l.now) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// completeDial has the oldest dial succeed.
+// completeDial completes the oldest dial successfully.
 func (l *fakeLoop) completeDial() *fakeConn {
 	oldest := l.dials[0]
 	l.dials = l.dials[1:]
@@ -59,14 +59,14 @@
 	return established
 }
 
-// fakeConn is a connection that sends all that is written, or buffers it while it is blocked.
+// fakeConn is a connection that sends all written bytes, or buffers them while it is blocked.
 type fakeConn struct {
 	gnet.Conn
 	handler  eventloop.ConnHandler
 	addr     string
 	blocked  bool
 	sent     strings.Builder
-	buffered strings.Builder // waits to be sent
+	buffered strings.Builder // not sent yet
 	received []byte          // not read yet
 	closed   bool
 }
@@ -85,7 +85,7 @@
 	return n, nil
 }
 
-// receive has the scheduler read what arrives on the connection.
+// receive delivers text on the connection and calls the handler.
 func (c *fakeConn) receive(text string) error {
 	c.received = append(c.received, text...)
 	return c.handler.Readable(c)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// recordingSink allows every attempt and keeps the outcomes.
+// recordingSink allows every attempt and records the outcomes.
 type recordingSink map[slotmap.Ref]routing.Outcome
 
 func (recordingSink) MaySend(slotmap.Ref) bool { return true }
@@ -120,14 +120,14 @@
 
 func (recordingSink) ProbeEnded(string, time.Duration, dispatch.AttemptResult) {}
 
-// newPool returns a Pool with these workers, each of which is its own address.
+// newPool returns a Pool with the given workers. The address of each worker is its ID.
 func newPool(options nodeagent.Options, workers ...string) (*nodeagent.Pool, *fakeLoop, recordingSink) {
 	sink := recordingSink{}
 	pool, loop := newPoolWithSink(options, sink, workers...)
 	return pool, loop, sink
 }
 
-// newPoolWithSink is newPool with a sink of the test's own.
+// newPoolWithSink is like newPool, but uses the given sink.
 func newPoolWithSink(options nodeagent.Options, sink nodeagent.Sink, workers ...string) (*nodeagent.Pool, *fakeLoop) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -136,7 +136,7 @@
 	options.Schedulers = 1
 	options.IdleCloseAfter = 15 * time.Second
 	options.ConnectTimeout = 250 * time.Millisecond
-	options.MaxAnswerBytes = 1 << 20
+	options.MaxResponseBytes = 1 << 20
 	loop := &fakeLoop{now: time.Hour}
 	pool := nodeagent.New(loop, sink, options, log)
 	var list dispatch.EndpointList
@@ -148,7 +148,7 @@
 	return pool, loop
 }
 
-// attempt returns attempt n, from 1 to 9, for a worker.
+// attempt returns attempt number n, from 1 to 9, for a worker.
 func attempt(n int, worker string) dispatch.Attempt {
 	return dispatch.Attempt{
 		Ref:      slotmap.Ref(n),
--- a/internal/nodeagent/golden_test.go
+++ b/internal/nodeagent/golden_test.go
@@ -7,8 +7,8 @@
 	"calicohill/internal/nodeagent"
 )
 
-// The commands as a node agent receives them, byte for byte, with a clock that stands still. They are the wire
-// format, and are not changed to get a pass.
+// TestGoldenCommands fails if the bytes of a command sent to a node agent change. The expected commands define the wire
+// format and must not be adapted to the code.
 func TestGoldenCommands(t *testing.T) {
 	keyed := attempt(2, "a")
 	keyed.IdempotencyKey, keyed.Timeout, keyed.Body = "k-1", 2500*time.Millisecond+999*time.Microsecond, []byte("two\r\nlines")
@@ -16,8 +16,8 @@
 	short.Timeout = 999 * time.Microsecond
 	for _, tt := range []struct {
 		name   string
-		before func(*nodeagent.Pool) // while no connection is up
-		after  func(*nodeagent.Pool) // once one is up; nil for nothing
+		before func(*nodeagent.Pool) // before a connection is established
+		after  func(*nodeagent.Pool) // after a connection is established; may be nil
 		want   string
 	}{
 		{
--- a/internal/nodeagent/idle_policy.go
+++ b/internal/nodeagent/idle_policy.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// idleCloseFraction is the part of Options.IdleCloseAfter for which an idle connection is kept: a command that is written
-// just as the agent closes it may or may not have run.
+// idleCloseFraction is the fraction of Options.IdleCloseAfter after which an idle connection is closed. The margin
+// keeps commands from being written just as the agent closes the connection, when they may or may not run.
 const idleCloseFraction = 0.85
 
-// idlePolicy decides how long connections may be idle. It belongs to a Pool and is used on the event loop only.
+// idlePolicy decides how long connections may be idle. It belongs to a Pool and is used only on the event loop.
 type idlePolicy struct {
-	closeAfter time.Duration // after which the agents close an idle connection
+	closeAfter time.Duration // time after which agents close an idle connection
 	resets     idleResetDetector
-	limit      time.Duration // how long a connection may be idle and still be used; 0 means no limit
+	limit      time.Duration // connections idle for this long are not used; 0 means no limit
 }
 
-// record records whether a connection survived its first use after being idle, and reports whether that changed the limit.
+// record records whether the first use of a connection after an idle time met a reset. It reports whether the limit
+// changed.
 func (p *idlePolicy) record(now, idle time.Duration, reset bool) (changed bool) {
 	p.resets.record(now, idle, reset)
 	before := p.limit
@@ -21,13 +22,13 @@
 	return p.limit != before
 }
 
-// survivesAny reports whether connections may be used whatever time they were idle.
-func (p *idlePolicy) survivesAny() bool { return p.limit == 0 }
+// unlimited reports whether connections may be used after any idle time.
+func (p *idlePolicy) unlimited() bool { return p.limit == 0 }
 
-// allowsUse reports whether a connection may be used after being idle for a time.
-func (p *idlePolicy) allowsUse(idle time.Duration) bool { return p.survivesAny() || idle < p.limit }
+// allowsUse reports whether a connection may be used after the given idle time.
+func (p *idlePolicy) allowsUse(idle time.Duration) bool { return p.unlimited() || idle < p.limit }
 
-// timeout is how long a connection may be idle until it is closed.
+// timeout returns the idle time after which a connection is closed.
 func (p *idlePolicy) timeout() time.Duration {
 	timeout := time.Duration(idleCloseFraction * float64(p.closeAfter))
 	if p.limit > 0 {
--- a/internal/nodeagent/idle_reset.go
+++ b/internal/nodeagent/idle_reset.go
@@ -6,19 +6,22 @@
 )
 
 const (
-	// minIdleBound is the upper bound of the first bucket of idle times; that of each further one is twice the last.
+	// minIdleBound is the upper bound of the first bucket of idle times. Each further bound is twice the previous one.
 	minIdleBound = 12500 * time.Microsecond
-	// idleBuckets is the number of buckets; the last one has no upper bound.
+	// idleBuckets is the number of buckets. The last one has no upper bound.
 	idleBuckets = 12
-	// resetHalfLife is the time in which an observation loses half its weight.
+	// resetHalfLife is the half-life of the weight of an observation.
 	resetHalfLife = 15 * time.Second
-	// minDecayInterval is the least time between two decays of the counts.
+	// minDecayInterval is the minimum interval between decays of the counts.
 	minDecayInterval = time.Second
 )
 
-// Connections do not survive an idle time if at least minResets uses after it, and minResetFraction of them, met a
-// reset, while after shorter idle times the fraction of resets was at most maxShorterResetRatio of that. A limit that
-// was found holds until the resets have decayed below minResetsToHold, since no connection is tested meanwhile.
+// An idle time is considered too long if both conditions hold:
+//   - at least minResets uses after it, and at least a fraction of minResetFraction of them, met a reset;
+//   - after shorter idle times, the fraction of resets was at most maxShorterResetRatio times that fraction.
+//
+// The resulting limit holds until the decayed number of resets falls below minResetsToHold. No connection is used after
+// longer idle times in the meantime, so there are no new observations.
 const (
 	minResets            = 3.0
 	minResetFraction     = 0.1
@@ -26,16 +29,16 @@
 	minResetsToHold      = 1.0
 )
 
-// idleResetDetector learns how long connections may be idle until something on the path (a firewall, a proxy) drops them,
-// which may be long before Options.IdleCloseAfter. It matters because a command that meets such a reset may or may not have
-// run.
+// idleResetDetector learns after which idle time a middlebox, such as a firewall or a proxy, drops connections. That
+// can be long before Options.IdleCloseAfter. Such connections must not be used, because a command that meets a reset
+// may or may not have run.
 type idleResetDetector struct {
-	reuses      [idleBuckets]float64 // first uses after being idle, decayed, by idle time
-	resets      [idleBuckets]float64 // how many of them met a reset
+	reuses      [idleBuckets]float64 // decayed number of first uses after an idle time, by bucket
+	resets      [idleBuckets]float64 // decayed number of those uses that met a reset
 	lastDecayAt time.Duration
 }
 
-// record records whether a connection that was used after being idle was reset.
+// record records whether the first use of a connection after an idle time met a reset.
 func (d *idleResetDetector) record(now, idle time.Duration, reset bool) {
 	d.decay(now)
 	bucket := idleBucket(idle)
@@ -59,7 +62,7 @@
 	d.lastDecayAt = now
 }
 
-// idleBucket is the bucket of an idle time.
+// idleBucket returns the bucket of an idle time.
 func idleBucket(idle time.Duration) int {
 	bucket := 0
 	for bound := minIdleBound; idle >= bound && bucket < idleBuckets-1; bound *= 2 {
@@ -68,8 +71,8 @@
 	return bucket
 }
 
-// maxIdle is the idle time that connections survive, given the last result; 0 if they survive any. Resets that come
-// at any idle time do not count.
+// maxIdle returns the idle time from which on connections must not be used, or 0 for no limit. The argument is its last
+// result, which needs fewer resets to hold. Resets that are equally frequent at all idle times cause no limit.
 func (d *idleResetDetector) maxIdle(last time.Duration) time.Duration {
 	shorterReuses := d.reuses[0]
 	shorterResets := d.resets[0]
--- a/internal/nodeagent/long_answer_test.go
+++ b/internal/nodeagent/long_response_test.go
@@ -12,7 +12,7 @@
 	"calicohill/routing"
 )
 
-// bodySink keeps the bodies of served attempts beside the outcomes.
+// bodySink records the bodies of attempts in addition to the outcomes.
 type bodySink struct {
 	recordingSink
 	bodies map[slotmap.Ref]string
@@ -23,16 +23,16 @@
 	s.bodies[ref] = string(result.Body)
 }
 
-// An answer of 1 MB that arrives in pieces is forwarded complete where all of it comes within 250 ms of its first piece; later
-// than that, the connection is closed and the attempt may have run.
-func TestLongAnswerInPieces(t *testing.T) {
+// TestLongResponseInPieces fails if a 1 MB response that arrives in pieces within 250 ms is truncated or lost, or if a
+// response that takes longer does not end the attempt with ConnectionReset.
+func TestLongResponseInPieces(t *testing.T) {
 	body := strings.Repeat("0123456789", 100_000)
 	for _, delivery := range []struct {
 		name  string
-		pause time.Duration // before each piece but the first
+		pause time.Duration // before each piece except the first
 		want  routing.Outcome
 	}{
-		{"all within 250 ms", 15 * time.Millisecond, routing.Served}, // the last of 16 pieces comes after 225 ms
+		{"all within 250 ms", 15 * time.Millisecond, routing.Served}, // the last of 16 pieces arrives after 225 ms
 		{"the last piece late", 17 * time.Millisecond, routing.ConnectionReset},
 	} {
 		t.Run(delivery.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				t.Fatalf("outcome %v (ended: %v), want %v", got, ok, delivery.want)
 			}
 			if delivery.want == routing.Served && sink.bodies[sent.Ref] != body {
-				t.Errorf("a body of %d bytes, want the %d that were sent", len(sink.bodies[sent.Ref]), len(body))
+				t.Errorf("got a body of %d bytes, want the %d bytes that were sent", len(sink.bodies[sent.Ref]), len(body))
 			}
 		})
 	}
--- a/internal/nodeagent/pool.go
+++ b/internal/nodeagent/pool.go
@@ -1,9 +1,14 @@
 // Package nodeagent sends attempts and health checks to the node agents of the workers.
 //
-// A Pool keeps a few pipelined connections to each worker, writes commands to them and matches the answers to the
-// calls in flight. Its components own the state: the listed workers and their queues (worker), the calls that have not
-// ended (callTable), the limits and the queue of dials (dialer), how long connections may be idle (idlePolicy), and on each
-// connection the calls in flight (pipeline). Everything runs on the event loop; nothing here is safe for concurrent use.
+// A Pool keeps a few pipelined connections to each worker, writes commands to them and matches responses to the calls
+// in flight. Its components own the state:
+//   - worker: a listed worker and its queue of calls;
+//   - callTable: the open calls;
+//   - dialer: the limits on connections and the queue of dials;
+//   - idlePolicy: how long connections may be idle;
+//   - pipeline: the calls in flight on a connection.
+//
+// All code runs on the event loop. Nothing in this package is safe for concurrent use.
 package nodeagent
 
 import (
@@ -20,43 +25,43 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Sink is notified of the end of attempts and health checks.
+// Sink receives the results of attempts and health checks.
 type Sink interface {
-	// MaySend reports whether an attempt may still be written: its request is open and its worker accepts work.
+	// MaySend reports whether an attempt may still be written: its request is open and its worker accepts calls.
 	MaySend(ref slotmap.Ref) bool
-	// AttemptEnded is called once for each attempt that was sent and not canceled.
+	// AttemptEnded is called exactly once for each attempt that was passed to Send and not canceled.
 	AttemptEnded(ref slotmap.Ref, result dispatch.AttemptResult)
-	// ProbeEnded is called once for each health check, with the time that it took.
+	// ProbeEnded is called exactly once for each health check, with its duration.
 	ProbeEnded(worker string, took time.Duration, result dispatch.AttemptResult)
 }
 
-// Loop is what a Pool needs of the event loop.
+// Loop is the part of the event loop that a Pool uses.
 type Loop interface {
 	dispatch.Loop
-	// Dial connects to an address. The handler gets the connection, or onFailure the error.
+	// Dial connects to an address. It passes the connection to the handler, or the error to onFailure.
 	Dial(addr string, timeout time.Duration, handler eventloop.ConnHandler, onFailure func(error))
 }
 
-// Options are the settings and limits of a Pool.
+// Options holds the settings and limits of a Pool.
 type Options struct {
-	Classes        []string      // names, by class number
-	PipelineDepth  int           // calls in flight on one connection
-	IdleCloseAfter time.Duration // after which the agents close an idle connection
-	ConnectTimeout time.Duration // of a dial, and of a health check as a whole
-	MaxConns       int           // connections to all workers
-	MaxDescriptors int           // file descriptors for connections and dials; a dial holds two for a moment
-	MaxAnswerBytes int           // longest body of an answer
-	Schedulers     int           // schedulers that share the workers
+	Classes          []string      // class names by class number
+	PipelineDepth    int           // limit on calls in flight on a connection
+	IdleCloseAfter   time.Duration // time after which agents close an idle connection
+	ConnectTimeout   time.Duration // timeout of a dial, and of a whole health check
+	MaxConns         int           // limit on connections to all workers
+	MaxDescriptors   int           // limit on file descriptors for connections and dials; a dial uses two temporarily
+	MaxResponseBytes int           // limit on the body of a response
+	Schedulers       int           // number of schedulers that share the workers
 }
 
-// Pool keeps the connections to all workers and decides which of them carries a call. It implements dispatch.Workers. All
-// methods must be called on the event loop.
+// Pool manages the connections to all workers and selects a connection for each call. It implements dispatch.Workers.
+// All methods must be called on the event loop.
 type Pool struct {
 	loop    Loop
 	options Options
 	log     logrus.FieldLogger
 
-	workers  map[string]*worker // by id, those that are listed
+	workers  map[string]*worker // listed workers by ID
 	calls    callTable
 	dialer   dialer
 	idle     idlePolicy
@@ -123,8 +128,8 @@
 	}
 }
 
-// removeWorker forgets a worker that is gone. Calls in flight may still be answered, so its connections are drained;
-// another worker at the same address, or with the same id, never gets to use them.
+// removeWorker removes a worker that is no longer listed. Its connections are drained, because calls in flight may
+// still be answered. A later worker with the same address or ID does not use these connections.
 func (p *Pool) removeWorker(w *worker) {
 	w.markGone()
 	delete(p.workers, w.id)
@@ -135,8 +140,9 @@
 	}
 }
 
-// closeStaleConns closes a worker's connections from before its latest start. The process that runs now does not
-// know them: without this, calls in flight to a machine that restarted while cut off would wait for their timeouts.
+// closeStaleConns closes the connections to a worker that were opened before its latest start, because the current
+// process does not have them. Otherwise, if a machine restarts while it is disconnected, calls in flight to it would
+// wait for their timeouts.
 func (p *Pool) closeStaleConns(w *worker) {
 	for _, c := range slices.Clone(w.conns) {
 		if c.openedAt < w.startedAt {
@@ -145,24 +151,24 @@
 	}
 }
 
-// connect starts a dial for the dialer.
+// connect starts a dial on behalf of the dialer.
 func (p *Pool) connect(target *worker) {
 	dialed := &conn{pool: p, target: target, calls: newPipeline(p.options.PipelineDepth)}
 	p.loop.Dial(target.addr, p.options.ConnectTimeout, dialed, func(err error) { p.dialFailed(target, err) })
 }
 
-// dialFailed tries a dial that failed for a fault of this machine again. Otherwise it ends the calls that no other
-// connection can carry, if no other dial to the worker is in progress: as failed to connect, if that says anything of the
-// worker.
+// dialFailed retries a dial that failed because of a local fault. If there is no retry and no other dial to the worker
+// is in progress, it ends the queued calls that no other connection can carry. Their outcome is ConnectFailed, or
+// NotSent if the cause was a lack of local resources, which is no evidence of a worker fault.
 func (p *Pool) dialFailed(target *worker, err error) {
 	fault := localfault.KindOf(err)
 	if fault != localfault.None && p.redial(target) {
 		return
 	}
 	p.dialer.failed(target, p.loop.Now())
-	p.log.WithError(err).WithField("worker", target.id).Warn("agent not reached")
+	p.log.WithError(err).WithField("worker", target.id).Warn("dial to agent failed")
 	if target.dials.inProgress == 0 {
-		p.writePending(target) // other connections may have become usable meanwhile
+		p.writePending(target) // other connections may have become usable
 		outcome := routing.ConnectFailed
 		if fault == localfault.Resource {
 			outcome = routing.NotSent
@@ -172,8 +178,8 @@
 	p.dialer.startQueued()
 }
 
-// redial repeats a dial after a pause that doubles, and reports whether it does: not for ever, and only while calls wait
-// for it.
+// redial schedules a retry of a dial with exponential backoff and reports whether it did. It does not if the retries
+// are used up, no calls are queued for the worker, or the worker is not ready.
 func (p *Pool) redial(target *worker) bool {
 	pause, more := target.dials.nextRedial()
 	if !more || len(target.pending) == 0 || !target.isReady() {
@@ -184,9 +190,9 @@
 	return true
 }
 
-// idleLimitChanged checks all connections at once after a change of how long they may be idle.
+// idleLimitChanged checks all connections immediately after a change of the idle limit.
 func (p *Pool) idleLimitChanged() {
-	p.log.WithField("rest", p.idle.limit).Info("agent connections: maximum idle time changed")
+	p.log.WithField("rest", p.idle.limit).Info("agent connection idle limit changed")
 	now := p.loop.Now()
 	for _, target := range p.workers {
 		for _, c := range target.conns {
--- a/internal/nodeagent/pool_test.go
+++ b/internal/nodeagent/pool_test.go
@@ -10,9 +10,9 @@
 	"calicohill/routing"
 )
 
-// An attempt that is written to a connection with unsent data would be sent when it can't be taken back any more: its
-// client may have left by then, or its worker begun to drain. It goes to another connection.
-func TestNothingWaitsBehindABlockedConnection(t *testing.T) {
+// TestNoCallIsBufferedOnBlockedConnection fails if an attempt is written to a connection that has unsent data. Such an
+// attempt cannot be withdrawn, and is sent even if its client has disconnected or its worker has started draining.
+func TestNoCallIsBufferedOnBlockedConnection(t *testing.T) {
 	pool, loop, _ := newPool(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	pool.Send(attempt(1, "a"))
 	first := loop.completeDial()
@@ -26,11 +26,12 @@
 	pool.Cancel(2)
 	pool.Send(attempt(3, "a"))
 	if first.buffered.Len() == 0 || strings.Contains(first.buffered.String(), "go "+attempt(3, "a").ID) {
-		t.Errorf("%q waits to be sent, after %q, want no further attempt", first.buffered.String(), unsent)
+		t.Errorf("outbound buffer %q, want no attempt after %q", first.buffered.String(), unsent)
 	}
 }
 
-// A worker without a connection gets one at the limit of connections, as long as another is idle.
+// TestIdleConnectionIsClosedAtLimit fails if a worker without a connection gets none at the connection limit although
+// another connection is idle.
 func TestIdleConnectionIsClosedAtLimit(t *testing.T) {
 	pool, loop, sink := newPool(nodeagent.Options{MaxConns: 2, MaxDescriptors: 30}, "a", "b", "c")
 	var conns []*fakeConn
@@ -42,35 +43,36 @@
 	pool.Cancel(1)
 	pool.Send(attempt(3, "c"))
 	if len(loop.dials) != 1 || !conns[0].closed || conns[1].closed {
-		t.Fatalf("%d dials, closed: %v and %v, want one dial in place of the connection that is idle", len(loop.dials), conns[0].closed, conns[1].closed)
+		t.Fatalf("%d dials, closed: %v and %v, want the idle connection closed and one dial", len(loop.dials), conns[0].closed, conns[1].closed)
 	}
 	if c := loop.completeDial(); !strings.HasPrefix(c.sent.String(), "go "+attempt(3, "c").ID) || len(sink) != 0 {
 		t.Errorf("%q was sent, outcomes %v", c.sent.String(), sink)
 	}
 }
 
-// Dials wait for descriptors and start in order as others succeed or fail.
+// TestDialsWaitForDescriptors fails if dials exceed the limit on file descriptors, or if queued dials do not start in
+// order when earlier dials succeed or fail.
 func TestDialsWaitForDescriptors(t *testing.T) {
 	pool, loop, sink := newPool(nodeagent.Options{MaxConns: 8, MaxDescriptors: 4}, "a", "b", "c", "d")
 	for i, id := range []string{"a", "b", "c", "d"} {
 		pool.Send(attempt(i+1, id))
 	}
 	if len(loop.dials) != 2 {
-		t.Fatalf("%d dials with four descriptors, each needs two", len(loop.dials))
+		t.Fatalf("%d dials with four descriptors, want 2, since each needs two", len(loop.dials))
 	}
 	failed := loop.dials[0].onFailure
 	loop.dials = loop.dials[1:]
 	failed(errors.New("no"))
 	if len(loop.dials) != 2 || loop.dials[1].addr != "c" || sink[1] != routing.ConnectFailed {
-		t.Fatalf("dials %v after one failed, outcomes %v", loop.dials, sink)
+		t.Fatalf("dials %v after a failed dial, outcomes %v", loop.dials, sink)
 	}
-	b := loop.completeDial() // a connection and a dial leave one descriptor: d waits on
+	b := loop.completeDial() // a connection and a dial leave one descriptor: d still waits
 	if len(loop.dials) != 1 {
-		t.Fatalf("%d dials beside a connection and a dial", len(loop.dials))
+		t.Fatalf("%d dials with one connection open, want 1", len(loop.dials))
 	}
 	c := loop.completeDial()
 	if len(loop.dials) != 1 || loop.dials[0].addr != "d" {
-		t.Fatalf("dials %v when the third is up", loop.dials)
+		t.Fatalf("dials %v after the third worker is connected", loop.dials)
 	}
 	for _, w := range []*fakeConn{b, c, loop.completeDial()} {
 		if !strings.HasPrefix(w.sent.String(), "go ") {
@@ -79,21 +81,21 @@
 	}
 }
 
-// A dial that fails ends only the attempts that no other connection can carry by then.
-func TestDialFailsBesideAConnection(t *testing.T) {
+// TestFailedDialUsesOpenConnection fails if a failed dial ends an attempt that another connection can carry.
+func TestFailedDialUsesOpenConnection(t *testing.T) {
 	pool, loop, sink := newPool(nodeagent.Options{MaxConns: 10, MaxDescriptors: 30}, "a")
 	pool.Send(attempt(1, "a"))
 	first := loop.completeDial()
 	first.blocked = true
-	first.buffered.WriteString("x") // nothing more can be sent for a while
+	first.buffered.WriteString("x") // the connection is blocked
 	pool.Send(attempt(2, "a"))
 	if len(loop.dials) != 1 {
-		t.Fatalf("%d dials, want one for the attempt that can't be written", len(loop.dials))
+		t.Fatalf("%d dials, want one for the attempt that cannot be written", len(loop.dials))
 	}
 	first.blocked = false
 	first.buffered.Reset()
 	loop.dials[0].onFailure(errors.New("late"))
 	if !strings.Contains(first.sent.String(), "go "+attempt(2, "a").ID) || len(sink) != 0 {
-		t.Errorf("sent %q, outcomes %v, want the attempt on the other connection", first.sent.String(), sink)
+		t.Errorf("sent %q, outcomes %v, want the attempt on the open connection", first.sent.String(), sink)
 	}
 }
--- a/internal/nodeagent/send.go
+++ b/internal/nodeagent/send.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// preferredConnsPerWorker is how many connections to one worker are used side by side, as far as there are calls
-	// for them. A connection that breaks, by one malformed answer, takes along all calls in flight on it.
+	// preferredConnsPerWorker is the number of connections to a worker that are used in parallel if there are enough
+	// calls. With several connections, fewer calls fail when one connection breaks, for example after a malformed
+	// response.
 	preferredConnsPerWorker = 4
-	// schedulersPerInFlight is how many schedulers there are for each call that a connection carries before another
-	// one is opened beside it (bounded by preferredConnsPerWorker calls): agents accept only a limited number of
-	// connections of all schedulers together.
+	// schedulersPerInFlight sets how many calls a connection carries before an extra one is opened: one call for each
+	// schedulersPerInFlight schedulers, at most preferredConnsPerWorker calls. With more schedulers, each opens fewer
+	// connections, because agents accept a limited number from all schedulers together.
 	schedulersPerInFlight = 3
 )
 
-// Send writes an attempt to a connection of its worker, or queues it until there is one.
+// Send writes an attempt to a connection to its worker, or queues it until a connection is usable.
 func (p *Pool) Send(attempt dispatch.Attempt) {
 	p.assign(p.calls.addAttempt(&attempt, p.workers[attempt.Worker]))
 }
 
-// Probe sends a health check, whose answer carries the worker's load report.
+// Probe sends a health check. The response contains the worker's load report.
 func (p *Pool) Probe(id string) {
 	p.assign(p.calls.newHealthCheck(id, p.workers[id], p.options.ConnectTimeout, func(check *call) {
 		p.detach(check)
-		p.calls.finish(check, withoutAnswer(routing.TimedOut))
+		p.calls.finish(check, resultWithoutResponse(routing.TimedOut))
 	}))
 }
 
-// Cancel abandons an attempt, whose end is then not reported. It returns whether any of the attempt was written.
+// Cancel cancels an attempt, so that its result is not reported. It reports whether the attempt was written.
 func (p *Pool) Cancel(ref slotmap.Ref) (written bool) {
 	canceled := p.calls.take(ref)
 	if canceled == nil {
@@ -50,7 +51,7 @@
 	return true
 }
 
-// detach removes a call from its connection or from its worker's queue. It returns whether any of it was written.
+// detach removes a call from its connection or from its worker's queue. It reports whether the call was written.
 func (p *Pool) detach(canceled *call) (written bool) {
 	if canceled.conn != nil {
 		canceled.conn.calls.abandon(canceled.ID, p.loop.Now())
@@ -60,11 +61,11 @@
 	return false
 }
 
-// assign writes a call to a connection, or queues it and dials. If neither is possible, it ends the call as failed.
+// assign writes a call to a connection, or queues it and dials. If neither is possible, it ends the call.
 func (p *Pool) assign(outgoing *call) {
 	target := outgoing.target
 	if target == nil || !target.isReady() {
-		p.calls.finish(outgoing, withoutAnswer(routing.NotSent))
+		p.calls.finish(outgoing, resultWithoutResponse(routing.NotSent))
 		return
 	}
 	if picked, usable := target.pickConn(outgoing.ID, p.loop.Now()); picked != nil {
@@ -75,7 +76,7 @@
 		return
 	}
 	if p.dialer.atLimit(target) && target.dials.inProgress == 0 && !p.evictIdleConn(target) {
-		p.calls.finish(outgoing, withoutAnswer(routing.ConnectFailed))
+		p.calls.finish(outgoing, resultWithoutResponse(routing.ConnectFailed))
 		return
 	}
 	target.enqueue(outgoing)
@@ -84,21 +85,23 @@
 	}
 }
 
-// extraConnThreshold is how many calls in flight on the least loaded connection call for another one beside it.
+// extraConnThreshold returns the number of calls in flight on the least loaded connection at which an extra connection
+// is opened.
 func (p *Pool) extraConnThreshold() int {
 	return min(max(p.options.Schedulers/schedulersPerInFlight, 1), preferredConnsPerWorker)
 }
 
-// addConn adds a connection to those of a worker, for the calls to come. Where connections do not survive a short idle
-// time, more of them are idle for longer and are of no use.
+// addConn opens an extra connection to a worker for later calls. It does not if there is an idle limit: with more
+// connections, each is idle longer and is more likely to exceed the limit.
 func (p *Pool) addConn(target *worker) {
-	if p.idle.survivesAny() && p.dialer.mayAddConn(target, p.loop.Now()) {
+	if p.idle.unlimited() && p.dialer.mayAddConn(target, p.loop.Now()) {
 		p.dialer.dial(target)
 	}
 }
 
-// evictIdleConn closes the connection that has been idle for longest, to make a dial possible: among the worker's own
-// if the worker is at its limit, else among all. It reports false if all have calls in flight.
+// evictIdleConn closes the connection that has been idle longest, to make a dial possible. It considers only the
+// worker's own connections if the worker is at its limit, and all connections otherwise. It returns false if all of
+// them have calls in flight.
 func (p *Pool) evictIdleConn(target *worker) bool {
 	candidates := maps.Values(p.workers)
 	if target.atConnLimit() {
@@ -119,12 +122,12 @@
 	return true
 }
 
-// writePending writes a worker's queued calls, as far as connections can carry them.
+// writePending writes a worker's queued calls to usable connections. The remaining calls stay queued.
 func (p *Pool) writePending(target *worker) {
 	for _, queued := range target.takePending() {
-		// While it was queued its request may have been answered, or its worker begun to drain.
+		// The request may have ended, or the worker may have started draining, while the call was queued.
 		if !p.calls.maySend(queued) {
-			p.calls.finish(queued, withoutAnswer(routing.NotSent))
+			p.calls.finish(queued, resultWithoutResponse(routing.NotSent))
 			continue
 		}
 		if c, _ := target.pickConn(queued.ID, p.loop.Now()); c != nil {
@@ -138,6 +141,6 @@
 // failPending ends all calls that are queued for a worker.
 func (p *Pool) failPending(target *worker, outcome routing.Outcome) {
 	for _, queued := range target.takePending() {
-		p.calls.finish(queued, withoutAnswer(outcome))
+		p.calls.finish(queued, resultWithoutResponse(outcome))
 	}
 }
--- a/internal/nodeagent/worker.go
+++ b/internal/nodeagent/worker.go
@@ -8,19 +8,19 @@
 	"calicohill/routing"
 )
 
-// worker is a process at an address. A changed address is a new worker, and so is an id that is listed again after it
-// was gone. It holds at most maxConnsPerWorker connections and dials.
+// worker is a listed worker process. If its address changes, or if its ID is listed again after a removal, it is a new
+// worker. It has at most maxConnsPerWorker connections and dials.
 type worker struct {
 	id        string
 	addr      string
 	state     routing.WorkerState
 	startedAt time.Duration
 	conns     []*conn
-	pending   []*call     // not written yet: they wait for a connection
-	dials     workerDials // the dialer's
+	pending   []*call     // calls that wait for a connection
+	dials     workerDials // owned by the dialer
 }
 
-// update applies the endpoint's state and reports whether the process at the address was started anew.
+// update applies the endpoint's state and reports whether the process has restarted.
 func (w *worker) update(endpoint *dispatch.Endpoint) (restarted bool) {
 	w.state = endpoint.State
 	restarted = endpoint.Started != w.startedAt
@@ -28,22 +28,22 @@
 	return restarted
 }
 
-// markGone notes that the worker is listed no more.
+// markGone records that the worker is no longer listed.
 func (w *worker) markGone() { w.state = routing.Gone }
 
 // isReady reports whether the worker accepts calls.
 func (w *worker) isReady() bool { return w.state == routing.Ready }
 
-// isGone reports whether the worker is listed no more.
+// isGone reports whether the worker is no longer listed.
 func (w *worker) isGone() bool { return w.state == routing.Gone }
 
-// enqueue has a call wait for a connection.
+// enqueue queues a call until a connection is usable.
 func (w *worker) enqueue(waiting *call) { w.pending = append(w.pending, waiting) }
 
-// dequeue removes a call that waits for a connection.
+// dequeue removes a call from the queue.
 func (w *worker) dequeue(canceled *call) { w.pending = without(w.pending, canceled) }
 
-// takePending returns the calls that wait for a connection, and waits for none of them any more.
+// takePending empties the queue and returns its calls.
 func (w *worker) takePending() []*call {
 	pending := w.pending
 	w.pending = nil
@@ -60,15 +60,15 @@
 	return len(w.conns)+w.dials.inProgress >= maxConnsPerWorker
 }
 
-// pickConn picks the least loaded of the connections that may carry a call with this id, or nil. It also returns how many
-// connections are usable, whether or not they may carry this call.
+// pickConn returns the least loaded usable connection that may carry a call with this ID, or nil if there is none. It
+// also returns the number of usable connections, including those that may not carry this call.
 func (w *worker) pickConn(id string, now time.Duration) (best *conn, usable int) {
 	for _, candidate := range w.conns {
 		if !candidate.usable(now) {
 			continue
 		}
 		usable++
-		if candidate.calls.knowsID(id, now) {
+		if candidate.calls.hasID(id, now) {
 			continue
 		}
 		if best == nil || candidate.calls.len() < best.calls.len() {
@@ -78,8 +78,8 @@
 	return best, usable
 }
 
-// without returns a copy of a list that lacks the first occurrence of an item. The original stays as it is, for those
-// that iterate over it.
+// without returns a copy of list without the first occurrence of item. It does not modify list, because callers may be
+// iterating over it.
 func without[T comparable](list []T, item T) []T {
 	i := slices.Index(list, item)
 	if i < 0 {
