--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,125 +2,126 @@
 
 import "time"
 
-// Action is something that a Router asks for, to be done in the order given. The concrete types are Send, Cancel, Reject,
-// Fail, SetTimer, Probe, Load, Unload, Subscribe, FetchList, with Settings.FaultReporting ReportFault, and after an
-// EndpointsConfirmed WorkerSuspended and EndpointsDoubted.
+// Action is an instruction of a Router to its caller, who carries out actions in the order given. The concrete types
+// are Send, Cancel, Reject, Fail, SetTimer, Probe, Load, Unload, Subscribe and FetchList; with Settings.FaultReporting
+// also ReportFault; and after the first EndpointsConfirmed also WorkerSuspended and EndpointsDoubted.
 type Action interface{ action() }
 
-// Send starts an attempt. The attempts of a request are numbered from 0 in the order of their Sends. It is answered by
-// AttemptEnded.
+// Send starts an attempt, which ends with an AttemptEnded. The attempts of a request are numbered from 0 in the order
+// of their Sends.
 type Send struct {
 	ID      string
 	Worker  string
 	Timeout time.Duration // 0 means until the client gives up
-	// StartWithin is how long from now the attempt may begin: a repeat that has waited longer for its connection would
-	// arrive when workers have forgotten the idempotency key. 0 means any time.
+	// StartWithin limits how long the attempt may wait for a connection. A retry that starts later could arrive after
+	// workers have forgotten its idempotency key, or after the lease on the worker has expired. 0 means no limit.
 	StartWithin time.Duration
 }
 
-// Cancel stops the wait for an attempt. The attempt still gets its AttemptEnded.
+// Cancel aborts an attempt. The attempt still ends with an AttemptEnded.
 type Cancel struct {
 	ID      string
 	Attempt int // number of the attempt, see Send
 }
 
-// Reject is a final answer: the request was not served, and a retry is harmless.
+// Reject is a final answer to a request that was not served and that the client can safely retry.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // advice on when to retry; 0 means none
+	RetryAfter time.Duration // suggested delay before a retry; 0 means none
 	Reason     EndReason
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail is a final answer to a request that was not served but may have been executed.
 type Fail struct {
 	ID     string
 	Reason EndReason
 }
 
-// EndReason says why a request was not served.
+// EndReason is the reason why a request was not served.
 type EndReason uint8
 
-// The reasons.
+// Values of EndReason.
 const (
-	Overloaded      EndReason = iota // rejected on arrival: it would have been late, or its worker is under pressure
-	NoCapacity                       // no worker had capacity in half of its time
-	OutOfTime                        // its client is about to give up
-	NoFurtherTry                     // its attempts are used up, or its class allows no further one
-	StreamBroken                     // the answer had begun to stream
-	SchedulerEnding                  // this scheduler is about to end
+	Overloaded      EndReason = iota // rejected on arrival, because of expected lateness or worker pressure
+	NoCapacity                       // no worker had capacity in half the client's time
+	OutOfTime                        // the client is about to time out
+	NoFurtherTry                     // no attempts are left, or its class allows no retry
+	StreamBroken                     // the answer was lost after it had started to stream
+	SchedulerEnding                  // this scheduler is shutting down
 )
 
-// String returns the name of a reason.
+// String returns the name of the reason, as it is logged.
 func (r EndReason) String() string {
 	return [...]string{"overloaded", "no capacity", "out of time", "no further try", "stream broken", "scheduler ending"}[r]
 }
 
-// WorkerSuspended says that a worker gets no requests until it shows that it takes them, or discovery confirms its list:
-// while that is in doubt, the worker gave reason to take it for draining or gone. It is for the log.
+// WorkerSuspended reports, for the log, that a worker looks as if it were draining or gone while the endpoint list is
+// unconfirmed. The worker gets no requests until it accepts one, passes a health check, or the list is confirmed.
 type WorkerSuspended struct {
 	Worker string
 	Reason SuspendReason
 }
 
-// SuspendReason says what a worker was suspended for.
+// SuspendReason is the reason why a worker was suspended.
 type SuspendReason uint8
 
-// The reasons.
+// Values of SuspendReason.
 const (
-	RejectedRequests  SuspendReason = iota // it rejected several in a row
-	ReportedDown                           // a health check was answered with the word for down
-	CouldNotBeReached                      // no connection came up
-	ConnectionBroke                        // its connection broke under a request
+	RejectedRequests  SuspendReason = iota // it rejected several requests in a row
+	ReportedDown                           // it answered a health check with the status for down
+	CouldNotBeReached                      // a connection could not be established
+	ConnectionBroke                        // its connection was reset during a request
 )
 
-// String returns the name of a reason.
+// String returns the name of the reason, as it is logged.
 func (r SuspendReason) String() string {
 	return [...]string{"rejected requests", "reported down", "could not be reached", "connection broke"}[r]
 }
 
-// EndpointsDoubted says that the endpoint list came into doubt, since nothing confirmed it for a while, or is confirmed
-// again; in between it is repeated. It is for the log.
+// EndpointsDoubted reports, for the log, that the endpoint list has not been confirmed for too long, or that it is
+// confirmed again. While the list is unconfirmed, the report is repeated periodically.
 type EndpointsDoubted struct {
 	InDoubt bool
 	Age     time.Duration // since the last confirmation
-	Ready   int           // workers that are listed as ready
-	Usable  int           // of these, workers that may be sent requests
+	Ready   int           // workers listed as Ready and not ejected
+	Usable  int           // of these, workers with a valid lease
 }
 
-// SetTimer asks for a TimerFired.
+// SetTimer starts a timer, which ends with a TimerFired.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// Probe asks a worker for its load report. It is answered by ProbeEnded.
+// Probe requests a worker's health and load report. It ends with a ProbeEnded.
 type Probe struct{ Worker string }
 
-// Load orders a worker to hold at least this many instances of a function; 0 only asks how many there are. It is answered
-// by LoadEnded.
+// Load tells a worker to have at least Instances instances of a function loaded; 0 only queries the current number. It
+// ends with a LoadEnded.
 type Load struct {
 	Worker    string
 	Function  string
 	Instances int
 }
 
-// Unload orders a worker to unload the idle instances of a function.
+// Unload tells a worker to unload the idle instances of a function.
 type Unload struct {
 	Worker   string
 	Function string
 }
 
-// Subscribe asks discovery for changes of the endpoint list from now on, or stops that.
+// Subscribe starts or stops the delivery of endpoint list changes by discovery.
 type Subscribe struct{ On bool }
 
-// FetchList asks discovery for the whole endpoint list, once.
+// FetchList requests the full endpoint list from discovery, once.
 type FetchList struct{}
 
-// ReportFault says what this scheduler itself finds of a worker: once when that changes, and again with newer evidence.
+// ReportFault reports a worker's health as this scheduler itself observes it. It is repeated when the health changes
+// and when there is newer evidence.
 type ReportFault struct {
 	Worker     string
-	Fault      Fault         // Healthy: the worker answered
-	ObservedAt time.Duration // when the request that shows it was sent, or the answer arrived
+	Fault      Fault         // Healthy if the worker answered
+	ObservedAt time.Duration // when the request without an answer was sent, or the answer arrived
 }
 
 func (ReportFault) action()      {}
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -10,11 +10,11 @@
 	"calicohill/routing/pressure"
 )
 
-// admissionController decides which requests are rejected on arrival, as SCORPIO does by the estimated time
-// of their end, and when a rejected client is to come back. It owns the quotas of the tenants.
+// admissionController decides which requests are rejected on arrival, by their estimated finish time as in
+// SCORPIO, and computes the Retry-After of rejections. It owns the tenants' quotas.
 type admissionController struct {
-	minObjective  float64       // shortest latency objective of all classes, in seconds
-	maxRetryAfter time.Duration // longest Retry-After that clients follow
+	minObjective  float64       // shortest latency objective of any class, in seconds
+	maxRetryAfter time.Duration // longest Retry-After that clients honor
 	quotas        *ratelimit.Quotas
 
 	requests   *requestTable
@@ -25,10 +25,10 @@
 	pressure   *pressure.Estimator
 }
 
-// candidate is the worker that a request would go to; target is nil if it would have to wait.
+// candidate is the worker that a request would be sent to.
 type candidate struct {
-	target *worker
-	warm   bool // the function is believed to be loaded there
+	target *worker // nil if the request has to wait for capacity
+	warm   bool    // the function is believed to be loaded at target
 }
 
 func newAdmissionController(r *Router, shortestObjective time.Duration) *admissionController {
@@ -45,11 +45,11 @@
 	}
 }
 
-// admits reports whether a request is taken in: unless its estimated finish passes its deadline, the work
-// ahead makes it late, its worker is under pressure, or its tenant is over quota. With no work ahead, no
-// deadline does.
+// admits reports whether a request is accepted. It is rejected if its estimated finish time is past its
+// deadline, if the work ahead delays it beyond the latency objective, if its worker is under pressure, or if
+// its tenant is over quota while the scheduler is busy. Without work ahead, no deadline causes a rejection.
 func (c *admissionController) admits(now time.Duration, rng *rand.Rand, req *request, best candidate) bool {
-	// Where a worker has capacity for this one, only what is in flight is ahead of it, not what is queued.
+	// If a worker has capacity for this request, only requests in flight are ahead of it, not queued ones.
 	work := c.requests.inFlightWork
 	overload := 0.0
 	if best.target == nil {
@@ -60,13 +60,14 @@
 	missesDeadline := work > 0 && c.missesDeadline(now, req, best, work)
 	shed := c.missesObjective(now, req, work) ||
 		best.target != nil && rng.Float64() < c.pressure.RejectProbability(overload)
-	// Requests over their tenant's quota are worth little: they give way as soon as anything has to wait.
+	// Requests over their tenant's quota have little value. They are rejected as soon as any request waits.
 	overQuota := c.quotas.Exceeded(now, req.Tenant)
 	busy := !c.queue.isEmpty() || overload > 0
 	return !missesDeadline && !shed && (!overQuota || !busy)
 }
 
-// missesDeadline reports whether a request with so many seconds of work ahead would end after its deadline.
+// missesDeadline reports whether a request is expected to finish after its deadline, given the work ahead of
+// it in seconds.
 func (c *admissionController) missesDeadline(
 	now time.Duration, req *request, best candidate, work float64,
 ) bool {
@@ -74,25 +75,25 @@
 	if !best.warm && (best.target != nil || !c.placements.isWarmAnywhere(now, req.function)) {
 		finish += c.latency.LoadTime(&req.function.latency, now)
 	}
-	// A departure from the SCORPIO design: the request that would begin a load is admitted, or functions
-	// that load slowly would be rejected for ever.
+	// Deviation from SCORPIO: the request that starts the load of a function is admitted. Otherwise a
+	// function that loads slowly would never be loaded, and all its requests would be rejected.
 	beginsLoad := best.target != nil && !c.placements.isLoadBegun(now, req.function)
 	return now+durationOf(finish) > req.dueAt && !beginsLoad
 }
 
-// missesObjective reports whether the work ahead makes a request late by the shortest latency objective.
+// missesObjective reports whether the work ahead delays a request beyond the shortest latency objective.
 //
-// A departure from the SCORPIO design, which looks at the deadline alone: then queues grow until every
-// answer is late. The bound is the same for all classes, or those with short objectives would starve. Harm:
-// late answers that are worth much are lost.
+// Deviation from SCORPIO, which checks only the deadline: with the deadline alone, queues grow until every
+// answer misses its objective. The bound is the same for all classes; otherwise classes with short objectives
+// would starve. Drawback: late answers that still have a high value are lost.
 func (c *admissionController) missesObjective(now time.Duration, req *request, work float64) bool {
 	wait := work / c.fleet.capacity.Divisor()
 	serviceTime := c.latency.ServiceTime(&req.function.latency, now)
 	return req.class.LateValue < 1 && wait+min(serviceTime, c.minObjective/2) > c.minObjective
 }
 
-// workAhead is the sum of the service times, in seconds, of what is in flight and of what is queued and due
-// no later than a deadline.
+// workAhead returns the total service time, in seconds, of the requests in flight and of the queued requests
+// with the same or an earlier deadline.
 func (c *admissionController) workAhead(now, deadline time.Duration) float64 {
 	sum := c.requests.inFlightWork
 	for _, queued := range c.queue.dueBy(deadline) {
@@ -101,8 +102,8 @@
 	return sum
 }
 
-// retryAfter is the advice that goes with a rejection: when the work that is now ahead will be done, but no
-// longer than clients follow. With no eligible worker that is unknown, and it is the longest advice.
+// retryAfter returns the Retry-After for a rejection: the estimated time until the current work is done, at
+// most maxRetryAfter. Without an eligible worker there is no estimate, and it returns maxRetryAfter.
 func (c *admissionController) retryAfter(now time.Duration) time.Duration {
 	capacity := c.fleet.capacity.Total()
 	if capacity == 0 {
@@ -112,7 +113,7 @@
 	return min(max(drained, tickInterval), c.maxRetryAfter)
 }
 
-// admit queues a request, or sends it to the fallback of its pool, or rejects it.
+// admit queues a new request, moves it to the fallback of its pool, or rejects it.
 func (r *Router) admit(arrival Request) {
 	if arrival.Class < 0 || arrival.Class >= len(r.settings.Classes) || r.requests.open[arrival.ID] != nil {
 		return
@@ -134,8 +135,8 @@
 	r.rejectOrFail(req, Overloaded)
 }
 
-// rejectOrFail is the only place that ends a request unserved: with a rejection if a repeat is known to be
-// harmless, and with a failure otherwise.
+// rejectOrFail ends a request unserved: with a Reject if the client can safely retry, otherwise with a Fail.
+// It is the only function that emits these actions.
 func (r *Router) rejectOrFail(req *request, reason EndReason) {
 	if req.answered {
 		return
@@ -148,8 +149,8 @@
 	r.complete(req)
 }
 
-// complete gives a request up as answered. What is still in flight is canceled: nobody waits for it, and
-// where workers heed that, it makes room for others.
+// complete marks a request as answered and cancels its attempts in flight. Their answers are no longer
+// needed, and workers that support cancellation can use the capacity for other requests.
 func (r *Router) complete(req *request) {
 	for _, a := range req.attempts {
 		if !req.answered && !a.ended && r.settings.CancelAllowed {
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -6,21 +6,24 @@
 	"calicohill/internal/stats/ratelimit"
 )
 
-// Overdue attempts. One is overdue after the larger of a fraction of its latency objective and a multiple of
-// the mean service time, but no later than the objective; a load adds a multiple of its time.
 const (
+	// An attempt is overdue after the larger of overdueObjectiveFraction of its latency objective and
+	// overdueMeanMultiple mean service times, but no later than after the objective. If the function has
+	// to be loaded first, overdueLoadMultiple load times are added.
 	overdueObjectiveFraction = 0.5
 	overdueMeanMultiple      = 3.0
 	overdueLoadMultiple      = 2.0
-	minSendTimeout           = time.Millisecond // shortest timeout of an attempt
+
+	minSendTimeout = time.Millisecond // shortest timeout of an attempt
 )
 
-// startAttempt is the only place that starts an attempt. It reports whether it did.
+// startAttempt sends a request to a worker if that is allowed, and reports whether it did. It is the only
+// function that emits a Send.
 func (r *Router) startAttempt(req *request, target *worker, warm bool) bool {
 	if r.endpoints.isStale(r.now) || !r.picker.mayAttempt(r.now, r.rng, req, target) {
 		return false
 	}
-	// What waits for a connection may not outlast the lease on its worker.
+	// A request must not wait for a connection beyond the end of the lease on its worker.
 	lease := r.endpoints.leases.Remaining(&target.lease, r.now)
 	startWithin := earlierBound(r.retries.startWithin(r.now, req), lease)
 	started := &attempt{
@@ -41,7 +44,7 @@
 	return true
 }
 
-// earlierBound returns the earlier of two bounds on a time, where 0 stands for no bound.
+// earlierBound returns the smaller of two time limits; 0 means no limit.
 func earlierBound(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return a + b
@@ -49,7 +52,7 @@
 	return min(a, b)
 }
 
-// overdueAfter is the time after which an attempt without an answer is overdue, in seconds.
+// overdueAfter returns the time in seconds after which an attempt without an answer is overdue.
 func (r *Router) overdueAfter(a *attempt) float64 {
 	objective := a.request.class.LatencyObjective.Seconds()
 	after := min(max(overdueObjectiveFraction*objective, overdueMeanMultiple*a.work), objective)
@@ -59,7 +62,8 @@
 	return after
 }
 
-// orderLoad is the only place that orders a load. All with a count above 0 are in the load budget.
+// orderLoad tells a worker to load a function, if the load budget allows it. It is the only function that
+// emits a Load; each has a count above 0 and is charged to the budget.
 func (r *Router) orderLoad(target *worker, fn *function) {
 	place := fn.placementAt(target)
 	if !r.settings.LoadAllowed || target.State != Ready || place.loadOrdered || !r.loads.allow(r.now) {
@@ -69,11 +73,11 @@
 	r.out.emit(Load{target.ID, fn.name, 1})
 }
 
-// loadBudget bounds the orders to load: in no window are there more than a base and a part of the requests
-// that arrived in it, as a retry budget bounds retries.
+// loadBudget limits the load orders in a sliding window to a base plus a number per request that arrived in
+// the window, as a retry budget limits retries.
 type loadBudget struct {
 	window     time.Duration // 0 means that loads are not limited
-	edge       time.Duration // requests so near the window's edge are left out
+	edge       time.Duration // requests in this oldest part of the window are not counted
 	base       float64
 	perRequest float64
 	limiter    ratelimit.WindowLimiter
@@ -82,17 +86,17 @@
 func newLoadBudget(s *Settings) *loadBudget {
 	return &loadBudget{
 		window: s.LoadBudgetWindow,
-		// A request may have come up to a tick before its batch: those near the window's edge are left out.
+		// A request may have arrived up to a tick before its batch, outside the window already.
 		edge:       s.Tick + tickInterval,
 		base:       s.LoadBudgetBase,
 		perRequest: s.LoadBudgetPerRequest,
 	}
 }
 
-// recordArrival counts a request.
+// recordArrival counts an arrived request.
 func (b *loadBudget) recordArrival(now time.Duration) { b.limiter.RecordArrival(now, b.window) }
 
-// allow reports whether one more load may be ordered, which is then counted.
+// allow reports whether the budget allows another load order, and if so charges it.
 func (b *loadBudget) allow(now time.Duration) bool {
 	return b.window <= 0 || b.limiter.Allow(now, b.window, b.edge, b.base, b.perRequest)
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -14,25 +14,25 @@
 	"calicohill/routing/slowstart"
 )
 
-// maxListingDelay is how long after its start a worker is listed at the latest.
+// maxListingDelay is the longest time from the start of a worker to its appearance in the endpoint list.
 const maxListingDelay = 2 * time.Second
 
-// resubscribeDelay is the time from a failed list call to the next subscription.
+// resubscribeDelay is the delay from a failed list call to the next subscription.
 const resubscribeDelay = time.Second
 
-// worker is what is known of a worker: its entry in the endpoint list, the attempts of this scheduler there,
-// and for each mechanism the state that it alone writes.
+// worker is the record of a worker: its entry in the endpoint list, the attempts of this scheduler at it, and
+// the per-worker state of each mechanism, which only that mechanism writes.
 type worker struct {
 	Worker
-	listedStart time.Duration // its latest start that was listed
-	// plausibleStart is the same as far as it is plausible. Started is that, or a later one that was found
-	// here.
+	listedStart time.Duration // its latest start as listed
+	// plausibleStart is listedStart, corrected to a plausible value. Started is plausibleStart, or a later
+	// start that this scheduler detected itself.
 	plausibleStart time.Duration
-	removedAt      time.Duration // when it was listed as Gone last
-	incarnation    int           // counts restarts; what was believed of an earlier incarnation is void
+	removedAt      time.Duration // when it was last removed from the list
+	incarnation    int           // counts restarts; instances of earlier incarnations are lost
 
-	inFlight     []*attempt // attempts without an end, oldest first
-	loadsWaiting int        // those that wait for a load; they don't count against the limit
+	inFlight     []*attempt // attempts in flight, oldest first
+	loadsWaiting int        // attempts that may wait for a load; not counted against the limit
 
 	pressure  pressure.Worker
 	limit     concurrency.Worker
@@ -42,21 +42,21 @@
 	lease     lease.Worker
 }
 
-// endpointTable holds the workers of the endpoint list, and says whether that may be stale. It forgets a
-// worker an InstanceKeepAlive after it was removed.
+// endpointTable holds the workers of the endpoint list and tracks whether the list may be stale. It keeps a
+// removed worker for another InstanceKeepAlive.
 type endpointTable struct {
 	leases          *lease.Table
 	schedulers      int
 	weightsReported bool
 	keepAlive       time.Duration
 	byID            map[string]*worker
-	list            []*worker     // the same, in the order of their ids
-	version         int           // counts changes of workers and pools, for workerOrder
-	resubscribeAt   time.Duration // when to subscribe again after a failed list call; 0 means never
-	staleUntil      time.Duration // nothing is sent until then: the list may be stale
+	list            []*worker     // the workers of byID, sorted by ID
+	version         int           // incremented on changes of workers and pools, see workerOrder
+	resubscribeAt   time.Duration // next subscription after a failed list call; 0 if none is due
+	staleUntil      time.Duration // the list may be stale and nothing is sent until then
 }
 
-// workerOrder is the rendezvous order of the workers for a function, as of a version of the endpoint table.
+// workerOrder is the rendezvous order of the workers for a function at one version of the endpoint table.
 type workerOrder struct {
 	workers []*worker
 	version int
@@ -73,8 +73,8 @@
 	}
 }
 
-// apply takes in an endpoint list. After a failed list call what was known still holds, and the subscription
-// is renewed a little later.
+// apply updates the table from an endpoint list. After a failed list call the table stays as it is, and the
+// subscription is renewed after resubscribeDelay.
 func (t *endpointTable) apply(now time.Duration, list WorkerList) {
 	if list.Kind == ListFailed {
 		t.resubscribeAt = now + resubscribeDelay
@@ -99,9 +99,9 @@
 	}
 }
 
-// plausibleStart corrects the start time of a worker that a change of the list has told. It comes from
-// another clock, which may have been stepped since: a start is not in the future, and one that the list did
-// not have when it was confirmed last was not long before that.
+// plausibleStart corrects a newly listed start time of a worker. The time comes from another clock, which may
+// have been stepped. A start cannot be in the future. If it was not listed at the last confirmation, it
+// cannot be more than maxListingDelay older than that.
 func (t *endpointTable) plausibleStart(now, started time.Duration) time.Duration {
 	if started <= 0 || !t.leases.Limited() {
 		return started
@@ -109,7 +109,8 @@
 	return min(max(started, t.leases.ConfirmedAt()-maxListingDelay), now)
 }
 
-// correctStarts corrects start times in the future of the first list, which came before any confirmation.
+// correctStarts sets start times in the future to now. They can occur in the first list, which arrives before
+// any confirmation.
 func (t *endpointTable) correctStarts(now time.Duration) {
 	for _, w := range t.list {
 		if w.Started > now {
@@ -119,7 +120,7 @@
 	}
 }
 
-// applyEntry takes in one entry of an endpoint list.
+// applyEntry updates the table from one entry of an endpoint list.
 func (t *endpointTable) applyEntry(now time.Duration, entry Worker) {
 	known := t.byID[entry.ID]
 	if known == nil {
@@ -145,23 +146,23 @@
 		entry.Started = known.plausibleStart
 	}
 	if entry.State == Gone {
-		// An entry that says Gone need not say anything else: what was known of the worker stays.
+		// A Gone entry may leave its other fields unset, so the previous ones are kept.
 		known.remove(now)
 		return
 	}
 	known.Worker = entry
 }
 
-// poolsChanged notes that some Pool has other workers than before.
+// poolsChanged invalidates the rendezvous orders after a Pool's workers have changed.
 func (t *endpointTable) poolsChanged() { t.version++ }
 
-// markStale has nothing sent until a time.
+// markStale blocks all sends until the given time.
 func (t *endpointTable) markStale(until time.Duration) { t.staleUntil = until }
 
 // isStale reports whether the endpoint list may be stale.
 func (t *endpointTable) isStale(now time.Duration) bool { return now < t.staleUntil }
 
-// resubscriptionDue reports, once, that it is time to subscribe again.
+// resubscriptionDue reports whether a new subscription is due, and clears it.
 func (t *endpointTable) resubscriptionDue(now time.Duration) bool {
 	due := t.resubscribeAt > 0 && now >= t.resubscribeAt
 	if due {
@@ -170,7 +171,7 @@
 	return due
 }
 
-// evictGone forgets workers that are gone, since new ones come all day.
+// evictGone deletes workers that have been gone for long, since new workers keep being added.
 func (t *endpointTable) evictGone(now time.Duration) {
 	t.list = slices.DeleteFunc(t.list, func(w *worker) bool {
 		forgotten := t.isForgotten(now, w)
@@ -181,13 +182,13 @@
 	})
 }
 
-// isForgotten reports whether a worker has been gone for so long that nothing of it is needed any more.
+// isForgotten reports whether a worker has been gone for so long that its record can be deleted.
 func (t *endpointTable) isForgotten(now time.Duration, w *worker) bool {
 	return w.State == Gone && len(w.inFlight) == 0 && now-w.removedAt >= t.keepAlive
 }
 
-// rendezvousOrder is the order of the workers for a function, the same at every scheduler (rendezvous
-// hashing). A worker comes first for as many functions as its weight warrants.
+// rendezvousOrder returns the workers for a function in rendezvous hashing order, which is the same at every
+// scheduler. The number of functions for which a worker comes first is proportional to its weight.
 func (t *endpointTable) rendezvousOrder(fn *function) []*worker {
 	if fn.order.version != t.version {
 		ready := slices.DeleteFunc(slices.Clone(t.list), func(w *worker) bool {
@@ -199,8 +200,8 @@
 	return fn.order.workers
 }
 
-// leasedOrder is the rendezvous order of the workers for a function, numbered without those that this
-// scheduler has no lease on: the next ones stand in for them, as if they were not listed.
+// leasedOrder returns the rendezvous order of the workers for a function, without the workers on which this
+// scheduler has no valid lease. The remaining workers are numbered from 0 without gaps.
 func (t *endpointTable) leasedOrder(now time.Duration, fn *function) iter.Seq2[int, *worker] {
 	return func(yield func(int, *worker) bool) {
 		number := 0
@@ -216,13 +217,13 @@
 	}
 }
 
-// remove notes that a worker was listed as Gone, or left out of a full list.
+// remove marks a worker as Gone, since it was listed as such or is missing from a full list.
 func (w *worker) remove(now time.Duration) {
 	w.State = Gone
 	w.removedAt = now
 }
 
-// restart forgets what a restart makes void: the worker has no instances and is warming up.
+// restart resets the state that a restart of the worker invalidates: it has no instances and is warming up.
 func (w *worker) restart(schedulers int) {
 	w.voidInstances()
 	w.limit = concurrency.NewWorker(schedulers)
@@ -231,25 +232,25 @@
 	w.slowStart.Restart()
 }
 
-// voidInstances begins a new incarnation: what was believed loaded is gone.
+// voidInstances starts a new incarnation of the worker, in which no function is loaded.
 func (w *worker) voidInstances() { w.incarnation++ }
 
-// eligible reports whether a worker may get requests: this scheduler has a lease on it, and an ejected one
-// gets only one probe at a time.
+// eligible reports whether a worker may get requests: it is ready, this scheduler holds a valid lease on it,
+// and outlier detection allows it. An ejected worker gets one probing request at a time.
 func (t *endpointTable) eligible(now time.Duration, w *worker) bool {
 	return w.State == Ready && w.health.Eligible(now, len(w.inFlight)) && t.leases.Valid(&w.lease, now)
 }
 
-// requestsInSlots is the number of attempts at a worker that count against its limit.
+// requestsInSlots returns the number of attempts at a worker that count against its limit.
 func (w *worker) requestsInSlots() int { return len(w.inFlight) - w.loadsWaiting }
 
-// slowStartCapacity is what slow start has to know of a worker.
+// slowStartCapacity returns the worker's data for the slow-start budget.
 func (w *worker) slowStartCapacity() slowstart.Capacity {
 	return slowstart.Capacity{Started: w.Started, Weight: w.Weight}
 }
 
-// overdueAttempts counts the attempts at a worker that are overdue with no answer since they were sent, and
-// returns when the newest was sent.
+// overdueAttempts returns the number of overdue attempts after which the worker has answered nothing, and the
+// time when the newest of them was sent.
 func (w *worker) overdueAttempts(now time.Duration) (overdue int, newest time.Duration) {
 	for _, a := range w.inFlight {
 		if now >= a.overdueAt && w.health.SilentSince(a.sentAt) {
@@ -260,7 +261,7 @@
 	return overdue, newest
 }
 
-// beginAttempt enters an attempt that is sent to a worker.
+// beginAttempt adds an attempt that is sent to the worker.
 func (w *worker) beginAttempt(started *attempt) {
 	w.inFlight = append(w.inFlight, started)
 	if started.mayNeedLoad {
@@ -276,13 +277,13 @@
 	}
 }
 
-// eligibleFleet is what the eligible workers can do together.
+// eligibleFleet is the total capacity of the eligible workers.
 type eligibleFleet struct {
 	capacity concurrency.Capacity
-	healthy  int // eligible workers that are not unhealthy
+	healthy  int // number of eligible workers that are not unhealthy
 }
 
-// refresh sums up the workers that are eligible now.
+// refresh recomputes the totals over the currently eligible workers.
 func (f *eligibleFleet) refresh(now time.Duration, endpoints *endpointTable, outliers *outlier.Detector) {
 	f.capacity = concurrency.Capacity{}
 	f.healthy = 0
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,70 +2,71 @@
 
 import "time"
 
-// Event is something that happened, as reported to Step. The concrete types are WorkerList, Request, StreamStarted,
+// Event is an input to Step. The concrete types are WorkerList, Request, StreamStarted,
 // AttemptEnded, ClientCanceled, TimerFired, ProbeEnded, LoadEnded, PeerMessage, PeerReports, PoolsChanged,
 // EndpointsStale, EndpointsConfirmed, StateRestored and Shutdown.
 type Event interface{ event() }
 
-// WorkerList is the endpoint list or changes of it, from discovery.
+// WorkerList is a full or partial endpoint list from discovery.
 type WorkerList struct {
 	Kind    ListKind
 	Workers []Worker
 }
 
-// ListKind tells how to read a WorkerList.
+// ListKind is the kind of a WorkerList.
 type ListKind int
 
-// The kinds of list.
+// Values of ListKind.
 const (
 	ListChanges ListKind = iota // only the entries that changed
-	ListFull                    // all workers; one that is missing has been removed
-	ListCached                  // all workers as last known, perhaps stale
-	ListFailed                  // the call for a list failed; what was known still holds
+	ListFull                    // all workers; a known worker that is missing was removed
+	ListCached                  // all workers as of an earlier time; may be stale
+	ListFailed                  // the list call failed; the known workers stay
 )
 
 // Worker is an entry of a WorkerList.
 type Worker struct {
 	ID      string
 	State   WorkerState
-	Weight  float64       // capacity, for comparison with other workers; see Settings.WeightsReported
+	Weight  float64       // relative capacity, see Settings.WeightsReported
 	Kind    int           // index in Settings.WorkerMemoryMB
 	Zone    int           // failure domain
-	Cell    int           // workers of a cell share which idempotency keys they have seen
-	Started time.Duration // time of the latest start, on the clock of Step; 0 means long ago
+	Cell    int           // workers of a cell share their seen idempotency keys
+	Started time.Duration // latest start, on the clock of Step; 0 means long ago
 }
 
-// WorkerState is what discovery knows of a worker.
+// WorkerState is the state of a worker in the endpoint list.
 type WorkerState int
 
-// The states.
+// Values of WorkerState.
 const (
-	Gone     WorkerState = iota // it was removed
-	Ready                       // it takes requests
-	Draining                    // it ends what it has and takes nothing new
+	Gone     WorkerState = iota // removed
+	Ready                       // accepts requests
+	Draining                    // finishes its requests and accepts no new ones
 )
 
-// Request is a client's request, to which the Router owes exactly one final answer: an attempt that ends with
-// RequestAnswered, a Reject or a Fail.
+// Request is a client's request. It gets exactly one final answer: an attempt that ends with RequestAnswered, a Reject
+// or a Fail.
 type Request struct {
 	ID           string
 	Class        int // index in Settings.Classes
 	Tenant       int // index in Settings.Tenants
 	Function     string
-	TimeLeft     time.Duration // until the client gives up
+	TimeLeft     time.Duration // time to the client's timeout
 	ExpectedWork time.Duration // 0 if unknown
-	MemoryMB     float64       // of a loaded instance, in MB
-	Concurrency  int           // requests that an instance runs at a time
-	LoadTime     time.Duration // usual time of a load; 0 if unknown
-	MarkedRetry  bool          // the client marked it as a retry
-	Pool         *Pool         // workers that may have it; nil means all
+	MemoryMB     float64       // memory of a loaded instance, in MB
+	Concurrency  int           // requests that one instance runs in parallel
+	LoadTime     time.Duration // typical load time; 0 if unknown
+	MarkedRetry  bool          // marked as a retry by the client
+	Pool         *Pool         // workers allowed to serve it; nil means all
 }
 
-// fallbackSuffix is added to a function's name in the fallback of its pool: a NUL, so that it looks like no other name.
+// fallbackSuffix is appended to a function's name in the fallback of its pool. It is a NUL, which no configured name
+// contains.
 const fallbackSuffix = "\x00"
 
-// forFallbackPool is the same request for the fallback of its pool, if there is one. It is another function there: what
-// is warm in one pool is not in another.
+// forFallbackPool returns the request addressed to the fallback of its pool, or false if there is none. The fallback
+// pool has a separate function record, since instances in one pool are not available in the other.
 func (q Request) forFallbackPool() (Request, bool) {
 	if q.Pool == nil || q.Pool.Fallback == nil {
 		return q, false
@@ -75,20 +76,20 @@
 	return q, true
 }
 
-// Pool is the set of workers that requests of a route may go to. All requests of one Function name one Pool. Its owner may
-// change Workers between two Steps, and reports that to the next with PoolsChanged.
+// Pool is the set of workers that requests of a route may be sent to. All requests of one Function have the same Pool.
+// The caller may change Workers between two Steps and reports the change to the next Step with PoolsChanged.
 type Pool struct {
 	Workers  map[string]bool // by id
-	Fallback *Pool           // stands in while this one has no capacity; nil means none does
+	Fallback *Pool           // used while this pool has no capacity; nil means none
 }
 
-// Has reports whether a worker belongs to a pool. Every worker belongs to the nil pool.
+// Has reports whether the pool contains a worker. A nil Pool contains every worker.
 func (p *Pool) Has(worker string) bool { return p == nil || p.Workers[worker] }
 
-// PoolsChanged says that some Pool has other workers than before.
+// PoolsChanged reports that the Workers of a Pool have changed.
 type PoolsChanged struct{}
 
-// StreamStarted says that the answer of a streaming request has begun.
+// StreamStarted reports that the answer to a streaming request has started.
 type StreamStarted struct {
 	ID      string
 	Attempt int // number of the attempt, see Send
@@ -96,7 +97,7 @@
 	Latency time.Duration
 }
 
-// AttemptEnded says how an attempt ended. Every Send gets exactly one.
+// AttemptEnded reports the outcome of an attempt. There is exactly one for every Send.
 type AttemptEnded struct {
 	ID                  string
 	Attempt             int // number of the attempt, see Send
@@ -105,58 +106,58 @@
 	RequestAnswered     bool          // the request has its final answer
 	Latency             time.Duration // 0 if unknown
 	StartType           StartType
-	InFlightForFunction int         // requests for the function that the worker had on arrival; -1 if unknown
-	Report              *LoadReport // nil if none came along
+	InFlightForFunction int         // requests for the function at the worker on arrival; -1 if unknown
+	Report              *LoadReport // nil if the answer carried none
 }
 
-// Outcome says how an attempt, a Probe or a Load ended.
+// Outcome is the result of an attempt, a Probe or a Load.
 type Outcome int
 
-// The outcomes.
+// Values of Outcome.
 const (
 	Served          Outcome = iota // answered
 	Errored                        // the worker answered with an error; the request may have run
-	Shed                           // the worker rejected it unseen
-	TimedOut                       // no answer in time; it may have run or be running
-	ConnectFailed                  // no connection was made
-	ConnectionReset                // the connection broke; it may have run
+	Shed                           // the worker rejected it without executing it
+	TimedOut                       // no answer within the timeout; it may have run or still be running
+	ConnectFailed                  // the connection could not be established
+	ConnectionReset                // the connection was reset; it may have run
 	Canceled                       // canceled by this scheduler; it may have run
-	NotSent                        // it never left this scheduler
-	NotLoaded                      // the function isn't loaded there and no load is under way, or the load failed
+	NotSent                        // it was not sent to the worker
+	NotLoaded                      // the function is not loaded or loading there, or its load failed
 )
 
-// String returns the name of an outcome.
+// String returns the name of the outcome, as it is logged.
 func (o Outcome) String() string {
 	return [...]string{
 		"served", "errored", "shed", "timed out", "connect failed", "connection reset", "canceled", "not sent", "not loaded",
 	}[o]
 }
 
-// StartType says in what state an answered request found its function.
+// StartType is the state of the function when an answered request arrived at the worker.
 type StartType int
 
-// The start types.
+// Values of StartType.
 const (
 	StartUnknown    StartType = iota
 	WarmStart                 // an instance was loaded
-	ColdStart                 // the request began a load
-	JoinedColdStart           // it waited for a load that had begun before
-	LoadFailed                // the load that it waited for failed
+	ColdStart                 // the request started a load
+	JoinedColdStart           // the request waited for a load in progress
+	LoadFailed                // the load failed
 )
 
-// LoadReport is a worker's load report. A value is negative if it is unknown.
+// LoadReport is a worker's load report. Unknown values are negative.
 type LoadReport struct {
 	InFlight           float64 // requests
-	QueueLength        float64 // requests that wait
-	Utilization        float64 // fraction of its cores that is busy
-	MemoryHeldFraction float64 // fraction of its memory that cannot be freed
-	LoadsInProgress    float64 // loads under way or waiting
+	QueueLength        float64 // waiting requests
+	Utilization        float64 // busy fraction of the worker's cores
+	MemoryHeldFraction float64 // fraction of the worker's memory that cannot be freed
+	LoadsInProgress    float64 // running and waiting loads
 }
 
-// ClientCanceled says that the client left: nothing more is owed for the request.
+// ClientCanceled reports that the client has disconnected. The request needs no answer any more.
 type ClientCanceled struct{ ID string }
 
-// TimerFired says that the timer with this token has come due.
+// TimerFired reports that the timer with this token has expired.
 type TimerFired struct{ Token uint64 }
 
 // ProbeEnded is the result of a Probe.
@@ -168,71 +169,71 @@
 	Report  *LoadReport // nil if there is none
 }
 
-// LoadEnded is the answer to a Load.
+// LoadEnded is the result of a Load.
 type LoadEnded struct {
 	Worker    string
 	Function  string
 	Outcome   Outcome
-	Instances int // instances that are loaded
+	Instances int // loaded instances
 	Latency   time.Duration
 }
 
-// PeerMessage is a message of another scheduler.
+// PeerMessage is a message from another scheduler.
 type PeerMessage struct {
 	From int // rank of the sender
 	Data []byte
 }
 
-// PeerReports is what other schedulers together report of the workers. It replaces all earlier reports: a worker without
-// a verdict is NotReported.
+// PeerReports holds the verdicts of the other schedulers on the workers. It replaces all earlier reports: a worker
+// without a verdict is NotReported.
 type PeerReports struct {
 	Verdicts map[string]PeerVerdict // by worker
-	Cleared  []string               // workers that have just answered a scheduler which had reported them
+	Cleared  []string               // workers that answered a scheduler which had reported them
 }
 
-// PeerVerdict is what other schedulers together report of a worker.
+// PeerVerdict is the combined verdict of the other schedulers on a worker.
 type PeerVerdict uint8
 
-// The verdicts, each stronger than the one before.
+// Values of PeerVerdict, in order of severity.
 const (
 	NotReported PeerVerdict = iota
-	Reported                // some find it unhealthy
-	Confirmed               // more of them than may lie find it unresponsive or unreachable
+	Reported                // some peers report it as unhealthy
+	Confirmed               // a quorum of peers reports it as unresponsive or unreachable
 )
 
-// String returns the name of a verdict.
+// String returns the name of the verdict.
 func (v PeerVerdict) String() string { return [...]string{"not reported", "reported", "confirmed"}[v] }
 
-// Fault is what a scheduler may find wrong with a worker.
+// Fault is a fault of a worker, as observed by a scheduler.
 type Fault uint8
 
-// The faults.
+// Values of Fault.
 const (
 	Healthy      Fault = iota
-	Unresponsive       // takes requests and answers none
-	Slow               // answers much later than others
-	Failing            // answers errors
-	Unreachable        // takes no connections, or breaks them
+	Unresponsive       // accepts requests but does not answer
+	Slow               // answers much more slowly than other workers
+	Failing            // answers with errors
+	Unreachable        // refuses or resets connections
 )
 
-// String returns the name of a fault.
+// String returns the name of the fault.
 func (f Fault) String() string {
 	return [...]string{"healthy", "unresponsive", "slow", "failing", "unreachable"}[f]
 }
 
-// EndpointsConfirmed says that discovery's list, as reported by all WorkerLists so far, is known to have been complete at a
-// time; 0 stands for a list of unknown age. From the first on, workers get requests only as long as that, or their own
-// answers, prove that no drain binds yet. A discovery that pushes changes reports none.
+// EndpointsConfirmed reports that the endpoint list, as built from all WorkerLists so far, was complete at AsOf; 0 means
+// that its age is unknown. After the first confirmation, a worker gets requests only while a confirmation or its own
+// answers rule out that a drain has taken effect. There are no confirmations if discovery pushes changes.
 type EndpointsConfirmed struct{ AsOf time.Duration }
 
-// EndpointsStale says for how long from now the endpoint list may be stale: nobody heard of changes for a while. Nothing
-// is sent until then, or until another EndpointsStale says 0.
+// EndpointsStale reports that the endpoint list may be stale for this duration from now, because changes may have been
+// missed. Nothing is sent until then, or until an EndpointsStale with Duration 0.
 type EndpointsStale struct{ Duration time.Duration }
 
-// StateRestored brings what an earlier process of this scheduler learned. It follows the first WorkerList.
+// StateRestored passes on what an earlier process of this scheduler learned. It follows the first WorkerList.
 type StateRestored struct{ State LearnedState }
 
-// Shutdown says that this scheduler is about to end: every open request gets its final answer now.
+// Shutdown reports that this scheduler is shutting down. Every open request gets its final answer at once.
 type Shutdown struct{}
 
 func (WorkerList) event()         {}
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -12,7 +12,7 @@
 	"calicohill/routing/slowstart"
 )
 
-// feedback hands the outcome of an attempt to the components that learn from it, in a fixed order. It owns
+// feedback passes the outcome of an attempt to the components that learn from it, in a fixed order. It owns
 // no state.
 type feedback struct {
 	out       *outbox
@@ -34,7 +34,7 @@
 	}
 }
 
-// attemptEnded learns from how an attempt ended, and queues its request again if that may be retried.
+// attemptEnded records the outcome of an attempt. It completes the request or queues it for a retry.
 func (r *Router) attemptEnded(end AttemptEnded) {
 	ended := r.requests.attemptInFlight(end.ID, end.Attempt)
 	if ended == nil {
@@ -51,12 +51,12 @@
 	case req.streaming && req.inFlight == 0:
 		r.rejectOrFail(req, StreamBroken)
 	case req.inFlight == 0:
-		r.queue.enqueue(req) // drainQueue ends it if it is too late for another attempt
+		r.queue.enqueue(req) // drainQueue ends it if no further attempt is possible
 	}
 }
 
-// applyPeerReports takes in what peers report of the workers. One that enough of them find unhealthy is
-// ejected as if found unresponsive here, unless it answered here lately or the rest could not carry the
+// applyPeerReports applies the verdicts of peers. A worker confirmed faulty by a quorum of peers is ejected
+// like one found unresponsive here, unless it answered here recently or the other workers could not carry its
 // load.
 func (r *Router) applyPeerReports(reports PeerReports) {
 	for _, w := range r.endpoints.list {
@@ -71,7 +71,7 @@
 	}
 }
 
-// observeLoad learns from the end of an attempt under how much pressure its worker is.
+// observeLoad updates the pressure estimate of a worker from the end of an attempt.
 func (f *feedback) observeLoad(now time.Duration, ended *attempt, end AttemptEnded) {
 	sample := pressure.Sample{
 		Result:   pressureResult(ended, end.Outcome),
@@ -87,7 +87,7 @@
 	f.pressure.Observe(&ended.worker.pressure, now, sample)
 }
 
-// pressureResult tells what the outcome of an attempt says of the pressure of its worker.
+// pressureResult classifies the outcome of an attempt for the pressure estimate of its worker.
 func pressureResult(ended *attempt, outcome Outcome) pressure.Result {
 	switch {
 	case outcome == TimedOut || outcome == Canceled && ended.superseded:
@@ -101,7 +101,7 @@
 	}
 }
 
-// recordOutcome learns what the outcome of an attempt says of its worker and function.
+// recordOutcome updates the state of the worker and the function from the outcome of an attempt.
 func (f *feedback) recordOutcome(now time.Duration, rng *rand.Rand, ended *attempt, end AttemptEnded) {
 	switch end.Outcome {
 	case Served:
@@ -123,11 +123,11 @@
 		f.recordReset(now, rng, ended.worker)
 	case ConnectFailed:
 		f.recordConnectFailure(now, rng, ended)
-	case NotSent: // it says nothing of the worker
+	case NotSent: // no information about the worker
 	}
 }
 
-// recordServed learns from a served answer.
+// recordServed records that an attempt was served.
 func (f *feedback) recordServed(now time.Duration, ended *attempt, end AttemptEnded) {
 	source, called := ended.worker, ended.request.function
 	f.recordAnswer(now, source)
@@ -149,21 +149,21 @@
 	source.limit.RecordWarmLatency(seconds, objective, len(source.inFlight))
 }
 
-// servedWarm reports whether a served attempt found an instance loaded, so that its latency has no load in
-// it.
+// servedWarm reports whether a served attempt found an instance loaded, so that its latency includes no load
+// time.
 func servedWarm(ended *attempt, start StartType) bool {
 	return start == WarmStart || start == StartUnknown && !ended.mayNeedLoad
 }
 
-// recordShed backs off from a worker that rejected a request unseen.
+// recordShed backs off from a worker that shed a request.
 func (f *feedback) recordShed(now time.Duration, ended *attempt) {
 	f.recordAnswer(now, ended.worker)
 	serviceTime := f.latency.ServiceTime(&ended.request.function.latency, now)
 	ended.worker.limit.RecordShed(now, serviceTime, ended.mayNeedLoad)
 }
 
-// recordRefused learns from an error, or from an answer that the function is not loaded. An error for a
-// function that no worker knows says nothing of this worker.
+// recordRefused records an error, or an answer that the function is not loaded. An error counts against the
+// worker only if the function was served before: a function that never was may fail at every worker.
 func (f *feedback) recordRefused(now time.Duration, ended *attempt, end AttemptEnded) {
 	f.recordAnswer(now, ended.worker)
 	if end.Outcome == Errored && ended.request.function.served {
@@ -174,8 +174,8 @@
 	}
 }
 
-// recordLostAnswer notes that the answer to an attempt never came though its worker answered others, and
-// allows this many more hedges for it.
+// recordLostAnswer records an attempt without an answer at a worker that has answered others since. It counts
+// as an error of the worker and earns hedge credit.
 func (f *feedback) recordLostAnswer(now time.Duration, ended *attempt, credit int) {
 	health := &ended.worker.health
 	if !health.Ejected() && health.AnsweredAfter(ended.sentAt) {
@@ -184,7 +184,7 @@
 	}
 }
 
-// recordReset learns from a broken connection.
+// recordReset records a connection reset and ejects a worker that had too many.
 func (f *feedback) recordReset(now time.Duration, rng *rand.Rand, w *worker) {
 	if w.health.RecordReset(now) {
 		w.health.Eject(now, rng)
@@ -192,8 +192,8 @@
 	}
 }
 
-// recordConnectFailure ejects a worker that crashed or cannot be reached, and whose instances are gone,
-// unless it answered elsewhere meanwhile.
+// recordConnectFailure ejects a worker that has crashed or is unreachable and discards its instances, unless
+// the worker has answered another attempt since this one was sent.
 func (f *feedback) recordConnectFailure(now time.Duration, rng *rand.Rand, ended *attempt) {
 	if ended.worker.health.AnsweredAfter(ended.sentAt) {
 		return
@@ -203,7 +203,7 @@
 	f.reportFault(ended.worker, outlier.Unreachable, now)
 }
 
-// recordAnswer notes that a worker answered, whatever it said: that ends an ejection.
+// recordAnswer records an answer of any kind from a worker, which ends an ejection.
 func (f *feedback) recordAnswer(now time.Duration, source *worker) {
 	if source.health.RecordAnswer(now) {
 		source.limit.Readmit()
@@ -212,7 +212,7 @@
 	f.reportFault(source, f.outliers.AnswerFault(&source.health, now, slow), now)
 }
 
-// reportFault reports to peers what this scheduler itself finds of a worker, if that is due.
+// reportFault reports the health of a worker, as observed by this scheduler, to peers if a report is due.
 func (f *feedback) reportFault(w *worker, fault outlier.Fault, observedAt time.Duration) {
 	if f.outliers.ShouldReport(&w.health, fault, observedAt) {
 		f.out.emit(ReportFault{w.ID, Fault(fault), observedAt})
--- a/routing/hedging.go
+++ b/routing/hedging.go
@@ -2,28 +2,28 @@
 
 import "calicohill/routing/outlier"
 
-// Hedges of a single overdue attempt at a worker that answers others: how many are allowed.
+// Credit for hedging a single overdue attempt at a worker that answers others.
 const (
-	hedgeCreditPerTimeout = 4 // for each answer that never came
-	hedgeCreditPerHedge   = 1 // for each hedge that was answered first
+	hedgeCreditPerTimeout = 4 // earned per attempt that timed out
+	hedgeCreditPerHedge   = 1 // earned per hedge that was answered first
 	maxHedgeCredit        = 8
 )
 
-// hedgeCredit counts how many single overdue attempts may be hedged: answers that were lost earn it, up to
-// maxHedgeCredit, and each such hedge spends one.
+// hedgeCredit limits the hedges of single overdue attempts. Lost answers earn credit, up to maxHedgeCredit,
+// and each such hedge spends one.
 type hedgeCredit struct{ hedges int }
 
 func (c *hedgeCredit) earn(hedges int) { c.hedges = min(c.hedges+hedges, maxHedgeCredit) }
 func (c *hedgeCredit) spend()          { c.hedges-- }
 func (c *hedgeCredit) exhausted() bool { return c.hedges <= 0 }
 
-// checkOverdue ejects a worker that takes requests and answers none: two attempts are overdue with no answer
-// since the older was sent; one alone may be an expensive request. This covers network partitions, hangs and
-// lost machines. Its attempts are retried or hedged elsewhere. Harm: a very slow worker loses its traffic
-// until a probe is answered.
+// checkOverdue ejects a worker that accepts requests but does not answer, and retries or hedges its attempts
+// elsewhere. A worker is unresponsive if two attempts are overdue and nothing was answered since the older
+// was sent; a single overdue attempt may be an expensive request. This covers network partitions, hangs and
+// lost machines. Drawback: a very slow worker gets no traffic until it answers a probe.
 func (r *Router) checkOverdue(suspect *worker) {
 	overdue, newest := suspect.overdueAttempts(r.now)
-	if overdue > 0 { // where one alone proves little, peers may have one too
+	if overdue > 0 { // a single one is weak evidence, but peers may have seen others
 		r.feedback.reportFault(suspect, outlier.Unresponsive, newest)
 	}
 	unresponsive := outlier.ManyOverdue(overdue)
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkAttempt has an attempt replaced if its worker is gone or ejected, or if it alone is overdue.
+// checkAttempt replaces an attempt whose worker is gone or ejected, or which is a single overdue one.
 func (r *Router) checkAttempt(a *attempt, unresponsive bool) {
 	gone := a.worker.State == Gone
 	unavailable := gone || a.worker.health.Ejected()
@@ -50,11 +50,11 @@
 	}
 }
 
-// hedgeSingle hedges one overdue attempt at a worker that answers others.
+// hedgeSingle hedges a single overdue attempt at a worker that answers others.
 //
-// A departure from the SCORPIO design: the answer to one request may be lost where others get theirs. Where
-// that was seen lately, a few are tried elsewhere too, at a warm instance and while there is capacity. Harm:
-// an expensive request runs twice.
+// Deviation from SCORPIO: a single answer may be lost although the worker answers other requests. If answers
+// were lost recently, a few overdue attempts are hedged at a warm instance while there is spare capacity.
+// Drawback: an expensive request runs twice.
 func (r *Router) hedgeSingle(a *attempt) {
 	if r.hedges.exhausted() || !r.fleet.capacity.MaySpread() {
 		return
@@ -65,9 +65,9 @@
 	}
 }
 
-// hedgeOrRetry starts another attempt elsewhere in place of one in flight, where the class allows that: a
-// hedge beside it where hedging is allowed, else a cancellation that leads to a retry. With hedgeOnly it
-// starts nothing but a hedge at a warm instance.
+// hedgeOrRetry replaces an attempt in flight if the class allows it: by a hedge at another worker where
+// hedging is allowed, otherwise by a cancellation, after which the request is retried. With hedgeOnly it only
+// hedges, at a warm instance.
 func (r *Router) hedgeOrRetry(a *attempt, hedgeOnly bool) {
 	req := a.request
 	if !r.mayReplace(req) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// mayReplace reports whether another attempt may take the place of the one that a request has in flight.
+// mayReplace reports whether the attempt in flight of a request may be replaced by another one.
 func (r *Router) mayReplace(req *request) bool {
 	return !req.answered && !req.streaming && req.inFlight <= 1 &&
 		r.retries.retryAllowed(r.now, req, r.endpoints.list) && req.class.Idempotency != NonIdempotent
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -9,51 +9,51 @@
 	"calicohill/routing/demand"
 )
 
-// LearnedState is what a Router has learned, for the next process of the same scheduler. Times are as Step is given them,
-// so the clock has to go on over the restart.
+// LearnedState is the state that a Router has learned, for the next process of the same scheduler. Its times are on the
+// clock of Step, which must continue across the restart.
 type LearnedState struct {
 	CapturedAt          time.Duration     `cbor:"1,keyasint"`
 	RequestWeight       float64           `cbor:"2,keyasint"` // decaying count of requests, as of CapturedAt
-	ThroughputPerWeight float64           `cbor:"3,keyasint"` // of a warm worker, in answers a second per unit of weight
-	MeanPressure        float64           `cbor:"4,keyasint"` // running mean of the pressure of the workers
-	Functions           []LearnedFunction `cbor:"5,keyasint"` // the most requested first
+	ThroughputPerWeight float64           `cbor:"3,keyasint"` // of a warm worker, in answers/s per unit of weight
+	MeanPressure        float64           `cbor:"4,keyasint"` // running mean of the workers' pressure
+	Functions           []LearnedFunction `cbor:"5,keyasint"` // by descending RequestWeight
 	Workers             []LearnedWorker   `cbor:"6,keyasint"`
 }
 
-// LearnedFunction is what was learned of a function.
+// LearnedFunction is the learned state of a function.
 type LearnedFunction struct {
 	Name              string            `cbor:"1,keyasint"`
 	Class             int               `cbor:"2,keyasint"` // index in Settings.Classes
-	Concurrency       int               `cbor:"3,keyasint"` // requests that an instance runs at a time
+	Concurrency       int               `cbor:"3,keyasint"` // requests that one instance runs in parallel
 	RequestWeight     float64           `cbor:"4,keyasint"` // decaying count of its requests, as of CapturedAt
-	ServiceTimeExcess float64           `cbor:"5,keyasint"` // of its service time over its objective, in seconds
-	LoadTime          time.Duration     `cbor:"6,keyasint"` // usual time of a load; 0 if unknown
-	Instances         []LearnedInstance `cbor:"7,keyasint"` // that were loaded
+	ServiceTimeExcess float64           `cbor:"5,keyasint"` // service time above its latency objective, in seconds
+	LoadTime          time.Duration     `cbor:"6,keyasint"` // typical load time; 0 if unknown
+	Instances         []LearnedInstance `cbor:"7,keyasint"` // loaded instances by worker
 }
 
 // LearnedInstance is a function's loaded instances at one worker.
 type LearnedInstance struct {
 	WorkerIndex int           `cbor:"1,keyasint"` // index in LearnedState.Workers
-	LastWarm    time.Duration `cbor:"2,keyasint"` // when they were last found loaded
+	LastWarm    time.Duration `cbor:"2,keyasint"` // when they were last known to be loaded
 	Count       int           `cbor:"3,keyasint"`
 }
 
-// LearnedWorker is what was learned of a worker.
+// LearnedWorker is the learned state of a worker.
 type LearnedWorker struct {
 	ID             string        `cbor:"1,keyasint"`
-	Started        time.Duration `cbor:"2,keyasint"` // a later start makes the entry void
-	PressureExcess float64       `cbor:"3,keyasint"` // pressure above that of the others
-	LatencyExcess  float64       `cbor:"4,keyasint"` // latency over that of all workers, less 1
+	Started        time.Duration `cbor:"2,keyasint"` // a different start invalidates the entry
+	PressureExcess float64       `cbor:"3,keyasint"` // pressure above the mean of all workers
+	LatencyExcess  float64       `cbor:"4,keyasint"` // latency relative to that of all workers, minus 1
 }
 
 const (
 	maxLearnedFunctions = 2000
 	maxLearnedWorkers   = 10000
-	maxLearnedFigure    = 1e9 // no figure that was learned is larger
+	maxLearnedFigure    = 1e9 // larger learned values are implausible
 )
 
-// LearnedState returns what was learned so far. The health of workers is not part of it: one that was unhealthy may have
-// recovered after the restart, and one that is unhealthy will show.
+// LearnedState returns the state learned so far. It excludes the health of workers: an unhealthy worker may have
+// recovered by the time of the restart, and one that has not is detected again.
 func (r *Router) LearnedState() LearnedState {
 	state := LearnedState{
 		CapturedAt:          r.now,
@@ -81,7 +81,7 @@
 	return state
 }
 
-// learnedFunction returns what was learned of a function; index gives the workers' places in LearnedState.Workers.
+// learnedFunction returns the learned state of a function. index maps workers to their position in Workers.
 func (r *Router) learnedFunction(fn *function, index map[*worker]int) LearnedFunction {
 	learned := LearnedFunction{
 		Name:              fn.name,
@@ -99,25 +99,25 @@
 	return learned
 }
 
-// plausible reports whether these figures can have been learned.
+// plausible reports whether the values can be learned ones: they are numbers and not too large.
 func plausible(figures ...float64) bool {
 	return !slices.ContainsFunc(figures, func(x float64) bool { return math.IsNaN(x) || math.Abs(x) > maxLearnedFigure })
 }
 
-// plausible reports whether the figures for all workers and functions together can have been learned by now.
+// plausible reports whether the values that are not specific to a function or worker are valid.
 func (s *LearnedState) plausible(now time.Duration) bool {
 	return s.CapturedAt <= now && s.RequestWeight >= 0 && s.ThroughputPerWeight >= 0 &&
 		plausible(s.RequestWeight, s.ThroughputPerWeight, s.MeanPressure)
 }
 
-// plausible reports whether the figures for a function can have been learned, with this many classes.
+// plausible reports whether the values of a function are valid in a deployment with this number of classes.
 func (f *LearnedFunction) plausible(classes int) bool {
 	return f.Class >= 0 && f.Class < classes && f.Concurrency >= 1 && f.RequestWeight >= 0 &&
 		plausible(f.RequestWeight, f.ServiceTimeExcess)
 }
 
-// restoreState takes up what an earlier process learned, faded by its age. What no longer fits is ignored, and so is all
-// of it once something was learned here.
+// restoreState restores the learned state of an earlier process, decayed by its age. Entries that no longer match the
+// endpoint list or the settings are ignored. The whole state is ignored if this Router has already seen a request.
 func (r *Router) restoreState(state LearnedState) {
 	if len(r.placements.functions) > 0 || !state.plausible(r.now) {
 		return
@@ -125,7 +125,7 @@
 	r.placements.restoreDemand(state.CapturedAt, state.RequestWeight)
 	r.slowStart.RestoreThroughput(state.ThroughputPerWeight)
 	r.pressure.RestoreMean(state.MeanPressure)
-	workers := make([]*worker, len(state.Workers)) // nil where an entry no longer fits
+	workers := make([]*worker, len(state.Workers)) // nil for an ignored entry
 	for i, learned := range state.Workers {
 		w := r.endpoints.byID[learned.ID]
 		if w != nil && w.Started == learned.Started && plausible(learned.PressureExcess, learned.LatencyExcess) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// restoreFunction makes the record of a function from what was learned of it.
+// restoreFunction creates the record of a function from its learned state.
 func restoreFunction(
 	learned LearnedFunction, class *Class, capturedAt time.Duration, workers []*worker,
 ) *function {
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	leaseSweepInterval  = 100 * time.Millisecond // between two searches for leases that have to be renewed
-	doubtReportInterval = 5 * time.Second        // between two reports that the endpoint list is in doubt
+	leaseSweepInterval  = 100 * time.Millisecond // between two scans for leases to renew
+	doubtReportInterval = 5 * time.Second        // between two reports of an unconfirmed endpoint list
 )
 
-// leaseKeeper renews the leases on workers: by what discovery and the workers' answers prove, and by health
-// checks while the endpoint list is in doubt.
+// leaseKeeper renews the leases on workers: from confirmations of the endpoint list, from the workers'
+// answers and, while the list is unconfirmed, by health checks.
 type leaseKeeper struct {
 	leases    *lease.Table
-	allowed   bool // health checks are allowed
+	allowed   bool // the deployment allows health checks
 	sweepAt   time.Duration
-	inDoubt   bool          // was reported so
-	reportAt  time.Duration // when that is reported again
+	inDoubt   bool          // the list was last reported as unconfirmed
+	reportAt  time.Duration // when the report is repeated
 	endpoints *endpointTable
 	out       *outbox
 }
@@ -35,16 +35,16 @@
 	}
 }
 
-// leaseSurvey is what a search for leases that have to be renewed has found.
+// leaseSurvey is the result of a scan for leases to renew.
 type leaseSurvey struct {
-	ready      int // workers that are listed as ready and not ejected
-	usable     int // of these, workers that may be sent requests
-	fresh      int // of these, workers that need no health check, or are being asked
-	suspects   []*worker
-	candidates []*worker
+	ready      int       // workers that are listed as Ready and not ejected
+	usable     int       // of these, workers with a valid lease
+	fresh      int       // of these, workers with a fresh lease or a health check in progress
+	suspects   []*worker // newly suspected workers, to be checked at once
+	candidates []*worker // other workers whose lease is due for renewal
 }
 
-// confirm takes in that the endpoint list was complete at a time.
+// confirm records that the endpoint list was complete at asOf.
 func (k *leaseKeeper) confirm(now, asOf time.Duration) {
 	if !k.leases.Limited() {
 		k.endpoints.correctStarts(now)
@@ -52,9 +52,10 @@
 	k.leases.Confirm(asOf)
 }
 
-// renew asks workers for their health whose leases have to be renewed, while the endpoint list is in doubt.
-// Those that serve requests renew them by that; of the others as many are asked as Held says, first those
-// that took requests last. A worker that has just come under suspicion is asked at once.
+// renew starts the health checks that are due while the endpoint list is unconfirmed. Workers that serve
+// requests need none, since served requests renew their leases. The lease table limits the number of other
+// workers to check (Held); those that accepted requests most recently are checked first. A newly suspected
+// worker is checked at once.
 func (k *leaseKeeper) renew(now time.Duration, rng *rand.Rand) {
 	if now < k.sweepAt {
 		return
@@ -82,8 +83,8 @@
 	}
 }
 
-// sortForCheck puts workers into the order in which they are asked for their health. Schedulers that know
-// equally little of all workers must not all ask the same.
+// sortForCheck sorts workers by the time at which they last accepted a request, latest first. Ties are in
+// random order, so that schedulers without such times do not all check the same workers.
 func sortForCheck(workers []*worker, rng *rand.Rand) {
 	rng.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
 	slices.SortStableFunc(workers, func(a, b *worker) int {
@@ -91,7 +92,7 @@
 	})
 }
 
-// survey looks through the workers for leases that have to be renewed.
+// survey scans the workers for leases to renew.
 func (k *leaseKeeper) survey(now time.Duration) leaseSurvey {
 	var found leaseSurvey
 	for _, listed := range k.endpoints.list {
@@ -115,13 +116,13 @@
 	return found
 }
 
-// checkHealth asks a worker whether it takes requests.
+// checkHealth starts a health check of a worker.
 func (k *leaseKeeper) checkHealth(now time.Duration, w *worker) {
 	k.leases.BeginCheck(&w.lease, now)
 	k.out.emit(Probe{w.ID})
 }
 
-// reportDoubt says that the list is in doubt: at once, and again from time to time.
+// reportDoubt reports that the list is unconfirmed: immediately, and again every doubtReportInterval.
 func (k *leaseKeeper) reportDoubt(now time.Duration, survey leaseSurvey) {
 	if k.inDoubt && now < k.reportAt {
 		return
@@ -132,7 +133,7 @@
 	k.out.emit(EndpointsDoubted{InDoubt: true, Age: age, Ready: survey.ready, Usable: survey.usable})
 }
 
-// reportConfirmed says that the list is confirmed again, if it was in doubt.
+// reportConfirmed reports that the list is confirmed again, if it was reported as unconfirmed.
 func (k *leaseKeeper) reportConfirmed(now time.Duration) {
 	if k.inDoubt {
 		k.inDoubt = false
@@ -140,7 +141,8 @@
 	}
 }
 
-// healthCheckEnded learns from a health check whether a worker takes requests. No answer proves nothing.
+// healthCheckEnded updates the lease on a worker from a health check. A check without an answer leaves the
+// lease unchanged.
 func (k *leaseKeeper) healthCheckEnded(now time.Duration, end ProbeEnded) {
 	checked := k.endpoints.byID[end.Worker]
 	if checked == nil || !checked.lease.IsChecked() {
@@ -154,11 +156,11 @@
 		k.recordDown(now, checked, ReportedDown)
 	case ConnectFailed:
 		k.recordDown(now, checked, CouldNotBeReached)
-	case Shed, TimedOut, ConnectionReset, Canceled, NotSent, NotLoaded: // nothing is known of the worker
+	case Shed, TimedOut, ConnectionReset, Canceled, NotSent, NotLoaded: // no information about the worker
 	}
 }
 
-// attemptEnded learns from the outcome of an attempt whether its worker takes requests.
+// attemptEnded updates the lease on a worker from the outcome of an attempt.
 func (k *leaseKeeper) attemptEnded(now time.Duration, ended *attempt, outcome Outcome) {
 	target := ended.worker
 	switch outcome {
@@ -174,20 +176,20 @@
 		}
 	case ConnectFailed:
 		k.recordDown(now, target, CouldNotBeReached)
-	case Errored, TimedOut, Canceled, NotSent, NotLoaded: // that does not tell whether it drains
+	case Errored, TimedOut, Canceled, NotSent, NotLoaded: // no information about draining
 	}
 }
 
-// recordDown notes that a worker drains or cannot be reached.
+// recordDown records that a worker is draining or unreachable.
 func (k *leaseKeeper) recordDown(now time.Duration, w *worker, reason SuspendReason) {
 	if k.leases.RecordDown(&w.lease, now) {
 		k.out.emit(WorkerSuspended{w.ID, reason})
 	}
 }
 
-// recordAccepted notes that a worker took what was sent to it at a time. One that had been down before is
-// taken to have restarted: while the list is in doubt nobody tells, and a worker that warms up is easily
-// overloaded.
+// recordAccepted records that a worker accepted a request or health check sent at sentAt. A worker that was
+// down before is assumed to have restarted: an unconfirmed list does not announce restarts, and a worker that
+// is warming up is easily overloaded.
 func (k *leaseKeeper) recordAccepted(now time.Duration, w *worker, sentAt time.Duration) {
 	if k.leases.RecordAccepted(&w.lease, sentAt) {
 		w.restart(k.endpoints.schedulers)
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	maxCandidates        = 4    // workers of the rendezvous order that a first attempt considers
-	presumedWarmRequests = 4    // peers' requests within a keep-alive that keep an instance loaded
-	maxWaitingForLoads   = 4    // requests of ours that may wait for loads at a worker that gets another
-	spreadFactor         = 2.0  // preferred workers of a function, as a multiple of its part of all requests
-	unansweredPenalty    = 0.25 // requests that a worker with no recent answer counts as busier by
-	pressureSteps        = 4    // steps in which pressure counts; less is noise, and all would follow it
+	maxCandidates        = 4    // workers in rendezvous order that a first attempt considers
+	presumedWarmRequests = 4    // requests of peers per keep-alive and worker that keep a function loaded
+	maxWaitingForLoads   = 4    // own requests waiting for loads at a worker before it gets another one
+	spreadFactor         = 2.0  // fraction of workers per function, as a multiple of its request fraction
+	unansweredPenalty    = 0.25 // requests added to the load of a worker without a recent answer
+	pressureSteps        = 4    // pressure is rounded to 1/4, so that schedulers do not all react to noise
 )
 
-// picker chooses the worker for a request. It owns no state: it asks the components that do.
+// picker chooses the worker for a request. It owns no state and reads that of the other components.
 type picker struct {
-	peers     int           // other schedulers that share the workers
+	peers     int           // number of other schedulers that share the workers
 	keepAlive time.Duration // shortest time that an idle instance stays loaded
 
 	endpoints  *endpointTable
@@ -37,10 +37,10 @@
 	retries    *retryPolicy
 }
 
-// loadedPlacements is what there is of a function at the workers that a request may be sent to.
+// loadedPlacements summarizes the placements of a function at the workers that accept a request.
 type loadedPlacements struct {
-	free     *placement // the best one with a free slot
-	shortest *placement // the one with the shortest queue of our requests, where all slots are taken
+	free     *placement // the best placement with a free slot
+	shortest *placement // the shortest queue of own requests, among placements without a free slot
 	exists   bool       // the function is loaded or loading at some worker
 }
 
@@ -59,29 +59,29 @@
 	}
 }
 
-// pick chooses the worker for a request, and reports whether the function is believed to be loaded there:
-// one where it is, while fewer of our requests are in flight there than it runs at a time, else the less
-// busy of the first two with capacity in the function's rendezvous order. It returns nil if the request has
-// to wait.
+// pick chooses the worker for a request and reports whether the function is believed to be loaded there. It
+// prefers a worker with a loaded instance that has a free slot for this scheduler's requests. Otherwise it
+// takes the less busy of the first two workers with capacity in the function's rendezvous order. It returns
+// nil if the request has to wait.
 func (p *picker) pick(now time.Duration, rng *rand.Rand, req *request) (target *worker, warm bool) {
 	loaded := p.findLoaded(now, rng, req)
 	if loaded.free != nil {
 		return loaded.free.worker, p.placements.isWarm(now, loaded.free)
 	}
-	// A departure from the SCORPIO design: a loaded instance is waited for where that takes less time than a
-	// load elsewhere, or loads evict instances, which then load again. Harm: where declared load times are
-	// longer than real ones.
+	// Deviation from SCORPIO: a request waits for a loaded instance if the expected wait is shorter than a
+	// load at another worker. Otherwise loads evict instances, which then have to be loaded again. Drawback:
+	// requests wait too long if declared load times exceed the real ones.
 	if next := loaded.shortest; next != nil {
 		if !p.placements.isWarm(now, next) {
-			return nil, false // its load is under way: what waits here blocks no worker if the load is slow
+			return nil, false // it is still loading; a request in the queue occupies no worker meanwhile
 		}
 		if p.waitForSlot(now, next, req.function) < p.latency.LoadTime(&req.function.latency, now) {
 			return next.worker, true
 		}
 	}
-	// A departure from the SCORPIO design: with most capacity in use, a function that is loaded somewhere
-	// waits for capacity there, against load storms in overload. Harm: one much called function in a fleet
-	// that is busy with long requests spreads late.
+	// Deviation from SCORPIO: while most capacity is in use, a function that is loaded somewhere waits for
+	// capacity there. This prevents load storms in overload. Drawback: in a fleet that is busy with long
+	// requests, a function with many requests spreads late.
 	if loaded.exists && !p.fleet.capacity.MaySpread() {
 		return nil, false
 	}
@@ -89,7 +89,7 @@
 	return target, target != nil && p.placements.isWarm(now, req.function.placementAt(target))
 }
 
-// findLoaded looks through the workers where a function is loaded or loading.
+// findLoaded searches the workers where a function is loaded or loading.
 func (p *picker) findLoaded(now time.Duration, rng *rand.Rand, req *request) loadedPlacements {
 	var found loadedPlacements
 	presumed := p.presumedWarm(now, req.function)
@@ -111,13 +111,13 @@
 	return found
 }
 
-// isLoaded reports whether a function is believed to be loaded at a worker, or taken to be.
+// isLoaded reports whether a function is believed or presumed to be loaded at a worker.
 func (p *picker) isLoaded(now time.Duration, place *placement, presumed []*worker) bool {
 	return p.placements.isWarm(now, place) || slices.Contains(presumed, place.worker)
 }
 
-// isBetter reports whether a placement with a free slot is to be preferred to the best so far: one that is
-// loaded to one that still loads, else the one at the less busy worker.
+// isBetter reports whether a placement with a free slot is better than the best one so far. A loaded one is
+// better than one that is still loading; otherwise the one at the less busy worker is better.
 func (p *picker) isBetter(
 	now time.Duration, rng *rand.Rand, place, best *placement, presumed []*worker,
 ) bool {
@@ -128,7 +128,7 @@
 	return p.busier(now, rng, best.worker, place.worker)
 }
 
-// shorterQueue returns the placement with fewer requests of ours for each instance; the first may be nil.
+// shorterQueue returns the placement with fewer own requests per instance; best may be nil.
 func shorterQueue(best, next *placement) *placement {
 	if best == nil || next.inFlight*best.instances < best.inFlight*next.instances {
 		return next
@@ -136,8 +136,8 @@
 	return best
 }
 
-// presumedWarm returns the workers where a function is taken to be loaded though no answer told this
-// scheduler so: its preferred workers, if peers call it often.
+// presumedWarm returns the workers where a function is presumed to be loaded although this scheduler has no
+// answer that shows it: its preferred workers, if peers are expected to request it often.
 func (p *picker) presumedWarm(now time.Duration, fn *function) []*worker {
 	preferred := p.preferredWorkers(now, fn)
 	peerRequests := float64(p.peers) * fn.demand.PerKeepAlive()
@@ -147,15 +147,15 @@
 	return nil
 }
 
-// waitForSlot estimates the wait for a slot of a placement whose slots are all taken, in seconds.
+// waitForSlot estimates the wait for a free slot of a full placement, in seconds.
 func (p *picker) waitForSlot(now time.Duration, place *placement, fn *function) float64 {
 	slots := float64(place.instances * fn.concurrency)
 	return (float64(place.inFlight) - slots + 1) / slots * p.latency.ServiceTime(&fn.latency, now)
 }
 
 // pickForLoad chooses the worker that loads a function: the less busy of the first two with capacity in its
-// rendezvous order. The very first instance goes to the first with capacity, so that the store is asked
-// once. If there is none, a worker that the function has left stands in.
+// rendezvous order. The first instance is loaded by the first worker with capacity, so that the store is read
+// once. If there is no such worker, it returns one from which the function was displaced.
 func (p *picker) pickForLoad(now time.Duration, rng *rand.Rand, req *request, exists bool) *worker {
 	var first, spare *worker
 	for i, candidate := range p.endpoints.leasedOrder(now, req.function) {
@@ -183,13 +183,13 @@
 	return cmp.Or(first, spare)
 }
 
-// acceptsLoad reports whether a worker may be given one more request that waits for a load there.
+// acceptsLoad reports whether a worker may get another request that waits for a load there.
 func acceptsLoad(now time.Duration, fn *function, place *placement) bool {
 	return !place.worker.limit.BacksOffLoads(now) && place.worker.loadsWaiting < maxWaitingForLoads &&
 		place.inFlight < fn.concurrency
 }
 
-// lessBusy returns the less busy of two workers; the first may be nil.
+// lessBusy returns the less busy of two workers; best may be nil.
 func (p *picker) lessBusy(now time.Duration, rng *rand.Rand, best, next *worker) *worker {
 	if best == nil || p.busier(now, rng, best, next) {
 		return next
@@ -197,17 +197,17 @@
 	return best
 }
 
-// busier reports whether a is busier than b; a tie is broken at random.
+// busier reports whether a is busier than b. Ties are broken at random.
 func (p *picker) busier(now time.Duration, rng *rand.Rand, a, b *worker) bool {
 	loadA, loadB := p.relativeLoad(now, a), p.relativeLoad(now, b)
 	return loadA > loadB || loadA == loadB && rng.IntN(2) == 0
 }
 
-// relativeLoad is how busy a worker is for its weight.
+// relativeLoad returns the load of a worker relative to its weight.
 func (p *picker) relativeLoad(now time.Duration, w *worker) float64 {
 	steps := max(math.Round(pressureSteps*p.pressure.Of(&w.pressure, now)), 1)
 	requests := 1 + float64(len(w.inFlight)) + w.pressure.PeerInFlight()
-	// Where many share a worker, meeting one more costs it and shows in none of its reports.
+	// Serving one more scheduler costs a shared worker capacity that its load reports do not show.
 	if !w.health.AnsweredWithin(now, p.keepAlive) {
 		requests += unansweredPenalty * p.pressure.PeerInfluence()
 	}
@@ -225,14 +225,14 @@
 		!p.avoids(now, req, w) && req.function.pool.Has(w.ID)
 }
 
-// mayAttempt reports whether the rules on attempts and the slow-start budget allow to send this request to
-// this worker now.
+// mayAttempt reports whether the retry policy and the slow-start budget allow sending this request to this
+// worker now.
 func (p *picker) mayAttempt(now time.Duration, rng *rand.Rand, req *request, w *worker) bool {
 	return p.retries.mayAttempt(now, req, w) && p.withinSlowStartBudget(now, rng, w)
 }
 
-// withinSlowStartBudget reports whether a worker that is warming up may be sent one more request, where the
-// deployment says what overloads it.
+// withinSlowStartBudget reports whether the slow-start budget allows another request to a worker that is
+// warming up. There is no budget if the deployment defines no overload limit.
 func (p *picker) withinSlowStartBudget(now time.Duration, rng *rand.Rand, warming *worker) bool {
 	if !p.slowStart.Limits(now, warming.Started) {
 		return true
@@ -247,19 +247,19 @@
 	return p.slowStart.HasQuota(&warming.slowStart, now)
 }
 
-// avoids reports whether a worker is not to have this request: it seems unhealthy, and nothing could be
-// retried. Other requests still go there, show when it has recovered, and are retried elsewhere.
+// avoids reports whether a worker must not get this request: the worker looks unhealthy, and a failed attempt
+// could not be retried. Requests that can be retried are still sent there, so that a recovery is detected.
 func (p *picker) avoids(now time.Duration, req *request, w *worker) bool {
 	return req.class.Idempotency == NonIdempotent && p.fleet.healthy > 0 &&
 		p.outliers.IsUnhealthy(&w.health, now)
 }
 
-// preferredWorkers are the workers that a function is spread over: the first of its rendezvous order, as
-// many as its part of the requests warrants, so that all schedulers choose much the same. Where one is under
-// pressure, the next in the order takes its place: it looks so to all schedulers.
+// preferredWorkers returns the workers that a function is spread over: the first ones of its rendezvous
+// order, in proportion to the function's fraction of all requests. All schedulers choose nearly the same
+// workers. A worker under pressure is replaced by the next in the order: all schedulers see the pressure.
 func (p *picker) preferredWorkers(now time.Duration, called *function) []*worker {
 	order := p.endpoints.rendezvousOrder(called)
-	// Few requests prove little: what chance alone could have brought is left out.
+	// One standard deviation is subtracted, so that a few requests by chance do not spread the function.
 	requests := p.placements.requestsFor(now, called)
 	fraction := max(0, requests-math.Sqrt(requests)) / max(p.placements.totalRequests(now), 1)
 	wanted := max(1, int(math.Ceil(fraction*spreadFactor*float64(len(order)))))
@@ -275,7 +275,7 @@
 	return preferred
 }
 
-// isDisplaced reports whether a function leaves a worker for the next in its order.
+// isDisplaced reports whether pressure moves a function from a worker to the next one in its order.
 func (p *picker) isDisplaced(now time.Duration, place *placement) bool {
 	return p.pressure.Displaces(&place.worker.pressure, now, place.stickiness)
 }
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -10,43 +10,43 @@
 	"calicohill/routing/latency"
 )
 
-// functionKeepAlives is how many keep-alives a function without requests is remembered.
+// functionKeepAlives is the retention time of a function without requests, in keep-alives.
 const functionKeepAlives = 5
 
-// function is what is known of a function.
+// function is the record of a function.
 type function struct {
 	name        string
-	class       int   // index in Settings.Classes, of its latest request
-	concurrency int   // requests that an instance runs at a time
-	pool        *Pool // workers that may have it; nil means all
-	served      bool  // some worker answered it
+	class       int   // index in Settings.Classes of its latest request
+	concurrency int   // requests that one instance runs in parallel
+	pool        *Pool // workers allowed to serve it; nil means all
+	served      bool  // some worker has served it
 	demand      demand.Count
 	latency     latency.Function
 	placements  []*placement
 	order       workerOrder
 }
 
-// placement is what is known of a function at a worker.
+// placement is the record of a function at one worker.
 type placement struct {
 	worker      *worker
-	incarnation int           // of the worker, that warm, loading and instances hold for
-	warm        bool          // the function was found loaded
-	warmAt      time.Duration // when that was last so
-	instances   int           // loaded instances, at least 1
-	inFlight    int           // attempts of ours
-	loading     bool          // a load that a request began is under way
-	loadOrdered bool          // a load that was ordered is under way
-	stickiness  float64       // 0 to 1: the placements with the least are the first to leave under pressure
-}
-
-// placementTable holds the functions that are called, how much, and at which workers they are loaded. It
-// forgets a function that was not called for functionKeepAlives.
+	incarnation int           // incarnation of the worker to which warm, loading and instances apply
+	warm        bool          // the function was loaded at warmAt
+	warmAt      time.Duration // when the function was last known to be loaded
+	instances   int           // estimated number of loaded instances, at least 1
+	inFlight    int           // attempts of this scheduler
+	loading     bool          // a load started by a request is in progress
+	loadOrdered bool          // a Load is in progress
+	stickiness  float64       // 0 to 1; under pressure, placements with the lowest are displaced first
+}
+
+// placementTable holds the requested functions, their demand, and the workers where they are loaded. It
+// deletes a function that was not requested for functionKeepAlives.
 type placementTable struct {
 	classes   []Class
 	keepAlive time.Duration // shortest time that an idle instance stays loaded
 	window    demand.Window
 	functions map[string]*function // by name
-	demand    demand.Count         // of requests for all functions
+	demand    demand.Count         // requests for all functions
 }
 
 func newPlacementTable(s *Settings) *placementTable {
@@ -58,7 +58,7 @@
 	}
 }
 
-// functionFor returns the record of a request's function, which it makes if needed, and counts the request.
+// functionFor counts a request and returns the record of its function, creating it if necessary.
 func (t *placementTable) functionFor(now time.Duration, arrival Request) *function {
 	called := t.functions[arrival.Function]
 	if called == nil {
@@ -74,34 +74,34 @@
 	return called
 }
 
-// requestsFor is the decaying count of requests for a function.
+// requestsFor returns the decaying count of requests for a function.
 func (t *placementTable) requestsFor(now time.Duration, fn *function) float64 {
 	return fn.demand.At(now, t.window)
 }
 
-// totalRequests is the decaying count of requests for all functions.
+// totalRequests returns the decaying count of requests for all functions.
 func (t *placementTable) totalRequests(now time.Duration) float64 { return t.demand.At(now, t.window) }
 
-// isWarm reports whether a function is believed to be loaded at a worker: it was found so within the
-// shortest keep-alive, in this incarnation of the worker.
+// isWarm reports whether a function is believed to be loaded at a worker: it was known to be loaded within
+// the last keep-alive, in the current incarnation of the worker.
 func (t *placementTable) isWarm(now time.Duration, p *placement) bool {
 	return p.warm && p.incarnation == p.worker.incarnation && p.worker.State == Ready &&
 		now-p.warmAt < t.keepAlive
 }
 
-// isWarmAnywhere reports whether a function is believed to be loaded at some worker.
+// isWarmAnywhere reports whether a function is believed to be loaded at any worker.
 func (t *placementTable) isWarmAnywhere(now time.Duration, fn *function) bool {
 	return slices.ContainsFunc(fn.placements, func(p *placement) bool { return t.isWarm(now, p) })
 }
 
-// isLoadBegun reports whether a function is loaded, or a request began its load, at some worker.
+// isLoadBegun reports whether a function is believed to be loaded or is loading for a request, at any worker.
 func (t *placementTable) isLoadBegun(now time.Duration, fn *function) bool {
 	return slices.ContainsFunc(fn.placements, func(p *placement) bool {
 		return t.isWarm(now, p) || p.loading
 	})
 }
 
-// loadEnded learns from the answer to an order to load; the worker is nil if it is not known.
+// loadEnded records the result of a Load; target is nil for an unknown worker.
 func (t *placementTable) loadEnded(now time.Duration, target *worker, end LoadEnded) {
 	fn := t.functions[end.Function]
 	if target == nil || fn == nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-// evictIdle forgets functions that nobody calls any more, and placements at workers that are forgotten.
+// evictIdle deletes functions without recent requests and placements at deleted workers.
 func (t *placementTable) evictIdle(now time.Duration, endpoints *endpointTable, queue *requestQueue) {
 	maps.DeleteFunc(t.functions, func(_ string, fn *function) bool {
 		fn.placements = slices.DeleteFunc(fn.placements, func(p *placement) bool {
@@ -125,7 +125,7 @@
 	})
 }
 
-// placementAt returns the record of a function at a worker, which it makes if needed.
+// placementAt returns the placement of a function at a worker, creating it if necessary.
 func (f *function) placementAt(w *worker) *placement {
 	i := slices.IndexFunc(f.placements, func(p *placement) bool { return p.worker == w })
 	if i >= 0 {
@@ -136,24 +136,24 @@
 	return p
 }
 
-// recordServed notes that some worker answered the function.
+// recordServed records that some worker has served the function.
 func (f *function) recordServed() { f.served = true }
 
-// isInUse reports whether a function has an attempt in flight or an open order to load.
+// isInUse reports whether a function has an attempt in flight or a Load in progress.
 func (f *function) isInUse() bool {
 	return slices.ContainsFunc(f.placements, func(p *placement) bool {
 		return p.loadOrdered || p.inFlight > 0
 	})
 }
 
-// setWarm notes that the function was found loaded, in the worker's present incarnation.
+// setWarm records that the function is loaded in the current incarnation of the worker.
 func (p *placement) setWarm(now time.Duration) {
 	p.warm = true
 	p.incarnation = p.worker.incarnation
 	p.warmAt = now
 }
 
-// recordServed notes that an attempt found the function loaded, or loaded it.
+// recordServed records a served attempt, after which the function is loaded.
 func (p *placement) recordServed(now time.Duration) {
 	if p.incarnation != p.worker.incarnation {
 		p.instances = 1
@@ -162,19 +162,19 @@
 	p.loading = false
 }
 
-// recordInFlight learns how many instances there are: enough for the requests that the worker had, and one
-// more, where each runs so many at a time.
+// recordInFlight estimates the number of instances: enough for the requests that the worker reported and one
+// more, given the number that an instance runs in parallel.
 func (p *placement) recordInFlight(requests, concurrency int) {
 	p.instances = max(1, (requests+concurrency)/concurrency)
 }
 
-// recordNotLoaded notes that the function is not loaded, and no load is under way.
+// recordNotLoaded records that the function is neither loaded nor loading.
 func (p *placement) recordNotLoaded() {
 	p.warm = false
 	p.loading = false
 }
 
-// beginAttempt counts an attempt. One that finds nothing loaded begins a load.
+// beginAttempt counts an attempt. An attempt that may need a load starts one, unless one is in progress.
 func (p *placement) beginAttempt(mayNeedLoad bool) {
 	p.inFlight++
 	if mayNeedLoad && (p.incarnation != p.worker.incarnation || !p.loading) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// endAttempt removes an attempt from the count.
+// endAttempt removes an ended attempt from the count.
 func (p *placement) endAttempt(mayNeedLoad bool) {
 	p.inFlight--
 	if mayNeedLoad && p.inFlight == 0 {
@@ -193,20 +193,20 @@
 	}
 }
 
-// recordLoadOrdered notes that a load was ordered.
+// recordLoadOrdered records that a Load was sent.
 func (p *placement) recordLoadOrdered() { p.loadOrdered = true }
 
-// restorePlacement notes that so many instances were loaded at a worker at an earlier time.
+// restorePlacement restores the instances that were loaded at a worker at warmAt.
 func (f *function) restorePlacement(w *worker, warmAt time.Duration, instances int) {
 	p := f.placementAt(w)
 	p.setWarm(warmAt)
 	p.instances = max(instances, 1)
 }
 
-// restore takes up a function that an earlier process knew.
+// restore adds the record of a function restored from an earlier process.
 func (t *placementTable) restore(fn *function) { t.functions[fn.name] = fn }
 
-// restoreDemand takes up the count of requests for all functions as of an earlier time.
+// restoreDemand restores the decaying count of requests for all functions as of countedAt.
 func (t *placementTable) restoreDemand(countedAt time.Duration, requests float64) {
 	t.demand = demand.NewCount(countedAt, requests)
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// expiryMargin is how long before its client gives up a queued request is ended.
+// expiryMargin is the time before the client's timeout at which a queued request is ended.
 const expiryMargin = 2 * tickInterval
 
-// requestQueue holds the requests with no attempt in flight, earliest deadline first.
+// requestQueue holds the requests without an attempt in flight, earliest deadline first.
 type requestQueue struct{ list []*request }
 
-// enqueue puts a request into the queue, after those that are due at the same time.
+// enqueue inserts a request, after those with the same deadline.
 func (q *requestQueue) enqueue(req *request) {
 	q.list = insertSorted(q.list, req, func(queued *request) time.Duration { return queued.dueAt })
 }
 
-// drain offers each request, earliest deadline first, and removes it if leaves says so. A request that must
-// wait blocks no other.
+// drain calls leaves for each request, earliest deadline first, and removes those for which it returns true.
+// A request that has to wait does not block the others.
 func (q *requestQueue) drain(leaves func(*request) bool) { q.list = slices.DeleteFunc(q.list, leaves) }
 
-// isEmpty reports whether no request waits.
+// isEmpty reports whether no request is queued.
 func (q *requestQueue) isEmpty() bool { return len(q.list) == 0 }
 
-// holds reports whether a request for a function waits.
+// holds reports whether a request for a function is queued.
 func (q *requestQueue) holds(fn *function) bool {
 	return slices.ContainsFunc(q.list, func(queued *request) bool { return queued.function == fn })
 }
 
-// dueBy returns the requests that are due no later than a deadline.
+// dueBy returns the queued requests with the same or an earlier deadline.
 func (q *requestQueue) dueBy(deadline time.Duration) []*request {
 	for i, queued := range q.list {
 		if queued.dueAt > deadline {
@@ -39,24 +39,24 @@
 	return q.list
 }
 
-// isStuck reports whether a request found no capacity in half its time: it is rejected while its client can
-// still do better by coming back. Later a rejection is expensive where nothing was ever sent: then it is
-// tried to the end.
+// isStuck reports whether a request has found no capacity in half the time to the client's timeout. It is
+// then rejected while the client still has time for a retry. A later rejection of a request that was never
+// sent is costly, so a request past this moment stays queued until it expires.
 func (q *request) isStuck(now time.Duration) bool {
 	halfway := q.arrivedAt + q.TimeLeft/2 - expiryMargin
 	return !q.reachedWorker && now >= halfway && now < halfway+expiryMargin
 }
 
-// isExpiring reports whether the client of a request is about to give up.
+// isExpiring reports whether the client of a request is about to time out.
 func (q *request) isExpiring(now time.Duration) bool { return q.expiresAt-now <= expiryMargin }
 
-// drainQueue sends what can be sent, earliest deadline first.
+// drainQueue sends the queued requests that can be sent, earliest deadline first.
 func (r *Router) drainQueue() {
 	r.refreshCapacity()
 	r.queue.drain(r.leavesQueue)
 }
 
-// leavesQueue sends a queued request or ends it, if either is due, and reports whether it leaves the queue.
+// leavesQueue sends or ends a queued request if possible, and reports whether the request leaves the queue.
 func (r *Router) leavesQueue(req *request) bool {
 	stuck := req.isStuck(r.now)
 	if stuck {
@@ -78,14 +78,14 @@
 	}
 	target, warm := r.picker.pick(r.now, r.rng, req)
 	if target != nil && !warm && !r.settings.LoadOnDemand && r.settings.LoadAllowed {
-		// Only an order loads the function: requests are queued here until it is answered.
+		// Only a Load loads the function. Its requests stay in the queue until the Load has ended.
 		r.orderLoad(target, req.function)
 		return false
 	}
 	return target != nil && r.startAttempt(req, target, warm)
 }
 
-// insertSorted inserts value into a list that is in the order of key, after the elements with an equal key.
+// insertSorted inserts a value into a list sorted by key, after the elements with an equal key.
 func insertSorted[T any, K cmp.Ordered](list []T, value T, key func(T) K) []T {
 	valueKey := key(value)
 	i, _ := slices.BinarySearchFunc(list, valueKey, func(element T, target K) int {
--- a/routing/request.go
+++ b/routing/request.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// workRoundingError is how many seconds of work in flight count as none: the sum's rounding error.
+// workRoundingError is the rounding error of inFlightWork, in seconds. A smaller sum counts as 0.
 const workRoundingError = 1e-9
 
-// request is an open request of a client, or an answered one that still has attempts in flight.
+// request is the record of an open request, or of an answered one that still has attempts in flight.
 type request struct {
 	Request
 	class         *Class
 	function      *function
 	arrivedAt     time.Duration
-	expiresAt     time.Duration // when the client gives up
-	dueAt         time.Duration // deadline that orders the queue
-	attempts      []*attempt    // all of them, in the order of their Sends
-	inFlight      int           // attempts without an end
-	answered      bool          // it has its final answer
-	streaming     bool          // its answer has begun to stream
-	reachedWorker bool          // some attempt came as far as a worker
+	expiresAt     time.Duration // when the client times out
+	dueAt         time.Duration // deadline by which the queue is sorted
+	attempts      []*attempt    // all attempts, in the order of their Sends
+	inFlight      int           // attempts that have not ended
+	answered      bool          // the final answer was given
+	streaming     bool          // the answer has started to stream
+	reachedWorker bool          // some attempt was received by a worker
 }
 
-// attempt is an attempt to serve a request at a worker.
+// attempt is the record of an attempt to serve a request at a worker.
 type attempt struct {
 	request     *request
 	number      int // index in request.attempts
@@ -32,21 +32,21 @@
 	sentAt      time.Duration
 	overdueAt   time.Duration
 	work        float64 // expected service time, in seconds
-	mayNeedLoad bool    // it may have to wait for a load
+	mayNeedLoad bool    // it may have to wait for a load of the function
 	ended       bool
-	neverRan    bool // it ended, and is known never to have run
-	superseded  bool // another attempt was started in its place, or it was canceled for one
+	neverRan    bool // it ended and was certainly not executed
+	superseded  bool // it was hedged, or canceled in favor of a retry
 }
 
-// requestTable holds the requests that are open, and the work of their attempts.
+// requestTable holds the open requests and the total work of their attempts.
 type requestTable struct {
-	open         map[string]*request // by id, until every attempt has ended
-	inFlightWork float64             // summed service times of attempts at warm instances, in seconds
+	open         map[string]*request // by ID, until the last attempt has ended
+	inFlightWork float64             // total service time of attempts at warm instances, in seconds
 }
 
 func newRequestTable() *requestTable { return &requestTable{open: map[string]*request{}} }
 
-// newRequest returns the record of a request that has just arrived.
+// newRequest returns the record of a new request.
 func newRequest(now time.Duration, arrival Request, class *Class, called *function) *request {
 	return &request{
 		Request:   arrival,
@@ -58,20 +58,20 @@
 	}
 }
 
-// add enters a request that has just arrived.
+// add adds a new request.
 func (t *requestTable) add(req *request) { t.open[req.ID] = req }
 
-// remove forgets a request that goes on as another.
+// remove deletes a request that continues as another one, in the fallback pool.
 func (t *requestTable) remove(req *request) { delete(t.open, req.ID) }
 
-// markStreaming notes that the answer of a request has begun to stream.
+// markStreaming records that the answer to a request has started to stream.
 func (t *requestTable) markStreaming(id string) {
 	if req := t.open[id]; req != nil {
 		req.streaming = true
 	}
 }
 
-// attemptInFlight returns an attempt that has not ended, or nil.
+// attemptInFlight returns an attempt in flight, or nil if there is none with this number.
 func (t *requestTable) attemptInFlight(id string, number int) *attempt {
 	req := t.open[id]
 	if req == nil || number < 0 || number >= len(req.attempts) || req.attempts[number].ended {
@@ -80,7 +80,7 @@
 	return req.attempts[number]
 }
 
-// recordStart enters a new attempt with its request, placement and worker.
+// recordStart adds a new attempt to its request, placement and worker.
 func (t *requestTable) recordStart(started *attempt) {
 	started.request.attempts = append(started.request.attempts, started)
 	started.request.inFlight++
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordEnd removes an ended attempt from the counts of its request, placement and worker.
+// recordEnd marks an attempt as ended and updates its request, placement and worker.
 func (t *requestTable) recordEnd(ended *attempt, outcome Outcome) {
 	ended.ended = true
 	ended.neverRan = provesNotRun(outcome)
@@ -108,7 +108,7 @@
 	}
 }
 
-// recordAnswered marks a request as answered; it is forgotten when its last attempt has ended.
+// recordAnswered marks a request as answered. Its record is deleted when the last attempt has ended.
 func (t *requestTable) recordAnswered(req *request) {
 	req.answered = true
 	if req.inFlight == 0 {
@@ -116,13 +116,13 @@
 	}
 }
 
-// divert has a request go on in the fallback of its pool, where its function is another.
+// divert moves a request to the fallback of its pool, which has a separate function record.
 func (q *request) divert(fallback Request, called *function) {
 	q.Request = fallback
 	q.function = called
 }
 
-// firstPossiblyExecuted returns the first attempt that is not known never to have run, or nil.
+// firstPossiblyExecuted returns the first attempt that may have been executed, or nil.
 func (q *request) firstPossiblyExecuted() *attempt {
 	i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return !a.neverRan })
 	if i < 0 {
@@ -131,17 +131,17 @@
 	return q.attempts[i]
 }
 
-// lastFailedAt reports whether the last attempt went to this worker and may have run: the next goes
-// elsewhere.
+// lastFailedAt reports whether the last attempt went to this worker and may have been executed. The next
+// attempt then goes to another worker.
 func (q *request) lastFailedAt(w *worker) bool {
 	n := len(q.attempts)
 	return n > 0 && q.attempts[n-1].worker == w && !q.attempts[n-1].neverRan
 }
 
-// provesNotRun reports whether an attempt with this outcome is known never to have run.
+// provesNotRun reports whether an attempt with this outcome was certainly not executed.
 func provesNotRun(outcome Outcome) bool {
 	return outcome == Shed || outcome == ConnectFailed || outcome == NotSent || outcome == NotLoaded
 }
 
-// reachesWorker reports whether an attempt with this outcome came as far as a worker.
+// reachesWorker reports whether an attempt with this outcome was received by a worker.
 func reachesWorker(outcome Outcome) bool { return outcome != ConnectFailed && outcome != NotSent }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// retryPolicy holds the rules on attempts: how many a request may have, whether two may be in flight, and
-// what its class allows once an attempt may have run.
+// retryPolicy decides which attempts a request may have: their number, whether two may be in flight together,
+// and what its class allows after an attempt that may have been executed.
 type retryPolicy struct {
 	maxAttempts    int
 	hedgingAllowed bool
@@ -17,8 +17,8 @@
 	return &retryPolicy{maxAttempts: s.MaxAttempts, hedgingAllowed: s.HedgingAllowed, tick: s.Tick}
 }
 
-// mayAttempt is the one check of the rules on attempts (their number, hedging, idempotency): whether this
-// request may be sent to this worker now.
+// mayAttempt reports whether the number of attempts, hedging and idempotency allow sending this request to
+// this worker now. All attempts are subject to this check.
 func (p *retryPolicy) mayAttempt(now time.Duration, req *request, w *worker) bool {
 	if req.answered || now >= req.expiresAt || len(req.attempts) >= p.maxAttempts ||
 		w.State != Ready || req.inFlight > 0 && !p.hedgingAllowed {
@@ -27,7 +27,7 @@
 	return p.repeatIsSafe(now, req, w)
 }
 
-// repeatIsSafe reports whether an attempt at a worker does no harm though an earlier one may have run.
+// repeatIsSafe reports whether an attempt at a worker is safe although an earlier one may have been executed.
 func (p *retryPolicy) repeatIsSafe(now time.Duration, req *request, w *worker) bool {
 	first := req.firstPossiblyExecuted()
 	if first == nil {
@@ -44,13 +44,13 @@
 	}
 }
 
-// keyRemembered reports whether the workers that may have run an attempt still know its idempotency key.
+// keyRemembered reports whether the workers still remember the idempotency key of an attempt.
 func (p *retryPolicy) keyRemembered(now time.Duration, req *request, first *attempt) bool {
 	return now-first.sentAt < req.class.DeduplicationWindow-p.tick
 }
 
-// startWithin is how long from now an attempt may begin; 0 means any time. A repeat that starts later would
-// arrive when the workers have forgotten the idempotency key.
+// startWithin returns the limit on the start of an attempt, from now; 0 means none. A retry that starts later
+// could arrive after the workers have forgotten the idempotency key.
 func (p *retryPolicy) startWithin(now time.Duration, req *request) time.Duration {
 	first := req.firstPossiblyExecuted()
 	if first == nil || req.class.Idempotency != IdempotentByKey {
@@ -59,8 +59,7 @@
 	return first.sentAt + req.class.DeduplicationWindow - p.tick - now
 }
 
-// retryAllowed reports whether some further attempt at one of these workers could be allowed at all, now or
-// later.
+// retryAllowed reports whether another attempt at one of these workers can be allowed, now or later.
 func (p *retryPolicy) retryAllowed(now time.Duration, req *request, workers []*worker) bool {
 	if len(req.attempts) >= p.maxAttempts {
 		return false
@@ -75,14 +74,14 @@
 		})
 }
 
-// rejectionIsSafe reports whether a repeat by the client is known to be harmless, so that a request that was
-// not served may be rejected.
+// rejectionIsSafe reports whether a request that was not served may be rejected, because a retry by the
+// client cannot execute it twice or does no harm if it does.
 func (p *retryPolicy) rejectionIsSafe(req *request) bool {
 	return req.firstPossiblyExecuted() == nil || req.class.Idempotency == Idempotent ||
 		req.class.Idempotency == IdempotentByKey && req.class.DeduplicationScope == ScopeAll
 }
 
-// sameDeduplicationScope reports whether two workers drop each other's repeats.
+// sameDeduplicationScope reports whether two workers share the idempotency keys that they have seen.
 func sameDeduplicationScope(scope DeduplicationScope, a, b *worker) bool {
 	return scope == ScopeAll || scope == ScopeZone && a.Zone == b.Zone ||
 		scope == ScopeCell && a.Cell == b.Cell
--- a/routing/router.go
+++ b/routing/router.go
@@ -14,16 +14,16 @@
 
 const (
 	tickInterval = 10 * time.Millisecond // between two sweeps over queued and overdue requests
-	tickToken    = 1                     // token of the sweep's timer
+	tickToken    = 1                     // token of the timer for sweeps
 )
 
-// Router decides for one scheduler. It keeps the time, the random source and the order in which its
-// components see an event; each component owns its state. It is not safe for concurrent use.
+// Router makes the routing decisions of one scheduler. It owns the time, the random source and the order in
+// which components process an event; each component owns its state. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // the latest time that Step was given
-	started  bool          // Step was called
+	now      time.Duration // latest time passed to Step
+	started  bool          // Step has been called
 	out      *outbox
 
 	requests   *requestTable
@@ -47,13 +47,13 @@
 	leaseKeeper *leaseKeeper
 }
 
-// outbox collects the actions of a Step in their order.
+// outbox collects the actions of a Step, in order.
 type outbox struct{ actions []Action }
 
 func (o *outbox) emit(a Action) { o.actions = append(o.actions, a) }
 
-// New returns a Router for these settings. All its randomness comes from the seed. It returns an error if
-// the settings make no sense.
+// New returns a Router for these settings, or an error if they are invalid. All randomness is derived from
+// the seed.
 func New(settings Settings, seed uint64) (*Router, error) {
 	shortest, err := settings.validate()
 	if err != nil {
@@ -83,9 +83,9 @@
 	return router, nil
 }
 
-// Step reports to the Router everything that happened at one moment, in order, and returns what is to be
-// done. Time never runs backwards: an earlier now counts as the latest one. Events with ids that the Router
-// does not hold are ignored.
+// Step processes the events since the last call, in order, and returns the actions to carry out. Time never
+// runs backwards: a now before that of an earlier call is replaced by the latest one. Events with unknown IDs
+// are ignored.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	r.now = max(now, r.now)
 	r.out.actions = nil
@@ -99,7 +99,8 @@
 		}
 		r.handle(now, event)
 	}
-	// After a stall, all that arrived meanwhile is one batch: answers are read before a worker is judged.
+	// After a stall, one batch holds all events that arrived meanwhile. Their answers have to be processed
+	// before the sweep checks for overdue attempts.
 	if tick {
 		r.out.emit(SetTimer{tickInterval, tickToken})
 		r.sweep()
@@ -108,7 +109,7 @@
 	return r.out.actions
 }
 
-// start sets the timer of the sweep and subscribes to the endpoint list, in the first Step alone.
+// start sets the timer for sweeps and subscribes to the endpoint list, in the first Step only.
 func (r *Router) start(now time.Duration) {
 	if r.started {
 		return
@@ -121,7 +122,7 @@
 	}
 }
 
-// handle applies one event of a Step at this time.
+// handle processes one event of a Step.
 func (r *Router) handle(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case WorkerList, EndpointsConfirmed, EndpointsStale, PoolsChanged:
@@ -148,7 +149,7 @@
 	}
 }
 
-// handleEndpoints applies an event that concerns the endpoint list.
+// handleEndpoints processes an event that concerns the endpoint list or the pools.
 func (r *Router) handleEndpoints(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case WorkerList:
@@ -163,7 +164,7 @@
 	}
 }
 
-// clientCanceled gives up a request whose client has left.
+// clientCanceled completes a request whose client has disconnected.
 func (r *Router) clientCanceled(id string) {
 	if req := r.requests.open[id]; req != nil {
 		r.complete(req)
@@ -177,7 +178,7 @@
 	}
 }
 
-// sweep is the periodic look at overdue attempts, throughput and records to forget.
+// sweep checks periodically for overdue attempts, leases to renew, throughput and records to evict.
 func (r *Router) sweep() {
 	if r.endpoints.resubscriptionDue(r.now) {
 		r.out.emit(Subscribe{true})
@@ -197,8 +198,8 @@
 	}
 }
 
-// refreshCapacity looks anew at which workers are eligible, and how much of their capacity is in use.
+// refreshCapacity recomputes which workers are eligible and how much of their capacity is in use.
 func (r *Router) refreshCapacity() { r.fleet.refresh(r.now, r.endpoints, r.outliers) }
 
-// durationOf converts seconds.
+// durationOf converts seconds to a time.Duration.
 func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
