--- a/routing/lease.go
+++ b/routing/lease.go
@@ -54,8 +54,8 @@
 
 // renew starts the health checks that are due while the endpoint list is unconfirmed. Workers that serve
 // requests need none, since served requests renew their leases. The lease table limits the number of other
-// workers to check (Held); those that accepted requests most recently are checked first. A newly suspected
-// worker is checked at once.
+// workers to check; those that accepted requests most recently are checked first. A newly suspected worker is
+// checked at once.
 func (k *leaseKeeper) renew(now time.Duration, rng *rand.Rand) {
 	if now < k.sweepAt {
 		return
