--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -135,7 +135,7 @@
 		if d.observeFault != nil {
 			d.observeFault(action)
 		}
-	case routing.WorkerSuspended, routing.EndpointsDoubted:
+	case routing.WorkerSuspended, routing.EndpointListStatus:
 		d.log.noted(action)
 	case routing.Probe:
 		d.workers.Probe(action.Worker)
--- a/internal/dispatch/log.go
+++ b/internal/dispatch/log.go
@@ -58,13 +58,13 @@
 	switch note := note.(type) {
 	case routing.WorkerSuspended:
 		l.log.WithFields(logrus.Fields{"worker": note.Worker, "reason": note.Reason.String()}).Warn("worker suspended")
-	case routing.EndpointsDoubted:
+	case routing.EndpointListStatus:
 		l.doubted(note)
 	}
 }
 
 // doubted writes that the endpoint list came into doubt, or is confirmed again.
-func (l *decisionLog) doubted(note routing.EndpointsDoubted) {
+func (l *decisionLog) doubted(note routing.EndpointListStatus) {
 	log := l.log.WithField("age", note.Age.Round(time.Millisecond))
 	if !note.InDoubt {
 		log.Info("worker list confirmed again")
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -4,7 +4,7 @@
 
 // Action is an instruction of a Router to its caller, who carries out actions in the order given. The concrete types
 // are Send, Cancel, Reject, Fail, SetTimer, Probe, Load, Unload, Subscribe and FetchList; with Settings.FaultReporting
-// also ReportFault; and after the first EndpointsConfirmed also WorkerSuspended and EndpointsDoubted.
+// also ReportFault; and after the first EndpointsConfirmed also WorkerSuspended and EndpointListStatus.
 type Action interface{ action() }
 
 // Send starts an attempt, which ends with an AttemptEnded. The attempts of a request are numbered from 0 in the order
@@ -78,9 +78,9 @@
 	return [...]string{"rejected requests", "reported down", "could not be reached", "connection broke"}[r]
 }
 
-// EndpointsDoubted reports, for the log, that the endpoint list has not been confirmed for too long, or that it is
+// EndpointListStatus reports, for the log, that the endpoint list has not been confirmed for too long, or that it is
 // confirmed again. While the list is unconfirmed, the report is repeated periodically.
-type EndpointsDoubted struct {
+type EndpointListStatus struct {
 	InDoubt bool
 	Age     time.Duration // since the last confirmation
 	Ready   int           // workers listed as Ready and not ejected
@@ -124,16 +124,16 @@
 	ObservedAt time.Duration // when the request without an answer was sent, or the answer arrived
 }
 
-func (ReportFault) action()      {}
-func (WorkerSuspended) action()  {}
-func (EndpointsDoubted) action() {}
-func (Send) action()             {}
-func (Cancel) action()           {}
-func (Reject) action()           {}
-func (Fail) action()             {}
-func (SetTimer) action()         {}
-func (Probe) action()            {}
-func (Load) action()             {}
-func (Unload) action()           {}
-func (Subscribe) action()        {}
-func (FetchList) action()        {}
+func (ReportFault) action()        {}
+func (WorkerSuspended) action()    {}
+func (EndpointListStatus) action() {}
+func (Send) action()               {}
+func (Cancel) action()             {}
+func (Reject) action()             {}
+func (Fail) action()               {}
+func (SetTimer) action()           {}
+func (Probe) action()              {}
+func (Load) action()               {}
+func (Unload) action()             {}
+func (Subscribe) action()          {}
+func (FetchList) action()          {}
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -130,14 +130,14 @@
 	k.inDoubt = true
 	k.reportAt = now + doubtReportInterval
 	age := now - k.leases.ConfirmedAt()
-	k.out.emit(EndpointsDoubted{InDoubt: true, Age: age, Ready: survey.ready, Usable: survey.usable})
+	k.out.emit(EndpointListStatus{InDoubt: true, Age: age, Ready: survey.ready, Usable: survey.usable})
 }
 
 // reportConfirmed reports that the list is confirmed again, if it was reported as unconfirmed.
 func (k *leaseKeeper) reportConfirmed(now time.Duration) {
 	if k.inDoubt {
 		k.inDoubt = false
-		k.out.emit(EndpointsDoubted{Age: now - k.leases.ConfirmedAt()})
+		k.out.emit(EndpointListStatus{Age: now - k.leases.ConfirmedAt()})
 	}
 }
 
--- a/routing/lease_internal_test.go
+++ b/routing/lease_internal_test.go
@@ -153,8 +153,8 @@
 // The list's doubt is reported when it begins, every five seconds, and when it ends.
 func TestDoubtIsReported(t *testing.T) {
 	harness := newOutageHarness(t, 2)
-	reports := actionsOf[EndpointsDoubted](harness.wait(16 * time.Second))
-	reports = append(reports, actionsOf[EndpointsDoubted](
+	reports := actionsOf[EndpointListStatus](harness.wait(16 * time.Second))
+	reports = append(reports, actionsOf[EndpointListStatus](
 		append(harness.step(0, EndpointsConfirmed{AsOf: harness.now}), harness.wait(time.Second)...))...)
 	var got []bool
 	for _, report := range reports {
