--- a/internal/dispatch/log.go
+++ b/internal/dispatch/log.go
@@ -66,7 +66,7 @@
 // doubted writes that the endpoint list came into doubt, or is confirmed again.
 func (l *decisionLog) doubted(note routing.EndpointListStatus) {
 	log := l.log.WithField("age", note.Age.Round(time.Millisecond))
-	if !note.InDoubt {
+	if !note.Unconfirmed {
 		log.Info("worker list confirmed again")
 		return
 	}
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -81,10 +81,10 @@
 // EndpointListStatus reports, for the log, that the endpoint list has not been confirmed for too long, or that it is
 // confirmed again. While the list is unconfirmed, the report is repeated periodically.
 type EndpointListStatus struct {
-	InDoubt bool
-	Age     time.Duration // since the last confirmation
-	Ready   int           // workers listed as Ready and not ejected
-	Usable  int           // of these, workers with a valid lease
+	Unconfirmed bool
+	Age         time.Duration // since the last confirmation
+	Ready       int           // workers listed as Ready and not ejected
+	Usable      int           // of these, workers with a valid lease
 }
 
 // SetTimer starts a timer, which ends with a TimerFired.
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -130,7 +130,7 @@
 	k.inDoubt = true
 	k.reportAt = now + doubtReportInterval
 	age := now - k.leases.ConfirmedAt()
-	k.out.emit(EndpointListStatus{InDoubt: true, Age: age, Ready: survey.ready, Usable: survey.usable})
+	k.out.emit(EndpointListStatus{Unconfirmed: true, Age: age, Ready: survey.ready, Usable: survey.usable})
 }
 
 // reportConfirmed reports that the list is confirmed again, if it was reported as unconfirmed.
--- a/routing/lease_internal_test.go
+++ b/routing/lease_internal_test.go
@@ -158,7 +158,7 @@
 		append(harness.step(0, EndpointsConfirmed{AsOf: harness.now}), harness.wait(time.Second)...))...)
 	var got []bool
 	for _, report := range reports {
-		got = append(got, report.InDoubt)
+		got = append(got, report.Unconfirmed)
 	}
 	if fmt.Sprint(got) != "[true true true false]" {
 		t.Errorf("reported %v, want the beginning, two repeats and the end", got)
