--- a/routing/actions.go
+++ b/routing/actions.go
@@ -69,7 +69,7 @@
 const (
 	RejectedRequests  SuspendReason = iota // it rejected several requests in a row
 	ReportedDown                           // it answered a health check with the status for down
-	CouldNotBeReached                      // a connection could not be established
+	WorkerUnreachable                      // a connection could not be established
 	ConnectionBroke                        // its connection was reset during a request
 )
 
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -155,7 +155,7 @@
 	case Errored:
 		k.recordDown(now, checked, ReportedDown)
 	case ConnectFailed:
-		k.recordDown(now, checked, CouldNotBeReached)
+		k.recordDown(now, checked, WorkerUnreachable)
 	case Shed, TimedOut, ConnectionReset, Canceled, NotSent, NotLoaded: // no information about the worker
 	}
 }
@@ -175,7 +175,7 @@
 			k.out.emit(WorkerSuspended{target.ID, ConnectionBroke})
 		}
 	case ConnectFailed:
-		k.recordDown(now, target, CouldNotBeReached)
+		k.recordDown(now, target, WorkerUnreachable)
 	case Errored, TimedOut, Canceled, NotSent, NotLoaded: // no information about draining
 	}
 }
