--- a/routing/actions.go
+++ b/routing/actions.go
@@ -70,7 +70,7 @@
 	RejectedRequests  SuspendReason = iota // it rejected several requests in a row
 	ReportedDown                           // it answered a health check with the status for down
 	WorkerUnreachable                      // a connection could not be established
-	ConnectionBroke                        // its connection was reset during a request
+	ConnectionBroken                       // its connection was reset during a request
 )
 
 // String returns the name of the reason, as it is logged.
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -172,7 +172,7 @@
 		}
 	case ConnectionReset:
 		if k.leases.RecordBroken(&target.lease, now, ended.sentAt) {
-			k.out.emit(WorkerSuspended{target.ID, ConnectionBroke})
+			k.out.emit(WorkerSuspended{target.ID, ConnectionBroken})
 		}
 	case ConnectFailed:
 		k.recordDown(now, target, WorkerUnreachable)
