--- a/routing/actions.go
+++ b/routing/actions.go
@@ -42,12 +42,12 @@
 
 // Values of EndReason.
 const (
-	Overloaded      EndReason = iota // rejected on arrival, because of expected lateness or worker pressure
-	NoCapacity                       // no worker had capacity in half the client's time
-	OutOfTime                        // the client is about to time out
-	NoFurtherTry                     // no attempts are left, or its class allows no retry
-	StreamBroken                     // the answer was lost after it had started to stream
-	SchedulerEnding                  // this scheduler is shutting down
+	Overloaded       EndReason = iota // rejected on arrival, because of expected lateness or worker pressure
+	NoCapacity                        // no worker had capacity in half the client's time
+	OutOfTime                         // the client is about to time out
+	RetriesExhausted                  // no attempts are left, or its class allows no retry
+	StreamBroken                      // the answer was lost after it had started to stream
+	SchedulerEnding                   // this scheduler is shutting down
 )
 
 // String returns the name of the reason, as it is logged.
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -71,7 +71,7 @@
 	case stuck:
 		r.rejectOrFail(req, NoCapacity)
 	case !r.retries.retryAllowed(r.now, req, r.endpoints.list):
-		r.rejectOrFail(req, NoFurtherTry)
+		r.rejectOrFail(req, RetriesExhausted)
 	}
 	if req.answered {
 		return true
--- a/routing/queue_internal_test.go
+++ b/routing/queue_internal_test.go
@@ -29,7 +29,7 @@
 			harness.router.requests.inFlightWork = testCase.inFlightWork
 			q := &request{Request: newTestRequest("a", "f"), class: &harness.router.settings.Classes[0]}
 			harness.router.out.actions = nil
-			harness.router.rejectOrFail(q, NoFurtherTry)
+			harness.router.rejectOrFail(q, RetriesExhausted)
 			got := actionsOf[Reject](harness.router.out.actions)
 			if len(got) != 1 || got[0].RetryAfter.Round(millisecond) != testCase.want {
 				t.Errorf("got %v, want one rejection with Retry-After %v", got, testCase.want)
