--- a/routing/actions.go
+++ b/routing/actions.go
@@ -44,7 +44,7 @@
 const (
 	Overloaded       EndReason = iota // rejected on arrival, because of expected lateness or worker pressure
 	NoCapacity                        // no worker had capacity in half the client's time
-	OutOfTime                         // the client is about to time out
+	RequestExpired                    // the client is about to time out
 	RetriesExhausted                  // no attempts are left, or its class allows no retry
 	StreamBroken                      // the answer was lost after it had started to stream
 	SchedulerEnding                   // this scheduler is shutting down
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case req.isExpiring(r.now):
-		r.rejectOrFail(req, OutOfTime)
+		r.rejectOrFail(req, RequestExpired)
 	case stuck:
 		r.rejectOrFail(req, NoCapacity)
 	case !r.retries.retryAllowed(r.now, req, r.endpoints.list):
