--- a/routing/actions.go
+++ b/routing/actions.go
@@ -47,7 +47,7 @@
 	RequestExpired                    // the client is about to time out
 	RetriesExhausted                  // no attempts are left, or its class allows no retry
 	StreamBroken                      // the answer was lost after it had started to stream
-	SchedulerEnding                   // this scheduler is shutting down
+	ShuttingDown                      // this scheduler is shutting down
 )
 
 // String returns the name of the reason, as it is logged.
--- a/routing/router.go
+++ b/routing/router.go
@@ -174,7 +174,7 @@
 // shutdown gives every open request its final answer.
 func (r *Router) shutdown() {
 	for _, id := range slices.Sorted(maps.Keys(r.requests.open)) {
-		r.rejectOrFail(r.requests.open[id], SchedulerEnding)
+		r.rejectOrFail(r.requests.open[id], ShuttingDown)
 	}
 }
 
