--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -105,7 +105,7 @@
 		LoadTimeout:          times.parse(parsed.FamilyInfo.AnswerWithinMs),
 		WorkerMemoryMB:       parsed.FamilyInfo.RAMMbByKind,
 
-		Fees: routing.Fees{
+		CostWeights: routing.CostWeights{
 			WastedWork:  parsed.Fees.Waste,
 			LateFailure: parsed.Fees.LateFail,
 			StoreFetch:  parsed.Fees.Origin,
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -50,7 +50,7 @@
 	LoadBudgetWindow     time.Duration // 0 means that Loads are not limited
 	LoadTimeout          time.Duration // timeout of a Load
 	WorkerMemoryMB       []float64     // memory by kind of worker, in MB
-	Fees                 Fees
+	CostWeights          CostWeights
 	WeightsReported      bool // Worker.Weight is set by discovery
 	ClientsMarkRetries   bool // clients set Request.MarkedRetry
 	FaultReporting       bool // ReportFault is used by peers, which send PeerReports, or by the operator's routes
@@ -114,8 +114,8 @@
 	}
 }
 
-// Fees are the weights of costs in the service score. Each is multiplied by the rate of its cost.
-type Fees struct {
+// CostWeights are the weights of costs in the service score. Each is multiplied by the rate of its cost.
+type CostWeights struct {
 	WastedWork  float64 // work without an answer, per work offered
 	LateFailure float64 // value of requests failed after their latency objective, per value offered
 	StoreFetch  float64 // fetches from the store, per request
