--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -10,13 +10,13 @@
 // A scheduler passes the Router its events and executes the actions that it returns.
 func Example() {
 	router, err := routing.New(routing.Settings{
-		Schedulers:           1,
-		MaxAttempts:          3,
-		CancelAllowed:        true,
-		LoadOnDemand:         true,
-		AnswersTellStartType: true,
-		InstanceKeepAlive:    10 * time.Second,
-		Classes:              []routing.Class{{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateValue: 0.3}},
+		Schedulers:             1,
+		MaxAttempts:            3,
+		CancelAllowed:          true,
+		LoadOnDemand:           true,
+		AnswersReportStartType: true,
+		InstanceKeepAlive:      10 * time.Second,
+		Classes:                []routing.Class{{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateValue: 0.3}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -35,14 +35,14 @@
 	AnswerSlack time.Duration // how long after the client's timeout a final answer may arrive
 	DrainGrace  time.Duration // how long a worker may get requests after it was listed as Draining or Gone
 
-	SlowStartFraction    float64       // smallest fraction of its capacity that a worker has at its start
-	SlowStartDuration    time.Duration // longest time from its start until it has full capacity
-	OverloadMultiple     float64       // a worker that is warming up crashes above this multiple of its capacity
-	OverloadDuration     time.Duration // for this long; 0 means that overload causes no crash
-	InstanceKeepAlive    time.Duration // shortest time that an idle instance stays loaded
-	LoadOnDemand         bool          // a request loads its function if needed; otherwise only Load does
-	AnswersTellStartType bool          // answers report AttemptEnded.StartType
-	AnswersTellInFlight  bool          // answers report AttemptEnded.InFlightForFunction
+	SlowStartFraction      float64       // smallest fraction of its capacity that a worker has at its start
+	SlowStartDuration      time.Duration // longest time from its start until it has full capacity
+	OverloadMultiple       float64       // a worker that is warming up crashes above this multiple of its capacity
+	OverloadDuration       time.Duration // for this long; 0 means that overload causes no crash
+	InstanceKeepAlive      time.Duration // shortest time that an idle instance stays loaded
+	LoadOnDemand           bool          // a request loads its function if needed; otherwise only Load does
+	AnswersReportStartType bool          // answers report AttemptEnded.StartType
+	AnswersTellInFlight    bool          // answers report AttemptEnded.InFlightForFunction
 
 	LoadAllowed          bool          // Load and Unload are allowed
 	LoadBudgetBase       float64       // Loads allowed in a LoadBudgetWindow, regardless of traffic
