--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -97,7 +97,7 @@
 		InstanceKeepAlive:      times.parse(parsed.FamilyInfo.IdleLifeMs),
 		LoadOnDemand:           parsed.FamilyInfo.WhenAbsent != absentIsMiss,
 		AnswersReportStartType: parsed.FamilyInfo.SaysWarm,
-		AnswersTellInFlight:    parsed.FamilyInfo.SaysCompany,
+		AnswersReportInFlight:  parsed.FamilyInfo.SaysCompany,
 		LoadAllowed:            parsed.FamilyInfo.MayLoad,
 		LoadBudgetBase:         parsed.FamilyInfo.LoadsAnyway,
 		LoadBudgetPerRequest:   parsed.FamilyInfo.LoadRatio,
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -42,7 +42,7 @@
 		CancelAllowed:          true,
 		LoadOnDemand:           true,
 		AnswersReportStartType: true,
-		AnswersTellInFlight:    true,
+		AnswersReportInFlight:  true,
 		SlowStartFraction:      0.25,
 		SlowStartDuration:      10 * time.Second,
 		OverloadMultiple:       2,
--- a/routing/harness_internal_test.go
+++ b/routing/harness_internal_test.go
@@ -25,7 +25,7 @@
 		InstanceKeepAlive:      8 * time.Second,
 		LoadOnDemand:           true,
 		AnswersReportStartType: true,
-		AnswersTellInFlight:    true,
+		AnswersReportInFlight:  true,
 		Classes: []Class{{
 			LatencyObjective:    time.Second,
 			Deadline:            4 * time.Second,
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -42,7 +42,7 @@
 	InstanceKeepAlive      time.Duration // shortest time that an idle instance stays loaded
 	LoadOnDemand           bool          // a request loads its function if needed; otherwise only Load does
 	AnswersReportStartType bool          // answers report AttemptEnded.StartType
-	AnswersTellInFlight    bool          // answers report AttemptEnded.InFlightForFunction
+	AnswersReportInFlight  bool          // answers report AttemptEnded.InFlightForFunction
 
 	LoadAllowed          bool          // Load and Unload are allowed
 	LoadBudgetBase       float64       // Loads allowed in a LoadBudgetWindow, regardless of traffic
