--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -82,10 +82,10 @@
 		HonorsRetryAfter: parsed.Ceilings.RetryAfter,
 		MaxRetryAfter:    times.parse(parsed.Ceilings.MaxRetryAfterMs),
 
-		SubscriptionRequired: parsed.Discovery == discoveryOnRequest,
-		EndpointsKnownWithin: times.parse(parsed.Safety.AskWithinMs),
-		ReportsInAnswers:     parsed.Report.How == reportPiggyback,
-		ReportsInProbes:      parsed.Report.How == reportPiggyback || parsed.Report.How == reportPull,
+		SubscriptionRequired:  parsed.Discovery == discoveryOnRequest,
+		UnsubscribedListDelay: times.parse(parsed.Safety.AskWithinMs),
+		ReportsInAnswers:      parsed.Report.How == reportPiggyback,
+		ReportsInProbes:       parsed.Report.How == reportPiggyback || parsed.Report.How == reportPull,
 
 		AnswerSlack:       times.parse(parsed.Safety.AnswerSlackMs),
 		DrainGrace:        times.parse(parsed.Safety.StopSendingWithinMs),
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -20,17 +20,17 @@
 	Tenants        []Tenant
 	OverQuotaValue float64 // value of a request over its tenant's quota, as a fraction of the normal value
 
-	MaxAttempts          int           // maximum number of attempts per request
-	MaxOpenRequests      int           // maximum number of open requests; 0 means no limit
-	HedgingAllowed       bool          // two attempts of a request may be in flight together
-	CancelAllowed        bool          // Cancel is allowed
-	ProbeAllowed         bool          // Probe is allowed
-	HonorsRetryAfter     bool          // Reject.RetryAfter is passed on to clients
-	MaxRetryAfter        time.Duration // longest Retry-After that clients honor
-	SubscriptionRequired bool          // the endpoint list arrives only after Subscribe or FetchList
-	EndpointsKnownWithin time.Duration // with SubscriptionRequired: delay of changes without either action
-	ReportsInAnswers     bool          // answers and probe results carry load reports
-	ReportsInProbes      bool          // probe results carry load reports
+	MaxAttempts           int           // maximum number of attempts per request
+	MaxOpenRequests       int           // maximum number of open requests; 0 means no limit
+	HedgingAllowed        bool          // two attempts of a request may be in flight together
+	CancelAllowed         bool          // Cancel is allowed
+	ProbeAllowed          bool          // Probe is allowed
+	HonorsRetryAfter      bool          // Reject.RetryAfter is passed on to clients
+	MaxRetryAfter         time.Duration // longest Retry-After that clients honor
+	SubscriptionRequired  bool          // the endpoint list arrives only after Subscribe or FetchList
+	UnsubscribedListDelay time.Duration // with SubscriptionRequired: delay of changes without either action
+	ReportsInAnswers      bool          // answers and probe results carry load reports
+	ReportsInProbes       bool          // probe results carry load reports
 
 	AnswerSlack time.Duration // how long after the client's timeout a final answer may arrive
 	DrainGrace  time.Duration // how long a worker may get requests after it was listed as Draining or Gone
