--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -23,7 +23,7 @@
 		req.respond(http.StatusOK, "", answer.Body)
 	case dispatch.Rejected:
 		header := ""
-		if ms := answer.RetryAfter.Milliseconds(); ms > 0 && s.deployment.HonorsRetryAfter {
+		if ms := answer.RetryAfter.Milliseconds(); ms > 0 && s.deployment.SendsRetryAfter {
 			header = retryAfterHeader + ": " + strconv.FormatInt(ms, 10) + "\r\n"
 		}
 		req.respond(http.StatusServiceUnavailable, header, nil)
--- a/routing/queue_internal_test.go
+++ b/routing/queue_internal_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			harness := newHarness(t, settings(func(s *Settings) {
-				s.HonorsRetryAfter, s.MaxRetryAfter = testCase.honoured, 500*millisecond
+				s.SendsRetryAfter, s.MaxRetryAfter = testCase.honoured, 500*millisecond
 			}), readyWorkers(testCase.workers)...)
 			harness.step(millisecond)
 			harness.router.requests.inFlightWork = testCase.inFlightWork
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -25,7 +25,7 @@
 	HedgingAllowed        bool          // two attempts of a request may be in flight together
 	CancelAllowed         bool          // Cancel is allowed
 	ProbeAllowed          bool          // Probe is allowed
-	HonorsRetryAfter      bool          // Reject.RetryAfter is passed on to clients
+	SendsRetryAfter       bool          // Reject.RetryAfter is passed on to clients
 	MaxRetryAfter         time.Duration // longest Retry-After that clients honor
 	SubscriptionRequired  bool          // the endpoint list arrives only after Subscribe or FetchList
 	UnsubscribedListDelay time.Duration // with SubscriptionRequired: delay of changes without either action
@@ -75,7 +75,7 @@
 	if s.InstanceKeepAlive <= 0 {
 		s.InstanceKeepAlive = defaultKeepAlive
 	}
-	if !s.HonorsRetryAfter {
+	if !s.SendsRetryAfter {
 		s.MaxRetryAfter = 0
 	}
 	return shortest, nil
