--- a/internal/nodeagent/answer.go
+++ b/internal/nodeagent/answer.go
@@ -148,17 +148,17 @@
 // parseLoadReport parses a load report, as in inflight:7;util:0.61. Unknown names are skipped.
 func parseLoadReport(list string) (*routing.LoadReport, error) {
 	report := &routing.LoadReport{
-		InFlight:           unknownFigure,
-		QueueLength:        unknownFigure,
-		Utilization:        unknownFigure,
-		MemoryHeldFraction: unknownFigure,
-		LoadsInProgress:    unknownFigure,
+		InFlight:                    unknownFigure,
+		QueueLength:                 unknownFigure,
+		Utilization:                 unknownFigure,
+		UnreclaimableMemoryFraction: unknownFigure,
+		LoadsInProgress:             unknownFigure,
 	}
 	figures := map[string]*float64{
 		"inflight": &report.InFlight,
 		"queue":    &report.QueueLength,
 		"util":     &report.Utilization,
-		"x0":       &report.MemoryHeldFraction,
+		"x0":       &report.UnreclaimableMemoryFraction,
 		"x1":       &report.LoadsInProgress,
 	}
 	for field := range strings.SplitSeq(list, ";") {
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -32,7 +32,7 @@
 			routing.AttemptEnded{
 				ID: "t/a", RequestAnswered: true, StartType: routing.WarmStart, InFlightForFunction: 2,
 				Latency: 18500 * time.Microsecond, Worker: "worker-x", Outcome: routing.Served,
-				Report: &routing.LoadReport{InFlight: 3, QueueLength: -1, Utilization: -1, MemoryHeldFraction: -1, LoadsInProgress: 1.5},
+				Report: &routing.LoadReport{InFlight: 3, QueueLength: -1, Utilization: -1, UnreclaimableMemoryFraction: -1, LoadsInProgress: 1.5},
 			},
 		},
 		{"outcome\tt/a\t0\t4\t18\tworker-x\t2\tempty\t-", routing.AttemptEnded{
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -175,11 +175,11 @@
 		return nil
 	}
 	report := &routing.LoadReport{
-		InFlight:           unknownCount,
-		QueueLength:        unknownCount,
-		Utilization:        unknownCount,
-		MemoryHeldFraction: unknownCount,
-		LoadsInProgress:    unknownCount,
+		InFlight:                    unknownCount,
+		QueueLength:                 unknownCount,
+		Utilization:                 unknownCount,
+		UnreclaimableMemoryFraction: unknownCount,
+		LoadsInProgress:             unknownCount,
 	}
 	for figure := range strings.SplitSeq(value, ",") {
 		name, text, ok := strings.Cut(figure, ":")
@@ -204,7 +204,7 @@
 	case "util":
 		report.Utilization = number
 	case "x0":
-		report.MemoryHeldFraction = number
+		report.UnreclaimableMemoryFraction = number
 	case "x1":
 		report.LoadsInProgress = number
 	}
--- a/internal/testbed/virtual/worker.go
+++ b/internal/testbed/virtual/worker.go
@@ -42,11 +42,11 @@
 		}
 	}
 	return &routing.LoadReport{
-		Utilization:        busy / float64(len(w.slotFreeAt)),
-		InFlight:           -1,
-		QueueLength:        -1,
-		MemoryHeldFraction: -1,
-		LoadsInProgress:    -1,
+		Utilization:                 busy / float64(len(w.slotFreeAt)),
+		InFlight:                    -1,
+		QueueLength:                 -1,
+		UnreclaimableMemoryFraction: -1,
+		LoadsInProgress:             -1,
 	}
 }
 
--- a/routing/events.go
+++ b/routing/events.go
@@ -147,11 +147,11 @@
 
 // LoadReport is a worker's load report. Unknown values are negative.
 type LoadReport struct {
-	InFlight           float64 // requests
-	QueueLength        float64 // waiting requests
-	Utilization        float64 // busy fraction of the worker's cores
-	MemoryHeldFraction float64 // fraction of the worker's memory that cannot be freed
-	LoadsInProgress    float64 // running and waiting loads
+	InFlight                    float64 // requests
+	QueueLength                 float64 // waiting requests
+	Utilization                 float64 // busy fraction of the worker's cores
+	UnreclaimableMemoryFraction float64 // fraction of the worker's memory that cannot be freed
+	LoadsInProgress             float64 // running and waiting loads
 }
 
 // ClientCanceled reports that the client has disconnected. The request needs no answer any more.
