--- a/routing/admission.go
+++ b/routing/admission.go
@@ -77,8 +77,8 @@
 	}
 	// Deviation from SCORPIO: the request that starts the load of a function is admitted. Otherwise a
 	// function that loads slowly would never be loaded, and all its requests would be rejected.
-	beginsLoad := best.target != nil && !c.placements.isLoadBegun(now, req.function)
-	return now+durationOf(finish) > req.dueAt && !beginsLoad
+	startsLoad := best.target != nil && !c.placements.isLoadedOrLoading(now, req.function)
+	return now+durationOf(finish) > req.dueAt && !startsLoad
 }
 
 // missesObjective reports whether the work ahead delays a request beyond the shortest latency objective.
@@ -118,8 +118,8 @@
 	if arrival.Class < 0 || arrival.Class >= len(r.settings.Classes) || r.requests.open[arrival.ID] != nil {
 		return
 	}
-	called := r.placements.functionFor(r.now, arrival)
-	req := newRequest(r.now, arrival, &r.settings.Classes[arrival.Class], called)
+	fn := r.placements.functionFor(r.now, arrival)
+	req := newRequest(r.now, arrival, &r.settings.Classes[arrival.Class], fn)
 	r.requests.add(req)
 	r.loads.recordArrival(r.now)
 	target, warm := r.picker.pick(r.now, r.rng, req)
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -62,14 +62,14 @@
 	return after
 }
 
-// orderLoad tells a worker to load a function, if the load budget allows it. It is the only function that
+// requestLoad tells a worker to load a function, if the load budget allows it. It is the only function that
 // emits a Load; each has a count above 0 and is charged to the budget.
-func (r *Router) orderLoad(target *worker, fn *function) {
+func (r *Router) requestLoad(target *worker, fn *function) {
 	place := fn.placementAt(target)
-	if !r.settings.LoadAllowed || target.State != Ready || place.loadOrdered || !r.loads.allow(r.now) {
+	if !r.settings.LoadAllowed || target.State != Ready || place.loadRequested || !r.loads.allow(r.now) {
 		return
 	}
-	place.recordLoadOrdered()
+	place.recordLoadRequested()
 	r.out.emit(Load{target.ID, fn.name, 1})
 }
 
@@ -77,7 +77,7 @@
 // the window, as a retry budget limits retries.
 type loadBudget struct {
 	window     time.Duration // 0 means that loads are not limited
-	edge       time.Duration // requests in this oldest part of the window are not counted
+	margin     time.Duration // requests in this oldest part of the window are not counted
 	base       float64
 	perRequest float64
 	limiter    ratelimit.WindowLimiter
@@ -87,7 +87,7 @@
 	return &loadBudget{
 		window: s.LoadBudgetWindow,
 		// A request may have arrived up to a tick before its batch, outside the window already.
-		edge:       s.Tick + tickInterval,
+		margin:     s.Tick + tickInterval,
 		base:       s.LoadBudgetBase,
 		perRequest: s.LoadBudgetPerRequest,
 	}
@@ -98,5 +98,5 @@
 
 // allow reports whether the budget allows another load order, and if so charges it.
 func (b *loadBudget) allow(now time.Duration) bool {
-	return b.window <= 0 || b.limiter.Allow(now, b.window, b.edge, b.base, b.perRequest)
+	return b.window <= 0 || b.limiter.Allow(now, b.window, b.margin, b.base, b.perRequest)
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -32,7 +32,7 @@
 	incarnation    int           // counts restarts; instances of earlier incarnations are lost
 
 	inFlight     []*attempt // attempts in flight, oldest first
-	loadsWaiting int        // attempts that may wait for a load; not counted against the limit
+	awaitingLoad int        // attempts that may wait for a load; not counted against the limit
 
 	pressure  pressure.Worker
 	limit     concurrency.Worker
@@ -174,16 +174,16 @@
 // evictGone deletes workers that have been gone for long, since new workers keep being added.
 func (t *endpointTable) evictGone(now time.Duration) {
 	t.list = slices.DeleteFunc(t.list, func(w *worker) bool {
-		forgotten := t.isForgotten(now, w)
-		if forgotten {
+		evict := t.isEvictable(now, w)
+		if evict {
 			delete(t.byID, w.ID)
 		}
-		return forgotten
+		return evict
 	})
 }
 
-// isForgotten reports whether a worker has been gone for so long that its record can be deleted.
-func (t *endpointTable) isForgotten(now time.Duration, w *worker) bool {
+// isEvictable reports whether a worker has been gone for so long that its record can be deleted.
+func (t *endpointTable) isEvictable(now time.Duration, w *worker) bool {
 	return w.State == Gone && len(w.inFlight) == 0 && now-w.removedAt >= t.keepAlive
 }
 
@@ -225,15 +225,15 @@
 
 // restart resets the state that a restart of the worker invalidates: it has no instances and is warming up.
 func (w *worker) restart(schedulers int) {
-	w.voidInstances()
+	w.discardInstances()
 	w.limit = concurrency.NewWorker(schedulers)
 	w.health.Restart()
 	w.pressure.Restart()
 	w.slowStart.Restart()
 }
 
-// voidInstances starts a new incarnation of the worker, in which no function is loaded.
-func (w *worker) voidInstances() { w.incarnation++ }
+// discardInstances starts a new incarnation of the worker, in which no function is loaded.
+func (w *worker) discardInstances() { w.incarnation++ }
 
 // eligible reports whether a worker may get requests: it is ready, this scheduler holds a valid lease on it,
 // and outlier detection allows it. An ejected worker gets one probing request at a time.
@@ -241,8 +241,8 @@
 	return w.State == Ready && w.health.Eligible(now, len(w.inFlight)) && t.leases.Valid(&w.lease, now)
 }
 
-// requestsInSlots returns the number of attempts at a worker that count against its limit.
-func (w *worker) requestsInSlots() int { return len(w.inFlight) - w.loadsWaiting }
+// countedInFlight returns the number of attempts at a worker that count against its limit.
+func (w *worker) countedInFlight() int { return len(w.inFlight) - w.awaitingLoad }
 
 // slowStartCapacity returns the worker's data for the slow-start budget.
 func (w *worker) slowStartCapacity() slowstart.Capacity {
@@ -265,7 +265,7 @@
 func (w *worker) beginAttempt(started *attempt) {
 	w.inFlight = append(w.inFlight, started)
 	if started.mayNeedLoad {
-		w.loadsWaiting++
+		w.awaitingLoad++
 	}
 }
 
@@ -273,7 +273,7 @@
 func (w *worker) endAttempt(ended *attempt) {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(other *attempt) bool { return other == ended })
 	if ended.mayNeedLoad {
-		w.loadsWaiting--
+		w.awaitingLoad--
 	}
 }
 
@@ -294,6 +294,6 @@
 		if !outliers.IsUnhealthy(&w.health, now) {
 			f.healthy++
 		}
-		f.capacity.Add(&w.limit, w.requestsInSlots())
+		f.capacity.Add(&w.limit, w.countedInFlight())
 	}
 }
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -43,7 +43,7 @@
 	r.requests.recordEnd(ended, end.Outcome)
 	r.feedback.observeLoad(r.now, ended, end)
 	r.feedback.recordOutcome(r.now, r.rng, ended, end)
-	r.leaseKeeper.attemptEnded(r.now, ended, end.Outcome)
+	r.leaseManager.attemptEnded(r.now, ended, end.Outcome)
 	req := ended.request
 	switch {
 	case end.RequestAnswered || req.answered:
@@ -109,7 +109,7 @@
 	case Shed:
 		f.recordShed(now, ended)
 	case NotLoaded, Errored:
-		f.recordRefused(now, ended, end)
+		f.recordFailure(now, ended, end)
 	case TimedOut:
 		f.recordLostAnswer(now, ended, hedgeCreditPerTimeout)
 		if ended.worker.health.SilentSince(ended.sentAt) {
@@ -129,22 +129,22 @@
 
 // recordServed records that an attempt was served.
 func (f *feedback) recordServed(now time.Duration, ended *attempt, end AttemptEnded) {
-	source, called := ended.worker, ended.request.function
+	source, fn := ended.worker, ended.request.function
 	f.recordAnswer(now, source)
 	ended.placement.recordServed(now)
-	called.recordServed()
+	fn.recordServed()
 	source.limit.RecordServed()
 	f.outliers.RecordServed(&source.health, now)
 	f.slowStart.RecordServed(now, source.Started)
 	seconds := cmp.Or(end.Latency, now-ended.sentAt).Seconds()
-	f.latency.Observe(&called.latency, now, seconds)
+	f.latency.Observe(&fn.latency, now, seconds)
 	if !servedWarm(ended, end.StartType) {
 		return
 	}
 	if end.InFlightForFunction >= 0 {
-		ended.placement.recordInFlight(end.InFlightForFunction, called.concurrency)
+		ended.placement.recordInFlight(end.InFlightForFunction, fn.concurrency)
 	}
-	f.latency.ObserveWarm(&called.latency, &source.latency, now, seconds)
+	f.latency.ObserveWarm(&fn.latency, &source.latency, now, seconds)
 	objective := ended.request.class.LatencyObjective.Seconds()
 	source.limit.RecordWarmLatency(seconds, objective, len(source.inFlight))
 }
@@ -162,9 +162,9 @@
 	ended.worker.limit.RecordShed(now, serviceTime, ended.mayNeedLoad)
 }
 
-// recordRefused records an error, or an answer that the function is not loaded. An error counts against the
+// recordFailure records an error, or an answer that the function is not loaded. An error counts against the
 // worker only if the function was served before: a function that never was may fail at every worker.
-func (f *feedback) recordRefused(now time.Duration, ended *attempt, end AttemptEnded) {
+func (f *feedback) recordFailure(now time.Duration, ended *attempt, end AttemptEnded) {
 	f.recordAnswer(now, ended.worker)
 	if end.Outcome == Errored && ended.request.function.served {
 		f.outliers.RecordError(&ended.worker.health, now)
@@ -198,7 +198,7 @@
 	if ended.worker.health.AnsweredAfter(ended.sentAt) {
 		return
 	}
-	ended.worker.voidInstances()
+	ended.worker.discardInstances()
 	ended.worker.health.Eject(now, rng)
 	f.reportFault(ended.worker, outlier.Unreachable, now)
 }
--- a/routing/learned_state.go
+++ b/routing/learned_state.go
@@ -49,7 +49,7 @@
 const (
 	maxLearnedFunctions = 2000
 	maxLearnedWorkers   = 10000
-	maxLearnedFigure    = 1e9 // larger learned values are implausible
+	maxLearnedValue     = 1e9 // larger learned values are implausible
 )
 
 // LearnedState returns the state learned so far. It excludes the health of workers: an unhealthy worker may have
@@ -100,8 +100,8 @@
 }
 
 // plausible reports whether the values can be learned ones: they are numbers and not too large.
-func plausible(figures ...float64) bool {
-	return !slices.ContainsFunc(figures, func(x float64) bool { return math.IsNaN(x) || math.Abs(x) > maxLearnedFigure })
+func plausible(values ...float64) bool {
+	return !slices.ContainsFunc(values, func(x float64) bool { return math.IsNaN(x) || math.Abs(x) > maxLearnedValue })
 }
 
 // plausible reports whether the values that are not specific to a function or worker are valid.
--- a/routing/lease_internal_test.go
+++ b/routing/lease_internal_test.go
@@ -137,7 +137,7 @@
 	router := harness.router
 	w := router.endpoints.byID["w0"]
 	for _, outcome := range []Outcome{ConnectFailed, Served} {
-		router.leaseKeeper.checkHealth(harness.now, w)
+		router.leaseManager.checkHealth(harness.now, w)
 		harness.step(time.Second, ProbeEnded{Worker: "w0", Outcome: outcome})
 	}
 	if !router.slowStart.IsWarmingUp(harness.now, w.Started) {
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -157,7 +157,7 @@
 // rendezvous order. The first instance is loaded by the first worker with capacity, so that the store is read
 // once. If there is no such worker, it returns one from which the function was displaced.
 func (p *picker) pickForLoad(now time.Duration, rng *rand.Rand, req *request, exists bool) *worker {
-	var first, spare *worker
+	var first, displaced *worker
 	for i, candidate := range p.endpoints.leasedOrder(now, req.function) {
 		tooMany := i >= maxCandidates && len(req.attempts) == 0
 		if tooMany || first != nil && !exists {
@@ -169,7 +169,7 @@
 		}
 		switch {
 		case p.isDisplaced(now, place):
-			spare = p.lessBusy(now, rng, spare, candidate)
+			displaced = p.lessBusy(now, rng, displaced, candidate)
 		case !acceptsLoad(now, req.function, place):
 			continue
 		case first == nil:
@@ -180,12 +180,12 @@
 			return first
 		}
 	}
-	return cmp.Or(first, spare)
+	return cmp.Or(first, displaced)
 }
 
 // acceptsLoad reports whether a worker may get another request that waits for a load there.
 func acceptsLoad(now time.Duration, fn *function, place *placement) bool {
-	return !place.worker.limit.BacksOffLoads(now) && place.worker.loadsWaiting < maxWaitingForLoads &&
+	return !place.worker.limit.BacksOffLoads(now) && place.worker.awaitingLoad < maxWaitingForLoads &&
 		place.inFlight < fn.concurrency
 }
 
@@ -216,7 +216,7 @@
 
 // hasCapacity reports whether a worker accepts this request and is below its concurrency limit.
 func (p *picker) hasCapacity(now time.Duration, rng *rand.Rand, req *request, w *worker) bool {
-	return w.limit.HasCapacity(now, w.requestsInSlots()) && p.accepts(now, rng, req, w)
+	return w.limit.HasCapacity(now, w.countedInFlight()) && p.accepts(now, rng, req, w)
 }
 
 // accepts reports whether a worker may be sent this request.
@@ -257,18 +257,18 @@
 // preferredWorkers returns the workers that a function is spread over: the first ones of its rendezvous
 // order, in proportion to the function's fraction of all requests. All schedulers choose nearly the same
 // workers. A worker under pressure is replaced by the next in the order: all schedulers see the pressure.
-func (p *picker) preferredWorkers(now time.Duration, called *function) []*worker {
-	order := p.endpoints.rendezvousOrder(called)
+func (p *picker) preferredWorkers(now time.Duration, fn *function) []*worker {
+	order := p.endpoints.rendezvousOrder(fn)
 	// One standard deviation is subtracted, so that a few requests by chance do not spread the function.
-	requests := p.placements.requestsFor(now, called)
+	requests := p.placements.requestsFor(now, fn)
 	fraction := max(0, requests-math.Sqrt(requests)) / max(p.placements.totalRequests(now), 1)
 	wanted := max(1, int(math.Ceil(fraction*spreadFactor*float64(len(order)))))
 	var preferred []*worker
-	for i, w := range p.endpoints.leasedOrder(now, called) {
+	for i, w := range p.endpoints.leasedOrder(now, fn) {
 		if i >= wanted+maxCandidates || len(preferred) >= wanted {
 			break
 		}
-		if !p.isDisplaced(now, called.placementAt(w)) {
+		if !p.isDisplaced(now, fn.placementAt(w)) {
 			preferred = append(preferred, w)
 		}
 	}
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -10,8 +10,8 @@
 	"calicohill/routing/latency"
 )
 
-// functionKeepAlives is the retention time of a function without requests, in keep-alives.
-const functionKeepAlives = 5
+// functionRetentionKeepAlives is the retention time of a function without requests, in keep-alives.
+const functionRetentionKeepAlives = 5
 
 // function is the record of a function.
 type function struct {
@@ -28,19 +28,19 @@
 
 // placement is the record of a function at one worker.
 type placement struct {
-	worker      *worker
-	incarnation int           // incarnation of the worker to which warm, loading and instances apply
-	warm        bool          // the function was loaded at warmAt
-	warmAt      time.Duration // when the function was last known to be loaded
-	instances   int           // estimated number of loaded instances, at least 1
-	inFlight    int           // attempts of this scheduler
-	loading     bool          // a load started by a request is in progress
-	loadOrdered bool          // a Load is in progress
-	stickiness  float64       // 0 to 1; under pressure, placements with the lowest are displaced first
+	worker        *worker
+	incarnation   int           // incarnation of the worker to which warm, loading and instances apply
+	warm          bool          // the function was loaded at warmAt
+	warmAt        time.Duration // when the function was last known to be loaded
+	instances     int           // estimated number of loaded instances, at least 1
+	inFlight      int           // attempts of this scheduler
+	loading       bool          // a load started by a request is in progress
+	loadRequested bool          // a Load is in progress
+	stickiness    float64       // 0 to 1; under pressure, placements with the lowest are displaced first
 }
 
 // placementTable holds the requested functions, their demand, and the workers where they are loaded. It
-// deletes a function that was not requested for functionKeepAlives.
+// deletes a function that was not requested for functionRetentionKeepAlives.
 type placementTable struct {
 	classes   []Class
 	keepAlive time.Duration // shortest time that an idle instance stays loaded
@@ -60,18 +60,18 @@
 
 // functionFor counts a request and returns the record of its function, creating it if necessary.
 func (t *placementTable) functionFor(now time.Duration, arrival Request) *function {
-	called := t.functions[arrival.Function]
-	if called == nil {
-		called = &function{name: arrival.Function, demand: demand.NewCount(now, 0)}
-		t.functions[arrival.Function] = called
+	fn := t.functions[arrival.Function]
+	if fn == nil {
+		fn = &function{name: arrival.Function, demand: demand.NewCount(now, 0)}
+		t.functions[arrival.Function] = fn
 	}
-	called.class = arrival.Class
-	called.concurrency = max(arrival.Concurrency, 1)
-	called.pool = arrival.Pool
-	called.latency.Declare(t.classes[arrival.Class].LatencyObjective, arrival.LoadTime)
-	called.demand.Add(now, t.window)
+	fn.class = arrival.Class
+	fn.concurrency = max(arrival.Concurrency, 1)
+	fn.pool = arrival.Pool
+	fn.latency.Declare(t.classes[arrival.Class].LatencyObjective, arrival.LoadTime)
+	fn.demand.Add(now, t.window)
 	t.demand.Add(now, t.window)
-	return called
+	return fn
 }
 
 // requestsFor returns the decaying count of requests for a function.
@@ -94,8 +94,9 @@
 	return slices.ContainsFunc(fn.placements, func(p *placement) bool { return t.isWarm(now, p) })
 }
 
-// isLoadBegun reports whether a function is believed to be loaded or is loading for a request, at any worker.
-func (t *placementTable) isLoadBegun(now time.Duration, fn *function) bool {
+// isLoadedOrLoading reports whether a function is believed to be loaded, or is loading for a request, at any
+// worker.
+func (t *placementTable) isLoadedOrLoading(now time.Duration, fn *function) bool {
 	return slices.ContainsFunc(fn.placements, func(p *placement) bool {
 		return t.isWarm(now, p) || p.loading
 	})
@@ -108,7 +109,7 @@
 		return
 	}
 	p := fn.placementAt(target)
-	p.loadOrdered = false
+	p.loadRequested = false
 	if end.Outcome == Served && end.Instances > 0 {
 		p.setWarm(now)
 		p.instances = end.Instances
@@ -119,9 +120,10 @@
 func (t *placementTable) evictIdle(now time.Duration, endpoints *endpointTable, queue *requestQueue) {
 	maps.DeleteFunc(t.functions, func(_ string, fn *function) bool {
 		fn.placements = slices.DeleteFunc(fn.placements, func(p *placement) bool {
-			return p.inFlight == 0 && endpoints.isForgotten(now, p.worker)
+			return p.inFlight == 0 && endpoints.isEvictable(now, p.worker)
 		})
-		return now-fn.demand.LastAt() >= functionKeepAlives*t.keepAlive && !fn.isInUse() && !queue.holds(fn)
+		return now-fn.demand.LastAt() >= functionRetentionKeepAlives*t.keepAlive &&
+			!fn.isInUse() && !queue.hasRequestFor(fn)
 	})
 }
 
@@ -142,7 +144,7 @@
 // isInUse reports whether a function has an attempt in flight or a Load in progress.
 func (f *function) isInUse() bool {
 	return slices.ContainsFunc(f.placements, func(p *placement) bool {
-		return p.loadOrdered || p.inFlight > 0
+		return p.loadRequested || p.inFlight > 0
 	})
 }
 
@@ -193,8 +195,8 @@
 	}
 }
 
-// recordLoadOrdered records that a Load was sent.
-func (p *placement) recordLoadOrdered() { p.loadOrdered = true }
+// recordLoadRequested records that a Load was sent.
+func (p *placement) recordLoadRequested() { p.loadRequested = true }
 
 // restorePlacement restores the instances that were loaded at a worker at warmAt.
 func (f *function) restorePlacement(w *worker, warmAt time.Duration, instances int) {
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -17,15 +17,15 @@
 	q.list = insertSorted(q.list, req, func(queued *request) time.Duration { return queued.dueAt })
 }
 
-// drain calls leaves for each request, earliest deadline first, and removes those for which it returns true.
+// drain calls remove for each request, earliest deadline first, and removes those for which it returns true.
 // A request that has to wait does not block the others.
-func (q *requestQueue) drain(leaves func(*request) bool) { q.list = slices.DeleteFunc(q.list, leaves) }
+func (q *requestQueue) drain(remove func(*request) bool) { q.list = slices.DeleteFunc(q.list, remove) }
 
 // isEmpty reports whether no request is queued.
 func (q *requestQueue) isEmpty() bool { return len(q.list) == 0 }
 
-// holds reports whether a request for a function is queued.
-func (q *requestQueue) holds(fn *function) bool {
+// hasRequestFor reports whether a request for a function is queued.
+func (q *requestQueue) hasRequestFor(fn *function) bool {
 	return slices.ContainsFunc(q.list, func(queued *request) bool { return queued.function == fn })
 }
 
@@ -39,10 +39,10 @@
 	return q.list
 }
 
-// isStuck reports whether a request has found no capacity in half the time to the client's timeout. It is
-// then rejected while the client still has time for a retry. A later rejection of a request that was never
-// sent is costly, so a request past this moment stays queued until it expires.
-func (q *request) isStuck(now time.Duration) bool {
+// exceedsCapacityWait reports whether a request has found no capacity in half the time to the client's
+// timeout. It is then rejected while the client still has time for a retry. A later rejection of a request
+// that was never sent is costly, so a request past this moment stays queued until it expires.
+func (q *request) exceedsCapacityWait(now time.Duration) bool {
 	halfway := q.arrivedAt + q.TimeLeft/2 - expiryMargin
 	return !q.reachedWorker && now >= halfway && now < halfway+expiryMargin
 }
@@ -53,22 +53,22 @@
 // drainQueue sends the queued requests that can be sent, earliest deadline first.
 func (r *Router) drainQueue() {
 	r.refreshCapacity()
-	r.queue.drain(r.leavesQueue)
+	r.queue.drain(r.sendOrEnd)
 }
 
-// leavesQueue sends or ends a queued request if possible, and reports whether the request leaves the queue.
-func (r *Router) leavesQueue(req *request) bool {
-	stuck := req.isStuck(r.now)
-	if stuck {
+// sendOrEnd sends or ends a queued request if possible, and reports whether the request leaves the queue.
+func (r *Router) sendOrEnd(req *request) bool {
+	noCapacity := req.exceedsCapacityWait(r.now)
+	if noCapacity {
 		if next, ok := req.forFallbackPool(); ok {
-			req.divert(next, r.placements.functionFor(r.now, next))
-			stuck = false
+			req.moveToFallback(next, r.placements.functionFor(r.now, next))
+			noCapacity = false
 		}
 	}
 	switch {
 	case req.isExpiring(r.now):
 		r.rejectOrFail(req, RequestExpired)
-	case stuck:
+	case noCapacity:
 		r.rejectOrFail(req, NoCapacity)
 	case !r.retries.retryAllowed(r.now, req, r.endpoints.list):
 		r.rejectOrFail(req, RetriesExhausted)
@@ -79,7 +79,7 @@
 	target, warm := r.picker.pick(r.now, r.rng, req)
 	if target != nil && !warm && !r.settings.LoadOnDemand && r.settings.LoadAllowed {
 		// Only a Load loads the function. Its requests stay in the queue until the Load has ended.
-		r.orderLoad(target, req.function)
+		r.requestLoad(target, req.function)
 		return false
 	}
 	return target != nil && r.startAttempt(req, target, warm)
--- a/routing/request.go
+++ b/routing/request.go
@@ -47,11 +47,11 @@
 func newRequestTable() *requestTable { return &requestTable{open: map[string]*request{}} }
 
 // newRequest returns the record of a new request.
-func newRequest(now time.Duration, arrival Request, class *Class, called *function) *request {
+func newRequest(now time.Duration, arrival Request, class *Class, fn *function) *request {
 	return &request{
 		Request:   arrival,
 		class:     class,
-		function:  called,
+		function:  fn,
 		arrivedAt: now,
 		expiresAt: now + arrival.TimeLeft,
 		dueAt:     now + min(arrival.TimeLeft, class.Deadline),
@@ -116,10 +116,10 @@
 	}
 }
 
-// divert moves a request to the fallback of its pool, which has a separate function record.
-func (q *request) divert(fallback Request, called *function) {
+// moveToFallback moves a request to the fallback of its pool, which has a separate function record.
+func (q *request) moveToFallback(fallback Request, fn *function) {
 	q.Request = fallback
-	q.function = called
+	q.function = fn
 }
 
 // firstPossiblyExecuted returns the first attempt that may have been executed, or nil.
--- a/routing/router.go
+++ b/routing/router.go
@@ -44,7 +44,7 @@
 	loads     *loadBudget
 	feedback  *feedback
 
-	leaseKeeper *leaseKeeper
+	leaseManager *leaseManager
 }
 
 // outbox collects the actions of a Step, in order.
@@ -79,7 +79,7 @@
 	router.picker = newPicker(router)
 	router.admission = newAdmissionController(router, shortest)
 	router.feedback = newFeedback(router)
-	router.leaseKeeper = newLeaseKeeper(router)
+	router.leaseManager = newLeaseManager(router)
 	return router, nil
 }
 
@@ -140,7 +140,7 @@
 	case PeerReports:
 		r.applyPeerReports(event)
 	case ProbeEnded:
-		r.leaseKeeper.healthCheckEnded(r.now, event)
+		r.leaseManager.healthCheckEnded(r.now, event)
 		r.refreshCapacity()
 	case StateRestored:
 		r.restoreState(event.State)
@@ -155,7 +155,7 @@
 	case WorkerList:
 		r.endpoints.apply(r.now, event)
 	case EndpointsConfirmed:
-		r.leaseKeeper.confirm(r.now, event.AsOf)
+		r.leaseManager.confirm(r.now, event.AsOf)
 		r.refreshCapacity()
 	case EndpointsStale:
 		r.endpoints.markStale(now + event.Duration)
@@ -191,7 +191,7 @@
 		}
 	}
 	r.slowStart.EndSurvey()
-	r.leaseKeeper.renew(r.now, r.rng)
+	r.leaseManager.renew(r.now, r.rng)
 	if r.slowStart.Measure(r.now) {
 		r.endpoints.evictGone(r.now)
 		r.placements.evictIdle(r.now, r.endpoints, r.queue)
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// CostWeights are the weights of costs in the service score. Each is multiplied by the rate of its cost.
+// CostWeights holds the weight of each cost in the service score, to be multiplied by the rate of that cost.
 type CostWeights struct {
 	WastedWork  float64 // work without an answer, per work offered
 	LateFailure float64 // value of requests failed after their latency objective, per value offered
