--- a/routing/actions.go
+++ b/routing/actions.go
@@ -12,7 +12,7 @@
 type Send struct {
 	ID      string
 	Worker  string
-	Timeout time.Duration // 0 means until the client gives up
+	Timeout time.Duration // 0 means until the client times out
 	// StartWithin limits how long the attempt may wait for a connection. A retry that starts later could arrive after
 	// workers have forgotten its idempotency key, or after the lease on the worker has expired. 0 means no limit.
 	StartWithin time.Duration
--- a/routing/feedback.go
+++ b/routing/feedback.go
@@ -129,24 +129,24 @@
 
 // recordServed records that an attempt was served.
 func (f *feedback) recordServed(now time.Duration, ended *attempt, end AttemptEnded) {
-	source, fn := ended.worker, ended.request.function
-	f.recordAnswer(now, source)
+	target, requested := ended.worker, ended.request.function
+	f.recordAnswer(now, target)
 	ended.placement.recordServed(now)
-	fn.recordServed()
-	source.limit.RecordServed()
-	f.outliers.RecordServed(&source.health, now)
-	f.slowStart.RecordServed(now, source.Started)
+	requested.recordServed()
+	target.limit.RecordServed()
+	f.outliers.RecordServed(&target.health, now)
+	f.slowStart.RecordServed(now, target.Started)
 	seconds := cmp.Or(end.Latency, now-ended.sentAt).Seconds()
-	f.latency.Observe(&fn.latency, now, seconds)
+	f.latency.Observe(&requested.latency, now, seconds)
 	if !servedWarm(ended, end.StartType) {
 		return
 	}
 	if end.InFlightForFunction >= 0 {
-		ended.placement.recordInFlight(end.InFlightForFunction, fn.concurrency)
+		ended.placement.recordInFlight(end.InFlightForFunction, requested.concurrency)
 	}
-	f.latency.ObserveWarm(&fn.latency, &source.latency, now, seconds)
+	f.latency.ObserveWarm(&requested.latency, &target.latency, now, seconds)
 	objective := ended.request.class.LatencyObjective.Seconds()
-	source.limit.RecordWarmLatency(seconds, objective, len(source.inFlight))
+	target.limit.RecordWarmLatency(seconds, objective, len(target.inFlight))
 }
 
 // servedWarm reports whether a served attempt found an instance loaded, so that its latency includes no load
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -63,14 +63,14 @@
 // settings.
 func (s *Settings) validate() (shortest time.Duration, err error) {
 	if len(s.Classes) == 0 || s.Schedulers < 1 || s.MaxAttempts < 1 {
-		return 0, errors.New("calicohill: settings need at least 1 class, 1 scheduler and 1 attempt")
+		return 0, errors.New("calicohill: at least 1 class, 1 scheduler and 1 attempt are needed")
 	}
 	shortest, err = s.shortestObjective()
 	if err != nil {
 		return 0, err
 	}
 	if s.SlowStartFraction < 0 || s.LoadBudgetPerRequest < 0 || s.LoadBudgetBase < 0 || s.OverloadMultiple < 0 {
-		return 0, errors.New("calicohill: slow-start fraction, load budget and overload multiple must not be negative")
+		return 0, errors.New("calicohill: settings below 0")
 	}
 	if s.InstanceKeepAlive <= 0 {
 		s.InstanceKeepAlive = defaultKeepAlive
@@ -86,7 +86,7 @@
 	shortest := s.Classes[0].LatencyObjective
 	for i, class := range s.Classes {
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 {
-			return 0, fmt.Errorf("calicohill: class %d: latency objective and deadline must be above 0", i)
+			return 0, fmt.Errorf("calicohill: class %d: aim and deadline must be above 0", i)
 		}
 		shortest = min(shortest, class.LatencyObjective)
 	}
