--- a/routing/actions.go
+++ b/routing/actions.go
@@ -56,7 +56,7 @@
 }
 
 // WorkerSuspended reports, for the log, that a worker looks as if it were draining or gone while the endpoint list is
-// unconfirmed. The worker gets no requests until it accepts one, passes a health check, or the list is confirmed.
+// unconfirmed. The worker gets no requests until it proves that it accepts them, or the list is confirmed.
 type WorkerSuspended struct {
 	Worker string
 	Reason SuspendReason
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Event is an input to Step. The concrete types are WorkerList, Request, StreamStarted,
-// AttemptEnded, ClientCanceled, TimerFired, ProbeEnded, LoadEnded, PeerMessage, PeerReports, PoolsChanged,
-// EndpointsStale, EndpointsConfirmed, StateRestored and Shutdown.
+// Event is an input to Step. The concrete types are WorkerList, Request, StreamStarted, AttemptEnded, ClientCanceled,
+// TimerFired, ProbeEnded, LoadEnded, PeerMessage, PeerReports, PoolsChanged, EndpointsStale, EndpointsConfirmed,
+// StateRestored and Shutdown.
 type Event interface{ event() }
 
 // WorkerList is a full or partial endpoint list from discovery.
@@ -61,8 +61,8 @@
 	Pool         *Pool         // workers allowed to serve it; nil means all
 }
 
-// fallbackSuffix is appended to a function's name in the fallback of its pool. It is a NUL, which no configured name
-// contains.
+// fallbackSuffix is appended to a function's name in the fallback of its pool. It is a NUL, so that the
+// result cannot collide with another name.
 const fallbackSuffix = "\x00"
 
 // forFallbackPool returns the request addressed to the fallback of its pool, or false if there is none. The fallback
