--- a/routing/events.go
+++ b/routing/events.go
@@ -221,9 +221,9 @@
 	return [...]string{"healthy", "unresponsive", "slow", "failing", "unreachable"}[f]
 }
 
-// EndpointsConfirmed reports that the endpoint list, as built from all WorkerLists so far, was complete at AsOf; 0 means
-// that its age is unknown. After the first confirmation, a worker gets requests only while a confirmation or its own
-// answers rule out that a drain has taken effect. There are no confirmations if discovery pushes changes.
+// EndpointsConfirmed reports that the endpoint list, as built from all WorkerLists so far, was complete at AsOf; 0
+// means that its age is unknown. After the first confirmation, a worker gets requests only while a confirmation or its
+// own answers rule out that a drain has taken effect. There are no confirmations if discovery pushes changes.
 type EndpointsConfirmed struct{ AsOf time.Duration }
 
 // EndpointsStale reports that the endpoint list may be stale for this duration from now, because changes may have been
