--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -137,7 +137,7 @@
 		if d.observeFault != nil {
 			d.observeFault(action)
 		}
-	case routing.WorkerSuspended, routing.EndpointsDoubted:
+	case routing.WorkerSuspended, routing.EndpointListStatus:
 		d.log.stateChanged(action)
 	case routing.Probe:
 		d.workers.Probe(action.Worker)
--- a/internal/dispatch/log.go
+++ b/internal/dispatch/log.go
@@ -59,15 +59,15 @@
 	switch action := action.(type) {
 	case routing.WorkerSuspended:
 		l.log.WithFields(logrus.Fields{"worker": action.Worker, "reason": action.Reason.String()}).Warn("worker suspended")
-	case routing.EndpointsDoubted:
+	case routing.EndpointListStatus:
 		l.listConfirmationChanged(action)
 	}
 }
 
 // listConfirmationChanged logs that the endpoint list has not been confirmed recently, or that it is confirmed again.
-func (l *decisionLog) listConfirmationChanged(action routing.EndpointsDoubted) {
+func (l *decisionLog) listConfirmationChanged(action routing.EndpointListStatus) {
 	log := l.log.WithField("age", action.Age.Round(time.Millisecond))
-	if !action.InDoubt {
+	if !action.Unconfirmed {
 		log.Info("worker list confirmed again")
 		return
 	}
--- a/internal/nodeagent/response.go
+++ b/internal/nodeagent/response.go
@@ -147,17 +147,17 @@
 // parseLoadReport parses a load report such as inflight:7;util:0.61. It ignores unknown names.
 func parseLoadReport(list string) (*routing.LoadReport, error) {
 	report := &routing.LoadReport{
-		InFlight:           unreportedValue,
-		QueueLength:        unreportedValue,
-		Utilization:        unreportedValue,
-		MemoryHeldFraction: unreportedValue,
-		LoadsInProgress:    unreportedValue,
+		InFlight:                    unreportedValue,
+		QueueLength:                 unreportedValue,
+		Utilization:                 unreportedValue,
+		UnreclaimableMemoryFraction: unreportedValue,
+		LoadsInProgress:             unreportedValue,
 	}
 	metrics := map[string]*float64{
 		"inflight": &report.InFlight,
 		"queue":    &report.QueueLength,
 		"util":     &report.Utilization,
-		"x0":       &report.MemoryHeldFraction,
+		"x0":       &report.UnreclaimableMemoryFraction,
 		"x1":       &report.LoadsInProgress,
 	}
 	for field := range strings.SplitSeq(list, ";") {
--- a/routing/lease.go
+++ b/routing/lease.go
@@ -10,80 +10,81 @@
 )
 
 const (
-	leaseSweepInterval  = 100 * time.Millisecond // between two searches for leases that have to be renewed
-	doubtReportInterval = 5 * time.Second        // between two reports that the endpoint list is in doubt
+	leaseScanInterval         = 100 * time.Millisecond // between two scans for leases to renew
+	unconfirmedReportInterval = 5 * time.Second        // between two reports of an unconfirmed endpoint list
 )
 
-// leaseKeeper renews the leases on workers: by what discovery and the workers' answers prove, and by health
-// checks while the endpoint list is in doubt.
-type leaseKeeper struct {
-	leases    *lease.Table
-	allowed   bool // health checks are allowed
-	sweepAt   time.Duration
-	inDoubt   bool          // was reported so
-	reportAt  time.Duration // when that is reported again
-	endpoints *endpointTable
-	out       *outbox
+// leaseManager renews the leases on workers: from confirmations of the endpoint list, from the workers'
+// answers and, while the list is unconfirmed, by health checks.
+type leaseManager struct {
+	leases        *lease.Table
+	checksAllowed bool // the deployment allows health checks
+	scanAt        time.Duration
+	unconfirmed   bool          // the list was last reported as unconfirmed
+	reportAt      time.Duration // when the report is repeated
+	endpoints     *endpointTable
+	out           *outbox
 }
 
-func newLeaseKeeper(r *Router) *leaseKeeper {
-	return &leaseKeeper{
-		leases:    r.endpoints.leases,
-		allowed:   r.settings.ProbeAllowed,
-		endpoints: r.endpoints,
-		out:       r.out,
+func newLeaseManager(r *Router) *leaseManager {
+	return &leaseManager{
+		leases:        r.endpoints.leases,
+		checksAllowed: r.settings.ProbeAllowed,
+		endpoints:     r.endpoints,
+		out:           r.out,
 	}
 }
 
-// leaseSurvey is what a search for leases that have to be renewed has found.
-type leaseSurvey struct {
-	ready      int // workers that are listed as ready and not ejected
-	usable     int // of these, workers that may be sent requests
-	fresh      int // of these, workers that need no health check, or are being asked
-	suspects   []*worker
-	candidates []*worker
+// leaseScan is the result of a scan for leases to renew.
+type leaseScan struct {
+	ready      int       // workers that are listed as Ready and not ejected
+	usable     int       // of these, workers with a valid lease
+	fresh      int       // of these, workers with a fresh lease or a health check in progress
+	suspects   []*worker // newly suspected workers, to be checked at once
+	candidates []*worker // other workers whose lease is due for renewal
 }
 
-// confirm takes in that the endpoint list was complete at a time.
-func (k *leaseKeeper) confirm(now, asOf time.Duration) {
-	if !k.leases.Limited() {
-		k.endpoints.correctStarts(now)
+// confirm records that the endpoint list was complete at asOf.
+func (m *leaseManager) confirm(now, asOf time.Duration) {
+	if !m.leases.Limited() {
+		m.endpoints.correctStarts(now)
 	}
-	k.leases.Confirm(asOf)
+	m.leases.Confirm(asOf)
 }
 
-// renew asks workers for their health whose leases have to be renewed, while the endpoint list is in doubt.
-// Those that serve requests renew them by that; of the others as many are asked as Held says, first those
-// that took requests last. A worker that has just come under suspicion is asked at once.
-func (k *leaseKeeper) renew(now time.Duration, rng *rand.Rand) {
-	if now < k.sweepAt {
+// renew starts the health checks that are due while the endpoint list is unconfirmed. Workers that serve
+// requests need none, since served requests renew their leases. The lease table limits the number of other
+// workers to check; those that accepted requests most recently are checked first. A newly suspected worker is
+// checked at once.
+func (m *leaseManager) renew(now time.Duration, rng *rand.Rand) {
+	if now < m.scanAt {
 		return
 	}
-	k.sweepAt = now + leaseSweepInterval
-	if !k.leases.ConfirmationOverdue(now) {
-		k.reportConfirmed(now)
+	m.scanAt = now + leaseScanInterval
+	if !m.leases.ConfirmationOverdue(now) {
+		m.reportConfirmed(now)
 		return
 	}
-	survey := k.survey(now)
-	k.reportDoubt(now, survey)
-	if !k.allowed {
+	scan := m.scan(now)
+	m.reportUnconfirmed(now, scan)
+	if !m.checksAllowed {
 		return
 	}
-	for _, suspect := range survey.suspects {
-		k.checkHealth(now, suspect)
+	for _, suspect := range scan.suspects {
+		m.checkHealth(now, suspect)
 	}
-	wanted := min(len(survey.candidates), k.leases.RenewalTarget(survey.ready)-survey.fresh)
+	wanted := min(len(scan.candidates), m.leases.RenewalTarget(scan.ready)-scan.fresh)
 	if wanted <= 0 {
 		return
 	}
-	sortForCheck(survey.candidates, rng)
-	for _, candidate := range survey.candidates[:wanted] {
-		k.checkHealth(now, candidate)
+	sortForCheck(scan.candidates, rng)
+	for _, candidate := range scan.candidates[:wanted] {
+		m.checkHealth(now, candidate)
 	}
 }
 
-// sortForCheck puts workers into the order in which they are asked for their health. Schedulers that know
-// equally little of all workers must not all ask the same.
+// sortForCheck sorts workers by the time at which they last accepted a request, latest first. Ties are in
+// random order, so that schedulers without such times do not all check the same workers.
 func sortForCheck(workers []*worker, rng *rand.Rand) {
 	rng.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
 	slices.SortStableFunc(workers, func(a, b *worker) int {
@@ -91,22 +92,22 @@
 	})
 }
 
-// survey looks through the workers for leases that have to be renewed.
-func (k *leaseKeeper) survey(now time.Duration) leaseSurvey {
-	var found leaseSurvey
-	for _, listed := range k.endpoints.list {
+// scan searches the workers for leases to renew.
+func (m *leaseManager) scan(now time.Duration) leaseScan {
+	var found leaseScan
+	for _, listed := range m.endpoints.list {
 		if listed.State != Ready || !listed.health.Eligible(now, len(listed.inFlight)) {
 			continue
 		}
 		found.ready++
-		if k.leases.Valid(&listed.lease, now) {
+		if m.leases.Valid(&listed.lease, now) {
 			found.usable++
 		}
 		switch {
-		case k.leases.IsFresh(&listed.lease, now) || listed.lease.CheckInFlight():
+		case m.leases.IsFresh(&listed.lease, now) || listed.lease.CheckInFlight():
 			found.fresh++
-		case !k.leases.MayCheck(&listed.lease, now):
-		case k.leases.NeedsFirstCheck(&listed.lease):
+		case !m.leases.MayCheck(&listed.lease, now):
+		case m.leases.NeedsFirstCheck(&listed.lease):
 			found.suspects = append(found.suspects, listed)
 		default:
 			found.candidates = append(found.candidates, listed)
@@ -115,82 +116,84 @@
 	return found
 }
 
-// checkHealth asks a worker whether it takes requests.
-func (k *leaseKeeper) checkHealth(now time.Duration, w *worker) {
-	k.leases.BeginCheck(&w.lease, now)
-	k.out.emit(Probe{w.ID})
+// checkHealth starts a health check of a worker.
+func (m *leaseManager) checkHealth(now time.Duration, w *worker) {
+	m.leases.BeginCheck(&w.lease, now)
+	m.out.emit(Probe{w.ID})
 }
 
-// reportDoubt says that the list is in doubt: at once, and again from time to time.
-func (k *leaseKeeper) reportDoubt(now time.Duration, survey leaseSurvey) {
-	if k.inDoubt && now < k.reportAt {
+// reportUnconfirmed reports that the list is unconfirmed: immediately, and again every
+// unconfirmedReportInterval.
+func (m *leaseManager) reportUnconfirmed(now time.Duration, scan leaseScan) {
+	if m.unconfirmed && now < m.reportAt {
 		return
 	}
-	k.inDoubt = true
-	k.reportAt = now + doubtReportInterval
-	age := now - k.leases.ConfirmedAt()
-	k.out.emit(EndpointsDoubted{InDoubt: true, Age: age, Ready: survey.ready, Usable: survey.usable})
+	m.unconfirmed = true
+	m.reportAt = now + unconfirmedReportInterval
+	age := now - m.leases.ConfirmedAt()
+	m.out.emit(EndpointListStatus{Unconfirmed: true, Age: age, Ready: scan.ready, Usable: scan.usable})
 }
 
-// reportConfirmed says that the list is confirmed again, if it was in doubt.
-func (k *leaseKeeper) reportConfirmed(now time.Duration) {
-	if k.inDoubt {
-		k.inDoubt = false
-		k.out.emit(EndpointsDoubted{Age: now - k.leases.ConfirmedAt()})
+// reportConfirmed reports that the list is confirmed again, if it was reported as unconfirmed.
+func (m *leaseManager) reportConfirmed(now time.Duration) {
+	if m.unconfirmed {
+		m.unconfirmed = false
+		m.out.emit(EndpointListStatus{Age: now - m.leases.ConfirmedAt()})
 	}
 }
 
-// healthCheckEnded learns from a health check whether a worker takes requests. No answer proves nothing.
-func (k *leaseKeeper) healthCheckEnded(now time.Duration, end ProbeEnded) {
-	checked := k.endpoints.byID[end.Worker]
+// healthCheckEnded updates the lease on a worker from a health check. A check without an answer leaves the
+// lease unchanged.
+func (m *leaseManager) healthCheckEnded(now time.Duration, end ProbeEnded) {
+	checked := m.endpoints.byID[end.Worker]
 	if checked == nil || !checked.lease.CheckInFlight() {
 		return
 	}
-	k.leases.EndCheck(&checked.lease, end.Outcome == Served)
+	m.leases.EndCheck(&checked.lease, end.Outcome == Served)
 	switch end.Outcome {
 	case Served:
-		k.recordAccepted(now, checked, cmp.Or(end.SentAt, now-end.Latency))
+		m.recordAccepted(now, checked, cmp.Or(end.SentAt, now-end.Latency))
 	case Errored:
-		k.recordDown(now, checked, ReportedDown)
+		m.recordDown(now, checked, ReportedDown)
 	case ConnectFailed:
-		k.recordDown(now, checked, CouldNotBeReached)
-	case Shed, TimedOut, ConnectionReset, Canceled, NotSent, NotLoaded: // nothing is known of the worker
+		m.recordDown(now, checked, WorkerUnreachable)
+	case Shed, TimedOut, ConnectionReset, Canceled, NotSent, NotLoaded: // no information about the worker
 	}
 }
 
-// attemptEnded learns from the outcome of an attempt whether its worker takes requests.
-func (k *leaseKeeper) attemptEnded(now time.Duration, ended *attempt, outcome Outcome) {
+// attemptEnded updates the lease on a worker from the outcome of an attempt.
+func (m *leaseManager) attemptEnded(now time.Duration, ended *attempt, outcome Outcome) {
 	target := ended.worker
 	switch outcome {
 	case Served:
-		k.recordAccepted(now, target, ended.sentAt)
+		m.recordAccepted(now, target, ended.sentAt)
 	case Shed:
-		if k.leases.RecordRejected(&target.lease, now, ended.sentAt) {
-			k.out.emit(WorkerSuspended{target.ID, RejectedRequests})
+		if m.leases.RecordRejected(&target.lease, now, ended.sentAt) {
+			m.out.emit(WorkerSuspended{target.ID, RejectedRequests})
 		}
 	case ConnectionReset:
-		if k.leases.RecordConnectionReset(&target.lease, now, ended.sentAt) {
-			k.out.emit(WorkerSuspended{target.ID, ConnectionBroke})
+		if m.leases.RecordConnectionReset(&target.lease, now, ended.sentAt) {
+			m.out.emit(WorkerSuspended{target.ID, ConnectionBroken})
 		}
 	case ConnectFailed:
-		k.recordDown(now, target, CouldNotBeReached)
-	case Errored, TimedOut, Canceled, NotSent, NotLoaded: // that does not tell whether it drains
+		m.recordDown(now, target, WorkerUnreachable)
+	case Errored, TimedOut, Canceled, NotSent, NotLoaded: // no information about draining
 	}
 }
 
-// recordDown notes that a worker drains or cannot be reached.
-func (k *leaseKeeper) recordDown(now time.Duration, w *worker, reason SuspendReason) {
-	if k.leases.RecordDown(&w.lease, now) {
-		k.out.emit(WorkerSuspended{w.ID, reason})
+// recordDown records that a worker is draining or unreachable.
+func (m *leaseManager) recordDown(now time.Duration, w *worker, reason SuspendReason) {
+	if m.leases.RecordDown(&w.lease, now) {
+		m.out.emit(WorkerSuspended{w.ID, reason})
 	}
 }
 
-// recordAccepted notes that a worker took what was sent to it at a time. One that had been down before is
-// taken to have restarted: while the list is in doubt nobody tells, and a worker that warms up is easily
-// overloaded.
-func (k *leaseKeeper) recordAccepted(now time.Duration, w *worker, sentAt time.Duration) {
-	if k.leases.RecordAccepted(&w.lease, sentAt) {
-		w.restart(k.endpoints.schedulers)
+// recordAccepted records that a worker accepted a request or health check sent at sentAt. A worker that was
+// down before is assumed to have restarted: an unconfirmed list does not announce restarts, and a worker that
+// is warming up is easily overloaded.
+func (m *leaseManager) recordAccepted(now time.Duration, w *worker, sentAt time.Duration) {
+	if m.leases.RecordAccepted(&w.lease, sentAt) {
+		w.restart(m.endpoints.schedulers)
 		w.Started = now
 	}
 }
--- a/routing/lease_internal_test.go
+++ b/routing/lease_internal_test.go
@@ -142,7 +142,7 @@
 	router := harness.router
 	w := router.endpoints.byID["w0"]
 	for _, outcome := range []Outcome{ConnectFailed, Served} {
-		router.leaseKeeper.checkHealth(harness.now, w)
+		router.leaseManager.checkHealth(harness.now, w)
 		harness.step(time.Second, ProbeEnded{Worker: "w0", Outcome: outcome})
 	}
 	if !router.slowStart.IsWarmingUp(harness.now, w.Started) {
@@ -159,12 +159,12 @@
 // every five seconds, and at the end.
 func TestOverdueConfirmationIsReported(t *testing.T) {
 	harness := newOutageHarness(t, 2)
-	reports := actionsOf[EndpointsDoubted](harness.wait(16 * time.Second))
-	reports = append(reports, actionsOf[EndpointsDoubted](
+	reports := actionsOf[EndpointListStatus](harness.wait(16 * time.Second))
+	reports = append(reports, actionsOf[EndpointListStatus](
 		append(harness.step(0, EndpointsConfirmed{AsOf: harness.now}), harness.wait(time.Second)...))...)
 	var got []bool
 	for _, report := range reports {
-		got = append(got, report.InDoubt)
+		got = append(got, report.Unconfirmed)
 	}
 	if fmt.Sprint(got) != "[true true true false]" {
 		t.Errorf("reported %v, want the start, two repeats and the end", got)
