--- a/internal/rules/match/compile.go
+++ b/internal/rules/match/compile.go
@@ -15,36 +15,36 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// The limits of what is loaded.
+// Limits of rules and expressions.
 const (
-	// MaxRules is the largest number of rules in a table.
+	// MaxRules is the maximum number of rules in a table.
 	MaxRules = 10000
-	// MaxCost is the largest worst-case cost of an expression, in units. A unit is about what comparing two numbers
-	// takes.
-	MaxCost = 2000
-	// MaxPath is the largest worst-case cost of all rules that one request may meet, in units.
-	MaxPath = 200000
+	// MaxExpressionCost is the maximum worst-case cost of an expression, in units. One unit is about the time to
+	// compare two numbers.
+	MaxExpressionCost = 2000
+	// MaxRequestCost is the maximum worst-case cost of all rules that are evaluated for one request, in units.
+	MaxRequestCost = 200000
 
 	maxSourceBytes        = 2048
 	maxNodes              = 256
 	maxNesting            = 24
-	maxParams             = 64   // different parameters that all rules read
-	maxTextBytes          = 1024 // longest text that an expression may yield or concatenate
+	maxParams             = 64   // distinct parameters in all rules
+	maxTextBytes          = 1024 // length of a text that an expression returns or concatenates
 	maxRegexpInstructions = 200
-	// nodesPerSourceNode bounds how many nodes the rewritten expression may have for each one allowed in the source.
+	// nodesPerSourceNode is the maximum number of nodes in the rewritten expression per node allowed in the source.
 	nodesPerSourceNode = 4
 )
 
-// ExpressionError is the error of an expression that cannot be loaded.
+// ExpressionError is an error in the source of an expression.
 type ExpressionError struct {
-	Offset int // byte of the expression, from 0
+	Offset int // byte offset in the expression, from 0
 	Reason string
 }
 
 // Error returns the reason.
 func (e *ExpressionError) Error() string { return e.Reason }
 
-// errorAt returns an ExpressionError at the position of a node.
+// errorAt returns an ExpressionError at the offset of a node.
 func errorAt(node ast.Node, format string, args ...any) *ExpressionError {
 	return &ExpressionError{Offset: node.Location().From, Reason: fmt.Sprintf(format, args...)}
 }
@@ -54,7 +54,7 @@
 	return &ExpressionError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// libraryError converts an error of the expression library.
+// libraryError converts an error of the expression library to an ExpressionError.
 func libraryError(err error) *ExpressionError {
 	var positioned *file.Error
 	if errors.As(err, &positioned) {
@@ -63,7 +63,7 @@
 	return &ExpressionError{Reason: err.Error()}
 }
 
-// resultKind is the type that an expression must yield.
+// resultKind is the required result type of an expression.
 type resultKind int
 
 const (
@@ -71,7 +71,7 @@
 	textResult
 )
 
-// option returns the compiler option that demands the type.
+// option returns the compiler option that enforces the type.
 func (k resultKind) option() expr.Option {
 	if k == textResult {
 		return expr.AsKind(reflect.String)
@@ -79,21 +79,21 @@
 	return expr.AsBool()
 }
 
-// compiledExpr is an expression that was loaded.
+// compiledExpr is a compiled expression.
 type compiledExpr struct {
 	program      *vm.Program
 	cost         int           // worst case, in units
-	requirements []requirement // all of which must hold for the expression to be true
+	requirements []requirement // the expression is true only if all of them are satisfied
 }
 
-// compiler loads the expressions of one table.
+// compiler compiles the expressions of one table.
 type compiler struct {
 	schema      []Field
 	environment any      // a value of the type that expressions are evaluated against
-	slots       []string // parameters that are read, by slot
+	slots       []string // names of the parameters that expressions read, by slot
 }
 
-// slot returns the slot of a parameter, a new one if it is not read yet.
+// slot returns the slot of a parameter and allocates one if the parameter is new.
 func (c *compiler) slot(name string) int {
 	i := slices.Index(c.slots, name)
 	if i < 0 {
@@ -108,10 +108,10 @@
 	return slices.ContainsFunc(c.schema, func(f Field) bool { return f.Name == name })
 }
 
-// compile loads an expression: it parses and rewrites it, estimates its worst-case cost, and compiles it.
+// compile parses and rewrites an expression, estimates its worst-case cost, and compiles it.
 func (c *compiler) compile(source string, want resultKind) (*compiledExpr, *ExpressionError) {
 	if len(source) > maxSourceBytes {
-		return nil, expressionError("%d bytes are over %d", len(source), maxSourceBytes)
+		return nil, expressionError("expression of %d bytes exceeds the maximum of %d", len(source), maxSourceBytes)
 	}
 	tree, err := parser.Parse(source)
 	if err != nil {
@@ -125,17 +125,17 @@
 	}
 	if len(c.slots) > maxParams {
 		c.slots = c.slots[:slotsBefore]
-		return nil, expressionError("over %d different parameters are read", maxParams)
+		return nil, expressionError("rules read more than %d different parameters", maxParams)
 	}
 	costs := estimator{schema: c.schema}
 	worst, exprErr := costs.estimate(tree.Node, 0)
 	if exprErr != nil {
 		return nil, exprErr
 	}
-	if worst.cost > MaxCost {
-		return nil, expressionError("its worst cost is %d, at most %d is allowed", worst.cost, MaxCost)
+	if worst.cost > MaxExpressionCost {
+		return nil, expressionError("worst-case cost of %d exceeds the maximum of %d", worst.cost, MaxExpressionCost)
 	}
-	// The library parses the source anew, so the same rewriting is applied once more.
+	// The library parses the source again, so the rewriter must be applied again.
 	program, err := expr.Compile(source, expr.Env(c.environment), want.option(), expr.DisableAllBuiltins(),
 		expr.Patch(&rewriter{compiler: c}), expr.MaxNodes(nodesPerSourceNode*maxNodes))
 	if err != nil {
@@ -144,7 +144,7 @@
 	return &compiledExpr{program: program, cost: worst.cost, requirements: requirementsOf(tree.Node)}, nil
 }
 
-// checkRegexp reports a regular expression that is invalid or compiles to too many instructions.
+// checkRegexp returns an error if a regular expression is invalid or compiles to more than maxRegexpInstructions.
 func checkRegexp(source string) error {
 	parsed, err := syntax.Parse(source, syntax.Perl)
 	if err != nil {
@@ -155,7 +155,7 @@
 		return fmt.Errorf("regular expression: %w", err)
 	}
 	if len(program.Inst) > maxRegexpInstructions {
-		return fmt.Errorf("regular expression: %d instructions are over %d", len(program.Inst), maxRegexpInstructions)
+		return fmt.Errorf("regular expression: %d instructions exceed the maximum of %d", len(program.Inst), maxRegexpInstructions)
 	}
 	if _, err := regexp.Compile(source); err != nil {
 		return fmt.Errorf("regular expression: %w", err)
--- a/internal/rules/match/environment.go
+++ b/internal/rules/match/environment.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// environment is a Request as expressions read it, by the names of the schema. The names that end in an underscore
-// are those that the rewriter turns param into.
+// environment exposes a Request to expressions under the field names of the schema. The names that end in an underscore
+// are internal; the rewriter substitutes them for param.
 type environment struct {
 	Class       string            `expr:"class"`
 	Handler     string            `expr:"handler"`
@@ -23,19 +23,19 @@
 	Minute      int               `expr:"minute"`
 	Weekday     int               `expr:"weekday"`
 	Bucket      int               `expr:"share"`
-	Param       map[string]string `expr:"param"`  // declared for its type; always turned into a slot
-	Slots       [][]string        `expr:"slots_"` // the value alone in a list, which is empty for a parameter that is missing
-	Has         []bool            `expr:"has_"`
+	Param       map[string]string `expr:"param"`  // declared only for its type; reads are rewritten to slots
+	Slots       [][]string        `expr:"slots_"` // each slot is a list of the value alone, or empty if the parameter is missing
+	Has         []bool            `expr:"has_"`   // by slot
 
-	values []string // of the parameters by slot, which Slots has its lists from
+	values []string // parameter values by slot; backing array of Slots
 }
 
-// newEnvironment returns an environment for expressions that read this many parameters.
+// newEnvironment returns an environment for expressions that read a number of parameters.
 func newEnvironment(slots int) environment {
 	return environment{Slots: make([][]string, slots), Has: make([]bool, slots), values: make([]string, slots)}
 }
 
-// fill sets the environment to a request.
+// fill sets the environment from a request.
 func (e *environment) fill(request *Request) {
 	*e = environment{
 		Class:       textWithin(request.Class, maxClassBytes),
@@ -65,7 +65,7 @@
 	}
 }
 
-// setParam fills a slot; a value that is too long is treated as missing.
+// setParam sets a slot. A value longer than maxValueBytes is treated as missing.
 func (e *environment) setParam(slot int, param Param) {
 	e.Slots[slot] = nil
 	e.Has[slot] = param.Present && len(param.Value) <= maxValueBytes
@@ -90,7 +90,7 @@
 	return ""
 }
 
-// textWithin returns a text, or "" if it is longer than a limit in bytes.
+// textWithin returns text, or "" if text is longer than maxBytes.
 func textWithin(text string, maxBytes int) string {
 	if len(text) > maxBytes {
 		return ""
@@ -98,22 +98,22 @@
 	return text
 }
 
-// totalBuckets is the number of buckets that keys are hashed to, and what the parts of splits are fractions of.
+// totalBuckets is the number of buckets that keys are hashed to. Split.PerMille is a number of buckets.
 const totalBuckets = 1000
 
-// The parameters of the first two steps of SplitMix64's finalizer (Steele, Lea and Flood, 2014).
+// Parameters of the first two steps of the SplitMix64 finalizer (Steele, Lea and Flood, 2014).
 const (
 	mixShift1     = 30
 	mixMultiplier = 0xbf58476d1ce4e5b9
 	mixShift2     = 27
 )
 
-// bucketOf returns the bucket of a key, from 0 to 999: the same each time.
+// bucketOf returns the bucket of a key, from 0 to 999. The same key always has the same bucket.
 func bucketOf(key string) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
 	mixed := hash.Sum64()
-	// FNV mixes its last bytes badly.
+	// FNV-1a distributes keys that differ only in their last bytes poorly.
 	mixed = (mixed ^ mixed>>mixShift1) * mixMultiplier
 	return int((mixed ^ mixed>>mixShift2) % totalBuckets)
 }
--- a/internal/rules/match/estimate.go
+++ b/internal/rules/match/estimate.go
@@ -6,8 +6,8 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// The costs of operations, in units, without those of their operands. Where the time depends on the length of texts,
-// the ...BytesPerUnit constants say how many bytes of the longest possible text add one unit.
+// Costs of operations in units, excluding the cost of their operands. If the time of an operation depends on the length
+// of a string, its BytesPerUnit constant is the number of bytes that add one unit; the longest possible string counts.
 const (
 	constantCost   = 1
 	fieldCost      = 1
@@ -28,29 +28,30 @@
 	listBytesPerUnit     = 16
 	concatBytesPerUnit   = 8
 	containsBytesPerUnit = 2
-	// A regular expression is linear in the text and, at the worst, in the pattern: each byte of the text costs one unit,
-	// and one more for every patternBytesPerUnit bytes of the pattern.
+	// The time to match a regular expression is linear in the length of the text and, in the worst case, in the length
+	// of the pattern. Each byte of the text costs one unit, plus one for every patternBytesPerUnit bytes of the
+	// pattern.
 	patternBytesPerUnit = 8
 )
 
 // estimate is the worst case of an expression.
 type estimate struct {
 	cost     int // in units
-	maxBytes int // longest text that it yields; 0 if it yields none
+	maxBytes int // maximum length of the result if it is a string, otherwise 0
 }
 
-// estimator estimates the worst case of an expression from the bounds in the schema. It rejects every kind of node that it
-// has no estimate for, so that there are no loops, no calls and no texts without a bound.
+// estimator computes the worst case of an expression from the bounds in the schema. It rejects every kind of node that
+// it cannot estimate. This excludes loops, calls and strings of unbounded length.
 type estimator struct {
 	schema []Field
-	nodes  int // so far
+	nodes  int // number of nodes visited
 }
 
-// estimate estimates a node at a level of nesting.
+// estimate returns the estimate of a node; depth is its nesting level.
 func (e *estimator) estimate(node ast.Node, depth int) (estimate, *ExpressionError) {
 	e.nodes++
 	if e.nodes > maxNodes || depth > maxNesting {
-		return estimate{}, errorAt(node, "too long or too deeply nested: %d parts and %d levels are allowed", maxNodes, maxNesting)
+		return estimate{}, errorAt(node, "too long or too deeply nested: the maximum is %d nodes and %d levels", maxNodes, maxNesting)
 	}
 	switch operation := node.(type) {
 	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.ConstantNode:
@@ -71,10 +72,10 @@
 	case *ast.BinaryNode:
 		return e.binary(operation, depth)
 	}
-	return estimate{}, errorAt(node, "this has no place in a rule: no loops, calls, variables or slices")
+	return estimate{}, errorAt(node, "not allowed in a rule: loops, calls, variables and slices are not supported")
 }
 
-// operands estimates the operands of a node and sums up their costs.
+// operands returns the estimates of the operands of a node and the sum of their costs.
 func (e *estimator) operands(depth int, nodes ...ast.Node) (each []estimate, cost int, exprErr *ExpressionError) {
 	for _, node := range nodes {
 		operand, exprErr := e.estimate(node, depth+1)
@@ -90,12 +91,12 @@
 func (e *estimator) field(identifier *ast.IdentifierNode) (estimate, *ExpressionError) {
 	i := slices.IndexFunc(e.schema, func(f Field) bool { return f.Name == identifier.Value })
 	if i < 0 || identifier.Value == paramName {
-		return estimate{}, errorAt(identifier, "no field %q that could stand here", identifier.Value)
+		return estimate{}, errorAt(identifier, "field %q cannot be used here", identifier.Value)
 	}
 	return estimate{cost: fieldCost, maxBytes: e.schema[i].MaxBytes}, nil
 }
 
-// parameterAccess estimates the two forms that the rewriter makes of param, and rejects all others.
+// parameterAccess estimates the two forms that the rewriter generates for param and rejects every other member access.
 func parameterAccess(member *ast.MemberNode) (estimate, *ExpressionError) {
 	if isIdentifier(member.Node, hasName) {
 		return estimate{cost: hasParamCost}, nil
@@ -103,7 +104,7 @@
 	if values, ok := member.Node.(*ast.MemberNode); ok && isIdentifier(values.Node, slotsName) {
 		return estimate{cost: readParamCost, maxBytes: maxValueBytes}, nil
 	}
-	return estimate{}, errorAt(member, "only param has parts that can be read")
+	return estimate{}, errorAt(member, "only param can be indexed")
 }
 
 func (e *estimator) conditional(node *ast.ConditionalNode, depth int) (estimate, *ExpressionError) {
@@ -114,13 +115,13 @@
 	return estimate{cost: branchCost + cost, maxBytes: max(operands[1].maxBytes, operands[2].maxBytes)}, nil
 }
 
-// list estimates a list of constants: one unit an element.
+// list estimates a list of constants at one unit per element.
 func (e *estimator) list(array *ast.ArrayNode, depth int) (estimate, *ExpressionError) {
 	for _, element := range array.Nodes {
 		switch element.(type) {
 		case *ast.StringNode, *ast.IntegerNode:
 		default:
-			return estimate{}, errorAt(element, "a list holds constants alone")
+			return estimate{}, errorAt(element, "elements of a list must be constants")
 		}
 	}
 	elements, _, exprErr := e.operands(depth, array.Nodes...)
@@ -134,7 +135,7 @@
 	return estimate{cost: len(array.Nodes), maxBytes: longest}, nil
 }
 
-// binary estimates an operator with two operands.
+// binary estimates a binary operator.
 func (e *estimator) binary(node *ast.BinaryNode, depth int) (estimate, *ExpressionError) {
 	operands, cost, exprErr := e.operands(depth, node.Left, node.Right)
 	if exprErr != nil {
@@ -160,10 +161,10 @@
 	case "-", "*", "/", "%":
 		return estimate{cost: arithmeticCost + cost}, nil
 	}
-	return estimate{}, errorAt(node, "no operator %q here", node.Operator)
+	return estimate{}, errorAt(node, "operator %q is not supported", node.Operator)
 }
 
-// regexpMatch estimates the match of a text of up to textBytes bytes; cost is that of the operands.
+// regexpMatch estimates matching a text of up to textBytes bytes; cost is the cost of the operands.
 func regexpMatch(node *ast.BinaryNode, cost, textBytes int) (estimate, *ExpressionError) {
 	pattern, ok := node.Right.(*ast.StringNode)
 	if !ok {
@@ -172,18 +173,18 @@
 	return estimate{cost: regexpCost + cost + textBytes*(1+len(pattern.Value)/patternBytesPerUnit)}, nil
 }
 
-// listLookup estimates the search of a list for a value of up to valueBytes bytes; cost is that of the operands.
+// listLookup estimates the lookup of a value of up to valueBytes bytes in a list; cost is the cost of the operands.
 func listLookup(node *ast.BinaryNode, cost, valueBytes int) (estimate, *ExpressionError) {
 	if _, ok := node.Right.(*ast.ArrayNode); !ok {
-		return estimate{}, errorAt(node, "%s takes a list of constants, or param", node.Operator)
+		return estimate{}, errorAt(node, "the right operand of %s must be a list of constants or param", node.Operator)
 	}
 	return estimate{cost: listCost + cost + valueBytes/listBytesPerUnit}, nil
 }
 
-// concatenation estimates a text of up to textBytes bytes that is made of two; cost is that of the operands.
+// concatenation estimates concatenating two strings to up to textBytes bytes; cost is the cost of the operands.
 func concatenation(node *ast.BinaryNode, cost, textBytes int) (estimate, *ExpressionError) {
 	if textBytes > maxTextBytes {
-		return estimate{}, errorAt(node, "a text of up to %d bytes is over %d", textBytes, maxTextBytes)
+		return estimate{}, errorAt(node, "text of up to %d bytes exceeds the maximum of %d", textBytes, maxTextBytes)
 	}
 	return estimate{cost: concatCost + cost + textBytes/concatBytesPerUnit, maxBytes: textBytes}, nil
 }
--- a/internal/rules/match/evaluate.go
+++ b/internal/rules/match/evaluate.go
@@ -8,14 +8,14 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// evaluationMemoryBudget is how many values an expression may build, by the library's own count.
+// evaluationMemoryBudget limits the values that one expression may allocate, as counted by the expression library.
 const evaluationMemoryBudget = 4 * maxTextBytes
 
-// errCostLimit is the failure of a rule that would take a request over the table's limit.
-var errCostLimit = errors.New("the limit of a request's cost is reached")
+// errCostLimit is returned for a rule that would exceed the cost limit of the request.
+var errCostLimit = errors.New("cost limit of the request reached")
 
-// evaluate runs an expression. The library reports failures as errors; a panic, which would be a bug in the library,
-// becomes one too, since it must not end the scheduler.
+// evaluate runs an expression. A panic would be a bug in the expression library; it is returned as an error because it
+// must not terminate the scheduler.
 func (x *compiledExpr) evaluate(machine *vm.VM, env any) (value any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -26,15 +26,15 @@
 	return machine.Run(x.program, env)
 }
 
-// evaluation is the state of the evaluation of a table for one request.
+// evaluation is the state of evaluating a table for one request.
 type evaluation struct {
 	table   *Table
 	request *Request
 	result  Result
 }
 
-// evaluateRule evaluates the condition of a rule and applies the rule if it holds. It reports whether the rule
-// matched; one whose evaluation fails does not.
+// evaluateRule evaluates the condition of a rule and applies the rule if the condition is true. It reports whether the
+// rule matched. A rule whose evaluation fails does not match.
 func (e *evaluation) evaluateRule(candidate *compiledRule) bool {
 	candidate.counts.Cost += uint64(candidate.when.cost)
 	e.result.Cost += candidate.when.cost
@@ -59,7 +59,8 @@
 	e.result.Failed = append(e.result.Failed, r.Name+": "+err.Error())
 }
 
-// apply adds the consequences of a rule to the result: all of them or, with an error, only their cost.
+// apply merges the class, key, route and labels of a rule into the result. After an error the result is unchanged
+// except for its cost.
 func (e *evaluation) apply(r *compiledRule) error {
 	next := e.result
 	if err := e.applyClass(r, &next); err != nil {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// evaluateText evaluates an expression that yields a text of 1 to maxBytes bytes, and adds its cost to the result.
+// evaluateText evaluates an expression to a text of 1 to maxBytes bytes and adds its cost to the result.
 func (e *evaluation) evaluateText(r *compiledRule, expression *compiledExpr, maxBytes int) (string, error) {
 	e.result.Cost += expression.cost
 	r.counts.Cost += uint64(expression.cost)
@@ -89,7 +90,7 @@
 	}
 	text, _ := value.(string)
 	if text == "" || len(text) > maxBytes {
-		return "", fmt.Errorf("a value of %d bytes, 1 to %d are allowed", len(text), maxBytes)
+		return "", fmt.Errorf("value of %d bytes, expected 1 to %d bytes", len(text), maxBytes)
 	}
 	return text, nil
 }
@@ -125,7 +126,8 @@
 	return nil
 }
 
-// applyRoute takes the route of the split that the request's bucket is in, or else that of the rule.
+// applyRoute sets the route of the split that contains the request's bucket. If no split contains it, applyRoute sets
+// the route of the rule.
 func (e *evaluation) applyRoute(r *compiledRule, next *Result) error {
 	if next.Route != "" {
 		return nil
@@ -142,12 +144,12 @@
 	return nil
 }
 
-// splitRoute returns the route of the split that a bucket is in, "" if there is none.
+// splitRoute returns the route of the split that contains a bucket, or "" if there is none.
 func (r *compiledRule) splitRoute(bucket int) string {
-	rest := bucket
+	offset := bucket // relative to the first bucket of the split
 	for _, split := range r.Splits {
-		rest -= split.PerMille
-		if rest < 0 {
+		offset -= split.PerMille
+		if offset < 0 {
 			return split.Route
 		}
 	}
@@ -155,9 +157,9 @@
 }
 
 func (e *evaluation) applyLabels(r *compiledRule, next *Result) error {
-	var labels map[string]string // a copy: the result keeps its own if a later label fails
+	var labels map[string]string // a copy, so that the result is unchanged if a later label fails
 	for i, label := range r.Labels {
-		if _, given := next.Labels[label.Name]; given {
+		if _, isSet := next.Labels[label.Name]; isSet {
 			continue
 		}
 		value, err := e.evaluateText(r, r.labels[i], maxValueBytes)
--- a/internal/rules/match/helpers_test.go
+++ b/internal/rules/match/helpers_test.go
@@ -11,18 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// classes are those of the site in all tests, from the least to the most strict about retries.
+// classes are the classes of the site in all tests, from the least to the most strict about retries.
 var classes = []match.Class{{"consulta", routing.Idempotent}, {"registro-horas", routing.IdempotentByKey}, {"certificado", routing.NonIdempotent}}
 
-// expression returns an expression in the first line of a file.
+// expression returns an expression at line 1, column 1 of a file.
 func expression(s string) match.Expression { return match.Expression{match.Position{"f", 1, 1}, s} }
 
-// ruleWhen returns a rule with nothing but a condition.
+// ruleWhen returns a rule that has only a condition.
 func ruleWhen(when string) match.Rule {
 	return match.Rule{Position: match.Position{"f", 1, 1}, Name: "r", When: expression(when)}
 }
 
-// load loads rules that must have no errors but warnings.
+// load compiles rules and fails the test on errors other than warnings.
 func load(tb testing.TB, rules ...match.Rule) *match.Table {
 	tb.Helper()
 	table, errs := match.Load(rules, classes)
@@ -32,7 +32,7 @@
 	return table
 }
 
-// newRequest returns a request with these parameters, changed by the functions in turn.
+// newRequest returns a request with the given parameters and applies the change functions in order.
 func newRequest(t *match.Table, params map[string]string, change ...func(*match.Request)) *match.Request {
 	request := &match.Request{
 		Class: "consulta", Handler: "7f3a9c21e0b4d655", Path: "/rpc/consulta", Method: "POST", Client: "127.0.0.1",
@@ -48,7 +48,7 @@
 	return request
 }
 
-// randomCondition draws a condition, of a kind that the index knows or of another.
+// randomCondition draws a condition that the index may or may not support.
 func randomCondition(rt *rapid.T, depth int) string {
 	lit := func() string { return rapid.SampledFrom([]string{"", "a", "ab", "abc", "b", "bc"}).Draw(rt, "literal") }
 	field := rapid.SampledFrom([]string{"class", "handler", "path", "method"}).Draw(rt, "field")
@@ -74,7 +74,7 @@
 	}
 }
 
-// handlerRules returns n rules, each for one function.
+// handlerRules returns n rules, each for a different function.
 func handlerRules(n int) (rules []match.Rule) {
 	for i := range n {
 		rules = append(rules, match.Rule{
--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// How mostSelective ranks requirements.
+// Weights of requirement.rank.
 const (
-	minSelectivePrefixBytes = 4    // shorter prefixes hold for many requests
-	prefixRank              = 4    // of each prefix; each value ranks 1
-	shortPrefixRank         = 1000 // added for each prefix below minSelectivePrefixBytes
+	minSelectivePrefixBytes = 4    // shorter prefixes match many requests
+	prefixRank              = 4    // per prefix; each value counts 1
+	shortPrefixRank         = 1000 // added per prefix shorter than minSelectivePrefixBytes
 )
 
-// ruleIndex finds the few rules that can match a request, by one requirement of each rule.
+// ruleIndex looks up the rules that can match a request. Each rule is indexed by its most selective requirement.
 type ruleIndex struct {
 	fields    map[string]*fieldIndex
 	unindexed []int // rules without a requirement
 }
 
-// fieldIndex finds rules by the value of one field.
+// fieldIndex looks up rules by the value of one field.
 type fieldIndex struct {
 	byValue       map[string][]int
 	byPrefix      map[string][]int
-	prefixLengths []int // ascending, each once
+	prefixLengths []int // in ascending order, without duplicates
 }
 
 func newRuleIndex(rules []*compiledRule) *ruleIndex {
@@ -45,7 +45,7 @@
 	return index
 }
 
-// field returns the index of a field, a new one if there is none yet.
+// field returns the index of a field and creates it if it does not exist.
 func (x *ruleIndex) field(name string) *fieldIndex {
 	if x.fields[name] == nil {
 		x.fields[name] = &fieldIndex{byValue: map[string][]int{}, byPrefix: map[string][]int{}}
@@ -53,7 +53,7 @@
 	return x.fields[name]
 }
 
-// add adds a rule by its number.
+// add indexes a rule, given by its number, under a requirement.
 func (f *fieldIndex) add(required requirement, rule int) {
 	for _, value := range sortedUnique(required.values) {
 		f.byValue[value] = append(f.byValue[value], rule)
@@ -69,8 +69,8 @@
 	return slices.Compact(list)
 }
 
-// mostSelective returns the requirement that fewest requests meet: values rank before prefixes, few before many, long
-// prefixes before short ones.
+// mostSelective returns the requirement that the fewest requests are likely to satisfy. It prefers values over
+// prefixes, few alternatives over many, and long prefixes over short ones.
 func mostSelective(requirements []requirement) (best requirement, ok bool) {
 	for _, required := range requirements {
 		if !ok || required.rank() < best.rank() {
@@ -81,7 +81,7 @@
 	return best, ok
 }
 
-// rank is the lower the more selective the requirement is.
+// rank estimates the selectivity of a requirement; a lower rank is more selective.
 func (r requirement) rank() int {
 	shortPrefixes := 0
 	for _, prefix := range r.prefixes {
@@ -92,7 +92,7 @@
 	return len(r.values) + prefixRank*len(r.prefixes) + shortPrefixRank*shortPrefixes
 }
 
-// candidates returns the numbers of the rules that can match, in order, each once. It reuses the list.
+// candidates returns the numbers of the rules that can match, sorted and without duplicates. It overwrites list.
 func (x *ruleIndex) candidates(env *environment, list []int) []int {
 	list = append(list[:0], x.unindexed...)
 	for name, field := range x.fields {
@@ -113,8 +113,8 @@
 	return list
 }
 
-// worstCost is the largest cost of the rules that one request can meet: all those without a requirement, and of the
-// others those that one value of each field can satisfy.
+// worstCost returns the worst-case cost of evaluating one request. This is the cost of all rules without a requirement,
+// plus, for each field, the largest cost of the rules that a single value of the field can select.
 func (x *ruleIndex) worstCost(rules []*compiledRule) int {
 	costOf := func(list []int) int {
 		cost := 0
@@ -135,7 +135,7 @@
 	for _, list := range f.byValue {
 		worst = max(worst, costOf(list))
 	}
-	// A value has at most one of the prefixes of each length.
+	// A value begins with at most one of the prefixes of each length.
 	worstByLength := map[int]int{}
 	for prefix, list := range f.byPrefix {
 		worstByLength[len(prefix)] = max(worstByLength[len(prefix)], costOf(list))
--- a/internal/rules/match/load.go
+++ b/internal/rules/match/load.go
@@ -13,8 +13,8 @@
 	errs     []RuleError
 }
 
-// Load loads rules for the classes of a site. Where the classes are not known (nil), no class name is checked. All
-// errors are reported at once; unless they are all warnings, there is no Table.
+// Load compiles rules for the classes of a site. If classes is nil, class names are not checked. Load returns all
+// errors and warnings of the rules; the Table is nil if there is an error that is not a warning.
 func Load(rules []Rule, classes []Class) (*Table, []RuleError) {
 	ruleLoader := &loader{
 		compiler: compiler{schema: Schema, environment: &environment{}},
@@ -25,7 +25,7 @@
 		ruleLoader.byName[class.Name] = class
 	}
 	if len(rules) > MaxRules {
-		ruleLoader.addError(rules[MaxRules].Position, "match", "%d rules are over %d", len(rules), MaxRules)
+		ruleLoader.addError(rules[MaxRules].Position, "match", "%d rules exceed the maximum of %d", len(rules), MaxRules)
 		return nil, ruleLoader.errs
 	}
 	table := &Table{classes: ruleLoader.byName}
@@ -37,9 +37,9 @@
 	}
 	table.index = newRuleIndex(table.rules)
 	worst := table.index.worstCost(table.rules)
-	if worst > MaxPath {
+	if worst > MaxRequestCost {
 		last := rules[len(rules)-1]
-		ruleLoader.addError(last.Position, "match", "the rules that one request can meet cost up to %d, at most %d is allowed", worst, MaxPath)
+		ruleLoader.addError(last.Position, "match", "the worst-case cost of all rules for one request is %d; the maximum is %d", worst, MaxRequestCost)
 		return nil, ruleLoader.errs
 	}
 	table.costLimit = worst
@@ -74,8 +74,8 @@
 	return loaded
 }
 
-// loadExpression compiles an expression and adds its cost to the rule's. It returns nil for one that was left out or
-// is rejected.
+// loadExpression compiles an expression and adds its cost to the rule. It returns nil if the expression is empty or
+// rejected.
 func (l *loader) loadExpression(r *compiledRule, directive string, expression Expression, want resultKind) *compiledExpr {
 	if expression.Source == "" {
 		return nil
@@ -89,7 +89,7 @@
 	return compiled
 }
 
-// loadClass loads the class directive: a plain name is the name of a class, anything else an expression.
+// loadClass compiles the class directive: a plain name is the name of a class, anything else an expression.
 func (l *loader) loadClass(r *compiledRule) {
 	class := r.Class
 	if !isPlainName(class.Source) {
@@ -107,12 +107,13 @@
 	for _, split := range splits {
 		total += split.PerMille
 		if total > totalBuckets {
-			l.addError(split.Position, "split", "the parts add up to %d of 1,000", total)
+			l.addError(split.Position, "split", "the splits add up to %d of 1,000", total)
 		}
 	}
 }
 
-// isPlainName reports whether a text is a name rather than an expression: letters, digits, hyphens and underscores.
+// isPlainName reports whether text is a name rather than an expression. A name consists of letters, digits, hyphens and
+// underscores.
 func isPlainName(text string) bool {
 	for _, c := range []byte(text) {
 		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -124,7 +125,7 @@
 	return text != ""
 }
 
-// classList returns the names of classes for a message: a colon and the list, or "" if there are none.
+// classList formats the names of classes for an error message: a colon and the list, or "" if there are no classes.
 func classList(classes []Class) string {
 	if len(classes) == 0 {
 		return ""
@@ -136,27 +137,28 @@
 	return ": " + strings.Join(names, ", ")
 }
 
-// warnings finds rules that can never match, where that is cheap to see: behind one that always matches and stops,
-// with the very condition of an earlier one that stops, or with a condition that contradicts itself.
+// warnings returns a warning for each rule that can never match, as far as that is cheap to detect. Such a rule follows
+// one that always matches and stops, repeats the condition of an earlier rule that stops, or has a condition that
+// contradicts itself.
 func warnings(rules []*compiledRule) []RuleError {
 	var list []RuleError
 	stoppedBy := ""
-	stopsFor := map[string]string{} // the first rule that stops, by its condition
+	stopRuleByCondition := map[string]string{} // the first rule with stop, by its condition
 	for _, checked := range rules {
 		warn := func(format string, args ...any) {
 			reason := fmt.Sprintf(format, args...)
 			list = append(list, RuleError{Position: checked.Position, Directive: "match " + checked.Name, Reason: reason, Warning: true})
 		}
 		if stoppedBy != "" {
-			warn("can never match: %s always does, and stops", stoppedBy)
+			warn("can never match: rule %s always matches and stops", stoppedBy)
 			continue
 		}
 		condition := checked.When.Source
-		if earlier, ok := stopsFor[condition]; ok && condition != "" {
-			warn("can never match: %s has the same condition, and stops", earlier)
+		if earlier, ok := stopRuleByCondition[condition]; ok && condition != "" {
+			warn("can never match: rule %s has the same condition and stops", earlier)
 		}
 		for _, field := range contradictions(checked.when.requirements) {
-			warn("contradicts itself: %s can't be both", field)
+			warn("can never match: the condition requires two different values of %s", field)
 		}
 		if !checked.Stop {
 			continue
@@ -164,14 +166,14 @@
 		if condition == "" || condition == "true" {
 			stoppedBy = checked.Name
 		}
-		if _, ok := stopsFor[condition]; !ok {
-			stopsFor[condition] = checked.Name
+		if _, ok := stopRuleByCondition[condition]; !ok {
+			stopRuleByCondition[condition] = checked.Name
 		}
 	}
 	return list
 }
 
-// contradictions returns the field of each pair of requirements that cannot both hold.
+// contradictions returns the field of each pair of requirements that contradict each other.
 func contradictions(requirements []requirement) []string {
 	var fields []string
 	for i, a := range requirements {
--- a/internal/rules/match/load_test.go
+++ b/internal/rules/match/load_test.go
@@ -12,15 +12,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// deepCondition is brackets within brackets.
+// deepCondition has 200 nested pairs of parentheses.
 var deepCondition = strings.Repeat("(", 200) + "true" + strings.Repeat(")", 200)
 
-// accepted stands in rejectedConditions in place of an error text.
+// accepted marks a condition in conditionErrors that must load.
 const accepted = "ok"
 
-// rejectedConditions maps conditions to a part of the error text that each is rejected with. A condition beside them that
-// must load has accepted instead.
-var rejectedConditions = map[string]string{
+// conditionErrors maps invalid conditions to a substring of the expected error, and valid ones to accepted.
+var conditionErrors = map[string]string{
 	`handlr == "a"`:               "unknown",
 	`handler == 1`:                "mismatched",
 	`handler`:                     "expected bool",
@@ -29,16 +28,16 @@
 	`len(1..1000000000) > 1`:      "",
 	`repeat("a", 1000000) == ""`:  "no such function",
 	`let x = 1; x == 1`:           "",
-	`path[1:3] == "rp"`:           "no place in a rule",
+	`path[1:3] == "rp"`:           "not allowed in a rule",
 	`param == nil`:                "",
 	`param[handler] == "a"`:       "name of a parameter",
 	`handler in param`:            "constant name",
 	`path.matches(handler)`:       "must be a constant",
 	`path.matches("(")`:           "regular expression",
 	`path.matches("(a{30}){30}")`: "regular expression",
-	`path.matches("` + strings.Repeat("a?", 250) + `")`: "instructions are over",
-	`path + path + path + path + path == ""`:            "is over 1024",
-	`duration("soon") > budget`:                         "no duration",
+	`path.matches("` + strings.Repeat("a?", 250) + `")`: "instructions exceed the maximum of 200",
+	`path + path + path + path + path == ""`:            "exceeds the maximum of 1024",
+	`duration("soon") > budget`:                         "not a valid duration",
 	`duration(path) > budget`:                           "constant",
 	`slots_[0][0] == "a"`:                               "unknown field slots_",
 	`has_[0]`:                                           "",
@@ -47,21 +46,21 @@
 	`env["x"] == 1`:                                     "",
 	`handler.foo() == 1`:                                "no such function",
 	`now() > 1`:                                         "no such function",
-	`2 ** 100 > 1`:                                      "no operator",
+	`2 ** 100 > 1`:                                      `operator "**" is not supported`,
 	deepCondition:                                       "",
 	strings.Repeat("!", 60) + "true":                    "nested",
 	strings.TrimSuffix(strings.Repeat("lanes == 1 || ", 120), " || "):                                            "too long",
-	strings.Repeat(" ", 3000) + "true":                                                                           "bytes are over",
-	`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst cost",
+	strings.Repeat(" ", 3000) + "true":                                                                           "3004 bytes exceeds the maximum of 2048",
+	`path.matches("` + strings.Repeat("[a-z]", 40) + `") && path.matches("` + strings.Repeat("[a-y]", 40) + `")`: "worst-case cost of",
 	`path ==`: "",
 	`"`:       "",
 	``:        accepted, // no condition
 }
 
-// Rules that are invalid, or have no bound on their cost, are rejected at load. All errors are reported in one pass, each
-// with its position.
+// TestInvalidRulesAreRejected guards against loading rules that are invalid or have unbounded cost, and against errors
+// that are reported only one at a time or without their position.
 func TestInvalidRulesAreRejected(t *testing.T) {
-	for when, want := range rejectedConditions {
+	for when, want := range conditionErrors {
 		table, errs := match.Load([]match.Rule{ruleWhen(when)}, classes)
 		if want == accepted {
 			if table == nil {
@@ -70,7 +69,7 @@
 			continue
 		}
 		if when == deepCondition && table != nil {
-			continue // brackets leave nothing behind once they are read
+			continue // the parser drops parentheses, so the tree is not deep
 		}
 		if table != nil || len(errs) != 1 || !strings.Contains(errs[0].Reason, want) || errs[0].Column < 1 {
 			t.Errorf("%.60q: %v, want one with %q", when, errs, want)
@@ -81,14 +80,15 @@
 	r.Labels = []match.Label{{"centre", match.Expression{match.Position{"f", 4, 16}, `param["A"] + 1`}}}
 	_, errs := match.Load([]match.Rule{r, ruleWhen("true")}, classes)
 	var got []string
-	for _, f := range errs {
-		got = append(got, fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Directive))
+	for _, ruleError := range errs {
+		got = append(got, fmt.Sprintf("%d:%d %s", ruleError.Line, ruleError.Column, ruleError.Directive))
 	}
 	if d := cmp.Diff([]string{"1:19 when", "2:9 class", "3:9 key", "4:27 label"}, got); d != "" {
 		t.Errorf("%s\n%v", d, errs)
 	}
 }
 
+// TestWarnings guards against rules that can never match without a warning.
 func TestWarnings(t *testing.T) {
 	_, errs := match.Load([]match.Rule{
 		{Name: "a", When: expression(`class == "x" && class == "y"`)},
@@ -98,19 +98,19 @@
 		{Name: "e", When: expression(`lanes == 2`)},
 	}, classes)
 	var got []string
-	for _, f := range errs {
-		if !f.Warning {
-			t.Errorf("an error instead of a warning: %v", f)
+	for _, warning := range errs {
+		if !warning.Warning {
+			t.Errorf("error instead of a warning: %v", warning)
 		}
-		got = append(got, f.Directive)
+		got = append(got, warning.Directive)
 	}
 	if d := cmp.Diff([]string{"match a", "match c", "match e"}, got); d != "" {
 		t.Error(d)
 	}
 }
 
-// FuzzLoad loads any text as a condition: loading is quick and never panics, and what is accepted runs within its
-// estimated cost.
+// FuzzLoad guards against arbitrary conditions that make Load panic or take long, and against conditions that exceed
+// their estimated cost.
 func FuzzLoad(f *testing.F) {
 	for _, s := range []string{
 		`handler.startsWith("a") && "A" in param`, `param["A"] + path in ["x"]`, `path.matches("a+b")`,
@@ -121,7 +121,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		began := time.Now()
 		table, errs := match.Load([]match.Rule{ruleWhen(s)}, classes)
-		if d := time.Since(began); d > 5*time.Second { // 50 ms is the aim; a busy machine must not fail this
+		if d := time.Since(began); d > 5*time.Second { // the target is 50 ms; the margin is for busy machines
 			t.Errorf("loading took %v", d)
 		}
 		if table == nil {
@@ -136,7 +136,7 @@
 	})
 }
 
-// The operators' page shows the fields as Schema declares them.
+// TestPageShowsSchema guards against an operators' page that differs from Schema.
 func TestPageShowsSchema(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operators/matching.md")
 	if err != nil {
@@ -147,7 +147,7 @@
 	}
 }
 
-// schemaTable returns the schema as a table in Markdown, as the operators' page has it.
+// schemaTable returns the Markdown table of the schema on the operators' page.
 func schemaTable() string {
 	var page strings.Builder
 	page.WriteString("| field | type | at most | meaning |\n| --- | --- | --- | --- |\n")
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -13,6 +13,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestConditions guards against wrong values of conditions, and against evaluations that exceed the cost limit.
 func TestConditions(t *testing.T) {
 	params := map[string]string{"HTTP_X_CENTRE": "zona4", "EMPTY": ""}
 	for _, tt := range []struct {
@@ -33,7 +34,7 @@
 		{`hour >= 14 && hour < 15 && weekday == 2 && minute == 30`, true, false},
 		{`lanes * 2 == 4 && memory_mb / 2 > 200 && body + 1 == 11 && keyed`, true, false},
 		{`lanes % 0 == 1`, false, true},
-		{`body / 0 > 1.0`, true, false}, // as numbers of floating point have it
+		{`body / 0 > 1.0`, true, false}, // floating-point division yields infinity
 		{`(keyed ? "a" : "b") + handler == "a7f3a9c21e0b4d655"`, true, false},
 		{`share >= 0 && share < 1000`, true, false},
 	} {
@@ -48,7 +49,8 @@
 	}
 }
 
-// Class, key, route and each label are given by the first rule that matches and gives one; stop ends the evaluation.
+// TestFirstMatch guards against a later rule that overrides a class, key, route or label of an earlier one, and against
+// evaluation that continues after stop.
 func TestFirstMatch(t *testing.T) {
 	table := load(t,
 		match.Rule{Name: "a", When: expression(`class == "consulta"`), Key: expression(`handler + ":" + param["C"]`), Labels: []match.Label{{"c", expression(`param["C"]`)}}},
@@ -64,7 +66,7 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	// With a parameter missing, a rule that reads it matches not at all.
+	// A rule that reads a missing parameter does not match.
 	got = table.Match(newRequest(table, nil))
 	if got.Key != "k" || got.Labels["c"] != "other" || !slices.Equal(got.Rules, []string{"b", "c"}) || len(got.Failed) != 1 {
 		t.Errorf("%+v", got)
@@ -76,8 +78,8 @@
 	}
 }
 
-// Whatever a rule yields, no request moves to a class that is less strict about retries, nor to one by idempotency
-// key without a key.
+// TestClassIsNeverLessStrict guards against rules that assign a request to a class that is less strict about retries,
+// or a request without an idempotency key to a class that needs one.
 func TestClassIsNeverLessStrict(t *testing.T) {
 	strict := map[string]routing.Idempotency{}
 	for _, c := range classes {
@@ -116,7 +118,8 @@
 	})
 }
 
-// A table with its index gives the results of one that evaluates all rules, for any rules and requests.
+// TestIndexDoesNotChangeResults guards against an index that skips a rule which would match. It compares the results
+// with those of evaluating all rules, for random rules and requests.
 func TestIndexDoesNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var rules []match.Rule
@@ -149,7 +152,7 @@
 			if a.Cost > indexed.Limit() {
 				rt.Fatalf("cost %d over the limit of %d", a.Cost, indexed.Limit())
 			}
-			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // without the index conditions that can't hold are evaluated too
+			a.Cost, b.Cost, a.Failed, b.Failed = 0, 0, nil, nil // without the index, conditions that cannot be true are evaluated too
 			if d := cmp.Diff(b, a); d != "" {
 				rt.Fatal(d)
 			}
@@ -174,7 +177,8 @@
 	}
 }
 
-// The evaluation ends at the cost limit, with what was decided until then.
+// TestEvaluationEndsAtCostLimit guards against evaluation beyond the cost limit, and against a loss of the results up
+// to it.
 func TestEvaluationEndsAtCostLimit(t *testing.T) {
 	table := load(t, match.Rule{Name: "a", Key: expression(`"a"`)}, match.Rule{Name: "b", Route: expression("b")}, match.Rule{Name: "c", Route: expression("c")})
 	table.SetLimit(table.MaxCostOf(0) + table.MaxCostOf(1) - 1) // as if the estimate had been too low
@@ -184,7 +188,8 @@
 	}
 }
 
-// A split sends each key to the same route every time, and the given fraction of all keys to each route.
+// TestSplit guards against a split whose route changes between requests with the same key, or whose share of the keys
+// differs from its definition.
 func TestSplit(t *testing.T) {
 	table := load(t, match.Rule{Name: "r", Route: expression("old"), Splits: []match.Split{{Route: "trial", PerMille: 100}, {Route: "other", PerMille: 250}}})
 	routes := map[string]int{}
@@ -202,6 +207,6 @@
 		}
 	}
 	if _, errs := match.Load([]match.Rule{{Name: "r", Splits: []match.Split{{Route: "a", PerMille: 600}, {Route: "b", PerMille: 600}}}}, classes); len(errs) != 1 {
-		t.Errorf("splits of more than all requests: %v", errs)
+		t.Errorf("splits that add up to more than 1,000: %v", errs)
 	}
 }
--- a/internal/rules/match/predicate.go
+++ b/internal/rules/match/predicate.go
@@ -2,11 +2,12 @@
 
 import "github.com/expr-lang/expr/vm"
 
-// Predicate is a condition over something else than a request, loaded within the same limits.
+// Predicate is a compiled condition on values other than requests. It is subject to the same limits as a rule's
+// condition.
 type Predicate struct{ condition *compiledExpr }
 
-// NewPredicate loads a condition over the fields of a schema. env is a pointer to the struct that has these fields,
-// each with its name in an expr tag.
+// NewPredicate compiles a condition on the fields of a schema. env is a pointer to a struct with these fields; their
+// names are in expr tags.
 func NewPredicate(schema []Field, env any, source string) (*Predicate, *ExpressionError) {
 	c := &compiler{schema: schema, environment: env}
 	condition, exprErr := c.compile(source, boolResult)
@@ -16,8 +17,8 @@
 	return &Predicate{condition: condition}, nil
 }
 
-// Holds evaluates the condition. One whose evaluation fails does not hold.
-func (p *Predicate) Holds(env any) (holds bool, err error) {
+// Evaluate returns the value of the condition for env. After an error the value is false.
+func (p *Predicate) Evaluate(env any) (satisfied bool, err error) {
 	value, err := p.condition.evaluate(&vm.VM{}, env)
 	return value == true, err
 }
--- a/internal/rules/match/requirement.go
+++ b/internal/rules/match/requirement.go
@@ -6,7 +6,7 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// The fields that the index knows.
+// The fields that are indexed.
 const (
 	classField   = "class"
 	handlerField = "handler"
@@ -16,15 +16,15 @@
 
 var indexedFields = []string{classField, handlerField, pathField, methodField}
 
-// requirement is a condition that must hold for an expression to be true: the field has one of the values, or begins
-// with one of the prefixes.
+// requirement is a necessary condition for an expression to be true: the field equals one of the values or begins with
+// one of the prefixes.
 type requirement struct {
 	field    string // one of indexedFields
 	values   []string
 	prefixes []string
 }
 
-// requirementsOf returns what must hold for an expression to be true, as far as the index can use it.
+// requirementsOf returns the requirements of an expression that the index can use.
 func requirementsOf(node ast.Node) []requirement {
 	condition, ok := node.(*ast.BinaryNode)
 	if !ok {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// indexedField returns the name of the indexed field that a node reads, or "".
+// indexedField returns the name of the indexed field that a node reads, or "" if it reads none.
 func indexedField(node ast.Node) string {
 	identifier, ok := node.(*ast.IdentifierNode)
 	if !ok || !slices.Contains(indexedFields, identifier.Value) {
@@ -57,8 +57,8 @@
 	return identifier.Value
 }
 
-// commonRequirement returns the requirement of a disjunction. Both sides must require something of one field: then
-// one of the two must hold.
+// commonRequirement returns the requirement of a disjunction, or nil if its operands have no requirements on a common
+// field. It is the union of the alternatives of both operands.
 func commonRequirement(left, right []requirement) []requirement {
 	for _, a := range left {
 		for _, b := range right {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// prefixRequirement returns the requirement of a text that begins with a constant.
+// prefixRequirement returns the requirement of field.startsWith(prefix) with a constant prefix.
 func prefixRequirement(field, prefix ast.Node) []requirement {
 	name := indexedField(field)
 	constant, ok := prefix.(*ast.StringNode)
@@ -84,7 +84,7 @@
 	return []requirement{{field: name, prefixes: []string{constant.Value}}}
 }
 
-// equalRequirement returns the requirement of a text that equals a constant.
+// equalRequirement returns the requirement of field == value with a constant value.
 func equalRequirement(field, value ast.Node) []requirement {
 	name := indexedField(field)
 	constant, ok := value.(*ast.StringNode)
@@ -94,7 +94,7 @@
 	return []requirement{{field: name, values: []string{constant.Value}}}
 }
 
-// listRequirement returns the requirement of a text that is one of a list of constants.
+// listRequirement returns the requirement of field in list with a list of constants.
 func listRequirement(field, list ast.Node) []requirement {
 	name := indexedField(field)
 	array, ok := list.(*ast.ArrayNode)
@@ -112,8 +112,8 @@
 	return []requirement{required}
 }
 
-// contradicts reports whether two requirements cannot both hold, where that is cheap to see: one field would have to
-// have two values.
+// contradicts reports whether two requirements cannot be satisfied together because they require different values of
+// one field. Prefixes are not compared.
 func (r requirement) contradicts(other requirement) bool {
 	if r.field != other.field || len(r.prefixes) > 0 || len(other.prefixes) > 0 {
 		return false
--- a/internal/rules/match/rewrite.go
+++ b/internal/rules/match/rewrite.go
@@ -8,7 +8,7 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// The names in expressions that the rewriter gives a meaning to.
+// Names in expressions that the rewriter handles.
 const (
 	paramName    = "param"
 	durationName = "duration"
@@ -16,15 +16,15 @@
 	hasName      = "has_"   // environment.Has
 )
 
-// textOperators may also be written as methods, as in handler.startsWith("a").
+// textOperators are the operators that may also be written as method calls, as in handler.startsWith("a").
 var textOperators = []string{"startsWith", "endsWith", "contains", "matches"}
 
-// rewriter turns an expression as operators write it into one that is evaluated: method calls into operators, reads
-// of param into reads of slots, durations into constants. It rejects unknown names and functions.
+// rewriter transforms the source form of an expression into the form that is evaluated. It replaces method calls with
+// operators, reads of param with reads of slots, and durations with constants. It rejects unknown names and functions.
 type rewriter struct {
 	compiler  *compiler
-	firstPass bool             // the tree is as written, so that names which the rewriter itself puts there are unknown
-	err       *ExpressionError // the first one
+	firstPass bool             // the tree is as parsed; internal names such as slots_ are rejected
+	err       *ExpressionError // the first error
 }
 
 func (r *rewriter) reject(node ast.Node, format string, args ...any) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Visit rewrites a node. The library calls it for each node, the innermost first.
+// Visit rewrites a node. The library calls it for every node, children before their parent.
 func (r *rewriter) Visit(node *ast.Node) {
 	switch visited := (*node).(type) {
 	case *ast.IdentifierNode:
@@ -56,21 +56,21 @@
 	}
 }
 
-// rewriteMember turns param["NAME"] into slots_[slot][0].
+// rewriteMember rewrites param["NAME"] to slots_[slot][0].
 func (r *rewriter) rewriteMember(node *ast.Node, member *ast.MemberNode) {
 	if !isIdentifier(member.Node, paramName) {
 		return
 	}
 	name, ok := parameterName(member.Property)
 	if !ok {
-		r.reject(member, "param takes the name of a parameter, as in param[\"HTTP_X_CENTRE\"]")
+		r.reject(member, "param must be indexed with the constant name of a parameter, as in param[\"HTTP_X_CENTRE\"]")
 		return
 	}
 	values := elementOf(&ast.IdentifierNode{Value: slotsName}, r.compiler.slot(name))
 	ast.Patch(node, elementOf(values, 0))
 }
 
-// rewriteBinary turns "NAME" in param into has_[slot] and checks constant regular expressions.
+// rewriteBinary rewrites "NAME" in param to has_[slot] and validates constant regular expressions.
 func (r *rewriter) rewriteBinary(node *ast.Node, binary *ast.BinaryNode) {
 	switch binary.Operator {
 	case "in", "not in":
@@ -79,7 +79,7 @@
 		}
 		name, ok := parameterName(binary.Left)
 		if !ok {
-			r.reject(binary, "what is looked for in param must be a constant name")
+			r.reject(binary, "the left operand of \"in param\" must be a constant name")
 			return
 		}
 		var has ast.Node = elementOf(&ast.IdentifierNode{Value: hasName}, r.compiler.slot(name))
@@ -90,7 +90,7 @@
 	case "matches":
 		pattern, ok := binary.Right.(*ast.StringNode)
 		if !ok {
-			return // the estimator rejects it
+			return // the estimator rejects a pattern that is not constant
 		}
 		if err := checkRegexp(pattern.Value); err != nil {
 			r.reject(pattern, "%v", err)
@@ -98,42 +98,42 @@
 	}
 }
 
-// rewriteMethod turns a method call into an operator, and then rewrites that.
+// rewriteMethod replaces a method call with the operator of the same name and rewrites the result.
 func (r *rewriter) rewriteMethod(node *ast.Node, call *ast.CallNode, callee *ast.MemberNode) {
 	name, ok := callee.Property.(*ast.StringNode)
 	if !ok || !slices.Contains(textOperators, name.Value) || len(call.Arguments) != 1 {
-		r.reject(call, "no such function: there are %s, and duration(...)", strings.Join(textOperators, ", "))
+		r.reject(call, "no such function: the functions are %s and duration", strings.Join(textOperators, ", "))
 		return
 	}
 	ast.Patch(node, &ast.BinaryNode{Operator: name.Value, Left: callee.Node, Right: call.Arguments[0]})
 	r.Visit(node)
 }
 
-// rewriteCall turns duration("500ms") into a constant and rejects any other function.
+// rewriteCall replaces duration("500ms") with a constant and rejects every other function.
 func (r *rewriter) rewriteCall(node *ast.Node, name string, args []ast.Node) {
 	var text *ast.StringNode
 	if len(args) == 1 {
 		text, _ = args[0].(*ast.StringNode)
 	}
 	if name != durationName || text == nil {
-		r.reject(*node, "no such function: the only one is duration, of a constant as in duration(\"500ms\")")
+		r.reject(*node, "no such function: only duration with a constant argument is supported, as in duration(\"500ms\")")
 		return
 	}
 	value, err := time.ParseDuration(text.Value)
 	if err != nil {
-		r.reject(text, "%q is no duration", text.Value)
+		r.reject(text, "%q is not a valid duration", text.Value)
 		return
 	}
 	ast.Patch(node, &ast.ConstantNode{Value: value})
 }
 
-// isIdentifier reports whether a node is the identifier of this name.
+// isIdentifier reports whether node is an identifier with the given name.
 func isIdentifier(node ast.Node, name string) bool {
 	identifier, ok := node.(*ast.IdentifierNode)
 	return ok && identifier.Value == name
 }
 
-// parameterName returns the name of a parameter that a node holds as a constant.
+// parameterName returns the parameter name if node is a constant string of at most maxNameBytes.
 func parameterName(node ast.Node) (string, bool) {
 	name, ok := node.(*ast.StringNode)
 	if !ok || len(name.Value) > maxNameBytes {
@@ -142,7 +142,7 @@
 	return name.Value, true
 }
 
-// elementOf returns the node for one element of a list.
+// elementOf returns a node that reads list[index].
 func elementOf(list ast.Node, index int) *ast.MemberNode {
 	return &ast.MemberNode{Node: list, Property: &ast.IntegerNode{Value: index}}
 }
--- a/internal/rules/match/schema.go
+++ b/internal/rules/match/schema.go
@@ -1,21 +1,22 @@
-// Package match decides a request's class, affinity key, route and labels by rules that operators write.
+// Package match determines a request's class, affinity key, route and labels from rules written by operators.
 //
-// A rule is a condition and its consequences, in a small typed language (a subset of expr-lang/expr). Everything is
-// checked at load: types, the fields that exist, the worst-case cost of each expression and of the whole table. What
-// passes has no loops and runs within its cost, whatever a request holds. Nothing here does I/O or reads a clock.
+// A rule consists of a condition and the attributes that it sets, written in a small typed language (a subset of
+// expr-lang/expr). Load validates types and field names, and the worst-case cost of each expression and of the whole
+// table. A valid expression has no loops, and its cost stays within the estimate for every request. The package does no
+// I/O and reads no clock.
 package match
 
 import "time"
 
-// Field declares one field that expressions may read.
+// Field declares one field that expressions can read.
 type Field struct {
 	Name     string
-	Type     string // as the operators' page has it
-	MaxBytes int    // longest text, in bytes; 0 where it is no text
+	Type     string // as shown on the operators' page
+	MaxBytes int    // maximum length of a text, in bytes; 0 for other types
 	Help     string
 }
 
-// The longest texts that expressions see, in bytes. A longer one is treated as missing.
+// Maximum lengths of texts in expressions, in bytes. A longer text is treated as missing.
 const (
 	maxClassBytes      = 64
 	maxFunctionIDBytes = 16
@@ -26,7 +27,7 @@
 	maxClientBytes     = 45
 )
 
-// Schema is every field, in the order of the operators' page.
+// Schema lists all fields of a request, in the order of the operators' page.
 var Schema = []Field{
 	{"class", "text", maxClassBytes, "the class that the client requests; empty if it names none"},
 	{"handler", "text", maxFunctionIDBytes, "the function"},
@@ -45,29 +46,28 @@
 	{"share", "number", 0, "0 to 999, the same for all attempts under one idempotency key; by the request's id where there is none"},
 }
 
-// Request is what expressions see of a request.
+// Request contains the properties of a request that expressions can read.
 type Request struct {
-	Class          string
+	Class          string // requested by the client; "" if none
 	Handler        string // id of the function
 	Path           string
 	Method         string
 	Client         string // IP address
-	IdempotencyKey string // idempotency key
+	IdempotencyKey string
 	ID             string
-	TimeLeft       time.Duration // how long the client waits
-	BodyBytes      int           // bytes
-	MemoryMB       float64       // of a loaded instance, in MB; 0 if unknown
-	Concurrency    int           // requests that an instance runs at a time; 0 if unknown
-	LocalTime      time.Time     // local time of the site
-	// Params is by slot: see Table.Slots.
-	Params []Param
+	TimeLeft       time.Duration // until the client stops waiting
+	BodyBytes      int
+	MemoryMB       float64   // memory of a loaded instance, in MB; 0 if unknown
+	Concurrency    int       // maximum number of concurrent requests of an instance; 0 if unknown
+	LocalTime      time.Time // in the time zone of the site
+	Params         []Param   // indexed by slot, see Table.Slots
 }
 
-// Param is a parameter that rules read. The zero Param is one that the request lacks.
+// Param is a request parameter that rules read. The zero Param is a parameter that the request does not have.
 type Param struct {
 	Value   string
-	Present bool // the request has the parameter, if only with an empty value
+	Present bool // the request has the parameter, possibly with an empty value
 }
 
-// PresentParam returns a parameter that the request has.
+// PresentParam returns a Param for a parameter of the request.
 func PresentParam(value string) Param { return Param{Value: value, Present: true} }
--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -8,45 +8,45 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// compiledRule is a rule that was loaded. An expression that the rule leaves out is nil.
+// compiledRule is a rule with its compiled expressions. Expressions that the rule does not have are nil.
 type compiledRule struct {
 	Rule
 	when          *compiledExpr
-	class         *compiledExpr
-	constantClass string // the class, where it is a constant; class is nil then
+	class         *compiledExpr // nil if the class is a constant
+	constantClass string        // "" if the class is not a constant
 	key           *compiledExpr
 	route         *compiledExpr
 	labels        []*compiledExpr // in the order of Rule.Labels
-	maxCost       int             // of all its expressions, in units
+	maxCost       int             // worst-case cost of all expressions of the rule, in units
 	counts        RuleCounts
 }
 
-// Table is a list of rules that were loaded. It is not safe for concurrent use.
+// Table is an ordered list of compiled rules. It is not safe for concurrent use.
 type Table struct {
 	rules     []*compiledRule
-	classes   map[string]Class
+	classes   map[string]Class // by name
 	index     *ruleIndex
 	slots     []string
-	costLimit int // of a request, in units
+	costLimit int // maximum cost of evaluating one request, in units
 
-	// The state of the latest evaluation, kept to save allocations.
+	// State of the latest evaluation, reused to avoid allocations.
 	env        environment
 	candidates []int
 	machine    vm.VM
 
-	unindexed bool // evaluates all rules without a limit, for tests and measurements
+	unindexed bool // evaluate all rules without a cost limit, for tests and measurements
 }
 
-// Slots returns the parameters that the rules read, in the order in which Request.Params has them.
+// Slots returns the names of the parameters that the rules read, in the order of Request.Params.
 func (t *Table) Slots() []string { return t.slots }
 
-// Limit is the worst-case cost of a request, in units.
+// Limit returns the maximum cost of evaluating one request, in units.
 func (t *Table) Limit() int { return t.costLimit }
 
-// Len is the number of rules.
+// Len returns the number of rules.
 func (t *Table) Len() int { return len(t.rules) }
 
-// Counts returns the counters of each rule, in order.
+// Counts returns the counters of all rules, in the order of the rules.
 func (t *Table) Counts() []RuleCounts {
 	list := make([]RuleCounts, len(t.rules))
 	for i, r := range t.rules {
@@ -55,8 +55,8 @@
 	return list
 }
 
-// Match evaluates the rules for a request. Class, key, route and each label are given by the first rule that matches
-// and gives one. A rule whose evaluation fails does not match.
+// Match evaluates the rules for a request in order. Class, key, route and each label are set by the first matching rule
+// that defines them. A rule whose evaluation fails does not match.
 func (t *Table) Match(request *Request) Result {
 	t.env.fill(request)
 	t.findCandidates()
@@ -64,8 +64,7 @@
 	for _, i := range t.candidates {
 		r := t.rules[i]
 		r.counts.Tried++
-		// Whatever an estimate may have missed, a request is evaluated no further than its limit. The rules that are
-		// left do not match.
+		// Enforce the cost limit even if an estimate was too low. The remaining rules do not match.
 		if !t.unindexed && pass.result.Cost+r.maxCost > t.costLimit {
 			pass.fail(r, errCostLimit)
 			break
@@ -77,7 +76,7 @@
 	return pass.result
 }
 
-// findCandidates lists the rules that can match the request in the environment.
+// findCandidates stores the rules that can match the request in t.env in t.candidates.
 func (t *Table) findCandidates() {
 	if !t.unindexed {
 		t.candidates = t.index.candidates(&t.env, t.candidates)
@@ -89,15 +88,15 @@
 	}
 }
 
-// checkClassChange reports why a rule may not move a request to a class. The class must be at least as strict about
-// retries as the one that the client requested, and one by idempotency key needs a key.
+// checkClassChange returns an error if a rule may not assign a request to a class. The class must be at least as strict
+// about retries as the class that the client requested. A class that is idempotent by key requires an idempotency key.
 func (t *Table) checkClassChange(request *Request, name string) error {
 	to, ok := t.classes[name]
 	if !ok {
 		return fmt.Errorf("no class %.40q", name)
 	}
 	if from, ok := t.classes[request.Class]; ok && to.Idempotency < from.Idempotency {
-		return fmt.Errorf("class %s is less strict about repeats than %s", to.Name, from.Name)
+		return fmt.Errorf("class %s is less strict about retries than %s", to.Name, from.Name)
 	}
 	if to.Idempotency == routing.IdempotentByKey && request.IdempotencyKey == "" {
 		return fmt.Errorf("class %s needs an idempotency key", to.Name)
--- a/internal/rules/pools/core.go
+++ b/internal/rules/pools/core.go
@@ -1,11 +1,11 @@
-// Package pools decides which workers the requests of a route may go to.
+// Package pools selects the workers that may serve the requests of a route.
 //
-// A pool is the set of workers whose attributes satisfy a condition; a route is a list of pools in order of preference.
-// The live set of a route is its first pool with a healthy worker, together with the pools before it: unhealthy workers
-// there are still probed with requests now and then, which shows when they have recovered. The pools after it are the
-// fallback where the live set has no capacity.
+// A pool is the set of workers whose attributes satisfy a condition. A route is a list of pools in order of preference.
+// The live set of a route consists of its first pool with a healthy worker and the pools before that one. The unhealthy
+// workers of those pools still receive occasional requests as probes, which detect their recovery. The remaining pools
+// are the fallback when the live set has no capacity.
 //
-// Core does no I/O and reads no clock: Step is given the events and the current time.
+// Core does no I/O and reads no clock: the caller passes events and the current time to Step.
 package pools
 
 import (
@@ -17,18 +17,18 @@
 )
 
 const (
-	faultExpiry        = 30 * time.Second // how long a worker counts as unhealthy after its last fault
-	unhealthyThreshold = 2                // requests without a response after which a worker is unhealthy
-	maxFaultRecords    = 4096             // workers whose faults are remembered
+	faultExpiry        = 30 * time.Second // time after a worker's last fault until it counts as healthy again
+	unhealthyThreshold = 2                // number of requests without a response that make a worker unhealthy
+	maxFaultRecords    = 4096             // maximum number of workers with recorded faults
 )
 
-// Event is an event that a Core is notified of.
+// Event is an input of Core.Step: EndpointsChanged or FaultObserved.
 type Event interface{ event() }
 
-// EndpointsChanged carries the complete list of workers.
+// EndpointsChanged contains the complete list of workers.
 type EndpointsChanged struct{ Workers []Attributes }
 
-// FaultObserved carries the Router's finding about a worker.
+// FaultObserved contains a health finding of the Router about a worker.
 type FaultObserved struct {
 	Worker string
 	Fault  routing.Fault
@@ -37,36 +37,35 @@
 func (EndpointsChanged) event() {}
 func (FaultObserved) event()    {}
 
-// pool is a loaded pool and its current members.
+// pool is a compiled pool and its current members.
 type pool struct {
 	condition *match.Predicate
 	members   map[string]bool // by worker id
 }
 
-// route is a loaded route.
+// route is a route with its pools and live set.
 type route struct {
-	pools []*pool // the preferred first
-	// levels are the live set and its fallbacks, one after the other. Each has a healthy worker, except perhaps the
-	// first.
+	pools []*pool // in order of preference
+	// levels contains the live set followed by its fallbacks. A fallback has a healthy worker.
 	levels []routing.Pool
 }
 
-// faultRecord is what is remembered of a worker's faults.
+// faultRecord counts the recent faults of a worker.
 type faultRecord struct {
 	count    int
 	lastSeen time.Duration
 }
 
-// Core keeps the live set of each route. It is not safe for concurrent use.
+// Core maintains the live set of each route. It is not safe for concurrent use.
 type Core struct {
 	pools   []*pool
 	routes  map[string]*route
-	serving map[string]bool        // by the id of each listed worker
+	serving map[string]bool        // by worker id, for all listed workers
 	faults  map[string]faultRecord // by worker id
 }
 
-// Route returns the live set of a route, or nil if the route has no pools. Step updates the set in place: the pointer
-// stays the same as long as the Core exists.
+// Route returns the live set of a route, or nil if the route has no pools. Step updates the set in place; the pointer
+// stays valid for the lifetime of the Core.
 func (c *Core) Route(name string) *routing.Pool {
 	if r := c.routes[name]; r != nil {
 		return &r.levels[0]
@@ -77,8 +76,7 @@
 // Len returns the number of routes.
 func (c *Core) Len() int { return len(c.routes) }
 
-// Step notifies the Core of the events of one moment and reports whether a live set has changed. Live sets change at no
-// other time.
+// Step processes events at time now and reports whether a live set has changed. Live sets change only in Step.
 func (c *Core) Step(now time.Duration, events []Event) (changed bool) {
 	for _, e := range events {
 		switch e := e.(type) {
@@ -97,7 +95,8 @@
 	return changed
 }
 
-// updateMembers takes over a list of workers. A worker for which a pool's condition can't be evaluated is no member.
+// updateMembers recomputes the members of all pools from a list of workers. A worker is not a member of a pool whose
+// condition fails to evaluate for it.
 func (c *Core) updateMembers(workers []Attributes) {
 	clear(c.serving)
 	for _, w := range workers {
@@ -106,15 +105,16 @@
 	for _, p := range c.pools {
 		clear(p.members)
 		for i := range workers {
-			if ok, err := p.condition.Holds(&workers[i]); ok && err == nil {
+			if ok, err := p.condition.Evaluate(&workers[i]); ok && err == nil {
 				p.members[workers[i].ID] = true
 			}
 		}
 	}
 }
 
-// recordFault counts a fault of a worker. An unreachable worker is unhealthy at once; any finding other than a missing
-// response clears the worker's record. Beyond maxFaultRecords, faults are not recorded.
+// recordFault updates the fault record of a worker. A missing response adds one fault, and an unreachable worker is
+// unhealthy immediately; any other finding deletes the record. Faults are not recorded when there are maxFaultRecords
+// records.
 func (c *Core) recordFault(now time.Duration, observed FaultObserved) {
 	record := c.faults[observed.Worker]
 	switch observed.Fault {
@@ -132,19 +132,19 @@
 	}
 }
 
-// expireFaults forgets faults that are old, and those of workers that are not serving.
+// expireFaults deletes records older than faultExpiry and those of workers that are not serving.
 func (c *Core) expireFaults(now time.Duration) {
 	maps.DeleteFunc(c.faults, func(id string, record faultRecord) bool {
 		return now-record.lastSeen >= faultExpiry || !c.serving[id]
 	})
 }
 
-// isHealthy reports whether a worker is serving and not known to be faulty.
+// isHealthy reports whether a worker is serving and has fewer than unhealthyThreshold recorded faults.
 func (c *Core) isHealthy(id string) bool {
 	return c.serving[id] && c.faults[id].count < unhealthyThreshold
 }
 
-// updateLevels brings a route's levels up to date and reports whether one of them has changed.
+// updateLevels updates the levels of a route and reports whether one of them has changed.
 func (c *Core) updateLevels(r *route) (changed bool) {
 	for i, want := range c.computeLevels(r) {
 		level := &r.levels[i]
@@ -162,20 +162,21 @@
 	return changed
 }
 
-// levelSpec is a level as it should be.
+// levelSpec is the desired state of a level.
 type levelSpec struct {
 	workers     map[string]bool
 	hasFallback bool // the next level is its fallback
 }
 
-// computeLevels distributes a route's pools over its levels: each level takes pools in until it has a healthy worker.
+// computeLevels distributes the pools of a route over its levels. Pools are added to a level until it has a healthy
+// worker.
 func (c *Core) computeLevels(r *route) []levelSpec {
 	levels := make([]levelSpec, len(r.levels))
 	for i := range levels {
 		levels[i].workers = map[string]bool{}
 	}
 	current := 0
-	healthy := false // the current level has a healthy worker
+	healthy := false // whether the current level has a healthy worker
 	for _, p := range r.pools {
 		if healthy {
 			current++
@@ -187,7 +188,7 @@
 		}
 	}
 	for i := range current {
-		levels[i].hasFallback = i+1 < current || healthy // the last level may have no healthy worker
+		levels[i].hasFallback = i+1 < current || healthy // the last level is a fallback only if it has a healthy worker
 	}
 	return levels
 }
--- a/internal/rules/pools/definitions.go
+++ b/internal/rules/pools/definitions.go
@@ -5,19 +5,19 @@
 	"calicohill/routing"
 )
 
-// The states of a worker as conditions read them.
+// Values of Attributes.State.
 const (
 	stateServing  = "serving"
 	stateDraining = "draining"
 )
 
-// The longest texts that conditions see, in bytes.
+// Maximum lengths of attributes, in bytes.
 const (
 	maxAttributeBytes = 64
 	maxStateBytes     = 16
 )
 
-// Attributes is what a condition reads of a worker.
+// Attributes contains the properties of a worker that conditions can read.
 type Attributes struct {
 	ID    string `expr:"id"`
 	Model string `expr:"model"`
@@ -26,7 +26,7 @@
 	State string `expr:"state"`
 }
 
-// Schema describes the fields of Attributes to the compiler of conditions and on the operators' page.
+// Schema declares the fields of Attributes for the compiler of conditions and for the operators' page.
 var Schema = []match.Field{
 	{Name: "id", Type: "text", MaxBytes: maxAttributeBytes, Help: "the worker's id in the list"},
 	{Name: "model", Type: "text", MaxBytes: maxAttributeBytes, Help: "its model"},
@@ -39,17 +39,17 @@
 type Pool struct {
 	match.Position
 	Name    string
-	Workers match.Expression // condition on a worker's attributes
+	Workers match.Expression // condition on the Attributes of a worker
 }
 
 // Route is the definition of a route in the operator's file.
 type Route struct {
 	match.Position
 	Name  string
-	Pools []match.Expression // names, the preferred first
+	Pools []match.Expression // names, in order of preference
 }
 
-// StateName returns a worker's state as conditions read it.
+// StateName returns the value of Attributes.State for a worker state.
 func StateName(s routing.WorkerState) string {
 	if s == routing.Ready {
 		return stateServing
--- a/internal/rules/pools/load.go
+++ b/internal/rules/pools/load.go
@@ -10,22 +10,22 @@
 
 const maxPools = 256
 
-// The directives that errors name.
+// Directives in error messages.
 const (
 	poolDirective    = "pool"
 	workersDirective = "workers"
 )
 
-// loader builds a Core and collects the errors of the definitions.
+// loader builds a Core and collects errors in the definitions.
 type loader struct {
 	core       *Core
 	poolByName map[string]*pool
 	errs       []match.RuleError
 }
 
-// Load compiles the definitions of pools and routes. It returns either a Core or all errors of the definitions.
+// Load compiles the definitions of pools and routes. It returns either a Core or all errors in the definitions.
 func Load(pools []Pool, routes []Route) (*Core, []match.RuleError) {
-	loading := loader{
+	poolLoader := loader{
 		core: &Core{
 			routes:  map[string]*route{},
 			serving: map[string]bool{},
@@ -34,19 +34,19 @@
 		poolByName: map[string]*pool{},
 	}
 	if len(pools) > maxPools {
-		loading.addError(pools[maxPools].Position, poolDirective, "%d pools are over %d", len(pools), maxPools)
-		return nil, loading.errs
+		poolLoader.addError(pools[maxPools].Position, poolDirective, "%d pools exceed the maximum of %d", len(pools), maxPools)
+		return nil, poolLoader.errs
 	}
 	for _, definition := range pools {
-		loading.addPool(definition)
+		poolLoader.addPool(definition)
 	}
 	for _, definition := range routes {
-		loading.addRoute(definition)
+		poolLoader.addRoute(definition)
 	}
-	if len(loading.errs) > 0 {
-		return nil, loading.errs
+	if len(poolLoader.errs) > 0 {
+		return nil, poolLoader.errs
 	}
-	return loading.core, nil
+	return poolLoader.core, nil
 }
 
 func (l *loader) addError(position match.Position, directive, format string, args ...any) {
@@ -68,9 +68,9 @@
 	for _, name := range definition.Pools {
 		p := l.poolByName[name.Source]
 		if p == nil {
-			l.addError(name.Position, poolDirective, "no pool %q is defined", name.Source)
+			l.addError(name.Position, poolDirective, "pool %q is not defined", name.Source)
 		} else if i := slices.Index(r.pools, p); i >= 0 {
-			l.addError(name.Position, poolDirective, "%q is pool %d of route %s already", name.Source, i+1, definition.Name)
+			l.addError(name.Position, poolDirective, "pool %q is already pool %d of route %s", name.Source, i+1, definition.Name)
 		}
 		r.pools = append(r.pools, p)
 	}
--- a/internal/rules/pools/pools_test.go
+++ b/internal/rules/pools/pools_test.go
@@ -15,6 +15,7 @@
 	"pgregory.net/rapid"
 )
 
+// text returns an expression at line 1, column 1 of a file.
 func text(s string) match.Expression {
 	return match.Expression{Position: match.Position{File: "f", Line: 1, Column: 1}, Source: s}
 }
@@ -34,11 +35,12 @@
 	return core
 }
 
-// names lists the workers of a live set.
+// names returns the sorted ids of the workers in a live set, separated by spaces.
 func names(set *routing.Pool) string {
 	return strings.Join(slices.Sorted(maps.Keys(set.Workers)), " ")
 }
 
+// live returns the names of the live set of a route.
 func live(core *pools.Core, route string) string { return names(core.Route(route)) }
 
 var allWorkers = []pools.Attributes{
@@ -49,6 +51,8 @@
 	{"s2", "old", "a", 1, "serving"},
 }
 
+// TestFallback guards against a live set that keeps to a pool without healthy workers, or that keeps a fallback after
+// the preferred pool has recovered.
 func TestFallback(t *testing.T) {
 	core := load(t)
 	now := time.Hour
@@ -64,13 +68,13 @@
 	drain := slices.Clone(allWorkers)
 	drain[0].State = "draining"
 	step("f1 f2", pools.EndpointsChanged{allWorkers})
-	step("f1 f2", pools.FaultObserved{"f1", routing.Unresponsive})                                                  // one missing response proves nothing
-	step("f1 f2", pools.FaultObserved{"f1", routing.Unresponsive}, pools.FaultObserved{"f2", routing.Unresponsive}) // f2 is left
-	step("f1 f2 s1 s2", pools.FaultObserved{"f2", routing.Unreachable})                                             // all unhealthy: the next pool joins, probes go on
+	step("f1 f2", pools.FaultObserved{"f1", routing.Unresponsive})                                                  // one missing response does not make f1 unhealthy
+	step("f1 f2", pools.FaultObserved{"f1", routing.Unresponsive}, pools.FaultObserved{"f2", routing.Unresponsive}) // f2 is still healthy
+	step("f1 f2 s1 s2", pools.FaultObserved{"f2", routing.Unreachable})                                             // all are unhealthy: the next pool is added, the first stays for probes
 	step("f1 f2", pools.FaultObserved{"f2", routing.Healthy})
 	step("f1 f2", pools.EndpointsChanged{drain})
 	step("f1 f2 s1 s2", pools.FaultObserved{"f2", routing.Unreachable})
-	step("s1 s2", pools.EndpointsChanged{allWorkers[2:]}) // the pool has emptied
+	step("s1 s2", pools.EndpointsChanged{allWorkers[2:]}) // the first pool is empty
 	step("f1 f2", pools.EndpointsChanged{allWorkers})
 	if got := live(core, "any"); got != "f1 s1 s2 x" {
 		t.Errorf("any: %q", got)
@@ -88,21 +92,22 @@
 	}
 }
 
-// Every error of the definitions is reported, with the directive that it is in.
+// TestLoadReportsAllErrors guards against Load reporting only the first error, or an error without its directive.
 func TestLoadReportsAllErrors(t *testing.T) {
 	_, errs := pools.Load([]pools.Pool{{Name: "a", Workers: text(`modl == "x"`)}, {Name: "b", Workers: text(`param["X"] == "a"`)}},
 		[]pools.Route{{Name: "r", Pools: []match.Expression{text("a"), text("c"), text("a")}}})
 	var got []string
-	for _, f := range errs {
-		got = append(got, f.Directive)
+	for _, ruleError := range errs {
+		got = append(got, ruleError.Directive)
 	}
 	if want := []string{"workers", "workers", "pool", "pool"}; !slices.Equal(got, want) {
 		t.Errorf("errors %v", errs)
 	}
 }
 
-// A live set holds only workers of the route's pools, and a healthy one as long as any of them is healthy.
-func TestLiveSetHoldsHealthyWorker(t *testing.T) {
+// TestLiveSetContainsHealthyWorker guards against live sets with workers of other pools, and against live sets without
+// a healthy worker while a pool of the route has one.
+func TestLiveSetContainsHealthyWorker(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		core := load(rt)
 		now := time.Hour
@@ -113,22 +118,22 @@
 			liveHealthy := false
 			for id := range set {
 				if id == "x" {
-					rt.Fatal("a worker of no pool of the route is live")
+					rt.Fatal("the live set contains a worker that is in no pool of the route")
 				}
 				liveHealthy = liveHealthy || core.IsHealthy(id)
 			}
 			anyHealthy := slices.ContainsFunc([]string{"f1", "f2", "s1", "s2"}, core.IsHealthy)
 			if anyHealthy && !liveHealthy {
-				rt.Fatal(fmt.Sprint("a worker is healthy, and not in the live set: ", set))
+				rt.Fatal(fmt.Sprint("no healthy worker in the live set although the route has one: ", set))
 			}
 			if core.FaultRecords() > len(allWorkers) {
-				rt.Fatal("faults of more workers are remembered than are listed")
+				rt.Fatal("more fault records than listed workers")
 			}
 		}
 	})
 }
 
-// drawEvent draws a list of some of the workers in any state, or, twice as often, a fault of one of them.
+// drawEvent draws a list of some of the workers in random states or, twice as often, a fault of one worker.
 func drawEvent(rt *rapid.T) pools.Event {
 	if rapid.IntRange(0, 2).Draw(rt, "event") > 0 {
 		id := allWorkers[rapid.IntRange(0, len(allWorkers)-1).Draw(rt, "worker")].ID
