--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads a scheduler's configuration: the platform's JSON file that ROUTER_CONFIG names.
+// Package config reads the configuration of a scheduler from the platform's JSON file, whose path is in ROUTER_CONFIG.
 package config
 
 import (
@@ -19,15 +19,15 @@
 	Name             string // of this scheduler
 	Listen           string // host:port that clients connect to
 	DiscoveryAddress string // host:port of the endpoint list service
-	KnownEndpoints   []byte // the endpoint list's events so far, in the form of an answer of the list service; nil if none
-	Seed             uint64 // of all random draws
+	KnownEndpoints   []byte // initial events of the endpoint list, encoded as a response of the list service; nil if none
+	Seed             uint64 // of all random number generators
 	MemoryMB         int    // memory limit of the process, in MiB
-	MaxSockets       int    // maximum number of open descriptors
+	MaxSockets       int    // maximum number of open file descriptors
 	Deployment       deployment.Settings
 }
 
-// file is the configuration file. Errors of encoding/json quote the names of this type and of its fields. Keys that are
-// not here are ignored: the platform writes some, like limits.cores, that a scheduler has no use for.
+// file is the JSON document of the configuration file. Unknown keys are ignored because the platform writes some that a
+// scheduler does not use, such as limits.cores. Errors of encoding/json contain the names of this type and its fields.
 type file struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -37,23 +37,23 @@
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	ListService string          `json:"bulletin"` // the endpoint list service
-	Known       json.RawMessage `json:"known"`    // read by package discovery
-	Settings    json.RawMessage `json:"settings"` // read by package deployment
+	Known       json.RawMessage `json:"known"`    // parsed by package discovery
+	Settings    json.RawMessage `json:"settings"` // parsed by package deployment
 }
 
 const (
-	defaultMemoryMB = 192  // where the file has none
-	defaultSockets  = 1024 // where the file has none
+	defaultMemoryMB = 192  // if the file sets no limit
+	defaultSockets  = 1024 // if the file sets no limit
 	minSockets      = 64
 
-	// maxClassNameLength is the length of the longest class name, in bytes.
+	// maxClassNameLength is the maximum length of a class name, in bytes.
 	maxClassNameLength = 64
-	// reservedInClassNames are characters that separate fields, parameters or segments of a path.
+	// reservedInClassNames are the characters that separate fields, parameters or path segments.
 	reservedInClassNames = ",=/?"
 )
 
-// Read reads a configuration file. A name or a listen address that is not empty takes precedence over the file's. The
-// error names the file and the value that is wrong.
+// Read reads a configuration file. A non-empty name or listen address overrides the value in the file. The error
+// contains the path of the file and the invalid value.
 func Read(path, name, listen string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return config, nil
 }
 
-// config returns the configuration in a file, with defaults filled in, if it is valid. A limit of 0 counts as absent.
+// config validates the file and returns its configuration with defaults applied. A limit of 0 means the default.
 func (f *file) config() (*Config, error) {
 	config := &Config{
 		Name:             f.Name,
@@ -115,7 +115,7 @@
 	return config, checkDeployment(&config.Deployment)
 }
 
-// checkAddress returns an error if the address under a key of the file is not host:port.
+// checkAddress returns an error if the address of a key in the file is not host:port.
 func checkAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return fmt.Errorf("%s: %w", key, err)
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// checkDeployment checks the settings that a scheduler needs but the simulator does not. What both need, such as at least
-// one class with a latency objective, is checked by routing.New.
+// checkDeployment validates the settings that only a scheduler requires. The settings that the simulator requires too,
+// such as at least one class with a latency objective, are validated by routing.New.
 func checkDeployment(settings *deployment.Settings) error {
 	for i, name := range settings.ClassNames {
 		if !isClassName(name) {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// isClassName reports whether a name can be part of a request's path and of a comma-separated list of fields.
+// isClassName reports whether a name can be used in a request path and in a comma-separated list of fields.
 func isClassName(name string) bool {
 	return name != "" && len(name) <= maxClassNameLength && !strings.ContainsFunc(name, func(char rune) bool {
 		return char <= ' ' || char >= 0x7f || strings.ContainsRune(reservedInClassNames, char)
--- a/internal/config/config_internal_test.go
+++ b/internal/config/config_internal_test.go
@@ -16,7 +16,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// platformFile is a complete file, as the platform writes it. Keys that are unknown here, like cores, are for others.
+// platformFile is a complete file as written by the platform. It has keys that Read ignores, such as limits.cores.
 const platformFile = `{
 	"name": "n0",
 	"listen": "127.0.0.1:5050",
@@ -36,8 +36,8 @@
 	}
 }`
 
-// write writes a platform file and returns its path.
-func write(t *testing.T, text string) string {
+// writeFile writes a platform file to a temporary directory and returns its path.
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -46,9 +46,9 @@
 	return path
 }
 
-// with returns platformFile with another value under a key, whose parts are separated by dots. A value of nil removes
-// the key.
-func with(t *testing.T, key string, value any) string {
+// platformFileWith returns platformFile with a different value for one key. The key is a path separated by dots. A nil
+// value removes the key.
+func platformFileWith(t *testing.T, key string, value any) string {
 	t.Helper()
 	var document map[string]any
 	if err := json.Unmarshal([]byte(platformFile), &document); err != nil {
@@ -76,7 +76,7 @@
 	return string(text)
 }
 
-// classes returns the JSON value of classes with these names, all else of which is valid.
+// classes returns the JSON value of otherwise valid classes with the given names.
 func classes(names ...string) any {
 	var list []any
 	for _, name := range names {
@@ -85,15 +85,16 @@
 	return list
 }
 
-// class returns the JSON value of a class with another value under a key.
+// class returns the JSON value of a valid class with a different value for one key.
 func class(key string, value any) any {
-	made := map[string]any{"name": "a", "aimMs": 100, "hardLimitMs": 1000, "effect": "read_like"}
-	made[key] = value
-	return made
+	fields := map[string]any{"name": "a", "aimMs": 100, "hardLimitMs": 1000, "effect": "read_like"}
+	fields[key] = value
+	return fields
 }
 
+// TestRead guards against keys of the file that are not read, or read into the wrong field.
 func TestRead(t *testing.T) {
-	got, err := Read(write(t, platformFile), "", "")
+	got, err := Read(writeFile(t, platformFile), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +136,7 @@
 	}
 }
 
-// The command line's name and address take precedence over those of the file.
+// TestReadOverrides guards against a name or address of the command line that does not override the file.
 func TestReadOverrides(t *testing.T) {
 	for _, tt := range []struct {
 		name                 string
@@ -148,7 +149,7 @@
 		{"both", "n7", ":6000", "n7", ":6000"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got, err := Read(write(t, platformFile), tt.nameArg, tt.listenArg)
+			got, err := Read(writeFile(t, platformFile), tt.nameArg, tt.listenArg)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -159,9 +160,10 @@
 	}
 }
 
-// An address of the command line stands in for one that the file lacks, and is checked like it.
+// TestReadChecksOverride guards against an address of the command line that is not validated, and against an error for
+// a file without an address although the command line sets one.
 func TestReadChecksOverride(t *testing.T) {
-	path := write(t, with(t, "listen", nil))
+	path := writeFile(t, platformFileWith(t, "listen", nil))
 	if _, err := Read(path, "", "127.0.0.1:6000"); err != nil {
 		t.Errorf("with an address for a file without one: %v, want success", err)
 	}
@@ -170,13 +172,13 @@
 	}
 }
 
-// What a file does not say has a default. Numbers of 0 count as not said.
+// TestReadDefaults guards against limits without a default when they are absent or 0.
 func TestReadDefaults(t *testing.T) {
 	for _, tt := range []struct {
-		name         string
-		key          string
-		value        any
-		memory, most int // wanted MB of memory and sockets
+		name                      string
+		key                       string
+		value                     any
+		wantMemoryMB, wantSockets int
 	}{
 		{"no limits", "limits", nil, defaultMemoryMB, defaultSockets},
 		{"no memory", "limits.memory_mb", nil, defaultMemoryMB, 512},
@@ -185,20 +187,20 @@
 		{"sockets 0", "limits.sockets", 0, 256, defaultSockets},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got, err := Read(write(t, with(t, tt.key, tt.value)), "", "")
+			got, err := Read(writeFile(t, platformFileWith(t, tt.key, tt.value)), "", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.MemoryMB != tt.memory || got.MaxSockets != tt.most {
-				t.Errorf("%d MB, %d sockets, want %d, %d", got.MemoryMB, got.MaxSockets, tt.memory, tt.most)
+			if got.MemoryMB != tt.wantMemoryMB || got.MaxSockets != tt.wantSockets {
+				t.Errorf("%d MB, %d sockets, want %d, %d", got.MemoryMB, got.MaxSockets, tt.wantMemoryMB, tt.wantSockets)
 			}
 		})
 	}
 }
 
-// A file need not have the endpoint list's events so far: a scheduler then begins with none.
+// TestReadWithoutKnownEndpoints guards against an error for a file without initial events of the endpoint list.
 func TestReadWithoutKnownEndpoints(t *testing.T) {
-	got, err := Read(write(t, with(t, "known", nil)), "", "")
+	got, err := Read(writeFile(t, platformFileWith(t, "known", nil)), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,6 +209,7 @@
 	}
 }
 
+// TestReadAccepts guards against rejecting valid files, in particular values at their limits.
 func TestReadAccepts(t *testing.T) {
 	longest := strings.Repeat("n", maxClassNameLength)
 	for _, tt := range []struct {
@@ -235,7 +238,7 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if _, err := Read(write(t, with(t, tt.key, tt.value)), "", ""); err != nil {
+			if _, err := Read(writeFile(t, platformFileWith(t, tt.key, tt.value)), "", ""); err != nil {
 				t.Errorf("Read: %v, want success", err)
 			}
 		})
@@ -244,12 +247,12 @@
 
 const millisPerYear = 365 * 24 * 3600 * 1000
 
-// invalidValues are values that make platformFile invalid.
+// invalidValues are values that make platformFile invalid, each with a substring of the expected error.
 var invalidValues = []struct {
 	name  string
 	key   string
 	value any
-	want  string // part of the error
+	want  string // substring of the error
 }{
 	{"no listen", "listen", nil, "listen: "},
 	{"listen without port", "listen", "127.0.0.1", "listen: "},
@@ -302,17 +305,17 @@
 	{"negative quota", "settings.tenants", []any{map[string]any{}, map[string]any{"quotaPerS": -2}}, "settings: tenant 1: "},
 }
 
-// The error names the file and what is wrong in it, by the file's own words.
+// TestReadErrors guards against accepting invalid values, and against errors without the path of the file or the key.
 func TestReadErrors(t *testing.T) {
 	for _, tt := range invalidValues {
 		t.Run(tt.name, func(t *testing.T) {
-			path := write(t, with(t, tt.key, tt.value))
+			path := writeFile(t, platformFileWith(t, tt.key, tt.value))
 			config, err := Read(path, "", "")
 			if err == nil {
 				t.Fatalf("Read = %+v, want an error", config)
 			}
 			if config != nil {
-				t.Errorf("Read = %+v beside the error, want nil", config)
+				t.Errorf("Read = %+v with an error, want nil", config)
 			}
 			if got := err.Error(); !strings.Contains(got, path) || !strings.Contains(got, tt.want) {
 				t.Errorf("Read: %q, want an error with %q and %q", got, path, tt.want)
@@ -321,7 +324,8 @@
 	}
 }
 
-// A file that is not one JSON object is an error that names it.
+// TestReadMalformed guards against accepting a file that is not a single JSON object, and against errors without its
+// path.
 func TestReadMalformed(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -335,7 +339,7 @@
 		{"null", "null"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			path := write(t, tt.text)
+			path := writeFile(t, tt.text)
 			if _, err := Read(path, "", ""); err == nil || !strings.Contains(err.Error(), path) {
 				t.Errorf("Read: %v, want an error with %q", err, path)
 			}
@@ -343,6 +347,7 @@
 	}
 }
 
+// TestReadMissingFile guards against an error for a missing file that is not fs.ErrNotExist or lacks the path.
 func TestReadMissingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.json")
 	_, err := Read(path, "", "")
--- a/internal/config/deployment/object.go
+++ b/internal/config/deployment/object.go
@@ -1,8 +1,8 @@
 package deployment
 
-// object is the settings object in JSON, as far as it is used: the simulator's protocol requires that other keys are
-// ignored. Errors of encoding/json quote the package, this type and its fields, so that these names are part of what an
-// operator and the recording of the simulator's adapter see.
+// object is the JSON form of the settings object. It declares only the keys that are used; the simulator's protocol
+// requires that other keys are ignored. Errors of encoding/json contain the names of the package, this type and its
+// fields, so these names appear in operators' logs and in the recording of the simulator's adapter.
 type object struct {
 	Balancers int     `json:"balancers"`
 	Rank      int     `json:"rank"`
--- a/internal/config/deployment/settings.go
+++ b/internal/config/deployment/settings.go
@@ -1,4 +1,4 @@
-// Package deployment reads the settings object that a scheduler is given, by the simulator or in its configuration file.
+// Package deployment parses the settings object that a scheduler receives from the simulator or its configuration file.
 package deployment
 
 import (
@@ -10,31 +10,32 @@
 	"calicohill/routing"
 )
 
-// Settings is the content of a settings object: settings of routing decisions and of the connections to workers.
+// Settings contains the settings of routing decisions and of the connections to workers.
 type Settings struct {
 	routing.Settings
 
-	ClassNames     []string      // by class number
-	Zones          []string      // by zone number
-	WorkerKinds    []string      // by number of the worker kind
+	ClassNames     []string      // indexed by class number
+	Zones          []string      // indexed by zone number
+	WorkerKinds    []string      // indexed by worker kind
 	PipelineDepth  int           // maximum number of attempts in flight on a connection to a worker
 	IdleCloseAfter time.Duration // time after which an idle connection to a worker is closed
-	ConnectTimeout time.Duration // of a connection to a worker
+	ConnectTimeout time.Duration // for connections to workers
 }
 
-// Names in the settings object that Parse compares with.
+// Values of string settings.
 const (
-	discoveryOnRequest = "on_request" // endpoint lists are sent to subscribers only
-	reportPiggyback    = "piggyback"  // load reports are part of answers
+	discoveryOnRequest = "on_request" // endpoint lists are sent only to subscribers
+	reportPiggyback    = "piggyback"  // load reports are part of responses
 	reportPull         = "pull"       // load reports are requested by probes
 	absentIsMiss       = "miss"       // a request for a function that is not loaded fails
 	weightsSilent      = "silent"     // the list service reports no weights
 )
 
-// maxDuration is the longest time that settings may contain.
+// maxDuration is the maximum duration in settings.
 const maxDuration = 365 * 24 * time.Hour
 
-// Parse returns the settings in a settings object. The error names the JSON value, class, tenant or time that is wrong.
+// Parse parses a settings object. The error identifies the invalid JSON value, class, tenant or duration. The recording
+// of the simulator's adapter contains texts of these errors.
 func Parse(text []byte) (Settings, error) {
 	var parsed object
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -65,7 +66,7 @@
 	return settings, nil
 }
 
-// routingSettings returns the settings of routing decisions, without classes and tenants.
+// routingSettings returns the settings of routing decisions except classes and tenants.
 func routingSettings(parsed *object, times *durationParser) routing.Settings {
 	return routing.Settings{
 		Schedulers:     parsed.Balancers,
@@ -131,7 +132,7 @@
 	"cell": routing.ScopeCell,
 }
 
-// parseClasses returns the request classes, by number.
+// parseClasses returns the request classes, indexed by class number.
 func parseClasses(parsed *object, times *durationParser) ([]routing.Class, error) {
 	var classes []routing.Class
 	for i, class := range parsed.Classes {
@@ -157,7 +158,7 @@
 	return classes, nil
 }
 
-// parseTenants returns the tenants, by number.
+// parseTenants returns the tenants, indexed by tenant number.
 func parseTenants(parsed *object) ([]routing.Tenant, error) {
 	var tenants []routing.Tenant
 	for i, tenant := range parsed.Tenants {
@@ -169,12 +170,12 @@
 	return tenants, nil
 }
 
-// durationParser converts times in milliseconds and keeps the first error.
+// durationParser converts durations in milliseconds and records the first error.
 type durationParser struct {
 	err error
 }
 
-// parse returns a time that settings give in milliseconds, rounded to a nanosecond.
+// parse converts a duration in milliseconds, rounded to a nanosecond.
 func (p *durationParser) parse(ms float64) time.Duration {
 	if p.err == nil && (ms < 0 || ms > float64(maxDuration/time.Millisecond)) {
 		p.err = fmt.Errorf("settings: a time of %g ms", ms)
