--- a/internal/config/operatorfile/directives.go
+++ b/internal/config/operatorfile/directives.go
@@ -2,7 +2,7 @@
 
 import "calicohill/internal/runtime/logging"
 
-// Sections lists every kind of section that a file may hold, in the order of the example.
+// Sections lists all kinds of sections of a file, in the order of the example.
 var Sections = []Section{
 	{sectionLog, "", "The format and the levels of the log on standard error."},
 	{sectionState, "", "The snapshot that restores a scheduler after a restart, where there is a persistent disk. Without this\n" +
@@ -17,10 +17,10 @@
 		"a section of its own is only logged."},
 }
 
-// levels are the levels of log lines, the most detailed first.
+// levels are the log levels, from the most to the least detailed.
 var levels = []string{"debug", defaultLevel, "warning", "error"}
 
-// Directives lists every directive, in the order of the example.
+// Directives lists all directives, in the order of the example.
 var Directives = []Directive{
 	{
 		Section: sectionLog, Name: "format", Args: []Arg{{Name: "FORMAT", Type: Choice, Choices: []string{"text", formatJSON}}},
--- a/internal/config/operatorfile/document.go
+++ b/internal/config/operatorfile/document.go
@@ -6,13 +6,13 @@
 	"calicohill/internal/rules/match"
 )
 
-// sectionKey identifies a section: its kind, and its own name where sections of the kind have one.
+// sectionKey identifies a section by its kind and, for kinds whose sections are named, by its name.
 type sectionKey struct {
 	kind string
 	name string
 }
 
-// String returns the section's heading as it appears in the file.
+// String returns the heading of the section as written in the file.
 func (k sectionKey) String() string {
 	if k.name == "" {
 		return k.kind
@@ -22,7 +22,7 @@
 
 // section is a section of a file.
 type section struct {
-	position match.Position     // of its heading; the last one if it was repeated in error
+	position match.Position     // of its heading; of the last heading if the section is duplicated, which is an error
 	entries  map[string][]entry // by directive
 }
 
@@ -33,23 +33,23 @@
 	values    []value
 }
 
-// document is a parsed file, together with the files that it includes.
+// document is a parsed file including its included files.
 type document struct {
 	sections map[sectionKey]*section
-	names    map[string][]string // the names of the sections of a kind, in order of appearance
+	names    map[string][]string // names of the sections by kind, in order of appearance
 }
 
 func newDocument() *document {
 	return &document{sections: map[sectionKey]*section{}, names: map[string][]string{}}
 }
 
-// unnamed returns the key of a section that has no name of its own.
-func unnamed(kind string) sectionKey { return sectionKey{kind: kind} }
+// unnamedKey returns the key of an unnamed section.
+func unnamedKey(kind string) sectionKey { return sectionKey{kind: kind} }
 
-// has reports whether a section without a name of its own is present.
-func (d *document) has(kind string) bool { return d.sections[unnamed(kind)] != nil }
+// hasSection reports whether the document contains an unnamed section of a kind.
+func (d *document) hasSection(kind string) bool { return d.sections[unnamedKey(kind)] != nil }
 
-// occurrences returns the occurrences of a directive, none if its section is not present.
+// occurrences returns the occurrences of a directive in a section, or nil if the section is not present.
 func (d *document) occurrences(key sectionKey, directive string) []entry {
 	if s := d.sections[key]; s != nil {
 		return s.entries[directive]
@@ -57,9 +57,10 @@
 	return nil
 }
 
-// entries returns the occurrences of a directive in a section without a name of its own or, if there are none, its default.
+// entries returns the occurrences of a directive in an unnamed section, or the default of the directive if there are
+// none.
 func (d *document) entries(kind, name string) []entry {
-	if occurrences := d.occurrences(unnamed(kind), name); len(occurrences) > 0 {
+	if occurrences := d.occurrences(unnamedKey(kind), name); len(occurrences) > 0 {
 		return occurrences
 	}
 	directive, ok := Lookup(kind, name)
@@ -68,7 +69,7 @@
 	}
 	parsed, err := directive.Args[0].parse(token{text: directive.Default}, "")
 	if err != nil {
-		return nil // a test parses every default
+		return nil // unreachable: a test parses every default
 	}
 	return []entry{{values: []value{parsed}}}
 }
@@ -82,7 +83,7 @@
 	return list
 }
 
-// text returns the first argument of a directive, or "" if it is not present and has no default.
+// text returns the first argument of a directive, or "" if the directive is not present and has no default.
 func (d *document) text(kind, name string) string {
 	if list := d.texts(kind, name); len(list) > 0 {
 		return list[0]
@@ -90,22 +91,23 @@
 	return ""
 }
 
-// number returns the number that a directive gives, in the unit of value.number, and whether it gives one.
-func (d *document) number(kind, name string) (number float64, given bool) {
+// number returns the numeric value of a directive, in the unit of value.number, and whether the directive is present or
+// has a default.
+func (d *document) number(kind, name string) (number float64, isSet bool) {
 	if entries := d.entries(kind, name); len(entries) > 0 {
 		return entries[0].values[0].number, true
 	}
 	return 0, false
 }
 
-// duration returns the duration that a directive gives, or 0.
+// duration returns the value of a Duration directive, or 0 if it is not present and has no default.
 func (d *document) duration(kind, name string) time.Duration {
 	number, _ := d.number(kind, name)
 	return seconds(number)
 }
 
-// expression returns the first argument of a directive with its position, or the zero Expression if the directive is not
-// present.
+// expression returns the first argument of a directive and its position. The result is the zero Expression if the
+// directive is not present.
 func (d *document) expression(key sectionKey, directive string) match.Expression {
 	if occurrences := d.occurrences(key, directive); len(occurrences) > 0 {
 		return occurrences[0].expression(0)
@@ -113,7 +115,7 @@
 	return match.Expression{}
 }
 
-// expression returns an argument with its position.
+// expression returns an argument and its position.
 func (e entry) expression(arg int) match.Expression {
 	position := e.position
 	position.Column = e.values[arg].column
--- a/internal/config/operatorfile/documentation.go
+++ b/internal/config/operatorfile/documentation.go
@@ -9,8 +9,8 @@
 // directiveIndent is the indentation of directives in the example.
 const directiveIndent = "    "
 
-// Example returns the commented example: every section and directive with its default. Sections that switch something on
-// are commented out completely, so that the example as it is changes nothing.
+// Example returns the commented example of a file, with every section, directive and default. Sections that enable a
+// feature are commented out entirely, so that the unmodified example changes no setting.
 func Example() string {
 	var b strings.Builder
 	b.WriteString("# The operator's file of calicohill: settings of this installation that the platform's file does not have.\n" +
@@ -28,12 +28,12 @@
 
 func writeExampleSection(b *strings.Builder, section Section) {
 	margin := ""
-	if hasRequired(section.Name) || section.Named != "" {
+	if hasRequiredDirective(section.Name) || section.Named != "" {
 		margin = "#"
 	}
 	fmt.Fprintf(b, "\n%s%s%s\n", comment(section.Help, ""), margin, section.title())
 	for _, directive := range directivesOf(section.Name) {
-		fmt.Fprintf(b, "\n%s", comment(directive.Help+"\n"+directive.about(), directiveIndent))
+		fmt.Fprintf(b, "\n%s", comment(directive.Help+"\n"+directive.properties(), directiveIndent))
 		if directive.Default != "" {
 			fmt.Fprintf(b, "%s%s%s %s\n", margin, directiveIndent, directive.Name, directive.Default)
 		} else {
@@ -43,21 +43,22 @@
 	}
 }
 
-// title returns the heading of a section.
+// title returns the heading of a section with the placeholder of its name.
 func (s Section) title() string { return strings.TrimSpace(s.Name + " " + s.Named) }
 
-// hasRequired reports whether a section has directives that only the operator can give.
-func hasRequired(section string) bool {
+// hasRequiredDirective reports whether a section has a required directive.
+func hasRequiredDirective(section string) bool {
 	return slices.ContainsFunc(directivesOf(section), func(d Directive) bool { return d.Required })
 }
 
-// comment turns a text into comment lines.
+// comment formats a text as indented comment lines.
 func comment(text, indent string) string {
 	return indent + "# " + strings.ReplaceAll(text, "\n", "\n"+indent+"# ") + "\n"
 }
 
-// about describes the arguments of a directive and when a change of it takes effect.
-func (d Directive) about() string {
+// properties describes the arguments of a directive, whether it is required or repeatable, and when a change takes
+// effect.
+func (d Directive) properties() string {
 	var clauses []string
 	for _, arg := range d.Args {
 		clause := arg.summary()
@@ -80,10 +81,10 @@
 	return strings.Join(clauses, "; ") + "."
 }
 
-// summary returns an argument's name and what it must be.
-func (a Arg) summary() string { return a.Name + ": " + a.describe() }
+// summary returns the name of an argument and a description of its valid values.
+func (a Arg) summary() string { return a.Name + ": " + a.validValues() }
 
-// Page returns the operators' page of the file in Markdown.
+// Page returns the operators' reference page in Markdown.
 func Page() string {
 	var page strings.Builder
 	page.WriteString("# The operator's file\n\n" +
@@ -104,7 +105,7 @@
 	return page.String()
 }
 
-// pageRow returns a directive's row in the table of its section.
+// pageRow returns the row of a directive in the Markdown table of its section.
 func (d Directive) pageRow() string {
 	reload := "no"
 	if d.Reload {
--- a/internal/config/operatorfile/errors.go
+++ b/internal/config/operatorfile/errors.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxErrors is how many errors are reported; a file of another format would yield thousands.
+	// maxErrors limits the reported errors, because a file of a different format would cause thousands.
 	maxErrors = 100
-	// maxSuggestionDistance is the edit distance up to which a known word is suggested for an unknown one.
+	// maxSuggestionDistance is the maximum edit distance between an unknown word and the known word suggested for it.
 	maxSuggestionDistance = 2
 )
 
-// ParseError is one error in an operator's file. Line and Column count from 1, and are 0 where the file as a whole is
-// meant. Directive is "" where the error is not in a directive.
+// ParseError is an error in an operator's file. Line and Column count from 1; they are 0 if the error concerns the
+// whole file. Directive is "" if the error is not in a directive.
 type ParseError struct {
 	match.Position
 	Directive string
@@ -32,11 +32,11 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Reason)
 }
 
-// ParseErrors is all the errors in an operator's file, in the order in which they were found. It is the error of Read and
-// Compile.
+// ParseErrors contains the errors in an operator's file, in the order of detection. Read and Compile return errors of
+// this type.
 type ParseErrors []ParseError
 
-// Error returns the errors, a line each.
+// Error returns the errors, one per line.
 func (e ParseErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, parseError := range e {
@@ -45,14 +45,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// add appends an error, unless there are maxErrors already.
+// add appends an error unless there are already maxErrors errors.
 func (e *ParseErrors) add(position match.Position, directive, format string, args ...any) {
 	if len(*e) < maxErrors {
 		*e = append(*e, ParseError{Position: position, Directive: directive, Reason: fmt.Sprintf(format, args...)})
 	}
 }
 
-// suggestion returns the end of a message that suggests the most similar of the known words, or "" if none is similar.
+// suggestion returns a suffix for an error message that suggests the most similar known word, or "" if none is similar.
 func suggestion(unknown string, known []string) string {
 	best := ""
 	bestDistance := maxSuggestionDistance + 1
--- a/internal/config/operatorfile/gossip.go
+++ b/internal/config/operatorfile/gossip.go
@@ -7,19 +7,19 @@
 	"os"
 )
 
-// maxKeyMode is the most permissive mode of a key file: only its owner may read it.
+// maxKeyMode is the most permissive allowed mode of a key file: only its owner may read it.
 const maxKeyMode fs.FileMode = 0o600
 
-// unsetMaxByzantine is Gossip.MaxByzantine where the file does not give it.
+// unsetMaxByzantine is the value of Gossip.MaxByzantine if the file does not set it.
 const unsetMaxByzantine = -1
 
-// gossip returns the section gossip, or nil if it is missing.
+// gossip returns the gossip section, or nil if it is missing.
 func (r *settingsReader) gossip() *Gossip {
-	if !r.document.has(sectionGossip) {
+	if !r.document.hasSection(sectionGossip) {
 		return nil
 	}
 	file := r.document
-	leaveOut, _ := file.number(sectionGossip, "leave-out")
+	maxEjectedFraction, _ := file.number(sectionGossip, "leave-out")
 	gossip := &Gossip{
 		Listen:                      parseAddress(file.text(sectionGossip, "listen")),
 		Fleet:                       file.text(sectionGossip, "fleet"),
@@ -34,7 +34,7 @@
 		ClockSkew:                   file.duration(sectionGossip, "clock-skew"),
 		AuthorityOverlap:            file.duration(sectionGossip, "overlap"),
 		MaxByzantine:                r.gossipCount("liars", unsetMaxByzantine),
-		MaxEjectedFraction:          leaveOut,
+		MaxEjectedFraction:          maxEjectedFraction,
 		FaultReportExpiry:           file.duration(sectionGossip, "forget-after"),
 	}
 	gossip.Advertise = gossip.Listen
@@ -48,15 +48,16 @@
 	return gossip
 }
 
-// gossipCount returns a Count of the section gossip, or a fallback where it is not given and has no default.
+// gossipCount returns the value of a Count directive of the gossip section, or fallback if it is not set and has no
+// default.
 func (r *settingsReader) gossipCount(directive string, fallback int) int {
-	if number, given := r.document.number(sectionGossip, directive); given {
+	if number, isSet := r.document.number(sectionGossip, directive); isSet {
 		return int(number)
 	}
 	return fallback
 }
 
-// checkGossip reports errors that no single directive shows: conflicts between directives, and files that can't be used.
+// checkGossip reports conflicts between directives and unusable files, which the parser does not detect.
 func (r *settingsReader) checkGossip(gossip *Gossip) {
 	if gossip.ProbeTimeout >= gossip.ProbeInterval {
 		r.addGossipError("probe-timeout", "must be less than probe-every")
@@ -65,13 +66,13 @@
 		r.addGossipError("advertise", "peers can't reach the unspecified address %s: use an address of this machine", address)
 	}
 	for _, directive := range []string{"key", "authority", "revoked"} {
-		for _, e := range r.document.occurrences(unnamed(sectionGossip), directive) {
+		for _, e := range r.document.occurrences(unnamedKey(sectionGossip), directive) {
 			r.checkGossipFile(e)
 		}
 	}
 }
 
-// checkGossipFile checks that a file exists and that a key is readable by its owner alone.
+// checkGossipFile checks that a file is a regular file and that a key is readable only by its owner.
 func (r *settingsReader) checkGossipFile(e entry) {
 	path := e.values[0].text
 	info, err := os.Stat(path)
@@ -81,13 +82,14 @@
 	case !info.Mode().IsRegular():
 		r.errors.add(e.position, e.directive, "%s is not a regular file", path)
 	case e.directive == "key" && info.Mode().Perm()&^maxKeyMode != 0:
-		r.errors.add(e.position, e.directive, "mode %04o lets others read the key: 0600 is needed", info.Mode().Perm())
+		r.errors.add(e.position, e.directive, "mode %04o allows others to read the key: 0600 is required", info.Mode().Perm())
 	}
 }
 
-// addGossipError adds an error at a directive, or, where its default is in effect, at the section.
+// addGossipError adds an error at the position of a directive, or at the section heading if the directive is not
+// present.
 func (r *settingsReader) addGossipError(directive, format string, args ...any) {
-	key := unnamed(sectionGossip)
+	key := unnamedKey(sectionGossip)
 	position := r.document.sections[key].position
 	if occurrences := r.document.occurrences(key, directive); len(occurrences) > 0 {
 		position = occurrences[0].position
@@ -95,7 +97,7 @@
 	r.errors.add(position, directive, format, args...)
 }
 
-// parseAddress converts an Address, which was checked when the file was parsed.
+// parseAddress converts an Address, which the parser has already validated.
 func parseAddress(text string) netip.AddrPort {
 	address, _ := netip.ParseAddrPort(text)
 	return address
--- a/internal/config/operatorfile/lexer.go
+++ b/internal/config/operatorfile/lexer.go
@@ -12,13 +12,13 @@
 	blanks      = " \t"
 )
 
-// token is one word or expression of a line.
+// token is a word or expression in a line.
 type token struct {
 	text   string
 	column int // of its first byte, from 1
 }
 
-// lexicalError is a line that can't be split into tokens.
+// lexicalError is the error for a line that cannot be split into tokens.
 type lexicalError struct {
 	column int
 	reason string
@@ -26,8 +26,8 @@
 
 func (e *lexicalError) Error() string { return e.reason }
 
-// splitLine splits a line within a kind of section into tokens. Where a directive takes an expression, that is one token,
-// which extends to the end of the line or to a comment outside of its quotes. The error is a *lexicalError.
+// splitLine splits a line of a section into tokens. The expression argument of a directive is a single token that
+// extends to the end of the line or to a comment outside quotes. The error is a *lexicalError.
 func splitLine(section, line string) ([]token, error) {
 	if leading, ok := tokensBeforeExpression(section, line); ok {
 		return splitExpressionLine(line, leading)
@@ -36,8 +36,8 @@
 	return tokens, err
 }
 
-// tokensBeforeExpression returns how many tokens, the directive's name included, precede the expression of a line, and
-// whether its directive takes an expression.
+// tokensBeforeExpression returns the number of tokens before the expression in a line, including the name of the
+// directive, and whether the directive has an expression argument.
 func tokensBeforeExpression(section, line string) (int, bool) {
 	tokens, _, err := splitTokens(line, 1)
 	if err != nil || len(tokens) == 0 || tokens[0].column == 1 {
@@ -51,7 +51,7 @@
 	return i + 1, i >= 0
 }
 
-// splitExpressionLine splits a line into some leading tokens and the expression that follows them.
+// splitExpressionLine splits a line into a number of leading tokens and the expression that follows.
 func splitExpressionLine(line string, leading int) ([]token, error) {
 	tokens, rest, err := splitTokens(line, leading)
 	if err != nil || len(tokens) < leading {
@@ -66,9 +66,9 @@
 	return tokens, nil
 }
 
-// stripComment cuts a comment off an expression.
+// stripComment removes a trailing comment from an expression.
 func stripComment(expression string) string {
-	var quote byte // the quote that is open; 0 if none is
+	var quote byte // the open quote character, or 0
 	for i := 0; i < len(expression); i++ {
 		char := expression[i]
 		switch {
@@ -85,7 +85,7 @@
 	return expression
 }
 
-// splitTokens returns up to maxTokens tokens from the beginning of a line, and the offset of what follows them.
+// splitTokens returns up to maxTokens tokens from the beginning of a line and the offset of the remaining text.
 func splitTokens(line string, maxTokens int) (tokens []token, rest int, err error) {
 	lex := lexer{line: line}
 	for len(tokens) < maxTokens {
@@ -107,7 +107,7 @@
 	offset int // of the next byte
 }
 
-// next returns the next token, and false at the end of the line or at a comment.
+// next returns the next token. It returns false at the end of the line or at a comment.
 func (l *lexer) next() (token, bool, error) {
 	for l.offset < len(l.line) && isBlank(l.line[l.offset]) {
 		l.offset++
@@ -128,7 +128,7 @@
 	}
 }
 
-// quotedToken reads a token in quotes, which a blank, a comment or the end of the line must follow.
+// quotedToken reads a quoted token. A blank, a comment or the end of the line must follow it.
 func (l *lexer) quotedToken() (token, bool, error) {
 	text, length := unquote(l.line[l.offset:])
 	if length == 0 {
@@ -138,12 +138,12 @@
 	if end < len(l.line) && !isBlank(l.line[end]) && l.line[end] != '#' {
 		return token{}, false, l.errorAt(end, "missing blank after a quoted word")
 	}
-	read := token{text, l.offset + 1}
+	tok := token{text, l.offset + 1}
 	l.offset = end
-	return read, true, nil
+	return tok, true, nil
 }
 
-// plainToken reads a token without quotes.
+// plainToken reads an unquoted token.
 func (l *lexer) plainToken() (token, bool, error) {
 	end := l.offset
 	for end < len(l.line) && isPlain(l.line[end]) {
@@ -152,9 +152,9 @@
 	if end < len(l.line) && l.line[end] == '"' {
 		return token{}, false, l.errorAt(end, "missing blank before a quoted word")
 	}
-	read := token{l.line[l.offset:end], l.offset + 1}
+	tok := token{l.line[l.offset:end], l.offset + 1}
 	l.offset = end
-	return read, true, nil
+	return tok, true, nil
 }
 
 func (l *lexer) errorAt(offset int, format string, args ...any) *lexicalError {
@@ -164,13 +164,13 @@
 func isBlank(char byte) bool   { return char == ' ' || char == '\t' }
 func isControl(char byte) bool { return char < ' ' || char == asciiDelete }
 
-// isPlain reports whether a byte may be part of a token without quotes.
+// isPlain reports whether a byte may be part of an unquoted token.
 func isPlain(char byte) bool {
 	return char != ' ' && char != '"' && char != '#' && !isControl(char)
 }
 
-// unquote decodes the quoted token at the beginning of a text and returns its length in bytes with its quotes, 0 if the
-// closing quote is missing. Within quotes, \" and \\ stand for a quote and a backslash.
+// unquote decodes the quoted token at the beginning of text. length is the length of the token in bytes including its
+// quotes, or 0 if the closing quote is missing. Within quotes, \" and \\ represent a quote and a backslash.
 func unquote(text string) (decoded string, length int) {
 	var b strings.Builder
 	for i := 1; i < len(text); i++ {
--- a/internal/config/operatorfile/lexer_internal_test.go
+++ b/internal/config/operatorfile/lexer_internal_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestSplitLine guards against wrong token boundaries, columns and errors, in particular around quotes, comments and
+// expressions.
 func TestSplitLine(t *testing.T) {
 	cases := map[string]struct {
 		section string
--- a/internal/config/operatorfile/parser.go
+++ b/internal/config/operatorfile/parser.go
@@ -1,11 +1,12 @@
-// Package operatorfile reads the operator's file: settings of an installation that the platform's file does not have.
+// Package operatorfile reads the operator's file, which contains the settings of an installation that are not in the
+// platform's file.
 //
-// A section begins with a line at the margin, its heading; its directives follow on indented lines of their own, each with
-// a name and arguments. '#' begins a comment, and "..." quotes a word with blanks, with \" and \\
-// inside. A line "include FILE" at the margin is replaced by the lines of that file. directives.go declares all sections
-// and directives, from which the commented example and the reference page are generated.
+// A section begins with an unindented heading. Its directives follow on indented lines, each with a name and arguments.
+// '#' begins a comment, and "..." quotes a word that contains blanks, with \" and \\ as escapes. An unindented line
+// "include FILE" is replaced by the lines of that file. directives.go declares all sections and directives; the
+// commented example and the reference page are generated from it.
 //
-// Reading reports every error of all files at once, and a file with an error yields no settings at all.
+// Read returns all errors of all files at once. A file with an error yields no settings.
 package operatorfile
 
 import (
@@ -22,20 +23,20 @@
 const (
 	maxFileBytes    = 1 << 20
 	maxIncludeDepth = 16
-	maxFiles        = 64 // read in all, the first included
+	maxFiles        = 64 // total number of files, including the first
 )
 
-// includeDirective is the directive at the margin that reads another file.
+// includeDirective is the unindented directive that includes another file.
 const includeDirective = "include"
 
-// parser reads a file and those that it includes into a document, and collects their errors.
+// parser reads a file and its included files into a document and collects their errors.
 type parser struct {
 	document  *document
 	errors    ParseErrors
 	filesRead int
 }
 
-// parse reads a file and those that it includes. The error is ParseErrors and covers all of them.
+// parse reads a file and its included files. The error has type ParseErrors and contains the errors of all files.
 func parse(path string) (*document, error) {
 	p := parser{document: newDocument()}
 	p.parseFile(path, match.Position{File: path}, "", nil)
@@ -46,8 +47,8 @@
 	return p.document, nil
 }
 
-// parseFile reads a file. position and directive are those of the line that names it, ancestors the files that include
-// it, the outermost first.
+// parseFile reads a file. position and directive describe the line that includes the file, and ancestors are the
+// including files, outermost first.
 func (p *parser) parseFile(path string, position match.Position, directive string, ancestors []string) {
 	if slices.Contains(ancestors, path) {
 		p.errors.add(position, directive, "%s includes itself", path)
@@ -71,7 +72,7 @@
 	}
 }
 
-// readFile reads a regular file of at most maxFileBytes.
+// readFile reads a regular file. It returns an error for a file larger than maxFileBytes.
 func readFile(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return string(text), err
 }
 
-// checkRequired reports sections that lack a required directive, unless an error in such a directive is reported
-// already.
+// checkRequired reports sections without a required directive, unless an error in a directive with this name is already
+// reported.
 func (p *parser) checkRequired() {
 	byHeading := func(a, b sectionKey) int { return strings.Compare(a.String(), b.String()) }
 	keys := slices.SortedFunc(maps.Keys(p.document.sections), byHeading)
@@ -105,7 +106,7 @@
 	}
 }
 
-// hasErrorIn reports whether an error in a directive of this name is reported already.
+// hasErrorIn reports whether there is already an error in a directive with this name.
 func (p *parser) hasErrorIn(directive string) bool {
 	return slices.ContainsFunc(p.errors, func(e ParseError) bool { return e.Directive == directive })
 }
@@ -116,13 +117,14 @@
 	path      string
 	ancestors []string
 
-	// current is the section that directives belong to. It is the zero key before the first heading.
+	// current is the section that contains the following directives, or the zero key before the first heading.
 	current sectionKey
-	// skipping is set after an invalid heading, which is reported: the directives below it belong to no section.
+	// skipping is true after an invalid heading. The heading is reported as an error, and directives below it are
+	// skipped.
 	skipping bool
 }
 
-// parseLine reads a line. position has its file and number, the column is set here.
+// parseLine parses a line. position contains the file and line number; parseLine sets the column.
 func (p *fileParser) parseLine(line string, position match.Position) {
 	tokens, err := splitLine(p.current.kind, line)
 	var lexical *lexicalError
@@ -145,7 +147,7 @@
 	}
 }
 
-// parseInclude reads the file that an include line names.
+// parseInclude parses an include directive and reads the included file.
 func (p *fileParser) parseInclude(tokens []token, position match.Position) {
 	arguments := tokens[1:]
 	if len(arguments) != 1 {
@@ -156,7 +158,7 @@
 	p.parseFile(resolvePath(p.path, arguments[0].text), position, includeDirective, ancestors)
 }
 
-// parseHeading reads the heading of a section, which becomes the current one.
+// parseHeading parses a section heading. The section becomes the current one.
 func (p *fileParser) parseHeading(tokens []token, position match.Position) {
 	kind, arguments := tokens[0].text, tokens[1:]
 	declared, known := lookupSection(kind)
@@ -170,47 +172,47 @@
 		}
 		p.errors.add(position, "", "unknown section %q; directives must be indented%s", kind, suggestion(kind, names))
 	case declared.Named == "":
-		p.beginUnnamed(kind, arguments, position)
+		p.beginUnnamedSection(kind, arguments, position)
 	case len(arguments) != 1:
 		p.errors.add(position, "", "section %s needs a name: %s %s", kind, kind, declared.Named)
 	default:
-		p.beginNamed(kind, arguments[0], position)
+		p.beginNamedSection(kind, arguments[0], position)
 	}
 }
 
-// beginUnnamed begins a section that has no name of its own and may appear once. It becomes the current section even
-// with an error in its heading.
-func (p *fileParser) beginUnnamed(kind string, arguments []token, position match.Position) {
-	key := unnamed(kind)
-	before := p.document.sections[key]
+// beginUnnamedSection begins an unnamed section, which may appear once. It becomes the current section even if its
+// heading is invalid.
+func (p *fileParser) beginUnnamedSection(kind string, arguments []token, position match.Position) {
+	key := unnamedKey(kind)
+	previous := p.document.sections[key]
 	switch {
 	case len(arguments) > 0:
 		position.Column = arguments[0].column
 		p.errors.add(position, "", "section %s takes no arguments", kind)
-	case before != nil:
-		p.errors.add(position, "", "duplicate section %s, first in %s:%d", kind, before.position.File, before.position.Line)
+	case previous != nil:
+		p.errors.add(position, "", "duplicate section %s, first in %s:%d", kind, previous.position.File, previous.position.Line)
 	}
-	p.begin(key, position)
+	p.beginSection(key, position)
 }
 
-// beginNamed begins a section with a name of its own, which must differ from those of its kind before it.
-func (p *fileParser) beginNamed(kind string, name token, position match.Position) {
+// beginNamedSection begins a named section. The name must be unique among sections of its kind.
+func (p *fileParser) beginNamedSection(kind string, name token, position match.Position) {
 	if _, err := (Arg{Type: Identifier}).parse(name, position.File); err != nil {
 		position.Column = name.column
 		p.errors.add(position, "", "section %s: %v", kind, err)
 		return
 	}
 	key := sectionKey{kind: kind, name: name.text}
-	if before := p.document.sections[key]; before != nil {
-		p.errors.add(position, "", "duplicate section %s, first in %s:%d", key, before.position.File, before.position.Line)
+	if previous := p.document.sections[key]; previous != nil {
+		p.errors.add(position, "", "duplicate section %s, first in %s:%d", key, previous.position.File, previous.position.Line)
 	} else {
 		p.document.names[kind] = append(p.document.names[kind], name.text)
 	}
-	p.begin(key, position)
+	p.beginSection(key, position)
 }
 
-// begin makes a section the current one.
-func (p *fileParser) begin(key sectionKey, position match.Position) {
+// beginSection sets the current section. It adds the section to the document, or updates its position if it exists.
+func (p *fileParser) beginSection(key sectionKey, position match.Position) {
 	p.current = key
 	p.skipping = false
 	if s := p.document.sections[key]; s != nil {
@@ -220,11 +222,11 @@
 	p.document.sections[key] = &section{position: position, entries: map[string][]entry{}}
 }
 
-// parseDirective reads a directive of the current section.
+// parseDirective parses a directive of the current section.
 func (p *fileParser) parseDirective(tokens []token, position match.Position) {
 	name := tokens[0].text
 	if p.skipping {
-		return // the heading is reported already
+		return // the heading is already reported
 	}
 	if p.current == (sectionKey{}) {
 		p.errors.add(position, name, "directive outside any section")
@@ -236,8 +238,8 @@
 		return
 	}
 	entries := p.document.sections[p.current].entries
-	if before := entries[name]; len(before) > 0 && !directive.Repeated {
-		p.errors.add(position, name, "duplicate directive, first in %s:%d", before[0].position.File, before[0].position.Line)
+	if previous := entries[name]; len(previous) > 0 && !directive.Repeated {
+		p.errors.add(position, name, "duplicate directive, first in %s:%d", previous[0].position.File, previous[0].position.Line)
 		return
 	}
 	values, ok := p.parseArguments(directive, tokens[1:], position)
@@ -254,13 +256,13 @@
 	p.errors.add(position, name, "unknown directive in section %s%s", p.current.kind, suggestion(name, known))
 }
 
-// parseArguments reads the arguments of a directive and reports whether they are correct.
+// parseArguments parses the arguments of a directive and reports whether they are valid.
 func (p *fileParser) parseArguments(directive Directive, tokens []token, position match.Position) ([]value, bool) {
 	var values []value
 	for i, arg := range directive.Args {
 		if i >= len(tokens) {
 			if !arg.Optional {
-				p.errors.add(position, directive.Name, "missing argument %s: %s", arg.Name, arg.describe())
+				p.errors.add(position, directive.Name, "missing argument %s: %s", arg.Name, arg.validValues())
 				return nil, false
 			}
 			break
--- a/internal/config/operatorfile/rules.go
+++ b/internal/config/operatorfile/rules.go
@@ -5,7 +5,7 @@
 	"calicohill/internal/rules/pools"
 )
 
-// rules returns the rules of the file in order of appearance. Their expressions are checked by Compile.
+// rules returns the rules of the file in order of appearance. Compile validates their expressions.
 func (r *settingsReader) rules() []match.Rule {
 	var rules []match.Rule
 	for _, name := range r.document.names[sectionMatch] {
@@ -62,15 +62,15 @@
 	return definitions
 }
 
-// Compiled is what the sections match, pool and route of an operator's file are compiled to.
+// Compiled is the result of compiling the sections match, pool and route of an operator's file.
 type Compiled struct {
 	Rules    *match.Table
 	Routes   *pools.Core
 	Warnings ParseErrors // directives that are valid but have no effect
 }
 
-// Compile compiles the file's rules for the classes of a site, nil where those are not known, and its pools and routes.
-// The error is ParseErrors; with it only the warnings are returned.
+// Compile compiles the rules, pools and routes of the file. classes are the classes of the site, or nil if they are not
+// known. The error has type ParseErrors; the result then contains only the warnings.
 func (s *Settings) Compile(classes []match.Class) (Compiled, error) {
 	table, ruleErrors := match.Load(s.Rules, classes)
 	routes, routeErrors := pools.Load(s.Pools, s.Routes)
--- a/internal/config/operatorfile/settings.go
+++ b/internal/config/operatorfile/settings.go
@@ -14,56 +14,56 @@
 	formatJSON   = "json"
 )
 
-// Settings is the content of an operator's file.
+// Settings contains the settings of an operator's file.
 type Settings struct {
 	Log    Log
-	State  *State  // nil where the section is missing: no state is saved
-	Gossip *Gossip // nil where the section is missing: gossip is off
+	State  *State  // nil if the section is missing: state is not saved
+	Gossip *Gossip // nil if the section is missing: gossip is disabled
 	Rules  []match.Rule
 	Pools  []pools.Pool
 	Routes []pools.Route
 }
 
-// State is the section state.
+// State contains the settings of the state section.
 type State struct {
-	Snapshot string // file
+	Snapshot string // path of the file
 	Fleet    string
 	MaxAge   time.Duration
 }
 
-// Log is the section log.
+// Log contains the settings of the log section.
 type Log struct {
 	logging.Settings
-	Status string // file; "" if none
+	Status string // path of the file; "" if none
 }
 
-// Gossip is the section gossip.
+// Gossip contains the settings of the gossip section.
 type Gossip struct {
 	Listen                      netip.AddrPort
 	Advertise                   netip.AddrPort
 	Fleet                       string
-	Key                         string   // file
-	Authorities                 []string // files
-	Revoked                     string   // file; "" if none
+	Key                         string   // path of the file
+	Authorities                 []string // paths of the files
+	Revoked                     string   // path of the file; "" if none
 	Seeds                       []netip.AddrPort
 	ProbeInterval               time.Duration
 	ProbeTimeout                time.Duration
 	SuspicionTimeout            time.Duration
-	MaxMessagesPerSecond        int // sent
+	MaxMessagesPerSecond        int // limit on sent messages
 	MaxSignatureChecksPerSecond int
 	ClockSkew                   time.Duration
 	AuthorityOverlap            time.Duration
-	MaxByzantine                int     // -1: the largest number below a third of the members
+	MaxByzantine                int     // -1 means the largest number below a third of the members
 	MaxEjectedFraction          float64 // fraction of the listed workers
 	FaultReportExpiry           time.Duration
 }
 
-// Defaults returns the settings where no file is named.
+// Defaults returns the settings that apply without an operator's file.
 func Defaults() *Settings {
 	return &Settings{Log: Log{Settings: logging.Settings{Level: defaultLevel, Levels: map[string]string{}}}}
 }
 
-// Read reads an operator's file. The error is ParseErrors, each with file, line and column.
+// Read reads an operator's file. The error has type ParseErrors; every error contains file, line and column.
 func Read(path string) (*Settings, error) {
 	parsed, err := parse(path)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return settings, nil
 }
 
-// settingsReader turns a document into Settings and collects errors that concern more than one directive, or the files
-// that directives name.
+// settingsReader converts a document to Settings. It collects errors that involve several directives or the files that
+// directives refer to.
 type settingsReader struct {
 	document *document
 	errors   ParseErrors
@@ -106,7 +106,7 @@
 }
 
 func (r *settingsReader) state() *State {
-	if !r.document.has(sectionState) {
+	if !r.document.hasSection(sectionState) {
 		return nil
 	}
 	return &State{
