--- a/internal/rules/match/table.go
+++ b/internal/rules/match/table.go
@@ -60,20 +60,20 @@
 func (t *Table) Match(request *Request) Result {
 	t.env.fill(request)
 	t.findCandidates()
-	pass := evaluation{table: t, request: request}
+	eval := evaluation{table: t, request: request}
 	for _, i := range t.candidates {
 		r := t.rules[i]
 		r.counts.Tried++
 		// Enforce the cost limit even if an estimate was too low. The remaining rules do not match.
-		if !t.unindexed && pass.result.Cost+r.maxCost > t.costLimit {
-			pass.fail(r, errCostLimit)
+		if !t.unindexed && eval.result.Cost+r.maxCost > t.costLimit {
+			eval.fail(r, errCostLimit)
 			break
 		}
-		if pass.evaluateRule(r) && r.Stop {
+		if eval.evaluateRule(r) && r.Stop {
 			break
 		}
 	}
-	return pass.result
+	return eval.result
 }
 
 // findCandidates stores the rules that can match the request in t.env in t.candidates.
