--- a/internal/runtime/bufferpool/export_test.go
+++ b/internal/runtime/bufferpool/export_test.go
@@ -1,7 +1,7 @@
 package bufferpool
 
-// MaxExcessFree is how many more buffers may be free than are lent.
+// MaxExcessFree is the maximum by which free buffers may outnumber buffers in use.
 const MaxExcessFree = maxExcessFree
 
-// Free returns the buffers that are kept for reuse.
+// Free returns the buffers kept for reuse.
 func (p *Pool) Free() []*Buffer { return p.free }
--- a/internal/runtime/bufferpool/pool.go
+++ b/internal/runtime/bufferpool/pool.go
@@ -1,16 +1,17 @@
-// Package bufferpool lends byte buffers of one size and takes them back for reuse.
+// Package bufferpool provides a bounded pool of reusable byte buffers of a fixed size.
 package bufferpool
 
-// Size is the capacity of every buffer in bytes: the largest body that a request may have.
+// Size is the capacity of each buffer in bytes. It equals the maximum size of a request body.
 const Size = 16 << 10
 
-// maxExcessFree is by how many the free buffers kept may exceed those lent: a burst must not hold its memory for good.
+// maxExcessFree is the maximum by which free buffers may outnumber buffers in use. It makes the pool release memory
+// after a burst.
 const maxExcessFree = 64
 
-// Buffer is a lent buffer. B never grows beyond Size.
+// Buffer is a byte buffer from a Pool. B never grows beyond Size.
 type Buffer struct{ B []byte }
 
-// Append adds bytes and reports whether they fitted. If they don't, nothing is added.
+// Append appends data and returns true. If data does not fit, it appends nothing and returns false.
 func (b *Buffer) Append(data []byte) bool {
 	if len(b.B)+len(data) > Size {
 		return false
@@ -19,17 +20,17 @@
 	return true
 }
 
-// Pool lends buffers, up to a limit on how many are lent at a time. It is not safe for concurrent use.
+// Pool is a pool of buffers with a limit on the number in use at a time. It is not safe for concurrent use.
 type Pool struct {
 	limit int
 	lent  int
-	free  []*Buffer // empty buffers; the last one is lent next
+	free  []*Buffer // empty buffers, used as a stack
 }
 
-// NewPool returns a Pool that lends at most limit buffers at a time.
+// NewPool returns a Pool with at most limit buffers in use at a time.
 func NewPool(limit int) *Pool { return &Pool{limit: limit} }
 
-// Get lends an empty buffer, or returns nil if as many as the limit allows are lent.
+// Get returns an empty buffer, or nil if the limit is reached.
 func (p *Pool) Get() *Buffer {
 	if p.lent >= p.limit {
 		return nil
@@ -43,7 +44,7 @@
 	return &Buffer{B: make([]byte, 0, Size)}
 }
 
-// Put takes a buffer back. It does nothing with nil.
+// Put returns a buffer to the pool. It does nothing if buffer is nil.
 func (p *Pool) Put(buffer *Buffer) {
 	if buffer == nil {
 		return
--- a/internal/runtime/bufferpool/pool_test.go
+++ b/internal/runtime/bufferpool/pool_test.go
@@ -41,11 +41,12 @@
 	pool := bufferpool.NewPool(1)
 	pool.Put(nil)
 	if pool.Get() == nil || pool.Get() != nil {
-		t.Error("putting nil back changes how many buffers are lent")
+		t.Error("Put(nil) changed the number of buffers in use")
 	}
 }
 
-// TestPoolBounds holds a pool to its limit and to the memory that it may keep, and every buffer to be lent once, empty.
+// The pool must respect its limit and the bound on free buffers, return only empty buffers, and never return a buffer
+// that is in use.
 func TestPoolBounds(t *testing.T) {
 	const limit = 200
 	rapid.Check(t, func(rt *rapid.T) {
@@ -55,13 +56,13 @@
 			for range rapid.IntRange(0, limit+10).Draw(rt, "gets") {
 				buffer := pool.Get()
 				if (buffer == nil) != (len(lent) == limit) {
-					rt.Fatalf("Get() = %v with %d lent", buffer, len(lent))
+					rt.Fatalf("Get() = %v with %d buffers in use", buffer, len(lent))
 				}
 				if buffer == nil {
 					break
 				}
 				if len(buffer.B) != 0 {
-					rt.Fatalf("a lent buffer holds %d bytes", len(buffer.B))
+					rt.Fatalf("Get() returned a buffer with %d bytes", len(buffer.B))
 				}
 				buffer.Append([]byte("used"))
 				lent = append(lent, buffer)
@@ -70,13 +71,13 @@
 				pool.Put(lent[len(lent)-1])
 				lent = lent[:len(lent)-1]
 				if len(pool.Free()) > limit+bufferpool.MaxExcessFree {
-					rt.Fatalf("%d buffers are kept", len(pool.Free()))
+					rt.Fatalf("%d buffers are free", len(pool.Free()))
 				}
 			}
 			seen := map[*bufferpool.Buffer]bool{}
 			for _, buffer := range append(append([]*bufferpool.Buffer{}, lent...), pool.Free()...) {
 				if seen[buffer] {
-					rt.Fatal("a buffer is lent or free twice")
+					rt.Fatal("a buffer is in use or free twice")
 				}
 				seen[buffer] = true
 			}
@@ -84,7 +85,7 @@
 	})
 }
 
-// TestBurstReleasesMemory returns a large burst: only some of its buffers are kept.
+// The pool must not keep all buffers of a large burst.
 func TestBurstReleasesMemory(t *testing.T) {
 	const burst = 10 * bufferpool.MaxExcessFree
 	pool := bufferpool.NewPool(burst)
@@ -95,8 +96,8 @@
 	for _, buffer := range lent {
 		pool.Put(buffer)
 	}
-	// Buffers are kept until the free ones exceed those still lent by MaxExcessFree, which is halfway through.
+	// Buffers are kept until the free ones outnumber those in use by MaxExcessFree, about halfway through.
 	if got, want := len(pool.Free()), (burst+bufferpool.MaxExcessFree)/2; got != want {
-		t.Errorf("%d buffers are kept of %d, want %d", got, burst, want)
+		t.Errorf("%d of %d buffers are kept, want %d", got, burst, want)
 	}
 }
--- a/internal/runtime/deadline/timer_queue.go
+++ b/internal/runtime/deadline/timer_queue.go
@@ -1,4 +1,4 @@
-// Package deadline keeps all timers of the event loop in one priority queue, ordered by the time at which they are due.
+// Package deadline implements the timer queue of the event loop, a priority queue ordered by due time.
 package deadline
 
 import (
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Timer is one timer. It belongs to whoever waits for it and may be started and stopped any number of times. The zero
-// Timer, with Fire set, is ready for use.
+// Timer is a timer that may be started and stopped any number of times. It is owned by the caller of Queue.Set. A zero
+// Timer with Fire set is ready to use.
 type Timer struct {
-	// Fire is called once the timer is due. It is no longer queued then, so that Fire may start it again.
+	// Fire is called when the timer is due. The timer is removed from the queue before, so Fire may start it again.
 	Fire func()
 
 	at       time.Duration
-	sequence uint64 // number of the call of Set that started it; the order among timers due at one time
-	position int    // index in the heap plus 1; 0 means not queued
+	sequence uint64 // number of the Set call that started it; orders timers with the same due time
+	position int    // index in the heap plus 1; 0 if not queued
 }
 
-// Queue orders timers by the time at which they are due, and those of one time by when they were set. The zero Queue is
-// empty. It is not safe for concurrent use.
+// Queue orders timers by due time, and timers with the same due time by the order of their Set calls. The zero Queue is
+// empty and ready to use. It is not safe for concurrent use.
 type Queue struct {
 	timers   timerHeap
-	sequence uint64 // calls of Set so far
+	sequence uint64 // number of Set calls so far
 }
 
-// Set queues a timer for a time, or moves it there if it is queued already.
+// Set queues a timer with a due time, or changes the due time of a queued timer.
 func (q *Queue) Set(timer *Timer, at time.Duration) {
 	q.sequence++
 	timer.at = at
@@ -37,14 +37,14 @@
 	heap.Push(&q.timers, timer)
 }
 
-// Remove takes a timer out of the queue. It does nothing if the timer is not queued.
+// Remove removes a timer from the queue. It does nothing if the timer is not queued.
 func (q *Queue) Remove(timer *Timer) {
 	if timer.position > 0 {
 		heap.Remove(&q.timers, timer.position-1)
 	}
 }
 
-// Next returns the time at which the earliest timer is due, and whether there is one.
+// Next returns the due time of the earliest timer, and whether any timer is queued.
 func (q *Queue) Next() (time.Duration, bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -52,7 +52,7 @@
 	return q.timers[0].at, true
 }
 
-// PopDue takes out the earliest timer and returns it if it is due, and returns nil otherwise.
+// PopDue removes and returns the earliest timer if it is due by now, and returns nil otherwise.
 func (q *Queue) PopDue(now time.Duration) *Timer {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return nil
@@ -62,7 +62,7 @@
 	return earliest
 }
 
-// timerHeap implements heap.Interface and keeps the position of each timer up to date.
+// timerHeap implements heap.Interface and maintains the position of each timer.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -80,11 +80,11 @@
 	h[j].position = j + 1
 }
 
-// Push is called by container/heap alone, with what Queue.Set gives it.
+// Push implements heap.Interface. x must be a *Timer.
 func (h *timerHeap) Push(x any) {
 	timer, ok := x.(*Timer)
 	if !ok {
-		panic(fmt.Sprintf("deadline: a %T is no timer", x))
+		panic(fmt.Sprintf("deadline: pushed a %T, want *Timer", x))
 	}
 	*h = append(*h, timer)
 	timer.position = len(*h)
--- a/internal/runtime/deadline/timer_queue_test.go
+++ b/internal/runtime/deadline/timer_queue_test.go
@@ -14,10 +14,10 @@
 func TestEmptyQueue(t *testing.T) {
 	var queue deadline.Queue
 	if at, ok := queue.Next(); ok {
-		t.Errorf("an empty queue has a timer at %v", at)
+		t.Errorf("Next() = %v for an empty queue", at)
 	}
 	if timer := queue.PopDue(time.Hour); timer != nil {
-		t.Errorf("an empty queue pops %v", timer)
+		t.Errorf("PopDue returned %v from an empty queue", timer)
 	}
 	queue.Remove(&deadline.Timer{}) // not queued: does nothing
 }
@@ -27,17 +27,17 @@
 	timer := &deadline.Timer{}
 	queue.Set(timer, 10)
 	if got := queue.PopDue(9); got != nil {
-		t.Error("a timer is popped before it is due")
+		t.Error("PopDue returned a timer before it was due")
 	}
 	if got := queue.PopDue(10); got != timer {
-		t.Error("a timer is not popped when it is due")
+		t.Error("PopDue did not return a timer that was due")
 	}
 	if got := queue.PopDue(10); got != nil {
-		t.Error("a timer is popped twice")
+		t.Error("PopDue returned a timer twice")
 	}
 }
 
-// queued is a timer of the model: when it is due, and the number of the call that set it.
+// queued is a timer in the reference model, with its due time and the step at which it was set.
 type queued struct {
 	timer    *deadline.Timer
 	at       time.Duration
@@ -48,7 +48,7 @@
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 }
 
-// TestQueueAgainstSortedList plays random calls on a queue and on a sorted list.
+// The queue must behave like a sorted list under any sequence of calls.
 func TestQueueAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var queue deadline.Queue
--- a/internal/runtime/eventloop/accept.go
+++ b/internal/runtime/eventloop/accept.go
@@ -14,42 +14,43 @@
 )
 
 const (
-	// minAcceptBackoff and maxAcceptBackoff bound the pause after an accept that failed; it doubles with each failure in a
-	// row, and half of it is drawn at random.
+	// minAcceptBackoff and maxAcceptBackoff bound the backoff after a failed accept. It doubles with each consecutive
+	// failure, and half of it is random jitter.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 160 * time.Millisecond
-	// closeDelay is how long no connection must have come after CloseListener until the listener is closed: those that the
-	// system had accepted by then may carry requests. maxCloseDelay is how long that may go on.
+	// closeDelay is how long no connection must be accepted, after CloseListener, before the listener is closed.
+	// Connections in the kernel's backlog may carry requests and have to be accepted first. maxCloseDelay bounds the
+	// total delay.
 	closeDelay    = 5 * time.Millisecond
 	maxCloseDelay = time.Second
 )
 
-// Listener accepts connections; it is a net.TCPListener in the program.
+// Listener accepts connections. Outside of tests it is a *net.TCPListener.
 type Listener interface {
 	// Accept waits for the next connection.
 	Accept() (net.Conn, error)
-	// SetDeadline has Accept fail with os.ErrDeadlineExceeded from a time on.
+	// SetDeadline makes Accept fail with os.ErrDeadlineExceeded from the given time on.
 	SetDeadline(at time.Time) error
-	// Close has Accept fail with net.ErrClosed.
+	// Close makes Accept fail with net.ErrClosed.
 	Close() error
 }
 
-// acceptor accepts the connections of a Loop on a goroutine of its own and hands them to the loop, one after the other.
+// acceptor accepts connections on its own goroutine and registers them with the Loop one at a time.
 //
-// gnet could accept as well, but ends its event loop, and with it every open request, when accept fails for want of
-// descriptors or memory (EMFILE, ENFILE, ENOBUFS, ENOMEM). Here accepting is tried again after a pause; connections wait in
-// the backlog of the system meanwhile, and what is open goes on.
+// gnet's own acceptor is not used because it stops the event loop, and with it every open request, when accept fails
+// for lack of descriptors or memory (EMFILE, ENFILE, ENOBUFS, ENOMEM). This acceptor retries after a backoff. Meanwhile
+// new connections wait in the kernel's backlog, and open connections are served.
 type acceptor struct {
 	listener Listener
-	adopt    func(net.Conn) error // hands a connection to the loop, and waits until it has it
-	failed   func(error)          // is told of each accept that fails
+	adopt    func(net.Conn) error // registers a connection with the loop and waits for the result
+	failed   func(error)          // called for each failed accept
 
-	accepted bool      // a connection has come since the deadline was last set; run's
-	closing  time.Time // when the listener was first due to be closed; run's
+	accepted bool      // a connection was accepted since the deadline was last set; used only by run
+	closing  time.Time // when the first close deadline expired; used only by run
 
-	stop     chan struct{} // closed to end a pause
+	stop     chan struct{} // closed by close to interrupt a backoff
 	stopOnce sync.Once
-	ended    chan struct{} // closed when run has returned
+	ended    chan struct{} // closed when run returns
 }
 
 func newAcceptor(listener Listener, adopt func(net.Conn) error, failed func(error)) *acceptor {
@@ -62,8 +63,9 @@
 	}
 }
 
-// listenTCP listens at an address. With SO_REUSEADDR, which net sets, connections of the previous process that have not
-// quite ended don't keep a restart from listening; SO_REUSEPORT is for a previous process that has not quite ended itself.
+// listenTCP listens on a TCP address. SO_REUSEADDR, set by package net, lets a restarted process listen while
+// connections of the previous one are still closing. SO_REUSEPORT lets it listen while the previous process itself is
+// still exiting.
 func listenTCP(addr string) (Listener, error) {
 	config := net.ListenConfig{
 		KeepAlive: -1,
@@ -86,7 +88,7 @@
 	return tcp, nil
 }
 
-// run accepts connections until the listener is closed.
+// run accepts connections until the listener is closed or its close deadline expires.
 func (a *acceptor) run() {
 	defer close(a.ended)
 	defer func() { _ = a.listener.Close() }()
@@ -114,8 +116,9 @@
 	}
 }
 
-// mayGoOn reports whether more connections may wait though the listener is due to be closed: handing over one takes time, and
-// after a stall many have come.
+// mayGoOn is called when the close deadline has expired. It extends the deadline and returns true if connections were
+// accepted since it was set, because more may be waiting: registering one takes time, and many may queue up during a
+// stall.
 func (a *acceptor) mayGoOn() bool {
 	now := time.Now()
 	if a.closing.IsZero() {
@@ -128,7 +131,7 @@
 	return a.listener.SetDeadline(now.Add(closeDelay)) == nil
 }
 
-// hasEnded reports whether the listener is closed and all that it had accepted was handed over.
+// hasEnded reports whether the listener is closed and all accepted connections have been registered.
 func (a *acceptor) hasEnded() bool {
 	select {
 	case <-a.ended:
@@ -138,7 +141,7 @@
 	}
 }
 
-// pause waits for about a time, and returns false if accepting has to end.
+// pause waits for 50 to 100 percent of backoff. It returns false if the acceptor is closed meanwhile.
 func (a *acceptor) pause(backoff time.Duration) bool {
 	timer := time.NewTimer(backoff/2 + rand.N(backoff/2+1))
 	defer timer.Stop()
@@ -150,17 +153,17 @@
 	}
 }
 
-// closeSoon has the listener closed once what waits in its backlog is accepted. Connections that are only begun from now on
-// are not answered by the system, so that none is established and then reset.
+// closeSoon makes run close the listener after accepting the connections in its backlog. New connection attempts are
+// ignored from now on, so that none is established and then reset.
 func (a *acceptor) closeSoon() {
 	if tcp, ok := a.listener.(syscall.Conn); ok {
 		ignoreSegments(tcp)
 	}
-	_ = a.listener.SetDeadline(time.Now().Add(closeDelay)) // fails only if it is closed already
+	_ = a.listener.SetDeadline(time.Now().Add(closeDelay)) // fails only if the listener is closed already
 }
 
-// ignoreSegments has the system drop whatever arrives for a listening socket, by a socket filter that accepts no byte. Where
-// the platform has none, connections that are established in the moment of the close are reset.
+// ignoreSegments attaches a socket filter to a listening socket that drops all incoming segments. On a platform without
+// socket filters, connections established just before the close are reset.
 func ignoreSegments(socket syscall.Conn) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -173,15 +176,15 @@
 	})
 }
 
-// close closes the listener and waits for the end of run.
+// close closes the listener and waits until run has returned.
 func (a *acceptor) close() {
 	a.stopOnce.Do(func() { close(a.stop) })
 	_ = a.listener.Close()
 	<-a.ended
 }
 
-// adopt registers a connection that was accepted with the loop and waits until that is done, so that connections are
-// accepted no faster than the loop takes them.
+// adopt registers an accepted connection with the loop and waits until that is done, so that connections are accepted
+// no faster than the loop can register them.
 func (l *Loop) adopt(conn net.Conn) error {
 	registered, err := l.gnetLoop.Enroll(context.Background(), conn)
 	if err != nil {
@@ -191,15 +194,16 @@
 	return (<-registered).Err
 }
 
-// acceptFailed reports on the loop that an accept failed.
+// acceptFailed calls AcceptFailed on the loop.
 func (l *Loop) acceptFailed(err error) {
 	if l.AcceptFailed != nil {
 		l.Post(func() { l.AcceptFailed(err) })
 	}
 }
 
-// CloseListener has no further connections accepted, but for those that wait already. It must be called on the loop.
+// CloseListener closes the listener after the connections in its backlog have been accepted. It must be called on the
+// loop. ListenerClosed reports when that is done.
 func (l *Loop) CloseListener() { l.acceptor.closeSoon() }
 
-// ListenerClosed reports whether no further connection will be accepted.
+// ListenerClosed reports whether the listener is closed and all accepted connections have been registered.
 func (l *Loop) ListenerClosed() bool { return l.acceptor.hasEnded() }
--- a/internal/runtime/eventloop/accept_test.go
+++ b/internal/runtime/eventloop/accept_test.go
@@ -15,7 +15,7 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// failingListener is a listener whose accepts fail while it has an error.
+// failingListener is a listener whose Accept fails while an error is set.
 type failingListener struct {
 	eventloop.Listener
 	err atomic.Pointer[error]
@@ -26,14 +26,14 @@
 		return nil, *err
 	}
 	conn, err := l.Listener.Accept()
-	if failure := l.err.Load(); err == nil && failure != nil { // it waited since before
+	if failure := l.err.Load(); err == nil && failure != nil { // the error was set while Accept waited
 		conn.Close()
 		return nil, *failure
 	}
 	return conn, err
 }
 
-// setError has accepts fail with an error of the system call; nil ends that.
+// setError makes Accept fail with err as the error of the system call, or succeed again if err is nil.
 func (l *failingListener) setError(err error) {
 	if err == nil {
 		l.err.Store(nil)
@@ -43,12 +43,12 @@
 	l.err.Store(&failure)
 }
 
-// quietEcho is an echo that notes no close.
+// quietEcho is an echo that does not report the end of a connection.
 type quietEcho struct{ echo }
 
 func (quietEcho) Closed(gnet.Conn, error) {}
 
-// exchange sends a line on a connection and expects it back.
+// exchange sends a line on a connection and checks that it is echoed.
 func exchange(t *testing.T, conn net.Conn) {
 	t.Helper()
 	const line = "hello\n"
@@ -64,8 +64,8 @@
 	}
 }
 
-// Whatever an accept fails with, open connections are served and accepting goes on, with pauses in between. What connected
-// meanwhile is served afterwards.
+// A failed accept, with whatever error, must not stop the loop: open connections stay served, accepting is retried, and
+// connections established meanwhile are served once accepting succeeds.
 func TestAcceptErrors(t *testing.T) {
 	for _, failure := range []error{
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, errors.New("unknown"),
@@ -85,7 +85,7 @@
 			open := dial(t, addr)
 			exchange(t, open)
 			listener.setError(failure)
-			nudge := dial(t, addr) // ends the accept that waits
+			nudge := dial(t, addr) // unblocks the pending Accept
 			nudge.Close()
 			for range 4 {
 				if err := receive(t, failures); !errors.Is(err, failure) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// While accepts keep failing there are few of them: the pauses grow.
+// Accept must not be retried in a busy loop while it keeps failing: the backoff grows.
 func TestAcceptBackoff(t *testing.T) {
 	loop := eventloop.New()
 	listener := &failingListener{}
@@ -115,17 +115,17 @@
 	loop.AcceptFailed = func(error) { failures <- time.Now() }
 	startLoop(t, loop, quietEcho{})
 	first := receive(t, failures)
-	const more = 7 // pauses of at least half of 5, 10, ... 160, 160 ms
+	const more = 7 // each backoff is at least half of 5, 10, ... 160, 160 ms
 	last := first
 	for range more {
 		last = receive(t, failures)
 	}
 	if took := last.Sub(first); took < 235*time.Millisecond {
-		t.Errorf("%d accepts in a row failed within %v", more, took)
+		t.Errorf("%d consecutive accepts failed within %v", more, took)
 	}
 }
 
-// Once the listener is to be closed, what has connected before is served, and nobody can connect any more.
+// After CloseListener, established connections must stay served and new ones must be refused.
 func TestCloseListener(t *testing.T) {
 	loop := eventloop.New()
 	addr := startLoop(t, loop, quietEcho{})
@@ -142,20 +142,20 @@
 			conn.Close()
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("still listens")
+			t.Fatal("the listener is still open")
 		}
 	}
 	exchange(t, before)
 }
 
-// However many connections wait when the listener is to be closed, and however long it takes to hand them over, all are
-// served.
+// All connections in the backlog at the time of CloseListener must be served, however many there are and however long
+// their registration takes.
 func TestCloseListenerWithBacklog(t *testing.T) {
 	const clients = 100
 	loop := eventloop.New()
 	block := make(chan struct{})
 	addr := startLoop(t, loop, quietEcho{})
-	loop.Post(func() { <-block }) // a stall: connections wait to be accepted, or handed over
+	loop.Post(func() { <-block }) // a stall: connections wait to be accepted or registered
 	var waiting []net.Conn
 	for range clients {
 		waiting = append(waiting, dial(t, addr))
--- a/internal/runtime/eventloop/event_loop.go
+++ b/internal/runtime/eventloop/event_loop.go
@@ -1,7 +1,7 @@
 // Package eventloop runs the program's single event loop on top of gnet.
 //
-// All state of the program is owned by the loop's goroutine: connection events, expired timers and functions posted by
-// other goroutines are called there one after another, so that their code needs no locks.
+// The loop's goroutine owns all state of the program. Connection events, expired timers and functions posted by other
+// goroutines run there one at a time, so that their code needs no locks.
 package eventloop
 
 import (
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxStallThreshold is the stall threshold of a Loop where nothing asks for a shorter one.
+// MaxStallThreshold is the default stall threshold of a Loop, and the longest sensible one.
 const MaxStallThreshold = 300 * time.Millisecond
 
 // ConnHandler handles the events of one connection. All of its methods are called on the loop.
@@ -36,35 +36,34 @@
 type Loop struct {
 	gnet.BuiltinEventEngine
 
-	// Accept returns the handler of an incoming connection; nil rejects the connection.
+	// Accept returns the handler of an incoming connection, or nil to reject the connection.
 	Accept func(c gnet.Conn) ConnHandler
-	// Listen listens at the address that Run is given. New sets it to listen for TCP connections.
+	// Listen creates the listener for the address passed to Run. New sets it to listen for TCP connections.
 	Listen func(addr string) (Listener, error)
-	// AcceptFailed, if set, is called on the loop for each accept that failed; accepting goes on after a pause.
+	// AcceptFailed, if set, is called on the loop for each failed accept. Accepting resumes after a backoff.
 	AcceptFailed func(err error)
 	// Started is called on the loop before any other callback.
 	Started func()
 	// Logger receives gnet's own log.
 	Logger logging.Logger
-	// Stalled, if set, is called before all other callbacks when the loop did not run for more than StallThreshold
-	// although a timer was due: the process was stopped, or had no processor.
+	// Stalled, if set, is called before all other callbacks when the loop runs more than StallThreshold after a timer
+	// was due. That happens when the process was stopped or got no CPU time.
 	Stalled func()
-	// StallThreshold is how late a timer must be for the loop to count as stalled. New sets MaxStallThreshold, the
-	// longest sensible value.
+	// StallThreshold is how late a timer must be for the loop to count as stalled. New sets it to MaxStallThreshold.
 	StallThreshold time.Duration
 
 	acceptor  *acceptor
 	stop      chan struct{} // closed to end Run
 	stopOnce  sync.Once
 	stopped   chan struct{}  // closed when Run has ended
-	startTime time.Time      // carries the monotonic clock reading that Now is measured from
-	startUnix time.Duration  // startTime since the Unix epoch
+	startTime time.Time      // with the monotonic clock reading from which Now measures
+	startUnix time.Duration  // startTime as the time since the Unix epoch
 	gnetLoop  gnet.EventLoop // nil until the first connection is opened; see enrollSelf
 
 	timers      deadline.Queue
 	wakeup      *time.Timer   // wakes the loop for the earliest timer
-	wakeupAt    time.Duration // what wakeup is set for; 0 means not set
-	firePending bool          // fireDueTimers has been posted and has not run yet
+	wakeupAt    time.Duration // when wakeup expires; 0 if it is not set
+	firePending bool          // fireDueTimers is posted and has not run yet
 }
 
 // New returns a Loop whose clock starts now.
@@ -80,8 +79,8 @@
 	}
 }
 
-// UnreadFor returns how long ago the latest bytes of a connection arrived, while they wait to be read; 0 if that is not
-// known. After a stall it is the delay that the loop has to make up for.
+// UnreadFor returns the time since the latest bytes of a connection were received by the kernel, or 0 if it is unknown.
+// For bytes that are not read yet, it is the delay added by the loop, for example by a stall.
 func UnreadFor(c gnet.Conn) time.Duration {
 	info, err := unix.GetsockoptTCPInfo(c.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
@@ -90,7 +89,7 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond
 }
 
-// Now returns the time since the Unix epoch. It advances monotonically, even if the system's clock is set meanwhile.
+// Now returns the time since the Unix epoch. It advances monotonically, even if the system clock is changed meanwhile.
 func (l *Loop) Now() time.Duration { return l.startUnix + time.Since(l.startTime) }
 
 // Run listens on a TCP address and serves until Stop is called.
@@ -101,7 +100,7 @@
 		return fmt.Errorf("event loop: %w", err)
 	}
 	l.acceptor = newAcceptor(listener, l.adopt, l.acceptFailed)
-	// A gnet client is an engine that accepts nothing itself.
+	// A gnet client runs an event loop without accepting connections itself.
 	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithLogger(l.Logger))
 	if err == nil {
 		err = client.Start()
@@ -123,17 +122,17 @@
 	return nil
 }
 
-// Stop ends Run and waits for its end. It is safe to call from any goroutine but the loop's.
+// Stop ends Run and waits until it has returned. It may be called from any goroutine except the loop's.
 func (l *Loop) Stop() error {
 	l.stopOnce.Do(func() { close(l.stop) })
 	<-l.stopped
 	return nil
 }
 
-// Post schedules a function to be called on the loop, after the callback that is running there. It is safe for
-// concurrent use. Once the loop has stopped, the function is dropped.
+// Post schedules fn to be called on the loop, after the callback that is running there. It is safe for concurrent use.
+// After the loop has stopped, fn is dropped.
 func (l *Loop) Post(fn func()) {
-	// The only error is that the engine has stopped, and then nothing needs to be called.
+	// Execute fails only if the engine has stopped, and then fn is no longer needed.
 	_ = l.gnetLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		l.beginTurn()
 		fn()
@@ -142,8 +141,8 @@
 	}))
 }
 
-// Dial connects in the background, so that the loop never waits for it, and hands the connection to handler.Opened. If
-// no connection is established within the timeout, failed is called on the loop with the error instead.
+// Dial connects in the background, so that the loop never blocks, and then calls handler.Opened on the loop. If no
+// connection is established within the timeout, it calls failed on the loop with the error instead.
 func (l *Loop) Dial(addr string, timeout time.Duration, handler ConnHandler, failed func(error)) {
 	go func() {
 		if err := l.dialAndEnroll(addr, timeout, handler); err != nil {
@@ -152,7 +151,7 @@
 	}()
 }
 
-// dialAndEnroll connects, registers the connection with the loop and waits until that is done.
+// dialAndEnroll connects, registers the connection with the loop and waits for the result.
 func (l *Loop) dialAndEnroll(addr string, timeout time.Duration, handler ConnHandler) error {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/runtime/eventloop/event_loop_test.go
+++ b/internal/runtime/eventloop/event_loop_test.go
@@ -16,7 +16,7 @@
 
 const testTimeout = 10 * time.Second
 
-// echo sends back what it receives.
+// echo sends back the bytes that it receives, and reports the end of the connection on a channel.
 type echo struct{ closed chan struct{} }
 
 func (echo) Opened(gnet.Conn) {}
@@ -32,8 +32,8 @@
 
 func (e echo) Closed(gnet.Conn, error) { e.closed <- struct{}{} }
 
-// startLoop runs a loop on a free port of the loopback interface until the test ends and returns its address. Incoming
-// connections get the handler, and none is accepted if it is nil.
+// startLoop runs a loop on a free port of the loopback interface until the test ends, and returns its address. The
+// handler serves all incoming connections; if it is nil, they are rejected.
 func startLoop(t *testing.T, loop *eventloop.Loop, handler eventloop.ConnHandler) string {
 	t.Helper()
 	addr := freeAddr(t)
@@ -57,7 +57,7 @@
 	return addr
 }
 
-// freeAddr returns an address of the loopback interface that nothing listens at.
+// freeAddr returns a loopback address on which no socket listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 	return listener.Addr().String()
 }
 
-// receive waits for a value, or for the channel to be closed.
+// receive waits for a value or the close of the channel, and fails the test after testTimeout.
 func receive[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
@@ -80,6 +80,7 @@
 	}
 }
 
+// A timer must not fire before it is due, out of order, or after it was stopped.
 func TestTimersFireInOrder(t *testing.T) {
 	loop := eventloop.New()
 	startLoop(t, loop, nil)
@@ -97,7 +98,7 @@
 			due := start + timer.after
 			loop.SetDeadline(&deadline.Timer{Fire: func() {
 				if loop.Now() < due {
-					t.Errorf("%s fires before it is due", timer.name)
+					t.Errorf("timer %q fired before it was due", timer.name)
 				}
 				fired <- timer.name
 			}}, due)
@@ -112,6 +113,7 @@
 	}
 }
 
+// Posted functions must run in the order in which they were posted, and none may be lost.
 func TestPostKeepsOrder(t *testing.T) {
 	loop := eventloop.New()
 	startLoop(t, loop, nil)
@@ -124,11 +126,11 @@
 	loop.Post(func() { close(done) })
 	receive(t, done)
 	if len(order) != calls || !slices.IsSorted(order) {
-		t.Errorf("called in the order %v", order)
+		t.Errorf("functions were called in the order %v", order)
 	}
 }
 
-// dial connects to an address. What is read or written on the connection has to be done within testTimeout.
+// dial connects to an address. Reads and writes on the connection fail after testTimeout.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -165,6 +167,7 @@
 	}
 }
 
+// A failed dial must be reported to the caller.
 func TestFailedDial(t *testing.T) {
 	loop := eventloop.New()
 	startLoop(t, loop, nil)
@@ -172,10 +175,11 @@
 	handler := echo{closed: make(chan struct{}, 1)}
 	loop.Dial(freeAddr(t), testTimeout, handler, func(err error) { failed <- err })
 	if err := receive(t, failed); err == nil {
-		t.Error("no error from an address that nothing listens at")
+		t.Error("no error from an address without a listener")
 	}
 }
 
+// After a stall, Stalled must be called before the overdue timers fire.
 func TestStallIsReportedBeforeTimers(t *testing.T) {
 	loop := eventloop.New()
 	loop.StallThreshold = 20 * time.Millisecond
--- a/internal/runtime/eventloop/gnet_events.go
+++ b/internal/runtime/eventloop/gnet_events.go
@@ -6,9 +6,9 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// enrollSelf registers a UDP socket, whose connection gives OnOpen access to gnet's event loop: gnet reveals it only to a
-// connection. The socket is closed at once: nothing is ever sent or read there. A pair of Unix sockets would need no
-// address, but the platform knows TCP and UDP alone.
+// enrollSelf registers a UDP socket with gnet, so that OnOpen is called and can obtain gnet's event loop, which gnet
+// exposes only through a connection. No data is exchanged, and the socket is closed as soon as it is open. A pair of
+// Unix sockets would need no address, but the platform supports only TCP and UDP.
 func enrollSelf(client *gnet.Client, listenAddr string) error {
 	conn, err := net.Dial("udp", listenAddr)
 	if err != nil {
@@ -18,15 +18,15 @@
 	return err
 }
 
-// selfHandler handles the socket that enrollSelf registers.
+// selfHandler handles the socket registered by enrollSelf.
 type selfHandler struct{}
 
 func (selfHandler) Opened(c gnet.Conn)       { _ = c.Close() }
 func (selfHandler) Readable(gnet.Conn) error { return nil }
 func (selfHandler) Closed(gnet.Conn, error)  {}
 
-// OnOpen implements gnet.EventHandler. The first connection, the one of enrollSelf, gives access to gnet's event loop, and
-// the program is started on it. A connection that was accepted gets its handler from Accept.
+// OnOpen implements gnet.EventHandler. The first connection, opened by enrollSelf, provides gnet's event loop, on which
+// Started is then called. Accept returns the handler of an incoming connection.
 func (l *Loop) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	if l.gnetLoop == nil {
 		l.gnetLoop = conn.EventLoop()
@@ -47,7 +47,7 @@
 	return nil, gnet.None
 }
 
-// OnTraffic implements gnet.EventHandler. It passes received bytes on to the connection's handler.
+// OnTraffic implements gnet.EventHandler. It notifies the connection's handler that bytes have been received.
 func (l *Loop) OnTraffic(conn gnet.Conn) gnet.Action {
 	l.beginTurn()
 	handler, ok := conn.Context().(ConnHandler)
@@ -62,7 +62,7 @@
 	return gnet.None
 }
 
-// OnClose implements gnet.EventHandler. It notifies the connection's handler.
+// OnClose implements gnet.EventHandler. It notifies the connection's handler that the connection has ended.
 func (l *Loop) OnClose(conn gnet.Conn, err error) gnet.Action {
 	if handler, ok := conn.Context().(ConnHandler); ok {
 		handler.Closed(conn, err)
--- a/internal/runtime/eventloop/timers.go
+++ b/internal/runtime/eventloop/timers.go
@@ -6,7 +6,7 @@
 	"calicohill/internal/runtime/deadline"
 )
 
-// initialWakeup is what the wakeup timer is created with; endTurn resets it as soon as there is a timer.
+// initialWakeup is the duration with which the wakeup timer is created. endTurn resets it once a timer is set.
 const initialWakeup = time.Hour
 
 // SetDeadline starts a timer, or moves it if it is running. It must be called on the loop.
@@ -15,7 +15,8 @@
 // ClearDeadline stops a timer. It must be called on the loop.
 func (l *Loop) ClearDeadline(timer *deadline.Timer) { l.timers.Remove(timer) }
 
-// beginTurn starts a turn of the loop by checking for a stall: a wakeup that was due long ago has not come yet.
+// beginTurn runs before each callback. It detects a stall, in which the wakeup timer is overdue by more than
+// StallThreshold.
 func (l *Loop) beginTurn() {
 	if l.wakeupAt > 0 && l.Stalled != nil && l.Now() > l.wakeupAt+l.StallThreshold {
 		l.wakeupAt = 0
@@ -23,10 +24,11 @@
 	}
 }
 
-// endTurn ends a turn of the loop: it schedules the timers that are due, or the wakeup for the earliest one.
+// endTurn runs after each callback. It posts fireDueTimers if a timer is due, and otherwise sets the wakeup timer for
+// the earliest one.
 //
-// Due timers fire only after the connections that have something to read in this pass: after a stall, a response may have
-// arrived that is not read yet, and its timer would report a timeout.
+// Due timers fire only after the loop has read from all connections that are ready in this iteration. Otherwise, after
+// a stall, a request would time out although its response has arrived and is merely not read yet.
 func (l *Loop) endTurn() {
 	earliest, ok := l.timers.Next()
 	if !ok || l.firePending {
@@ -44,7 +46,8 @@
 	}
 }
 
-// startWakeupTimer creates the wakeup timer. It is first set so far ahead that only endTurn decides when it expires.
+// startWakeupTimer creates the wakeup timer. Until endTurn sets it, it is due so late that it never expires in
+// practice.
 func (l *Loop) startWakeupTimer() {
 	l.wakeup = time.AfterFunc(initialWakeup, func() {
 		l.Post(func() {
@@ -54,7 +57,7 @@
 	})
 }
 
-// fireDueTimers calls the timers that are due, the earliest first.
+// fireDueTimers fires the timers that are due, earliest first.
 func (l *Loop) fireDueTimers() {
 	l.firePending = false
 	now := l.Now()
--- a/internal/runtime/localfault/localfault.go
+++ b/internal/runtime/localfault/localfault.go
@@ -1,5 +1,5 @@
-// Package localfault tells errors of system calls that are a fault of this machine from those that say something of the
-// other end of a connection.
+// Package localfault classifies errors of system calls, to distinguish faults of the local host from faults of the
+// remote end of a connection.
 package localfault
 
 import (
@@ -8,17 +8,17 @@
 	"syscall"
 )
 
-// Kind says what a system call failed for.
+// Kind is the kind of local fault behind an error.
 type Kind int
 
-// The kinds.
+// The kinds of local faults.
 const (
-	None     Kind = iota // not for a fault of this machine
-	Resource             // descriptors, memory or buffers are used up for now: whatever the address
-	Route                // no local address or no route for now: perhaps for this address alone
+	None     Kind = iota // not a local fault
+	Resource             // descriptors, memory or buffers are exhausted, which affects all addresses
+	Route                // no local address or no route, which may affect only the address in question
 )
 
-// resourceErrors and routeErrors are the errors of each kind that accept, socket and connect return.
+// resourceErrors and routeErrors list the errors of each kind that accept, socket and connect may return.
 var (
 	resourceErrors = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
@@ -26,7 +26,7 @@
 	routeErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN}
 )
 
-// KindOf returns what an error, which may wrap that of a system call, was for.
+// KindOf returns the kind of local fault that caused err, or None. err may wrap the error of the system call.
 func KindOf(err error) Kind {
 	var errno syscall.Errno
 	switch {
--- a/internal/runtime/localfault/localfault_test.go
+++ b/internal/runtime/localfault/localfault_test.go
@@ -11,6 +11,7 @@
 	"calicohill/internal/runtime/localfault"
 )
 
+// A wrapped error of a system call must be attributed to the local host only if the host caused it.
 func TestKindOf(t *testing.T) {
 	for err, want := range map[error]localfault.Kind{
 		syscall.EMFILE:        localfault.Resource,
--- a/internal/runtime/logging/loggers.go
+++ b/internal/runtime/logging/loggers.go
@@ -1,5 +1,5 @@
-// Package logging writes the program's log with logrus. Each line names the component of the program that wrote it, and
-// the level of each component can be changed while the program runs.
+// Package logging writes the program's log with logrus. Each line names the component that wrote it, and each component
+// has a level that can be changed at run time.
 package logging
 
 import (
@@ -11,25 +11,25 @@
 
 const (
 	timeFormat     = "2006-01-02T15:04:05.000Z07:00"
-	componentField = "part" // field of a line that names the component
+	componentField = "part" // key of the component in a log line
 )
 
-// Components lists the components of the program that log lines name and whose level can be set separately.
+// Components lists the components of the program. Each has its own logger and level.
 var Components = []string{"scheduler", "agent", "bulletin", "clients", "gossip", "routing", "rules"}
 
-// Settings says how lines are formatted and which are written.
+// Settings configures the format and the levels of the log.
 type Settings struct {
-	JSON   bool              // one JSON object a line; otherwise name=value pairs
-	Level  string            // of components that Levels does not list
+	JSON   bool              // write one JSON object per line instead of key=value pairs
+	Level  string            // default level, for components not listed in Levels
 	Levels map[string]string // level by component
 }
 
-// Loggers holds the loggers of all components of the program. Its methods are safe for concurrent use once New has returned.
+// Loggers holds the loggers of all components. Its methods are safe for concurrent use.
 type Loggers struct {
 	byComponent map[string]*logrus.Logger
 }
 
-// New returns loggers for Components that all write to out. The error is that of Apply.
+// New returns loggers for all Components that write to out. It returns an error if Apply rejects the settings.
 func New(out io.Writer, settings Settings) (*Loggers, error) {
 	loggers := &Loggers{byComponent: map[string]*logrus.Logger{}}
 	for _, component := range Components {
@@ -40,8 +40,8 @@
 	return loggers, loggers.Apply(settings)
 }
 
-// Apply sets the format and the levels of all components. It returns an error for a level that logrus does not know; the
-// components reached before it have their new level then.
+// Apply sets the format and the level of each component. It returns an error for a level that logrus does not define;
+// some components may have their new format and level by then.
 func (l *Loggers) Apply(settings Settings) error {
 	format := newFormatter(settings.JSON)
 	for component, logger := range l.byComponent {
@@ -66,8 +66,8 @@
 	return &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timeFormat}
 }
 
-// Component returns the logger of one of Components. It panics for any other name, which is a programming error that
-// every test that starts the program finds.
+// Component returns the logger of a component. It panics if the name is not in Components, which is a programming error
+// that every test of the whole program detects.
 func (l *Loggers) Component(name string) *logrus.Entry {
 	logger := l.byComponent[name]
 	if logger == nil {
--- a/internal/runtime/logging/logging_test.go
+++ b/internal/runtime/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"calicohill/internal/runtime/logging"
 )
 
-// line is the fields of a JSON log line that the tests compare.
+// line contains the fields of a JSON log line that the tests compare.
 type line struct {
 	Level   string `json:"level"`
 	Message string `json:"msg"`
@@ -29,7 +29,7 @@
 	return loggers
 }
 
-// readLines decodes and removes the JSON lines written so far.
+// readLines decodes the JSON lines written so far and removes them from out.
 func readLines(t *testing.T, out *bytes.Buffer) []line {
 	t.Helper()
 	var lines []line
@@ -44,17 +44,18 @@
 	return lines
 }
 
+// A component's own level must override the default level, and only for that component.
 func TestLevels(t *testing.T) {
 	own := map[string]string{"gossip": "debug"}
 	cases := map[string]struct {
 		settings logging.Settings
 		part     string
-		written  bool // an info line
+		written  bool // whether an info line is written
 	}{
-		"common level":           {logging.Settings{JSON: true, Level: "info"}, "agent", true},
-		"below the common level": {logging.Settings{JSON: true, Level: "warning"}, "agent", false},
-		"level of the part":      {logging.Settings{JSON: true, Level: "warning", Levels: own}, "gossip", true},
-		"level of another part":  {logging.Settings{JSON: true, Level: "warning", Levels: own}, "agent", false},
+		"default level":              {logging.Settings{JSON: true, Level: "info"}, "agent", true},
+		"below the default level":    {logging.Settings{JSON: true, Level: "warning"}, "agent", false},
+		"level of the component":     {logging.Settings{JSON: true, Level: "warning", Levels: own}, "gossip", true},
+		"level of another component": {logging.Settings{JSON: true, Level: "warning", Levels: own}, "agent", false},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -74,6 +75,7 @@
 	}
 }
 
+// Apply must change the format and level of loggers that are already in use.
 func TestApplyChangesRunningLoggers(t *testing.T) {
 	var out bytes.Buffer
 	loggers := newLoggers(t, &out, logging.Settings{Level: "warning"})
@@ -101,12 +103,13 @@
 	}
 }
 
+// An unknown component must panic rather than log without a configured level.
 func TestUnknownPart(t *testing.T) {
 	var out bytes.Buffer
 	loggers := newLoggers(t, &out, logging.Settings{Level: "info"})
 	defer func() {
 		if recover() == nil {
-			t.Error("an unknown part has a logger")
+			t.Error("Component returned a logger for an unknown component")
 		}
 	}()
 	loggers.Component("nobody")
@@ -122,7 +125,7 @@
 	}{
 		{0, "a", nil},
 		{time.Millisecond, "a", nil},
-		{time.Millisecond, "b", errors.New("broken")}, // another message has a limit of its own
+		{time.Millisecond, "b", errors.New("broken")}, // each message is limited separately
 		{time.Second - 1, "a", nil},
 		{time.Second, "a", nil},
 		{2 * time.Second, "a", nil},
--- a/internal/runtime/logging/rate_limited.go
+++ b/internal/runtime/logging/rate_limited.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	repeatInterval  = time.Second // how often RateLimited writes the same message
-	suppressedField = "more"      // field of a line that counts the messages suppressed before it
+	repeatInterval  = time.Second // minimum interval between two lines with the same message
+	suppressedField = "more"      // key of the number of suppressed lines
 )
 
-// RateLimited writes each message once a second at most and counts those that it suppresses. Messages must not contain
-// what a peer sends, since every distinct message is remembered. It is not safe for concurrent use.
+// RateLimited writes each message at most once per second and counts the suppressed repetitions. It keeps an entry for
+// every distinct message, so a message must not contain data received from a peer. It is not safe for concurrent use.
 type RateLimited struct {
 	Log     logrus.FieldLogger
 	written map[string]repeats // by message
 }
 
-// repeats is what is remembered of a message.
+// repeats is the rate limiting state of one message.
 type repeats struct {
 	writtenAt  time.Duration
-	suppressed int // since writtenAt
+	suppressed int // repetitions since writtenAt
 }
 
-// Warn writes a warning, with the number of equal ones suppressed since the last as "more" and the error if there is
-// one. now is the time of the event loop.
+// Warn writes a warning, unless the same message was written less than repeatInterval ago. The line carries the number
+// of repetitions suppressed since the last one as "more", and err unless it is nil. now is the time of the event loop.
 func (r *RateLimited) Warn(now time.Duration, message string, err error) {
 	last, seen := r.written[message]
 	if seen && now-last.writtenAt < repeatInterval {
--- a/internal/runtime/slotmap/table.go
+++ b/internal/runtime/slotmap/table.go
@@ -1,18 +1,17 @@
-// Package slotmap is a generational slot map: it stores values in numbered slots that are reused. A reference carries the
-// generation of its slot, so that one kept beyond the removal of its value finds nothing rather than the slot's next
-// value.
+// Package slotmap implements a generational slot map. It stores values in numbered slots that are reused. A reference
+// contains the generation of its slot, so that a stale reference finds nothing rather than the next value in the slot.
 package slotmap
 
-// slotShift is the position of the slot's index in a Ref; the generation is in the bits below.
+// slotShift is the bit position of the slot index in a Ref. The bits below contain the generation.
 const slotShift = 32
 
 // Ref refers to a value of a Table. The zero Ref refers to nothing.
 type Ref uint64
 
-// Table holds values by Ref. The zero Table is empty and ready for use. It is not safe for concurrent use.
+// Table maps Refs to values. The zero Table is empty and ready to use. It is not safe for concurrent use.
 type Table[T any] struct {
 	slots []slot[T]
-	free  []uint32 // indexes of empty slots; the last one is used next
+	free  []uint32 // indexes of empty slots, used as a stack
 	size  int
 }
 
@@ -27,7 +26,7 @@
 	index := t.takeSlot()
 	s := &t.slots[index]
 	s.generation++
-	if s.generation == 0 { // wrapped around: Ref 0 must stay unused
+	if s.generation == 0 { // overflow; generation 0 is skipped because the zero Ref is invalid
 		s.generation = 1
 	}
 	s.value = value
@@ -36,7 +35,7 @@
 	return Ref(index)<<slotShift | Ref(s.generation)
 }
 
-// takeSlot returns the index of an empty slot, a new one where none is free.
+// takeSlot returns the index of an empty slot, and adds a slot if none is empty.
 func (t *Table[T]) takeSlot() uint32 {
 	if n := len(t.free); n > 0 {
 		index := t.free[n-1]
@@ -47,7 +46,7 @@
 	return uint32(len(t.slots) - 1)
 }
 
-// Get returns the value of a Ref, and whether it is still stored.
+// Get returns the value of a Ref and whether it is still stored.
 func (t *Table[T]) Get(ref Ref) (T, bool) {
 	if s := t.find(ref); s != nil {
 		return s.value, true
@@ -56,7 +55,7 @@
 	return zero, false
 }
 
-// Remove removes the value of a Ref. A stale Ref removes nothing.
+// Remove removes the value of a Ref. It does nothing if the Ref is stale.
 func (t *Table[T]) Remove(ref Ref) {
 	s := t.find(ref)
 	if s == nil {
@@ -72,7 +71,7 @@
 // Len returns the number of values stored.
 func (t *Table[T]) Len() int { return t.size }
 
-// find returns the slot that a Ref refers to, or nil if its value has been removed.
+// find returns the slot of a Ref, or nil if the Ref is stale or zero.
 func (t *Table[T]) find(ref Ref) *slot[T] {
 	index := uint64(ref >> slotShift)
 	if index >= uint64(len(t.slots)) {
--- a/internal/runtime/slotmap/table_test.go
+++ b/internal/runtime/slotmap/table_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// A reference kept beyond the removal of its value finds nothing, however often its slot has been reused.
+// A stale reference must never find a value, however often its slot has been reused.
 func TestStaleRefs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var table slotmap.Table[int]
@@ -20,7 +20,7 @@
 			if len(stored) == 0 || rapid.Bool().Draw(rt, "insert") {
 				ref := table.Insert(i)
 				if _, taken := stored[ref]; taken {
-					rt.Fatalf("%v is given out twice", ref)
+					rt.Fatalf("Insert returned %v twice", ref)
 				}
 				stored[ref] = i
 				continue
@@ -33,7 +33,7 @@
 		}
 		for _, ref := range stale {
 			if value, ok := table.Get(ref); ok {
-				rt.Fatalf("%v, which was removed, refers to %d", ref, value)
+				rt.Fatalf("stale %v refers to %d", ref, value)
 			}
 		}
 		for ref, want := range stored {
