--- a/example/agent.go
+++ b/example/agent.go
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// maxBodyBytes is the longest body of a request that the agent accepts.
+// maxBodyBytes is the maximum size of a request body accepted by the agent.
 const maxBodyBytes = 16 << 10
 
 const lineEnd = "\r\n"
 
-// runAgent serves the connections that a listener accepts.
+// runAgent accepts connections and serves each on its own goroutine.
 func runAgent(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -32,8 +32,8 @@
 	}
 }
 
-// serveConnection answers the commands on a connection until it ends: go ID FIELDS LENGTH, halt ID, stat TAG and ping
-// TAG. The error is io.EOF if the peer has closed it.
+// serveConnection answers the commands on a connection until the connection ends. The commands are go ID FIELDS LENGTH,
+// halt ID, stat TAG and ping TAG. It returns io.EOF if the peer has closed the connection.
 func serveConnection(conn net.Conn) error {
 	reader := bufio.NewReader(conn)
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// answerCommand answers one command. The body of a request is read behind its line.
+// answerCommand answers one command. The body of a request follows its line.
 func answerCommand(w io.Writer, reader io.Reader, line string) error {
 	words := strings.Fields(line)
 	var command string
@@ -61,9 +61,9 @@
 		_, err := fmt.Fprintf(w, "%s UP l=util:0.10 0\r\n\r\n", words[1])
 		return err
 	case command == "halt" && len(words) == 2:
-		return nil // the request has been answered already
+		return nil // nothing to cancel: the request has been answered already
 	default:
-		return fmt.Errorf("command %q", line)
+		return fmt.Errorf("unknown or malformed command %q", line)
 	}
 }
 
@@ -71,13 +71,13 @@
 func answerRequest(w io.Writer, reader io.Reader, id, fields, length string) error {
 	size, err := strconv.Atoi(length)
 	if err != nil || size < 0 || size > maxBodyBytes {
-		return fmt.Errorf("length %q", length)
+		return fmt.Errorf("invalid body length %q: expected 0 to %d", length, maxBodyBytes)
 	}
 	body := make([]byte, size+len(lineEnd))
 	if _, err := io.ReadFull(reader, body); err != nil {
 		return err
 	}
-	log.Printf("agent: request %s, %s, %d bytes", id, fields, size)
+	log.Printf("agent: echoing request %s (%s, %d bytes)", id, fields, size)
 	_, err = fmt.Fprintf(w, "%s OK depth=0,l=util:0.10 %d\r\n%s", id, size, body)
 	return err
 }
--- a/example/endpointlist.go
+++ b/example/endpointlist.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxPollTimeout bounds how long a poll is held.
+// maxPollTimeout is the maximum time for which a poll is held.
 const maxPollTimeout = 5 * time.Second
 
-// endpointListHandler serves long polls of an endpoint list with the one agent. The first poll gets the list; nothing
-// ever changes after it, so that later ones are held for as long as they ask and get an empty answer.
+// endpointListHandler serves long polls of an endpoint list that contains a single agent. The first poll receives the
+// list. The list never changes, so later polls are held until their timeout and receive an empty response.
 func endpointListHandler(agentAddress string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.FormValue("after") == "0" {
@@ -19,7 +19,7 @@
 				{"uid":"toy","endpoint":%q,"az":"here","model":"std","state":"SERVING","boot_ms":0}]}}]}`, agentAddress)
 			return
 		}
-		// A poll without a valid timeout is answered at once.
+		// A poll without a valid timeout is answered immediately.
 		timeoutMillis, _ := strconv.Atoi(r.FormValue("patience"))
 		timeout := time.Duration(min(timeoutMillis, int(maxPollTimeout.Milliseconds()))) * time.Millisecond
 		select {
--- a/example/main.go
+++ b/example/main.go
@@ -1,6 +1,5 @@
-// Command toy lets a newcomer try calicohill. One process stands in for both services that a scheduler needs: the
-// endpoint list service ("bulletin"), which lists a single node agent, and that agent, which answers each request with
-// its own body.
+// Command toy is an example environment for calicohill. It implements both services that a scheduler needs: an endpoint
+// list service ("bulletin") with a single node agent, and the node agent, which echoes the body of each request.
 package main
 
 import (
@@ -11,8 +10,8 @@
 )
 
 func main() {
-	agentAddress := flag.String("agent", "127.0.0.1:5060", "`address` of the agent")
-	endpointListAddress := flag.String("bulletin", "127.0.0.1:4222", "`address` of the bulletin")
+	agentAddress := flag.String("agent", "127.0.0.1:5060", "listen `address` of the node agent")
+	endpointListAddress := flag.String("bulletin", "127.0.0.1:4222", "listen `address` of the endpoint list service")
 	flag.Parse()
 	listener, err := net.Listen("tcp", *agentAddress)
 	if err != nil {
@@ -20,6 +19,6 @@
 	}
 	go runAgent(listener)
 	http.HandleFunc("GET /bulletins", endpointListHandler(*agentAddress))
-	log.Printf("agent at %s, bulletin at %s", *agentAddress, *endpointListAddress)
+	log.Printf("node agent listening on %s, endpoint list service on %s", *agentAddress, *endpointListAddress)
 	log.Fatal(http.ListenAndServe(*endpointListAddress, nil))
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -1,4 +1,4 @@
-// Package internal_test holds the packages to the layers of docs/ARCHITECTURE.md.
+// Package internal_test checks the imports of all packages against the layers of docs/ARCHITECTURE.md.
 package internal_test
 
 import (
@@ -13,7 +13,7 @@
 
 const module = "calicohill/"
 
-// layers are the path prefixes of each layer, the highest first. A package imports its own layer and those below it.
+// layers lists the path prefixes of each layer, the highest first. A package may import its own and lower layers.
 var layers = [][]string{
 	{"cmd/", "example"},
 	{"internal/testbed/experiment"},
@@ -34,7 +34,7 @@
 	{"internal/runtime/", "internal/stats/"},
 }
 
-// layerOf returns the layer whose longest prefix matches a package path, or -1 for a package outside the table.
+// layerOf returns the layer with the longest prefix that matches a package path, or -1 if none matches.
 func layerOf(path string) int {
 	layer, longest := -1, 0
 	for i, prefixes := range layers {
@@ -47,6 +47,7 @@
 	return layer
 }
 
+// A package must not import a package of a higher layer, and each package must belong to a layer.
 func TestImportsPointDown(t *testing.T) {
 	root := ".."
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -70,7 +71,7 @@
 	}
 }
 
-// checkImports reports the imports of one source file that point at a layer above its own.
+// checkImports reports the imports of a source file that belong to a higher layer than the file itself.
 func checkImports(t *testing.T, root, path string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
@@ -85,7 +86,7 @@
 	}
 	own := layerOf(importer)
 	if own < 0 {
-		t.Errorf("%s: package %q is in no layer of docs/ARCHITECTURE.md", path, importer)
+		t.Errorf("%s: package %q belongs to no layer of docs/ARCHITECTURE.md", path, importer)
 	}
 	for _, spec := range file.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -11,7 +11,7 @@
 // bufferSize is the size of the decoder's and the encoder's buffer, in bytes.
 const bufferSize = 1 << 16
 
-// The messages that frame a batch.
+// Messages that structure a batch.
 const (
 	messageRound          = "round"
 	messageTargetInstance = "target_instance"
@@ -25,17 +25,17 @@
 	errUnknownMessage = errors.New("unknown message")
 )
 
-// Decoder reads batches.
+// Decoder decodes batches from an input stream.
 type Decoder struct {
 	reader *bufio.Reader
-	line   int // number of the line that was read last
+	line   int // number of the last line read
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: bufio.NewReaderSize(r, bufferSize)} }
 
-// Next returns the next batch. It returns io.EOF when the input ends between batches, and a SyntaxError for a line that
-// is malformed.
+// Next returns the next batch. It returns io.EOF if the input ends between batches, and a SyntaxError for a malformed
+// line.
 func (d *Decoder) Next() (*Batch, error) {
 	batch, err := d.readRound()
 	if err != nil {
@@ -61,15 +61,15 @@
 	}
 }
 
-// batchReader fills a batch with the lines after its first.
+// batchReader decodes the lines of a batch after the first one.
 type batchReader struct {
 	decoder     *Decoder
 	batch       *Batch
-	instance    int // that the next event is for
+	instance    int // instance of the following events
 	hasInstance bool
 }
 
-// add reads a line into the batch and reports whether the line ended it.
+// add adds the message of a line to the batch and reports whether the line ended the batch.
 func (r *batchReader) add(line *fields) (ended bool, err error) {
 	switch {
 	case line.name == messageFlush:
@@ -87,7 +87,7 @@
 	return false, err
 }
 
-// readRound reads the first line of a batch.
+// readRound decodes the first line of a batch.
 func (d *Decoder) readRound() (*Batch, error) {
 	line, err := d.readLine()
 	if err != nil {
@@ -109,7 +109,7 @@
 	return batch, nil
 }
 
-// readItem returns the item that begins with a line. Only an endpoint list has further lines.
+// readItem decodes the item that starts at a line. Only an endpoint list has more than one line.
 func (d *Decoder) readItem(line *fields) (Item, error) {
 	switch line.name {
 	case "power_on":
@@ -127,7 +127,7 @@
 	return Item{Event: event}, line.end()
 }
 
-// readLine returns the next line without its end, and io.EOF at the end of the input.
+// readLine returns the next line without its newline, or io.EOF at the end of the input.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -141,7 +141,7 @@
 	return strings.TrimSuffix(line, "\n"), nil
 }
 
-// syntaxError returns an error about the line that was read last, or err itself if it names a line.
+// syntaxError returns a SyntaxError for the last line read, or err itself if it contains a SyntaxError already.
 func (d *Decoder) syntaxError(message string, err error) error {
 	var syntax *SyntaxError
 	if errors.As(err, &syntax) {
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -14,6 +14,7 @@
 
 const millisecond = time.Millisecond
 
+// Each message must be decoded with its values in the right fields and units.
 func TestDecode(t *testing.T) {
 	for _, tt := range []struct {
 		line string
@@ -68,6 +69,7 @@
 	}
 }
 
+// For any input, a syntax error must name its line, and each item must be exactly one of start, stop and event.
 func FuzzDecode(f *testing.F) {
 	f.Add("round\t5\t1\ntarget_instance\t3\ncall\tt/a\t0\t-\tm-f\t240.5\t-\t384\t2\t900\t3\nflush\n")
 	f.Add("round\t5\t1\ntarget_instance\t3\nview\t0\t3\t1\nm\t1.5\t1\tw\t1\t2\t3\t6100\nflush\n")
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -10,22 +10,22 @@
 	"calicohill/routing"
 )
 
-// Encoder writes replies. Write errors are reported by Flush.
+// Encoder encodes replies. Flush reports write errors.
 type Encoder struct{ writer *bufio.Writer }
 
 // NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{writer: bufio.NewWriterSize(w, bufferSize)} }
 
-// Instance names the instance that the actions after it belong to.
+// Instance writes the number of the instance to which the following actions belong.
 func (e *Encoder) Instance(number int) { e.writeLine("instance", strconv.Itoa(number)) }
 
-// singleLine replaces the characters that a value must not contain.
+// singleLine replaces characters that are not allowed in a value by blanks.
 var singleLine = strings.NewReplacer("\n", " ", separator, " ", "\r", " ")
 
-// InstanceFailed reports that an instance has failed and takes no more events.
+// InstanceFailed reports that the instance has failed and processes no more events.
 func (e *Encoder) InstanceFailed(reason string) { e.writeLine("give_in", singleLine.Replace(reason)) }
 
-// Action writes one action. The error is about an action that the protocol has no message for.
+// Action writes one action. It returns an error for an action without a message in the protocol.
 func (e *Encoder) Action(action routing.Action) error {
 	switch action := action.(type) {
 	case routing.Send:
@@ -49,18 +49,18 @@
 	case routing.FetchList:
 		e.writeLine("resolve")
 	default:
-		return fmt.Errorf("wire: no message for action %T", action)
+		return fmt.Errorf("simwire: no message for action type %T", action)
 	}
 	return nil
 }
 
-// Flush ends the reply to the batch with a number, and sends it. It returns the first error of any write.
+// Flush ends and sends the reply to the batch with the given number. It returns the first write error.
 func (e *Encoder) Flush(number string) error {
 	e.writeLine("ok", number)
 	return e.writer.Flush()
 }
 
-// writeLine writes values with their separators. bufio.Writer keeps the first write error for Flush to return.
+// writeLine writes values separated by tabs. bufio.Writer keeps the first write error, and Flush returns it.
 func (e *Encoder) writeLine(values ...string) {
 	_, _ = e.writer.WriteString(strings.Join(values, separator))
 	_ = e.writer.WriteByte('\n')
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -9,6 +9,7 @@
 	"calicohill/routing"
 )
 
+// Each action must be encoded as the simulator expects it.
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	encoder := simwire.NewEncoder(&out)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,12 +8,12 @@
 	"calicohill/routing"
 )
 
-// unknownCount is the value of a figure that a line or a load report lacks.
+// unknownCount is the value of a metric that is missing from a line or a load report.
 const unknownCount = -1
 
-// eventParsers has the parser of each message that is an event on one line. A parser reads the values in the order of the
-// line: where it returns a composite literal, the order of the fields in it is that order, since Go evaluates the calls in a
-// literal from left to right.
+// eventParsers maps the name of each single-line event message to its parser. A parser must read the values in the
+// order of the line. In a composite literal, the fields must therefore be listed in that order, because Go evaluates
+// the calls in a literal from left to right.
 var eventParsers = map[string]func(*fields) routing.Event{
 	"call":       parseRequest,
 	"first":      parseStreamStarted,
@@ -25,7 +25,7 @@
 	"datagram":   parsePeerMessage,
 }
 
-// parseInstanceStart reads a seed, and the settings in JSON, which take the rest of the line.
+// parseInstanceStart parses a seed followed by the settings as JSON, which extend to the end of the line.
 func parseInstanceStart(f *fields) (Item, error) {
 	seed := f.unsigned()
 	text := f.rest()
@@ -36,7 +36,7 @@
 	return Item{Start: &InstanceStart{Seed: seed, Settings: settings.Settings}}, err
 }
 
-// retryFlag is set in the flags of a request that its client has marked as a retry.
+// retryFlag is the flag of a request that the client has marked as a retry.
 const retryFlag = 2
 
 func parseRequest(f *fields) routing.Event {
@@ -63,8 +63,8 @@
 	}
 }
 
-// startInfoRadix separates the two values of the number that an answer carries: the remainder is the start type,
-// the quotient the number of other requests for the function at the worker.
+// startInfoRadix separates the two values encoded in the start information of a response. The remainder is the start
+// type, and the quotient is the number of other requests in flight for the function at the worker.
 const startInfoRadix = 8
 
 func parseAttemptEnded(f *fields) routing.Event {
@@ -126,10 +126,10 @@
 	return event
 }
 
-// readWorkerList reads the head of an endpoint list, and the entries on the lines after it.
+// readWorkerList decodes the first line of an endpoint list and the entries on the following lines.
 func (d *Decoder) readWorkerList(head *fields) (Item, error) {
 	kind := head.integer()
-	head.integer() // the list's version
+	head.integer() // list version, not used
 	count := head.integer()
 	if kind < 0 || kind > int(routing.ListFailed) {
 		head.fail(fmt.Sprintf("form %d: expected 0 to 3", kind))
@@ -156,7 +156,7 @@
 	return Item{Event: list}, nil
 }
 
-// parseWorker reads an entry of an endpoint list.
+// parseWorker parses one entry of an endpoint list.
 func parseWorker(entry *fields) routing.Worker {
 	if entry.name != "m" {
 		entry.fail("expected a list entry m")
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -13,38 +13,39 @@
 
 const (
 	separator = "\t"
-	absent    = "-" // stands for a value that is absent
+	absent    = "-" // denotes an absent value
 )
 
-// fields parses the values of a line one by one and keeps the first error. After an error the values are meaningless.
+// fields parses the values of a line one at a time and keeps the first error. Values returned after an error are
+// meaningless.
 type fields struct {
-	name  string // first value of the line, the message
-	left  string // values that have not been parsed
-	more  bool   // whether there are any
-	count int    // of values parsed
+	name  string // message name, the first value of the line
+	left  string // values not parsed yet
+	more  bool   // whether left contains values
+	count int    // number of values parsed
 	err   error
 }
 
-// splitLine separates the name of a line's message from its values.
+// splitLine separates the message name of a line from the values.
 func splitLine(line string) *fields {
 	f := &fields{}
 	f.name, f.left, f.more = strings.Cut(line, separator)
 	return f
 }
 
-// fail records an error, unless there has been one.
+// fail records an error, unless one is recorded already.
 func (f *fields) fail(what string) {
 	if f.err == nil {
 		f.err = errors.New(what)
 	}
 }
 
-// failValue records that the value parsed last is not what was expected.
+// failValue records that the last value parsed is invalid.
 func (f *fields) failValue(value, expected string) {
 	f.fail(fmt.Sprintf("value %d: %q: expected %s", f.count, value, expected))
 }
 
-// failMissing records that the line has too few values.
+// failMissing records that the next value is missing.
 func (f *fields) failMissing() { f.fail(fmt.Sprintf("value %d is missing", f.count+1)) }
 
 // next returns the next value.
@@ -59,7 +60,7 @@
 	return value
 }
 
-// rest returns all values that have not been parsed, with their separators.
+// rest returns all values not parsed yet, including separators.
 func (f *fields) rest() string {
 	if !f.more {
 		f.failMissing()
@@ -68,7 +69,7 @@
 	return f.left
 }
 
-// end returns the first error; values that have not been parsed are one.
+// end returns the first error. Values not parsed yet count as an error.
 func (f *fields) end() error {
 	if f.err == nil && f.more {
 		f.fail(fmt.Sprintf("more than the %d values expected", f.count))
@@ -76,7 +77,7 @@
 	return f.err
 }
 
-// text returns a value that must not be empty.
+// text returns the next value, which must not be empty.
 func (f *fields) text() string {
 	value := f.next()
 	if value == "" {
@@ -96,7 +97,7 @@
 
 func (f *fields) integer() int { return f.parseInteger(f.next()) }
 
-// optionalInteger returns 0 for an absent value.
+// optionalInteger returns the next value as an integer, or 0 if it is absent.
 func (f *fields) optionalInteger() int {
 	value := f.next()
 	if value == absent {
@@ -113,7 +114,7 @@
 	return number
 }
 
-// optionalNumber returns a default for an absent value.
+// optionalNumber returns the next value as a number, or defaultNumber if it is absent.
 func (f *fields) optionalNumber(defaultNumber float64) float64 {
 	value := f.next()
 	if value == absent {
@@ -132,10 +133,10 @@
 	return number
 }
 
-// millis returns a time that is given in milliseconds.
+// millis returns the next value, in milliseconds, as a duration.
 func (f *fields) millis() time.Duration { return fromMillis(f.parseNumber(f.next())) }
 
-// optionalMillis returns 0 for an absent value.
+// optionalMillis returns the next value, in milliseconds, as a duration, or 0 if it is absent.
 func (f *fields) optionalMillis() time.Duration { return fromMillis(f.optionalNumber(0)) }
 
 func (f *fields) boolean() bool {
@@ -167,8 +168,8 @@
 	return outcome
 }
 
-// loadReport returns a worker's load report; nil if the value is absent or empty. Figures that are not known here are
-// skipped, and those that the report lacks are unknownCount.
+// loadReport returns the next value as the load report of a worker, or nil if it is absent or empty. Unknown metrics
+// are skipped. Metrics missing from the report are set to unknownCount.
 func (f *fields) loadReport() *routing.LoadReport {
 	value := f.next()
 	if value == absent || value == "" {
@@ -210,12 +211,12 @@
 	}
 }
 
-// fromMillis converts milliseconds to a time, rounded to a nanosecond.
+// fromMillis converts milliseconds to a duration, rounded to a nanosecond.
 func fromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-// toMillis formats a time in milliseconds, exactly.
+// toMillis formats a duration in milliseconds, without rounding.
 func toMillis(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
--- a/internal/simwire/fuzz_test.go
+++ b/internal/simwire/fuzz_test.go
@@ -11,7 +11,7 @@
 	"calicohill/internal/simwire"
 )
 
-// FuzzDecoder feeds the decoder any bytes: it gives batches, the end, or an error that names the line.
+// For any input, the decoder must return batches, io.EOF, or an error that names the line.
 func FuzzDecoder(f *testing.F) {
 	recorded, err := os.ReadFile("../../cmd/simadapter/testdata/batches.txt")
 	if err != nil {
@@ -31,7 +31,7 @@
 			}
 			if err != nil {
 				if !named.MatchString(err.Error()) {
-					t.Errorf("error %q names no line", err)
+					t.Errorf("error %q does not name a line", err)
 				}
 				return
 			}
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -1,9 +1,10 @@
-// Package simwire is the line protocol by which the simulator drives routers. It translates the simulator's lines to
-// events of package routing, and actions to lines, and decides nothing.
+// Package simwire implements the line protocol between the simulator and the routers. It decodes the simulator's lines
+// into events of package routing and encodes actions as lines. It makes no decisions.
 //
-// The simulator sends batches: a line "round" with the time and a number, lines with events, "target_instance" lines
-// that say which router the events after them are for, and "flush". The values of a line are separated by tabs, and a
-// dash stands for one that is absent. A reply has the actions of each router in the same form, and ends with "ok".
+// The simulator sends batches. A batch consists of a "round" line with the time and a batch number, lines with events,
+// "target_instance" lines that select the router for the events after them, and a "flush" line. The values of a line
+// are separated by tabs, and a dash denotes an absent value. A reply contains the actions of each router in the same
+// format and ends with an "ok" line.
 package simwire
 
 import (
@@ -13,7 +14,7 @@
 	"calicohill/routing"
 )
 
-// InstanceStart has what a router is created with.
+// InstanceStart contains the parameters for creating a router.
 type InstanceStart struct {
 	Seed     uint64
 	Settings routing.Settings
@@ -21,30 +22,30 @@
 
 // Item is one message of a batch, for one instance. Exactly one of Start, Stop and Event is set.
 type Item struct {
-	Instance int            // number of the router
-	Start    *InstanceStart // the router is created anew
-	Stop     bool           // the router is shut down
+	Instance int            // number of the instance, which runs one router
+	Start    *InstanceStart // creates a new router, replacing any previous one
+	Stop     bool           // shuts the router down
 	Event    routing.Event
 }
 
-// Batch is everything that happens at one time.
+// Batch contains all messages with the same simulated time.
 type Batch struct {
 	Now    time.Duration // since the start of the simulation
-	Number string        // a decimal number that the reply repeats
+	Number string        // decimal batch number, repeated in the reply
 	Items  []Item
 }
 
-// SyntaxError reports a malformed line of the input.
+// SyntaxError describes a malformed input line.
 type SyntaxError struct {
-	Line    int    // from 1
+	Line    int    // line number, from 1
 	Message string // first value of the line
 	Err     error
 }
 
-// Error names the line, its message and what is wrong with it.
+// Error returns the line number, the message name and the cause.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("line %d: message %q: %v", e.Line, e.Message, e.Err)
 }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the cause.
 func (e *SyntaxError) Unwrap() error { return e.Err }
