--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter connects routers to the simulator: it hosts one router for each instance that the simulator names,
-// passes the events of a batch to them, and replies with their actions. It reads standard input and writes standard
-// output until the input ends, and exits with 1 after an error, which it prints.
+// Command simadapter connects routers to the simulator. It runs one router per simulated instance, passes the events of
+// each batch to the routers, and replies with their actions. It reads batches from standard input and writes replies to
+// standard output until the input ends. On an error it prints the error to standard error and exits with status 1.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// run replies to all batches of an input. The error is about malformed input or a failed write.
+// run replies to all batches of the input. It returns an error if the input is malformed or a write fails.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	encoder := simwire.NewEncoder(out)
@@ -45,7 +45,7 @@
 	}
 }
 
-// reply writes the actions of an instance, or that it has failed; nothing if it has neither.
+// reply writes the actions of an instance, or its failure if failure is not nil. Without either it writes nothing.
 func reply(encoder *simwire.Encoder, instance int, actions []routing.Action, failure error) error {
 	if failure != nil {
 		encoder.Instance(instance)
@@ -64,16 +64,16 @@
 	return nil
 }
 
-// instanceStep is what happens to one instance in a batch.
+// instanceStep contains the messages for one instance in a batch.
 type instanceStep struct {
 	instance int
-	start    *simwire.InstanceStart // nil unless the router is created anew
+	start    *simwire.InstanceStart // nil unless the router is to be created
 	stopped  bool
-	events   []routing.Event // after a start
+	events   []routing.Event // after the start or stop, if any
 }
 
 // stepsOf groups the items of a batch by instance, in the order in which the instances first appear. Events before a
-// stop or a start in the same batch are dropped: they are for a router that no longer exists.
+// stop or a start in the same batch are dropped, because their router no longer exists.
 func stepsOf(batch *simwire.Batch) []*instanceStep {
 	var steps []*instanceStep
 	byInstance := map[int]*instanceStep{}
@@ -96,8 +96,8 @@
 	return steps
 }
 
-// run creates or removes the instance's router, and passes it the events. A panic of the router is returned as an error,
-// so that it ends no other instance.
+// run creates or removes the router of the instance and passes the events to it. A panic of the router is returned as
+// an error, so that other instances keep running.
 func (s *instanceStep) run(routers map[int]*routing.Router, batch *simwire.Batch) (actions []routing.Action, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// The replies to a recorded input must not change.
 func TestRecordedBatches(t *testing.T) {
 	in, err := os.ReadFile(filepath.Join("testdata", "batches.txt"))
 	if err != nil {
@@ -26,17 +27,18 @@
 	}
 }
 
+// Malformed input must be reported with the line and message that caused the error.
 func TestMalformedInput(t *testing.T) {
 	for _, tt := range []struct{ name, in, want string }{
 		{"not a round", "hello\n", `line 1: message "hello"`},
 		{"no instance", "round\t1\t1\nexpired\tt/a\n", `line 2: message "expired"`},
 		{"unknown message", "round\t1\t1\ntarget_instance\t0\nnews\n", `line 3: message "news": unknown`},
 		{"value missing", "round\t1\t1\ntarget_instance\t0\nreminder\n", `line 3: message "reminder"`},
-		{"value too many", "round\t1\t1\ntarget_instance\t0\nreminder\t1\t2\n", `line 3: message "reminder"`},
+		{"extra value", "round\t1\t1\ntarget_instance\t0\nreminder\t1\t2\n", `line 3: message "reminder"`},
 		{"no number", "round\tx\t1\n", `line 1: message "round"`},
 		{"settings", "round\t1\t1\ntarget_instance\t0\npower_on\t1\t{\n", `line 3: message "power_on"`},
-		{"cut short", "round\t1\t1\ntarget_instance\t0\n", "input ended inside a batch"},
-		{"half a line", "round\t1", "line without an end"},
+		{"incomplete batch", "round\t1\t1\ntarget_instance\t0\n", "input ended inside a batch"},
+		{"incomplete line", "round\t1", "line without an end"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			err := run(strings.NewReader(tt.in), &bytes.Buffer{})
@@ -47,6 +49,7 @@
 	}
 }
 
+// Invalid settings must fail only their instance, not the program.
 func TestInvalidSettingsFailTheInstance(t *testing.T) {
 	var out bytes.Buffer
 	in := "round\t1\t1\ntarget_instance\t0\npower_on\t1\t{}\nflush\n"
--- a/cmd/simadapter/recording_actions_test.go
+++ b/cmd/simadapter/recording_actions_test.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// apply carries out the action of one reply line.
+// apply simulates the effect of the action in one reply line.
 func (w *simulatedWorld) apply(line string) error {
 	fields := strings.Split(line, "\t")
 	switch fields[0] {
@@ -19,7 +19,7 @@
 	case wireReject, wireFail:
 		request := w.requests[fields[1]]
 		if request == nil {
-			return nil // for a request that unexpectedEvent made up
+			return nil // request invented by unexpectedEvent
 		}
 		request.over = true
 		if fields[0] == wireReject && w.chance(300) {
@@ -53,12 +53,12 @@
 		w.schedule(2000, func() string { return w.endpointList(wireListCached, w.workers) })
 	case wireUnload, wireInstanceFailed:
 	default:
-		return fmt.Errorf("reply %q is not known to the world", line)
+		return fmt.Errorf("unknown reply %q", line)
 	}
 	return nil
 }
 
-// cancel ends an attempt as canceled after a while. Now and then the cancellation is lost, and the attempt goes on.
+// cancel schedules the end of an attempt as canceled. Some cancellations are lost, and the attempt continues.
 func (w *simulatedWorld) cancel(id, attemptNumber string) {
 	request := w.requests[id]
 	number, err := strconv.Atoi(attemptNumber)
@@ -74,7 +74,7 @@
 	})
 }
 
-// load carries out an order to load and schedules its answer.
+// load simulates the loading of a function at a worker and schedules the result.
 func (w *simulatedWorld) load(workerID, function string) {
 	worker := w.worker(workerID)
 	i := slices.IndexFunc(w.functions, func(f *simulatedFunction) bool { return f.name == function })
--- a/cmd/simadapter/recording_attempts_test.go
+++ b/cmd/simadapter/recording_attempts_test.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// plannedEnd is how an attempt will end at its worker.
+// plannedEnd is the planned result of an attempt at a worker.
 type plannedEnd struct {
 	outcome    string
 	tookMicros int64
@@ -19,7 +19,7 @@
 		return err
 	}
 	request := w.requests[id]
-	if request == nil { // for a request that unexpectedEvent made up
+	if request == nil { // request invented by unexpectedEvent
 		request = &simulatedRequest{id: id, function: w.functions[0]}
 		w.requests[id] = request
 	}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// planEnd draws how an attempt ends at a healthy worker.
+// planEnd returns a random result of an attempt at a healthy worker.
 func (w *simulatedWorld) planEnd(worker *simulatedWorker, function *simulatedFunction) plannedEnd {
 	end := plannedEnd{
 		outcome:    wireServed,
@@ -78,7 +78,7 @@
 	return end
 }
 
-// applyCondition changes the end of an attempt as the condition of its worker requires.
+// applyCondition modifies the result of an attempt according to the condition of the worker.
 func (w *simulatedWorld) applyCondition(end *plannedEnd, worker *simulatedWorker, timeout int64) {
 	switch worker.condition {
 	case conditionUnresponsive:
@@ -109,7 +109,7 @@
 	}
 }
 
-// applyPressure makes draining and full workers shed some attempts, and gives a few attempts an outcome at random.
+// applyPressure makes draining and overloaded workers shed some attempts, and gives a few attempts a random outcome.
 func (w *simulatedWorld) applyPressure(end *plannedEnd, worker *simulatedWorker) {
 	switch {
 	case worker.state == wireDraining && w.chance(300):
@@ -122,7 +122,7 @@
 	}
 }
 
-// scheduleStreamStart schedules the beginning of a streamed answer, which does not come if the attempt ends before.
+// scheduleStreamStart schedules the start of a streamed response. It has no effect if the attempt ends before.
 func (w *simulatedWorld) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int,
 	after int64,
 ) {
@@ -134,7 +134,7 @@
 	})
 }
 
-// scheduleEnd schedules the end of an attempt, which does not come if the attempt was canceled before.
+// scheduleEnd schedules the end of an attempt. It has no effect if the attempt was canceled before.
 func (w *simulatedWorld) scheduleEnd(request *simulatedRequest, attempt *simulatedAttempt, number int, took int64,
 	outcome, info string, timeout int64,
 ) {
@@ -146,7 +146,7 @@
 	})
 }
 
-// attemptEnded ends an attempt and returns its message, now and then twice.
+// attemptEnded ends an attempt and returns its message, occasionally as a duplicate pair.
 func (w *simulatedWorld) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int,
 	latency, outcome, info string,
 ) string {
@@ -160,7 +160,7 @@
 		}
 		if outcome == wireServed {
 			attempt.worker.loaded[request.function.name] = true
-			if w.chance(15) { // evicted for another function
+			if w.chance(15) { // evicted
 				delete(attempt.worker.loaded, request.function.name)
 			}
 		}
@@ -183,7 +183,7 @@
 	return line
 }
 
-// loadReport returns a load report of a worker, or one made up if it is nil; wireUnknown stands for none.
+// loadReport returns a load report of a worker, or an invented one if worker is nil, or wireUnknown for no report.
 func (w *simulatedWorld) loadReport(worker *simulatedWorker) string {
 	if !w.profile.reportEverything && w.chance(500) {
 		return wireUnknown
--- a/cmd/simadapter/recording_clients_test.go
+++ b/cmd/simadapter/recording_clients_test.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// newRequest returns the message of a new request with these flags of the wire. A nil function stands for one drawn at
-// random.
+// newRequest creates a request with the given wire flags and returns its message. If function is nil, a random function
+// is called.
 func (w *simulatedWorld) newRequest(function *simulatedFunction, flags int) string {
-	if function == nil { // the first functions get most requests
+	if function == nil { // the minimum of two draws favors the first functions
 		function = w.functions[min(w.rng.IntN(len(w.functions)), w.rng.IntN(len(w.functions)))]
 	}
 	w.nextRequest++
@@ -50,7 +50,8 @@
 		function.name, millisText(left), work, memory, concurrency, load, flags)
 }
 
-// unexpectedEvent returns the message of an event that the instance has no use for, or does not expect.
+// unexpectedEvent returns the message of an event that the instance must tolerate, such as one for an unknown request,
+// a duplicate or an out-of-range value.
 func (w *simulatedWorld) unexpectedEvent() string {
 	worker, id := w.workers[w.rng.IntN(len(w.workers))].id, "t/unknown"
 	if len(w.recentIDs) > 0 && w.chance(500) {
@@ -82,7 +83,7 @@
 	case 10:
 		return []string{"datagram\t2\t6869\n", "datagram\t0\t-\n", "datagram\t-1\t00ff\n"}[w.rng.IntN(3)]
 	case 11:
-		class := []int{-1, 6, 99, 0}[w.rng.IntN(4)] // only the last is a class, and the id may be known
+		class := []int{-1, 6, 99, 0}[w.rng.IntN(4)] // only 0 is a valid class; the request ID may exist already
 		return fmt.Sprintf("call\t%s\t%d\t-\tf-odd\t200\t-\t-\t-\t-\t-\n", id, class)
 	default:
 		switch w.rng.IntN(4) {
--- a/cmd/simadapter/recording_profiles_test.go
+++ b/cmd/simadapter/recording_profiles_test.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// streamingClass is the index of the class with streamed answers, the last of classCount.
+// streamingClass is the index of the class with streamed responses. It is the last of classCount classes.
 const (
 	streamingClass = 5
 	classCount     = 6
 )
 
-// siteProfile is the settings object and the load of one simulated instance. The settings have the names of
-// routing.Settings; the keys that the simulator uses for them are in the method settings.
+// siteProfile contains the settings and the load parameters of one simulated instance. The settings are named as in
+// routing.Settings. The method settings maps them to the simulator's keys.
 type siteProfile struct {
 	schedulers, rank     int
 	maxAttempts          int
@@ -20,10 +20,10 @@
 	probeAllowed         bool
 	honorsRetryAfter     bool
 	hedgingAllowed       bool
-	subscriptionRequired bool   // the worker list comes only to subscribers
-	whenNotLoaded        string // what a worker does without the function: "load" or "miss"
+	subscriptionRequired bool   // the worker list is sent only to subscribers
+	whenNotLoaded        string // behavior of a worker without the function: "load" or "miss"
 	loadAllowed          bool
-	loadBudgetBase       float64 // with loadBudgetPerRequest and loadBudgetWindowMs, the load budget
+	loadBudgetBase       float64 // load budget, with loadBudgetPerRequest and loadBudgetWindowMs
 	loadBudgetPerRequest float64
 	loadBudgetWindowMs   int
 	slowStartMs          int
@@ -31,8 +31,8 @@
 	overloadMs           int
 	overloadMultiple     float64
 	keepAliveMs          int
-	weights              string // how well workers report their weights: "silent", "rough" or "exact"
-	tenants              string // as JSON; empty for none
+	weights              string // accuracy of the reported worker weights: "silent", "rough" or "exact"
+	tenants              string // as JSON; empty if there are none
 	lateValue            float64
 
 	workers           int
@@ -40,12 +40,12 @@
 	requestsPerSecond int
 	faultsPerMinute   int
 	restartsPerMinute int
-	stepMs            int  // mean time between two rounds
-	startCold         bool // all workers have just started
-	reportEverything  bool // twice as many answers carry a load report
+	stepMs            int  // mean time between rounds
+	startCold         bool // all workers start at the beginning
+	reportEverything  bool // twice as many responses include a load report
 }
 
-// settings returns the settings object as the simulator writes it.
+// settings returns the settings as JSON in the simulator's format.
 func (p siteProfile) settings() string {
 	discovery := "pushed"
 	if p.subscriptionRequired {
@@ -80,7 +80,7 @@
 		p.slowStartMs, p.slowStartFraction, p.overloadMs, p.overloadMultiple)
 }
 
-// siteProfiles returns the profiles of the instances of the recording, in the order in which they start.
+// siteProfiles returns the profiles of the recorded instances, in start order.
 func siteProfiles() []siteProfile {
 	base := siteProfile{
 		schedulers: 1, maxAttempts: 4, cancelAllowed: true, probeAllowed: true, honorsRetryAfter: true,
@@ -132,7 +132,7 @@
 			p.schedulers, p.rank, p.overloadMs, p.weights = 60, 3, 600, "rough"
 			p.subscriptionRequired, p.startCold = true, true
 		}),
-		vary(func(p *siteProfile) { // workers under pressure that many schedulers share
+		vary(func(p *siteProfile) { // workers under pressure shared by many schedulers
 			p.schedulers, p.rank, p.workers, p.requestsPerSecond, p.functions, p.weights = 300, 299, 5, 200, 30, "rough"
 		}),
 	}
--- a/cmd/simadapter/recording_test.go
+++ b/cmd/simadapter/recording_test.go
@@ -14,27 +14,28 @@
 	"calicohill/internal/testbed/golden"
 )
 
-// recordingFile is the golden file of the recording, named from testdata/golden: it lies in testdata itself.
+// recordingFile is the golden file of the recording. The path is relative to testdata/golden; the file is in testdata.
 //
-// It was recorded with the program as it was before its names were changed, and shows that those changes alter no
-// decision. It is never recorded again to get a pass: a reply that differs is a fault of the change, unless the change
-// was meant to alter decisions and its commit says so. Then the file is removed first; the flag -record of package
-// golden writes it only if it is missing. It was recorded on amd64; a processor for which Go fuses floating-point
-// operations may differ in the last bits.
+// The file was recorded before the identifiers of the program were renamed, to verify that refactorings change no
+// decision. Never record it again only to make the test pass. A different reply is a bug in the change, unless the
+// change is intended to alter decisions and its commit message says so. In that case remove the file first, because the
+// -record flag of package golden writes it only if it does not exist. The file was recorded on amd64. On an
+// architecture for which Go fuses floating-point operations, results may differ in the last bits.
 const recordingFile = "../recording.txt.gz"
 
 const (
-	recordedRounds     = 6400 // of all instances together
-	recordedInstances  = 3    // run side by side
-	recordedMalformed  = 900  // short runs with a malformed line
+	recordedRounds     = 6400 // total of all instances
+	recordedInstances  = 3    // running concurrently
+	recordedMalformed  = 900  // short inputs, most with a malformed line
 	recordingSeed      = 20260101
 	recordingStartTime = 1000000  // microseconds
-	inputMark          = "input " // begins the line with the checksum of the program's input
+	inputMark          = "input " // prefix of a line with the checksum of the input
 )
 
-// TestRecordedDecisions runs the adapter in simulated worlds and compares all replies, byte for byte, with those of the
-// recording. A checksum of each round's input stands before its replies: if that is the first line to differ, the
-// simulation changed and not the decisions.
+// TestRecordedDecisions guards against unintended changes of routing decisions and of error texts. It runs the adapter
+// against simulated environments and compares all replies with the recording, byte for byte. A checksum of each round's
+// input precedes the replies. If a checksum is the first difference, the simulation has changed rather than the
+// decisions.
 func TestRecordedDecisions(t *testing.T) {
 	var got bytes.Buffer
 	if err := recordWorld(&got); err != nil {
@@ -48,7 +49,7 @@
 	compareRecordings(t, got.Bytes(), readRecording(t))
 }
 
-// compareRecordings reports the first line that differs, and whether input or decisions differ there.
+// compareRecordings reports the first line that differs, and whether the input or a decision differs there.
 func compareRecordings(t *testing.T, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
@@ -61,15 +62,15 @@
 		}
 		what := "decisions changed"
 		if strings.HasPrefix(gotLines[i], inputMark) && strings.HasPrefix(wantLines[i], inputMark) {
-			what = "the simulated input changed, not the decisions before it"
+			what = "the simulated input changed, with the same decisions before it"
 		}
 		t.Fatalf("line %d of the recording: %s: got %q, want %q", i+1, what, gotLines[i], wantLines[i])
 	}
 	t.Fatalf("got %d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// recordWorld simulates all profiles for one run of the program, several side by side, and records checksums of the
-// input and all replies.
+// recordWorld simulates all profiles in a single run of the program, several of them concurrently, and records
+// checksums of the input and all replies.
 func recordWorld(recording *bytes.Buffer) error {
 	programIn, toProgram := io.Pipe()
 	fromProgram, programOut := io.Pipe()
@@ -98,7 +99,7 @@
 	return <-ended
 }
 
-// instanceSchedule runs the profiles one after the other on a few instances.
+// instanceSchedule assigns the profiles, in order, to the instances as these become free.
 type instanceSchedule struct {
 	rng      *rand.Rand
 	now      int64
@@ -116,7 +117,7 @@
 	}
 }
 
-// round returns the lines of the next round.
+// round returns the input lines of the next round.
 func (s *instanceSchedule) round(number int) string {
 	step := int64(12000)
 	if w := s.worlds[number%recordedInstances]; w != nil {
@@ -128,7 +129,7 @@
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "round\t%s\t%d\n", millisText(s.now), number)
-	if number > 2 { // the first rounds are empty
+	if number > 2 { // the first two rounds are empty
 		for i := range s.worlds {
 			s.instance(&text, i, number)
 		}
@@ -162,7 +163,7 @@
 	}
 }
 
-// takeReply reads the reply to a round, records it and has the worlds carry out its actions.
+// takeReply reads and records the reply to a round and applies its actions to the simulated environments.
 func (s *instanceSchedule) takeReply(replies *bufio.Reader, number int, recording *bytes.Buffer) error {
 	var world *simulatedWorld
 	for {
@@ -196,7 +197,7 @@
 	}
 }
 
-// wellFormed has valid messages of each kind, some with values at the bounds.
+// wellFormed lists valid messages of each kind, some with boundary values.
 var wellFormed = []string{
 	"view\t1\t1\t2\nm\t1\t1\tw-a\t0\t0\t0\t-\nm\t2.5\t2\tw-b\t1\t1\t1\t900.5",
 	"view\t0\t9\t1\nm\t-\t0\tw-a\t-\t-\t-\t-",
@@ -219,7 +220,7 @@
 	"round\t12\t3",
 }
 
-// outOfRange has messages with values of the right form that are out of range or impossible.
+// outOfRange lists messages with well-formed values that are out of range or contradictory.
 var outOfRange = []string{
 	"view\t4\t1\t0", "view\t-1\t1\t0", "view\t1\t1\t-1", "view\t1\t1\t1\nm\t1\t3\tw-a\t0\t0\t0\t-",
 	"view\t1\t1\t1\nm\t1\t-1\tw-a\t0\t0\t0\t-", "view\t1\t1\t1\nn\t1\t1\tw-a\t0\t0\t0\t-",
@@ -227,9 +228,9 @@
 	"outcome\tt/1\t2\t-\t5\tw-a\t0\tdelivered\t-", "datagram\t1\t123", "power_on\t-1\t{}", "power_on\tx\t{",
 }
 
-// recordMalformedInput runs the program on short inputs with one altered message, and writes replies and error texts.
-// Values of a wrong type inside the settings object are left out, since the text for them comes from encoding/json and
-// names Go types.
+// recordMalformedInput runs the program on short inputs with one altered message and records the replies and error
+// texts. Values of a wrong type in the settings are not covered, because their error texts come from encoding/json and
+// contain the names of Go types.
 func recordMalformedInput(recording *bytes.Buffer) {
 	rng := rand.New(rand.NewPCG(recordingSeed, 3))
 	settings := siteProfiles()[0].settings()
@@ -258,7 +259,7 @@
 		inputs = append(inputs, start+malformed(rng, wellFormed[i%len(wellFormed)])+"\nflush\n")
 	}
 	for i, in := range inputs {
-		if i%9 == 8 { // input that ends too early
+		if i%9 == 8 { // truncate the input
 			in = in[:len(in)-rng.IntN(min(len(in), 40))]
 		}
 		fmt.Fprintf(recording, "%s%08x\n", inputMark, crc32.ChecksumIEEE([]byte(in)))
@@ -267,8 +268,8 @@
 	}
 }
 
-// malformed alters one message: the line is cut short, a value left out or added, or one replaced by an odd one, which
-// may be valid all the same.
+// malformed alters one message: it truncates a line, removes, adds or replaces a value. The replacement may happen to
+// be valid.
 func malformed(rng *rand.Rand, message string) string {
 	odd := []string{
 		"", "-", "x", "-1", "1e999", "NaN", "0x1", "9223372036854775808", "18446744073709551616", "4", "1.5",
@@ -280,29 +281,29 @@
 	values := strings.Split(line, "\t")
 	position := rng.IntN(len(values))
 	switch rng.IntN(6) {
-	case 0: // cut short
+	case 0: // truncate the line
 		lines[changed] = strings.Join(values[:position], "\t")
-	case 1: // a value left out
+	case 1: // remove a value
 		lines[changed] = strings.Join(append(append([]string{}, values[:position]...), values[position+1:]...), "\t")
-	case 2: // a value added
+	case 2: // add a value
 		lines[changed] = line + "\t" + odd[rng.IntN(len(odd))]
 	default:
 		if position == 0 && rng.IntN(4) > 0 {
 			position = len(values) - 1
 		}
 		if values[0] == "power_on" {
-			position = 1 // settings are altered one by one above
+			position = 1 // the settings are altered in recordMalformedInput
 		}
 		values[position] = odd[rng.IntN(len(odd))]
 		lines[changed] = strings.Join(values, "\t")
 	}
-	if rng.IntN(12) == 0 { // a list that ends too early
+	if rng.IntN(12) == 0 { // truncate a list
 		lines = lines[:changed+1]
 	}
 	return strings.Join(lines, "\n")
 }
 
-// readRecording returns the recording as text, and ends the test if it cannot be read.
+// readRecording returns the decompressed recording. It fails the test if the file cannot be read.
 func readRecording(t *testing.T) []byte {
 	t.Helper()
 	reader, err := gzip.NewReader(bytes.NewReader(golden.Read(t, recordingFile)))
@@ -316,7 +317,7 @@
 	return text
 }
 
-// writeRecording compresses a new recording into its file, and ends the test if the file exists.
+// writeRecording writes a new recording to its file, compressed. It fails the test if the file exists.
 func writeRecording(t *testing.T, text []byte) {
 	t.Helper()
 	var compressed bytes.Buffer
--- a/cmd/simadapter/recording_wire_test.go
+++ b/cmd/simadapter/recording_wire_test.go
@@ -1,9 +1,9 @@
 package main
 
-// Values of the simulator's lines, named after what they stand for in package routing. They are written out here, not
-// taken from internal/simwire, so that a changed value there shows as a difference from the recording.
+// Values in the simulator's lines, named after their counterparts in package routing. They are repeated here instead of
+// imported from internal/simwire, so that an accidental change there shows up as a difference from the recording.
 
-// Replies: one for each action of a Router, and that an instance failed.
+// Reply messages: one for each action of a Router, and one for the failure of an instance.
 const (
 	wireSend           = "try"
 	wireCancel         = "recall"
@@ -31,7 +31,7 @@
 	wireNotLoaded       = "empty"
 )
 
-// wireOutcomes has all outcomes; draws from it depend on their order.
+// wireOutcomes lists all outcomes. The order must not change, because outcomes are drawn by index.
 var wireOutcomes = []string{
 	wireServed, wireErrored, wireShed, wireTimedOut, wireConnectFailed, wireConnectionReset, wireCanceled, wireNotSent,
 	wireNotLoaded,
@@ -52,7 +52,7 @@
 	wireListFailed
 )
 
-// Start types. An answer has its start type and the number of requests in flight for the function in one number:
+// Start types. A response encodes the start type and the number of requests in flight for the function in one number:
 // startType + wireStartInfoRadix*inFlight.
 const (
 	wireStartUnknown = iota
@@ -67,8 +67,8 @@
 // Flags of a request.
 const (
 	wireNoFlags   = 0
-	wireRetryFlag = 2 // its client marked it as a retry
+	wireRetryFlag = 2 // the client has marked the request as a retry
 )
 
-// wireUnknown stands for a value that is not known.
+// wireUnknown denotes an unknown value.
 const wireUnknown = "-"
--- a/cmd/simadapter/recording_world_test.go
+++ b/cmd/simadapter/recording_world_test.go
@@ -10,10 +10,10 @@
 
 const (
 	microsPerMinute  = 60_000_000
-	creditPerRequest = 1_000_000 // microseconds times requests a second
+	creditPerRequest = 1_000_000 // in microseconds times requests per second
 )
 
-// The conditions of a simulated worker.
+// Conditions of a simulated worker.
 const (
 	conditionHealthy = iota
 	conditionUnresponsive
@@ -27,7 +27,7 @@
 	conditionCount
 )
 
-// simulatedWorker is a worker as it really is, which the instance learns only from messages.
+// simulatedWorker is the true state of a worker, which the instance can infer only from messages.
 type simulatedWorker struct {
 	id               string
 	state            int // wireGone, wireReady or wireDraining
@@ -38,10 +38,10 @@
 	conditionUntil   int64
 	returnsAt        int64
 	inFlight         int
-	loaded           map[string]bool // only looked up, never iterated
+	loaded           map[string]bool // by function; not iterated, since map order is random
 }
 
-// simulatedFunction is a function that clients call.
+// simulatedFunction is a function called by clients.
 type simulatedFunction struct {
 	name               string
 	class, concurrency int
@@ -51,48 +51,48 @@
 	declaresLoadTime   bool
 }
 
-// simulatedAttempt is an attempt at a worker; the worker is nil if the instance named one that does not exist.
+// simulatedAttempt is an attempt at a worker. worker is nil if the instance chose a worker that does not exist.
 type simulatedAttempt struct {
 	worker *simulatedWorker
 	ended  bool
 }
 
-// simulatedRequest is a client's request.
+// simulatedRequest is a request of a client.
 type simulatedRequest struct {
 	id       string
 	function *simulatedFunction
-	over     bool // it has its final answer, or its client has left
+	over     bool // the request was answered, rejected or canceled
 	attempts []*simulatedAttempt
 }
 
-// scheduledEvent is something that will happen at a time; run returns the messages for the instance.
+// scheduledEvent is an event scheduled for a simulated time. run returns the resulting messages for the instance.
 type scheduledEvent struct {
 	at  int64
 	run func() string
 }
 
-// simulatedWorld stands for the clients, workers and endpoint list of one instance. Its times are whole microseconds,
-// so that the same seed gives the same world on every machine.
+// simulatedWorld simulates the clients, workers and endpoint list of one instance. Times are integers in microseconds,
+// so that the simulation is deterministic for a seed on every machine.
 type simulatedWorld struct {
 	profile       siteProfile
 	rng           *rand.Rand
 	now           int64
 	workers       []*simulatedWorker
 	functions     []*simulatedFunction
-	requests      map[string]*simulatedRequest // only looked up, never iterated
+	requests      map[string]*simulatedRequest // by ID; not iterated, since map order is random
 	recentIDs     []string
-	events        []scheduledEvent // in order of time, first scheduled first
+	events        []scheduledEvent // ordered by time, then by scheduling order
 	nextRequest   int
 	nextWorker    int
 	listVersion   int
 	subscribed    bool
 	changed       []*simulatedWorker
-	requestCredit int64 // a request is due for each creditPerRequest
+	requestCredit int64 // accumulated credit; each creditPerRequest creates a request
 	surgeUntil    int64
-	surgePercent  int64 // rate of requests until surgeUntil, in percent of the usual
+	surgePercent  int64 // request rate until surgeUntil, in percent of the profile's rate
 }
 
-// newSimulatedWorld returns the world of a profile. The same seed gives the same world.
+// newSimulatedWorld returns the simulation for a profile. It is deterministic for a seed.
 func newSimulatedWorld(profile siteProfile, seed uint64, now int64) *simulatedWorld {
 	world := &simulatedWorld{
 		profile:      profile,
@@ -121,7 +121,7 @@
 	return world
 }
 
-// addWorker adds a ready worker that has just started.
+// addWorker adds a ready worker that starts now.
 func (w *simulatedWorld) addWorker() *simulatedWorker {
 	w.nextWorker++
 	worker := &simulatedWorker{
@@ -138,16 +138,16 @@
 	return worker
 }
 
-// randomSuffix draws up to three characters that make a name differ from others of its kind.
+// randomSuffix returns up to three random characters for a worker or function name.
 func (w *simulatedWorld) randomSuffix() string {
 	const base, limit = 36, 36 * 36 * 36
 	return strconv.FormatUint(w.rng.Uint64()%limit, base)
 }
 
-// chance is true with a probability of perMille thousandths.
+// chance returns true with a probability of perMille/1000.
 func (w *simulatedWorld) chance(perMille int) bool { return w.rng.IntN(1000) < perMille }
 
-// schedule adds an event. Events at the same time run in the order in which they were added.
+// schedule adds an event. Events with the same time run in scheduling order.
 func (w *simulatedWorld) schedule(after int64, run func() string) {
 	e := scheduledEvent{at: w.now + max(after, 1), run: run}
 	i, _ := slices.BinarySearchFunc(w.events, e.at, func(o scheduledEvent, at int64) int {
@@ -159,7 +159,7 @@
 	w.events = slices.Insert(w.events, i, e)
 }
 
-// millisText writes microseconds as the wire's milliseconds.
+// millisText formats microseconds as milliseconds on the wire.
 func millisText(micros int64) string {
 	return strconv.FormatFloat(float64(micros)/1000, 'f', -1, 64)
 }
@@ -173,7 +173,7 @@
 	return text
 }
 
-// endpointList returns the message with an endpoint list or changes of it.
+// endpointList returns a message with a full endpoint list or with changes, depending on kind.
 func (w *simulatedWorld) endpointList(kind int, workers []*simulatedWorker) string {
 	w.listVersion++
 	text := fmt.Sprintf("view\t%d\t%d\t%d\n", kind, w.listVersion, len(workers))
@@ -191,7 +191,7 @@
 	return text
 }
 
-// round advances the world to a time and returns the messages for the instance of that round.
+// round advances the simulation to now and returns the messages of the round for the instance.
 func (w *simulatedWorld) round(now int64) string {
 	var text strings.Builder
 	passed := now - w.now
@@ -220,14 +220,15 @@
 	return text.String()
 }
 
-// changeWorkers begins and ends faults, and drains, removes and restarts workers.
+// changeWorkers starts and ends faults, and drains, removes and restarts workers. passed is the time since the last
+// round.
 func (w *simulatedWorld) changeWorkers(passed int64) {
 	for _, worker := range w.workers {
 		if worker.condition != conditionHealthy && w.now >= worker.conditionUntil {
 			worker.condition = conditionHealthy
 		}
 		if worker.state != wireReady && worker.returnsAt > 0 && w.now >= worker.returnsAt {
-			if worker.state == wireDraining && w.chance(500) { // it has drained
+			if worker.state == wireDraining && w.chance(500) { // fully drained
 				worker.returnsAt = w.now + 1000000
 				worker.state = wireGone
 			} else {
@@ -245,14 +246,14 @@
 	if w.rng.Int64N(microsPerMinute) < passed*int64(w.profile.restartsPerMinute) {
 		worker := w.workers[w.rng.IntN(len(w.workers))]
 		switch w.rng.IntN(4) {
-		case 0: // it drains, and is removed or restarted later
+		case 0: // drain; remove or restart later
 			worker.state, worker.returnsAt = wireDraining, w.now+300000+w.rng.Int64N(3000000)
-		case 1: // it is removed, and comes back later
+		case 1: // remove; restart later
 			worker.state, worker.returnsAt = wireGone, w.now+300000+w.rng.Int64N(6000000)
-		case 2: // it restarts, which the endpoint list shows only by its start time
+		case 2: // restart; the endpoint list shows only a new start time
 			worker.startedMicros, worker.loaded = w.now, map[string]bool{}
 		default:
-			worker.state, worker.returnsAt = wireGone, 0 // it never comes back, and a new one takes its place
+			worker.state, worker.returnsAt = wireGone, 0 // replace by a new worker
 			w.changed = append(w.changed, worker)
 			w.workers = slices.DeleteFunc(w.workers, func(o *simulatedWorker) bool { return o == worker })
 			worker = w.addWorker()
@@ -261,7 +262,7 @@
 	}
 }
 
-// worker returns the worker with this id, or nil.
+// worker returns the worker with the given ID, or nil.
 func (w *simulatedWorld) worker(id string) *simulatedWorker {
 	i := slices.IndexFunc(w.workers, func(o *simulatedWorker) bool { return o.id == id })
 	if i < 0 {
