--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -48,7 +48,7 @@
 }
 
 // A package must not import a package of a higher layer, and each package must belong to a layer.
-func TestImportsPointDown(t *testing.T) {
+func TestImportsRespectLayers(t *testing.T) {
 	root := ".."
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -84,8 +84,8 @@
 		t.Error(err)
 		return
 	}
-	own := layerOf(importer)
-	if own < 0 {
+	importerLayer := layerOf(importer)
+	if importerLayer < 0 {
 		t.Errorf("%s: package %q belongs to no layer of docs/ARCHITECTURE.md", path, importer)
 	}
 	for _, spec := range file.Imports {
@@ -93,7 +93,7 @@
 		if err != nil || !strings.HasPrefix(imported, module) {
 			continue
 		}
-		if layer := layerOf(strings.TrimPrefix(imported, module)); layer < own {
+		if layer := layerOf(strings.TrimPrefix(imported, module)); layer < importerLayer {
 			t.Errorf("%s imports %s, which is in a higher layer", path, imported)
 		}
 	}
--- a/internal/nodeagent/pool.go
+++ b/internal/nodeagent/pool.go
@@ -164,7 +164,7 @@
 	if target.dials.inProgress == 0 {
 		p.writePending(target) // other connections may have become usable meanwhile
 		outcome := routing.ConnectFailed
-		if fault == localfault.Resource {
+		if fault == localfault.ResourceExhausted {
 			outcome = routing.NotSent
 		}
 		p.failPending(target, outcome)
--- a/internal/runtime/bufferpool/pool.go
+++ b/internal/runtime/bufferpool/pool.go
@@ -23,7 +23,7 @@
 // Pool is a pool of buffers with a limit on the number in use at a time. It is not safe for concurrent use.
 type Pool struct {
 	limit int
-	lent  int
+	inUse int
 	free  []*Buffer // empty buffers, used as a stack
 }
 
@@ -32,10 +32,10 @@
 
 // Get returns an empty buffer, or nil if the limit is reached.
 func (p *Pool) Get() *Buffer {
-	if p.lent >= p.limit {
+	if p.inUse >= p.limit {
 		return nil
 	}
-	p.lent++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		buffer := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -49,8 +49,8 @@
 	if buffer == nil {
 		return
 	}
-	p.lent--
-	if len(p.free) < p.lent+maxExcessFree {
+	p.inUse--
+	if len(p.free) < p.inUse+maxExcessFree {
 		buffer.B = buffer.B[:0]
 		p.free = append(p.free, buffer)
 	}
--- a/internal/runtime/bufferpool/pool_test.go
+++ b/internal/runtime/bufferpool/pool_test.go
@@ -10,20 +10,20 @@
 
 func TestAppend(t *testing.T) {
 	cases := map[string]struct {
-		held  int
-		added int
-		fits  bool
+		initial int
+		added   int
+		fits    bool
 	}{
-		"into an empty buffer": {held: 0, added: 10, fits: true},
-		"up to the size":       {held: bufferpool.Size - 10, added: 10, fits: true},
-		"beyond the size":      {held: bufferpool.Size - 10, added: 11, fits: false},
-		"nothing when full":    {held: bufferpool.Size, added: 0, fits: true},
+		"into an empty buffer": {initial: 0, added: 10, fits: true},
+		"up to the size":       {initial: bufferpool.Size - 10, added: 10, fits: true},
+		"beyond the size":      {initial: bufferpool.Size - 10, added: 11, fits: false},
+		"nothing when full":    {initial: bufferpool.Size, added: 0, fits: true},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
 			buffer := bufferpool.NewPool(1).Get()
-			buffer.B = append(buffer.B, make([]byte, tt.held)...)
-			want := tt.held
+			buffer.B = append(buffer.B, make([]byte, tt.initial)...)
+			want := tt.initial
 			if tt.fits {
 				want += tt.added
 			}
@@ -51,12 +51,12 @@
 	const limit = 200
 	rapid.Check(t, func(rt *rapid.T) {
 		pool := bufferpool.NewPool(limit)
-		var lent []*bufferpool.Buffer
+		var inUse []*bufferpool.Buffer
 		for range rapid.IntRange(1, 20).Draw(rt, "bursts") {
 			for range rapid.IntRange(0, limit+10).Draw(rt, "gets") {
 				buffer := pool.Get()
-				if (buffer == nil) != (len(lent) == limit) {
-					rt.Fatalf("Get() = %v with %d buffers in use", buffer, len(lent))
+				if (buffer == nil) != (len(inUse) == limit) {
+					rt.Fatalf("Get() = %v with %d buffers in use", buffer, len(inUse))
 				}
 				if buffer == nil {
 					break
@@ -65,17 +65,17 @@
 					rt.Fatalf("Get() returned a buffer with %d bytes", len(buffer.B))
 				}
 				buffer.Append([]byte("used"))
-				lent = append(lent, buffer)
+				inUse = append(inUse, buffer)
 			}
-			for range rapid.IntRange(0, len(lent)).Draw(rt, "puts") {
-				pool.Put(lent[len(lent)-1])
-				lent = lent[:len(lent)-1]
+			for range rapid.IntRange(0, len(inUse)).Draw(rt, "puts") {
+				pool.Put(inUse[len(inUse)-1])
+				inUse = inUse[:len(inUse)-1]
 				if len(pool.Free()) > limit+bufferpool.MaxExcessFree {
 					rt.Fatalf("%d buffers are free", len(pool.Free()))
 				}
 			}
 			seen := map[*bufferpool.Buffer]bool{}
-			for _, buffer := range append(append([]*bufferpool.Buffer{}, lent...), pool.Free()...) {
+			for _, buffer := range append(append([]*bufferpool.Buffer{}, inUse...), pool.Free()...) {
 				if seen[buffer] {
 					rt.Fatal("a buffer is in use or free twice")
 				}
@@ -89,11 +89,11 @@
 func TestBurstReleasesMemory(t *testing.T) {
 	const burst = 10 * bufferpool.MaxExcessFree
 	pool := bufferpool.NewPool(burst)
-	var lent []*bufferpool.Buffer
+	var inUse []*bufferpool.Buffer
 	for range burst {
-		lent = append(lent, pool.Get())
+		inUse = append(inUse, pool.Get())
 	}
-	for _, buffer := range lent {
+	for _, buffer := range inUse {
 		pool.Put(buffer)
 	}
 	// Buffers are kept until the free ones outnumber those in use by MaxExcessFree, about halfway through.
--- a/internal/runtime/deadline/timer_queue_test.go
+++ b/internal/runtime/deadline/timer_queue_test.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// queued is a timer in the reference model, with its due time and the step at which it was set.
-type queued struct {
+// modelTimer is a timer in the reference model, with its due time and the step at which it was set.
+type modelTimer struct {
 	timer    *deadline.Timer
 	at       time.Duration
 	sequence int
 }
 
-func byDueTime(a, b queued) int {
+func byDueTime(a, b modelTimer) int {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 }
 
@@ -52,10 +52,10 @@
 func TestQueueAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var queue deadline.Queue
-		var model []queued
+		var model []modelTimer
 		timers := make([]deadline.Timer, 10)
 		drop := func(timer *deadline.Timer) {
-			model = slices.DeleteFunc(model, func(q queued) bool { return q.timer == timer })
+			model = slices.DeleteFunc(model, func(q modelTimer) bool { return q.timer == timer })
 		}
 		for step := range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			timer := &timers[rapid.IntRange(0, len(timers)-1).Draw(rt, "timer")]
@@ -64,7 +64,7 @@
 			case 0:
 				queue.Set(timer, clock)
 				drop(timer)
-				model = append(model, queued{timer, clock, step})
+				model = append(model, modelTimer{timer, clock, step})
 				slices.SortFunc(model, byDueTime)
 			case 1:
 				queue.Remove(timer)
--- a/internal/runtime/eventloop/accept.go
+++ b/internal/runtime/eventloop/accept.go
@@ -42,24 +42,24 @@
 // new connections wait in the kernel's backlog, and open connections are served.
 type acceptor struct {
 	listener Listener
-	adopt    func(net.Conn) error // registers a connection with the loop and waits for the result
-	failed   func(error)          // called for each failed accept
+	register func(net.Conn) error // registers a connection with the loop and waits for the result
+	onError  func(error)          // called for each failed accept
 
-	accepted bool      // a connection was accepted since the deadline was last set; used only by run
-	closing  time.Time // when the first close deadline expired; used only by run
+	accepted     bool      // a connection was accepted since the deadline was last set; used only by run
+	closeStarted time.Time // when the first close deadline expired; used only by run
 
 	stop     chan struct{} // closed by close to interrupt a backoff
 	stopOnce sync.Once
-	ended    chan struct{} // closed when run returns
+	done     chan struct{} // closed when run returns
 }
 
-func newAcceptor(listener Listener, adopt func(net.Conn) error, failed func(error)) *acceptor {
+func newAcceptor(listener Listener, register func(net.Conn) error, onError func(error)) *acceptor {
 	return &acceptor{
 		listener: listener,
-		adopt:    adopt,
-		failed:   failed,
+		register: register,
+		onError:  onError,
 		stop:     make(chan struct{}),
-		ended:    make(chan struct{}),
+		done:     make(chan struct{}),
 	}
 }
 
@@ -90,7 +90,7 @@
 
 // run accepts connections until the listener is closed or its close deadline expires.
 func (a *acceptor) run() {
-	defer close(a.ended)
+	defer close(a.done)
 	defer func() { _ = a.listener.Close() }()
 	backoff := time.Duration(0)
 	for {
@@ -98,8 +98,8 @@
 		switch {
 		case err == nil:
 			a.accepted = true
-			err = a.adopt(conn)
-		case errors.Is(err, os.ErrDeadlineExceeded) && a.mayGoOn():
+			err = a.register(conn)
+		case errors.Is(err, os.ErrDeadlineExceeded) && a.extendDeadline():
 			continue
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return
@@ -108,7 +108,7 @@
 			backoff = 0
 			continue
 		}
-		a.failed(err)
+		a.onError(err)
 		backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff)
 		if !a.pause(backoff) {
 			return
@@ -116,25 +116,25 @@
 	}
 }
 
-// mayGoOn is called when the close deadline has expired. It extends the deadline and returns true if connections were
-// accepted since it was set, because more may be waiting: registering one takes time, and many may queue up during a
-// stall.
-func (a *acceptor) mayGoOn() bool {
+// extendDeadline is called when the close deadline has expired. It extends the deadline and returns true if connections
+// were accepted since it was set, because more may be waiting: registering one takes time, and many may queue up during
+// a stall.
+func (a *acceptor) extendDeadline() bool {
 	now := time.Now()
-	if a.closing.IsZero() {
-		a.closing = now
+	if a.closeStarted.IsZero() {
+		a.closeStarted = now
 	}
-	if !a.accepted || now.Sub(a.closing) >= maxCloseDelay {
+	if !a.accepted || now.Sub(a.closeStarted) >= maxCloseDelay {
 		return false
 	}
 	a.accepted = false
 	return a.listener.SetDeadline(now.Add(closeDelay)) == nil
 }
 
-// hasEnded reports whether the listener is closed and all accepted connections have been registered.
-func (a *acceptor) hasEnded() bool {
+// isDone reports whether the listener is closed and all accepted connections have been registered.
+func (a *acceptor) isDone() bool {
 	select {
-	case <-a.ended:
+	case <-a.done:
 		return true
 	default:
 		return false
@@ -153,9 +153,9 @@
 	}
 }
 
-// closeSoon makes run close the listener after accepting the connections in its backlog. New connection attempts are
-// ignored from now on, so that none is established and then reset.
-func (a *acceptor) closeSoon() {
+// closeAfterBacklog makes run close the listener after accepting the connections in its backlog. New connection
+// attempts are ignored from now on, so that none is established and then reset.
+func (a *acceptor) closeAfterBacklog() {
 	if tcp, ok := a.listener.(syscall.Conn); ok {
 		ignoreSegments(tcp)
 	}
@@ -180,12 +180,12 @@
 func (a *acceptor) close() {
 	a.stopOnce.Do(func() { close(a.stop) })
 	_ = a.listener.Close()
-	<-a.ended
+	<-a.done
 }
 
-// adopt registers an accepted connection with the loop and waits until that is done, so that connections are accepted
-// no faster than the loop can register them.
-func (l *Loop) adopt(conn net.Conn) error {
+// registerAccepted registers an accepted connection with the loop and waits until that is done, so that connections are
+// accepted no faster than the loop can register them.
+func (l *Loop) registerAccepted(conn net.Conn) error {
 	registered, err := l.gnetLoop.Enroll(context.Background(), conn)
 	if err != nil {
 		_ = conn.Close()
@@ -203,7 +203,7 @@
 
 // CloseListener closes the listener after the connections in its backlog have been accepted. It must be called on the
 // loop. ListenerClosed reports when that is done.
-func (l *Loop) CloseListener() { l.acceptor.closeSoon() }
+func (l *Loop) CloseListener() { l.acceptor.closeAfterBacklog() }
 
 // ListenerClosed reports whether the listener is closed and all accepted connections have been registered.
-func (l *Loop) ListenerClosed() bool { return l.acceptor.hasEnded() }
+func (l *Loop) ListenerClosed() bool { return l.acceptor.isDone() }
--- a/internal/runtime/eventloop/accept_test.go
+++ b/internal/runtime/eventloop/accept_test.go
@@ -85,8 +85,8 @@
 			open := dial(t, addr)
 			exchange(t, open)
 			listener.setError(failure)
-			nudge := dial(t, addr) // unblocks the pending Accept
-			nudge.Close()
+			unblock := dial(t, addr) // unblocks the pending Accept
+			unblock.Close()
 			for range 4 {
 				if err := receive(t, failures); !errors.Is(err, failure) {
 					t.Errorf("reported %v, want %v", err, failure)
@@ -115,13 +115,13 @@
 	loop.AcceptFailed = func(error) { failures <- time.Now() }
 	startLoop(t, loop, quietEcho{})
 	first := receive(t, failures)
-	const more = 7 // each backoff is at least half of 5, 10, ... 160, 160 ms
+	const retries = 7 // each backoff is at least half of 5, 10, ... 160, 160 ms
 	last := first
-	for range more {
+	for range retries {
 		last = receive(t, failures)
 	}
 	if took := last.Sub(first); took < 235*time.Millisecond {
-		t.Errorf("%d consecutive accepts failed within %v", more, took)
+		t.Errorf("%d consecutive accepts failed within %v", retries, took)
 	}
 }
 
--- a/internal/runtime/eventloop/event_loop.go
+++ b/internal/runtime/eventloop/event_loop.go
@@ -58,7 +58,7 @@
 	stopped   chan struct{}  // closed when Run has ended
 	startTime time.Time      // with the monotonic clock reading from which Now measures
 	startUnix time.Duration  // startTime as the time since the Unix epoch
-	gnetLoop  gnet.EventLoop // nil until the first connection is opened; see enrollSelf
+	gnetLoop  gnet.EventLoop // nil until the first connection is opened; see registerBootstrapSocket
 
 	timers      deadline.Queue
 	wakeup      *time.Timer   // wakes the loop for the earliest timer
@@ -99,7 +99,7 @@
 	if err != nil {
 		return fmt.Errorf("event loop: %w", err)
 	}
-	l.acceptor = newAcceptor(listener, l.adopt, l.acceptFailed)
+	l.acceptor = newAcceptor(listener, l.registerAccepted, l.acceptFailed)
 	// A gnet client runs an event loop without accepting connections itself.
 	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithLogger(l.Logger))
 	if err == nil {
@@ -108,7 +108,7 @@
 	if err != nil {
 		return fmt.Errorf("event loop: %w", errors.Join(err, listener.Close()))
 	}
-	err = enrollSelf(client, addr)
+	err = registerBootstrapSocket(client, addr)
 	if err == nil {
 		go l.acceptor.run()
 		<-l.stop
@@ -134,9 +134,9 @@
 func (l *Loop) Post(fn func()) {
 	// Execute fails only if the engine has stopped, and then fn is no longer needed.
 	_ = l.gnetLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		l.beginTurn()
+		l.beforeCallback()
 		fn()
-		l.endTurn()
+		l.afterCallback()
 		return nil
 	}))
 }
--- a/internal/runtime/eventloop/gnet_events.go
+++ b/internal/runtime/eventloop/gnet_events.go
@@ -6,34 +6,34 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// enrollSelf registers a UDP socket with gnet, so that OnOpen is called and can obtain gnet's event loop, which gnet
-// exposes only through a connection. No data is exchanged, and the socket is closed as soon as it is open. A pair of
-// Unix sockets would need no address, but the platform supports only TCP and UDP.
-func enrollSelf(client *gnet.Client, listenAddr string) error {
+// registerBootstrapSocket registers a UDP socket with gnet, so that OnOpen is called and can obtain gnet's event loop,
+// which gnet exposes only through a connection. No data is exchanged, and the socket is closed as soon as it is open. A
+// pair of Unix sockets would need no address, but the platform supports only TCP and UDP.
+func registerBootstrapSocket(client *gnet.Client, listenAddr string) error {
 	conn, err := net.Dial("udp", listenAddr)
 	if err != nil {
 		return err
 	}
-	_, err = client.EnrollContext(conn, selfHandler{})
+	_, err = client.EnrollContext(conn, bootstrapHandler{})
 	return err
 }
 
-// selfHandler handles the socket registered by enrollSelf.
-type selfHandler struct{}
+// bootstrapHandler handles the socket registered by registerBootstrapSocket.
+type bootstrapHandler struct{}
 
-func (selfHandler) Opened(c gnet.Conn)       { _ = c.Close() }
-func (selfHandler) Readable(gnet.Conn) error { return nil }
-func (selfHandler) Closed(gnet.Conn, error)  {}
+func (bootstrapHandler) Opened(c gnet.Conn)       { _ = c.Close() }
+func (bootstrapHandler) Readable(gnet.Conn) error { return nil }
+func (bootstrapHandler) Closed(gnet.Conn, error)  {}
 
-// OnOpen implements gnet.EventHandler. The first connection, opened by enrollSelf, provides gnet's event loop, on which
-// Started is then called. Accept returns the handler of an incoming connection.
+// OnOpen implements gnet.EventHandler. The first connection, opened by registerBootstrapSocket, provides gnet's event
+// loop, on which Started is then called. Accept returns the handler of an incoming connection.
 func (l *Loop) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	if l.gnetLoop == nil {
 		l.gnetLoop = conn.EventLoop()
 		l.startWakeupTimer()
 		l.Started()
 	}
-	l.beginTurn()
+	l.beforeCallback()
 	handler, ok := conn.Context().(ConnHandler)
 	if !ok {
 		handler = l.Accept(conn)
@@ -43,19 +43,19 @@
 		conn.SetContext(handler)
 	}
 	handler.Opened(conn)
-	l.endTurn()
+	l.afterCallback()
 	return nil, gnet.None
 }
 
 // OnTraffic implements gnet.EventHandler. It notifies the connection's handler that bytes have been received.
 func (l *Loop) OnTraffic(conn gnet.Conn) gnet.Action {
-	l.beginTurn()
+	l.beforeCallback()
 	handler, ok := conn.Context().(ConnHandler)
 	if !ok {
 		return gnet.Close
 	}
 	err := handler.Readable(conn)
-	l.endTurn()
+	l.afterCallback()
 	if err != nil {
 		return gnet.Close
 	}
--- a/internal/runtime/eventloop/timers.go
+++ b/internal/runtime/eventloop/timers.go
@@ -6,7 +6,7 @@
 	"calicohill/internal/runtime/deadline"
 )
 
-// initialWakeup is the duration with which the wakeup timer is created. endTurn resets it once a timer is set.
+// initialWakeup is the duration with which the wakeup timer is created. afterCallback resets it once a timer is set.
 const initialWakeup = time.Hour
 
 // SetDeadline starts a timer, or moves it if it is running. It must be called on the loop.
@@ -15,21 +15,21 @@
 // ClearDeadline stops a timer. It must be called on the loop.
 func (l *Loop) ClearDeadline(timer *deadline.Timer) { l.timers.Remove(timer) }
 
-// beginTurn runs before each callback. It detects a stall, in which the wakeup timer is overdue by more than
+// beforeCallback runs before each callback. It detects a stall, in which the wakeup timer is overdue by more than
 // StallThreshold.
-func (l *Loop) beginTurn() {
+func (l *Loop) beforeCallback() {
 	if l.wakeupAt > 0 && l.Stalled != nil && l.Now() > l.wakeupAt+l.StallThreshold {
 		l.wakeupAt = 0
 		l.Stalled()
 	}
 }
 
-// endTurn runs after each callback. It posts fireDueTimers if a timer is due, and otherwise sets the wakeup timer for
-// the earliest one.
+// afterCallback runs after each callback. It posts fireDueTimers if a timer is due, and otherwise sets the wakeup timer
+// for the earliest one.
 //
 // Due timers fire only after the loop has read from all connections that are ready in this iteration. Otherwise, after
 // a stall, a request would time out although its response has arrived and is merely not read yet.
-func (l *Loop) endTurn() {
+func (l *Loop) afterCallback() {
 	earliest, ok := l.timers.Next()
 	if !ok || l.firePending {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// startWakeupTimer creates the wakeup timer. Until endTurn sets it, it is due so late that it never expires in
+// startWakeupTimer creates the wakeup timer. Until afterCallback sets it, it is due so late that it never expires in
 // practice.
 func (l *Loop) startWakeupTimer() {
 	l.wakeup = time.AfterFunc(initialWakeup, func() {
--- a/internal/runtime/localfault/localfault.go
+++ b/internal/runtime/localfault/localfault.go
@@ -13,17 +13,17 @@
 
 // The kinds of local faults.
 const (
-	None     Kind = iota // not a local fault
-	Resource             // descriptors, memory or buffers are exhausted, which affects all addresses
-	Route                // no local address or no route, which may affect only the address in question
+	None              Kind = iota // not a local fault
+	ResourceExhausted             // descriptors, memory or buffers are exhausted, which affects all addresses
+	NoRoute                       // no local address or no route, which may affect only the address in question
 )
 
-// resourceErrors and routeErrors list the errors of each kind that accept, socket and connect may return.
+// resourceErrors and noRouteErrors list the errors of each kind that accept, socket and connect may return.
 var (
 	resourceErrors = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
 	}
-	routeErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN}
+	noRouteErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN}
 )
 
 // KindOf returns the kind of local fault that caused err, or None. err may wrap the error of the system call.
@@ -33,9 +33,9 @@
 	case !errors.As(err, &errno):
 		return None
 	case slices.Contains(resourceErrors, errno):
-		return Resource
-	case slices.Contains(routeErrors, errno):
-		return Route
+		return ResourceExhausted
+	case slices.Contains(noRouteErrors, errno):
+		return NoRoute
 	default:
 		return None
 	}
--- a/internal/runtime/localfault/localfault_test.go
+++ b/internal/runtime/localfault/localfault_test.go
@@ -14,11 +14,11 @@
 // A wrapped error of a system call must be attributed to the local host only if the host caused it.
 func TestKindOf(t *testing.T) {
 	for err, want := range map[error]localfault.Kind{
-		syscall.EMFILE:        localfault.Resource,
-		syscall.ENFILE:        localfault.Resource,
-		syscall.ENOBUFS:       localfault.Resource,
-		syscall.EADDRNOTAVAIL: localfault.Route,
-		syscall.ENETUNREACH:   localfault.Route,
+		syscall.EMFILE:        localfault.ResourceExhausted,
+		syscall.ENFILE:        localfault.ResourceExhausted,
+		syscall.ENOBUFS:       localfault.ResourceExhausted,
+		syscall.EADDRNOTAVAIL: localfault.NoRoute,
+		syscall.ENETUNREACH:   localfault.NoRoute,
 		syscall.ECONNREFUSED:  localfault.None,
 		syscall.EHOSTUNREACH:  localfault.None,
 		syscall.ETIMEDOUT:     localfault.None,
--- a/internal/runtime/logging/logging_test.go
+++ b/internal/runtime/logging/logging_test.go
@@ -13,11 +13,11 @@
 
 // line contains the fields of a JSON log line that the tests compare.
 type line struct {
-	Level   string `json:"level"`
-	Message string `json:"msg"`
-	Part    string `json:"part"`
-	More    int    `json:"more"`
-	Error   string `json:"error"`
+	Level      string `json:"level"`
+	Message    string `json:"msg"`
+	Component  string `json:"part"`
+	Suppressed int    `json:"more"`
+	Error      string `json:"error"`
 }
 
 func newLoggers(t *testing.T, out *bytes.Buffer, settings logging.Settings) *logging.Loggers {
@@ -46,21 +46,21 @@
 
 // A component's own level must override the default level, and only for that component.
 func TestLevels(t *testing.T) {
-	own := map[string]string{"gossip": "debug"}
+	levels := map[string]string{"gossip": "debug"}
 	cases := map[string]struct {
-		settings logging.Settings
-		part     string
-		written  bool // whether an info line is written
+		settings  logging.Settings
+		component string
+		written   bool // whether an info line is written
 	}{
 		"default level":              {logging.Settings{JSON: true, Level: "info"}, "agent", true},
 		"below the default level":    {logging.Settings{JSON: true, Level: "warning"}, "agent", false},
-		"level of the component":     {logging.Settings{JSON: true, Level: "warning", Levels: own}, "gossip", true},
-		"level of another component": {logging.Settings{JSON: true, Level: "warning", Levels: own}, "agent", false},
+		"level of the component":     {logging.Settings{JSON: true, Level: "warning", Levels: levels}, "gossip", true},
+		"level of another component": {logging.Settings{JSON: true, Level: "warning", Levels: levels}, "agent", false},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			newLoggers(t, &out, tt.settings).Component(tt.part).Info("hello")
+			newLoggers(t, &out, tt.settings).Component(tt.component).Info("hello")
 			lines := readLines(t, &out)
 			if !tt.written {
 				if len(lines) != 0 {
@@ -68,7 +68,7 @@
 				}
 				return
 			}
-			if want := (line{Level: "info", Message: "hello", Part: tt.part}); len(lines) != 1 || lines[0] != want {
+			if want := (line{Level: "info", Message: "hello", Component: tt.component}); len(lines) != 1 || lines[0] != want {
 				t.Errorf("wrote %+v, want %+v", lines, want)
 			}
 		})
@@ -104,7 +104,7 @@
 }
 
 // An unknown component must panic rather than log without a configured level.
-func TestUnknownPart(t *testing.T) {
+func TestUnknownComponent(t *testing.T) {
 	var out bytes.Buffer
 	loggers := newLoggers(t, &out, logging.Settings{Level: "info"})
 	defer func() {
@@ -134,10 +134,10 @@
 		limited.Warn(call.now, call.message, call.err)
 	}
 	want := []line{
-		{Level: "warning", Message: "a", Part: "agent"},
-		{Level: "warning", Message: "b", Part: "agent", Error: "broken"},
-		{Level: "warning", Message: "a", Part: "agent", More: 2},
-		{Level: "warning", Message: "a", Part: "agent"},
+		{Level: "warning", Message: "a", Component: "agent"},
+		{Level: "warning", Message: "b", Component: "agent", Error: "broken"},
+		{Level: "warning", Message: "a", Component: "agent", Suppressed: 2},
+		{Level: "warning", Message: "a", Component: "agent"},
 	}
 	got := readLines(t, &out)
 	if len(got) != len(want) {
--- a/internal/runtime/logging/rate_limited.go
+++ b/internal/runtime/logging/rate_limited.go
@@ -15,11 +15,11 @@
 // every distinct message, so a message must not contain data received from a peer. It is not safe for concurrent use.
 type RateLimited struct {
 	Log     logrus.FieldLogger
-	written map[string]repeats // by message
+	written map[string]messageState // by message
 }
 
-// repeats is the rate limiting state of one message.
-type repeats struct {
+// messageState is the rate limiting state of one message.
+type messageState struct {
 	writtenAt  time.Duration
 	suppressed int // repetitions since writtenAt
 }
@@ -34,9 +34,9 @@
 		return
 	}
 	if r.written == nil {
-		r.written = map[string]repeats{}
+		r.written = map[string]messageState{}
 	}
-	r.written[message] = repeats{writtenAt: now}
+	r.written[message] = messageState{writtenAt: now}
 	entry := r.Log.WithField(suppressedField, last.suppressed)
 	if err != nil {
 		entry = entry.WithError(err)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,8 +8,8 @@
 	"calicohill/routing"
 )
 
-// unknownCount is the value of a metric that is missing from a line or a load report.
-const unknownCount = -1
+// unknownMetric is the value of a metric that is missing from a line or a load report.
+const unknownMetric = -1
 
 // eventParsers maps the name of each single-line event message to its parser. A parser must read the values in the
 // order of the line. In a composite literal, the fields must therefore be listed in that order, because Go evaluates
@@ -68,7 +68,7 @@
 const startInfoRadix = 8
 
 func parseAttemptEnded(f *fields) routing.Event {
-	event := routing.AttemptEnded{InFlightForFunction: unknownCount}
+	event := routing.AttemptEnded{InFlightForFunction: unknownMetric}
 	event.ID = f.text()
 	event.RequestAnswered = f.boolean()
 	startInfo := f.optionalInteger()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -19,17 +19,17 @@
 // fields parses the values of a line one at a time and keeps the first error. Values returned after an error are
 // meaningless.
 type fields struct {
-	name  string // message name, the first value of the line
-	left  string // values not parsed yet
-	more  bool   // whether left contains values
-	count int    // number of values parsed
-	err   error
+	name      string // message name, the first value of the line
+	remaining string // values not parsed yet
+	hasMore   bool   // whether remaining contains values
+	parsed    int    // number of values parsed
+	err       error
 }
 
 // splitLine separates the message name of a line from the values.
 func splitLine(line string) *fields {
 	f := &fields{}
-	f.name, f.left, f.more = strings.Cut(line, separator)
+	f.name, f.remaining, f.hasMore = strings.Cut(line, separator)
 	return f
 }
 
@@ -42,37 +42,37 @@
 
 // failValue records that the last value parsed is invalid.
 func (f *fields) failValue(value, expected string) {
-	f.fail(fmt.Sprintf("value %d: %q: expected %s", f.count, value, expected))
+	f.fail(fmt.Sprintf("value %d: %q: expected %s", f.parsed, value, expected))
 }
 
 // failMissing records that the next value is missing.
-func (f *fields) failMissing() { f.fail(fmt.Sprintf("value %d is missing", f.count+1)) }
+func (f *fields) failMissing() { f.fail(fmt.Sprintf("value %d is missing", f.parsed+1)) }
 
 // next returns the next value.
 func (f *fields) next() string {
-	if !f.more {
+	if !f.hasMore {
 		f.failMissing()
 		return ""
 	}
 	var value string
-	value, f.left, f.more = strings.Cut(f.left, separator)
-	f.count++
+	value, f.remaining, f.hasMore = strings.Cut(f.remaining, separator)
+	f.parsed++
 	return value
 }
 
 // rest returns all values not parsed yet, including separators.
 func (f *fields) rest() string {
-	if !f.more {
+	if !f.hasMore {
 		f.failMissing()
 	}
-	f.more = false
-	return f.left
+	f.hasMore = false
+	return f.remaining
 }
 
 // end returns the first error. Values not parsed yet count as an error.
 func (f *fields) end() error {
-	if f.err == nil && f.more {
-		f.fail(fmt.Sprintf("more than the %d values expected", f.count))
+	if f.err == nil && f.hasMore {
+		f.fail(fmt.Sprintf("more than the %d values expected", f.parsed))
 	}
 	return f.err
 }
@@ -81,7 +81,7 @@
 func (f *fields) text() string {
 	value := f.next()
 	if value == "" {
-		f.fail(fmt.Sprintf("value %d: empty", f.count))
+		f.fail(fmt.Sprintf("value %d: empty", f.parsed))
 	}
 	return value
 }
@@ -176,27 +176,27 @@
 		return nil
 	}
 	report := &routing.LoadReport{
-		InFlight:           unknownCount,
-		QueueLength:        unknownCount,
-		Utilization:        unknownCount,
-		MemoryHeldFraction: unknownCount,
-		LoadsInProgress:    unknownCount,
-	}
-	for figure := range strings.SplitSeq(value, ",") {
-		name, text, ok := strings.Cut(figure, ":")
+		InFlight:           unknownMetric,
+		QueueLength:        unknownMetric,
+		Utilization:        unknownMetric,
+		MemoryHeldFraction: unknownMetric,
+		LoadsInProgress:    unknownMetric,
+	}
+	for metric := range strings.SplitSeq(value, ",") {
+		name, text, ok := strings.Cut(metric, ":")
 		if !ok {
-			f.failValue(figure, "name:value")
+			f.failValue(metric, "name:value")
 			return nil
 		}
 		if text == absent {
 			continue
 		}
-		setLoadFigure(report, name, f.parseNumber(text))
+		setLoadMetric(report, name, f.parseNumber(text))
 	}
 	return report
 }
 
-func setLoadFigure(report *routing.LoadReport, name string, number float64) {
+func setLoadMetric(report *routing.LoadReport, name string, number float64) {
 	switch name {
 	case "inflight":
 		report.InFlight = number
