--- a/cmd/simadapter/recording_attempts_test.go
+++ b/cmd/simadapter/recording_attempts_test.go
@@ -5,128 +5,128 @@
 	"strconv"
 )
 
-// plannedEnd is the planned result of an attempt at a worker.
-type plannedEnd struct {
-	outcome    string
-	tookMicros int64
-	startType  int
+// plannedResult is the planned result of an attempt at a worker.
+type plannedResult struct {
+	outcome       string
+	latencyMicros int64
+	startType     int
 }
 
 // startAttempt starts an attempt at a worker and schedules its end.
-func (w *simulatedWorld) startAttempt(id, timeoutText, workerID string) error {
+func (s *simulation) startAttempt(id, timeoutText, workerID string) error {
 	timeoutMillis, err := strconv.ParseFloat(timeoutText, 64)
 	if err != nil {
 		return err
 	}
-	request := w.requests[id]
+	request := s.requests[id]
 	if request == nil { // request invented by unexpectedEvent
-		request = &simulatedRequest{id: id, function: w.functions[0]}
-		w.requests[id] = request
+		request = &simulatedRequest{id: id, function: s.functions[0]}
+		s.requests[id] = request
 	}
-	worker := w.worker(workerID)
+	worker := s.worker(workerID)
 	attempt := &simulatedAttempt{worker: worker}
 	number := len(request.attempts)
 	timeout := int64(timeoutMillis * 1000)
 	request.attempts = append(request.attempts, attempt)
 	if worker == nil || worker.state == wireGone {
-		after := 1000 + w.rng.Int64N(5000)
-		outcome := []string{wireConnectFailed, wireNotSent}[w.rng.IntN(2)]
-		w.scheduleEnd(request, attempt, number, after, outcome, wireUnknown, timeout)
+		after := 1000 + s.rng.Int64N(5000)
+		outcome := []string{wireConnectFailed, wireNotSent}[s.rng.IntN(2)]
+		s.scheduleEnd(request, attempt, number, after, outcome, wireAbsent, timeout)
 		return nil
 	}
-	end := w.planEnd(worker, request.function)
-	w.applyCondition(&end, worker, timeout)
-	w.applyPressure(&end, worker)
-	if end.tookMicros >= timeout {
-		end.outcome, end.tookMicros = wireTimedOut, timeout
+	result := s.planResult(worker, request.function)
+	s.applyCondition(&result, worker, timeout)
+	s.applyPressure(&result, worker)
+	if result.latencyMicros >= timeout {
+		result.outcome, result.latencyMicros = wireTimedOut, timeout
 	}
-	if end.outcome == wireServed && request.function.class == streamingClass && w.chance(900) {
-		w.scheduleStreamStart(request, attempt, number, end.tookMicros/3)
+	if result.outcome == wireServed && request.function.class == streamingClass && s.chance(900) {
+		s.scheduleStreamStart(request, attempt, number, result.latencyMicros/3)
 	}
-	info := wireUnknown
-	if w.chance(850) {
-		if w.chance(200) {
-			end.startType = wireStartUnknown
+	info := wireAbsent
+	if s.chance(850) {
+		if s.chance(200) {
+			result.startType = wireStartUnknown
 		}
-		info = strconv.Itoa(end.startType + wireStartInfoRadix*worker.inFlight)
+		info = strconv.Itoa(result.startType + wireStartInfoRadix*worker.inFlight)
 	}
 	worker.inFlight++
-	w.scheduleEnd(request, attempt, number, end.tookMicros, end.outcome, info, timeout)
+	s.scheduleEnd(request, attempt, number, result.latencyMicros, result.outcome, info, timeout)
 	return nil
 }
 
-// planEnd returns a random result of an attempt at a healthy worker.
-func (w *simulatedWorld) planEnd(worker *simulatedWorker, function *simulatedFunction) plannedEnd {
-	end := plannedEnd{
-		outcome:    wireServed,
-		tookMicros: function.serviceMicros/2 + w.rng.Int64N(function.serviceMicros),
-		startType:  wireWarmStart,
-	}
-	end.tookMicros += end.tookMicros * int64(worker.inFlight) / 8
+// planResult returns a random result of an attempt at a healthy worker.
+func (s *simulation) planResult(worker *simulatedWorker, function *simulatedFunction) plannedResult {
+	result := plannedResult{
+		outcome:       wireServed,
+		latencyMicros: function.serviceMicros/2 + s.rng.Int64N(function.serviceMicros),
+		startType:     wireWarmStart,
+	}
+	result.latencyMicros += result.latencyMicros * int64(worker.inFlight) / 8
 	if !worker.loaded[function.name] {
-		end.startType = []int{wireColdStart, wireJoinedColdStart}[w.rng.IntN(2)]
-		if w.profile.whenNotLoaded == "miss" {
-			end.outcome, end.tookMicros = wireNotLoaded, 3000
+		result.startType = []int{wireColdStart, wireJoinedColdStart}[s.rng.IntN(2)]
+		if s.profile.whenNotLoaded == "miss" {
+			result.outcome, result.latencyMicros = wireNotLoaded, 3000
 		} else {
-			end.tookMicros += function.loadMicros
+			result.latencyMicros += function.loadMicros
 		}
 	}
-	warmingUp := worker.startedMicros > 0 && w.now-worker.startedMicros < int64(w.profile.slowStartMs)*1000
+	warmingUp := worker.startedMicros > 0 && s.now-worker.startedMicros < int64(s.profile.slowStartMs)*1000
 	if warmingUp {
-		end.tookMicros *= 2
+		result.latencyMicros *= 2
 	}
-	return end
+	return result
 }
 
 // applyCondition modifies the result of an attempt according to the condition of the worker.
-func (w *simulatedWorld) applyCondition(end *plannedEnd, worker *simulatedWorker, timeout int64) {
+func (s *simulation) applyCondition(result *plannedResult, worker *simulatedWorker, timeout int64) {
 	switch worker.condition {
 	case conditionUnresponsive:
-		end.outcome, end.tookMicros = wireTimedOut, timeout
+		result.outcome, result.latencyMicros = wireTimedOut, timeout
 	case conditionErrors:
-		if w.chance(700) {
-			end.outcome, end.tookMicros = wireErrored, end.tookMicros/4
+		if s.chance(700) {
+			result.outcome, result.latencyMicros = wireErrored, result.latencyMicros/4
 		}
 	case conditionRefusesConnections:
-		end.outcome, end.tookMicros = wireConnectFailed, 2000
+		result.outcome, result.latencyMicros = wireConnectFailed, 2000
 	case conditionResetsConnections:
-		end.outcome, end.tookMicros = wireConnectionReset, end.tookMicros/2
+		result.outcome, result.latencyMicros = wireConnectionReset, result.latencyMicros/2
 	case conditionSlow:
-		end.tookMicros *= 7
+		result.latencyMicros *= 7
 	case conditionSheds:
-		if w.chance(700) {
-			end.outcome, end.tookMicros = wireShed, 2000
+		if s.chance(700) {
+			result.outcome, result.latencyMicros = wireShed, 2000
 		}
-	case conditionLosesAnswers:
-		if w.chance(350) {
-			end.outcome, end.tookMicros = wireTimedOut, timeout
+	case conditionLosesResponses:
+		if s.chance(350) {
+			result.outcome, result.latencyMicros = wireTimedOut, timeout
 		}
 	case conditionLoadsFail:
-		if end.startType > wireWarmStart {
-			end.startType, end.outcome = wireLoadFailed, []string{wireErrored, wireNotLoaded}[w.rng.IntN(2)]
-			end.tookMicros /= 2
+		if result.startType > wireWarmStart {
+			result.startType, result.outcome = wireLoadFailed, []string{wireErrored, wireNotLoaded}[s.rng.IntN(2)]
+			result.latencyMicros /= 2
 		}
 	}
 }
 
 // applyPressure makes draining and overloaded workers shed some attempts, and gives a few attempts a random outcome.
-func (w *simulatedWorld) applyPressure(end *plannedEnd, worker *simulatedWorker) {
+func (s *simulation) applyPressure(result *plannedResult, worker *simulatedWorker) {
 	switch {
-	case worker.state == wireDraining && w.chance(300):
-		end.outcome, end.tookMicros = wireShed, 1500
-	case worker.inFlight > 12 && w.chance(500):
-		end.outcome, end.tookMicros = wireShed, 2500
-	case w.chance(12):
-		end.outcome = wireOutcomes[w.rng.IntN(len(wireOutcomes))]
-		end.tookMicros = 1000 + w.rng.Int64N(50000)
+	case worker.state == wireDraining && s.chance(300):
+		result.outcome, result.latencyMicros = wireShed, 1500
+	case worker.inFlight > 12 && s.chance(500):
+		result.outcome, result.latencyMicros = wireShed, 2500
+	case s.chance(12):
+		result.outcome = wireOutcomes[s.rng.IntN(len(wireOutcomes))]
+		result.latencyMicros = 1000 + s.rng.Int64N(50000)
 	}
 }
 
 // scheduleStreamStart schedules the start of a streamed response. It has no effect if the attempt ends before.
-func (w *simulatedWorld) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int,
+func (s *simulation) scheduleStreamStart(request *simulatedRequest, attempt *simulatedAttempt, number int,
 	after int64,
 ) {
-	w.schedule(after, func() string {
+	s.schedule(after, func() string {
 		if attempt.ended {
 			return ""
 		}
@@ -135,73 +135,73 @@
 }
 
 // scheduleEnd schedules the end of an attempt. It has no effect if the attempt was canceled before.
-func (w *simulatedWorld) scheduleEnd(request *simulatedRequest, attempt *simulatedAttempt, number int, took int64,
+func (s *simulation) scheduleEnd(request *simulatedRequest, attempt *simulatedAttempt, number int, latency int64,
 	outcome, info string, timeout int64,
 ) {
-	w.schedule(min(took, timeout), func() string {
+	s.schedule(min(latency, timeout), func() string {
 		if attempt.ended {
 			return ""
 		}
-		return w.attemptEnded(request, attempt, number, millisText(took), outcome, info)
+		return s.attemptEnded(request, attempt, number, millisText(latency), outcome, info)
 	})
 }
 
 // attemptEnded ends an attempt and returns its message, occasionally as a duplicate pair.
-func (w *simulatedWorld) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int,
+func (s *simulation) attemptEnded(request *simulatedRequest, attempt *simulatedAttempt, number int,
 	latency, outcome, info string,
 ) string {
 	attempt.ended = true
-	id, report := "worker-lost", wireUnknown
+	id, report := "worker-lost", wireAbsent
 	if attempt.worker != nil {
 		id = attempt.worker.id
 		attempt.worker.inFlight = max(0, attempt.worker.inFlight-1)
 		if outcome == wireServed || outcome == wireShed || outcome == wireErrored {
-			report = w.loadReport(attempt.worker)
+			report = s.loadReport(attempt.worker)
 		}
 		if outcome == wireServed {
 			attempt.worker.loaded[request.function.name] = true
-			if w.chance(15) { // evicted
+			if s.chance(15) { // evicted
 				delete(attempt.worker.loaded, request.function.name)
 			}
 		}
 	}
-	if outcome == wireServed || outcome == wireErrored && w.chance(200) {
-		request.over = true
+	if outcome == wireServed || outcome == wireErrored && s.chance(200) {
+		request.finished = true
 	}
-	closed := 0
-	if request.over {
-		closed = 1
+	answered := 0
+	if request.finished {
+		answered = 1
 	}
-	if w.chance(50) {
-		latency = wireUnknown
+	if s.chance(50) {
+		latency = wireAbsent
 	}
-	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, closed, info, latency, id, number,
+	line := fmt.Sprintf("outcome\t%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", request.id, answered, info, latency, id, number,
 		outcome, report)
-	if w.chance(4) {
+	if s.chance(4) {
 		line += line
 	}
 	return line
 }
 
 // loadReport returns a load report of a worker, or an invented one if worker is nil, or wireUnknown for no report.
-func (w *simulatedWorld) loadReport(worker *simulatedWorker) string {
-	if !w.profile.reportEverything && w.chance(500) {
-		return wireUnknown
+func (s *simulation) loadReport(worker *simulatedWorker) string {
+	if !s.profile.frequentReports && s.chance(500) {
+		return wireAbsent
 	}
 	inFlight := 1
 	if worker != nil {
 		inFlight = worker.inFlight
 	}
-	switch w.rng.IntN(5) {
+	switch s.rng.IntN(5) {
 	case 0:
-		return wireUnknown
+		return wireAbsent
 	case 1:
-		return fmt.Sprintf("inflight:%d", inFlight+w.rng.IntN(4))
+		return fmt.Sprintf("inflight:%d", inFlight+s.rng.IntN(4))
 	case 2:
-		return fmt.Sprintf("util:0.%02d,x0:0.%d,x1:%d,other:3", min(99, 10*inFlight+w.rng.IntN(20)), w.rng.IntN(10),
-			w.rng.IntN(3))
+		return fmt.Sprintf("util:0.%02d,x0:0.%d,x1:%d,other:3", min(99, 10*inFlight+s.rng.IntN(20)), s.rng.IntN(10),
+			s.rng.IntN(3))
 	case 3:
-		return fmt.Sprintf("inflight:%d,queue:%d,util:0.%02d", inFlight, w.rng.IntN(3), w.rng.IntN(100))
+		return fmt.Sprintf("inflight:%d,queue:%d,util:0.%02d", inFlight, s.rng.IntN(3), s.rng.IntN(100))
 	}
-	return fmt.Sprintf("util:%d,queue:-", 1+w.rng.IntN(2))
+	return fmt.Sprintf("util:%d,queue:-", 1+s.rng.IntN(2))
 }
--- a/cmd/simadapter/recording_profiles_test.go
+++ b/cmd/simadapter/recording_profiles_test.go
@@ -11,9 +11,9 @@
 	classCount     = 6
 )
 
-// siteProfile contains the settings and the load parameters of one simulated instance. The settings are named as in
+// instanceProfile contains the settings and the load parameters of one simulated instance. The settings are named as in
 // routing.Settings. The method settings maps them to the simulator's keys.
-type siteProfile struct {
+type instanceProfile struct {
 	schedulers, rank     int
 	maxAttempts          int
 	cancelAllowed        bool
@@ -42,11 +42,11 @@
 	restartsPerMinute int
 	stepMs            int  // mean time between rounds
 	startCold         bool // all workers start at the beginning
-	reportEverything  bool // twice as many responses include a load report
+	frequentReports   bool // twice as many responses include a load report
 }
 
 // settings returns the settings as JSON in the simulator's format.
-func (p siteProfile) settings() string {
+func (p instanceProfile) settings() string {
 	discovery := "pushed"
 	if p.subscriptionRequired {
 		discovery = "on_request"
@@ -80,59 +80,63 @@
 		p.slowStartMs, p.slowStartFraction, p.overloadMs, p.overloadMultiple)
 }
 
-// siteProfiles returns the profiles of the recorded instances, in start order.
-func siteProfiles() []siteProfile {
-	base := siteProfile{
+// instanceProfiles returns the profiles of the recorded instances, in start order.
+func instanceProfiles() []instanceProfile {
+	base := instanceProfile{
 		schedulers: 1, maxAttempts: 4, cancelAllowed: true, probeAllowed: true, honorsRetryAfter: true,
 		hedgingAllowed: true, whenNotLoaded: "load", slowStartMs: 6000, overloadMs: 2000, slowStartFraction: 0.25, overloadMultiple: 3,
 		keepAliveMs: 9000,
 		weights:     "silent", lateValue: 0.2, workers: 8, functions: 12, requestsPerSecond: 60, faultsPerMinute: 20,
-		restartsPerMinute: 6, stepMs: 12, reportEverything: true,
+		restartsPerMinute: 6, stepMs: 12, frequentReports: true,
 	}
-	vary := func(change func(p *siteProfile)) siteProfile {
+	vary := func(change func(p *instanceProfile)) instanceProfile {
 		varied := base
 		change(&varied)
 		return varied
 	}
-	return []siteProfile{
+	return []instanceProfile{
 		base,
-		vary(func(p *siteProfile) { p.hedgingAllowed, p.requestsPerSecond = false, 90 }),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) { p.hedgingAllowed, p.requestsPerSecond = false, 90 }),
+		vary(func(p *instanceProfile) {
 			p.whenNotLoaded, p.loadAllowed, p.loadBudgetBase, p.loadBudgetPerRequest = "miss", true, 3, 0.05
 			p.loadBudgetWindowMs = 2000
 		}),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) {
 			p.subscriptionRequired, p.cancelAllowed, p.hedgingAllowed, p.workers = true, false, false, 5
 		}),
-		vary(func(p *siteProfile) { p.schedulers, p.rank, p.workers, p.weights = 300, 17, 20, "rough" }),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) { p.schedulers, p.rank, p.workers, p.weights = 300, 17, 20, "rough" }),
+		vary(func(p *instanceProfile) {
 			p.tenants = `{"share":0.5,"quotaPerS":12},{"share":0.3,"quotaPerS":4},{"share":0.2,"quotaPerS":0.5}`
 			p.requestsPerSecond, p.schedulers, p.workers = 120, 2, 4
 		}),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) {
 			p.startCold, p.slowStartMs, p.restartsPerMinute, p.schedulers = true, 9000, 20, 4
 		}),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) {
 			p.whenNotLoaded, p.loadAllowed, p.subscriptionRequired, p.weights = "miss", true, true, "exact"
 			p.keepAliveMs, p.loadBudgetWindowMs = 1500, 0
 		}),
-		vary(func(p *siteProfile) { p.faultsPerMinute, p.requestsPerSecond, p.workers, p.lateValue = 60, 100, 6, 1 }),
-		vary(func(p *siteProfile) { p.keepAliveMs, p.functions, p.stepMs, p.schedulers = 700, 40, 40, 12 }),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) {
+			p.faultsPerMinute, p.requestsPerSecond, p.workers, p.lateValue = 60, 100, 6, 1
+		}),
+		vary(func(p *instanceProfile) { p.keepAliveMs, p.functions, p.stepMs, p.schedulers = 700, 40, 40, 12 }),
+		vary(func(p *instanceProfile) {
 			p.overloadMultiple, p.overloadMs, p.startCold, p.maxAttempts, p.honorsRetryAfter = 0, 0, true, 1, false
 		}),
-		vary(func(p *siteProfile) { p.workers, p.requestsPerSecond, p.functions, p.faultsPerMinute = 2, 150, 3, 30 }),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) {
+			p.workers, p.requestsPerSecond, p.functions, p.faultsPerMinute = 2, 150, 3, 30
+		}),
+		vary(func(p *instanceProfile) {
 			p.workers, p.functions, p.requestsPerSecond, p.schedulers, p.faultsPerMinute = 14, 4, 160, 40, 40
 		}),
-		vary(func(p *siteProfile) {
-			p.maxAttempts, p.hedgingAllowed, p.stepMs, p.reportEverything = 2, false, 25, false
+		vary(func(p *instanceProfile) {
+			p.maxAttempts, p.hedgingAllowed, p.stepMs, p.frequentReports = 2, false, 25, false
 		}),
-		vary(func(p *siteProfile) {
+		vary(func(p *instanceProfile) {
 			p.schedulers, p.rank, p.overloadMs, p.weights = 60, 3, 600, "rough"
 			p.subscriptionRequired, p.startCold = true, true
 		}),
-		vary(func(p *siteProfile) { // workers under pressure shared by many schedulers
+		vary(func(p *instanceProfile) { // workers under pressure shared by many schedulers
 			p.schedulers, p.rank, p.workers, p.requestsPerSecond, p.functions, p.weights = 300, 299, 5, 200, 30, "rough"
 		}),
 	}
--- a/cmd/simadapter/recording_test.go
+++ b/cmd/simadapter/recording_test.go
@@ -29,16 +29,16 @@
 	recordedMalformed  = 900  // short inputs, most with a malformed line
 	recordingSeed      = 20260101
 	recordingStartTime = 1000000  // microseconds
-	inputMark          = "input " // prefix of a line with the checksum of the input
+	inputPrefix        = "input " // prefix of a line with the checksum of the input
 )
 
 // TestRecordedDecisions guards against unintended changes of routing decisions and of error texts. It runs the adapter
-// against simulated environments and compares all replies with the recording, byte for byte. A checksum of each round's
-// input precedes the replies. If a checksum is the first difference, the simulation has changed rather than the
+// against simulations of the environment and compares all replies with the recording, byte for byte. A checksum of each
+// round's input precedes the replies. If a checksum is the first difference, the simulation has changed rather than the
 // decisions.
 func TestRecordedDecisions(t *testing.T) {
 	var got bytes.Buffer
-	if err := recordWorld(&got); err != nil {
+	if err := recordSimulations(&got); err != nil {
 		t.Fatal(err)
 	}
 	recordMalformedInput(&got)
@@ -60,18 +60,18 @@
 		if gotLines[i] == wantLines[i] {
 			continue
 		}
-		what := "decisions changed"
-		if strings.HasPrefix(gotLines[i], inputMark) && strings.HasPrefix(wantLines[i], inputMark) {
-			what = "the simulated input changed, with the same decisions before it"
+		difference := "decisions changed"
+		if strings.HasPrefix(gotLines[i], inputPrefix) && strings.HasPrefix(wantLines[i], inputPrefix) {
+			difference = "the simulated input changed, with the same decisions before it"
 		}
-		t.Fatalf("line %d of the recording: %s: got %q, want %q", i+1, what, gotLines[i], wantLines[i])
+		t.Fatalf("line %d of the recording: %s: got %q, want %q", i+1, difference, gotLines[i], wantLines[i])
 	}
 	t.Fatalf("got %d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// recordWorld simulates all profiles in a single run of the program, several of them concurrently, and records
+// recordSimulations simulates all profiles in a single run of the program, several of them concurrently, and records
 // checksums of the input and all replies.
-func recordWorld(recording *bytes.Buffer) error {
+func recordSimulations(recording *bytes.Buffer) error {
 	programIn, toProgram := io.Pipe()
 	fromProgram, programOut := io.Pipe()
 	ended := make(chan error, 1)
@@ -85,11 +85,11 @@
 	schedule := newInstanceSchedule()
 	for number := 1; number <= recordedRounds; number++ {
 		text := schedule.round(number)
-		fmt.Fprintf(recording, "%s%08x\n", inputMark, crc32.ChecksumIEEE([]byte(text)))
+		fmt.Fprintf(recording, "%s%08x\n", inputPrefix, crc32.ChecksumIEEE([]byte(text)))
 		if _, err := io.WriteString(toProgram, text); err != nil {
 			return fmt.Errorf("round %d: %w, run: %w", number, err, <-ended)
 		}
-		if err := schedule.takeReply(replies, number, recording); err != nil {
+		if err := schedule.readReply(replies, number, recording); err != nil {
 			return fmt.Errorf("round %d: %w", number, err)
 		}
 	}
@@ -101,27 +101,27 @@
 
 // instanceSchedule assigns the profiles, in order, to the instances as these become free.
 type instanceSchedule struct {
-	rng      *rand.Rand
-	now      int64
-	profiles []siteProfile
-	next     int // index of the next profile
-	worlds   [recordedInstances]*simulatedWorld
-	ends     [recordedInstances]int // round after which the instance is shut down
+	rng         *rand.Rand
+	now         int64
+	profiles    []instanceProfile
+	next        int // index of the next profile
+	simulations [recordedInstances]*simulation
+	endRounds   [recordedInstances]int // round after which the instance is shut down
 }
 
 func newInstanceSchedule() *instanceSchedule {
 	return &instanceSchedule{
 		rng:      rand.New(rand.NewPCG(recordingSeed, 1)),
 		now:      recordingStartTime,
-		profiles: siteProfiles(),
+		profiles: instanceProfiles(),
 	}
 }
 
 // round returns the input lines of the next round.
 func (s *instanceSchedule) round(number int) string {
 	step := int64(12000)
-	if w := s.worlds[number%recordedInstances]; w != nil {
-		step = int64(w.profile.stepMs) * 1000
+	if sim := s.simulations[number%recordedInstances]; sim != nil {
+		step = int64(sim.profile.stepMs) * 1000
 	}
 	s.now += 1000 + s.rng.Int64N(2*step)
 	if s.rng.IntN(400) == 0 { // a stall
@@ -130,25 +130,25 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "round\t%s\t%d\n", millisText(s.now), number)
 	if number > 2 { // the first two rounds are empty
-		for i := range s.worlds {
-			s.instance(&text, i, number)
+		for i := range s.simulations {
+			s.writeInstance(&text, i, number)
 		}
 	}
 	text.WriteString("flush\n")
 	return text.String()
 }
 
-// instance writes the messages for one instance in a round.
-func (s *instanceSchedule) instance(text *strings.Builder, i, number int) {
-	world := s.worlds[i]
+// writeInstance writes the messages for one instance in a round.
+func (s *instanceSchedule) writeInstance(text *strings.Builder, i, number int) {
+	sim := s.simulations[i]
 	switch {
-	case world != nil && number < s.ends[i]:
-		if messages := world.round(s.now); messages != "" {
+	case sim != nil && number < s.endRounds[i]:
+		if messages := sim.round(s.now); messages != "" {
 			fmt.Fprintf(text, "target_instance\t%d\n%s", i, messages)
 		}
-	case world != nil:
-		fmt.Fprintf(text, "target_instance\t%d\n%sshutdown\n", i, world.round(s.now))
-		s.worlds[i] = nil
+	case sim != nil:
+		fmt.Fprintf(text, "target_instance\t%d\n%sshutdown\n", i, sim.round(s.now))
+		s.simulations[i] = nil
 	case s.rng.IntN(20) == 0: // an event for an instance that is not running
 		fmt.Fprintf(text, "target_instance\t%d\nreminder\t1\n", i)
 	case s.rng.IntN(10) == 0:
@@ -156,16 +156,16 @@
 	case s.rng.IntN(4) == 0:
 		duration := recordedRounds * recordedInstances / len(s.profiles)
 		seed := recordingSeed + uint64(s.next)
-		world = newSimulatedWorld(s.profiles[s.next%len(s.profiles)], seed, s.now)
+		sim = newSimulation(s.profiles[s.next%len(s.profiles)], seed, s.now)
 		s.next++
-		s.worlds[i], s.ends[i] = world, number+duration
-		fmt.Fprintf(text, "target_instance\t%d\n%s", i, world.startMessages(seed))
+		s.simulations[i], s.endRounds[i] = sim, number+duration
+		fmt.Fprintf(text, "target_instance\t%d\n%s", i, sim.startMessages(seed))
 	}
 }
 
-// takeReply reads and records the reply to a round and applies its actions to the simulated environments.
-func (s *instanceSchedule) takeReply(replies *bufio.Reader, number int, recording *bytes.Buffer) error {
-	var world *simulatedWorld
+// readReply reads and records the reply to a round and applies its actions to the simulations.
+func (s *instanceSchedule) readReply(replies *bufio.Reader, number int, recording *bytes.Buffer) error {
+	var sim *simulation
 	for {
 		line, err := replies.ReadString('\n')
 		if err != nil {
@@ -182,15 +182,15 @@
 			return nil
 		case "instance":
 			var i int
-			if _, err := fmt.Sscan(value, &i); err != nil || i < 0 || i >= len(s.worlds) {
+			if _, err := fmt.Sscan(value, &i); err != nil || i < 0 || i >= len(s.simulations) {
 				return fmt.Errorf("reply %q", line)
 			}
-			world = s.worlds[i]
+			sim = s.simulations[i]
 		default:
-			if world == nil {
+			if sim == nil {
 				continue // the reply to a failed start, or to an event for an instance that is not running
 			}
-			if err := world.apply(line); err != nil {
+			if err := sim.applyAction(line); err != nil {
 				return err
 			}
 		}
@@ -233,7 +233,7 @@
 // contain the names of Go types.
 func recordMalformedInput(recording *bytes.Buffer) {
 	rng := rand.New(rand.NewPCG(recordingSeed, 3))
-	settings := siteProfiles()[0].settings()
+	settings := instanceProfiles()[0].settings()
 	start := "round\t1\t1\ntarget_instance\t0\npower_on\t5\t" + settings + "\nview\t1\t1\t1\nm\t1\t1\tw-a\t0\t0\t0\t-\n" +
 		"call\tt/1\t0\t-\tf-a\t900\t-\t-\t-\t-\t-\nflush\nround\t20\t2\ntarget_instance\t0\n"
 	inputs := []string{
@@ -256,22 +256,22 @@
 		inputs = append(inputs, start+bad+"\nflush\n")
 	}
 	for i := len(inputs); i < recordedMalformed; i++ {
-		inputs = append(inputs, start+malformed(rng, wellFormed[i%len(wellFormed)])+"\nflush\n")
+		inputs = append(inputs, start+alterMessage(rng, wellFormed[i%len(wellFormed)])+"\nflush\n")
 	}
 	for i, in := range inputs {
 		if i%9 == 8 { // truncate the input
 			in = in[:len(in)-rng.IntN(min(len(in), 40))]
 		}
-		fmt.Fprintf(recording, "%s%08x\n", inputMark, crc32.ChecksumIEEE([]byte(in)))
+		fmt.Fprintf(recording, "%s%08x\n", inputPrefix, crc32.ChecksumIEEE([]byte(in)))
 		err := run(strings.NewReader(in), recording)
 		fmt.Fprintf(recording, "error %v\n", err)
 	}
 }
 
-// malformed alters one message: it truncates a line, removes, adds or replaces a value. The replacement may happen to
-// be valid.
-func malformed(rng *rand.Rand, message string) string {
-	odd := []string{
+// alterMessage alters one message: it truncates a line, removes, adds or replaces a value. The replacement may happen
+// to be valid.
+func alterMessage(rng *rand.Rand, message string) string {
+	replacements := []string{
 		"", "-", "x", "-1", "1e999", "NaN", "0x1", "9223372036854775808", "18446744073709551616", "4", "1.5",
 		"inflight", "inflight:x", "inflight:1,,", "t/1", "delivered", "Delivered", "2", " 1", "1 ", "\x00", "é", "abc",
 	}
@@ -286,7 +286,7 @@
 	case 1: // remove a value
 		lines[changed] = strings.Join(append(append([]string{}, values[:position]...), values[position+1:]...), "\t")
 	case 2: // add a value
-		lines[changed] = line + "\t" + odd[rng.IntN(len(odd))]
+		lines[changed] = line + "\t" + replacements[rng.IntN(len(replacements))]
 	default:
 		if position == 0 && rng.IntN(4) > 0 {
 			position = len(values) - 1
@@ -294,7 +294,7 @@
 		if values[0] == "power_on" {
 			position = 1 // the settings are altered in recordMalformedInput
 		}
-		values[position] = odd[rng.IntN(len(odd))]
+		values[position] = replacements[rng.IntN(len(replacements))]
 		lines[changed] = strings.Join(values, "\t")
 	}
 	if rng.IntN(12) == 0 { // truncate a list
--- a/cmd/simadapter/recording_wire_test.go
+++ b/cmd/simadapter/recording_wire_test.go
@@ -70,5 +70,5 @@
 	wireRetryFlag = 2 // the client has marked the request as a retry
 )
 
-// wireUnknown denotes an unknown value.
-const wireUnknown = "-"
+// wireAbsent denotes an absent value.
+const wireAbsent = "-"
