--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -33,9 +33,9 @@
 		if err != nil {
 			return err
 		}
-		for _, step := range stepsOf(batch) {
+		for _, step := range groupByInstance(batch) {
 			actions, err := step.run(routers, batch)
-			if err := reply(encoder, step.instance, actions, err); err != nil {
+			if err := writeReply(encoder, step.instance, actions, err); err != nil {
 				return err
 			}
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// reply writes the actions of an instance, or its failure if failure is not nil. Without either it writes nothing.
-func reply(encoder *simwire.Encoder, instance int, actions []routing.Action, failure error) error {
+// writeReply writes the actions of an instance, or its failure if failure is not nil. Without either it writes nothing.
+func writeReply(encoder *simwire.Encoder, instance int, actions []routing.Action, failure error) error {
 	if failure != nil {
 		encoder.Instance(instance)
 		encoder.InstanceFailed(failure.Error())
@@ -72,9 +72,9 @@
 	events   []routing.Event // after the start or stop, if any
 }
 
-// stepsOf groups the items of a batch by instance, in the order in which the instances first appear. Events before a
-// stop or a start in the same batch are dropped, because their router no longer exists.
-func stepsOf(batch *simwire.Batch) []*instanceStep {
+// groupByInstance groups the items of a batch by instance, in the order in which the instances first appear. Events
+// before a stop or a start in the same batch are dropped, because their router no longer exists.
+func groupByInstance(batch *simwire.Batch) []*instanceStep {
 	var steps []*instanceStep
 	byInstance := map[int]*instanceStep{}
 	for _, item := range batch.Items {
--- a/internal/runtime/eventloop/accept.go
+++ b/internal/runtime/eventloop/accept.go
@@ -18,9 +18,8 @@
 	// failure, and half of it is random jitter.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 160 * time.Millisecond
-	// closeDelay is how long no connection must be accepted, after CloseListener, before the listener is closed.
-	// Connections in the kernel's backlog may carry requests and have to be accepted first. maxCloseDelay bounds the
-	// total delay.
+	// After CloseListener, the listener is closed once no connection has been accepted for closeDelay. Connections in
+	// the kernel's backlog may carry requests and must be accepted first. maxCloseDelay bounds the total delay.
 	closeDelay    = 5 * time.Millisecond
 	maxCloseDelay = time.Second
 )
--- a/internal/runtime/logging/logging_test.go
+++ b/internal/runtime/logging/logging_test.go
@@ -13,11 +13,11 @@
 
 // line contains the fields of a JSON log line that the tests compare.
 type line struct {
-	Level      string `json:"level"`
-	Message    string `json:"msg"`
-	Component  string `json:"part"`
-	Suppressed int    `json:"more"`
-	Error      string `json:"error"`
+	Level         string `json:"level"`
+	Message       string `json:"msg"`
+	ComponentName string `json:"part"`
+	Suppressed    int    `json:"more"`
+	Error         string `json:"error"`
 }
 
 func newLoggers(t *testing.T, out *bytes.Buffer, settings logging.Settings) *logging.Loggers {
@@ -68,7 +68,8 @@
 				}
 				return
 			}
-			if want := (line{Level: "info", Message: "hello", Component: tt.component}); len(lines) != 1 || lines[0] != want {
+			if want := (line{Level: "info", Message: "hello", ComponentName: tt.component}); len(lines) != 1 ||
+				lines[0] != want {
 				t.Errorf("wrote %+v, want %+v", lines, want)
 			}
 		})
@@ -134,10 +135,10 @@
 		limited.Warn(call.now, call.message, call.err)
 	}
 	want := []line{
-		{Level: "warning", Message: "a", Component: "agent"},
-		{Level: "warning", Message: "b", Component: "agent", Error: "broken"},
-		{Level: "warning", Message: "a", Component: "agent", Suppressed: 2},
-		{Level: "warning", Message: "a", Component: "agent"},
+		{Level: "warning", Message: "a", ComponentName: "agent"},
+		{Level: "warning", Message: "b", ComponentName: "agent", Error: "broken"},
+		{Level: "warning", Message: "a", ComponentName: "agent", Suppressed: 2},
+		{Level: "warning", Message: "a", ComponentName: "agent"},
 	}
 	got := readLines(t, &out)
 	if len(got) != len(want) {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -169,7 +169,7 @@
 }
 
 // loadReport returns the next value as the load report of a worker, or nil if it is absent or empty. Unknown metrics
-// are skipped. Metrics missing from the report are set to unknownCount.
+// are skipped. Metrics missing from the report are set to unknownMetric.
 func (f *fields) loadReport() *routing.LoadReport {
 	value := f.next()
 	if value == absent || value == "" {
