--- a/internal/runtime/logging/logging_test.go
+++ b/internal/runtime/logging/logging_test.go
@@ -11,13 +11,13 @@
 	"calicohill/internal/runtime/logging"
 )
 
-// line is the fields of a JSON log line that the tests compare.
+// line contains the fields of a JSON log line that the tests compare.
 type line struct {
-	Level   string `json:"level"`
-	Message string `json:"msg"`
-	Part    string `json:"part"`
-	More    int    `json:"more"`
-	Error   string `json:"error"`
+	Level         string `json:"level"`
+	Message       string `json:"msg"`
+	ComponentName string `json:"part"`
+	Suppressed    int    `json:"more"`
+	Error         string `json:"error"`
 }
 
 func newLoggers(t *testing.T, out *bytes.Buffer, settings logging.Settings) *logging.Loggers {
@@ -29,7 +29,7 @@
 	return loggers
 }
 
-// readLines decodes and removes the JSON lines written so far.
+// readLines decodes the JSON lines written so far and removes them from out.
 func readLines(t *testing.T, out *bytes.Buffer) []line {
 	t.Helper()
 	var lines []line
@@ -44,22 +44,23 @@
 	return lines
 }
 
+// A component's own level must override the default level, and only for that component.
 func TestLevels(t *testing.T) {
-	own := map[string]string{"gossip": "debug"}
+	levels := map[string]string{"gossip": "debug"}
 	cases := map[string]struct {
-		settings logging.Settings
-		part     string
-		written  bool // an info line
+		settings  logging.Settings
+		component string
+		written   bool // whether an info line is written
 	}{
-		"common level":           {logging.Settings{JSON: true, Level: "info"}, "agent", true},
-		"below the common level": {logging.Settings{JSON: true, Level: "warning"}, "agent", false},
-		"level of the part":      {logging.Settings{JSON: true, Level: "warning", Levels: own}, "gossip", true},
-		"level of another part":  {logging.Settings{JSON: true, Level: "warning", Levels: own}, "agent", false},
+		"default level":              {logging.Settings{JSON: true, Level: "info"}, "agent", true},
+		"below the default level":    {logging.Settings{JSON: true, Level: "warning"}, "agent", false},
+		"level of the component":     {logging.Settings{JSON: true, Level: "warning", Levels: levels}, "gossip", true},
+		"level of another component": {logging.Settings{JSON: true, Level: "warning", Levels: levels}, "agent", false},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			newLoggers(t, &out, tt.settings).Component(tt.part).Info("hello")
+			newLoggers(t, &out, tt.settings).Component(tt.component).Info("hello")
 			lines := readLines(t, &out)
 			if !tt.written {
 				if len(lines) != 0 {
@@ -67,13 +68,15 @@
 				}
 				return
 			}
-			if want := (line{Level: "info", Message: "hello", Part: tt.part}); len(lines) != 1 || lines[0] != want {
+			if want := (line{Level: "info", Message: "hello", ComponentName: tt.component}); len(lines) != 1 ||
+				lines[0] != want {
 				t.Errorf("wrote %+v, want %+v", lines, want)
 			}
 		})
 	}
 }
 
+// Apply must change the format and level of loggers that are already in use.
 func TestApplyChangesRunningLoggers(t *testing.T) {
 	var out bytes.Buffer
 	loggers := newLoggers(t, &out, logging.Settings{Level: "warning"})
@@ -101,12 +104,13 @@
 	}
 }
 
-func TestUnknownPart(t *testing.T) {
+// An unknown component must panic rather than log without a configured level.
+func TestUnknownComponent(t *testing.T) {
 	var out bytes.Buffer
 	loggers := newLoggers(t, &out, logging.Settings{Level: "info"})
 	defer func() {
 		if recover() == nil {
-			t.Error("an unknown part has a logger")
+			t.Error("Component returned a logger for an unknown component")
 		}
 	}()
 	loggers.Component("nobody")
@@ -122,7 +126,7 @@
 	}{
 		{0, "a", nil},
 		{time.Millisecond, "a", nil},
-		{time.Millisecond, "b", errors.New("broken")}, // another message has a limit of its own
+		{time.Millisecond, "b", errors.New("broken")}, // each message is limited separately
 		{time.Second - 1, "a", nil},
 		{time.Second, "a", nil},
 		{2 * time.Second, "a", nil},
@@ -131,10 +135,10 @@
 		limited.Warn(call.now, call.message, call.err)
 	}
 	want := []line{
-		{Level: "warning", Message: "a", Part: "agent"},
-		{Level: "warning", Message: "b", Part: "agent", Error: "broken"},
-		{Level: "warning", Message: "a", Part: "agent", More: 2},
-		{Level: "warning", Message: "a", Part: "agent"},
+		{Level: "warning", Message: "a", ComponentName: "agent"},
+		{Level: "warning", Message: "b", ComponentName: "agent", Error: "broken"},
+		{Level: "warning", Message: "a", ComponentName: "agent", Suppressed: 2},
+		{Level: "warning", Message: "a", ComponentName: "agent"},
 	}
 	got := readLines(t, &out)
 	if len(got) != len(want) {
