--- a/cmd/calicohill/match_test.go
+++ b/cmd/calicohill/match_test.go
@@ -20,7 +20,7 @@
     stop
 match by-path
     when   path.startsWith("/old/")
-    class  consulta   # clients of old name no class
+    class  consulta   # old clients do not send a class
 match lax
     when   path == "/rpc/certificado"
     class  consulta
@@ -29,7 +29,7 @@
     class  certificado
 `
 
-// startWithRules starts a scheduler with an operator's file, and with one worker.
+// startWithRules starts a scheduler with one worker and an operator's file with the given text.
 func startWithRules(t *testing.T, text string, reply func(n int, request agentRequest) string) (*testScheduler, *nodeAgent) {
 	t.Helper()
 	agent, sched := newAgent(t, reply), newTestScheduler(t)
@@ -41,8 +41,8 @@
 	return sched.start(), agent
 }
 
-// Rules decide the class that a worker receives. The function that runs is unchanged. No rule can give a request a
-// class with weaker guarantees.
+// Rules set the class that the worker receives and leave the function unchanged. Guards against a rule that gives a
+// request a class with weaker guarantees.
 func TestRules(t *testing.T) {
 	status := filepath.Join(t.TempDir(), "status.json")
 	sched, agent := startWithRules(t, "log\n  level debug rules\n  status "+status+"\n"+testRules, echo)
@@ -53,7 +53,7 @@
 		class                  string
 	}{
 		{"/rpc/consulta", "cc00000000000001", "zona4", 200, "certificado"},
-		{"/rpc/consulta", "cc00000000000001", "-", 200, "consulta"}, // the key can't be made: the rule does not match
+		{"/rpc/consulta", "cc00000000000001", "-", 200, "consulta"}, // the key can't be computed, so the rule does not match
 		{"/rpc/consulta", "dd00000000000001", "zona4", 200, "consulta"},
 		{"/old/lookup", "dd00000000000001", "zona4", 200, "consulta"},
 		{"/rpc/certificado", "dd00000000000001", "zona4", 200, "certificado"},
@@ -68,9 +68,9 @@
 		if tt.class == "" {
 			continue
 		}
-		had := agent.received()[before:]
-		if len(had) != 1 || had[0].fields["sort"] != tt.class || had[0].fields["asset"] != tt.function {
-			t.Errorf("%+v: the worker received %+v", tt, had)
+		requests := agent.received()[before:]
+		if len(requests) != 1 || requests[0].fields["sort"] != tt.class || requests[0].fields["asset"] != tt.function {
+			t.Errorf("%+v: the worker received %+v", tt, requests)
 		}
 	}
 	log := sched.log.String()
@@ -92,23 +92,23 @@
 	}
 }
 
-// Rules are replaced by reloads under traffic. An invalid file changes nothing, and each call is evaluated by one set
-// of rules.
+// Rules are reloaded under traffic. Guards against a call that is evaluated by a mix of the old and the new rules, and
+// against an invalid file that replaces valid rules.
 func TestReloadRules(t *testing.T) {
-	var wrongClass atomic.Int32
+	var misclassified atomic.Int32
 	sched, _ := startWithRules(t, testRules, func(n int, request agentRequest) string {
-		// The body names the prefix of the function: under one set of rules "cc" becomes certificado, under the other
-		// registro-horas, and "dd" stays consulta under both.
+		// The body is the prefix of the function's name. One set of rules gives functions with prefix "cc" the class
+		// certificado, the other set registro-horas. Functions with prefix "dd" keep the class consulta under both.
 		if class := request.fields["sort"]; request.body == "cc" && class != "certificado" && class != "registro-horas" || request.body == "dd" && class != "consulta" {
-			wrongClass.Add(1)
+			misclassified.Add(1)
 		}
 		return echo(n, request)
 	})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var answered atomic.Int32
-	end := sync.OnceFunc(func() { close(stop); wg.Wait() })
-	t.Cleanup(end)
+	stopClients := sync.OnceFunc(func() { close(stop); wg.Wait() })
+	t.Cleanup(stopClients)
 	for range 3 {
 		client := sched.connect()
 		wg.Go(func() {
@@ -127,7 +127,7 @@
 			}
 		})
 	}
-	reload := func(text, says string, times int) {
+	reload := func(text, message string, times int) {
 		t.Helper()
 		if err := os.WriteFile(sched.operatorFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -136,20 +136,20 @@
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, says, func() bool { return strings.Count(sched.log.String(), says) >= times && answered.Load() > before+20 })
+		waitUntil(t, message, func() bool { return strings.Count(sched.log.String(), message) >= times && answered.Load() > before+20 })
 	}
 	for i := range 4 {
 		reload(strings.Replace(testRules, "class  certificado", "class  registro-horas", 1), "configuration reloaded", 2*i+1)
 		reload("match a\n  when handlr == 1\n  class nope\n", "operator's file reload failed", 2*(i+1))
 		reload(testRules, "configuration reloaded", 2*i+2)
 	}
-	end()
-	if wrongClass.Load() > 0 {
-		t.Errorf("%d calls reached the worker under a class that neither set of rules gives them", wrongClass.Load())
+	stopClients()
+	if misclassified.Load() > 0 {
+		t.Errorf("%d calls reached the worker with a class that neither set of rules gives them", misclassified.Load())
 	}
 }
 
-// The commands match and check evaluate and check rules without a scheduler.
+// The match and check commands evaluate and validate rules without a running scheduler.
 func TestMatchCommand(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -164,9 +164,9 @@
 	lines := write("requests.jsonl", `{"class":"consulta","handler":"cc1","budget":"1s","HTTP_X_CENTRE":"z4"}`+"\n"+`{"path":"/old/x"}`+"\n")
 	platform := "../../example/config.json"
 	for _, tt := range []struct {
-		args []string
-		exit int
-		says string
+		args     []string
+		exitCode int
+		output   string
 	}{
 		{
 			[]string{"match", good, "--json", "--config", platform, "--requests", lines},
@@ -181,13 +181,13 @@
 		{[]string{"check", "--config", platform, bad}, 1, bad + ":3:8: when: unknown field handlr"},
 		{[]string{"check", "--config", platform, good}, 0, ""},
 	} {
-		out, exit := runCommandLine(t, tt.args...)
-		if exit != tt.exit || !strings.Contains(out, tt.says) {
-			t.Errorf("%v: exit code %d, want %d and %q in:\n%s", tt.args, exit, tt.exit, tt.says, out)
+		out, exitCode := runCommandLine(t, tt.args...)
+		if exitCode != tt.exitCode || !strings.Contains(out, tt.output) {
+			t.Errorf("%v: exit code %d, want %d and %q in:\n%s", tt.args, exitCode, tt.exitCode, tt.output, out)
 		}
 	}
-	if out, exit := runCommandLine(t, "check", good); exit != 0 || out != "" {
-		t.Errorf("check without the platform's file: %d %s", exit, fmt.Sprint(out))
+	if out, exitCode := runCommandLine(t, "check", good); exitCode != 0 || out != "" {
+		t.Errorf("check without the platform's file: exit code %d, output %s", exitCode, fmt.Sprint(out))
 	}
 }
 
@@ -202,8 +202,8 @@
     pool slow
 `
 
-// expectAllAt sends requests for six functions and expects them all at one agent.
-func expectAllAt(t *testing.T, target *nodeAgent, agents []*nodeAgent, sendRequest func(function int) int, when string) {
+// expectAllServedBy sends requests for six functions and expects the target to receive all of them.
+func expectAllServedBy(t *testing.T, target *nodeAgent, agents []*nodeAgent, sendRequest func(function int) int, when string) {
 	t.Helper()
 	before := map[*nodeAgent]int{}
 	for _, agent := range agents {
@@ -216,32 +216,32 @@
 	}
 	for _, agent := range agents {
 		if got := len(agent.received()) - before[agent]; (agent == target) != (got == 6) || agent != target && got != 0 {
-			t.Errorf("%s: %d of 6 requests at %s (the target: %v)", when, got, agent.addr, agent == target)
+			t.Errorf("%s: %d of 6 requests reached %s (target: %v)", when, got, agent.addr, agent == target)
 		}
 	}
 }
 
-// changeEndpoint changes an endpoint of the list and waits until the scheduler has applied it.
-func changeEndpoint(t *testing.T, sched *testScheduler, target string) {
+// changeEndpoint publishes a change of an endpoint and waits until the scheduler has applied it.
+func changeEndpoint(t *testing.T, sched *testScheduler, endpoint string) {
 	t.Helper()
 	before := strings.Count(sched.log.String(), "worker list changed")
-	sched.addEvent(false, target)
+	sched.addEvent(false, endpoint)
 	waitUntil(t, "the list is applied", func() bool { return strings.Count(sched.log.String(), "worker list changed") > before })
 }
 
-// Requests of a route go to its first pool as long as a worker there is usable, and to the next pool otherwise. The
-// third worker belongs to no pool and gets no requests.
+// A route sends requests to its first pool while a worker of that pool is usable, and to the next pool otherwise.
+// Guards against requests to a worker outside the route's pools. It gets requests only after a reload without pools.
 func TestPools(t *testing.T) {
 	var unresponsive atomic.Bool
-	agentA := newAgent(t, func(n int, request agentRequest) string {
+	fastAgent := newAgent(t, func(n int, request agentRequest) string {
 		if unresponsive.Load() {
 			return ""
 		}
 		return echo(n, request)
 	})
-	agentB, other := newAgent(t, echo), newAgent(t, echo)
+	slowAgent, unpooledAgent := newAgent(t, echo), newAgent(t, echo)
 	sched := newTestScheduler(t)
-	sched.addEvent(true, "f SERVING "+agentA.addr, "s SERVING "+agentB.addr, "x SERVING "+other.addr)
+	sched.addEvent(true, "f SERVING "+fastAgent.addr, "s SERVING "+slowAgent.addr, "x SERVING "+unpooledAgent.addr)
 	sched.operatorFile = filepath.Join(t.TempDir(), "o.conf")
 	if err := os.WriteFile(sched.operatorFile, []byte(testPools), 0o600); err != nil {
 		t.Fatal(err)
@@ -253,24 +253,24 @@
 	}
 	expectServedBy := func(target *nodeAgent, when string) {
 		t.Helper()
-		expectAllAt(t, target, []*nodeAgent{agentA, agentB, other}, sendRequest, when)
+		expectAllServedBy(t, target, []*nodeAgent{fastAgent, slowAgent, unpooledAgent}, sendRequest, when)
 	}
-	expectServedBy(agentA, "both pools have a worker")
-	changeEndpoint(t, sched, "f DRAINING "+agentA.addr)
-	expectServedBy(agentB, "the first pool's worker drains")
-	changeEndpoint(t, sched, "f SERVING "+agentA.addr)
-	expectServedBy(agentA, "the first pool serves again")
-	changeEndpoint(t, sched, "f DELETED "+agentA.addr)
-	expectServedBy(agentB, "the first pool is empty")
-	changeEndpoint(t, sched, "f2 SERVING "+agentA.addr)
-	expectServedBy(agentA, "the first pool has another worker")
+	expectServedBy(fastAgent, "both pools have a worker")
+	changeEndpoint(t, sched, "f DRAINING "+fastAgent.addr)
+	expectServedBy(slowAgent, "the first pool's worker drains")
+	changeEndpoint(t, sched, "f SERVING "+fastAgent.addr)
+	expectServedBy(fastAgent, "the first pool serves again")
+	changeEndpoint(t, sched, "f DELETED "+fastAgent.addr)
+	expectServedBy(slowAgent, "the first pool is empty")
+	changeEndpoint(t, sched, "f2 SERVING "+fastAgent.addr)
+	expectServedBy(fastAgent, "the first pool has another worker")
 	unresponsive.Store(true)
-	waitUntil(t, "the fallback pool serves for an unresponsive one", func() bool { return sendRequest(1) == 200 })
-	if len(other.received()) > 0 {
-		t.Error("a worker of no pool was sent a request")
+	waitUntil(t, "the second pool serves while the worker of the first is unresponsive", func() bool { return sendRequest(1) == 200 })
+	if len(unpooledAgent.received()) > 0 {
+		t.Error("a worker outside all pools received a request")
 	}
 	unresponsive.Store(false)
-	// A reload removes the pools: the third worker gets requests too.
+	// A reload removes the pools, so that the third worker gets requests too.
 	if err := os.WriteFile(sched.operatorFile, []byte("match all\n  route lane\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -281,6 +281,6 @@
 		for i := range 30 {
 			sendRequest(i)
 		}
-		return len(other.received()) > 0
+		return len(unpooledAgent.received()) > 0
 	})
 }
--- a/cmd/calicohill/shares_test.go
+++ b/cmd/calicohill/no_gossip_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// As the platform starts it, a scheduler does not gossip: the command in deploy/balancer.toml names no operator's file,
-// and the program holds no UDP socket once it has served.
+// A scheduler does not gossip when the platform starts it: the command in deploy/balancer.toml passes no operator's
+// file. Guards against a UDP socket that is opened without gossip settings.
 func TestRunWithoutGossip(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -18,30 +18,30 @@
 	}
 	run := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(deploy)
 	if run == nil || strings.Contains(strings.ToLower(string(run[1])), "operator") {
-		t.Errorf("run is %q: it is missing, or names an operator's file", run)
+		t.Errorf("the run command is missing or passes an operator's file: %q", run)
 	}
 	sched, _ := startWithAgent(t, echo)
 	client := sched.connect()
 	client.send(newCall("consulta", "body"))
 	if got := client.readAnswer(); got.body != "re:body" {
-		t.Fatalf("answered status %d, body %q", got.status, got.body)
+		t.Fatalf("got status %d, body %q", got.status, got.body)
 	}
-	if n := udpSockets(t, sched.cmd.Process.Pid); n != 0 {
-		t.Errorf("%d UDP sockets", n)
+	if n := countUDPSockets(t, sched.cmd.Process.Pid); n != 0 {
+		t.Errorf("%d UDP sockets are open, want none", n)
 	}
 }
 
-// udpSockets counts the UDP sockets that a process holds.
-func udpSockets(t *testing.T, pid int) (count int) {
+// countUDPSockets counts the open UDP sockets of a process.
+func countUDPSockets(t *testing.T, pid int) (count int) {
 	t.Helper()
-	held := map[string]bool{}
+	inodes := map[string]bool{}
 	fds, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	if err != nil || len(fds) == 0 {
-		t.Fatalf("no descriptors of process %d to be seen: %v", pid, err)
+		t.Fatalf("can't list the descriptors of process %d: %v", pid, err)
 	}
 	for _, fd := range fds {
-		if to, err := os.Readlink(fd); err == nil { // it may have been closed meanwhile
-			held[strings.TrimSuffix(strings.TrimPrefix(to, "socket:["), "]")] = true
+		if target, err := os.Readlink(fd); err == nil { // it may be closed by now
+			inodes[strings.TrimSuffix(strings.TrimPrefix(target, "socket:["), "]")] = true
 		}
 	}
 	for _, table := range []string{"udp", "udp6"} {
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		for line := range strings.Lines(string(text)) {
-			if f := strings.Fields(line); len(f) > 9 && held[f[9]] { // the tenth column is the inode
+			if columns := strings.Fields(line); len(columns) > 9 && inodes[columns[9]] { // the tenth column is the inode
 				count++
 			}
 		}
--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -12,10 +12,10 @@
 	"calicohill/internal/testbed/process"
 )
 
-// reloadGossip writes more lines into the gossip section of an instance's operator's file and has it read again.
-func reloadGossip(t *testing.T, instance *process.Instance, more string) {
+// reloadGossip adds lines to the gossip section of an instance's operator's file and makes the instance reload it.
+func reloadGossip(t *testing.T, instance *process.Instance, lines string) {
 	t.Helper()
-	if err := instance.Rewrite(instance.Operator(more)); err != nil {
+	if err := instance.Rewrite(instance.Operator(lines)); err != nil {
 		t.Fatal(err)
 	}
 	if err := instance.Signal(syscall.SIGHUP); err != nil {
@@ -23,22 +23,23 @@
 	}
 }
 
-// expectNewAuthorityApplied adds a new authority beside the old one, and expects a member with a key of it to join.
-func expectNewAuthorityApplied(t *testing.T, fleet, trusting *process.Fleet) {
+// expectNewAuthorityApplied makes the unrevoked members trust a second authority, and expects a member whose key it
+// issued to join.
+func expectNewAuthorityApplied(t *testing.T, fleet, unrevoked *process.Fleet) {
 	t.Helper()
-	next, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
+	newAuthority, err := pki.NewAuthority("lab", time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(fleet.Dir, "next.crt"), pki.EncodeCertificate(next.Cert), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(fleet.Dir, "next.crt"), pki.EncodeCertificate(newAuthority.Cert), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	waitForAll(t, trusting, "the new authority is applied", func(instance *process.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
+	waitForAll(t, unrevoked, "the new authority is applied", func(instance *process.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
 	fleet.Instances[3].Kill()
-	if err := fleet.Instances[3].NewKey(next); err != nil {
+	if err := fleet.Instances[3].NewKey(newAuthority); err != nil {
 		t.Fatal(err)
 	}
 	if err := fleet.Instances[3].Rewrite(fleet.Instances[3].Operator("  authority next.crt\n")); err != nil {
@@ -50,8 +51,8 @@
 	waitUntilJoined(t, fleet, 4)
 }
 
-// expectEarlierDuplicateStops starts a second scheduler with the name and the key of n1, at other addresses, and
-// expects n1, the earlier of the two, to stop its gossip.
+// expectEarlierDuplicateStops starts a second scheduler with the name and the key of n1 at other addresses, and expects
+// n1, which started earlier, to stop its gossip.
 func expectEarlierDuplicateStops(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	duplicate := fleet.Instances[1].Duplicate()
@@ -67,42 +68,43 @@
 	})
 }
 
-// A reload of the gossip section drops a member with a revoked certificate, applies a new authority, and is refused if
-// others may read the key file. Of two schedulers with one name and key, the earlier one stops its gossip.
+// A reload of the gossip section removes a peer whose certificate was revoked, adds a new authority, and fails if the
+// key file is readable by other users. Of two schedulers with the same name and key, the one that started earlier stops
+// its gossip. Guards against a fleet that keeps a revoked member, or two members with one name.
 func TestPeerKeys(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 4, 2)
-	authority := filepath.Join(fleet.Dir, "authority.key")
-	if err := pki.WriteKeyFile(authority, fleet.Authority.Key, fleet.Authority.Cert); err != nil {
+	authorityKey := filepath.Join(fleet.Dir, "authority.key")
+	if err := pki.WriteKeyFile(authorityKey, fleet.Authority.Key, fleet.Authority.Cert); err != nil {
 		t.Fatal(err)
 	}
-	list := filepath.Join(fleet.Dir, "fleet.revoked")
-	if out, exit := runCommandLine(t, "key", "revoke", fleet.Instances[3].Key, "--authority", authority, "--list", list); exit != 0 {
+	revocationList := filepath.Join(fleet.Dir, "fleet.revoked")
+	if out, exitCode := runCommandLine(t, "key", "revoke", fleet.Instances[3].Key, "--authority", authorityKey, "--list", revocationList); exitCode != 0 {
 		t.Fatalf("revoke: %s", out)
 	}
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n")
 	}
-	trusting := &process.Fleet{Instances: fleet.Instances[:3]}
-	waitForAll(t, trusting, "a revoked member is dropped", func(instance *process.Instance) bool {
+	unrevoked := &process.Fleet{Instances: fleet.Instances[:3]}
+	waitForAll(t, unrevoked, "the revoked member is removed", func(instance *process.Instance) bool {
 		return hasLogLine(instance, "peer removed: its certificate is no longer valid", "peer", "n3")
 	})
 
-	expectNewAuthorityApplied(t, fleet, trusting)
+	expectNewAuthorityApplied(t, fleet, unrevoked)
 
-	// A key file that others may read is refused.
+	// A key file that is readable by other users is rejected.
 	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	reloadGossip(t, fleet.Instances[0], "  revoked fleet.revoked\n")
-	waitForAll(t, &process.Fleet{Instances: fleet.Instances[:1]}, "a key that others may read is refused", func(instance *process.Instance) bool {
+	waitForAll(t, &process.Fleet{Instances: fleet.Instances[:1]}, "a key file that is readable by other users is rejected", func(instance *process.Instance) bool {
 		return strings.Contains(instance.Log.String(), "0600 is needed")
 	})
 
 	expectEarlierDuplicateStops(t, fleet)
 }
 
-// The commands below key create, show and revoke keys; private keys are readable by their owner alone.
+// The subcommands of key create, show and revoke keys. Guards against private keys that other users can read.
 func TestKeyCommands(t *testing.T) {
 	dir := t.TempDir()
 	inDir := func(name string) string { return filepath.Join(dir, name) }
@@ -110,9 +112,9 @@
 		t.Fatal(err)
 	}
 	for _, tt := range []struct {
-		args []string
-		exit int
-		says string
+		args     []string
+		exitCode int
+		output   string
 	}{
 		{[]string{"authority", "f", "--out", inDir("fleet")}, 0, "signs for fleet f"},
 		{[]string{"authority", "f", "--out", inDir("fleet")}, 1, "exists"},
@@ -129,9 +131,9 @@
 		{[]string{"revoke", "zz", "--authority", inDir("fleet.key"), "--list", inDir("list")}, 1, "no such file"},
 		{nil, 2, "one of authority, issue, show, revoke"},
 	} {
-		out, exit := runCommandLine(t, append([]string{"key"}, tt.args...)...)
-		if exit != tt.exit || !strings.Contains(out, tt.says) {
-			t.Errorf("key %v: exit code %d, want %d and %q in:\n%s", tt.args, exit, tt.exit, tt.says, out)
+		out, exitCode := runCommandLine(t, append([]string{"key"}, tt.args...)...)
+		if exitCode != tt.exitCode || !strings.Contains(out, tt.output) {
+			t.Errorf("key %v: exit code %d, want %d and %q in:\n%s", tt.args, exitCode, tt.exitCode, tt.output, out)
 		}
 	}
 	for name, want := range map[string]os.FileMode{"fleet.key": 0o600, "n1.key": 0o600, "fleet.crt": 0o644} {
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -18,7 +18,7 @@
 
 const fleetSize = 12
 
-// startFleet starts schedulers, as processes, that share fault reports about a few workers.
+// startFleet starts scheduler processes that share fault reports about their workers, and waits until all have joined.
 func startFleet(t *testing.T, instances, workers int) *process.Fleet {
 	t.Helper()
 	self, err := os.Executable()
@@ -49,7 +49,7 @@
 	return fleet
 }
 
-// waitUntilJoined waits until each scheduler knows a number of members.
+// waitUntilJoined waits until the membership of each scheduler includes the given number of members.
 func waitUntilJoined(t *testing.T, fleet *process.Fleet, members int) {
 	t.Helper()
 	if err := fleet.Joined(t.Context(), members, 2*waitTimeout); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// waitForAll waits until a condition holds for each scheduler.
+// waitForAll waits until a condition holds for every scheduler of a fleet.
 func waitForAll(t *testing.T, fleet *process.Fleet, what string, ok func(*process.Instance) bool) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
@@ -67,7 +67,7 @@
 	}
 }
 
-// hasLogLine reports whether a line of a scheduler's log has a message and a field.
+// hasLogLine reports whether a scheduler has logged a line with the given message and field value.
 func hasLogLine(instance *process.Instance, msg, field, value string) bool {
 	for _, line := range instance.Log.Lines() {
 		if line.Text("msg") == msg && line.Text(field) == value {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// faultHistory returns the log lines of all schedulers about a member, in the order of time.
-func faultHistory(fleet *process.Fleet, peer string) string {
+// peerHistory returns the log lines of all schedulers about the state of a peer, in chronological order.
+func peerHistory(fleet *process.Fleet, peer string) string {
 	var lines []string
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
@@ -94,13 +94,13 @@
 // byzantineName is the name of the member that sends false reports.
 const byzantineName = "byzantine"
 
-// Messages of log lines about fault reports.
+// Log messages about fault reports.
 const (
-	lineConfirmedFaulty = "worker confirmed faulty by peers"
-	lineReportsIgnored  = "peer reports ignored for a while"
+	msgConfirmedFaulty = "worker confirmed faulty by peers"
+	msgReportsIgnored  = "peer reports ignored for a while"
 )
 
-// fleetRequest returns a request of a class, whose body names the scheduler that it is sent through.
+// fleetRequest returns a request of a class. Its body contains the name of the scheduler that it is sent through.
 func fleetRequest(instance *process.Instance, class string, function int) fastcgi.Request {
 	return fastcgi.Request{
 		Path: "/rpc/" + class, ID: randomHex(8), IdempotencyKey: randomHex(16),
@@ -122,26 +122,26 @@
 	return reply.Outcome()
 }
 
-// sendLoad sends requests for many functions through schedulers, so that all workers are reached, until stop is called
-// or the test ends.
-func sendLoad(t *testing.T, only []*process.Instance) (stop func()) {
+// sendLoad sends requests for many functions, so that every worker receives some, through schedulers until stop is
+// called or the test ends.
+func sendLoad(t *testing.T, instances []*process.Instance) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	stop = func() { cancel(); wg.Wait() }
 	t.Cleanup(stop)
-	for i, instance := range only {
+	for i, instance := range instances {
 		client, err := fastcgi.Dial(ctx, instance.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { closeClient(client) })
 		wg.Go(func() {
-			ticker := time.NewTicker(time.Duration(40+10*i) * time.Millisecond) // each at a rate of its own
+			ticker := time.NewTicker(time.Duration(40+10*i) * time.Millisecond) // a different rate for each scheduler
 			defer ticker.Stop()
 			for n := 0; ctx.Err() == nil; n++ {
-				for k := range 4 { // several at a time: an unresponsive worker is detected by two overdue requests
-					// The outcome does not matter: these requests only give the schedulers something to observe.
+				for k := range 4 { // several at once: an unresponsive worker is detected by two overdue requests
+					// The outcome does not matter: the requests only let the schedulers observe the workers.
 					wg.Go(func() { _, _ = client.Do(ctx, fleetRequest(instance, "consulta", 1+(4*n+k)%40)) })
 				}
 				select {
@@ -154,15 +154,15 @@
 	return stop
 }
 
-// A dozen schedulers as processes, with faults one after another. No worker is ejected on the reports of one byzantine
-// member; a true fault is reported to a scheduler that has not observed it; during a flood of forged datagrams calls
-// are served, and after a pause and restarts all members are back.
+// A fleet of a dozen scheduler processes goes through a series of faults. Guards against a worker that is ejected on
+// the reports of a single byzantine member, an unresponsive worker that a scheduler without traffic does not learn of,
+// calls that fail during a flood of forged datagrams, and members that do not rejoin after a pause or a restart.
 func TestSharedFaultReports(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, fleetSize, 12)
 
-	if sockets := udpSockets(t, fleet.Instances[0].Pid()); sockets != 1 {
-		t.Errorf("%d UDP sockets of a scheduler that gossips, want 1", sockets)
+	if sockets := countUDPSockets(t, fleet.Instances[0].Pid()); sockets != 1 {
+		t.Errorf("a scheduler with gossip has %d UDP sockets open, want 1", sockets)
 	}
 
 	byzantine, err := fleet.NewByzantineMember(byzantineName)
@@ -185,27 +185,27 @@
 
 	expectUnresponsiveWorkerShared(t, fleet, ids)
 	expectServedDuringFlood(t, fleet, client)
-	expectPausedMemberBack(t, fleet)
+	expectPausedMemberAlive(t, fleet)
 	restartHalf(t, fleet)
 	expectMessageRateBounded(t, fleet)
 }
 
-// expectMassAccuserIgnored has a byzantine member accuse every worker: all schedulers ignore its reports, and none
-// ejects a worker.
+// expectMassAccuserIgnored makes a byzantine member accuse every worker, and expects all schedulers to ignore its
+// reports and to eject no worker.
 func expectMassAccuserIgnored(t *testing.T, fleet *process.Fleet, byzantine *fault.ByzantineMember, ids []string) {
 	t.Helper()
 	byzantine.Accuse(ids)
 	waitForAll(t, fleet, "the reports of a mass accuser are ignored", func(instance *process.Instance) bool {
-		return hasLogLine(instance, lineReportsIgnored, "peer", byzantineName)
+		return hasLogLine(instance, msgReportsIgnored, "peer", byzantineName)
 	})
 	for _, instance := range fleet.Instances {
-		if instance.Count(lineConfirmedFaulty) > 0 {
+		if instance.Count(msgConfirmedFaulty) > 0 {
 			t.Errorf("%s ejects a worker on the reports of a byzantine member", instance.Name)
 		}
 	}
 }
 
-// expectServedDespiteByzantine expects calls to be served while a byzantine member alone accuses a few workers.
+// expectServedDespiteByzantine expects calls to be served while only a byzantine member accuses a few workers.
 func expectServedDespiteByzantine(t *testing.T, fleet *process.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	for i := range 20 {
@@ -215,40 +215,41 @@
 	}
 }
 
-// expectUnresponsiveWorkerShared makes a worker unresponsive, and expects the last scheduler, which has no traffic of
-// its own, to learn of it from the reports of the others. No scheduler ejects another worker, and the unresponsive one
-// is readmitted once it answers again.
+// expectUnresponsiveWorkerShared makes a worker unresponsive, and expects the last scheduler, which has no traffic, to
+// learn of it from the fault reports of the others. No scheduler may eject another worker, and the unresponsive one
+// must be readmitted once it answers again.
 func expectUnresponsiveWorkerShared(t *testing.T, fleet *process.Fleet, ids []string) {
 	t.Helper()
 	stop := sendLoad(t, fleet.Instances[:fleetSize-1])
 	waitUntil(t, "half of the schedulers have sent requests to the worker", func() bool {
 		from := map[string]bool{}
-		for _, a := range fleet.Workers[5].Arrivals() {
-			from[a.From] = true
+		for _, arrival := range fleet.Workers[5].Arrivals() {
+			from[arrival.From] = true
 		}
 		return len(from) >= fleetSize/2
 	})
 	fleet.Workers[5].Set(standin.WorkerUnresponsive)
 	idle := fleet.Instances[fleetSize-1]
-	if !poll(3*waitTimeout, func() bool { return hasLogLine(idle, lineConfirmedFaulty, "worker", "w05") }) {
+	if !poll(3*waitTimeout, func() bool { return hasLogLine(idle, msgConfirmedFaulty, "worker", "w05") }) {
 		t.Fatalf("a scheduler without traffic is not notified of an unresponsive worker\n%s", idle.Log)
 	}
 	for _, instance := range fleet.Instances {
-		for _, w := range ids {
-			if w != "w05" && hasLogLine(instance, lineConfirmedFaulty, "worker", w) {
-				t.Errorf("%s ejects %s, which is healthy", instance.Name, w)
+		for _, id := range ids {
+			if id != "w05" && hasLogLine(instance, msgConfirmedFaulty, "worker", id) {
+				t.Errorf("%s ejects %s, which is healthy", instance.Name, id)
 			}
 		}
 	}
 	fleet.Workers[5].Set(standin.WorkerHealthy)
 	waitForAll(t, fleet, "the worker is readmitted", func(instance *process.Instance) bool {
-		n := instance.Count(lineConfirmedFaulty)
-		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
+		confirmed := instance.Count(msgConfirmedFaulty)
+		return confirmed == 0 || instance.Count("worker no longer confirmed faulty by peers") == confirmed
 	})
 	stop()
 }
 
-// expectServedDuringFlood sends forged datagrams to a scheduler: it drops them, and serves calls meanwhile.
+// expectServedDuringFlood floods a scheduler with forged datagrams, and expects it to drop them and to keep serving
+// calls.
 func expectServedDuringFlood(t *testing.T, fleet *process.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
@@ -264,12 +265,12 @@
 	}
 }
 
-// expectPausedMemberBack stops a member for 3 s: the others find it alive afterwards, and until then no scheduler has
-// declared a member other than the byzantine one dead.
-func expectPausedMemberBack(t *testing.T, fleet *process.Fleet) {
+// expectPausedMemberAlive pauses a member for 3 s, and expects the others to consider it alive afterwards. No scheduler
+// may have declared a member dead until then, except the byzantine one.
+func expectPausedMemberAlive(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	whileStopped(t, fleet.Instances[3].Pid(), 3*time.Second, func() {})
-	waitForAll(t, fleet, "the member that was stopped is alive again", func(instance *process.Instance) bool {
+	waitForAll(t, fleet, "the paused member is alive again", func(instance *process.Instance) bool {
 		last := ""
 		for _, line := range instance.Log.Lines() {
 			switch msg := line.Text("msg"); msg {
@@ -284,13 +285,13 @@
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
 			if line.Text("msg") == "peer dead" && line.Text("peer") != byzantineName {
-				t.Errorf("%s declares %s dead\n%s", instance.Name, line.Text("peer"), faultHistory(fleet, line.Text("peer")))
+				t.Errorf("%s declares %s dead\n%s", instance.Name, line.Text("peer"), peerHistory(fleet, line.Text("peer")))
 			}
 		}
 	}
 }
 
-// restartHalf kills half of the members and starts them at once under the same names: all members join again.
+// restartHalf kills half of the members, restarts them at once under the same names, and expects all to join again.
 func restartHalf(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances[:fleetSize/2] {
@@ -304,7 +305,7 @@
 	waitUntilJoined(t, fleet, fleetSize)
 }
 
-// expectMessageRateBounded stops all members, which then log the most messages that they sent in any second.
+// expectMessageRateBounded stops all members and checks the peak number of messages per second that each logs on exit.
 func expectMessageRateBounded(t *testing.T, fleet *process.Fleet) {
 	t.Helper()
 	for _, instance := range fleet.Instances {
@@ -313,7 +314,7 @@
 		}
 		for _, line := range instance.Log.Lines() {
 			if line.Text("msg") == "gossip ended" && line.Number("peak") > 20 {
-				t.Errorf("%s sent %v messages in a second, 20 are allowed", instance.Name, line.Number("peak"))
+				t.Errorf("%s sent %v messages in one second, want at most 20", instance.Name, line.Number("peak"))
 			}
 		}
 	}
--- a/cmd/calicohill/reload_test.go
+++ b/cmd/calicohill/reload_test.go
@@ -11,25 +11,25 @@
 	"testing"
 )
 
-// expectUnusableConfigsRejected reloads files that can't be used, and expects each to be rejected. All but the first
-// also name another address for the list service, which must not be applied.
-func expectUnusableConfigsRejected(t *testing.T, sched *testScheduler) {
+// expectInvalidConfigsRejected reloads invalid configuration files and expects each to be rejected. All but the first
+// also change the list service's address, which must not be applied.
+func expectInvalidConfigsRejected(t *testing.T, sched *testScheduler) {
 	t.Helper()
 	text, err := os.ReadFile(sched.configFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	moved := strings.Replace(string(text), sched.listServer.Listener.Addr().String(), "127.0.0.1:1", 1)
-	for i, bad := range []string{
+	for i, invalid := range []string{
 		`{"bulletin":`, strings.Replace(moved, `"attemptsCap":4`, `"attemptsCap":0`, 1),
 		strings.Replace(moved, `"effect":"read_like"`, `"effect":"none"`, 1),
 		strings.Replace(moved, `"state":"SERVING"`, `"state":"?"`, 1),
 		strings.Replace(moved, `"name":"consulta"`, `"name":"certificado"`, 1),
 	} {
-		if bad == moved {
-			t.Fatalf("file %d is unchanged but for the address", i)
+		if invalid == moved {
+			t.Fatalf("file %d differs from the valid file only in the address", i)
 		}
-		if err := os.WriteFile(sched.configFile, []byte(bad), 0o600); err != nil {
+		if err := os.WriteFile(sched.configFile, []byte(invalid), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -39,51 +39,51 @@
 	}
 }
 
-// After SIGHUP the list service is polled at the address in the configuration file, from the last event on. A file that
-// can't be used changes nothing, and neither kind of file affects a request in flight.
+// After SIGHUP the scheduler polls the list service at the configured address, and continues after the last event that
+// it has. Guards against an invalid file that is applied in part, and a reload that affects a request in flight.
 func TestReload(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	release := make(chan struct{})
-	held := newAgent(t, func(n int, request agentRequest) string {
+	blockedAgent := newAgent(t, func(n int, request agentRequest) string {
 		<-release
 		return answerWith("held")(n, request)
 	})
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agentA.addr)
-	sched.addEvent(true, "held SERVING "+held.addr)
+	sched.addEvent(true, "held SERVING "+blockedAgent.addr)
 	sched.start()
 	client := sched.connect()
 	client.send(newCall("certificado", "", [2]string{"HTTP_BUDGET_MS", "60000"}))
-	waitUntil(t, "a request is in flight", func() bool { return len(held.received()) == 1 })
+	waitUntil(t, "a request is in flight", func() bool { return len(blockedAgent.received()) == 1 })
 
-	hup := func(want string) {
+	reload := func(want string) {
 		t.Helper()
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the log says "+want, func() bool { return strings.Contains(sched.log.String(), want) })
+		waitUntil(t, "the log contains "+want, func() bool { return strings.Contains(sched.log.String(), want) })
 	}
-	expectUnusableConfigsRejected(t, sched)
+	expectInvalidConfigsRejected(t, sched)
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
 
-	// The old address keeps its poll open and answers nothing more.
-	old, address := sched.listServer, sched.listServer.Listener.Addr().String()
+	// The service at the old address keeps its open poll and accepts no more connections.
+	oldService, oldAddress := sched.listServer, sched.listServer.Listener.Addr().String()
 	sched.listServer = httptest.NewServer(http.HandlerFunc(sched.poll))
-	old.Listener.Close()
+	oldService.Listener.Close()
 	sched.configure()
-	hup("configuration reloaded")
+	reload("configuration reloaded")
 	sched.addEvent(true, "c SERVING "+agentC.addr)
 	waitUntilServedBy(t, sched, "c")
-	waitUntil(t, "the old polls end", func() bool { return sched.countPoll(address, 0) == 0 })
+	waitUntil(t, "the polls at the old address end", func() bool { return sched.countPoll(oldAddress, 0) == 0 })
 	close(release)
 	if got := client.readAnswer(); got.status != 200 || got.body != "held" {
 		t.Errorf("the request in flight got status %d, body %q", got.status, got.body)
 	}
-	old.Close()
+	oldService.Close()
 }
 
-// A configuration that can't be used ends the program at once, with one line that says why.
+// On an invalid configuration the program exits at once and prints one line with the reason.
 func TestBadConfiguration(t *testing.T) {
 	complete := `{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":` +
 		string(testSettings().JSON()) + `}`
@@ -95,11 +95,11 @@
 		{"settings", strings.Replace(complete, "read_like", "harmless", 1), "effect"},
 		{"no class", strings.Replace(complete, `"attemptsCap":4`, `"attemptsCap":0`, 1), "attempt"},
 		{"known", strings.Replace(complete, `"seed"`, `"known":{"items":7},"seed"`, 1), "known"},
-		{"two classes of a name", strings.Replace(complete, `"name":"consulta"`, `"name":"certificado"`, 1), "is that of class"},
+		{"duplicate class name", strings.Replace(complete, `"name":"consulta"`, `"name":"certificado"`, 1), "is that of class"},
 		{"class without a name", strings.Replace(complete, `"name":"consulta"`, `"name":""`, 1), "name"},
-		{"class that is no word", strings.Replace(complete, `"name":"consulta"`, `"name":"a,asset=b"`, 1), "name"},
-		{"a time below 0", strings.Replace(complete, `"coldMs":17000`, `"coldMs":-1`, 1), "time"},
-		{"a time beyond all", strings.Replace(complete, `"coldMs":17000`, `"coldMs":1e300`, 1), "time"},
+		{"class name with separators", strings.Replace(complete, `"name":"consulta"`, `"name":"a,asset=b"`, 1), "name"},
+		{"negative time", strings.Replace(complete, `"coldMs":17000`, `"coldMs":-1`, 1), "time"},
+		{"time out of range", strings.Replace(complete, `"coldMs":17000`, `"coldMs":1e300`, 1), "time"},
 		{"sockets", strings.Replace(complete, `"seed"`, `"limits":{"sockets":3},"seed"`, 1), "sockets"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -111,19 +111,19 @@
 			err := cmd.Run()
 			if line := log.String(); err == nil || !strings.Contains(line, tt.want) ||
 				!strings.HasPrefix(line, "calicohill: ") || strings.Count(line, "\n") != 1 {
-				t.Errorf("ended with %v and %q, want one line with %q", err, log, tt.want)
+				t.Errorf("exited with %v and output %q, want one line with %q", err, log, tt.want)
 			}
 		})
 	}
 	cmd, log := program(t)
 	if err := cmd.Run(); err == nil || !strings.Contains(log.String(), "ROUTER_CONFIG") {
-		t.Errorf("without a configuration: ended with %v and %q", err, log)
+		t.Errorf("without a configuration: exited with %v and output %q", err, log)
 	}
 }
 
-// A reloaded configuration that lacks a class, or has other settings for it, changes nothing for requests in flight or
-// new ones: a scheduler keeps the settings that it was started with.
-func TestReloadWithoutAClass(t *testing.T) {
+// A scheduler keeps the class settings that it started with. Guards against a reload that removes a class, or changes
+// its settings, for requests in flight or new requests.
+func TestReloadKeepsClasses(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
--- a/cmd/calicohill/requests_test.go
+++ b/cmd/calicohill/requests_test.go
@@ -14,40 +14,41 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Requests of every valid form are served: the agent receives their fields and body, and the client the agent's body.
-func TestServed(t *testing.T) {
+// Guards against valid requests that are rejected or forwarded incorrectly, in any encoding and however the client
+// splits its writes. The agent must receive their fields and body, and the client the agent's body.
+func TestValidRequests(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	big := strings.Repeat("\x00\r\n=, ", 16<<10/6) + "last"
 	for _, tt := range []struct {
 		name    string
 		request clientRequest
-		cut     int // bytes a write; 0 means all at once
+		chunk   int // bytes per write; 0 for a single write
 	}{
 		{name: "plain", request: newCall("consulta", "body", [2]string{"HTTP_ONCE_KEY", "-"})},
 		{name: "no body", request: newCall("registro-horas", "")},
 		{name: "largest body", request: newCall("certificado", big)},
 		{name: "padding", request: clientRequest{padding: 7, body: "padded", params: newCall("registro-horas", "").params}},
 		{name: "lengths of 4 bytes", request: clientRequest{longLengths: true, body: "long", params: newCall("registro-horas", "").params}},
-		{name: "a byte at a time", request: clientRequest{padding: 1, body: "split", params: newCall("registro-horas", "").params}, cut: 1},
-		{name: "split in headers", request: newCall("registro-horas", "split"), cut: 11},
-		{name: "long name", request: newCall("consulta", "x", [2]string{"HTTP_" + strings.Repeat("X", 200), strings.Repeat("y", 300)})},
-		{name: "length told", request: newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "4"})},
+		{name: "a byte at a time", request: clientRequest{padding: 1, body: "split", params: newCall("registro-horas", "").params}, chunk: 1},
+		{name: "split in headers", request: newCall("registro-horas", "split"), chunk: 11},
+		{name: "long parameter", request: newCall("consulta", "x", [2]string{"HTTP_" + strings.Repeat("X", 200), strings.Repeat("y", 300)})},
+		{name: "content length", request: newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "4"})},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client := sched.connect()
 			client.t = t
 			tt.request.id = 300
 			data := tt.request.bytes()
-			for cut := max(tt.cut, 1); tt.cut > 0 && len(data) > cut; data = data[cut:] {
-				client.write(data[:cut])
+			for chunk := max(tt.chunk, 1); tt.chunk > 0 && len(data) > chunk; data = data[chunk:] {
+				client.write(data[:chunk])
 			}
 			client.write(data)
 			got := client.readAnswer()
 			if got.id != 300 || got.status != 200 || got.protocolStatus != 0 || got.body != "re:"+tt.request.body {
 				t.Errorf("got request %d, status %d, protocol status %d, body %.40q", got.id, got.status, got.protocolStatus, got.body)
 			}
-			had := agent.received()
-			request := had[len(had)-1]
+			requests := agent.received()
+			request := requests[len(requests)-1]
 			if ms, err := strconv.Atoi(request.fields["patience"]); err != nil || ms <= 0 || ms >= 9000 {
 				t.Errorf("patience %q, want a little under 9000", request.fields["patience"])
 			}
@@ -60,13 +61,14 @@
 				want.fields["op"] = key
 			}
 			if d := cmp.Diff(want, request, cmp.AllowUnexported(agentRequest{})); d != "" {
-				t.Errorf("the agent had (-want +got):\n%s", d)
+				t.Errorf("the agent received (-want +got):\n%s", d)
 			}
 		})
 	}
 }
 
-// 32 requests share a connection, and each gets its own answer, in whichever order the worker answers.
+// Guards against an answer that is delivered to the wrong request when 32 requests share a client connection and the
+// worker answers them out of order.
 func TestMultiplexed(t *testing.T) {
 	latency := func(n int, _ agentRequest) time.Duration { return time.Duration(37*n%20) * time.Millisecond }
 	sched, _ := startWithAgent(t, withLatency(latency, echo))
@@ -88,7 +90,7 @@
 	}
 }
 
-// echoByteByByte answers the requests on a connection with their bodies, one byte a write.
+// echoByteByByte answers each request on a connection with its body, one byte per write.
 func echoByteByByte(conn net.Conn) {
 	defer conn.Close()
 	for reader := bufio.NewReader(conn); ; {
@@ -104,7 +106,8 @@
 	}
 }
 
-// Requests and answers that arrive a byte at a time, those of two clients in turn, are reassembled.
+// Guards against requests and answers that are not reassembled when they arrive a byte at a time. The bytes of two
+// clients alternate.
 func TestFragments(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,7 +143,7 @@
 	}
 }
 
-// An invalid request is answered at once and reaches no agent.
+// Guards against invalid requests that reach an agent or are left unanswered.
 func TestInvalidRequests(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	for _, tt := range []struct {
@@ -156,15 +159,15 @@
 		{"short id", newCall("consulta", "", [2]string{"HTTP_REQUEST_ID", "12ab"}), 400},
 		{"id not hex", newCall("consulta", "", [2]string{"HTTP_REQUEST_ID", "12ab12ab12ab12\r\n"}), 400},
 		{"no budget", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "-"}), 400},
-		{"no time", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "0"}), 400},
-		{"budget below 0", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "-5"}), 400},
+		{"budget of 0", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "0"}), 400},
+		{"negative budget", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "-5"}), 400},
 		{"budget too long", newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "99999999999999999999"}), 400},
 		{"no function", newCall("consulta", "", [2]string{"HTTP_RESOURCE_KEY", "-"}), 400},
 		{"function", newCall("consulta", "", [2]string{"HTTP_RESOURCE_KEY", "a,b=c d e f g h "}), 400},
 		{"no key", newCall("registro-horas", "", [2]string{"HTTP_ONCE_KEY", "-"}), 400},
 		{"key", newCall("registro-horas", "", [2]string{"HTTP_ONCE_KEY", "a b"}), 400},
-		{"figures", newCall("consulta", "", [2]string{"HTTP_X_SPEC", "memory_mb:lots"}), 400},
-		{"figure without value", newCall("consulta", "", [2]string{"HTTP_X_SPEC", "lanes"}), 400},
+		{"spec value is not a number", newCall("consulta", "", [2]string{"HTTP_X_SPEC", "memory_mb:lots"}), 400},
+		{"spec without value", newCall("consulta", "", [2]string{"HTTP_X_SPEC", "lanes"}), 400},
 		{"length", newCall("consulta", "four", [2]string{"CONTENT_LENGTH", "5"}), 400},
 		{"body too long", newCall("consulta", strings.Repeat("x", 16<<10+1)), 413},
 		{"parameters too long", newCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}), 431},
@@ -185,11 +188,11 @@
 		t.Errorf("a valid request after them: status %d", got.status)
 	}
 	if n := len(agent.received()); n != 1 {
-		t.Errorf("the agent had %d requests, want the valid one", n)
+		t.Errorf("the agent received %d requests, want only the valid one", n)
 	}
 }
 
-// Records that belong to no request are answered; records that break the protocol have the connection closed.
+// The scheduler answers FastCGI management records and aborts, and closes the connection on a protocol violation.
 func TestRecords(t *testing.T) {
 	sched, _ := startWithAgent(t, func(int, agentRequest) string { return "" })
 	begin := func(role byte) string { return string([]byte{0, role, 1, 0, 0, 0, 0, 0}) }
@@ -209,10 +212,10 @@
 			"\x00\x00\x00\x00\x00\x00\x00\x00",
 		},
 		{"version", []byte("GET / HTTP/1.1\r\n\r\n"), 0, ""},
-		{"begun twice", append(encodeRecord(typeBeginRequest, 4, 0, begin(1)), encodeRecord(typeBeginRequest, 4, 0, begin(1))...), 0, ""},
-		{"begun without id", encodeRecord(typeBeginRequest, 0, 0, begin(1)), 0, ""},
-		{"begun short", encodeRecord(typeBeginRequest, 4, 0, "\x00"), 0, ""},
-		{"values cut short", encodeRecord(typeGetValues, 0, 0, "\x7f\x7fx"), 0, ""},
+		{"duplicate begin", append(encodeRecord(typeBeginRequest, 4, 0, begin(1)), encodeRecord(typeBeginRequest, 4, 0, begin(1))...), 0, ""},
+		{"begin without id", encodeRecord(typeBeginRequest, 0, 0, begin(1)), 0, ""},
+		{"truncated begin", encodeRecord(typeBeginRequest, 4, 0, "\x00"), 0, ""},
+		{"truncated values", encodeRecord(typeGetValues, 0, 0, "\x7f\x7fx"), 0, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			client := sched.connect()
--- a/cmd/calicohill/shutdown_test.go
+++ b/cmd/calicohill/shutdown_test.go
@@ -16,25 +16,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// After SIGTERM new requests are served for a while, those in flight are answered, and the exit code is 0.
+// After SIGTERM the scheduler serves new requests for a short time, answers those in flight, and exits with code 0.
 func TestShutdown(t *testing.T) {
 	latency := func(_ int, request agentRequest) time.Duration {
 		if request.body == "slow" {
-			return 2 * time.Second // far longer than new requests are served after SIGTERM
+			return 2 * time.Second // far longer than the scheduler serves new requests after SIGTERM
 		}
 		return 0
 	}
 	sched, agent := startWithAgent(t, withLatency(latency, echo))
-	never, slow := sched.connect(), sched.connect()
-	half := newCall("consulta", "half") // never completed: it must not delay the exit
+	incomplete, slow := sched.connect(), sched.connect()
+	half := newCall("consulta", "half") // its body never ends, which must not delay the exit
 	half.bodyOpen = true
-	never.send(half)
+	incomplete.send(half)
 	slow.send(newCall("certificado", "slow"))
 	waitUntil(t, "the slow request is at the agent", func() bool { return len(agent.received()) == 1 })
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200 * time.Millisecond) // new connections keep arriving for 0.2 s after SIGTERM at least: this one is as late
+	time.Sleep(200 * time.Millisecond) // the platform opens connections for at least 0.2 s after SIGTERM; this one is that late
 	late := sched.connect()
 	late.send(newCall("consulta", "late"))
 	if got := late.readAnswer(); got.status != 200 {
@@ -46,7 +46,7 @@
 	sched.waitForExit()
 }
 
-// A scheduler that is killed with a request in flight starts again at its address, and serves.
+// A scheduler that is killed with a request in flight can be restarted at the same address and serves again.
 func TestRestart(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "lost" {
@@ -65,28 +65,29 @@
 	}
 }
 
-// Answers that are partly written at SIGTERM are sent completely, also to a slow client.
+// Guards against answers that are truncated at SIGTERM because a slow client has not read them yet.
 func TestPartlyWrittenAtShutdown(t *testing.T) {
-	sched, _, readAll := startPartlyWritten(t, nil)
+	sched, _, readAll := startWithUnreadAnswers(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(1500 * time.Millisecond) // how late the client reads: without unsent answers the program would have exited by now
+	time.Sleep(1500 * time.Millisecond) // how late the client reads: the program would have exited by now if no answers were unsent
 	readAll()
 	sched.waitForExit()
 }
 
-// A client that reads nothing does not keep the program from exiting.
+// Guards against a shutdown that waits indefinitely for a client that reads nothing.
 func TestUnreadAnswersAtShutdown(t *testing.T) {
-	sched, _, _ := startPartlyWritten(t, nil)
+	sched, _, _ := startWithUnreadAnswers(t, nil)
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	sched.waitForExit()
 }
 
-// Clients that connected while a draining program was stopped are answered: served, or rejected with 503. The time to
-// drain is over when it runs again, but the system has accepted their connections.
+// Guards against unanswered requests from clients that connect while a draining scheduler is paused: they must be
+// served or rejected with 503. The time to drain is over when the scheduler resumes, but the operating system has
+// already established their connections.
 func TestStalledDuringShutdown(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	var clients []*testClient
@@ -109,8 +110,8 @@
 	sched.waitForExit()
 }
 
-// A configuration file that can't be read to its end, as on a disk that hangs, does not delay the shutdown, and neither
-// do many signals to reload.
+// Guards against a reload that delays the shutdown. The read of the configuration file blocks, as on a disk that hangs,
+// and several SIGHUPs arrive before SIGTERM.
 func TestShutdownDuringReload(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	fifo := filepath.Join(t.TempDir(), "config")
@@ -124,7 +125,7 @@
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		// The kernel merges signals of a kind that are pending.
+		// The kernel merges pending signals of the same number.
 		waitUntil(t, "the signal is delivered", func() bool { return !signalPending(t, sched.cmd.Process.Pid, syscall.SIGHUP) })
 	}
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -138,7 +139,7 @@
 	sched.waitForExit()
 }
 
-// signalPending reports whether a signal to a process waits to be delivered.
+// signalPending reports whether a signal to a process is pending.
 func signalPending(t *testing.T, pid int, signal syscall.Signal) bool {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -158,12 +159,12 @@
 // logEnded is the message of the last line that a scheduler logs.
 const logEnded = "scheduler ended"
 
-// endWaits is how often a scheduler that is ending waits for the machine, one time after the other, on the way from the time
-// when it gives its final answers to its last log line: for the timer of the check that gives them, for that of the check
-// that finds all of them sent, and for the goroutine that ends the loop.
-const endWaits = 3
+// shutdownWakeUps is the number of consecutive wake-ups, each of which a busy machine may delay, before the last log
+// line of a scheduler that is ending: the timer of the check that gives the final answers, the timer of the check that
+// finds all of them sent, and the goroutine that ends the event loop.
+const shutdownWakeUps = 3
 
-// logTime returns the time of the first log line with a message, at the latest that it can mean.
+// logTime returns the time of the first log line with a message, rounded up by the log's precision.
 func logTime(t *testing.T, log *process.Log, msg string) time.Time {
 	t.Helper()
 	for line := range strings.Lines(log.String()) {
@@ -176,29 +177,29 @@
 		if err != nil {
 			t.Fatalf("log line %q: %v", line, err)
 		}
-		return at.Add(time.Millisecond) // which is the log's precision
+		return at.Add(time.Millisecond) // the log's precision
 	}
-	t.Fatalf("no log line says %q", msg)
+	t.Fatalf("no log line contains %q", msg)
 	return time.Time{}
 }
 
-// measureWakeDelay measures by how much the machine wakes sleeping goroutines late, from a time on until the function that
-// it returns is called, which returns the worst. The processes that the machine runs are woken as late.
-func measureWakeDelay(from time.Time) (worst func() time.Duration) {
+// measureWakeDelay measures how late the machine wakes sleeping goroutines, from a given time on. The function that it
+// returns ends the measurement and returns the longest delay. Other processes on the machine are woken as late.
+func measureWakeDelay(from time.Time) (longest func() time.Duration) {
 	const interval = 5 * time.Millisecond
 	stop, measured := make(chan struct{}), make(chan time.Duration, 1)
 	go func() {
-		worst, timer := time.Duration(0), time.NewTimer(interval)
+		longest, timer := time.Duration(0), time.NewTimer(interval)
 		defer timer.Stop()
 		for due := time.Now().Add(interval); ; due = time.Now().Add(interval) {
 			select {
 			case <-timer.C:
 				if now := time.Now(); now.After(from) {
-					worst = max(worst, now.Sub(due))
+					longest = max(longest, now.Sub(due))
 				}
 				timer.Reset(interval)
 			case <-stop:
-				measured <- worst
+				measured <- longest
 				return
 			}
 		}
@@ -206,8 +207,8 @@
 	return sync.OnceValue(func() time.Duration { close(stop); return <-measured })
 }
 
-// Requests whose deadlines are after the platform's kill get their final answer before it: a rejection where a retry is
-// harmless, a failure where it is not.
+// Guards against requests that get no answer because the platform kills the scheduler before their deadlines. They must
+// be answered before SIGKILL: rejected if a retry is harmless, failed otherwise.
 func TestAnsweredBeforeKill(t *testing.T) {
 	agent := newAgent(t, func(int, agentRequest) string { return "" })
 	sched := newTestScheduler(t)
@@ -219,13 +220,13 @@
 	for class := range want {
 		client := sched.connect()
 		request := newCall(class, "x")
-		request.setParam("HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")) // own functions, or some would wait for capacity
+		request.setParam("HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")) // a function each, or some would wait for capacity
 		client.send(request)
 		clients[class] = client
 	}
 	waitUntil(t, "all requests are at the worker", func() bool { return len(agent.received()) >= len(want) })
 	terminatedAt := time.Now()
-	wakeDelay := measureWakeDelay(terminatedAt.Add(3400 * time.Millisecond)) // its final answers come 3.5 s after SIGTERM
+	wakeDelay := measureWakeDelay(terminatedAt.Add(3400 * time.Millisecond)) // the scheduler gives its final answers 3.5 s after SIGTERM
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -234,14 +235,14 @@
 			t.Errorf("%s: status %d, want %d", class, got.status, status)
 		}
 	}
-	// Measured by the log line, since the race detector delays the process exit by a second, and by its own time, since the
-	// test may be woken late.
+	// The log line counts as the end because the race detector delays the process exit by a second. Its timestamp is
+	// used because the test may be woken late.
 	waitUntil(t, "the scheduler has ended", func() bool { return strings.Contains(sched.log.String(), logEnded) })
 	took := logTime(t, sched.log, logEnded).Sub(terminatedAt)
-	late := endWaits * wakeDelay()
-	t.Logf("ended %v after SIGTERM; %v of that may be the machine's", took, late)
-	if took-late > 3700*time.Millisecond { // SIGKILL comes no earlier
-		t.Errorf("ended %v after SIGTERM, of which the machine was late by at most %v", took, late)
+	maxDelay := shutdownWakeUps * wakeDelay()
+	t.Logf("ended %v after SIGTERM, including up to %v of wake-up delay", took, maxDelay)
+	if took-maxDelay > 3700*time.Millisecond { // SIGKILL comes no earlier
+		t.Errorf("ended %v after SIGTERM, including up to %v of wake-up delay; want at most 3.7 s without it", took, maxDelay)
 	}
 	sched.waitForExit()
 }
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -28,9 +28,9 @@
 	return sched, file
 }
 
-// snapshotEvent returns the number of the last event in a snapshot, 0 if there is none, and fails the test if the
-// snapshot is invalid.
-func snapshotEvent(t *testing.T, file string) int {
+// lastSnapshotEvent returns the number of the last event in a snapshot, or 0 if there is no snapshot. It fails the test
+// if the snapshot is invalid.
+func lastSnapshotEvent(t *testing.T, file string) int {
 	t.Helper()
 	record, err := snapshotfile.Read(file, "gt-registros", time.Duration(time.Now().UnixNano()), time.Hour)
 	if err != nil {
@@ -39,9 +39,9 @@
 	return record.EventNumber
 }
 
-// After a crash a saved endpoint list is used if it is newer than the configuration's, also while the list service is
-// down: a worker that drains in it gets no requests, a new one does. If the service restarts its event numbers, the
-// list of the service is used.
+// After a crash the scheduler uses its saved endpoint list if that is newer than the configured one, even while the
+// list service is down. Guards against requests to a worker that started draining before the crash. If the service has
+// restarted its event numbers, the scheduler uses the service's list instead.
 func TestSnapshot(t *testing.T) {
 	agentA, agentB, agentC := newAgent(t, answerWith("a")), newAgent(t, answerWith("b")), newAgent(t, answerWith("c"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -49,9 +49,9 @@
 	sched.start()
 	sched.addEvent(false, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 	waitUntilServedBy(t, sched, "b")
-	waitUntil(t, "the list is saved", func() bool { return snapshotEvent(t, file) == 2 })
+	waitUntil(t, "the list is saved", func() bool { return lastSnapshotEvent(t, file) == 2 })
 	sched.kill()
-	had := len(agentA.received())
+	before := len(agentA.received())
 
 	sched.listServer.CloseClientConnections()
 	sched.listServer.Close()
@@ -64,11 +64,11 @@
 			t.Errorf("after a crash, without the list service: status %d, body %q", got.status, got.body)
 		}
 	}
-	if got := len(agentA.received()); got != had {
-		t.Errorf("%d requests went to a worker that drained before the crash", got-had)
+	if got := len(agentA.received()); got != before {
+		t.Errorf("%d requests went to a worker that drained before the crash", got-before)
 	}
 
-	// The service comes back empty and counts from 1 again.
+	// The list service restarts without events and numbers new ones from 1.
 	sched.mu.Lock()
 	sched.events = nil
 	sched.mu.Unlock()
@@ -83,8 +83,8 @@
 	}
 }
 
-// Nobody knows how old a saved list is: where workers may not be asked for their health, it is not used before the list
-// service has confirmed it, since a worker in it may have been draining for long.
+// The age of a saved list is unknown, and a worker in it may have been draining for a long time. Guards against using
+// the list without health checks before the list service has confirmed it.
 func TestSnapshotOfUnknownAge(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -92,7 +92,7 @@
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.addEvent(false, "a SERVING "+agent.addr)
 	sched.start()
-	waitUntil(t, "the list is saved", func() bool { return snapshotEvent(t, file) == 2 })
+	waitUntil(t, "the list is saved", func() bool { return lastSnapshotEvent(t, file) == 2 })
 	sched.kill()
 	sched.knownEvents = 1
 	sched.silenceListService()
@@ -100,21 +100,21 @@
 	client := sched.connect()
 	client.send(newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	if got := client.readAnswer(); got.status != http.StatusServiceUnavailable || len(agent.received()) != 0 {
-		t.Errorf("status %d by a list that nobody confirmed, want 503 and nothing sent", got.status)
+		t.Errorf("status %d with an unconfirmed list, want 503 and no request sent", got.status)
 	}
 	sched.listSilent.Store(false)
 	sched.listServer.CloseClientConnections()
 	waitUntilServedBy(t, sched, "a")
 }
 
-// Learned state is saved with the list: after a crash requests go where their functions are loaded, and start no loads
-// at a worker that was added since.
+// Learned state is saved with the list. Guards against requests that, after a crash, load their functions at a worker
+// that was added later instead of going to the worker that has them loaded.
 func TestSnapshotOfLearnedState(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
 	sched.addEvent(true, "b SERVING "+agentB.addr)
 	sched.start()
-	sendRequest := func() {
+	sendRequests := func() {
 		for i := range 12 {
 			client := sched.connect()
 			client.send(newCall("consulta", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i+1)}))
@@ -123,25 +123,25 @@
 			}
 		}
 	}
-	sendRequest()
+	sendRequests()
 	sched.addEvent(false, "a SERVING "+agentA.addr)
-	waitUntil(t, "the list is saved", func() bool { return snapshotEvent(t, file) == 2 })
+	waitUntil(t, "the list is saved", func() bool { return lastSnapshotEvent(t, file) == 2 })
 	sched.kill()
 	sched.start()
-	sendRequest()
+	sendRequests()
 	if n := len(agentA.received()); n > 0 {
 		t.Errorf("%d calls went to a worker with no instance loaded", n)
 	}
 }
 
-// An invalid snapshot is set aside with one log line, and failing writes are logged once. Neither keeps the scheduler
-// from starting and serving.
+// An invalid snapshot is set aside and logged once, and failing writes are logged once. Guards against either of them
+// preventing the scheduler from starting and serving.
 func TestInvalidSnapshot(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	dir := t.TempDir()
 	for _, tt := range []struct {
-		name, line string
-		prepare    func(t *testing.T, file string)
+		name, message string
+		prepare       func(t *testing.T, file string)
 	}{
 		{"torn", "snapshot set aside", func(t *testing.T, file string) {
 			t.Helper()
@@ -149,13 +149,13 @@
 				t.Fatal(err)
 			}
 		}},
-		{"a folder", "snapshot set aside", func(t *testing.T, file string) {
+		{"directory", "snapshot set aside", func(t *testing.T, file string) {
 			t.Helper()
 			if err := os.MkdirAll(filepath.Join(file, "x"), 0o700); err != nil {
 				t.Fatal(err)
 			}
 		}},
-		{"no folder for it", "snapshot write failed, keeping the previous file", func(t *testing.T, file string) {
+		{"missing directory", "snapshot write failed, keeping the previous file", func(t *testing.T, file string) {
 			t.Helper()
 			if err := os.RemoveAll(filepath.Dir(file)); err != nil {
 				t.Fatal(err)
@@ -172,16 +172,16 @@
 			sched.addEvent(true, "a SERVING "+agent.addr)
 			sched.start()
 			waitUntilServedBy(t, sched, "a")
-			waitUntil(t, "the log says "+tt.line, func() bool { return strings.Contains(sched.log.String(), tt.line) })
-			if n := strings.Count(sched.log.String(), tt.line); n != 1 {
-				t.Errorf("%q is in the log %d times, want once", tt.line, n)
+			waitUntil(t, "the log contains "+tt.message, func() bool { return strings.Contains(sched.log.String(), tt.message) })
+			if n := strings.Count(sched.log.String(), tt.message); n != 1 {
+				t.Errorf("%q is logged %d times, want once", tt.message, n)
 			}
 		})
 	}
 }
 
-// Kills by SIGKILL while the endpoint list changes all the time: the snapshot is valid after each, and never older than
-// before.
+// Guards against a snapshot that is invalid, or older than the previous one, after a SIGKILL while the endpoint list
+// changes constantly.
 func TestKillDuringSnapshot(t *testing.T) {
 	agent := newAgent(t, answerWith("a"))
 	sched, file := newSchedulerWithSnapshot(t, t.TempDir())
@@ -196,13 +196,13 @@
 		}
 		ticker.Stop()
 		sched.kill()
-		no := snapshotEvent(t, file)
-		if no < last {
-			t.Errorf("event %d is saved, event %d was before", no, last)
+		saved := lastSnapshotEvent(t, file)
+		if saved < last {
+			t.Errorf("the last saved event is %d, it was %d before", saved, last)
 		}
-		last = no
+		last = saved
 	}
 	if last < 2 {
-		t.Error("nothing was saved")
+		t.Error("no event was saved")
 	}
 }
--- a/cmd/calicohill/soak_test.go
+++ b/cmd/calicohill/soak_test.go
@@ -8,12 +8,12 @@
 	"calicohill/internal/testbed/experiment"
 )
 
-// soakSeeds are seeds that together have each kind of fault, a crowd of clients (5), and clients with short deadlines (3, 6).
+// soakSeeds together cover every kind of fault, a traffic surge (5), and requests with short deadlines (3, 6).
 var soakSeeds = []uint64{3, 5, 6, 7}
 
-// Faults that overlap, drawn from seeds: outages of the list service with drains in them, restarts and kills, signals in
-// series, pauses, cut links and faults of workers. No rule is broken; a seed that breaks one is played by
-// `testbed soak --seed`.
+// Guards against violations of the soak's rules under overlapping faults that are drawn from seeds: outages of the list
+// service during which workers drain, restarts and kills, series of signals, pauses, cut links and worker faults.
+// `testbed soak --seed` reproduces the run of a seed.
 func TestSoak(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -31,14 +31,14 @@
 				t.Fatal(err)
 			}
 			t.Log(result.Summary())
-			for _, broken := range result.RulesBroken {
-				t.Error(broken)
+			for _, violation := range result.RulesBroken {
+				t.Error(violation)
 			}
 			if len(result.RulesBroken) > 0 {
 				t.Logf("script:\n%s", result.Script)
 			}
 			if served := float64(result.Served) / float64(max(result.Offered, 1)); served < 0.5 {
-				t.Errorf("%.2f served, want half", served)
+				t.Errorf("%.2f of the requests served, want at least 0.50", served)
 			}
 		})
 	}
--- a/cmd/calicohill/system_faults_test.go
+++ b/cmd/calicohill/system_faults_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// withoutDescriptors calls a function while the program can open no descriptor: its accepts, sockets and everything else
-// that needs one fail with EMFILE.
+// withoutDescriptors calls a function while the program can't open any descriptor: accept, socket and every other
+// system call that needs one fail with EMFILE.
 func (s *testScheduler) withoutDescriptors(meanwhile func()) {
 	s.t.Helper()
 	pid := s.cmd.Process.Pid
@@ -27,11 +27,11 @@
 	}
 }
 
-// Seen on reading: an accept that fails with EMFILE ended the program, with all its requests lost; ENFILE, ENOBUFS and
-// ENOMEM took the same way. The library under the event loop gives up on every error of accept but four.
+// Guards against a failing accept that ends the program and loses all its requests. EMFILE, ENFILE, ENOBUFS and ENOMEM
+// did so, because the library of the event loop stops on all accept errors but four.
 //
-// While accepting fails, what is open is served, and the log says so. Connections that the system has accepted meanwhile
-// are served afterwards.
+// While accept fails, the scheduler logs the error and serves open connections. Connections that the operating system
+// has established meanwhile are served afterwards.
 func TestAcceptFails(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	client := sched.connect()
@@ -50,7 +50,7 @@
 			late.send(newCall("consulta", "x"))
 			waiting = append(waiting, late)
 		}
-		waitUntil(t, "the log says that accepts fail", func() bool { return strings.Contains(sched.log.String(), "accept failed") })
+		waitUntil(t, "the accept errors are logged", func() bool { return strings.Contains(sched.log.String(), "accept failed") })
 		for range 20 {
 			serve(client)
 		}
@@ -62,8 +62,8 @@
 	}
 }
 
-// A connection to a worker that fails for a fault of this machine says nothing of the worker: the request waits for the
-// next dial, whatever its class, and the worker is not ejected.
+// Guards against ejecting a worker because a dial failed for a reason on the scheduler's own machine. A request of any
+// class waits for the next dial.
 func TestDialFailsLocally(t *testing.T) {
 	for _, class := range []string{"consulta", "registro-horas", "certificado"} {
 		t.Run(class, func(t *testing.T) {
@@ -73,7 +73,7 @@
 			sched.withoutDescriptors(func() {
 				client.send(newCall(class, "x"))
 				client.waitUntilRead()
-				time.Sleep(50 * time.Millisecond) // how long sockets fail
+				time.Sleep(50 * time.Millisecond) // how long socket calls fail
 			})
 			sent := time.Now()
 			got := client.readAnswer()
--- a/cmd/calicohill/unread_answers_test.go
+++ b/cmd/calicohill/unread_answers_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// unreadAnswers is how many answers of bigBody a client leaves unread, one after the other: 5 MB together, more than the
-// system buffers, so that the scheduler has written only a part of them.
+// unreadAnswers is the number of answers with bigBody that a client leaves unread. Together they are 5 MB, more than
+// the system's socket buffers take, so that the scheduler has written only part of them.
 const unreadAnswers = 100
 
-// bigBody is the body of an answer that is as long as one read of the scheduler still takes whole. Of a longer one the rest
-// has to come within 250 ms, which a busy machine may not give the scheduler: it closes the connection and retries.
+// bigBody is the body of an answer that the scheduler can receive in a single read. The rest of a longer answer has to
+// arrive within 250 ms, or the scheduler closes the connection and retries, which may happen on a busy machine.
 var bigBody = strings.Repeat("0123456789", 5000)
 
-// oneAtATime has an instance run one request at a time: the next one reaches the worker only when the scheduler has read the
-// answer to the one before.
+// oneAtATime limits an instance to one request at a time: a request reaches the worker only after the scheduler has
+// read the answer to the previous one.
 var oneAtATime = [2]string{"HTTP_X_SPEC", "lanes:1"}
 
 // replyBig answers a request for "big" with bigBody, and echoes others.
@@ -26,19 +26,19 @@
 	return echo(n, request)
 }
 
-// startPartlyWritten starts a scheduler whose client has read none of its answers. editLast, if any, changes the last of
-// the requests before it is sent. readAll has the client read all answers, and fails the test if one is not complete. The
-// scheduler has descriptors for only a few clients more.
-func startPartlyWritten(t *testing.T, editLast func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
+// startWithUnreadAnswers starts a scheduler with a client that has read none of its answers, some of which are only
+// partly written. editLast, if not nil, changes the last request before it is sent. readAll makes the client read all
+// answers, and fails the test if one is incomplete. The scheduler has descriptors for only a few more clients.
+func startWithUnreadAnswers(t *testing.T, editLast func(*clientRequest)) (sched *testScheduler, client *testClient, readAll func()) {
 	t.Helper()
 	agent := newAgent(t, replyBig)
 	sched = newTestScheduler(t)
 	sched.maxSockets = 90
-	unhurried(sched)
+	relaxLatencyLimits(sched)
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	client = sched.start().connectSlowReader()
 	for id := uint16(1); id <= unreadAnswers; id++ {
-		request := newCall("consulta", "big", oneAtATime, unhurriedBudget)
+		request := newCall("consulta", "big", oneAtATime, relaxedBudget)
 		if request.id = id; id == unreadAnswers && editLast != nil {
 			editLast(&request)
 		}
@@ -55,20 +55,21 @@
 	}
 }
 
-// A connection that is to be closed after a request is closed only once all answers on it are sent.
+// Guards against closing a connection after its last request before all answers on it are sent.
 func TestPartlyWrittenWithoutKeepConn(t *testing.T) {
-	_, client, readAll := startPartlyWritten(t, func(request *clientRequest) { request.closeAfter = true })
-	time.Sleep(300 * time.Millisecond) // how late the client reads: the connection stays open for this time
+	_, client, readAll := startWithUnreadAnswers(t, func(request *clientRequest) { request.closeAfter = true })
+	time.Sleep(300 * time.Millisecond) // how late the client reads: the connection must stay open until then
 	readAll()
 	if !client.closedByServer() {
 		t.Error("the connection stays open")
 	}
 }
 
-// A connection with partly written answers has no open request any more, but is not closed to make room for others.
+// Guards against closing a connection with partly written answers to make room for other clients, although it has no
+// open request any more.
 func TestPartlyWrittenIsNotEvicted(t *testing.T) {
-	sched, _, readAll := startPartlyWritten(t, nil)
-	for range 30 { // 29 fit in beside the first client: one of them has to be closed for the last
+	sched, _, readAll := startWithUnreadAnswers(t, nil)
+	for range 30 { // 29 fit beside the first client: the last one needs another to be closed
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
 		if got := client.readAnswer(); got.body != "re:x" {
@@ -78,9 +79,9 @@
 	readAll()
 }
 
-// unhurried gives the classes of a scheduler so much time that it rejects no request and ejects no worker because answers
-// are late: large ones are, on a busy machine. Requests need unhurriedBudget for that.
-func unhurried(sched *testScheduler) {
+// relaxLatencyLimits raises the latency limits of a scheduler's classes, so that it neither rejects requests nor ejects
+// workers because of late answers: large answers are late on a busy machine. Requests also need relaxedBudget.
+func relaxLatencyLimits(sched *testScheduler) {
 	sched.settingsEdits = append(sched.settingsEdits,
 		[2]string{`"aimMs":750`, `"aimMs":60000`},
 		[2]string{`"aimMs":600,`, `"aimMs":60000,`},
@@ -92,45 +93,48 @@
 	)
 }
 
-// unhurriedBudget is the time of a request to an unhurried scheduler.
-var unhurriedBudget = [2]string{"HTTP_BUDGET_MS", "600000"}
+// relaxedBudget is the budget of a request to a scheduler with relaxed latency limits.
+var relaxedBudget = [2]string{"HTTP_BUDGET_MS", "600000"}
 
-// An answer that is longer than one read of the scheduler is forwarded complete.
+// Guards against truncating an answer that is longer than one read of the scheduler.
 func TestLongAnswer(t *testing.T) {
-	long := strings.Repeat("0123456789", 13_000) // a read takes 64 KiB; the scheduler allows 250 ms from the first to the last
+	long := strings.Repeat("0123456789", 13_000) // a read takes up to 64 KiB; all reads have to end within 250 ms of the first
 	agent := newAgent(t, answerWith(long))
 	sched := newTestScheduler(t)
-	unhurried(sched)
+	relaxLatencyLimits(sched)
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	client := sched.start().connect()
-	client.send(newCall("consulta", "", unhurriedBudget))
+	client.send(newCall("consulta", "", relaxedBudget))
 	if got := client.readAnswer(); got.status != 200 || got.body != long {
 		t.Errorf("status %d and %d bytes, want %d", got.status, len(got.body), len(long))
 	}
 }
 
-// Unread answers are bounded for all clients together, also where each client stays within its own bound.
+// Guards against running out of memory because of slow readers: the unsent answers of all clients together are bounded,
+// even if each client stays within its own bound.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	agent := newAgent(t, replyBig)
 	sched := newTestScheduler(t)
 	sched.maxSockets, sched.memoryMB = 90, 32
-	unhurried(sched)
+	relaxLatencyLimits(sched)
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
-	const closed = "too much waits for clients that do not read"
+	const closedMessage = "too much waits for clients that do not read"
 	waitUntil(t, "a slow reader is disconnected", func() bool {
 		client := sched.connectSlowReader()
-		for id := uint16(1); id <= unreadAnswers && !strings.Contains(sched.log.String(), closed); id++ {
-			request := newCall("consulta", "big", oneAtATime, unhurriedBudget)
+		for id := uint16(1); id <= unreadAnswers && !strings.Contains(sched.log.String(), closedMessage); id++ {
+			request := newCall("consulta", "big", oneAtATime, relaxedBudget)
 			request.id = id
-			had := len(agent.received())
+			before := len(agent.received())
 			_, _ = client.conn.Write(request.bytes()) // fails if this client was disconnected
-			waitUntil(t, "the request is at the worker", func() bool { return len(agent.received()) > had || strings.Contains(sched.log.String(), closed) })
+			waitUntil(t, "the request is at the worker", func() bool {
+				return len(agent.received()) > before || strings.Contains(sched.log.String(), closedMessage)
+			})
 		}
-		return strings.Contains(sched.log.String(), closed)
+		return strings.Contains(sched.log.String(), closedMessage)
 	})
 	client := sched.connect()
-	client.send(newCall("consulta", "x", unhurriedBudget))
+	client.send(newCall("consulta", "x", relaxedBudget))
 	if got := client.readAnswer(); got.body != "re:x" {
 		t.Errorf("status %d for a client that reads", got.status)
 	}
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// One of hundreds of schedulers uses a single connection for its few requests to a worker, since the worker has to
-// accept the connections of all schedulers.
+// One of hundreds of schedulers uses a single connection to a worker for its few requests. Guards against exhausting
+// the worker, which has to accept the connections of all schedulers.
 func TestFewConnections(t *testing.T) {
 	// Every second answer takes some time, so that two requests are in flight at a time.
 	latency := func(n int, _ agentRequest) time.Duration { return time.Duration(n%2) * 20 * time.Millisecond }
@@ -24,7 +24,7 @@
 		otherClient.send(newCall("consulta", ""))
 		for _, each := range []*testClient{client, otherClient} {
 			if got := each.readAnswer(); got.status == 200 && got.body != "1" {
-				t.Fatalf("a request went on connection %s", got.body)
+				t.Fatalf("a request was sent on connection %s, want 1", got.body)
 			}
 		}
 	}
@@ -33,7 +33,8 @@
 	}
 }
 
-// If the network drops idle connections, that is detected, and no connection is used after such an idle time any more.
+// Guards against losing requests on connections that the network has dropped because they were idle. The scheduler
+// detects the idle time and no longer uses connections that have been idle for that long.
 func TestIdleConnectionsDropped(t *testing.T) {
 	agent := newAgent(t, echo)
 	agent.idleReset = 60 * time.Millisecond
@@ -52,14 +53,15 @@
 	})
 }
 
-// A connection on which a request has waited long for its answer gets no new requests: the worker's machine may have
-// been cut off without a sign, and be back under the same name.
+// Guards against new requests on a dead connection: the worker's machine may have become unreachable without closing
+// it, and be back under the same name. A connection on which a request has waited long for its answer gets no new
+// requests.
 func TestUnresponsiveConnection(t *testing.T) {
 	sched, agent := startWithDeafAgent(t)
 	first, second := sched.connect(), sched.connect()
 	first.send(newCall("consulta", "lost", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	waitUntil(t, "the first request is at the agent", func() bool { return len(agent.received()) == 1 })
-	time.Sleep(1200 * time.Millisecond) // how long the request waits for its answer: over 1 s counts as long
+	time.Sleep(1200 * time.Millisecond) // how long the request waits for its answer: more than 1 s is long
 	second.send(newCall("consulta", "found"))
 	if got := second.readAnswer(); got.body != "re:found" {
 		t.Errorf("status %d, want it served on a new connection", got.status)
@@ -69,7 +71,7 @@
 	}
 }
 
-// The same where deadlines are shorter than that wait: a few requests lost in a row are enough.
+// Like TestUnresponsiveConnection, with deadlines shorter than that wait: a few consecutive lost requests suffice.
 func TestLostRequests(t *testing.T) {
 	sched, _ := startWithDeafAgent(t)
 	client := sched.connect()
@@ -79,7 +81,8 @@
 	})
 }
 
-// An idle connection is closed before the agent's idle timeout, so that no request crosses the agent's close.
+// Guards against a request that is lost because the agent closes its idle connection at the same time. The scheduler
+// closes idle connections before the agent's idle timeout.
 func TestIdleConnections(t *testing.T) {
 	agent, sched := newAgent(t, echo), newTestScheduler(t)
 	sched.settings.IdleCloseMillis = 400
@@ -98,7 +101,7 @@
 	}
 }
 
-// A worker that begins to drain while its connection is being dialed gets no request on it.
+// Guards against a request to a worker that starts draining while the connection to it is being dialed.
 func TestDrainDuringDial(t *testing.T) {
 	sched, agentA, open := startWithLateAgent(t)
 	agentB := newAgent(t, answerWith("b"))
@@ -116,13 +119,14 @@
 		return agentA.conns > 0
 	})
 	waitUntilServedBy(t, sched, "b")
-	if had := agentA.received(); len(had) != 0 {
-		t.Errorf("the worker that drains had %v", had)
+	if requests := agentA.received(); len(requests) != 0 {
+		t.Errorf("the draining worker received %v", requests)
 	}
 }
 
-// A worker closes an idle connection while the program is stopped and a request for that connection arrives, in either
-// order: the request is sent on another connection. It is non-idempotent, so that a loss would show as a failure.
+// Guards against losing a request when the worker closes its idle connection at the same time. The close and the
+// request arrive, in either order, while the scheduler is paused; the request must be sent on another connection. It is
+// non-idempotent, so that a loss would be reported as a failure.
 func TestCloseCrossesRequest(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -142,7 +146,7 @@
 					agent.closeConns()
 				}
 				client.waitUntilArrived()
-				waitUntil(t, "the close has arrived", func() bool { return countToAgents(t, socketEstablished, agent) == 0 })
+				waitUntil(t, "the worker's close has arrived", func() bool { return countToAgents(t, socketEstablished, agent) == 0 })
 			})
 			if got := client.readAnswer(); got.body != "re:x" {
 				t.Errorf("status %d, %q, want it served on another connection", got.status, got.body)
