--- a/cmd/calicohill/unread_answers_test.go
+++ b/cmd/calicohill/unread_answers_test.go
@@ -119,7 +119,7 @@
 	relaxLatencyLimits(sched)
 	sched.addEvent(true, "a SERVING "+agent.addr)
 	sched.start()
-	const closedMessage = "too much waits for clients that do not read"
+	const closedMessage = "client connection closed: too many unsent bytes for all clients"
 	waitUntil(t, "a slow reader is disconnected", func() bool {
 		client := sched.connectSlowReader()
 		for id := uint16(1); id <= unreadAnswers && !strings.Contains(sched.log.String(), closedMessage); id++ {
