--- a/cmd/calicohill/answers_test.go
+++ b/cmd/calicohill/answers_test.go
@@ -123,8 +123,8 @@
 	for _, first := range []string{"OK", "MISS", "ERR"} {
 		t.Run(first, func(t *testing.T) {
 			var mu sync.Mutex
-			// The worker that receives the first request answers it twice: the duplicate precedes its next answer on its
-			// first connection.
+			// The worker that receives the first request answers it twice: the duplicate precedes its next answer on
+			// its first connection.
 			duplicate, duplicateSender := "", ""
 			begun := false
 			worker := func(name string) *nodeAgent {
--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -207,9 +207,9 @@
 		return client.readAnswer().status
 	}
 	client, other := sched.connect(), sched.connect()
-	// The function steady is loaded at the first worker alone, so that all its calls go there and are answered, whatever
-	// else is in flight. The function asked is loaded at both: at the first worker by a call, and at the second by the
-	// retry of a call that the first answered with an error.
+	// The function steady is loaded at the first worker alone, so that all its calls go there and are answered,
+	// whatever else is in flight. The function asked is loaded at both: at the first worker by a call, and at the
+	// second by the retry of a call that the first answered with an error.
 	sendRequest(other, steady, "warm")
 	sendRequest(client, asked, "warm")
 	sched.addEvent(false, "b SERVING "+agentB.addr)
--- a/cmd/calicohill/call.go
+++ b/cmd/calicohill/call.go
@@ -22,7 +22,8 @@
 	maxConcurrentCalls = 32
 	minCallBudget      = time.Millisecond
 	defaultCallBudget  = 2 * time.Second
-	// answerMargin is how much longer than a request's budget its answer is waited for: the scheduler may use all of it.
+	// answerMargin is added to a request's budget for the client's timeout, since the scheduler may use the whole
+	// budget.
 	answerMargin = time.Second
 	// connectRetryInterval is the pause between attempts to reach a scheduler that is not ready yet.
 	connectRetryInterval = 20 * time.Millisecond
@@ -31,22 +32,22 @@
 	requestIDBytes      = 8
 	idempotencyKeyBytes = 16
 
-	// printedPrecision is what times are rounded to.
+	// printedPrecision is the precision of printed durations.
 	printedPrecision = 10 * time.Microsecond
 )
 
-// outcomeUnanswered is the outcome of a request without a reply, beside those of fastcgi.
+// outcomeUnanswered is the outcome of a request without a reply. It complements the outcomes of package fastcgi.
 const outcomeUnanswered fastcgi.Outcome = "unanswered"
 
-// caller has the options of the call command.
+// caller sends requests as the options of the call command specify.
 type caller struct {
-	address        string // of the scheduler, host:port
+	address        string // host:port of the scheduler
 	function       string
-	idempotencyKey string // of all requests; "" for a random one for each
-	body           string // "-" for standard input
+	idempotencyKey string // shared by all requests; "" for a random key per request
+	body           string // "-" to read standard input
 	spec           string // properties of the function, such as its memory
 	budget         time.Duration
-	wait           time.Duration // for the scheduler to become ready; 0 to try once
+	wait           time.Duration // maximum wait for the scheduler to become ready; 0 to try once
 	count          int
 	concurrency    int
 }
@@ -71,9 +72,9 @@
 	flags.StringVar(&options.spec, "spec", "memory_mb:512;lanes:2", "`PROPERTIES` of the function: memory of an instance, concurrent requests (lanes) of an instance")
 	flags.StringVar(&options.body, "body", "", "`TEXT` of the body; - for standard input")
 	flags.DurationVar(&options.budget, "budget", defaultCallBudget, "timeout of each request")
-	flags.DurationVar(&options.wait, "wait", 0, "how long to wait for the scheduler to become ready")
+	flags.DurationVar(&options.wait, "wait", 0, "maximum time to wait for the scheduler to become ready")
 	flags.IntVar(&options.count, "count", 1, "number of requests")
-	flags.IntVar(&options.concurrency, "at-a-time", 1, "number of requests in flight at a time, 32 at most")
+	flags.IntVar(&options.concurrency, "at-a-time", 1, "maximum number of requests in flight, up to 32")
 	return cmd
 }
 
@@ -81,7 +82,7 @@
 type callResult struct {
 	reply fastcgi.Reply
 	took  time.Duration
-	err   error // why there is no reply
+	err   error // set if there is no reply
 }
 
 // outcome returns how the request ended.
@@ -92,7 +93,8 @@
 	return r.reply.Outcome()
 }
 
-// run sends the requests and prints their results. The error says how many were not served, or why none was sent.
+// run sends the requests and prints their results. The error reports how many requests were not served, or why none was
+// sent.
 func (c *caller) run(ctx context.Context, class string, out io.Writer) error {
 	if err := c.validate(); err != nil {
 		return usageError{fmt.Errorf("call: %w", err)}
@@ -132,21 +134,21 @@
 	return nil
 }
 
-// validate returns an error that names the first option that is out of its bounds.
+// validate returns an error for the first option that is out of range.
 func (c *caller) validate() error {
 	switch {
 	case c.count < 1:
-		return fmt.Errorf("--count %d: must be 1 at least", c.count)
+		return fmt.Errorf("--count %d: must be at least 1", c.count)
 	case c.concurrency < 1 || c.concurrency > maxConcurrentCalls:
-		return fmt.Errorf("--at-a-time %d: must be 1 at least and %d at most", c.concurrency, maxConcurrentCalls)
+		return fmt.Errorf("--at-a-time %d: must be between 1 and %d", c.concurrency, maxConcurrentCalls)
 	case c.budget < minCallBudget:
-		return fmt.Errorf("--budget %v: must be %v at least", c.budget, minCallBudget)
+		return fmt.Errorf("--budget %v: must be at least %v", c.budget, minCallBudget)
 	default:
 		return nil
 	}
 }
 
-// readBody returns the body of the requests.
+// readBody returns the request body from the command line or from standard input.
 func (c *caller) readBody() ([]byte, error) {
 	if c.body != "-" {
 		return []byte(c.body), nil
@@ -158,7 +160,7 @@
 	return body, nil
 }
 
-// callAll sends all requests, as many at a time as the options say, and returns their results in order.
+// callAll sends all requests, with at most c.concurrency in flight, and returns their results in order.
 func (c *caller) callAll(ctx context.Context, client *fastcgi.Client, class string, body []byte) []callResult {
 	results := make([]callResult, c.count)
 	next := make(chan int)
@@ -178,7 +180,7 @@
 	return results
 }
 
-// call sends one request and waits for its answer.
+// call sends one request and waits for its reply.
 func (c *caller) call(ctx context.Context, client *fastcgi.Client, class string, body []byte) callResult {
 	started := time.Now()
 	request := fastcgi.Request{
@@ -194,7 +196,7 @@
 	return callResult{reply: reply, took: time.Since(started), err: err}
 }
 
-// printResult prints the reply to the only request; the error says why there is none.
+// printResult prints the reply to a single request. The error reports why there is no reply.
 func printResult(out io.Writer, result *callResult) error {
 	if result.err != nil {
 		return fmt.Errorf("no answer: %w", result.err)
@@ -211,7 +213,7 @@
 	return nil
 }
 
-// printSummary prints how many requests ended in which way, and the latencies of those that were answered.
+// printSummary prints the number of requests by outcome, and the latencies of the answered requests.
 func printSummary(out io.Writer, results []callResult, took time.Duration) {
 	outcomes := map[fastcgi.Outcome]int{}
 	var latencies []time.Duration
@@ -231,8 +233,8 @@
 	}
 }
 
-// connect connects to the scheduler. With the option to wait it retries for that long, until the scheduler's health check
-// succeeds.
+// connect connects to the scheduler. With --wait it retries until the scheduler's health check succeeds or the wait is
+// over.
 func (c *caller) connect(ctx context.Context) (*fastcgi.Client, error) {
 	for end := time.Now().Add(c.wait); ; time.Sleep(connectRetryInterval) {
 		client, err := fastcgi.Dial(ctx, c.address)
@@ -248,7 +250,8 @@
 	}
 }
 
-// checkHealth returns an error, and closes the connection, if the scheduler is not ready yet.
+// checkHealth sends a health check to the scheduler. If the scheduler is not ready, checkHealth closes the connection
+// and returns an error.
 func (c *caller) checkHealth(ctx context.Context, client *fastcgi.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -260,14 +263,15 @@
 	return cmp.Or(err, fmt.Errorf("the scheduler at %s is not ready", c.address))
 }
 
-// closeClient closes a connection that is not used any more, when nothing is left to do about an error.
+// closeClient closes a connection that is no longer used. It ignores the error, since no request depends on the
+// connection.
 func closeClient(client *fastcgi.Client) {
 	_ = client.Close()
 }
 
-// randomHex returns random bytes as hexadecimal digits.
+// randomHex returns the given number of random bytes as hexadecimal digits.
 func randomHex(bytes int) string {
 	random := make([]byte, bytes)
-	rand.Read(random) // never fails
+	rand.Read(random) // never returns an error
 	return hex.EncodeToString(random)
 }
--- a/cmd/calicohill/check.go
+++ b/cmd/calicohill/check.go
@@ -13,20 +13,20 @@
 	"github.com/spf13/cobra"
 )
 
-// checkOptions has the options of the check command.
+// checkOptions holds the options of the check command.
 type checkOptions struct {
-	platformFile string // "" if only operator's files are checked
-	example      bool   // print the example instead
-	page         bool   // print the operators' page instead
+	platformFile string // "" to check operator's files only
+	example      bool   // print an example of an operator's file instead of checking files
+	page         bool   // print the reference page of the operator's file instead of checking files
 }
 
 func checkCommand() *cobra.Command {
 	var options checkOptions
 	cmd := &cobra.Command{
 		Use: "check FILE...", Short: "Validate operator's files and the platform's configuration",
-		Long: "Check reads operator's files as a scheduler would, and reports each error on a line of its own as\n" +
-			"FILE:LINE:COLUMN: directive: reason. It exits with 0 if there is none, and with 1 otherwise. With --config\n" +
-			"it also validates the platform's configuration, and the classes that rules name.",
+		Long: "Check reads operator's files as a scheduler would, and prints one line per error in the form\n" +
+			"FILE:LINE:COLUMN: directive: reason. It exits with 0 if all files are valid, and with 1 otherwise. With --config\n" +
+			"it also validates the platform's configuration and the class names in rules.",
 		Example: "  calicohill check deploy/calicohill.conf\n" +
 			"  calicohill check --config example/config.json deploy/calicohill.conf\n" +
 			"  calicohill check --example >calicohill.conf",
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-// run checks all files, or prints what the options ask for instead. The error says how many files are invalid.
+// run checks all files, or prints the example or the reference page. The error reports how many files are invalid.
 func (o *checkOptions) run(out io.Writer, operatorFiles []string) error {
 	if o.example {
 		fmt.Fprint(out, operatorfile.Example())
@@ -56,7 +56,7 @@
 		return nil
 	}
 	invalid := 0
-	var classes []match.Class // without the platform's file they are unknown, and not checked
+	var classes []match.Class // nil without the platform's file: class names in rules are not checked
 	if o.platformFile != "" {
 		platformClasses, err := readClasses(o.platformFile)
 		if err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// checkOperatorFile validates an operator's file and prints its warnings. The error has everything that is invalid.
+// checkOperatorFile validates an operator's file and prints its warnings. The error lists every fault in the file.
 func checkOperatorFile(out io.Writer, file string, classes []match.Class) error {
 	settings, err := operatorfile.Read(file)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return err
 }
 
-// readClasses returns the request classes in the platform's file. The file is invalid if it has no listen address: the
-// commands do not take one from the environment.
+// readClasses returns the request classes in the platform's file. The file must contain a listen address, since the
+// check and match commands do not read one from the environment.
 func readClasses(platformFile string) ([]match.Class, error) {
 	platform, err := config.Read(platformFile, "", "")
 	if err != nil {
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -34,10 +34,11 @@
 	{"ended at their start", 9, 0, "0s known full\n0s list silent\n0s start 1\n1s term 0.5\n3s list well\n4s start 1"},
 	// They share their reports, and a third of them is partitioned from the others while workers become unresponsive.
 	{"fallen in two", 13, 0, "0s known full\n0s start 1\n3s talk lossy 0.3\n4s talk cut 0.3\n4s workers mute 0.2\n5s drain 0.1\n8s talk whole 1\n9s workers sound 0.2"},
-	// Workers of little capacity, which crash when overloaded while warming up. Guards against a fault: nothing was sent to
-	// them.
+	// Workers of little capacity, which crash when overloaded while warming up. Guards against a fault: nothing was
+	// sent to them.
 	{"all cold at once", 12, 0, "0s boot 1\n0s known full\n0s start 1"},
-	// The same with warm ones beside them, whose throughput all schedulers know: what these send the warming ones adds up.
+	// The same with warm ones beside them, whose throughput all schedulers know: what these send the warming ones adds
+	// up.
 	{"most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7"},
 	{"replaced by cold ones", 18, 0, "0s known full\n0s start 1\n6s replace 0.7 cold"},
 	{"most boot cold during a release", 18, 0, "0s known full\n0s start 1\n5s boot 0.7\n5s roll 0.25 1s"},
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -47,7 +47,7 @@
 		{"check --config ../../example/config.json ../../deploy/calicohill.conf", 0, ""},
 		{"check --config /dev/null", 1, "configuration /dev/null"},
 		{"call", 2, "takes CLASS"},
-		{"call consulta --count 0", 2, "1 at least"},
+		{"call consulta --count 0", 2, "at least 1"},
 		{"call consulta --to 127.0.0.1:1", 1, "refused"},
 		{"version", 0, "calicohill "},
 		{"call --help", 0, "calicohill call consulta --to"},
--- a/cmd/calicohill/golden_test.go
+++ b/cmd/calicohill/golden_test.go
@@ -245,7 +245,8 @@
 		{"rejected, body too long", 1, rejected(tooLong)},
 		{"rejected, parameters too long", 1, rejected(goldenCall("consulta", "", [2]string{"X", strings.Repeat("x", 16<<10)}))},
 		{"rejected, not complete in time", 1, func(recorder *exchangeRecorder) {
-			// A complete request comes first, or the timeout of the new connection would expire along with that of the request.
+			// A complete request comes first, or the timeout of the new connection would expire along with that of the
+			// request.
 			recorder.sends(healthRequest().bytes())
 			recorder.receives(typeEndRequest)
 			recorder.sends(encodeRecord(typeBeginRequest, 1, 0, beginKeepAlive))
--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -24,8 +24,8 @@
 	conn   int // number of the connection that it arrived on, from 1
 }
 
-// nodeAgent is a node agent that answers by a script. reply is called for each request with its number, from 1, and returns
-// the bytes of the answer; an empty one leaves the request unanswered.
+// nodeAgent is a node agent that answers by a script. reply is called for each request with its number, from 1, and
+// returns the bytes of the answer; an empty one leaves the request unanswered.
 type nodeAgent struct {
 	t        *testing.T
 	addr     string
@@ -82,8 +82,8 @@
 	}
 }
 
-// newLateAgent returns an agent that accepts no connection before open is called: its listen backlog is full until then.
-// Connections are established by the next SYN after that, about a second after the first one.
+// newLateAgent returns an agent that accepts no connection before open is called: its listen backlog is full until
+// then. Connections are established by the next SYN after that, about a second after the first one.
 func newLateAgent(t *testing.T, reply func(n int, request agentRequest) string) (agent *nodeAgent, open func()) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -268,8 +268,8 @@
 	return func(_ int, request agentRequest) string { return answerLine(request.id, "OK", "-", text) }
 }
 
-// startWithLateAgent starts a scheduler with one worker, whose connections are established only after open is called, long
-// after they were dialed.
+// startWithLateAgent starts a scheduler with one worker, whose connections are established only after open is called,
+// long after they were dialed.
 func startWithLateAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent, open func()) {
 	t.Helper()
 	agent, open = newLateAgent(t, echo)
--- a/cmd/calicohill/harness_sockets_test.go
+++ b/cmd/calicohill/harness_sockets_test.go
@@ -19,7 +19,8 @@
 	socketCloseWait   socketState = 0x08 // the other end has closed the connection, this one has not
 )
 
-// tcpSocket is one end of a TCP connection as the operating system shows it. Addresses are in the form of socketAddress.
+// tcpSocket is one end of a TCP connection as the operating system shows it. Addresses are in the form of
+// socketAddress.
 type tcpSocket struct {
 	local, remote  string
 	state          socketState
@@ -96,7 +97,8 @@
 	waitUntil(t, "a connection to the worker is being dialed", func() bool { return countToAgents(t, socketSynSent, agent) > 0 })
 }
 
-// waitUntilArrived waits until all that the client has sent is in the scheduler's receive buffer, or was read from there.
+// waitUntilArrived waits until all that the client has sent is in the scheduler's receive buffer, or was read from
+// there.
 func (c *testClient) waitUntilArrived() {
 	c.t.Helper()
 	waitUntil(c.t, "the client's bytes have arrived", func() bool {
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -76,8 +76,8 @@
 // hostCount counts the hosts that listenOnOwnHost has used.
 var hostCount atomic.Uint32
 
-// listenOnOwnHost listens on a loopback host of its own: no connection and no listener of others takes the port while nobody
-// listens on it. Those of the testbed's fleets end in 1.
+// listenOnOwnHost listens on a loopback host of its own: no connection and no listener of others takes the port while
+// nobody listens on it. Those of the testbed's fleets end in 1.
 func listenOnOwnHost(t *testing.T) net.Listener {
 	t.Helper()
 	const values = 250 // of a byte of the address
--- a/cmd/calicohill/key.go
+++ b/cmd/calicohill/key.go
@@ -23,7 +23,7 @@
 	defaultAuthorityDays = 3650
 	defaultMemberDays    = 365
 
-	serialNumberBase = 16 // of certificate numbers on the command line, which `key show` prints in hexadecimal
+	serialNumberBase = 16 // serial numbers on the command line are hexadecimal, as `key show` prints them
 )
 
 func keyCommand() *cobra.Command {
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-// createAuthority writes the key and the certificate of a new authority to files of a name.
+// createAuthority creates an authority and writes its key to name.key and its certificate to name.crt.
 func createAuthority(out io.Writer, fleet, name string, validity time.Duration) error {
 	authority, err := pki.NewAuthority(fleet, time.Now(), validity)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// readAuthority reads the authority that the flag --authority names.
+// readAuthority reads the key file of the authority; path is the value of the flag --authority.
 func readAuthority(path string) (*pki.Authority, error) {
 	if path == "" {
 		return nil, usageError{errors.New("--authority is required")}
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	if !cert.IsCA {
-		return nil, fmt.Errorf("%s is the key of a member, not of an authority", path)
+		return nil, fmt.Errorf("%s is a member key, not an authority key", path)
 	}
 	return &pki.Authority{Cert: cert, Key: key}, nil
 }
@@ -107,7 +107,7 @@
 	return cmd
 }
 
-// issueMember writes the key and the certificate of a new member to a file.
+// issueMember issues a key and a certificate for a member and writes both to a file.
 func issueMember(out io.Writer, authorityFile, name, file string, validity time.Duration) error {
 	authority, err := readAuthority(authorityFile)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return cmd
 }
 
-// revoke adds certificates to the revocation list in a file, and creates the file if there is none.
+// revoke adds certificates to the revocation list in a file. It creates the file if it does not exist.
 func revoke(out io.Writer, authorityFile, listFile string, certificates []string) error {
 	authority, err := readAuthority(authorityFile)
 	if err != nil {
@@ -190,7 +190,7 @@
 		return err
 	}
 	if previous != nil && previous.CheckSignatureFrom(authority.Cert) != nil {
-		return fmt.Errorf("%s is the revocation list of another authority", listFile)
+		return fmt.Errorf("%s is a revocation list signed by another authority", listFile)
 	}
 	var numbers []*big.Int
 	for _, certificate := range certificates {
@@ -212,7 +212,8 @@
 	return nil
 }
 
-// certificateNumber returns the number of the certificate in a file, or the number itself if it is given in hexadecimal.
+// certificateNumber returns the serial number of the certificate in the file arg. If arg is not a certificate file, it
+// is parsed as a serial number in hexadecimal.
 func certificateNumber(arg string) (*big.Int, error) {
 	cert, err := pki.ReadCertificateFile(arg)
 	if err == nil {
--- a/cmd/calicohill/kill_test.go
+++ b/cmd/calicohill/kill_test.go
@@ -68,8 +68,8 @@
 // Seen on reading: clients that go on over open connections after SIGTERM kept the program from ending, since there was
 // an open request at each of its checks, until the platform's kill, which found requests unanswered.
 //
-// The kill comes the longest deadline, here one second, and 0.7 s after SIGTERM. The program ends before, and no request
-// that it took is without an answer. Workers that answer late, and never, have requests open all the while.
+// The kill comes the longest deadline, here one second, and 0.7 s after SIGTERM. The program ends before, and no
+// request that it took is without an answer. Workers that answer late, and never, have requests open all the while.
 func TestClientsGoOnUntilKill(t *testing.T) {
 	const deadline = time.Second
 	slow := newAgent(t, withLatency(func(n int, _ agentRequest) time.Duration {
--- a/cmd/calicohill/limits.go
+++ b/cmd/calicohill/limits.go
@@ -6,41 +6,44 @@
 )
 
 const (
-	// reservedDescriptors is the number of descriptors that neither clients nor workers get: those of the runtime, the
-	// loop and the listener, the connections to the endpoint list service and their dials, a file that is read, and a
-	// client that is accepted before another one is closed for it.
+	// reservedDescriptors is the number of descriptors that are not available to client and worker connections. They
+	// cover the Go runtime, the event loop, the listener, the connections to the endpoint list service with their
+	// dials, one open file, and one client that is accepted before another client is disconnected to make room.
 	reservedDescriptors = 24
-	// minDialDescriptors is the number of descriptors for dials to workers beyond their connections.
+	// minDialDescriptors is the minimum number of descriptors for dials to workers, in addition to those for
+	// established connections.
 	minDialDescriptors = 2
-	// minAnswerBytes and maxAnswerBytes bound the limit on the length of a worker's answer.
+	// minAnswerBytes and maxAnswerBytes bound the length limit for a worker's answer.
 	minAnswerBytes = 64 << 10
 	maxAnswerBytes = 1 << 20
 )
 
-// The parts of the memory and of the descriptors that the platform grants, as divisors.
+// Shares of the memory and of the descriptors that the platform grants, as divisors.
 const (
-	connsDivisor         = 3 // descriptors: a third each for clients and for workers
-	reserveDivisor       = 4 // memory that the Go runtime does not count
+	connsDivisor         = 3 // one third of the descriptors for clients and one third for workers
+	reserveDivisor       = 4 // reserve for memory that the Go runtime does not account for
 	requestBufferDivisor = 3
 	unsentBytesDivisor   = 8
-	// answerBytesDivisor: even if an endless answer came in on every connection, a quarter of the memory would be enough.
+	// answerBytesDivisor limits the answers to a quarter of the memory, even if every connection receives an endless
+	// answer.
 	answerBytesDivisor = 4
 
 	bytesPerMB = 1 << 20
 )
 
-// resourceLimits divides the memory and the descriptors that the platform grants among the parts of a scheduler.
+// resourceLimits holds the limits of the parts of a scheduler, which share the memory and the descriptors that the
+// platform grants.
 type resourceLimits struct {
-	processMemory     int64 // bytes, soft limit of the Go runtime
-	requestBuffers    int   // buffers for requests that are not answered yet
-	unsentBytes       int   // answers that clients have not read
-	answerBytes       int   // length of one worker's answer
+	processMemory     int64 // soft memory limit of the Go runtime, in bytes
+	requestBuffers    int   // number of buffers for unanswered requests
+	unsentBytes       int   // total length of answers that clients have not read
+	answerBytes       int   // length of a single answer from a worker
 	clientConns       int
 	workerConns       int
-	workerDescriptors int // for connections to workers and dials: a dial holds two descriptors for a moment
+	workerDescriptors int // connections and dials to workers; a dial briefly uses two descriptors
 }
 
-// resourceLimitsOf returns the limits of a scheduler with a configuration.
+// resourceLimitsOf computes the limits from the memory and the descriptors in the platform's configuration.
 func resourceLimitsOf(platform *config.Config) resourceLimits {
 	memory := platform.MemoryMB * bytesPerMB
 	conns := platform.MaxSockets / connsDivisor
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -17,9 +17,9 @@
 	accepted bool
 }
 
-// firstSpreadFunction is the first of thirty functions of which no more than three have the same of the workers w0 to w11
-// first in their rendezvous order. A worker gets no more than four requests that wait for loads: of functions that happen to
-// prefer the same workers one would wait for as long as the others are held.
+// firstSpreadFunction is the first of thirty functions of which no more than three have the same of the workers w0 to
+// w11 first in their rendezvous order. A worker gets no more than four requests that wait for loads: of functions that
+// happen to prefer the same workers one would wait for as long as the others are held.
 const firstSpreadFunction = 309
 
 var clientLoadCases = []clientLoadCase{
--- a/cmd/calicohill/list_outage_test.go
+++ b/cmd/calicohill/list_outage_test.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Seen: the list service was out of reach for a minute, workers began to drain just after it had gone, and schedulers sent
-// them 19,805 requests after the drain counted as announced. The workers rejected all of them; a request lost its four
-// attempts at one worker within 2 ms and was rejected, while 22 other workers served.
+// Seen: the list service was out of reach for a minute, workers began to drain just after it had gone, and schedulers
+// sent them 19,805 requests after the drain counted as announced. The workers rejected all of them; a request lost its
+// four attempts at one worker within 2 ms and was rejected, while 22 other workers served.
 //
 // How it came about: a drain counts as announced 7 s after it was published, whether a poll brought it or not, and the
 // grace of the settings later nothing may be sent. A scheduler that cannot poll has to stop by itself.
 //
 // Cause: the Router took the list for current until the next one came, however old it was. An unanswered poll made the
-// planner dial again, and told nobody else. Rejections were read as a full queue: a pause of a part of the service time.
+// planner dial again, and told nobody else. Rejections were read as a full queue: a pause of a part of the service
+// time.
 //
-// Proof: this test. With another worker that takes requests and says so when it is asked for its health, the rule can be
-// kept and every request be served.
+// Proof: this test. With another worker that takes requests and says so when it is asked for its health, the rule can
+// be kept and every request be served.
 
 // publicationBound is how long after its publication a change of the list counts as announced at the latest.
 const publicationBound = 7 * time.Second
--- a/cmd/calicohill/main.go
+++ b/cmd/calicohill/main.go
@@ -1,6 +1,7 @@
-// Command calicohill is the scheduler: it receives requests from clients over FastCGI, has package routing decide which
-// worker each is sent to, and forwards it to that worker's node agent. The workers come from the endpoint list service.
-// Further commands check and try out configuration, manage the keys of a fleet, and call a running scheduler.
+// Command calicohill runs the scheduler. The scheduler receives requests from clients over FastCGI, selects a worker
+// for each request with package routing, and forwards the request to that worker's node agent. It gets the workers from
+// the endpoint list service. Subcommands validate configuration, evaluate rules, manage the keys of a fleet, and call a
+// running scheduler.
 package main
 
 import (
@@ -19,18 +20,18 @@
 	exitUsage   = 2 // the command line is invalid
 )
 
-// usageError says that the command line is invalid; the program exits with exitUsage.
+// usageError reports an invalid command line. The program exits with exitUsage.
 type usageError struct{ err error }
 
-// Error returns the reason.
+// Error implements error.
 func (e usageError) Error() string { return e.err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.err }
 
 func main() {
 	root := rootCommand()
-	root.SetArgs(doubleDashes(os.Args[1:]))
+	root.SetArgs(convertLegacyFlags(os.Args[1:]))
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "calicohill:", err)
 		if errors.As(err, &usageError{}) {
@@ -49,9 +50,9 @@
 	return root
 }
 
-// doubleDashes returns arguments with the flags of the program's first version, which had no commands, in today's form:
-// it took them after one dash.
-func doubleDashes(args []string) []string {
+// convertLegacyFlags converts the flags of the program's first version, which began with a single dash, to flags with
+// two dashes.
+func convertLegacyFlags(args []string) []string {
 	converted := make([]string, len(args))
 	for i, arg := range args {
 		converted[i] = arg
@@ -64,7 +65,7 @@
 	return converted
 }
 
-// noArguments rejects arguments.
+// noArguments returns an error if there are positional arguments.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("unknown command or argument %q; see %s --help", args[0], cmd.CommandPath())}
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// exactArguments requires one argument for each name. Errors quote the names.
+// exactArguments requires one positional argument per name. The names appear in the error.
 func exactArguments(names ...string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != len(names) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// buildVersion returns the version of the module, the commit, if the build recorded one, and the version of Go.
+// buildVersion returns the module version, the commit (if the build recorded one) and the Go version.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/calicohill/match.go
+++ b/cmd/calicohill/match.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// matchResult is the result of evaluating the rules for one request, as it is printed.
+// matchResult is the printed result of evaluating the rules for one request.
 type matchResult struct {
 	Class  string            `json:"class"`
 	Key    string            `json:"key"`
@@ -27,11 +27,11 @@
 	Error  string            `json:"error"`
 }
 
-// matchOptions has the options of the match command.
+// matchOptions holds the options of the match command.
 type matchOptions struct {
-	platformFile string // "" if the classes are unknown
-	request      string // the only request, as NAME=VALUE,...
-	requestsFile string // with a JSON object a line; "-" for standard input
+	platformFile string // defines the request classes; "" for none
+	request      string // a single request in the form NAME=VALUE,...
+	requestsFile string // one JSON object per line; "-" for standard input
 	asJSON       bool
 }
 
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// run prints the results of evaluating the rules of an operator's file for the requests.
+// run evaluates the rules of an operator's file for each request and prints the results.
 func (o *matchOptions) run(out, warningsOut io.Writer, operatorFile string) error {
 	var classes []match.Class
 	if o.platformFile != "" {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// printTable prints a line for each result, with aligned columns under a heading.
+// printTable prints one row per result below a header row, with aligned columns.
 func printTable(out io.Writer, results []matchResult) error {
 	const columnGap = 2
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
@@ -148,7 +148,7 @@
 	return table.Flush()
 }
 
-// orDash returns a text, or a dash in place of an empty one, so that each column of a line has a value.
+// orDash returns text, or a dash if text is empty, so that no column of a row is blank.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/cmd/calicohill/match_request.go
+++ b/cmd/calicohill/match_request.go
@@ -14,13 +14,13 @@
 	"calicohill/internal/rules/match"
 )
 
-// maxRequestLine is the length of the longest line in a file of requests, in bytes.
+// maxRequestLine is the maximum length of a line in a file of requests, in bytes.
 const maxRequestLine = 1 << 20
 
-// requestFields are the fields of a request by name, as the match command is given them.
+// requestFields maps the names of request fields to their values, as passed to the match command.
 type requestFields map[string]string
 
-// readRequests returns the requests that the options name.
+// readRequests returns the requests from the flag --request or from the file given by --requests.
 func (o *matchOptions) readRequests() ([]requestFields, error) {
 	if o.request != "" {
 		fields, err := parseFields(o.request)
@@ -33,11 +33,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // nothing was written, so an error loses nothing
+	defer func() { _ = file.Close() }() // read only: an error on close loses no data
 	return readRequestLines(file, o.requestsFile)
 }
 
-// parseFields parses NAME=VALUE,...
+// parseFields parses fields of the form NAME=VALUE,...
 func parseFields(text string) (requestFields, error) {
 	fields := requestFields{}
 	for field := range strings.SplitSeq(text, ",") {
@@ -50,7 +50,8 @@
 	return fields, nil
 }
 
-// readRequestLines reads one JSON object per line; empty lines are skipped. Errors name the file and the line.
+// readRequestLines reads one JSON object per line and skips empty lines. Errors include the file name and the line
+// number.
 func readRequestLines(in io.Reader, name string) ([]requestFields, error) {
 	var requests []requestFields
 	lines := bufio.NewScanner(in)
@@ -68,8 +69,8 @@
 	return requests, lines.Err()
 }
 
-// request returns the request that rules are evaluated for. Slots are the names of the parameters that the rules read.
-// The error has every field that can't be parsed.
+// request converts the fields to the request that the rules are evaluated for. The slots are the names of the FastCGI
+// parameters that the rules read. The error lists every field that can't be parsed.
 func (f requestFields) request(slots []string) (*match.Request, error) {
 	request := &match.Request{
 		Class:          f["class"],
@@ -98,7 +99,7 @@
 	return request, err
 }
 
-// parseField parses a field, if the request has it.
+// parseField parses a field into a value. It leaves the value unchanged if the request does not have the field.
 func parseField[T any](fields requestFields, name string, into *T, parse func(string) (T, error)) error {
 	text, ok := fields[name]
 	if !ok {
--- a/cmd/calicohill/reload.go
+++ b/cmd/calicohill/reload.go
@@ -8,43 +8,44 @@
 	"calicohill/internal/config/operatorfile"
 )
 
-// reloadedConfig is a configuration that was read by a reload and is valid.
+// reloadedConfig is a valid configuration that a reload has read.
 type reloadedConfig struct {
 	platform *config.Config
 	operator *operatorfile.Settings
 	rules    operatorfile.Compiled
 }
 
-// reload reads the configuration again and takes it into use. Only the endpoint list service's address is taken from
-// the platform's file: requests in flight and learned state stay. A configuration that can't be used changes nothing,
-// so that a mistake in a file does not end a working scheduler. It must not be called on the loop, since it reads files.
+// reload reads the configuration again and applies it. From the platform's file it applies the endpoint list service's
+// address only; requests in flight and learned state are kept. An invalid configuration changes nothing, so that a
+// mistake in a file does not stop a running scheduler. reload must not be called on the event loop, since it reads
+// files.
 func (s *scheduler) reload() {
-	next, err := s.readAgain()
-	var faults operatorfile.ParseErrors
-	if errors.As(err, &faults) {
-		for _, fault := range faults {
-			s.log.WithError(fault).Error("operator's file reload failed, keeping the running configuration")
+	reloaded, err := s.readConfig()
+	var parseErrors operatorfile.ParseErrors
+	if errors.As(err, &parseErrors) {
+		for _, parseError := range parseErrors {
+			s.log.WithError(parseError).Error("operator's file reload failed, keeping the running configuration")
 		}
 		return
 	}
 	if err == nil {
-		err = s.applyOffLoop(next)
+		err = s.applyOffLoop(reloaded)
 	}
 	if err != nil {
 		s.log.WithError(err).Error("configuration reload failed, keeping the running configuration")
 		return
 	}
-	s.statusFile.Store(&next.operator.Log.Status)
+	s.statusFile.Store(&reloaded.operator.Log.Status)
 	s.loop.Post(func() {
-		s.watcher.SetAddress(next.platform.DiscoveryAddress)
-		s.useRules(next.rules)
+		s.watcher.SetAddress(reloaded.platform.DiscoveryAddress)
+		s.applyRules(reloaded.rules)
 	})
-	s.log.WithField("bulletin", next.platform.DiscoveryAddress).Info("configuration reloaded")
+	s.log.WithField("bulletin", reloaded.platform.DiscoveryAddress).Info("configuration reloaded")
 }
 
-// readAgain reads and checks the configuration. The rules are compiled for the request classes that the scheduler
-// runs with, since those of the new platform's file are not taken into use.
-func (s *scheduler) readAgain() (*reloadedConfig, error) {
+// readConfig reads and validates the configuration. It compiles the rules for the request classes of the running
+// scheduler, since a reload does not apply the classes in the new platform's file.
+func (s *scheduler) readConfig() (*reloadedConfig, error) {
 	platform, operator, err := s.sources.read()
 	if err != nil {
 		return nil, err
@@ -56,11 +57,12 @@
 	return &reloadedConfig{platform: platform, operator: operator, rules: rules}, nil
 }
 
-// applyOffLoop takes into use what does not belong to the loop, gossip and logging. If it fails, nothing has changed:
-// gossip is checked before it is applied, and the logging settings were checked when the file was read.
+// applyOffLoop applies the gossip and logging settings, which do not belong to the event loop. If it fails, nothing has
+// changed: the gossip settings are validated before they are applied, and the logging settings were validated when the
+// file was read.
 func (s *scheduler) applyOffLoop(next *reloadedConfig) error {
 	if !reflect.DeepEqual(s.operator.State, next.operator.State) {
-		s.log.Warn("a change of the section state takes effect at the next restart only")
+		s.log.Warn("changes to section state take effect only after a restart")
 	}
 	if err := s.reloadPeers(next.operator.Gossip); err != nil {
 		return err
@@ -68,10 +70,10 @@
 	return s.loggers.Apply(next.operator.Log.Settings)
 }
 
-// reloadPeers takes new gossip settings into use; nil if there are none.
+// reloadPeers applies new gossip settings; settings is nil if the operator's file has no gossip section.
 func (s *scheduler) reloadPeers(settings *operatorfile.Gossip) error {
 	if (s.peers == nil) != (settings == nil) {
-		s.log.Warn("gossip can only be switched on or off by a restart")
+		s.log.Warn("enabling or disabling gossip requires a restart")
 		return nil
 	}
 	if s.peers == nil {
--- a/cmd/calicohill/run.go
+++ b/cmd/calicohill/run.go
@@ -18,13 +18,15 @@
 	return cmd
 }
 
-// run runs a scheduler until SIGTERM or an interrupt has ended it. The error says why it could not start.
+// run runs a scheduler until SIGTERM or an interrupt shuts it down. The error reports why the scheduler could not
+// start.
 func run(sources configSources) error {
 	sched, err := newScheduler(sources)
 	if err != nil {
 		return err
 	}
-	// Before the endpoint list is restored and clients are served: until then SIGHUP and SIGUSR1 end the process.
+	// Subscribe before the endpoint list is restored and clients are served: an unhandled SIGHUP or SIGUSR1 terminates
+	// the process.
 	signals := subscribeSignals()
 	sched.restoreSnapshot()
 	sched.loop.Accept = sched.server.Accept
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// start starts what needs the running loop, before the first client is accepted.
+// start starts the components that need the running event loop. It is called before the first client is accepted.
 func (s *scheduler) start() {
 	s.watcher.Start()
 	if s.restoredState != nil {
--- a/cmd/calicohill/scheduler.go
+++ b/cmd/calicohill/scheduler.go
@@ -26,20 +26,21 @@
 )
 
 const (
-	// stallThresholdFraction is the fraction of the drain grace that a stall may last without the endpoint list counting
-	// as stale: the wait until the next poll and an unnoticed stall have to end within the grace together.
+	// stallThresholdFraction is the longest stall, as a fraction of the drain grace, after which the endpoint list is
+	// not marked as stale. The wait for the next poll and an undetected stall together must not exceed the drain grace.
 	stallThresholdFraction = 0.3
-	// minStallThreshold is the shortest pause that counts as a stall, however short the drain grace is.
+	// minStallThreshold is the shortest pause that counts as a stall, even with a very short drain grace.
 	minStallThreshold = 20 * time.Millisecond
 )
 
-// scheduler is a running scheduler: its configuration and the parts that it is assembled from. Once the event loop
-// runs, loop, dispatcher, server, watcher and draining are used on it alone. The configuration and log are not changed
-// after the start and may be read anywhere; loggers, statusFile and peers are safe for concurrent use.
+// scheduler holds the configuration and the components of a running scheduler. Once the event loop runs, the fields
+// dispatcher, server, watcher and draining are accessed on the loop only; other goroutines use only the loop's methods
+// Post and Stop. The configuration and log do not change after startup and may be read on any goroutine. The fields
+// loggers, statusFile and peers are safe for concurrent use.
 type scheduler struct {
 	sources  configSources
-	platform *config.Config         // as read at the start
-	operator *operatorfile.Settings // as read at the start
+	platform *config.Config         // as read at startup
+	operator *operatorfile.Settings // as read at startup
 	loggers  *logging.Loggers
 	log      *logrus.Entry
 
@@ -50,11 +51,12 @@
 	peers      *transport.Node // nil without gossip
 
 	restoredState *routing.LearnedState  // from the snapshot; nil if there is none
-	statusFile    atomic.Pointer[string] // path that rule counts are written to; "" for none; changed by reloads
+	statusFile    atomic.Pointer[string] // path of the status file for rule counts; "" for none; updated by reloads
 	draining      bool
 }
 
-// newScheduler reads the configuration and assembles a scheduler from it. Nothing is served before its loop runs.
+// newScheduler reads the configuration and creates a scheduler from it. The scheduler serves no requests until its
+// event loop runs.
 func newScheduler(sources configSources) (*scheduler, error) {
 	platform, operator, err := sources.read()
 	if err != nil {
@@ -77,9 +79,10 @@
 		return nil, err
 	}
 	for _, warning := range rules.Warnings {
-		loggers.Component("rules").WithError(warning).Warn("rule without effect")
+		loggers.Component("rules").WithError(warning).Warn("rule has no effect")
 	}
-	// Faults are reported to peers and to routes. Routes may be added by a reload, so that an operator's file is enough.
+	// Faults are reported to peers and routes. An operator's file is enough to enable reporting, since a reload may add
+	// routes.
 	platform.Deployment.FaultReporting = sources.operatorFile != ""
 	router, err := routing.New(platform.Deployment.Settings, platform.Seed)
 	if err != nil {
@@ -95,7 +98,8 @@
 	return sched, nil
 }
 
-// assemble sets the limits of the process, and connects the event loop, the dispatcher, the node agents and the server.
+// assemble sets the limits of the process, then creates and connects the event loop, the dispatcher, the node agents
+// and the server.
 func (s *scheduler) assemble(router *routing.Router, rules operatorfile.Compiled) {
 	limits := resourceLimitsOf(s.platform)
 	runtime.GOMAXPROCS(1) // the machine has one core
@@ -128,11 +132,11 @@
 		Log:            s.loggers.Component("clients"),
 		RulesLog:       s.loggers.Component("rules"),
 	})
-	s.useRules(rules)
+	s.applyRules(rules)
 }
 
-// useRules has the rules of an operator's file decide on requests from now on.
-func (s *scheduler) useRules(compiled operatorfile.Compiled) {
+// applyRules applies the rules and routes of an operator's file to subsequent requests.
+func (s *scheduler) applyRules(compiled operatorfile.Compiled) {
 	s.server.SetRules(fastcgi.NewRules(compiled.Rules))
 	routes := compiled.Routes
 	if routes.Len() == 0 {
@@ -141,13 +145,13 @@
 	s.dispatcher.SetRoutes(routes)
 }
 
-// stallThreshold returns how long the loop may do nothing, though something is due, until that counts as a stall.
+// stallThreshold returns the minimum delay of a due event that the event loop reports as a stall.
 func stallThreshold(drainGrace time.Duration) time.Duration {
 	fraction := time.Duration(stallThresholdFraction * float64(drainGrace))
 	return min(eventloop.MaxStallThreshold, max(minStallThreshold, fraction))
 }
 
-// openPeers opens the gossip with other schedulers, if the operator's file has it.
+// openPeers opens the gossip transport to other schedulers if the operator's file configures gossip.
 func (s *scheduler) openPeers() error {
 	if s.operator.Gossip == nil {
 		return nil
@@ -164,7 +168,7 @@
 	return nil
 }
 
-// openWatcher creates the watcher of the endpoint list.
+// openWatcher creates the watcher that polls the endpoint list service.
 func (s *scheduler) openWatcher() error {
 	deployment := &s.platform.Deployment
 	watcher, err := discovery.New(s.loop, discovery.Options{
@@ -183,7 +187,7 @@
 	return nil
 }
 
-// updateEndpoints passes a change of the endpoint list to the dispatcher, and the workers in the list to the peers.
+// updateEndpoints passes a new endpoint list to the dispatcher and the IDs of its workers to the gossip transport.
 func (s *scheduler) updateEndpoints(list dispatch.EndpointList) {
 	s.dispatcher.UpdateEndpoints(list)
 	if s.peers != nil {
@@ -191,8 +195,8 @@
 	}
 }
 
-// restoreSnapshot restores the endpoint list and the learned state of an earlier run if the operator's file names a
-// snapshot, and has both saved from now on. A snapshot that can't be used is set aside, and the start goes on without.
+// restoreSnapshot restores the endpoint list and the learned state of an earlier run if the operator's file configures
+// a snapshot, and saves both on subsequent changes. The scheduler starts without a snapshot that can't be used.
 func (s *scheduler) restoreSnapshot() {
 	state := s.operator.State
 	if state == nil {
@@ -200,7 +204,7 @@
 	}
 	log := s.loggers.Component("bulletin")
 	record, err := snapshotfile.Read(state.Snapshot, state.Fleet, s.loop.Now(), state.MaxAge)
-	newer := false // than the list in the platform's file
+	newer := false // whether the restored list is newer than the list in the platform's file
 	if err == nil && record.EventNumber > 0 {
 		newer, err = s.watcher.Restore(record.Endpoints)
 	}
--- a/cmd/calicohill/shutdown.go
+++ b/cmd/calicohill/shutdown.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// drainDelay is how long after SIGTERM new requests still arrive, until the platform has redirected all clients.
+	// drainDelay is the time after SIGTERM during which new requests still arrive: by its end the platform has
+	// redirected all clients.
 	drainDelay = 700 * time.Millisecond
-	// partialRequestTimeout is how much longer the scheduler waits for the rest of a request that has begun to arrive.
+	// partialRequestTimeout is the maximum time after drainDelay to wait for the rest of a partly received request.
 	partialRequestTimeout = time.Second
-	// minKillDelay is how long after drainDelay the platform kills the process at the soonest, or the longest deadline
-	// of a class if that is shorter.
+	// minKillDelay is the earliest time after drainDelay at which the platform kills the process, unless the longest
+	// deadline of all classes is shorter.
 	minKillDelay = 3 * time.Second
-	// killMargin is how long before that open requests get their final answer: after the kill nobody could answer them.
+	// killMargin is the time before the kill at which open requests get their final answer: they can't be answered
+	// after the kill.
 	killMargin = 200 * time.Millisecond
-	// idleCheckInterval is the time between two checks whether everything is answered. A scheduler is only idle when
-	// nothing was received from clients for as long: what arrived on their connections during a stall is read later, one
-	// connection after the other.
+	// idleCheckInterval is the time between two checks for unanswered requests. A scheduler is idle only if it has
+	// received nothing from clients for this time: after a stall it reads the data on its connections one connection at
+	// a time.
 	idleCheckInterval = 50 * time.Millisecond
-	// maxPartialChecks is partialRequestTimeout in checks. Checks are counted rather than time, since after a stall all
-	// that arrived meanwhile has still to be read.
+	// maxPartialChecks is partialRequestTimeout as a number of checks. The drainer counts checks instead of measuring
+	// time, since after a stall it still has to read the data that arrived meanwhile.
 	maxPartialChecks = int(partialRequestTimeout / idleCheckInterval)
-	// flushTimeout is how long after the last answer was written clients may take to read it.
+	// flushTimeout is the time that clients have to read the last answer after it was written.
 	flushTimeout = 3 * time.Second
 )
 
-// drain begins the graceful shutdown. Further signals change nothing.
+// drain begins the graceful shutdown. Further calls have no effect.
 func (s *scheduler) drain(received os.Signal) {
 	if s.draining {
 		return
@@ -41,13 +43,13 @@
 	s.log.WithField("signal", received.String()).Info("draining")
 	drainer := &drainer{
 		loop: s.loop, dispatcher: s.dispatcher, server: s.server,
-		closeAfter: closeAfter(s.platform.Deployment.Classes),
+		rejectAfter: rejectAfter(s.platform.Deployment.Classes),
 	}
 	drainer.start()
 }
 
-// closeAfter returns how long after drainDelay requests that are still open get a final answer.
-func closeAfter(classes []routing.Class) time.Duration {
+// rejectAfter returns the time after drainDelay at which open requests get their final answer.
+func rejectAfter(classes []routing.Class) time.Duration {
 	longestDeadline := time.Duration(0)
 	for _, class := range classes {
 		longestDeadline = max(longestDeadline, class.Deadline)
@@ -55,34 +57,35 @@
 	return max(min(longestDeadline, minKillDelay)-killMargin, 0)
 }
 
-// drainPhase is how far a drainer has come.
+// drainPhase is a phase of the graceful shutdown.
 type drainPhase int
 
 const (
 	serving        drainPhase = iota
-	listenerClosed            // no new connections come; requests on open ones are served
-	refusing                  // nothing further is served, and connections are closed
+	listenerClosed            // no new connections are accepted; requests on open connections are served
+	rejecting                 // no further requests are served, and connections are closed
 )
 
-// drainer ends a scheduler gracefully: it stops the loop once requests have ceased to arrive, all are answered, and the
-// answers are sent. Requests that are open for too long are answered without having been served. It runs on the loop.
+// drainer shuts a scheduler down gracefully. It stops the event loop once no more requests arrive, all requests are
+// answered and all answers are sent. Requests that stay open for too long get their final answer without being served.
+// The drainer runs on the loop.
 //
-// Connections are closed only after the listener: a client whose request crosses the close connects again, and is to find
-// nobody rather than a process that is about to end.
+// The drainer closes the listener before it closes connections. A client whose request crosses the close of its
+// connection connects again; that connect must be refused rather than accepted by a process that is about to exit.
 type drainer struct {
-	loop       *eventloop.Loop
-	dispatcher *dispatch.Dispatcher
-	server     *fastcgi.Server
-	closeAfter time.Duration
+	loop        *eventloop.Loop
+	dispatcher  *dispatch.Dispatcher
+	server      *fastcgi.Server
+	rejectAfter time.Duration
 
 	timer    deadline.Timer
 	phase    drainPhase
 	started  time.Duration
-	lastBusy time.Duration // when a check last found a request that was open or arriving
+	lastBusy time.Duration // time of the last check that found an open or arriving request
 	checks   int
 }
 
-// start has the first check made when the platform has redirected all clients.
+// start schedules the first check for the end of drainDelay, when the platform has redirected all clients.
 func (d *drainer) start() {
 	d.started = d.loop.Now()
 	d.lastBusy = d.started
@@ -90,34 +93,35 @@
 	d.loop.SetDeadline(&d.timer, d.started+drainDelay)
 }
 
-// check goes on to the next phase if nothing is left to do in this one or its time is over, and has itself called again until
-// the loop is stopped.
+// check advances to the next phase once the scheduler is idle or the time of the current phase is over. It schedules
+// the next check until the loop is to be stopped.
 func (d *drainer) check() {
 	now := d.loop.Now()
 	d.checks++
 	idle := d.isIdle(now)
-	// Clients that go on over open connections, as they do until the kill, always have a request open.
-	refuseAt := d.started + drainDelay + d.closeAfter
+	// The time limit is needed since clients keep sending requests over open connections until the kill: the scheduler
+	// may never be idle.
+	rejectAt := d.started + drainDelay + d.rejectAfter
 	switch {
-	case d.phase == serving && (idle || now >= refuseAt-idleCheckInterval):
+	case d.phase == serving && (idle || now >= rejectAt-idleCheckInterval):
 		d.phase = listenerClosed
 		d.loop.CloseListener()
-	case d.phase == listenerClosed && (idle && d.loop.ListenerClosed() || now >= refuseAt):
-		d.phase = refusing
-		d.refuse()
-	case d.phase == refusing && idle:
+	case d.phase == listenerClosed && (idle && d.loop.ListenerClosed() || now >= rejectAt):
+		d.phase = rejecting
+		d.rejectRequests()
+	case d.phase == rejecting && idle:
 		go d.stop()
 		return
-	case d.phase == refusing:
-		d.refuse()
+	case d.phase == rejecting:
+		d.rejectRequests()
 	}
 	d.loop.SetDeadline(&d.timer, now+idleCheckInterval)
 }
 
-// isIdle reports whether no request is open or arriving, and all answers are sent. While further requests are refused it does
-// not matter whether some arrive.
+// isIdle reports whether no request is open or arriving and all answers are sent. In the last phase it ignores arriving
+// requests, since they are rejected.
 func (d *drainer) isIdle(now time.Duration) bool {
-	arriving := d.phase != refusing && d.checks < maxPartialChecks && d.requestsArriving(now)
+	arriving := d.phase != rejecting && d.checks < maxPartialChecks && d.requestsArriving(now)
 	if d.dispatcher.OpenRequests() > 0 || arriving {
 		d.lastBusy = now
 		return false
@@ -125,18 +129,18 @@
 	return d.server.UnsentBytes() == 0 || now-d.lastBusy >= flushTimeout
 }
 
-// refuse has nothing further served, and gives what is open its final answer.
-func (d *drainer) refuse() {
+// rejectRequests rejects further requests and sends open requests their final answer.
+func (d *drainer) rejectRequests() {
 	d.server.Drain()
 	d.dispatcher.Shutdown()
 }
 
-// requestsArriving reports whether a request is partly read, or clients have sent something since the last check.
+// requestsArriving reports whether a request is partly read or client data was received since the last check.
 func (d *drainer) requestsArriving(now time.Duration) bool {
 	return d.server.OpenRequests() > 0 || now-d.server.LastReceived() < idleCheckInterval
 }
 
-// stop ends the loop. It must not be called on it, since it waits for its end.
+// stop stops the event loop. It must not be called on the loop, since it waits for the loop to return.
 func (d *drainer) stop() {
-	_ = d.loop.Stop() // fails only if the loop is ending already
+	_ = d.loop.Stop() // fails only if the loop is already stopping
 }
--- a/cmd/calicohill/signals.go
+++ b/cmd/calicohill/signals.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// signalChannels are the signals that a scheduler handles, by what they ask for.
+// signalChannels holds one channel for each kind of signal that a scheduler handles.
 type signalChannels struct {
 	reload   <-chan os.Signal // SIGHUP
 	status   <-chan os.Signal // SIGUSR1
 	shutdown <-chan os.Signal // SIGTERM, or an interrupt from a terminal
 }
 
-// subscribeSignals catches the signals from now on.
+// subscribeSignals starts to relay the signals to channels.
 func subscribeSignals() signalChannels {
 	return signalChannels{
 		reload:   notify(syscall.SIGHUP),
@@ -22,15 +22,16 @@
 	}
 }
 
-// notify returns a channel that receives signals. Those that come while one is waiting are merged with it.
+// notify returns a channel that receives the given signals. A signal that arrives while another one is pending is
+// dropped.
 func notify(signals ...os.Signal) <-chan os.Signal {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, signals...)
 	return received
 }
 
-// handleSignals handles signals for as long as the process runs. Each kind has a goroutine of its own: a configuration
-// file that takes long to read must not delay the shutdown.
+// handleSignals handles signals until the process exits. Each kind of signal has its own goroutine, so that a slow read
+// of a configuration file does not delay the shutdown.
 func (s *scheduler) handleSignals(signals signalChannels) {
 	go handle(signals.reload, func(os.Signal) { s.reload() })
 	go handle(signals.status, func(os.Signal) { s.reportStatus() })
--- a/cmd/calicohill/sources.go
+++ b/cmd/calicohill/sources.go
@@ -15,16 +15,16 @@
 	"github.com/spf13/cobra"
 )
 
-// configSources names the sources of a scheduler's configuration. A flag takes precedence over its environment variable,
-// and both over the platform's file.
+// configSources holds the sources of a scheduler's configuration. A flag overrides its environment variable, and both
+// override the platform's file.
 type configSources struct {
 	platformFile string
-	name         string // of the scheduler; "" if the platform's file has it
-	listen       string // host:port for clients; "" if the platform's file has it
+	name         string // name of the scheduler; "" to use the name in the platform's file
+	listen       string // host:port for clients; "" to use the address in the platform's file
 	operatorFile string // "" if there is none
 }
 
-// addFlags defines the flags of the sources; their defaults are the environment variables.
+// addFlags defines the flags for the sources. Their defaults are the values of the environment variables.
 func (s *configSources) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVar(&s.platformFile, "config", os.Getenv("ROUTER_CONFIG"), "the platform's configuration `FILE` (variable ROUTER_CONFIG)")
@@ -33,9 +33,9 @@
 	flags.StringVar(&s.operatorFile, "operator", os.Getenv("CALICOHILL_OPERATOR"), "the operator's `FILE`: logging, snapshots, gossip and rules (variable CALICOHILL_OPERATOR)")
 }
 
-// read reads and checks the platform's file and the operator's file. Without an operator's file its settings have their
-// defaults. A start and a reload reject the same files: a reload must not accept what the next start fails with, although
-// it takes only a part of the platform's file into use.
+// read reads and validates the platform's file and the operator's file. Without an operator's file it returns the
+// default settings. Startup and reload reject the same files: although a reload applies only part of the platform's
+// file, it must not accept a file that makes the next start fail.
 func (s *configSources) read() (*config.Config, *operatorfile.Settings, error) {
 	if s.platformFile == "" {
 		return nil, nil, errors.New("no configuration: set ROUTER_CONFIG or --config")
@@ -58,7 +58,7 @@
 	return platform, operator, err
 }
 
-// ruleClasses returns the request classes in the form that rules are compiled with.
+// ruleClasses converts the request classes to the type that the rule compiler uses.
 func ruleClasses(settings *deployment.Settings) []match.Class {
 	classes := make([]match.Class, len(settings.Classes))
 	for i, class := range settings.Classes {
--- a/cmd/calicohill/status.go
+++ b/cmd/calicohill/status.go
@@ -15,8 +15,9 @@
 	Rules []match.RuleCounts `json:"rules"`
 }
 
-// reportStatus logs the counts of each rule, and writes them to the status file if the operator's file names one. The
-// counts are taken on the loop, and written on another goroutine since the loop must not wait for a disk.
+// reportStatus logs the counts of each rule and writes them to the status file if the operator's file configures one.
+// It reads the counts on the event loop and writes them on another goroutine, since the loop must not wait for the
+// disk.
 func (s *scheduler) reportStatus() {
 	s.loop.Post(func() {
 		counts := s.server.Rules().Counts()
@@ -24,7 +25,7 @@
 	})
 }
 
-// reportRules logs counts and writes them to a file, if its path is not empty.
+// reportRules logs the counts of each rule and, if path is not empty, writes them to that file.
 func reportRules(log *logrus.Entry, counts []match.RuleCounts, path string) {
 	if path != "" {
 		status := ruleStatus{At: time.Now().UTC(), Rules: counts}
@@ -39,7 +40,7 @@
 	}
 }
 
-// writeStatus replaces the status file.
+// writeStatus replaces the content of the status file.
 func writeStatus(path string, status ruleStatus) error {
 	text, err := json.Marshal(status)
 	if err != nil {
