--- a/cmd/calicohill/answers_test.go
+++ b/cmd/calicohill/answers_test.go
@@ -9,19 +9,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An answer that can't be parsed, or is truncated, fails its request, which may have run. The worker stays in use, and
-// later requests still go to its loaded instance.
+// A malformed or truncated answer must fail its request, which may have run, but must not take the worker out of use:
+// later requests still go to the worker's loaded instance.
 func TestMalformedAnswer(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
-		{"noise", "\x01\xfe\r\n"},
-		{"length is a word", "ID OK - many\r\n"},
-		{"length below 0", "ID OK - -3\r\n"},
+		{"invalid bytes", "\x01\xfe\r\n"},
+		{"length is not a number", "ID OK - many\r\n"},
+		{"negative length", "ID OK - -3\r\n"},
 		{"length of 3 GB", "ID OK - 3000000000\r\n" + strings.Repeat("x", 1<<16)},
-		{"body runs on", "ID OK - 2\r\nbody\r\n"},
-		{"line without end", "ID " + strings.Repeat("x", 1<<13)},
-		{"noise before a good line", "\x01\xfeID OK - 4\r\nbody\r\n"},
-		{"stops short", "ID OK - 100\r\nshort"},
-		{"cut off", resetConnection},
+		{"body longer than its length", "ID OK - 2\r\nbody\r\n"},
+		{"line without line end", "ID " + strings.Repeat("x", 1<<13)},
+		{"invalid bytes before a valid line", "\x01\xfeID OK - 4\r\nbody\r\n"},
+		{"truncated body", "ID OK - 100\r\nshort"},
+		{"connection reset", resetConnection},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			malformed := false
@@ -68,7 +68,8 @@
 	}
 }
 
-// A duplicate answer does not end a retry: the connection on which an attempt was answered carries no retry of its id.
+// A duplicate answer to an attempt must not be taken for the answer to the retry, which has the same ID. The retry is
+// therefore sent on another connection than the answered attempt.
 func TestDuplicateAnswer(t *testing.T) {
 	for _, status := range []string{"MISS", "BUSY", "VOID"} {
 		t.Run(status, func(t *testing.T) {
@@ -84,14 +85,14 @@
 			client := sched.connect()
 			client.send(newCall("certificado", ""))
 			if got := client.readAnswer(); got.status != 200 || got.body != "good" {
-				t.Errorf("status %d, body %q; the worker had %+v", got.status, got.body, agent.received())
+				t.Errorf("status %d, body %q; the worker received %+v", got.status, got.body, agent.received())
 			}
 		})
 	}
 }
 
-// An answer after its request's deadline is dropped: the client has had its one answer, and the next request on that
-// connection gets its own.
+// An answer that arrives after its request's deadline must be dropped. The client must not receive a second answer, and
+// the next requests on the connection must get their own answers.
 func TestAnswerAfterDeadline(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
@@ -112,19 +113,19 @@
 			t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
 		}
 	}
-	if had := agent.received(); len(had) != 4 {
-		t.Errorf("the worker had %d requests, want 4", len(had))
+	if requests := agent.received(); len(requests) != 4 {
+		t.Errorf("the worker received %d requests, want 4", len(requests))
 	}
 }
 
-// A late duplicate answer is dropped, whether the first one ended its request or had it retried, and the next request
-// on the connection gets its own.
+// A late duplicate answer must be dropped, whether the first answer completed its request or caused a retry. The next
+// request on the connection must get its own answer.
 func TestLateDuplicateAnswer(t *testing.T) {
 	for _, first := range []string{"OK", "MISS", "ERR"} {
 		t.Run(first, func(t *testing.T) {
 			var mu sync.Mutex
-			// The worker that receives the first request answers it twice: the duplicate precedes its next answer on
-			// its first connection.
+			// The worker that receives the first request answers it twice. It sends the duplicate before its next
+			// answer on its first connection.
 			duplicate, duplicateSender := "", ""
 			begun := false
 			worker := func(name string) *nodeAgent {
@@ -151,9 +152,9 @@
 			client := sched.connect()
 			client.send(newCall("consulta", "x"))
 			if got := client.readAnswer(); got.body != "re:x" {
-				t.Errorf("status %d, %q, want the first answer, or that of a retry", got.status, got.body)
+				t.Errorf("status %d, %q, want the first answer or the answer to a retry", got.status, got.body)
 			}
-			for _, body := range []string{"a", "b", "c", "d"} { // of functions of their own, loaded at either worker
+			for _, body := range []string{"a", "b", "c", "d"} { // each of a different function, loaded at either worker
 				client.send(newCall("consulta", body, [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", body[0])}))
 				if got := client.readAnswer(); got.body != "re:"+body {
 					t.Errorf("status %d, %q, want the answer to %q", got.status, got.body, body)
--- a/cmd/calicohill/attempts_test.go
+++ b/cmd/calicohill/attempts_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// answerFirst answers the first request with a status alone, and echoes the later ones.
+// answerFirst answers the first request with a status and an empty body, and echoes later requests.
 func answerFirst(status string) func(int, agentRequest) string {
 	return func(n int, request agentRequest) string {
 		if n == 1 {
@@ -20,12 +20,12 @@
 	}
 }
 
-// answerAlways answers every request with a text in which ID stands for the request's id.
+// answerAlways answers every request with the same text, in which it replaces ID with the request's ID.
 func answerAlways(text string) func(int, agentRequest) string {
 	return func(_ int, request agentRequest) string { return strings.ReplaceAll(text, "ID", request.id) }
 }
 
-// An attemptCase is a script of the node agents, with the status and the number of attempts that it leads to.
+// attemptCase defines the answers of the node agents, and the resulting status and number of attempts.
 type attemptCase struct {
 	name, class string
 	reply       func(int, agentRequest) string
@@ -40,16 +40,17 @@
 	{"ERR may have run", "certificado", answerFirst("ERR"), 502, 1},
 	{"ERR may be repeated", "consulta", answerFirst("ERR"), 200, 2},
 	{"reset may have run", "certificado", answerAlways(resetConnection), 502, 1},
-	{"nonsense may have run", "certificado", answerAlways("hello there\r\n"), 502, 1},
-	{"word may have run", "certificado", answerAlways("ID WHAT - 0\r\n\r\n"), 502, 1},
-	{"length may have run", "certificado", answerAlways("ID OK - 99999999\r\n"), 502, 1},
-	{"body that runs on", "certificado", answerAlways("ID OK - 2\r\nlong\r\n"), 502, 1},
-	{"line without end", "certificado", answerAlways(strings.Repeat("x", 5000)), 502, 1},
-	{"another's answer", "certificado", answerAlways("0000 OK - 0\r\n\r\nID OK - 0\r\n\r\n"), 200, 1},
+	{"malformed line may have run", "certificado", answerAlways("hello there\r\n"), 502, 1},
+	{"unknown status may have run", "certificado", answerAlways("ID WHAT - 0\r\n\r\n"), 502, 1},
+	{"excessive length may have run", "certificado", answerAlways("ID OK - 99999999\r\n"), 502, 1},
+	{"body longer than its length", "certificado", answerAlways("ID OK - 2\r\nlong\r\n"), 502, 1},
+	{"line without line end", "certificado", answerAlways(strings.Repeat("x", 5000)), 502, 1},
+	{"answer with an unknown ID", "certificado", answerAlways("0000 OK - 0\r\n\r\nID OK - 0\r\n\r\n"), 200, 1},
 	{"silence", "certificado", answerAlways(""), 502, 1},
 }
 
-// Each result of an attempt at a node agent, and the status and number of attempts that it leads to.
+// TestAttempts checks the status and the number of attempts for each result of an attempt. It guards against a retry of
+// a non-idempotent request that may have run, and against a missing retry where one is safe.
 func TestAttempts(t *testing.T) {
 	for _, tt := range attemptCases {
 		t.Run(tt.name, tt.run)
@@ -57,7 +58,7 @@
 }
 
 func (tt attemptCase) run(t *testing.T) {
-	// Two agents with one script between them: which one a retry goes to is the scheduler's choice.
+	// Two agents share one script, since the scheduler may send a retry to either of them.
 	n := 0
 	sched := newTestScheduler(t)
 	requests := make(chan agentRequest)
@@ -85,8 +86,7 @@
 	}
 }
 
-// Requests to a worker are spread over connections, so that a connection that fails takes only its own requests
-// with it.
+// Requests to a worker must be spread over several connections: a failing connection must fail only its own requests.
 func TestRequestsSpreadOverConnections(t *testing.T) {
 	release, sendMalformed := make(chan struct{}), make(chan struct{}, 1)
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
@@ -125,8 +125,8 @@
 	return n
 }
 
-// A worker that answers with errors gets no non-idempotent requests. Idempotent ones are still sent there, and retried
-// at another worker. Errors for a function that no worker knows do not count against a worker.
+// A worker that answers with errors must not get non-idempotent requests. Idempotent requests are still sent to it and
+// retried at another worker. Errors for a function that no worker can run must not count against a worker.
 func TestFailingWorker(t *testing.T) {
 	var agents []*nodeAgent
 	var failing atomic.Int32 // index of the agent that fails, from 1; 0 for none
@@ -152,7 +152,7 @@
 	}
 	for range 20 {
 		if got := sendRequest("consulta", [2]string{"HTTP_RESOURCE_KEY", "00000000deadbeef"}); got == 200 {
-			t.Fatal("a function that no worker knows was served")
+			t.Fatal("an unknown function was served")
 		}
 	}
 	for range 5 {
@@ -161,11 +161,11 @@
 		}
 	}
 	if countCertified(agents[loadedAt]) != 5 {
-		t.Errorf("%d of 5 calls went where the function is loaded", countCertified(agents[loadedAt]))
+		t.Errorf("%d of 5 calls were sent to the worker that has the function loaded", countCertified(agents[loadedAt]))
 	}
 	failing.Store(int32(loadedAt + 1))
 	before := len(agents[loadedAt].received())
-	waitUntil(t, "some calls have received errors", func() bool { // which worker gets a call is random
+	waitUntil(t, "the failing worker has answered some calls with errors", func() bool { // the choice of the worker is random
 		if got := sendRequest("consulta"); got != 200 {
 			t.Errorf("status %d for an idempotent call", got)
 		}
@@ -177,14 +177,14 @@
 		}
 	}
 	if n := countCertified(agents[loadedAt]); n != 5 {
-		t.Errorf("%d non-idempotent requests went to the worker that fails", n-5)
+		t.Errorf("%d non-idempotent requests were sent to the failing worker", n-5)
 	}
 }
 
-// A worker that answers some requests and not others is not unresponsive. Once it has been observed, a request without
-// an answer is hedged at another worker, in time to be served.
+// A worker that loses the answers to some requests is not ejected as unresponsive, since it answers others. Once the
+// scheduler has measured its latency, an unanswered request must be hedged at another worker in time to be served.
 func TestLostAnswers(t *testing.T) {
-	const asked, steady = "1111111111111111", "2222222222222222"
+	const sharedFunction, steadyFunction = "1111111111111111", "2222222222222222"
 	var lost atomic.Int32
 	agentA := newAgent(t, func(n int, request agentRequest) string {
 		switch request.body {
@@ -196,7 +196,8 @@
 		}
 		return echo(n, request)
 	})
-	// The second worker is slower: where both have an instance loaded, the first is chosen once both were observed.
+	// The second worker is slower: once both workers have been measured, the scheduler prefers the first for functions
+	// that both have loaded.
 	latency := func(int, agentRequest) time.Duration { return 250 * time.Millisecond }
 	agentB := newAgent(t, withLatency(latency, echo))
 	sched := newTestScheduler(t)
@@ -207,40 +208,41 @@
 		return client.readAnswer().status
 	}
 	client, other := sched.connect(), sched.connect()
-	// The function steady is loaded at the first worker alone, so that all its calls go there and are answered,
-	// whatever else is in flight. The function asked is loaded at both: at the first worker by a call, and at the
-	// second by the retry of a call that the first answered with an error.
-	sendRequest(other, steady, "warm")
-	sendRequest(client, asked, "warm")
+	// The function steadyFunction is loaded at the first worker only, so that all its calls are sent to that worker and
+	// answered. The function sharedFunction is loaded at both workers: at the first by a call, and at the second by the
+	// retry of a call that the first answered with an error.
+	sendRequest(other, steadyFunction, "warm")
+	sendRequest(client, sharedFunction, "warm")
 	sched.addEvent(false, "b SERVING "+agentB.addr)
-	waitUntil(t, "the second worker has served", func() bool { sendRequest(client, asked, "fail"); return len(agentB.received()) > 0 })
+	waitUntil(t, "the second worker has served", func() bool { sendRequest(client, sharedFunction, "fail"); return len(agentB.received()) > 0 })
 
 	stop, ended := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(stop); <-ended })
-	go func() { // calls that the first worker answers all the time
+	go func() { // keeps sending calls that the first worker answers
 		defer close(ended)
 		for {
 			select {
 			case <-stop:
 				return
 			case <-time.After(5 * time.Millisecond):
-				sendRequest(other, steady, "x")
+				sendRequest(other, steadyFunction, "x")
 			}
 		}
 	}()
 	waitUntil(t, "a call whose answer was lost is served", func() bool {
 		before := lost.Load()
-		status := sendRequest(client, asked, "lose")
+		status := sendRequest(client, sharedFunction, "lose")
 		return status == 200 && lost.Load() > before
 	})
 }
 
-// A worker that can't be connected to has run nothing: even a non-idempotent request is retried elsewhere.
+// A request must be retried at another worker if the connection to the first can't be established, even if it is not
+// idempotent: it has not run.
 func TestConnectFailure(t *testing.T) {
 	sched, agent := newTestScheduler(t), newAgent(t, echo)
 	sched.addEvent(true, "a SERVING "+agent.addr, "b SERVING "+unusedAddress(t))
 	client := sched.start().connect()
-	for i := range 8 { // over several functions, so that the worker that is down is the preferred one of some function
+	for i := range 8 { // several functions, so that some of them prefer the unreachable worker
 		client.send(newCall("certificado", "x", [2]string{"HTTP_RESOURCE_KEY", fmt.Sprintf("%016x", i)}))
 		if got := client.readAnswer(); got.status != 200 {
 			t.Errorf("status %d, want 200", got.status)
@@ -248,7 +250,7 @@
 	}
 }
 
-// Without a worker that can serve it, a request is rejected with 503 and Back-Off-Ms.
+// A request that no worker can serve must be rejected with 503 and Back-Off-Ms.
 func TestRejectedWithoutWorker(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.addEvent(true)
@@ -259,22 +261,23 @@
 	}
 }
 
-// The time that a request waits in the socket counts against its deadline: here the process is stopped meanwhile.
+// The time that a request waits in the socket buffer must count against its deadline. The test stops the process while
+// the request waits.
 func TestDeadlineIncludesReadDelay(t *testing.T) {
 	sched, agent := startWithAgent(t, echo)
 	client := sched.connect()
-	client.send(newCall("consulta", "x")) // the program has accepted the connection
+	client.send(newCall("consulta", "x")) // makes the program accept the connection
 	client.readAnswer()
 	sched.whileStopped(500*time.Millisecond, func() { client.send(newCall("consulta", "x")) })
 	client.readAnswer()
-	had := agent.received()
-	if ms, err := strconv.Atoi(had[len(had)-1].fields["patience"]); err != nil || ms > 8500 {
+	requests := agent.received()
+	if ms, err := strconv.Atoi(requests[len(requests)-1].fields["patience"]); err != nil || ms > 8500 {
 		t.Errorf("patience of %d ms, though 500 of 9000 ms have passed", ms)
 	}
 }
 
-// A retry whose connection is established after the workers' deduplication window is not sent: they would run the
-// request a second time.
+// A retry must not be sent if its connection is established only after the workers' deduplication window: the request
+// could run twice.
 func TestRetryAfterDeduplicationWindow(t *testing.T) {
 	reset := make(chan struct{})
 	first := newAgent(t, func(int, agentRequest) string { <-reset; return resetConnection })
@@ -286,7 +289,7 @@
 	client.send(newCall("registro-horas", "x", [2]string{"HTTP_BUDGET_MS", "2400"}))
 	waitUntil(t, "the request is at the first worker", func() bool { return len(first.received()) == 1 })
 	sched.addEventAndWait(false, "late SERVING "+agent.addr)
-	close(reset) // the request may have run at the first worker: the retry goes to the other one
+	close(reset) // the request may have run at the first worker; the retry is sent to the other one
 	waitUntilDialing(t, agent)
 	open() // the connection is established a second after it was dialed
 	if got := client.readAnswer(); got.status != 503 {
--- a/cmd/calicohill/client_disconnect_test.go
+++ b/cmd/calicohill/client_disconnect_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A request that its client aborts is canceled at the agent, and its FastCGI id may be used again.
+// A request that is aborted by its client must be canceled at the agent, and its FastCGI ID must be free for reuse.
 func TestAbortCancelsAtAgent(t *testing.T) {
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string {
 		if n == 1 {
@@ -22,7 +22,7 @@
 	waitUntil(t, "the request is canceled at the agent", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
-		return len(agent.halted) == 1 && agent.halted[0] == request.param("HTTP_REQUEST_ID")
+		return len(agent.canceled) == 1 && agent.canceled[0] == request.param("HTTP_REQUEST_ID")
 	})
 	client.send(newCall("consulta", "y"))
 	if got := client.readAnswer(); got.body != "re:y" {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A request whose client disconnects while its connection is being dialed never reaches the worker; one whose client
-// stays does.
+// A request whose client disconnects while the connection to the worker is being dialed must not reach the worker. The
+// request of a client that stays connected must reach it.
 func TestDisconnectDuringDial(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -40,7 +40,7 @@
 		{"cancels", func(client *testClient, request clientRequest) {
 			client.write(encodeRecord(typeAbortRequest, request.id, 0, ""))
 			if got := client.readAnswer(); got.id != request.id {
-				client.t.Errorf("the end of request %d, want %d", got.id, request.id)
+				client.t.Errorf("request %d ended, want %d", got.id, request.id)
 			}
 		}},
 		{"closes", func(client *testClient, _ clientRequest) { client.conn.Close() }},
@@ -53,7 +53,7 @@
 			gone.send(request)
 			gone.waitUntilRead()
 			stays.send(newCall("certificado", "stays"))
-			stays.waitUntilRead() // both wait for the connection, which can't be established yet
+			stays.waitUntilRead() // both requests wait for the connection, which can't be established yet
 			waitUntilDialing(t, agent)
 			tt.leave(gone, request)
 			open()
@@ -61,13 +61,13 @@
 				t.Errorf("the client that stayed got status %d", got.status)
 			}
 			if had := agent.received(); len(had) != 1 || had[0].body != "stays" {
-				t.Errorf("the worker had %v, want the request of the client that stayed alone", had)
+				t.Errorf("the worker received %v, want only the request of the client that stayed connected", had)
 			}
 		})
 	}
 }
 
-// A retry whose client disconnects while its connection is being dialed is not sent either.
+// A retry whose client disconnects while the connection to the worker is being dialed must not be sent.
 func TestDisconnectDuringRetryDial(t *testing.T) {
 	reset := make(chan struct{})
 	first := newAgent(t, func(int, agentRequest) string { <-reset; return resetConnection })
@@ -89,18 +89,18 @@
 		t.Errorf("the client that stayed got status %d", got.status)
 	}
 	if had := agent.received(); len(had) != 1 {
-		t.Errorf("the worker had %v, want the request of the client that stayed alone", had)
+		t.Errorf("the worker received %v, want only the request of the client that stayed connected", had)
 	}
 }
 
-// A request that waits for capacity is not sent once its client has aborted it or closed the connection.
+// A queued request must not be sent to a worker after its client has aborted it or closed the connection.
 func TestDisconnectWhileQueued(t *testing.T) {
 	release := make(chan struct{})
 	sched, agent := startWithAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
 	first, aborts, closes, stays := sched.connect(), sched.connect(), sched.connect(), sched.connect()
-	oneLane := [2]string{"HTTP_X_SPEC", "lanes:1"} // an instance runs one request at a time: the others wait
+	oneLane := [2]string{"HTTP_X_SPEC", "lanes:1"} // an instance runs one request at a time, so that the others are queued
 	first.send(newCall("consulta", "first", oneLane))
-	waitUntil(t, "the first is at the worker", func() bool { return len(agent.received()) == 1 })
+	waitUntil(t, "the first request is at the worker", func() bool { return len(agent.received()) == 1 })
 	request := newCall("consulta", "gone", oneLane)
 	aborts.send(request)
 	closes.send(newCall("consulta", "gone", oneLane))
@@ -117,7 +117,7 @@
 			t.Errorf("status %d, %q, want %q", got.status, got.body, want)
 		}
 	}
-	time.Sleep(300 * time.Millisecond) // nothing may reach the worker within this time
+	time.Sleep(300 * time.Millisecond) // no further request may reach the worker within this time
 	for _, request := range agent.received() {
 		if request.body == "gone" {
 			t.Error("a request was forwarded after its client had disconnected")
--- a/cmd/calicohill/coldstart_test.go
+++ b/cmd/calicohill/coldstart_test.go
@@ -10,16 +10,16 @@
 	"calicohill/internal/testbed/scenario"
 )
 
-// A startupScenario is a script of the testbed, how long it runs and how many polls may come together.
+// startupScenario is a scenario of the testbed with its length and the maximum number of simultaneous polls.
 type startupScenario struct {
 	name    string
 	seconds float64
-	peak    int // polls within 100 ms; 0 where a start of all or an event is among the faults
+	peak    int // maximum number of polls within 100 ms; 0 for no check, where a start or an event causes simultaneous polls
 	script  string
 }
 
 var startupScenarios = []startupScenario{
-	// Before polls were spread out, 23 or 24 of 24 came within 100 ms in each of the first four.
+	// In each of the first four scenarios, 23 or 24 of 24 polls arrived within 100 ms before polls were spread out.
 	{"refused", 9, 12, "0s known full\n0s list refuse\n0s start 1\n5s list well"},
 	{"silent", 12, 12, "0s known full\n0s start 1\n3s list silent\n9s list well"},
 	{"broken", 9, 12, "0s known full\n0s start 1\n3s break\n6s break"},
@@ -32,26 +32,27 @@
 	{"half stopped", 13, 0, "0s known full\n0s start 1\n3s stop 0.5\n4s drain 0.1\n7s cont 0.5"},
 	{"slow list, slow workers", 14, 0, "0s known full\n0s start 1\n3s workers stalls 0.3\n3s list crowded 0.3\n4s drain 0.1\n9s list well\n9s workers sound 0.3"},
 	{"ended at their start", 9, 0, "0s known full\n0s list silent\n0s start 1\n1s term 0.5\n3s list well\n4s start 1"},
-	// They share their reports, and a third of them is partitioned from the others while workers become unresponsive.
+	// The schedulers gossip, and a third of them is partitioned from the others while workers become unresponsive.
 	{"fallen in two", 13, 0, "0s known full\n0s start 1\n3s talk lossy 0.3\n4s talk cut 0.3\n4s workers mute 0.2\n5s drain 0.1\n8s talk whole 1\n9s workers sound 0.2"},
-	// Workers of little capacity, which crash when overloaded while warming up. Guards against a fault: nothing was
-	// sent to them.
+	// Workers of low capacity that crash if they are overloaded while warming up. Guards against a fault in which no
+	// requests were sent to them.
 	{"all cold at once", 12, 0, "0s boot 1\n0s known full\n0s start 1"},
-	// The same with warm ones beside them, whose throughput all schedulers know: what these send the warming ones adds
-	// up.
+	// The same, together with warm workers whose throughput all schedulers have measured. The load that the schedulers
+	// send to a warming worker adds up.
 	{"most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7"},
 	{"replaced by cold ones", 18, 0, "0s known full\n0s start 1\n6s replace 0.7 cold"},
 	{"most boot cold during a release", 18, 0, "0s known full\n0s start 1\n5s boot 0.7\n5s roll 0.25 1s"},
 	{"half killed while most boot cold", 18, 0, "0s known full\n0s start 1\n6s boot 0.7\n6s kill 0.5\n7s start 1"},
 }
 
-// maxConcurrentScenarios is how many scenarios run at a time. Each starts 24 processes at once; under the race detector
-// eight of them, 192 processes, left the testbed's clients without a processor for seconds, so that they sent late, met
-// connections that had been closed meanwhile, and counted that as requests without an answer.
+// maxConcurrentScenarios is the maximum number of concurrent scenarios. Each one starts 24 processes at once. With
+// eight scenarios (192 processes) under the race detector, the testbed's clients got no processor time for seconds.
+// They sent late, on connections that had been closed meanwhile, and counted these requests as unanswered.
 const maxConcurrentScenarios = 3
 
-// Two dozen schedulers as processes, configured as 24 of 300, with faults of the list service and the workers. None of
-// these makes more than a few of them poll the list service at once, and no rule is broken.
+// TestColdStarts runs 24 scheduler processes, configured as part of a fleet of 300, with faults of the list service and
+// of the workers. It guards against thundering herds at the list service and against violations of the platform's
+// rules.
 func TestColdStarts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts 24 processes a scenario")
@@ -79,50 +80,50 @@
 	}
 }
 
-// warmsUp reports whether workers are warming up in the scenario.
+// warmsUp reports whether the scenario contains workers that are warming up.
 func (tt startupScenario) warmsUp() bool {
 	return strings.Contains(tt.script, "boot") || strings.Contains(tt.script, "cold")
 }
 
-// offersOverload reports whether far more is offered in the scenario than its workers can serve. It runs alone: where
-// processes wait for a processor, requests that were sent apart arrive together at a warming worker.
+// offersOverload reports whether the offered load is far above the capacity of the workers. Such a scenario runs alone:
+// if processes have to wait for a processor, requests that were sent apart arrive at a warming worker at the same time.
 func (tt startupScenario) offersOverload() bool {
 	return tt.warmsUp() && !strings.HasPrefix(tt.script, "0s boot")
 }
 
-// run plays the scenario with that program.
+// run runs the scenario with the given program.
 func (tt startupScenario) run(t *testing.T, program string) {
 	t.Helper()
 	script, err := scenario.Parse(tt.script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	day := experiment.ColdStart{
+	coldStart := experiment.ColdStart{
 		Program: program, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Instances: 24, ClaimedSchedulers: 300,
 		Workers: 10, Scenario: script, Seconds: tt.seconds, Rate: 60, Seed: 1, Progress: func(s string) { t.Log(s) },
 	}
 	minServed := 0.0
 	switch {
-	case tt.offersOverload(): // far more is offered than they can serve, a quarter of it when warm: each gets its slow-start budget
-		day.Profile, day.ClaimedSchedulers, day.Workers, day.Rate, minServed = "small", 24, 3, 300, 0.08
+	case tt.offersOverload(): // warm workers could serve a quarter of the offered load; each gets its slow-start budget
+		coldStart.Profile, coldStart.ClaimedSchedulers, coldStart.Workers, coldStart.Rate, minServed = "small", 24, 3, 300, 0.08
 	case tt.warmsUp():
-		day.Profile, day.ClaimedSchedulers, minServed = "small", 24, 0.3
+		coldStart.Profile, coldStart.ClaimedSchedulers, minServed = "small", 24, 0.3
 	}
-	result, err := day.Run(t.Context())
+	result, err := coldStart.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range result.Program.RulesBroken {
-		t.Error(b)
+	for _, brokenRule := range result.Program.RulesBroken {
+		t.Error(brokenRule)
 	}
 	if result.Program.Served < minServed {
-		t.Errorf("%.2f served by workers that are warming up, want %.2f", result.Program.Served, minServed)
+		t.Errorf("a fraction of %.2f served by workers that are warming up, want at least %.2f", result.Program.Served, minServed)
 	}
-	t.Logf("a warming worker was sent %.2f of what it survives", result.Program.PeakWarmUpLoadFraction)
+	t.Logf("peak load of a warming worker: %.2f of the load at which it crashes", result.Program.PeakWarmUpLoadFraction)
 	if result.Program.AllListed < 0 {
 		t.Error("some schedulers did not receive the list again")
 	}
-	// A machine that woke processes this late may have brought together polls that were spread out.
+	// Delayed wake-ups on a busy machine may make polls coincide that were spread out, so that they raise the limit.
 	if maxPolls := tt.peak * int(100+2*result.Program.Late) / 100; tt.peak > 0 && result.Program.PollsPeak > maxPolls {
 		t.Errorf("%d of 24 polled within 100 ms", result.Program.PollsPeak)
 	}
--- a/cmd/calicohill/command_test.go
+++ b/cmd/calicohill/command_test.go
@@ -19,10 +19,10 @@
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
-// misspelt is a directive that the check has to suggest the right name for.
-const misspelt = "levle" //nolint:misspell // it is the fault that the test is about
+// misspelt is a misspelled directive for which check must suggest the correct name.
+const misspelt = "levle" //nolint:misspell // the misspelling is the fault under test
 
-// Command lines that need no scheduler, with the exit code of each and a part of its output.
+// TestCommands checks the exit code and part of the output of command lines that need no running scheduler.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.conf")
@@ -30,9 +30,9 @@
 		t.Fatal(err)
 	}
 	for _, tt := range []struct {
-		args string
-		exit int
-		says string
+		args   string
+		exit   int
+		output string
 	}{
 		{"", 1, "no configuration"},
 		{"run", 1, "no configuration"},
@@ -54,13 +54,13 @@
 		{"completion bash", 0, "bash completion"},
 	} {
 		out, exit := runCommandLine(t, strings.Fields(tt.args)...)
-		if exit != tt.exit || !strings.Contains(out, tt.says) {
-			t.Errorf("calicohill %s: exit code %d, want %d and %q in:\n%s", tt.args, exit, tt.exit, tt.says, out)
+		if exit != tt.exit || !strings.Contains(out, tt.output) {
+			t.Errorf("calicohill %s: exit code %d, want %d and %q in:\n%s", tt.args, exit, tt.exit, tt.output, out)
 		}
 	}
 }
 
-// The command call prints the answer or the counts of its calls, and exits with 1 if one fails.
+// The call command must print the answer or the number of calls by outcome, and exit with 1 if a call fails.
 func TestCall(t *testing.T) {
 	sched, _ := startWithAgent(t, func(n int, request agentRequest) string {
 		if request.body == "lose" {
@@ -85,7 +85,8 @@
 	}
 }
 
-// A reload applies the complete operator's file, or changes nothing and logs a line for each fault.
+// A reload must apply the operator's file completely. If the file is invalid, the reload must change nothing and log
+// one line per error.
 func TestReloadOperatorsFile(t *testing.T) {
 	agent := newAgent(t, echo)
 	sched := newTestScheduler(t)
@@ -99,30 +100,31 @@
 	}
 	write("log\n  level info\n")
 	sched.start()
-	reload := func(text, says string) {
+	reload := func(text, logText string) {
 		t.Helper()
 		write(text)
 		if err := sched.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the log says "+says, func() bool { return strings.Contains(sched.log.String(), says) })
+		waitUntil(t, "the log contains "+logText, func() bool { return strings.Contains(sched.log.String(), logText) })
 	}
 	reload("log\n  format xml\n  level loud\n", `:3:9: level:`)
 	if got := strings.Count(sched.log.String(), "operator's file reload failed, keeping the running configuration"); got != 2 {
-		t.Errorf("%d lines for 2 faults", got)
+		t.Errorf("%d lines for 2 errors", got)
 	}
 	reload("log\n  format json\n", `"msg":"configuration reloaded"`)
-	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // level error: applied without a log line
+	reload("log\n  format json\n  level error\n  level info bulletin\n", "") // level error suppresses the log line of the reload
 	client := sched.connect()
 	client.send(newCall("consulta", "x"))
 	if got := client.readAnswer(); got.status != 200 {
 		t.Errorf("status %d after reloads", got.status)
 	}
 	sched.addEvent(false, "b SERVING "+agent.addr)
-	waitUntil(t, "the part bulletin logs at its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
+	waitUntil(t, "component bulletin logs at its own level", func() bool { return strings.Contains(sched.log.String(), `"part":"bulletin"`) })
 }
 
-// A fault in the operator's file ends the program at its start, with one line that names the place.
+// The program must not start with an error in the operator's file. It must print one line with the position of the
+// error.
 func TestOperatorFileCheckedAtStart(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.conf")
 	if err := os.WriteFile(bad, []byte("log\n  level loud\n"), 0o600); err != nil {
--- a/cmd/calicohill/confined_test.go
+++ b/cmd/calicohill/confined_test.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// confine has the kernel refuse this process, from now on, what the platform refuses a scheduler on its days at full
-// size: other sockets than TCP and UDP over IPv4, other processes, and ways to move bytes past the sockets.
+// confine installs the system call filter that the platform applies to schedulers in its full-size runs. The kernel
+// then refuses sockets other than IPv4, new processes, and system calls that transfer data without reading from or
+// writing to a socket.
 func confine() error {
 	const (
 		load  = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
@@ -32,7 +33,7 @@
 		add(equal, call, 0, 1)
 		add(ret, refuse(unix.ENOSYS), 0, 0)
 	}
-	add(equal, unix.SYS_CLONE, 0, 4) // without clone3 threads come by clone
+	add(equal, unix.SYS_CLONE, 0, 4) // without clone3 the runtime creates threads with clone
 	add(load, firstArg, 0, 0)
 	add(anyOf, unix.CLONE_THREAD, 1, 0)
 	add(ret, refuse(unix.ENOSYS), 0, 0)
@@ -57,14 +58,14 @@
 	return nil
 }
 
-// TestConfined guards against a fault: the program created a pair of Unix sockets at its start, which the platform
-// refuses, and ended there.
+// TestConfined guards against system calls that the platform refuses. The program once exited at startup since it
+// created a pair of Unix sockets.
 func TestConfined(t *testing.T) {
 	t.Setenv(confinedVariable, "1")
 	sched, _ := startWithAgent(t, echo)
 	client := sched.connect()
 	client.send(newCall("consulta", "body"))
 	if got := client.readAnswer(); got.body != "re:body" {
-		t.Errorf("answered status %d, body %q", got.status, got.body)
+		t.Errorf("status %d, body %q", got.status, got.body)
 	}
 }
--- a/cmd/calicohill/endpoint_list_test.go
+++ b/cmd/calicohill/endpoint_list_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A draining worker gets no new requests, and a new worker at the address of a removed one gets connections of its own.
-// A list service that fails, or whose answers are invalid, is polled again.
+// A draining worker must get no new requests, and a new worker must not share the connections of a removed worker with
+// the same address. The scheduler must poll the list service again after a failure or an invalid answer.
 func TestEndpointList(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -29,7 +29,7 @@
 	waitUntilServedBy(t, sched, "a")
 	agentA.mu.Lock()
 	if agentA.conns <= connsBefore {
-		t.Errorf("the new worker at the old address had no connection of its own")
+		t.Errorf("the new worker at the old address got no new connection")
 	}
 	agentA.mu.Unlock()
 
@@ -51,7 +51,8 @@
 	waitUntilServedBy(t, sched, "b")
 }
 
-// The answer of a worker that began to drain, and was then removed from the list, is still forwarded to the client.
+// The answer of a worker must be forwarded to the client even if the worker starts to drain and is removed from the
+// list before it answers.
 func TestAnswerCrossesRemoval(t *testing.T) {
 	release := make(chan struct{})
 	agentA := newAgent(t, func(n int, request agentRequest) string { <-release; return echo(n, request) })
@@ -71,14 +72,14 @@
 	waitUntilServedBy(t, sched, "b")
 }
 
-// A scheduler without an endpoint list is not healthy and rejects requests with 503. It serves as soon as it has a
-// list, and shuts down on SIGTERM also without one.
+// A scheduler without an endpoint list must report that it is unhealthy and reject requests with 503. It must serve
+// requests as soon as it has a list, and shut down on SIGTERM even without one.
 func TestBeforeTheFirstList(t *testing.T) {
 	agent := newAgent(t, echo)
 	for _, tt := range []struct {
 		name      string
-		terminate bool // by SIGTERM, before there is a list
-	}{{"serves when it has one", false}, {"ends without", true}} {
+		terminate bool // send SIGTERM before there is a list
+	}{{"serves after the first list", false}, {"shuts down without a list", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			sched := newTestScheduler(t)
 			sched.launch()
@@ -110,19 +111,20 @@
 			sched.addEventAndWait(true, "a SERVING "+agent.addr)
 			client.send(newCall("certificado", "x"))
 			if got := client.readAnswer(); got.body != "re:x" {
-				t.Errorf("status %d once it has a list", got.status)
+				t.Errorf("status %d after the first list", got.status)
 			}
 		})
 	}
 }
 
-// Where the service's answer omits events, a draining worker may be among them: the list is read from its first event
-// again. A service that omits them again is believed, and the list goes on with the later events.
+// If the service's answer omits events, the scheduler must read the list again from its first event, since a worker may
+// have started to drain in an omitted event. If the service omits the events again, the scheduler must apply the later
+// events without them.
 func TestMissingEvents(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		never bool // the service omits them again
-	}{{"once", false}, {"for good", true}} {
+		name         string
+		omittedAgain bool
+	}{{"once", false}, {"repeatedly", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 			sched := newTestScheduler(t)
@@ -130,10 +132,10 @@
 			sched.start()
 			waitUntilServedBy(t, sched, "a")
 			sched.mu.Lock()
-			skips := func(w http.ResponseWriter) { fmt.Fprintf(w, `{"no":3,"items":[%s]}`, sched.events[2]) }
-			sched.pollOverrides = append(sched.pollOverrides, skips)
-			if tt.never {
-				sched.pollOverrides = append(sched.pollOverrides, skips)
+			omitEvent := func(w http.ResponseWriter) { fmt.Fprintf(w, `{"no":3,"items":[%s]}`, sched.events[2]) }
+			sched.pollOverrides = append(sched.pollOverrides, omitEvent)
+			if tt.omittedAgain {
+				sched.pollOverrides = append(sched.pollOverrides, omitEvent)
 			}
 			changed := sched.changed
 			sched.events = append(sched.events, fmt.Sprintf(`{"no":2,"roster":{"rev":1,"all":false,"targets":[{"uid":"a","state":"DRAINING","endpoint":%q}]}}`, agentA.addr))
@@ -142,7 +144,7 @@
 			sched.mu.Unlock()
 			close(changed)
 			waitUntil(t, "the last event is applied", func() bool { return strings.Contains(sched.log.String(), "event=3 ") })
-			if tt.never {
+			if tt.omittedAgain {
 				sched.addEvent(false, "a DRAINING "+agentA.addr) // later events are applied
 			}
 			waitUntilServedBy(t, sched, "b")
@@ -150,8 +152,8 @@
 	}
 }
 
-// A scheduler that was stopped between two polls for longer than the drain grace of the settings takes its list for
-// stale: it sends nothing to a worker that began to drain meanwhile.
+// A scheduler that is stopped between two polls for longer than the drain grace must mark its list as stale. It must
+// send no requests to a worker that started to drain in that time.
 func TestDrainDuringStall(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
@@ -162,13 +164,13 @@
 	waitUntilServedBy(t, sched, "a")
 	client := sched.connect()
 	for round := range 5 {
-		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // a poll has just been answered: the scheduler pauses before the next
+		sched.addEventAndWait(true, "a SERVING "+agentA.addr) // answers a poll, so that the scheduler pauses before the next one
 		sched.whileStopped(270*time.Millisecond, func() {
 			sched.addEvent(true, "a DRAINING "+agentA.addr, "b SERVING "+agentB.addr)
 			client.send(newCall("consulta", ""))
 		})
 		if got := client.readAnswer(); got.body != "b" {
-			t.Errorf("round %d: %q answers 270 ms after a began to drain, want b", round, got.body)
+			t.Errorf("round %d: %q answered 270 ms after a started to drain, want b", round, got.body)
 		}
 	}
 }
--- a/cmd/calicohill/golden_recorder_test.go
+++ b/cmd/calicohill/golden_recorder_test.go
@@ -22,11 +22,11 @@
 	text string
 }
 
-// id is the request id that the message names.
+// id returns the request ID in the message.
 func (m agentMessage) id() string { return strings.Fields(m.text)[1] }
 
 // exchangeRecorder runs one exchange step by step and records the bytes that each side sends and receives. The test
-// takes every step itself, so that their order never depends on timing.
+// controls every step, so that their order does not depend on timing.
 type exchangeRecorder struct {
 	t         *testing.T
 	scheduler *testScheduler
@@ -36,7 +36,7 @@
 	out       *strings.Builder
 }
 
-// newExchangeRecorder starts the program with a number of agents, all of which the recorder plays.
+// newExchangeRecorder starts the program with a number of agents. The recorder acts as all of them.
 func newExchangeRecorder(t *testing.T, out *strings.Builder, agents int) *exchangeRecorder {
 	t.Helper()
 	recorder := &exchangeRecorder{t: t, scheduler: newTestScheduler(t), messages: make(chan agentMessage, 64), polls: make(chan string, 64), out: out}
@@ -62,7 +62,7 @@
 	return recorder
 }
 
-// acceptAgent reads the messages on all connections to an agent.
+// acceptAgent accepts the connections to an agent and reads their messages.
 func (r *exchangeRecorder) acceptAgent(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -93,7 +93,7 @@
 	}
 }
 
-// recordPolls replaces the scheduler's list service by one that keeps the bytes of each poll.
+// recordPolls replaces the scheduler's list service with one that records the bytes of each poll.
 func (r *exchangeRecorder) recordPolls() {
 	r.scheduler.listServer.Close()
 	r.scheduler.listServer = httptest.NewUnstartedServer(http.HandlerFunc(r.scheduler.poll))
@@ -101,7 +101,7 @@
 	r.scheduler.listServer.Start()
 }
 
-// recordingListener reports all that is received on its connections, a request at a time.
+// recordingListener sends each request that its connections receive to a channel.
 type recordingListener struct {
 	net.Listener
 	requests chan string
@@ -129,17 +129,17 @@
 		end += len(headEnd)
 		select {
 		case c.requests <- string(c.pending[:end]):
-		default: // the buffer is full: more polls than any exchange compares
+		default: // the buffer is full: it holds more polls than any exchange compares
 		}
 		c.pending = c.pending[end:]
 	}
 	return n, err
 }
 
-// write adds a line to the record: who sends or receives, and the bytes.
+// write adds a line to the recording: the side that sends or receives, and the quoted bytes.
 func (r *exchangeRecorder) write(who, text string) { fmt.Fprintf(r.out, "%s %s\n", who, quote(text)) }
 
-// quote quotes bytes as Go does, and shortens runs of 64 or more equal bytes to a product, such as "x"*5000.
+// quote quotes bytes in Go syntax and abbreviates runs of 64 or more equal bytes to a product such as "x"*5000.
 func quote(text string) string {
 	const long = 64
 	var parts []string
@@ -161,7 +161,7 @@
 	return strings.Join(parts, " + ")
 }
 
-// splitRecords cuts FastCGI bytes at the ends of records.
+// splitRecords splits FastCGI data into records. Trailing data that is not a complete record becomes the last element.
 func splitRecords(data []byte) (records []string) {
 	const header = 8
 	for len(data) >= header && data[0] == 1 {
@@ -177,8 +177,8 @@
 	return records
 }
 
-// sends writes bytes as the client.
-func (r *exchangeRecorder) sends(data []byte) {
+// clientSends sends data as the client and records it.
+func (r *exchangeRecorder) clientSends(data []byte) {
 	r.t.Helper()
 	for _, text := range splitRecords(data) {
 		r.write("client sends   ", text)
@@ -188,8 +188,8 @@
 	}
 }
 
-// receives reads records as the client, up to and including the first of a type.
-func (r *exchangeRecorder) receives(last byte) {
+// clientReceives reads records as the client, up to and including the first record of the type last.
+func (r *exchangeRecorder) clientReceives(last byte) {
 	r.t.Helper()
 	for {
 		setReadDeadline(r.t, r.client)
@@ -208,14 +208,14 @@
 	}
 }
 
-// receivesEnd reads as the client until the connection ends.
-func (r *exchangeRecorder) receivesEnd() {
+// clientReceivesClose reads as the client until the connection is closed.
+func (r *exchangeRecorder) clientReceivesClose() {
 	r.t.Helper()
 	setReadDeadline(r.t, r.client)
 	data, err := io.ReadAll(r.client)
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		r.t.Fatal("client: the connection does not end")
+		r.t.Fatal("client: the connection was not closed")
 	}
 	for _, text := range splitRecords(data) {
 		r.write("client receives", text)
@@ -223,7 +223,7 @@
 	fmt.Fprintln(r.out, "client receives the end of the connection")
 }
 
-// agentReceives is the next message that an agent receives.
+// agentReceives waits for the next message to an agent, records it and returns it.
 func (r *exchangeRecorder) agentReceives() agentMessage {
 	r.t.Helper()
 	select {
@@ -231,12 +231,13 @@
 		r.write("agent receives ", r.withoutTimeout(message.text))
 		return message
 	case <-time.After(waitTimeout):
-		r.t.Fatal("no message arrives at an agent")
+		r.t.Fatal("no agent received a message")
 		return agentMessage{}
 	}
 }
 
-// withoutTimeout replaces the time that an attempt has left, which must be within the budget of its request.
+// withoutTimeout replaces the remaining time of an attempt with a placeholder. The remaining time must be within the
+// budget of the request.
 func (r *exchangeRecorder) withoutTimeout(text string) string {
 	if m := timeoutField.FindStringSubmatch(text); m != nil {
 		if ms, err := strconv.Atoi(m[1]); err != nil || ms <= 0 || ms > goldenBudget {
@@ -246,7 +247,7 @@
 	return timeoutField.ReplaceAllString(text, ",patience=PATIENCE$2")
 }
 
-// agentSends answers a message; {id} is replaced by its request id.
+// agentSends answers a message. It replaces {id} in text with the request ID of the message.
 func (r *exchangeRecorder) agentSends(message agentMessage, text string) {
 	r.t.Helper()
 	text = strings.ReplaceAll(text, "{id}", message.id())
@@ -256,8 +257,8 @@
 	}
 }
 
-// agentEnds closes the connection that a message came on, by a reset if reset is set.
-func (r *exchangeRecorder) agentEnds(message agentMessage, reset bool) {
+// agentCloses closes the connection on which a message arrived, with a reset if reset is set.
+func (r *exchangeRecorder) agentCloses(message agentMessage, reset bool) {
 	how := "closes"
 	if reset {
 		how = "resets"
@@ -267,8 +268,8 @@
 	message.conn.Close()
 }
 
-// polled records the next poll that the list service receives.
-func (r *exchangeRecorder) polled() {
+// listServiceReceivesPoll waits for the next poll of the list service and records it.
+func (r *exchangeRecorder) listServiceReceivesPoll() {
 	r.t.Helper()
 	select {
 	case text := <-r.polls:
@@ -278,8 +279,8 @@
 	}
 }
 
-// finish checks that the agents receive nothing else. It first has a health check answered on another connection: by
-// then the program has sent all that the exchange makes it send.
+// finish checks that the agents receive no further messages. It first sends a health check on another connection: when
+// the answer arrives, the program has sent all messages of the exchange.
 func (r *exchangeRecorder) finish() {
 	r.t.Helper()
 	client := r.scheduler.connect()
@@ -288,7 +289,7 @@
 	for {
 		select {
 		case message := <-r.messages:
-			r.t.Errorf("an agent received more: %q", message.text)
+			r.t.Errorf("an agent received an unexpected message: %q", message.text)
 		default:
 			return
 		}
--- a/cmd/calicohill/harness_agent_test.go
+++ b/cmd/calicohill/harness_agent_test.go
@@ -21,34 +21,34 @@
 	id     string
 	fields map[string]string
 	body   string
-	conn   int // number of the connection that it arrived on, from 1
+	conn   int // number of the connection, from 1
 }
 
-// nodeAgent is a node agent that answers by a script. reply is called for each request with its number, from 1, and
-// returns the bytes of the answer; an empty one leaves the request unanswered.
+// nodeAgent is a node agent with scripted answers. It calls reply for each request, with the request's number counted
+// from 1, and sends the bytes that reply returns. If they are empty, the request stays unanswered.
 type nodeAgent struct {
 	t        *testing.T
 	addr     string
 	listener net.Listener
 	reply    func(n int, request agentRequest) string
-	// idleReset is the idle time after which the next request resets its connection; 0 for never.
+	// idleReset is the idle time after which a connection is reset by the next request; 0 for never.
 	idleReset time.Duration
-	// draining has requests rejected and health checks answered with DOWN.
+	// While draining is set, the agent rejects requests and answers health checks with DOWN.
 	draining atomic.Bool
 
-	mu     sync.Mutex
-	seen   []agentRequest // in the order of their arrival
-	halted []string       // IDs of canceled requests
-	conns  int            // connections accepted so far
-	closed int            // of these, those that have ended
-	checks int            // health checks received so far
-	open   map[net.Conn]bool
+	mu       sync.Mutex
+	requests []agentRequest // in order of arrival
+	canceled []string       // IDs of canceled requests
+	conns    int            // number of accepted connections
+	closed   int            // number of accepted connections that are closed
+	checks   int            // number of received health checks
+	open     map[net.Conn]bool
 }
 
 // resetConnection is a reply that resets the connection.
 const resetConnection = "\x00"
 
-// newAgent starts an agent for the length of the test.
+// newAgent starts an agent that runs until the end of the test.
 func newAgent(t *testing.T, reply func(n int, request agentRequest) string) *nodeAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	return agent
 }
 
-// listeningAgent returns an agent that accepts no connection yet.
+// listeningAgent returns an agent that does not accept connections yet.
 func listeningAgent(t *testing.T, listener net.Listener, reply func(n int, request agentRequest) string) *nodeAgent {
 	t.Helper()
 	return &nodeAgent{t: t, addr: listener.Addr().String(), listener: listener, reply: reply, open: map[net.Conn]bool{}}
@@ -82,8 +82,8 @@
 	}
 }
 
-// newLateAgent returns an agent that accepts no connection before open is called: its listen backlog is full until
-// then. Connections are established by the next SYN after that, about a second after the first one.
+// newLateAgent returns an agent that does not accept connections until open is called, because its listen backlog is
+// full. After that call, a dialed connection is established by its next SYN, about a second after its first one.
 func newLateAgent(t *testing.T, reply func(n int, request agentRequest) string) (agent *nodeAgent, open func()) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -130,7 +130,7 @@
 	writing sync.Mutex
 }
 
-// serve reads commands from a connection until it is closed, and has each request answered.
+// serve reads commands from a connection until it is closed, and answers each request on a goroutine of its own.
 func (a *nodeAgent) serve(conn net.Conn, number int) {
 	defer a.track(conn)()
 	connection := &agentConnection{Conn: conn, agent: a}
@@ -149,21 +149,21 @@
 		}
 		switch command.Verb {
 		case standin.AgentCancel:
-			a.noteCanceled(command.ID)
+			a.recordCanceled(command.ID)
 		case standin.AgentPing, standin.AgentStatus:
 			connection.answerHealthCheck(command.ID)
 		case standin.AgentStart:
 			request := agentRequest{id: command.ID, fields: command.Fields, body: command.Body, conn: number}
-			n := a.noteReceived(request)
+			n := a.recordRequest(request)
 			go connection.answer(n, request)
 		default:
-			a.t.Errorf("command %q, which agents do not know", command.Verb)
+			a.t.Errorf("unknown command %q", command.Verb)
 			return
 		}
 	}
 }
 
-// answerHealthCheck answers whether the agent takes requests.
+// answerHealthCheck answers a health check with UP, or with DOWN while the agent is draining.
 func (c *agentConnection) answerHealthCheck(tag string) {
 	c.agent.mu.Lock()
 	c.agent.checks++
@@ -195,7 +195,7 @@
 	_, _ = io.WriteString(c, text) // fails if the scheduler has closed the connection
 }
 
-// track notes a connection that is open. release closes it and counts it as closed.
+// track records an open connection. The returned function closes the connection and counts it as closed.
 func (a *nodeAgent) track(conn net.Conn) (release func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -209,48 +209,48 @@
 	}
 }
 
-// noteCanceled notes that the scheduler canceled a request.
-func (a *nodeAgent) noteCanceled(id string) {
+// recordCanceled records that the scheduler canceled a request.
+func (a *nodeAgent) recordCanceled(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.halted = append(a.halted, id)
+	a.canceled = append(a.canceled, id)
 }
 
-// noteReceived notes a request, and returns its number.
-func (a *nodeAgent) noteReceived(request agentRequest) int {
+// recordRequest records a request and returns its number.
+func (a *nodeAgent) recordRequest(request agentRequest) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.seen = append(a.seen, request)
-	return len(a.seen)
+	a.requests = append(a.requests, request)
+	return len(a.requests)
 }
 
-// received returns the requests that have arrived so far.
+// received returns the requests received so far.
 func (a *nodeAgent) received() []agentRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]agentRequest(nil), a.seen...)
+	return append([]agentRequest(nil), a.requests...)
 }
 
-// answerLine returns an answer in the agents' protocol.
+// answerLine returns an answer in the node agents' protocol.
 func answerLine(id, status, fields, body string) string {
 	return standin.AgentAnswer{ID: id, Status: standin.AnswerStatus(status), Fields: fields, Body: body}.String()
 }
 
-// echo is a reply with the request's own body.
+// echo answers a request with its own body.
 func echo(_ int, request agentRequest) string {
 	return answerLine(request.id, "OK", "depth=0,l=util:0.5", "re:"+request.body)
 }
 
-// withLatency returns a reply that is given only after a time that may differ by request: the worker's service time.
+// withLatency returns a reply function that delays each reply by the worker's service time for that request.
 func withLatency(latency func(n int, request agentRequest) time.Duration, reply func(int, agentRequest) string) func(int, agentRequest) string {
 	return func(n int, request agentRequest) string {
-		time.Sleep(latency(n, request)) // the pace of a stand-in, which the test sets
+		time.Sleep(latency(n, request)) // simulates the service time
 		return reply(n, request)
 	}
 }
 
-// startWithDeafAgent starts a scheduler with an agent that answers nothing on its first connection.
-func startWithDeafAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent) {
+// startWithUnresponsiveAgent starts a scheduler with an agent that does not answer requests on its first connection.
+func startWithUnresponsiveAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent) {
 	t.Helper()
 	sched, agent = startWithAgent(t, func(n int, request agentRequest) string {
 		agent.mu.Lock()
@@ -263,13 +263,13 @@
 	return sched, agent
 }
 
-// answerWith returns a reply with this text as the body.
+// answerWith returns a reply function that answers every request with the given body.
 func answerWith(text string) func(int, agentRequest) string {
 	return func(_ int, request agentRequest) string { return answerLine(request.id, "OK", "-", text) }
 }
 
-// startWithLateAgent starts a scheduler with one worker, whose connections are established only after open is called,
-// long after they were dialed.
+// startWithLateAgent starts a scheduler with one worker. Connections to the worker are established only after open is
+// called, long after they were dialed.
 func startWithLateAgent(t *testing.T) (sched *testScheduler, agent *nodeAgent, open func()) {
 	t.Helper()
 	agent, open = newLateAgent(t, echo)
--- a/cmd/calicohill/harness_client_test.go
+++ b/cmd/calicohill/harness_client_test.go
@@ -23,11 +23,11 @@
 	id          uint16
 	params      [][2]string
 	body        string
-	role        byte // 0 for Responder
+	role        byte // FastCGI role; 0 for Responder
 	padding     byte
-	longLengths bool // all parameter lengths have 4 bytes
-	bodyOpen    bool // the body is not ended
-	closeAfter  bool // the connection is closed after the answer
+	longLengths bool // encode all parameter lengths in 4 bytes
+	bodyOpen    bool // omit the record that ends the body
+	closeAfter  bool // ask the scheduler to close the connection after the answer
 }
 
 // testClient is a client's connection.
@@ -37,7 +37,7 @@
 	reader *bufio.Reader
 }
 
-// connect connects a client, until the end of the test.
+// connect connects a client. The connection is closed at the end of the test.
 func (s *testScheduler) connect() *testClient {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
@@ -48,7 +48,8 @@
 	return &testClient{t: s.t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// connectSlowReader connects a client with a small receive buffer: little is sent to it of what it does not read.
+// connectSlowReader connects a client with a small receive buffer, so that the scheduler can send little data before
+// the client reads.
 func (s *testScheduler) connectSlowReader() *testClient {
 	s.t.Helper()
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
@@ -75,13 +76,13 @@
 	typeUnknownType     = 11
 )
 
-// encodeRecord returns a FastCGI record with so many bytes of padding.
+// encodeRecord returns a FastCGI record with the given number of padding bytes.
 func encodeRecord(kind byte, id uint16, padding byte, content string) []byte {
 	data := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), padding, 0}
 	return append(append(data, content...), make([]byte, padding)...)
 }
 
-// bytes returns the records of the request.
+// bytes encodes the request as FastCGI records.
 func (r clientRequest) bytes() []byte {
 	keep := byte(1)
 	if r.closeAfter {
@@ -117,8 +118,8 @@
 	}
 }
 
-// closedByServer reads on until the connection ends, and reports whether the scheduler closed it. Each record may take
-// up to waitTimeout.
+// closedByServer reads until the connection ends and reports whether the scheduler closed it. It waits up to
+// waitTimeout for each record.
 func (c *testClient) closedByServer() bool {
 	for {
 		_, _, _, err := c.readRecord()
@@ -129,7 +130,7 @@
 	}
 }
 
-// clientAnswer is an answer as a client receives it.
+// clientAnswer is an answer received by a client.
 type clientAnswer struct {
 	id             uint16
 	status         int // 0 if STDOUT was empty
@@ -152,7 +153,7 @@
 	return header[1], binary.BigEndian.Uint16(header[2:]), content[:len(content)-int(header[6])], err
 }
 
-// readAnswer reads records up to the next END_REQUEST. Answers must not be interleaved.
+// readAnswer reads records up to the next END_REQUEST. It does not support interleaved answers.
 func (c *testClient) readAnswer() (answer clientAnswer) {
 	c.t.Helper()
 	var out []byte
@@ -186,7 +187,8 @@
 	n uint64
 }
 
-// newCall returns a request of a class with an id of its own; change sets parameters, and drops those set to "-".
+// newCall returns a request of a class with a unique request ID. Each pair in change sets a parameter, or removes the
+// parameter if its value is "-".
 func newCall(class string, body string, change ...[2]string) clientRequest {
 	lastID.Lock()
 	lastID.n++
@@ -212,12 +214,12 @@
 	return request
 }
 
-// healthRequest asks the scheduler for its own health.
+// healthRequest returns a health check of the scheduler.
 func healthRequest() clientRequest {
 	return clientRequest{id: 1, params: [][2]string{{"SCRIPT_NAME", "/health"}}}
 }
 
-// param returns the value of a parameter, "" if there is none.
+// param returns the value of a parameter, or "" if the request does not have it.
 func (r clientRequest) param(name string) string {
 	for _, p := range r.params {
 		if p[0] == name {
@@ -227,7 +229,7 @@
 	return ""
 }
 
-// setParam changes the value of a parameter, or adds the parameter.
+// setParam sets the value of a parameter. It adds the parameter if the request does not have it.
 func (r *clientRequest) setParam(name, value string) {
 	for i := range r.params {
 		if r.params[i][0] == name {
--- a/cmd/calicohill/harness_endpoints_test.go
+++ b/cmd/calicohill/harness_endpoints_test.go
@@ -12,7 +12,7 @@
 
 // poll answers a poll as the endpoint list service does.
 func (s *testScheduler) poll(w http.ResponseWriter, r *http.Request) {
-	if s.listSilent.Load() {
+	if s.pollsUnanswered.Load() {
 		<-r.Context().Done()
 		return
 	}
@@ -20,7 +20,7 @@
 	timeout := time.After(request.Timeout)
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
-		s.t.Error("a poll without the address that it came to")
+		s.t.Error("poll without a local address in its context")
 		return
 	}
 	address := local.String()
@@ -54,7 +54,7 @@
 	}
 }
 
-// countPoll adds to the number of polls that are open at an address of the list service, and returns it.
+// countPoll adds n to the number of open polls at an address of the list service and returns the new number.
 func (s *testScheduler) countPoll(address string, n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,12 +62,12 @@
 	return s.openPolls[address]
 }
 
-// feed returns the events after one as the body of a response. The caller holds s.mu.
+// feed returns a response body with the events whose number is greater than after. The caller must hold s.mu.
 func (s *testScheduler) feed(after int) string {
 	return standin.EndpointFeed(len(s.events), s.events[min(after, len(s.events)):])
 }
 
-// addEvent adds an event to the endpoint list; targets have the form "uid state address".
+// addEvent adds an event to the endpoint list. Targets have the form "uid state address".
 func (s *testScheduler) addEvent(all bool, targets ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,17 +92,17 @@
 	s.mu.Lock()
 	want := fmt.Sprintf("event=%d", len(s.events))
 	s.mu.Unlock()
-	waitUntil(s.t, "the program knows of "+want, func() bool { return strings.Contains(s.log.String(), want) })
+	waitUntil(s.t, "the program logs "+want, func() bool { return strings.Contains(s.log.String(), want) })
 }
 
-// refusePolls has connections to the list service refused, and breaks those that are open.
+// refusePolls closes the listener of the list service, so that connections are refused, and closes open connections.
 func (s *testScheduler) refusePolls() {
 	_ = s.listServer.Listener.Close()
 	s.listServer.CloseClientConnections()
 }
 
-// silenceListService has polls received but not answered any more; connections to the service still come up.
-func (s *testScheduler) silenceListService() {
-	s.listSilent.Store(true)
+// stopAnsweringPolls stops answering polls. The list service still accepts connections and reads the polls.
+func (s *testScheduler) stopAnsweringPolls() {
+	s.pollsUnanswered.Store(true)
 	s.listServer.CloseClientConnections()
 }
--- a/cmd/calicohill/harness_scheduler_test.go
+++ b/cmd/calicohill/harness_scheduler_test.go
@@ -21,40 +21,41 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// testSettings returns the platform's settings for a scheduler that runs alone.
+// testSettings returns the platform's settings for a fleet of one scheduler.
 func testSettings() platform.Settings {
 	return platform.Settings{Schedulers: 1, IdleCloseMillis: 15_000, InstanceIdleMillis: 9_000}
 }
 
-// testScheduler is a process of the program with its configuration, and with the endpoint list service that it polls.
+// testScheduler runs the program as a process, together with its configuration and the endpoint list service that it
+// polls.
 type testScheduler struct {
 	t       *testing.T
-	addr    string // for clients
+	addr    string // listen address for clients
 	cmd     *exec.Cmd
 	log     *process.Log
 	ended   chan error // receives the result of Wait when the process has ended
 	started bool
 
-	// The configuration, which can be changed before the start.
-	knownEvents   int               // number of events in the configuration file; 0 for all
-	settings      platform.Settings // changed by settingsEdits
+	// The configuration. Tests may change it before they start the process.
+	knownEvents   int               // number of events in the configuration file; 0 for all events
+	settings      platform.Settings // modified by settingsEdits
 	maxSockets    int
 	memoryMB      int
-	configFile    string      // path, once launched
+	configFile    string      // path; set by launch
 	operatorFile  string      // path; "" for none
-	settingsEdits [][2]string // replacements in the settings object: old and new text
+	settingsEdits [][2]string // replacements in the JSON settings: pairs of old and new text
 
 	// The endpoint list service.
-	listServer    *httptest.Server
-	mu            sync.Mutex
-	events        []string
-	changed       chan struct{}               // closed and replaced by each new event
-	pollOverrides []func(http.ResponseWriter) // answer the next polls in place of the events
-	openPolls     map[string]int              // number of open polls, by the service's address
-	listSilent    atomic.Bool                 // polls are not answered
+	listServer      *httptest.Server
+	mu              sync.Mutex
+	events          []string
+	changed         chan struct{}               // closed and replaced when an event is added
+	pollOverrides   []func(http.ResponseWriter) // answers to the next polls, which replace the events
+	openPolls       map[string]int              // number of open polls, by the service's address
+	pollsUnanswered atomic.Bool                 // set while polls are not answered
 }
 
-// newTestScheduler returns a scheduler that is not started yet; its fields can be changed before that.
+// newTestScheduler returns a scheduler that is not started yet. Tests may change its configuration before the start.
 func newTestScheduler(t *testing.T) *testScheduler {
 	t.Helper()
 	sched := &testScheduler{t: t, changed: make(chan struct{}), settings: testSettings(), maxSockets: 1024, memoryMB: 192, openPolls: map[string]int{}}
@@ -105,7 +106,7 @@
 	s.configFile = filepath.Join(s.t.TempDir(), "config.json")
 	s.configure()
 	s.cmd, s.log = program(s.t, "-config", s.configFile, "--operator", s.operatorFile)
-	// As on the platform: the process may open no more descriptors than it is configured with.
+	// As on the platform, the process can't open more descriptors than its configuration grants.
 	s.cmd.Env = append(s.cmd.Env, filesVariable+"="+strconv.Itoa(s.maxSockets))
 	if err := s.cmd.Start(); err != nil {
 		s.t.Fatal(err)
@@ -144,12 +145,12 @@
 			s.t.Errorf("ended with %v", err)
 		}
 	case <-time.After(waitTimeout):
-		s.t.Error("the program does not end")
+		s.t.Error("the program did not exit")
 	}
 }
 
-// stop kills the process at the end of the test, and fails the test if the process had exited by itself with an error,
-// or had raced or panicked.
+// stop kills the process at the end of the test. It fails the test if the process exited with an error, panicked or
+// reported a data race.
 func (s *testScheduler) stop() {
 	_ = s.cmd.Process.Kill() // fails if it has ended
 	if err := <-s.ended; err != nil && !strings.Contains(err.Error(), "killed") {
@@ -165,7 +166,7 @@
 	}
 }
 
-// startWithAgent starts a scheduler with one worker, whose agent answers by a script.
+// startWithAgent starts a scheduler with one worker. The worker's agent answers each request with reply.
 func startWithAgent(t *testing.T, reply func(n int, request agentRequest) string) (*testScheduler, *nodeAgent) {
 	t.Helper()
 	agent := newAgent(t, reply)
@@ -174,8 +175,8 @@
 	return sched.start(), agent
 }
 
-// waitUntilServedBy sends requests until one is answered with that body, and then expects the next 20 to be answered
-// with the same one.
+// waitUntilServedBy sends requests until one is answered with the body want, and then expects the same body for the
+// next 20 requests.
 func waitUntilServedBy(t *testing.T, sched *testScheduler, want string) {
 	t.Helper()
 	client := sched.connect()
@@ -188,17 +189,17 @@
 	}
 }
 
-// whileStopped calls a function while the process is stopped, and lets it run again when stall has passed after that.
+// whileStopped stops the process, calls a function, waits for the time stall and resumes the process.
 func (s *testScheduler) whileStopped(stall time.Duration, meanwhile func()) {
 	s.t.Helper()
 	whileStopped(s.t, s.cmd.Process.Pid, stall, meanwhile)
 }
 
-// kill ends the program by SIGKILL, and waits until it has ended.
+// kill sends SIGKILL to the process and waits until it has exited.
 func (s *testScheduler) kill() {
 	s.t.Helper()
 	if err := s.cmd.Process.Kill(); err != nil {
 		s.t.Fatal(err)
 	}
-	s.ended <- <-s.ended // waits, and keeps the result for stop
+	s.ended <- <-s.ended // waits, and puts the result back for stop
 }
--- a/cmd/calicohill/harness_sockets_test.go
+++ b/cmd/calicohill/harness_sockets_test.go
@@ -16,7 +16,7 @@
 const (
 	socketEstablished socketState = 0x01
 	socketSynSent     socketState = 0x02
-	socketCloseWait   socketState = 0x08 // the other end has closed the connection, this one has not
+	socketCloseWait   socketState = 0x08 // closed by the remote end only
 )
 
 // tcpSocket is one end of a TCP connection as the operating system shows it. Addresses are in the form of
@@ -24,7 +24,7 @@
 type tcpSocket struct {
 	local, remote  string
 	state          socketState
-	unsent, unread int // bytes: not acknowledged by the other end, not read by the process
+	unsent, unread int // bytes not acknowledged by the remote end, and bytes not read by the process
 }
 
 // socketAddress returns an IPv4 address and port in the form of /proc/net/tcp.
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(resolved.IP.To4()), resolved.Port)
 }
 
-// findSockets returns the TCP sockets whose ends are as wanted.
+// findSockets returns the TCP sockets for which wanted returns true.
 func findSockets(t *testing.T, wanted func(socket tcpSocket) bool) (found []tcpSocket) {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -52,14 +52,15 @@
 	return found
 }
 
-// findSocket returns the sockets that connect two addresses, at the local end: one at most.
+// findSocket returns the socket at the local end of the connection between two addresses. The result has at most one
+// element.
 func findSocket(t *testing.T, local, remote net.Addr) []tcpSocket {
 	t.Helper()
 	from, to := socketAddress(t, local.String()), socketAddress(t, remote.String())
 	return findSockets(t, func(socket tcpSocket) bool { return socket.local == from && socket.remote == to })
 }
 
-// parseSocket parses a line of /proc/net/tcp. It returns false for the line of titles.
+// parseSocket parses a line of /proc/net/tcp. It returns false for the header line.
 func parseSocket(line string) (socket tcpSocket, ok bool) {
 	const hexadecimal = 16
 	fields := strings.Fields(line)
@@ -81,7 +82,8 @@
 	}, true
 }
 
-// countToAgents counts the sockets in a state whose other end is an agent, or is to become one.
+// countToAgents counts the sockets in a state whose remote address is that of an agent, whether they are connected or
+// not.
 func countToAgents(t *testing.T, state socketState, agents ...*nodeAgent) int {
 	t.Helper()
 	addresses := map[string]bool{}
@@ -97,8 +99,7 @@
 	waitUntil(t, "a connection to the worker is being dialed", func() bool { return countToAgents(t, socketSynSent, agent) > 0 })
 }
 
-// waitUntilArrived waits until all that the client has sent is in the scheduler's receive buffer, or was read from
-// there.
+// waitUntilArrived waits until all data that the client has sent is in the scheduler's receive buffer or has been read.
 func (c *testClient) waitUntilArrived() {
 	c.t.Helper()
 	waitUntil(c.t, "the client's bytes have arrived", func() bool {
@@ -107,8 +108,8 @@
 	})
 }
 
-// waitUntilRead waits until the scheduler has read all that the client has sent. The scheduler handles what it has read
-// before it reads anything else.
+// waitUntilRead waits until the scheduler has read all data that the client has sent. The scheduler processes this data
+// before it reads from any connection again.
 func (c *testClient) waitUntilRead() {
 	c.t.Helper()
 	c.waitUntilArrived()
--- a/cmd/calicohill/harness_test.go
+++ b/cmd/calicohill/harness_test.go
@@ -17,20 +17,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// waitTimeout is how long a test waits for what must happen. It does not bound the speed: a correct run ends sooner.
+// waitTimeout is the time after which a test stops waiting for an expected event and fails. It is not a performance
+// bound: a correct run takes much less time.
 const waitTimeout = 20 * time.Second
 
-// The environment variables by which the tests start their own binary as the program.
+// Environment variables with which the tests run their own binary as the program.
 const (
-	asProgramVariable = "CALICOHILL_AS_PROGRAM" // set: run the program
-	confinedVariable  = "CALICOHILL_CONFINED"   // set: under the platform's system call filter
+	asProgramVariable = "CALICOHILL_AS_PROGRAM" // if set, run the program
+	confinedVariable  = "CALICOHILL_CONFINED"   // if set, apply the platform's system call filter
 	filesVariable     = "CALICOHILL_FILES"      // maximum number of open descriptors
 )
 
-// exitHarness is the exit code for a failure to set up the program's process.
+// exitHarness is the exit code if the setup of the program's process fails.
 const exitHarness = 3
 
-// TestMain lets the test binary be the program: the tests start it as a process of its own.
+// TestMain runs the program instead of the tests if asProgramVariable is set. The tests start their own binary that
+// way.
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgramVariable) == "" {
 		os.Exit(m.Run())
@@ -43,7 +45,7 @@
 	os.Exit(0)
 }
 
-// limitProcess applies the limits of the environment variables to this process.
+// limitProcess applies the limits in the environment variables to this process.
 func limitProcess() error {
 	if os.Getenv(confinedVariable) != "" {
 		if err := confine(); err != nil {
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// resetOnClose has the closing of a TCP connection reset it.
+// resetOnClose configures a TCP connection to send a reset when it is closed.
 func resetOnClose(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -73,14 +75,14 @@
 	_ = tcp.SetLinger(0) // fails only if the connection is closed already
 }
 
-// hostCount counts the hosts that listenOnOwnHost has used.
+// hostCount is the number of loopback hosts that listenOnOwnHost has used.
 var hostCount atomic.Uint32
 
-// listenOnOwnHost listens on a loopback host of its own: no connection and no listener of others takes the port while
-// nobody listens on it. Those of the testbed's fleets end in 1.
+// listenOnOwnHost listens on a unique loopback host, so that no other connection or listener takes the port after the
+// listener is closed. The hosts never end in 1, unlike those of the testbed's fleets.
 func listenOnOwnHost(t *testing.T) net.Listener {
 	t.Helper()
-	const values = 250 // of a byte of the address
+	const values = 250 // number of values used for a byte of the address
 	count := int(hostCount.Add(1))
 	host := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%values, 1+count/values%values, 2+count%values)
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -90,7 +92,7 @@
 	return listener
 }
 
-// unusedAddress returns an address that nobody listens on, nor will.
+// unusedAddress returns an address on which there is no listener and will be none.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener := listenOnOwnHost(t)
@@ -98,7 +100,7 @@
 	return listener.Addr().String()
 }
 
-// setReadDeadline lets reads from a connection fail after waitTimeout.
+// setReadDeadline makes reads from a connection fail after waitTimeout.
 func setReadDeadline(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
@@ -106,7 +108,7 @@
 	}
 }
 
-// program returns a command that runs the program, and the buffer that receives its standard output and error.
+// program returns a command that runs the program, and the log that collects its standard output and standard error.
 func program(t *testing.T, args ...string) (*exec.Cmd, *process.Log) {
 	t.Helper()
 	self, err := os.Executable()
@@ -119,7 +121,7 @@
 	return cmd, log
 }
 
-// waitUntil waits until a condition holds, and fails the test if it does not within waitTimeout.
+// waitUntil waits until a condition holds. It fails the test if the condition does not hold within waitTimeout.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	if !poll(waitTimeout, ok) {
@@ -130,9 +132,9 @@
 // pollInterval is the time between two checks of poll.
 const pollInterval = 2 * time.Millisecond
 
-// poll checks a condition until it holds, and reports whether it did within a timeout.
+// poll checks a condition until it holds or the timeout expires, and reports whether it held.
 func poll(timeout time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(timeout); !ok(); time.Sleep(pollInterval) { // the one loop of the tests that checks repeatedly
+	for end := time.Now().Add(timeout); !ok(); time.Sleep(pollInterval) { // the only polling loop of the tests
 		if time.Now().After(end) {
 			return false
 		}
@@ -140,8 +142,8 @@
 	return true
 }
 
-// whileStopped stops a process by SIGSTOP, calls a function, and lets the process run again when stall has passed after
-// that. The length of the stall is what its callers test: they give the least that must have an effect.
+// whileStopped stops a process with SIGSTOP, calls a function, waits for the time stall and resumes the process.
+// Callers pass the shortest stall that must have an effect.
 func whileStopped(t *testing.T, pid int, stall time.Duration, meanwhile func()) {
 	t.Helper()
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
@@ -152,7 +154,7 @@
 		return err == nil && strings.Contains(string(text), ") T ")
 	})
 	meanwhile()
-	time.Sleep(stall) // the process is stopped for that long
+	time.Sleep(stall) // the length of the stall
 	if err := syscall.Kill(pid, syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/calicohill/kill_test.go
+++ b/cmd/calicohill/kill_test.go
@@ -12,42 +12,43 @@
 	"time"
 )
 
-// crossingTime is how long before or after a close a request may cross it, by the protocol: the client sends it again.
-const crossingTime = 50 * time.Millisecond
+// closeCrossingWindow is the maximum time between a request and the close of its connection that the protocol counts as
+// a crossing. The client sends such a request again.
+const closeCrossingWindow = 50 * time.Millisecond
 
-// persistentClient sends one request after the other on a connection, as the web servers do, until nobody listens.
+// persistentClient sends sequential requests on a connection, as the web servers do, until connections are refused.
 type persistentClient struct {
-	sched   *testScheduler
-	sent    int
-	lost    []string // what became of requests that were read, or crossed no close, and got no answer
-	class   string
-	timeout time.Duration // that the client waits for an answer
+	sched      *testScheduler
+	sent       int
+	unanswered []string // errors of unanswered requests, except requests that crossed a close and may be sent again
+	class      string
+	timeout    time.Duration // budget of each request
 }
 
 // run sends requests until a connection is refused.
 func (c *persistentClient) run() {
 	conn, err := net.Dial("tcp", c.sched.addr)
-	again := false // the request crossed a close and was sent again
+	resent := false // the request crossed a close and was sent again
 	for err == nil {
 		var sentAt time.Time
 		sentAt, err = c.call(conn)
 		if err == nil {
-			again = false
+			resent = false
 			continue
 		}
 		conn.Close()
-		if crossed := time.Since(sentAt) <= crossingTime; !crossed || again {
-			c.lost = append(c.lost, fmt.Sprintf("closed %v after it was sent (again: %v): %v", time.Since(sentAt), again, err))
+		if crossed := time.Since(sentAt) <= closeCrossingWindow; !crossed || resent {
+			c.unanswered = append(c.unanswered, fmt.Sprintf("closed %v after it was sent (resent: %v): %v", time.Since(sentAt), resent, err))
 		}
-		again = true
+		resent = true
 		conn, err = net.Dial("tcp", c.sched.addr)
 	}
 }
 
-// call sends a request and reads its answer. The error says that there is none.
+// call sends a request and reads its answer. The error reports a missing answer.
 func (c *persistentClient) call(conn net.Conn) (sentAt time.Time, err error) {
 	request := newCall(c.class, "x", [2]string{"HTTP_BUDGET_MS", fmt.Sprint(c.timeout.Milliseconds())})
-	request.setParam("HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")) // a function of its own
+	request.setParam("HTTP_RESOURCE_KEY", request.param("HTTP_REQUEST_ID")) // a different function for each request
 	sentAt = time.Now()
 	if _, err := conn.Write(request.bytes()); err != nil {
 		return sentAt, err
@@ -65,11 +66,13 @@
 	}
 }
 
-// Seen on reading: clients that go on over open connections after SIGTERM kept the program from ending, since there was
-// an open request at each of its checks, until the platform's kill, which found requests unanswered.
+// Clients that keep sending requests over open connections after SIGTERM must not prevent the program from exiting.
+// Previously each check of the drainer found an open request, and the platform killed the program while requests were
+// unanswered.
 //
-// The kill comes the longest deadline, here one second, and 0.7 s after SIGTERM. The program ends before, and no
-// request that it took is without an answer. Workers that answer late, and never, have requests open all the while.
+// The platform kills the program 0.7 s plus the longest deadline (here one second) after SIGTERM. The program must exit
+// earlier and answer every request that it has read. Some answers of the worker are late or missing, so that requests
+// are open all the time.
 func TestClientsGoOnUntilKill(t *testing.T) {
 	const deadline = time.Second
 	slow := newAgent(t, withLatency(func(n int, _ agentRequest) time.Duration {
@@ -97,7 +100,7 @@
 	if err := sched.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	// Judged by the log line, since the race detector delays the exit of the process by a second.
+	// The check uses the log line instead of the process's exit, since the race detector delays the exit by a second.
 	kill := time.AfterFunc(deadline+drainDelay, func() {
 		if !strings.Contains(sched.log.String(), logEnded) {
 			_ = sched.cmd.Process.Kill()
@@ -113,14 +116,14 @@
 	sent := 0
 	for _, client := range clients {
 		sent += client.sent
-		for _, lost := range client.lost {
-			t.Errorf("a request is lost: %s", lost)
+		for _, unanswered := range client.unanswered {
+			t.Errorf("a request was lost: %s", unanswered)
 		}
 	}
 	t.Logf("%d requests", sent)
 }
 
-// A second SIGTERM, and a SIGHUP and SIGUSR1 among them, neither hasten nor delay the end.
+// Repeated SIGTERM signals, mixed with SIGHUP and SIGUSR1, must neither shorten nor lengthen the shutdown.
 func TestSignalsInSeries(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	client := &persistentClient{sched: sched, class: "consulta", timeout: time.Second}
@@ -139,7 +142,7 @@
 		t.Errorf("ended %v after the first SIGTERM, want no sooner than %v", took, drainDelay)
 	}
 	running.Wait()
-	if len(client.lost) > 0 {
-		t.Errorf("requests are lost: %q", client.lost)
+	if len(client.unanswered) > 0 {
+		t.Errorf("requests were lost: %q", client.unanswered)
 	}
 }
--- a/cmd/calicohill/limits_test.go
+++ b/cmd/calicohill/limits_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// A clientLoadCase is what thirty clients do before another one connects, and whether that one is accepted.
+// clientLoadCase defines what thirty clients do before another client connects, and whether that client is accepted.
 type clientLoadCase struct {
 	name     string
 	before   func(client *testClient, number int)
 	accepted bool
 }
 
-// firstSpreadFunction is the first of thirty functions of which no more than three have the same of the workers w0 to
-// w11 first in their rendezvous order. A worker gets no more than four requests that wait for loads: of functions that
-// happen to prefer the same workers one would wait for as long as the others are held.
+// firstSpreadFunction is the first of thirty functions. Among the workers w0 to w11, no worker is first in the
+// rendezvous order of more than three of these functions. A worker gets at most four requests that wait for loads: with
+// functions that prefer the same worker, a request would wait for as long as the test holds the others.
 const firstSpreadFunction = 309
 
 var clientLoadCases = []clientLoadCase{
@@ -36,14 +36,15 @@
 		}
 	}, true},
 	{"requests open", func(client *testClient, number int) {
-		// Each of a function of its own, or the scheduler would reject some.
+		// Each client calls a different function, or the scheduler would reject some requests.
 		function := fmt.Sprintf("%016x", firstSpreadFunction+number)
 		client.send(newCall("consulta", "held", [2]string{"HTTP_BUDGET_MS", "60000"}, [2]string{"HTTP_RESOURCE_KEY", function}))
 	}, false},
 }
 
-// Clients hold at most a third of the descriptors. Clients without a complete request in progress are disconnected to
-// make room; those with one are served, and the newcomer is disconnected.
+// Clients must not use more than a third of the descriptors. To make room for a new client, the scheduler must
+// disconnect a client without a complete request in progress. If all clients have one, it must disconnect the new
+// client instead.
 func TestTooManyClients(t *testing.T) {
 	for _, tt := range clientLoadCases {
 		t.Run(tt.name, tt.run)
@@ -52,7 +53,7 @@
 
 func (tt clientLoadCase) run(t *testing.T) {
 	release := make(chan struct{})
-	sched, had := newTestScheduler(t), func() int { return 0 }
+	sched, receivedCount := newTestScheduler(t), func() int { return 0 }
 	sched.maxSockets = 90
 	var targets []string
 	for i := range 12 {
@@ -62,8 +63,8 @@
 			}
 			return echo(n, request)
 		})
-		others := had
-		had = func() int { return len(agent.received()) + others() }
+		others := receivedCount
+		receivedCount = func() int { return len(agent.received()) + others() }
 		targets = append(targets, fmt.Sprintf("w%d SERVING %s", i, agent.addr))
 	}
 	sched.addEvent(true, targets...)
@@ -75,9 +76,9 @@
 		clients = append(clients, client)
 	}
 	if !tt.accepted {
-		waitUntil(t, "all requests are at workers", func() bool { return had() == len(clients) })
+		waitUntil(t, "all requests are at workers", func() bool { return receivedCount() == len(clients) })
 		if !sched.connect().closedByServer() {
-			t.Error("the 31st client was accepted")
+			t.Error("the 31st client was not disconnected")
 		}
 		close(release)
 		for _, client := range clients {
@@ -90,12 +91,12 @@
 	client := sched.connect()
 	client.send(newCall("consulta", "new"))
 	if got := client.readAnswer(); got.body != "re:new" {
-		t.Errorf("status %d, want the newcomer served", got.status)
+		t.Errorf("status %d, want the new client served", got.status)
 	}
 }
 
-// Where all connections are held by clients that were served, one that was just accepted is not evicted before its
-// request has arrived, though another is accepted meanwhile.
+// If served clients hold all connections, a newly accepted client must not be evicted before its request has arrived,
+// even if another client is accepted in the meantime.
 func TestJustAcceptedClientStays(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	sched.kill()
@@ -108,8 +109,8 @@
 		kind, _, _, err := client.readRecord()
 		return err == nil && kind == typeStdout
 	}
-	// A new connection is spared for 250 ms: on a busy machine a round may take longer, but not all rounds do.
-	waitUntil(t, "one that was just accepted is served", func() bool {
+	// A new connection is not evicted for 250 ms. A round may take longer on a busy machine, but not every round does.
+	waitUntil(t, "a newly accepted client is served", func() bool {
 		var clients []*testClient
 		for range 32 {
 			client := sched.connect()
@@ -122,8 +123,8 @@
 	})
 }
 
-// A client that does not complete its request is answered with 408 or disconnected after a timeout. So is one that
-// leaves a record incomplete, also on a connection that has carried a complete request.
+// A client that does not complete its request or a record must be answered with 408 or disconnected after a timeout,
+// even on a connection that has carried a complete request.
 func TestIncompleteRequestTimeout(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	served := sched.connect()
@@ -139,7 +140,7 @@
 	for _, tt := range []struct {
 		name   string
 		text   []byte
-		before bool // a complete request came before
+		before bool // send a complete request first
 		status int
 	}{
 		{"nothing", nil, false, 0},
@@ -164,16 +165,16 @@
 					t.Errorf("status %d, want %d", got.status, tt.status)
 				}
 			}
-			// After a complete request the connection may stay open, if only a request and no record is incomplete.
+			// After a complete request the connection may stay open if a request is incomplete but no record is.
 			if tt.name != "no end, later" && !client.closedByServer() {
-				t.Error("the connection stays open")
+				t.Error("the connection was not closed")
 			}
 		})
 	}
-	t.Cleanup(sendRequest) // runs when all of these have ended
+	t.Cleanup(sendRequest) // runs after all subtests
 }
 
-// A connection carries at most 32 requests, complete or not: a further one is rejected at once.
+// A connection must not carry more than 32 requests, complete or not. A further request must be rejected at once.
 func TestTooManyRequests(t *testing.T) {
 	sched, _ := startWithAgent(t, echo)
 	client := sched.connect()
@@ -185,14 +186,14 @@
 	if got := client.readAnswer(); got.id != 33 || got.protocolStatus != 2 {
 		t.Errorf("request %d ended with protocol status %d, want request 33 rejected with 2, overloaded", got.id, got.protocolStatus)
 	}
-	client.write(encodeRecord(typeStdin, 7, 0, "")) // ends the body of request 7: the others are unaffected
+	client.write(encodeRecord(typeStdin, 7, 0, "")) // completes request 7; the other requests stay incomplete
 	if got := client.readAnswer(); got.id != 7 || got.body != "re:x" {
-		t.Errorf("after that, request %d ended with status %d, want request 7 served", got.id, got.status)
+		t.Errorf("then request %d ended with status %d, want request 7 served", got.id, got.status)
 	}
 }
 
-// Connections to workers that are established all at once, while clients hold their full third of the descriptors,
-// leave descriptors for one more client. Guards against a fault: with none left, the event loop ended.
+// If many connections to workers are established at once while clients use their full third of the descriptors, enough
+// descriptors must be left for one more client. Without a free descriptor the event loop once stopped.
 func TestDescriptorsOfDials(t *testing.T) {
 	sched := newTestScheduler(t)
 	sched.maxSockets = 66
@@ -207,17 +208,17 @@
 	}
 	sched.addEvent(true, targets...)
 	sched.start()
-	caller := sched.connect()
-	for id := uint16(1); id <= 30; id++ { // each for a worker of its own
+	busyClient := sched.connect()
+	for id := uint16(1); id <= 30; id++ { // each for a different worker
 		function := fmt.Sprintf("%016x", uint64(id)*0x9e3779b97f4a7c15)
 		request := newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "8000"}, [2]string{"HTTP_RESOURCE_KEY", function})
 		request.id = id
-		caller.send(request)
+		busyClient.send(request)
 	}
-	caller.waitUntilRead()
+	busyClient.waitUntilRead()
 	dialing := func() int { return countToAgents(t, socketSynSent, agents...) }
-	const maxDials = 12 // of the 66 descriptors 24 are for workers, and a dial holds two
-	waitUntil(t, "as many connections are being dialed as descriptors allow", func() bool { return dialing() == maxDials })
+	const maxDials = 12 // 24 of the 66 descriptors are for workers, and a dial uses two
+	waitUntil(t, "the maximum number of connections is being dialed", func() bool { return dialing() == maxDials })
 	var idle []*testClient
 	sched.whileStopped(0, func() {
 		for range 60 {
@@ -229,7 +230,7 @@
 		waitUntil(t, "the workers' connections are established", func() bool { return dialing() == 0 })
 	})
 	for range 30 {
-		caller.readAnswer()
+		busyClient.readAnswer()
 	}
 	client := sched.connect()
 	client.send(newCall("consulta", "after"))
@@ -241,15 +242,16 @@
 	}
 }
 
-// While the list service is down, idle clients take all connections that they can get at three schedulers. Once the
-// service is back, each scheduler still reaches it and new workers, and serves other clients.
+// Idle clients must not starve a scheduler of descriptors. They take all connections that three schedulers accept while
+// the list service is down. When the service is reachable again, each scheduler must connect to it and to new workers,
+// and serve other clients.
 func TestDescriptorsOfIdleClients(t *testing.T) {
 	agentA, agentB := newAgent(t, answerWith("a")), newAgent(t, answerWith("b"))
 	sched := newTestScheduler(t)
 	sched.addEvent(true, "a SERVING "+agentA.addr)
 	schedulers := []*testScheduler{sched, newTestScheduler(t), newTestScheduler(t)}
 	for _, other := range schedulers {
-		if other != sched { // it polls the same list service
+		if other != sched { // polls the list service of the first scheduler
 			other.listServer.Close()
 			other.listServer, other.events = sched.listServer, sched.events
 		}
@@ -289,7 +291,7 @@
 	}
 }
 
-// Requests that are begun on many connections and never completed lose their buffers to the requests of others.
+// Incomplete requests on many connections must release their buffers to requests of other clients.
 func TestIncompleteRequestsReleaseBuffers(t *testing.T) {
 	agent := newAgent(t, echo)
 	sched := newTestScheduler(t)
@@ -301,7 +303,7 @@
 		client := sched.connect()
 		client.send(newCall("consulta", "x"))
 		if got := client.readAnswer(); got.body != "re:x" {
-			t.Errorf("status %d, protocol status %d, want it served", got.status, got.protocolStatus)
+			t.Errorf("status %d, protocol status %d, want the request served", got.status, got.protocolStatus)
 		}
 	}
 	sendRequests()
@@ -313,6 +315,8 @@
 			client.send(request)
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // how long the requests stay incomplete: longer than 0.25 s, and well before the 2 s after which they would be closed anyway
+	// Longer than the 0.25 s after which the scheduler may take the buffers of incomplete requests, and well below the
+	// 2 s after which it closes their connections.
+	time.Sleep(500 * time.Millisecond)
 	sendRequests()
 }
--- a/cmd/calicohill/list_outage_test.go
+++ b/cmd/calicohill/list_outage_test.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// Seen: the list service was out of reach for a minute, workers began to drain just after it had gone, and schedulers
-// sent them 19,805 requests after the drain counted as announced. The workers rejected all of them; a request lost its
-// four attempts at one worker within 2 ms and was rejected, while 22 other workers served.
-//
-// How it came about: a drain counts as announced 7 s after it was published, whether a poll brought it or not, and the
-// grace of the settings later nothing may be sent. A scheduler that cannot poll has to stop by itself.
-//
-// Cause: the Router took the list for current until the next one came, however old it was. An unanswered poll made the
-// planner dial again, and told nobody else. Rejections were read as a full queue: a pause of a part of the service
-// time.
-//
-// Proof: this test. With another worker that takes requests and says so when it is asked for its health, the rule can
-// be kept and every request be served.
-
-// publicationBound is how long after its publication a change of the list counts as announced at the latest.
+// publicationBound is the time after its publication at which a change of the list counts as announced, even if no poll
+// has delivered it.
 const publicationBound = 7 * time.Second
 
-// drainSlack is what the protocol adds to each time limit.
+// drainSlack is the tolerance that the protocol adds to each time limit.
 const drainSlack = 50 * time.Millisecond
 
-// listOutage is an outage of the list service in which a worker begins to drain.
+// listOutage is an outage of the list service during which a worker starts to drain.
 type listOutage struct {
 	name  string
 	begin func(sched *testScheduler)
-	quiet bool // no client sends anything until the drain binds
+	quiet bool // clients send no requests until the worker must not get any
 }
 
 var listOutages = []listOutage{
 	{"polls are refused, busy", (*testScheduler).refusePolls, false},
 	{"polls are refused, quiet", (*testScheduler).refusePolls, true},
-	{"polls are not answered, busy", (*testScheduler).silenceListService, false},
-	{"polls are not answered, quiet", (*testScheduler).silenceListService, true},
+	{"polls are not answered, busy", (*testScheduler).stopAnsweringPolls, false},
+	{"polls are not answered, quiet", (*testScheduler).stopAnsweringPolls, true},
 }
 
+// TestDrainDuringListOutage guards against requests to workers that start to drain during an outage of the list
+// service. In an outage of one minute, schedulers sent 19,805 requests to such workers after the drain counted as
+// announced. The workers rejected all of them. A request used up its four attempts at one worker within 2 ms and was
+// rejected, while 22 other workers were serving.
+//
+// A drain counts as announced 7 s after its publication, whether a poll has delivered it or not. Once the drain grace
+// has passed after that, the worker must get no requests. A scheduler that can't poll has to stop sending without being
+// told.
+//
+// In the original fault the Router regarded the list as current until the next one arrived, however old it was. After
+// an unanswered poll the planner dialed again but notified no other component. Rejections were interpreted as a full
+// queue, with a pause of a fraction of the service time.
+//
+// While another worker accepts requests and confirms that in its health checks, a scheduler can serve every request
+// without sending any to a draining worker.
 func TestDrainDuringListOutage(t *testing.T) {
 	for _, outage := range listOutages {
 		t.Run(outage.name, func(t *testing.T) {
@@ -66,11 +68,11 @@
 	}
 	sched.addEvent(true, targets...)
 	client := sched.start().connect()
-	serve := func() clientAnswer {
+	sendRequest := func() clientAnswer {
 		client.send(newCall("registro-horas", ""))
 		return client.readAnswer()
 	}
-	warm := serve().body // the worker that has the function loaded, and gets what is called next
+	warm := sendRequest().body // the worker that has the function loaded and gets the next calls
 
 	outage.begin(sched)
 	draining := agents[warm]
@@ -78,19 +80,19 @@
 	binding := time.Now().Add(publicationBound + grace + drainSlack)
 	for time.Now().Before(binding) {
 		if !outage.quiet {
-			serve()
+			sendRequest()
 		}
-		time.Sleep(10 * time.Millisecond) // the pace of the client
+		time.Sleep(10 * time.Millisecond) // interval between requests
 	}
 
 	before := len(draining.received())
 	for end := time.Now().Add(publicationBound + grace); time.Now().Before(end); {
-		if answer := serve(); answer.status != http.StatusOK || answer.body == warm {
-			t.Fatalf("status %d, body %q, want an answer of a worker that does not drain", answer.status, answer.body)
+		if answer := sendRequest(); answer.status != http.StatusOK || answer.body == warm {
+			t.Fatalf("status %d, body %q, want an answer from a worker that is not draining", answer.status, answer.body)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if sent := len(draining.received()) - before; sent > 0 {
-		t.Errorf("%d requests sent to a worker after its drain binds, want none", sent)
+		t.Errorf("%d requests sent to a worker after the end of its drain grace, want none", sent)
 	}
 }
--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -95,14 +95,14 @@
 	waitUntil(t, "the list is saved", func() bool { return snapshotEvent(t, file) == 2 })
 	sched.kill()
 	sched.knownEvents = 1
-	sched.silenceListService()
+	sched.stopAnsweringPolls()
 	sched.start()
 	client := sched.connect()
 	client.send(newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	if got := client.readAnswer(); got.status != http.StatusServiceUnavailable || len(agent.received()) != 0 {
 		t.Errorf("status %d by a list that nobody confirmed, want 503 and nothing sent", got.status)
 	}
-	sched.listSilent.Store(false)
+	sched.pollsUnanswered.Store(false)
 	sched.listServer.CloseClientConnections()
 	waitUntilServedBy(t, sched, "a")
 }
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -55,7 +55,7 @@
 // A connection on which a request has waited long for its answer gets no new requests: the worker's machine may have
 // been cut off without a sign, and be back under the same name.
 func TestUnresponsiveConnection(t *testing.T) {
-	sched, agent := startWithDeafAgent(t)
+	sched, agent := startWithUnresponsiveAgent(t)
 	first, second := sched.connect(), sched.connect()
 	first.send(newCall("consulta", "lost", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	waitUntil(t, "the first request is at the agent", func() bool { return len(agent.received()) == 1 })
@@ -71,7 +71,7 @@
 
 // The same where deadlines are shorter than that wait: a few requests lost in a row are enough.
 func TestLostRequests(t *testing.T) {
-	sched, _ := startWithDeafAgent(t)
+	sched, _ := startWithUnresponsiveAgent(t)
 	client := sched.connect()
 	waitUntil(t, "a request is served on a new connection", func() bool {
 		client.send(newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "300"}))
