--- a/cmd/calicohill/snapshot_test.go
+++ b/cmd/calicohill/snapshot_test.go
@@ -95,14 +95,14 @@
 	waitUntil(t, "the list is saved", func() bool { return lastSnapshotEvent(t, file) == 2 })
 	sched.kill()
 	sched.knownEvents = 1
-	sched.silenceListService()
+	sched.stopAnsweringPolls()
 	sched.start()
 	client := sched.connect()
 	client.send(newCall("consulta", "", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	if got := client.readAnswer(); got.status != http.StatusServiceUnavailable || len(agent.received()) != 0 {
 		t.Errorf("status %d with an unconfirmed list, want 503 and no request sent", got.status)
 	}
-	sched.listSilent.Store(false)
+	sched.pollsUnanswered.Store(false)
 	sched.listServer.CloseClientConnections()
 	waitUntilServedBy(t, sched, "a")
 }
--- a/cmd/calicohill/worker_connections_test.go
+++ b/cmd/calicohill/worker_connections_test.go
@@ -57,7 +57,7 @@
 // it, and be back under the same name. A connection on which a request has waited long for its answer gets no new
 // requests.
 func TestUnresponsiveConnection(t *testing.T) {
-	sched, agent := startWithDeafAgent(t)
+	sched, agent := startWithUnresponsiveAgent(t)
 	first, second := sched.connect(), sched.connect()
 	first.send(newCall("consulta", "lost", [2]string{"HTTP_BUDGET_MS", "3000"}))
 	waitUntil(t, "the first request is at the agent", func() bool { return len(agent.received()) == 1 })
@@ -73,7 +73,7 @@
 
 // Like TestUnresponsiveConnection, with deadlines shorter than that wait: a few consecutive lost requests suffice.
 func TestLostRequests(t *testing.T) {
-	sched, _ := startWithDeafAgent(t)
+	sched, _ := startWithUnresponsiveAgent(t)
 	client := sched.connect()
 	waitUntil(t, "a request is served on a new connection", func() bool {
 		client.send(newCall("consulta", "x", [2]string{"HTTP_BUDGET_MS", "300"}))
