--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -120,7 +120,7 @@
 		{[]string{"authority", "f", "--out", inDir("fleet")}, 1, "exists"},
 		{[]string{"authority", "a b"}, 1, "letters"},
 		{[]string{"issue", "n1", "--authority", inDir("fleet.key"), "--out", inDir("n1.key")}, 0, "is n1 of fleet f"},
-		{[]string{"issue", "n2", "--authority", inDir("n1.key")}, 1, "the key of a member"},
+		{[]string{"issue", "n2", "--authority", inDir("n1.key")}, 1, "n1.key is a member key, not an authority key"},
 		{[]string{"issue", "n2"}, 2, "--authority is required"},
 		{[]string{"issue", "n2", "--authority", inDir("open.key")}, 1, "0600 is needed"},
 		{[]string{"show", inDir("n1.key")}, 0, "member n1 of fleet [f]"},
