--- a/internal/config/operatorfile/gossip.go
+++ b/internal/config/operatorfile/gossip.go
@@ -82,7 +82,7 @@
 	case !info.Mode().IsRegular():
 		r.errors.add(e.position, e.directive, "%s is not a regular file", path)
 	case e.directive == "key" && info.Mode().Perm()&^maxKeyMode != 0:
-		r.errors.add(e.position, e.directive, "mode %04o allows others to read the key: 0600 is required", info.Mode().Perm())
+		r.errors.add(e.position, e.directive, "mode %04o allows others to read the key: 0600 is needed", info.Mode().Perm())
 	}
 }
 
--- a/internal/config/operatorfile/operatorfile_internal_test.go
+++ b/internal/config/operatorfile/operatorfile_internal_test.go
@@ -127,7 +127,7 @@
 	checkErrors(t, dir, "b.conf",
 		`b.conf:1:1: probe-timeout: must be less than probe-every`,
 		`b.conf:7:3: advertise: peers can't reach the unspecified address 0.0.0.0: use an address of this machine`,
-		`b.conf:4:3: key: mode 0640 allows others to read the key: 0600 is required`,
+		`b.conf:4:3: key: mode 0640 allows others to read the key: 0600 is needed`,
 		`b.conf:5:3: authority: no such file or directory`)
 }
 
