--- a/internal/testbed/fault/byzantine.go
+++ b/internal/testbed/fault/byzantine.go
@@ -18,11 +18,11 @@
 const (
 	byzantineTick      = 50 * time.Millisecond
 	secretBytes        = 32
-	accusationInterval = 300 * time.Millisecond // at least, between two statements with accusations
+	accusationInterval = 300 * time.Millisecond // minimum time between two statements with accusations
 )
 
-// ByzantineMember is a member of the fleet that lies: it has a valid key, answers probes as any member does, and reports
-// faults of workers that have none. Its gossip core runs on one goroutine, which ends with Close.
+// ByzantineMember is a fleet member that reports faults of healthy workers. It has a valid key and answers probes like an
+// honest member. Its gossip core runs on one goroutine, which Close stops.
 type ByzantineMember struct {
 	socket    *net.UDPConn
 	guard     *gossip.Guard
@@ -32,13 +32,13 @@
 	quit      chan struct{}
 	done      chan struct{}
 
-	accused   atomic.Pointer[[]string] // workers that it accuses from now on; nil for none
-	accusedAt time.Time                // when it last did; used by its goroutine alone
-	sequence  uint64                   // of its statements; used by its goroutine alone
+	accused   atomic.Pointer[[]string] // workers to accuse; nil for none
+	accusedAt time.Time                // time of the last accusation; owned by the run goroutine
+	sequence  uint64                   // sequence number of the last statement; owned by the run goroutine
 }
 
-// NewByzantineMember has a byzantine member join the fleet of an authority under a name, through the members at these
-// addresses.
+// NewByzantineMember starts a byzantine member with the given name. The authority issues its certificate, and it joins the
+// fleet through the given seeds.
 func NewByzantineMember(name string, authority *pki.Authority, seeds []netip.AddrPort) (*ByzantineMember, error) {
 	identity, err := authority.Issue(name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	addr, err := netip.ParseAddrPort(socket.LocalAddr().String())
 	if err != nil {
-		_ = socket.Close() // nothing is left to do about an error
+		_ = socket.Close() // best effort
 		return nil, fmt.Errorf("byzantine member: %w", err)
 	}
 	member := &ByzantineMember{
@@ -79,23 +79,24 @@
 	return member, nil
 }
 
-// Accuse has it report these workers as unresponsive from now on, several times a second and each time with new proof.
+// Accuse makes the member report these workers as unresponsive from now on, several times a second, each time in a new
+// statement.
 func (m *ByzantineMember) Accuse(workers []string) { m.accused.Store(&workers) }
 
-// Close ends it without leaving the fleet.
+// Close stops the member without a leave message.
 func (m *ByzantineMember) Close() {
 	close(m.quit)
-	_ = m.socket.Close() // nothing is left to do about an error
+	_ = m.socket.Close() // best effort
 	<-m.done
 }
 
-// datagram is what came from an address.
+// datagram is a received UDP datagram.
 type datagram struct {
 	from    netip.AddrPort
 	payload []byte
 }
 
-// run runs the gossip core until Close.
+// run drives the gossip core until Close.
 func (m *ByzantineMember) run() {
 	defer close(m.done)
 	received := make(chan datagram)
@@ -123,7 +124,7 @@
 	}
 }
 
-// receive passes on datagrams until the socket is closed.
+// receive reads datagrams into the channel until the socket is closed.
 func (m *ByzantineMember) receive(received chan<- datagram) {
 	defer close(received)
 	buffer := make([]byte, gossip.MaxDatagram)
@@ -140,7 +141,7 @@
 	}
 }
 
-// open verifies a datagram; one that can't be opened is dropped.
+// open verifies and decodes a datagram. It drops invalid ones.
 func (m *ByzantineMember) open(datagram datagram) []gossip.Event {
 	opened, err := m.guard.Open(m.now(), time.Now(), datagram.from, datagram.payload)
 	if err != nil {
@@ -152,7 +153,7 @@
 	}}
 }
 
-// lie makes a statement with accusations if it is time for one.
+// lie broadcasts a statement with false accusations if accusationInterval has passed since the last one.
 func (m *ByzantineMember) lie() []gossip.Event {
 	accused := m.accused.Load()
 	if accused == nil || time.Since(m.accusedAt) <= accusationInterval {
@@ -173,7 +174,7 @@
 	return []gossip.Event{gossip.Broadcast{Statement: statement}}
 }
 
-// broadcast sends a statement to every member at once, whatever the rate limits of an honest member would be.
+// broadcast sends a statement to every member at once. It ignores the rate limits that an honest member keeps.
 func (m *ByzantineMember) broadcast(statement gossip.Statement) {
 	for _, member := range m.core.Members() {
 		m.send(gossip.Transmit{To: member.Name, Addr: member.Addr.AddrPort, Message: &gossip.Message{
@@ -183,14 +184,14 @@
 	}
 }
 
-// send seals and sends a message; it is lost like any datagram where that fails.
+// send seals and sends a message. If either step fails, the message is lost like any datagram.
 func (m *ByzantineMember) send(transmit gossip.Transmit) {
 	if sealed, err := m.guard.Seal(transmit.To, transmit.Incarnation, time.Now(), transmit.Message); err == nil {
 		_, _ = m.socket.WriteToUDPAddrPort(sealed, transmit.Addr)
 	}
 }
 
-// now returns the time of the gossip core: Unix time that never goes back.
+// now returns the clock of the gossip core: monotonic Unix time.
 func (m *ByzantineMember) now() time.Duration {
 	return time.Duration(m.startedAt.UnixNano()) + time.Since(m.startedAt)
 }
--- a/internal/testbed/fault/condition.go
+++ b/internal/testbed/fault/condition.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// LinkCondition is what a link does to the bytes or datagrams that it carries. The zero value passes them on unchanged.
+// LinkCondition describes the faults that a link applies to its traffic. The zero value forwards traffic unchanged.
 type LinkCondition struct {
-	Delay          time.Duration // each way
-	Jitter         time.Duration // each way, a random addition to Delay of up to this
-	BytesPerSecond float64       // each way; 0 means no bound
-	Loss           float64       // fraction of the datagrams that is lost
-	Duplicate      float64       // fraction of the datagrams that arrives twice; those that Jitter delays arrive out of order
-	CutForward     bool          // drops what goes to the target, without any error
-	CutBackward    bool          // drops what comes back, without any error
-	Hang           bool          // accepts new connections and passes nothing on
+	Delay          time.Duration // in each direction
+	Jitter         time.Duration // maximum random addition to Delay, in each direction; may reorder datagrams
+	BytesPerSecond float64       // in each direction; 0 means unlimited
+	Loss           float64       // fraction of datagrams that are lost
+	Duplicate      float64       // fraction of datagrams that are duplicated
+	CutForward     bool          // silently drops traffic to the target
+	CutBackward    bool          // silently drops traffic from the target
+	Hang           bool          // accepts new connections and forwards no data
 }
 
-// stopsForward reports whether nothing is passed on in the forward direction.
+// stopsForward reports whether traffic to the target is stopped.
 func (c LinkCondition) stopsForward() bool { return c.CutForward || c.Hang }
 
-// stopsBackward reports whether nothing is passed on in the backward direction.
+// stopsBackward reports whether traffic from the target is stopped.
 func (c LinkCondition) stopsBackward() bool { return c.CutBackward || c.Hang }
 
-// delay returns how long this many bytes are in transit.
+// delay returns the transit time of the given number of bytes.
 func (c LinkCondition) delay(bytes int) time.Duration {
 	delay := c.Delay
 	if c.Jitter > 0 {
--- a/internal/testbed/fault/doc.go
+++ b/internal/testbed/fault/doc.go
@@ -1,3 +1,3 @@
-// Package fault injects faults between the schedulers of a fleet and what they speak to: links and hubs that delay, lose or
-// cut what they carry, byzantine members that lie, and floods of forged datagrams.
+// Package fault injects faults between schedulers, workers and other fleet members. Link and Hub delay, drop or cut
+// traffic, ByzantineMember sends false fault reports, and Flood sends forged datagrams.
 package fault
--- a/internal/testbed/fault/flood.go
+++ b/internal/testbed/fault/flood.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The datagrams of a flood.
+// Parameters of the forged datagrams.
 const (
 	floodTick          = 10 * time.Millisecond
 	floodTicksASecond  = int(time.Second / floodTick)
@@ -16,14 +16,14 @@
 	floodMagic         = 0xca // first byte of every datagram
 	floodFormat        = 1    // second byte
 
-	// floodSequenceOffset is the length of what precedes the sequence number in a datagram's header: magic and format,
-	// cookie, epoch and incarnation.
+	// floodSequenceOffset is the offset of the sequence number in the header. It follows magic and format, cookie, epoch
+	// and incarnation.
 	floodSequenceOffset = 2 + 8 + 8 + 4
-	// floodHeaderBytes is the length of the fixed part of the header, which the sequence number ends.
+	// floodHeaderBytes is the length of the fixed part of the header, including the sequence number.
 	floodHeaderBytes = floodSequenceOffset + 8
 )
 
-// Flood sends forged datagrams that look like a member's to an address, at a rate a second, until stop is closed.
+// Flood sends forged member datagrams to an address until stop is closed. The rate is in datagrams per second.
 func Flood(to string, rate int, stop <-chan struct{}) error {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return fmt.Errorf("flood: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // nothing is left to do about an error
+	defer func() { _ = conn.Close() }() // best effort
 	forged := make([]byte, floodDatagramBytes)
 	_, _ = rand.Read(forged) // never fails
 	forged[0] = floodMagic
@@ -49,13 +49,12 @@
 		for range rate / floodTicksASecond {
 			number++
 			forgeHeader(forged, number)
-			_, _ = conn.Write(forged) // lost like any datagram
+			_, _ = conn.Write(forged) // a failed write is a lost datagram
 		}
 	}
 }
 
-// forgeHeader gives a datagram a header that looks valid: from one of ten members, with a sequence number that the
-// receiver has not seen.
+// forgeHeader writes a plausible header: the sender is one of ten members, and the sequence number is new to the receiver.
 func forgeHeader(datagram []byte, number int) {
 	sequence := datagram[floodSequenceOffset:floodHeaderBytes]
 	sequence[0] = 1
@@ -63,6 +62,6 @@
 	sequence[6] = byte(number >> 8)
 	sequence[7] = byte(number)
 	sender := []byte{2, 'n', byte('0' + number%10)} // the length of the name, and the name
-	receiver := []byte{0}                           // an empty name, as from a sender that does not know it yet
+	receiver := []byte{0}                           // an empty name: the sender does not know the receiver's name yet
 	copy(datagram[floodHeaderBytes:], append(sender, receiver...))
 }
--- a/internal/testbed/fault/hub.go
+++ b/internal/testbed/fault/hub.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Hub is the UDP network between schedulers: each member has an address there at which the others reach it.
+// Hub is a UDP proxy between schedulers. Each member has an address at the hub, to which the others send.
 type Hub struct {
 	mu        sync.Mutex
-	sockets   map[string]*net.UDPConn // by the member's own address
+	sockets   map[string]*net.UDPConn // keyed by the member's own address
 	condition func(from, to string) LinkCondition
 }
 
-// NewHub opens a hub for members at these addresses. condition returns the condition of the link from one to another.
+// NewHub opens a hub for members at the given addresses. condition returns the condition of the link between two members.
 func NewHub(members []string, condition func(from, to string) LinkCondition) (*Hub, error) {
 	hub := &Hub{sockets: map[string]*net.UDPConn{}, condition: condition}
 	for _, member := range members {
@@ -32,10 +32,10 @@
 	return hub, nil
 }
 
-// Addr returns the address at which the others reach a member.
+// Addr returns the hub address of a member.
 func (h *Hub) Addr(member string) string { return h.sockets[member].LocalAddr().String() }
 
-// serve passes on to a member what is sent to its address at the hub, until the hub is closed.
+// serve forwards datagrams sent to a member's hub address to the member, until the hub is closed.
 func (h *Hub) serve(member string, socket *net.UDPConn) {
 	memberAddr, err := net.ResolveUDPAddr("udp", member)
 	if err != nil {
@@ -47,7 +47,7 @@
 		if err != nil {
 			return
 		}
-		sender := h.sockets[from.String()] // as whom the receiver sees it
+		sender := h.sockets[from.String()] // the receiver sees the sender's hub address
 		if sender == nil {
 			continue
 		}
@@ -55,12 +55,12 @@
 		condition := h.condition(from.String(), member)
 		h.mu.Unlock()
 		transmit(condition, buffer[:size], func(payload []byte) {
-			_, _ = sender.WriteToUDP(payload, memberAddr) // lost if it can't be sent
+			_, _ = sender.WriteToUDP(payload, memberAddr) // a failed write is a lost datagram
 		})
 	}
 }
 
-// transmit sends a datagram under a condition: once, not at all or several times, each copy with a delay of its own.
+// transmit applies a condition to a datagram. It sends zero or more copies, each with its own delay.
 func transmit(condition LinkCondition, datagram []byte, send func([]byte)) {
 	for copies := 1; copies > 0; copies-- {
 		if rand.Float64() < condition.Duplicate {
@@ -78,9 +78,9 @@
 	}
 }
 
-// Close ends the hub.
+// Close closes all sockets.
 func (h *Hub) Close() {
 	for _, socket := range h.sockets {
-		_ = socket.Close() // nothing is left to do about an error
+		_ = socket.Close() // best effort
 	}
 }
--- a/internal/testbed/fault/link.go
+++ b/internal/testbed/fault/link.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// minRecordedDelay is the delay from which on a link records it.
+// minRecordedDelay is the delay above which a link records a delayed segment.
 const minRecordedDelay = 20 * time.Millisecond
 
-// linkListenAddress is where links are reached: an address of loopback from which nothing connects.
+// linkListenAddress is the listen address of links. No client on loopback uses it as its source address.
 var linkListenAddress = net.TCPAddrFromAddrPort(netip.MustParseAddrPort("127.0.1.1:0"))
 
 const (
-	linkBacklog       = 1024 // of new connections while the link is not cut
-	maxBacklogFillers = 8    // connections that fill the backlog of 0 while it is
+	linkBacklog       = 1024 // listen backlog while the link is not cut
+	maxBacklogFillers = 8    // maximum connections to fill the backlog of 0 while the link is cut
 	backlogFullAfter  = 200 * time.Millisecond
 )
 
-// Link carries TCP connections from one peer to another on loopback, under a condition.
+// Link is a TCP proxy on loopback that applies a LinkCondition to the connections it forwards.
 type Link struct {
 	Addr string
 
@@ -33,21 +33,21 @@
 	changed     chan struct{} // closed at each change of condition
 	listener    *net.TCPListener
 	connections map[*net.TCPConn]bool
-	// backlogFillers keep the queue of new connections full while the link is cut.
+	// backlogFillers keep the listen backlog full while the link is cut.
 	backlogFillers []net.Conn
 	closed         bool
 	delayed        []delayedSegment
-	acceptPaused   chan struct{} // the accepting goroutine says that it waits for acceptResumed
+	acceptPaused   chan struct{} // the accepting goroutine signals that it waits for acceptResumed
 	acceptResumed  chan struct{}
 }
 
-// delayedSegment is bytes that were in transit for longer than minRecordedDelay.
+// delayedSegment records when data was sent and arrived that was in transit for longer than minRecordedDelay.
 type delayedSegment struct {
 	sentAt    time.Time
 	arrivedAt time.Time
 }
 
-// NewLink opens a link to an address.
+// NewLink opens a link to the target address.
 func NewLink(target string) (*Link, error) {
 	targetAddr, err := net.ResolveTCPAddr("tcp", target)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return link, nil
 }
 
-// SentAt returns when what arrived at a time was sent.
+// SentAt returns the time at which data that arrived at the given time was sent.
 func (l *Link) SentAt(arrivedAt time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,13 +84,13 @@
 	return earliest
 }
 
-// Set changes what the link does from now on.
+// Set replaces the link's condition.
 func (l *Link) Set(condition LinkCondition) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wasCut := l.condition.CutForward
 	l.condition = condition
-	defer close(l.changed) // once all is changed
+	defer close(l.changed) // after every change below is made
 	l.changed = make(chan struct{})
 	switch {
 	case wasCut == condition.CutForward || l.closed:
@@ -102,7 +102,7 @@
 	}
 }
 
-// blockNewConnections stops accepting and fills the queue of new connections: the system drops further ones silently.
+// blockNewConnections stops accepting and fills the listen backlog, so that the kernel drops further SYNs silently.
 func (l *Link) blockNewConnections() error {
 	if err := l.listener.SetDeadline(time.Now()); err != nil {
 		return err
@@ -116,10 +116,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("link %s: connections are still established", l.Addr)
+	return fmt.Errorf("link %s: new connections are still accepted", l.Addr)
 }
 
-// addBacklogFiller adds a connection to the queue of new ones, and reports whether there was space for it.
+// addBacklogFiller adds a connection to the listen backlog and reports whether there was space for it.
 func (l *Link) addBacklogFiller() bool {
 	conn, err := net.DialTimeout("tcp", l.Addr, backlogFullAfter)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return true
 }
 
-// admitNewConnections undoes blockNewConnections.
+// admitNewConnections reverts blockNewConnections.
 func (l *Link) admitNewConnections() error {
 	for _, conn := range l.backlogFillers {
 		conn.Close()
@@ -140,7 +140,7 @@
 	return err
 }
 
-// setBacklog sets how many new connections may wait to be accepted.
+// setBacklog sets the listen backlog.
 func (l *Link) setBacklog(connections int) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
@@ -151,7 +151,7 @@
 	return errors.Join(err, failed)
 }
 
-// Reset resets all connections at once, also where data is in transit.
+// Reset resets all connections at once, including those with data in transit.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,23 +160,23 @@
 	}
 }
 
-// reset closes a connection with a reset instead of in order.
+// reset closes a connection with a TCP RST.
 func reset(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // fails only where the connection is gone already
+	_ = conn.SetLinger(0) // fails only if the connection is already closed
 	_ = conn.Close()
 }
 
-// Close ends the link.
+// Close closes the listener and resets all connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
-	_ = l.listener.Close() // nothing is left to do about an error
+	_ = l.listener.Close() // best effort
 	if l.condition.CutForward {
 		l.acceptResumed <- struct{}{}
 	}
 	l.mu.Unlock()
 	l.Reset()
-	_ = l.Set(LinkCondition{}) // releases goroutines that wait; for a closed link it returns nil
+	_ = l.Set(LinkCondition{}) // wakes goroutines that wait for a change; returns nil for a closed link
 }
 
 // accept accepts connections until the link is closed. It pauses while the link is cut.
@@ -195,12 +195,12 @@
 	}
 }
 
-// connect connects to the target and passes on data both ways until either end closes.
+// connect connects to the target and forwards data in both directions until either end closes.
 func (l *Link) connect(conn *net.TCPConn) {
 	defer l.track(conn)()
 	target, err := net.DialTCP("tcp", nil, l.target)
 	if err != nil {
-		_ = conn.SetLinger(0) // so that the peer sees a reset, like a refusal a moment later
+		_ = conn.SetLinger(0) // the client sees a reset, which stands for the refused connection
 		return
 	}
 	defer l.track(target)()
@@ -217,27 +217,27 @@
 	<-ended
 }
 
-// track notes a connection, and returns what closes and forgets it.
+// track registers a connection. The returned function closes and unregisters it.
 func (l *Link) track(conn *net.TCPConn) (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.connections[conn] = true
 	return func() {
-		_ = conn.Close() // it may be closed already
+		_ = conn.Close() // may already be closed
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		delete(l.connections, conn)
 	}
 }
 
-// current returns the condition, and a channel that is closed when it changes.
+// current returns the condition and a channel that is closed when it changes.
 func (l *Link) current() (LinkCondition, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.condition, l.changed
 }
 
-// forward passes on what it reads, in order and under the link's condition, until either end closes.
+// forward copies data in order, subject to the link's condition, until either end closes.
 func (l *Link) forward(from, target net.Conn, stopped func(LinkCondition) bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -259,7 +259,7 @@
 	}
 }
 
-// recordDelay records how long bytes were in transit, if that was long.
+// recordDelay records a segment that was in transit for longer than minRecordedDelay.
 func (l *Link) recordDelay(sentAt, arrivedAt time.Time) {
 	if arrivedAt.Sub(sentAt) <= minRecordedDelay {
 		return
--- a/internal/testbed/fault/link_test.go
+++ b/internal/testbed/fault/link_test.go
@@ -12,7 +12,8 @@
 	"calicohill/internal/testbed/fault"
 )
 
-// A cut link gives no sign: what was sent arrives once it is restored, and a new connection does not come up.
+// Guards against a cut link that either end notices. Writes must succeed, data must arrive after the cut ends, and new
+// connections must time out.
 func TestLinkCut(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,34 +44,35 @@
 		return err
 	}
 	if _, err := conn.Write([]byte("a")); err != nil || echo(time.Minute) != nil {
-		t.Fatalf("a link without a fault carries nothing: %v", err)
+		t.Fatalf("no echo over a link without faults: %v", err)
 	}
 	if err := link.Set(fault.LinkCondition{CutForward: true, CutBackward: true}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Write([]byte("b")); err != nil {
-		t.Errorf("the sender notices the cut: %v", err)
+		t.Errorf("write to a cut link failed: %v", err)
 	}
 	if err := echo(50 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read over a cut link: %v", err)
+		t.Errorf("read over a cut link: %v, want a timeout", err)
 	}
 	if another, err := net.DialTimeout("tcp", link.Addr, 50*time.Millisecond); err == nil {
 		another.Close()
-		t.Error("a connection is established over a cut link")
+		t.Error("a new connection was established over a cut link")
 	}
 	if err := link.Set(fault.LinkCondition{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := echo(time.Minute); err != nil {
-		t.Errorf("after the cut: %v", err)
+		t.Errorf("no echo after the cut: %v", err)
 	}
 	link.Reset()
 	if err := echo(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after a reset: %v", err)
+		t.Errorf("read after a reset: %v, want a connection error", err)
 	}
 }
 
-// A hub drops, delays and cuts by its conditions, and the receiver sees the sender's address at the hub.
+// Guards against a hub that ignores its conditions, or that forwards datagrams from another address than the sender's hub
+// address.
 func TestHub(t *testing.T) {
 	sender := listenUDP(t)
 	receiver := listenUDP(t)
@@ -124,7 +126,7 @@
 	}
 }
 
-// listenUDP opens a socket on loopback for the length of the test.
+// listenUDP opens a socket on loopback and closes it at the end of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -17,7 +17,7 @@
 	MaxMessagesPerSecond: 20, MaxMembers: 4096,
 }
 
-// newConvergedFleet returns a fleet of n nodes that joined by one seed and agree on the members.
+// newConvergedFleet returns a fleet of n nodes that joined through one seed and agree on the member list.
 func newConvergedFleet(tb testing.TB, n int, seed uint64) *gossipsim.Network {
 	tb.Helper()
 	net := gossipsim.New(n, seed, testConfig)
@@ -29,7 +29,7 @@
 	return net
 }
 
-// firstDisagreement describes the first node that is up and does not know the state of another, or is empty.
+// firstDisagreement describes the first running node that has a wrong state for another node. It returns "" if all agree.
 func firstDisagreement(net *gossipsim.Network) string {
 	for _, observer := range net.Nodes {
 		if observer.Core == nil {
@@ -42,7 +42,7 @@
 		for _, subject := range net.Nodes {
 			state, known := states[subject.Name]
 			if subject != observer && !isCorrect(subject, state, known) {
-				return fmt.Sprintf("%s holds %s for %v (known %v), up %v", observer.Name, subject.Name, state, known,
+				return fmt.Sprintf("%s lists %s as %v (known %v), running %v", observer.Name, subject.Name, state, known,
 					subject.Core != nil)
 			}
 		}
@@ -50,8 +50,8 @@
 	return ""
 }
 
-// isCorrect reports whether what a member knows of a node is right: one that is up is alive, one that is down has no
-// state that counts, or is not known.
+// isCorrect reports whether an observer has the right state for a node. A running node must be alive. A stopped node must
+// be unknown or out of the fleet.
 func isCorrect(subject *gossipsim.Node, state gossip.State, known bool) bool {
 	if subject.Core != nil {
 		return known && state == gossip.Alive
@@ -59,7 +59,7 @@
 	return !known || !state.InFleet()
 }
 
-// checkAgreement checks that all nodes that are up know the state of all others.
+// checkAgreement checks that every running node has the right state for all others.
 func checkAgreement(tb testing.TB, net *gossipsim.Network) {
 	tb.Helper()
 	if disagreement := firstDisagreement(net); disagreement != "" {
@@ -67,16 +67,17 @@
 	}
 }
 
-// checkRateLimit checks that no node has ever sent more messages in a second than are allowed.
+// checkRateLimit checks that no node ever exceeded MaxMessagesPerSecond.
 func checkRateLimit(tb testing.TB, net *gossipsim.Network) {
 	tb.Helper()
 	for _, n := range net.Nodes {
 		if n.PeakMessageRate > testConfig.MaxMessagesPerSecond {
-			tb.Errorf("%s sent %d messages in a second, %d are allowed", n.Name, n.PeakMessageRate, testConfig.MaxMessagesPerSecond)
+			tb.Errorf("%s sent %d messages in a second, limit %d", n.Name, n.PeakMessageRate, testConfig.MaxMessagesPerSecond)
 		}
 	}
 }
 
+// Guards against stale membership after a crash, a leave and the restart of both members.
 func TestJoinDieLeaveReturn(t *testing.T) {
 	net := newConvergedFleet(t, 12, 1)
 	net.Kill(net.Nodes[3])
@@ -86,17 +87,17 @@
 	checkAgreement(t, net)
 	for _, node := range net.Nodes {
 		if node.Core != nil && node.Core.NumMembers() != 10 {
-			t.Errorf("%s counts %d members, want 10", node.Name, node.Core.NumMembers())
+			t.Errorf("%s has %d members, want 10", node.Name, node.Core.NumMembers())
 		}
 	}
-	net.Start(net.Nodes[3], net.Nodes[0]) // nothing is kept on disk: it restarts as a new member
+	net.Start(net.Nodes[3], net.Nodes[0]) // without state on disk, it restarts as a new member
 	net.Start(net.Nodes[4], net.Nodes[0])
 	net.Run(15 * time.Second)
 	checkAgreement(t, net)
 	checkRateLimit(t, net)
 }
 
-// Half of the members crash and restart at once under their names.
+// Guards against members that keep an earlier epoch after half of the fleet crashes and restarts at once.
 func TestHalfRestartAtOnce(t *testing.T) {
 	net := newConvergedFleet(t, 12, 2)
 	for _, n := range net.Nodes[:6] {
@@ -111,7 +112,7 @@
 		for _, m := range n.Core.Members() {
 			for _, o := range net.Nodes {
 				if o.Name == m.Name && o.Epoch != m.Epoch {
-					t.Errorf("%s holds an earlier epoch of %s", n.Name, m.Name)
+					t.Errorf("%s has a stale epoch for %s", n.Name, m.Name)
 				}
 			}
 		}
@@ -119,7 +120,7 @@
 	checkRateLimit(t, net)
 }
 
-// A member that is paused and resumed declares no healthy member dead, and is alive to the others again.
+// Guards against a paused member that declares healthy members dead after it resumes, or that stays suspect.
 func TestPaused(t *testing.T) {
 	net := newConvergedFleet(t, 12, 3)
 	falseDeaths := 0
@@ -138,8 +139,8 @@
 	}
 }
 
-// A member that is paused and resumed refutes the suspicion, and gossip of the refutation never reaches one member. That
-// one notifies the suspect before it declares it dead.
+// Guards against a healthy suspect that is declared dead by a member that its refutation did not reach. A member must
+// notify the suspect before it declares it dead, so that the suspect can refute directly.
 func TestRefutationMissesOneMember(t *testing.T) {
 	for seed := range uint64(20) {
 		net := newConvergedFleet(t, 12, seed)
@@ -151,7 +152,7 @@
 		}
 		net.OnMemberChanged = func(n *gossipsim.Node, m gossip.Member) {
 			if m.State == gossip.Dead {
-				t.Errorf("seed %d: %s declares %s dead", seed, n.Name, m.Name)
+				t.Errorf("seed %d: %s declared %s dead", seed, n.Name, m.Name)
 			}
 		}
 		net.Pause(net.Nodes[5])
@@ -162,6 +163,7 @@
 	}
 }
 
+// Guards against a fleet that stays split after a partition ends.
 func TestPartitionHeals(t *testing.T) {
 	net := newConvergedFleet(t, 12, 4)
 	for _, n := range net.Nodes[:5] {
@@ -169,7 +171,7 @@
 	}
 	net.Run(40 * time.Second)
 	if got := net.Nodes[0].Core.NumMembers(); got != 5 {
-		t.Errorf("the smaller side counts %d members, want 5", got)
+		t.Errorf("the smaller side has %d members, want 5", got)
 	}
 	for _, n := range net.Nodes {
 		n.Partition = 0
@@ -179,7 +181,7 @@
 	checkRateLimit(t, net)
 }
 
-// A byzantine member that keeps claiming that all others are dead has nobody declared dead.
+// Guards against a single byzantine member that gets healthy members declared dead by repeating false claims.
 func TestFalseDeathClaims(t *testing.T) {
 	net := newConvergedFleet(t, 12, 5)
 	falseDeaths := 0
@@ -208,7 +210,7 @@
 	}
 }
 
-// Of two members with one name the later stays, and the earlier stops.
+// Guards against two running members with the same name. The one with the earlier epoch must stop.
 func TestNameConflict(t *testing.T) {
 	net := newConvergedFleet(t, 4, 6)
 	earlier := net.Nodes[2].Core
@@ -220,11 +222,11 @@
 		t.Errorf("actions %v", actions)
 	}
 	if actions := earlier.Step(net.Now+10*time.Second, nil); len(actions) > 0 {
-		t.Errorf("it has not stopped: %v", actions)
+		t.Errorf("the earlier member has not stopped: %v", actions)
 	}
 }
 
-// A statement is received once by every member, and the rate limit is kept.
+// Guards against statements that are lost, delivered twice to a member, or spread faster than the rate limit.
 func TestStatements(t *testing.T) {
 	net := newConvergedFleet(t, 40, 7)
 	received := map[string]int{}
@@ -254,7 +256,7 @@
 	checkRateLimit(t, net)
 }
 
-// injectFault injects a random fault at a node, or ends one.
+// injectFault injects a random fault at a node or ends one.
 func injectFault(rt *rapid.T, net *gossipsim.Network, node *gossipsim.Node) {
 	switch rapid.IntRange(0, 5).Draw(rt, "fault") {
 	case 0:
@@ -277,7 +279,8 @@
 	}
 }
 
-// Whatever faults occur, messages and members are bounded, and after the last fault all agree again.
+// Guards against fault sequences that exceed the message rate or the member count, or that prevent agreement after the
+// last fault.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		net := gossipsim.New(rapid.IntRange(3, 12).Draw(rt, "nodes"), rapid.Uint64().Draw(rt, "seed"), testConfig)
@@ -307,14 +310,14 @@
 				rt.Errorf("%s sent %d messages in a second", node.Name, node.PeakMessageRate)
 			}
 			if node.Core != nil && len(node.Core.Members()) > len(net.Nodes) {
-				rt.Errorf("%s holds %d members of %d", node.Name, len(node.Core.Members()), len(net.Nodes))
+				rt.Errorf("%s has %d members in a fleet of %d", node.Name, len(node.Core.Members()), len(net.Nodes))
 			}
 		}
 	})
 }
 
-// Members that flood one with requests leave the others their answers: no healthy member is suspected, and the rate
-// limit is kept.
+// Guards against a request flood that starves honest members of answers. No healthy member may become suspect, and the
+// rate limit must hold.
 func TestRequestFlood(t *testing.T) {
 	net := newConvergedFleet(t, 12, 8)
 	suspicions := 0
--- a/internal/testbed/gossipsim/network.go
+++ b/internal/testbed/gossipsim/network.go
@@ -1,5 +1,5 @@
-// Package gossipsim simulates a network of gossip.Cores in virtual time, with loss, delay, partitions, pauses, crashes
-// and byzantine members. It is for tests and for the testbed; no scheduler uses it.
+// Package gossipsim simulates a network of gossip.Cores in virtual time. It covers loss, delay, partitions, pauses,
+// crashes and byzantine members. Only tests and the testbed use it.
 package gossipsim
 
 import (
@@ -15,15 +15,15 @@
 const (
 	nodePort     = 7946
 	defaultDelay = 2 * time.Millisecond
-	// maxPending is how many messages wait for a paused node: about as many as the buffer of a socket holds.
+	// maxPending is the maximum number of messages queued for a paused node, about the size of a socket buffer.
 	maxPending = 200
-	// minStepInterval is the minimum time until a step that a node requests.
+	// minStepInterval is the minimum delay before a step that a node requests.
 	minStepInterval = time.Millisecond
-	// networkStream is the stream of random numbers of a Network. It differs from that of a Core with the same seed.
+	// networkStream is the PCG stream of a Network. It must differ from the stream of a Core with the same seed.
 	networkStream = 2
 )
 
-// Node is a member in the network.
+// Node is a member of a simulated network.
 type Node struct {
 	Name      string
 	Addr      netip.AddrPort
@@ -32,38 +32,38 @@
 	Paused    bool
 	Partition int // nodes of different partitions can't reach each other
 
-	Sent  int // messages
-	Bytes int // of the messages that left the node
-	// PeakMessageRate is the largest number of messages that it has sent in any second.
+	Sent  int // messages sent
+	Bytes int // bytes of sent messages that were neither dropped nor lost
+	// PeakMessageRate is the largest number of messages sent in any second.
 	PeakMessageRate int
 
 	sendRate gossip.RateMeter // since the last start
-	pending  []gossip.Event   // received while it is paused
-	wakeAt   time.Duration    // the step that it requested last
+	pending  []gossip.Event   // messages received while the node is paused
+	wakeAt   time.Duration    // time of the last requested step
 }
 
-// Network is a network in virtual time. Its exported settings may be changed between calls of Run.
+// Network is a simulated network in virtual time. Its exported settings may be changed between calls to Run.
 type Network struct {
 	Now   time.Duration
 	Nodes []*Node
 	Loss  float64       // probability that a message is lost
-	Delay time.Duration // mean delay; that of a message is half to one and a half times as long
-	// OnStatement is called for each statement that a node receives, and OnMemberChanged for each change of a member.
-	// Both may be nil.
+	Delay time.Duration // mean delay; the delay of a message is uniform in [0.5, 1.5) times the mean
+	// OnStatement, if not nil, is called for each statement that a node receives. OnMemberChanged, if not nil, is called
+	// for each member change that a node observes.
 	OnStatement     func(receiver *Node, statement gossip.Statement)
 	OnMemberChanged func(observer *Node, member gossip.Member)
-	// Intercept may change a message that a node sends, or drop it by returning false. It may be nil.
+	// Intercept, if not nil, may modify a message that a node sends, or drop it by returning false.
 	Intercept func(sender *Node, message *gossip.Transmit) bool
 
 	rng        *rand.Rand
 	byAddr     map[netip.AddrPort]*Node
 	queue      eventQueue
-	lastSeq    int // of the events pushed to the queue
+	lastSeq    int // sequence number of the last event pushed to the queue
 	coreConfig gossip.Config
 }
 
-// New returns a network of nodes that are all down. The config is that of each Core, whose own name, address, epoch,
-// seeds and random seed are filled in when it starts.
+// New returns a network of nodes that are all down. Each Core uses the given config, with its name, address, epoch, seeds
+// and random seed filled in at start.
 func New(nodes int, seed uint64, config gossip.Config) *Network {
 	network := &Network{
 		Now:        time.Second,
@@ -95,11 +95,11 @@
 	node.Core = gossip.New(config)
 	node.Paused = false
 	node.pending = nil
-	node.sendRate = gossip.RateMeter{} // as the new Core's budgets are
+	node.sendRate = gossip.RateMeter{} // the new Core starts with fresh budgets too
 	n.step(node, nil)
 }
 
-// ConnectAll makes all nodes that are up known to each other, as if they had been together for long.
+// ConnectAll adds all running nodes to each other's member lists, as in a fleet that has converged.
 func (n *Network) ConnectAll() {
 	for _, node := range n.Nodes {
 		if node.Core != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// othersUp returns the records of the nodes that are up besides one.
+// othersUp returns the records of all running nodes except the given one.
 func (n *Network) othersUp(node *Node) []gossip.Record {
 	var records []gossip.Record
 	for _, other := range n.Nodes {
@@ -122,13 +122,13 @@
 	return records
 }
 
-// Kill takes a node down without its leaving the fleet.
+// Kill stops a node without a leave message.
 func (n *Network) Kill(node *Node) { node.Core = nil }
 
-// Pause stops a node. What it receives meanwhile is kept for it.
+// Pause suspends a node. Messages that it receives meanwhile are queued.
 func (n *Network) Pause(node *Node) { node.Paused = true }
 
-// Resume continues a paused node.
+// Resume resumes a paused node and delivers its queued messages.
 func (n *Network) Resume(node *Node) {
 	events := node.pending
 	node.Paused = false
@@ -136,15 +136,15 @@
 	n.step(node, events)
 }
 
-// Deliver steps a node with events.
+// Deliver steps a node with the given events.
 func (n *Network) Deliver(node *Node, events ...gossip.Event) { n.step(node, events) }
 
-// Send sends a message that a node's Core did not return, as a byzantine member would.
+// Send sends a message on behalf of a node, bypassing its Core. It simulates a byzantine member.
 func (n *Network) Send(from *Node, to netip.AddrPort, message *gossip.Message) {
 	n.deliver(from, gossip.Transmit{Addr: to, Message: message})
 }
 
-// Run advances the time and handles the events that are due by then, in order.
+// Run advances the virtual time by d and handles all events that become due, in order.
 func (n *Network) Run(d time.Duration) {
 	end := n.Now + d
 	for len(n.queue) > 0 && n.queue[0].at <= end {
@@ -155,7 +155,7 @@
 	n.Now = end
 }
 
-// handle steps the node of an event. A paused node keeps messages, and its timers are lost.
+// handle steps the node of an event. For a paused node it queues messages and discards timers.
 func (n *Network) handle(next *event) {
 	node := next.node
 	switch {
@@ -172,7 +172,7 @@
 	}
 }
 
-// step steps a node and performs the actions of its Core.
+// step steps a node, performs the actions that its Core returns, and schedules the next step.
 func (n *Network) step(node *Node, events []gossip.Event) {
 	if node.Core == nil || node.Paused {
 		return
@@ -182,7 +182,7 @@
 	}
 	next := node.Core.Next()
 	if next == math.MaxInt64 {
-		return // it has stopped
+		return // the Core has stopped
 	}
 	node.wakeAt = max(next, n.Now+minStepInterval)
 	n.push(&event{at: node.wakeAt, node: node, epoch: node.Epoch})
@@ -206,7 +206,7 @@
 	}
 }
 
-// deliver queues a message for its receiver, unless it is dropped or lost.
+// deliver queues a message for its receiver, unless Intercept drops it or it is lost.
 func (n *Network) deliver(from *Node, transmit gossip.Transmit) {
 	if n.Intercept != nil && !n.Intercept(from, &transmit) {
 		return
@@ -216,7 +216,7 @@
 		return
 	}
 	from.Bytes += transmit.Message.Size()
-	const minDelayFactor = 0.5 // times the mean
+	const minDelayFactor = 0.5 // multiple of the mean
 	delay := time.Duration((minDelayFactor + n.rng.Float64()) * float64(n.Delay))
 	message := *transmit.Message
 	n.push(&event{at: n.Now + delay, node: to, message: &gossip.Received{
--- a/internal/testbed/gossipsim/queue.go
+++ b/internal/testbed/gossipsim/queue.go
@@ -7,12 +7,12 @@
 	"calicohill/internal/fleet/gossip"
 )
 
-// event is a message on its way to a node, or, without a message, the time at which a node requested a step.
+// event is a message in transit to a node or, if message is nil, a step that the node requested.
 type event struct {
 	at      time.Duration
-	seq     int // orders events of the same time
+	seq     int // orders events with the same time
 	node    *Node
-	epoch   int64 // of the node that requested the step
+	epoch   int64 // epoch of the node when it requested the step
 	message *gossip.Received
 }
 
@@ -23,11 +23,11 @@
 }
 
 func (n *Network) pop() *event {
-	first, _ := heap.Pop(&n.queue).(*event) // it holds nothing else
+	first, _ := heap.Pop(&n.queue).(*event) // the queue contains only *event
 	return first
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a min-heap of events, ordered by time.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -41,14 +41,14 @@
 	return q[i].seq < q[j].seq
 }
 
-// Push appends an event; it is for package heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) {
-	if last, ok := x.(*event); ok { // as push gives it nothing else
+	if last, ok := x.(*event); ok { // always true: push passes only *event
 		*q = append(*q, last)
 	}
 }
 
-// Pop removes the last event; it is for package heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
