--- a/internal/testbed/standin/agentprotocol.go
+++ b/internal/testbed/standin/agentprotocol.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// The node agents' protocol, as an agent sees it: it reads commands (ReadAgentCommand) and writes answers (AgentAnswer).
-// Lines and bodies end with CRLF. Worker and the scripted agents of cmd/calicohill's tests use the same functions.
+// This file implements the agent's side of the node agent protocol: an agent reads commands (ReadAgentCommand) and writes
+// answers (AgentAnswer). Lines and bodies end with CRLF. Worker and the scripted agents in the tests of cmd/calicohill
+// share this code.
 
-// maxCommandBody is the longest body of a command that the protocol allows, in bytes.
+// maxCommandBody is the maximum size of a command's body in bytes.
 const maxCommandBody = 16 << 10
 
 const lineEnd = "\r\n"
@@ -21,42 +22,42 @@
 // AgentVerb is the first word of a command.
 type AgentVerb string
 
-// The verbs of the protocol.
+// Verbs of the protocol.
 const (
-	AgentStart  AgentVerb = "go"   // run a request; it alone has fields and a body
-	AgentCancel AgentVerb = "halt" // cancel a request; it has no answer
-	AgentPing   AgentVerb = "ping" // answer whether the agent is up
-	AgentStatus AgentVerb = "stat" // the same, with a load report
+	AgentStart  AgentVerb = "go"   // run a request; the only command with fields and a body
+	AgentCancel AgentVerb = "halt" // cancel a request; not answered
+	AgentPing   AgentVerb = "ping" // health check
+	AgentStatus AgentVerb = "stat" // health check with a load report in the answer
 )
 
-// The fields of AgentStart that the stand-ins read.
+// Fields of AgentStart that the stand-ins read.
 const (
 	fieldClass    = "sort"
 	fieldFunction = "asset"
 	fieldTimeout  = "patience" // in milliseconds
 )
 
-// The words of a line.
+// Numbers of words in a command line.
 const (
-	startWords = 4 // verb, ID, fields and the size of the body
+	startWords = 4 // verb, ID, fields and body size
 	otherWords = 2 // verb and ID
 )
 
-// AgentCommand is a command that a scheduler sent to a node agent.
+// AgentCommand is a command from a scheduler to a node agent.
 type AgentCommand struct {
 	Verb   AgentVerb
-	ID     string            // of the request; a tag for AgentPing and AgentStatus
-	Fields map[string]string // by name; nil except with AgentStart
+	ID     string            // request ID; for AgentPing and AgentStatus, a tag that the answer repeats
+	Fields map[string]string // by name; nil for verbs other than AgentStart
 	Body   string
 }
 
-// Class returns the class of the request that is to be run.
+// Class returns the class of the request.
 func (c AgentCommand) Class() string { return c.Fields[fieldClass] }
 
-// Function returns the function that is to be run.
+// Function returns the name of the function to run.
 func (c AgentCommand) Function() string { return c.Fields[fieldFunction] }
 
-// Timeout returns how long the scheduler waits for the answer; 0 if the command does not say.
+// Timeout returns the scheduler's timeout for the answer, or 0 if the command has none.
 func (c AgentCommand) Timeout() time.Duration {
 	milliseconds, err := strconv.Atoi(c.Fields[fieldTimeout])
 	if err != nil {
@@ -65,11 +66,11 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// ErrMalformedCommand is the error of ReadAgentCommand for bytes that are no command.
-var ErrMalformedCommand = errors.New("not a command of the node agents' protocol")
+// ErrMalformedCommand is returned by ReadAgentCommand for input that violates the protocol.
+var ErrMalformedCommand = errors.New("malformed node agent command")
 
-// ReadAgentCommand reads the next command of a connection with its body. The error is ErrMalformedCommand, or that of
-// reading.
+// ReadAgentCommand reads the next command of a connection, including its body. It returns ErrMalformedCommand for invalid
+// input, and read errors unchanged.
 func ReadAgentCommand(reader *bufio.Reader) (AgentCommand, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -92,7 +93,7 @@
 	return command, err
 }
 
-// takesWords reports whether a line with this verb has that many words. No number is right for an unknown verb.
+// takesWords reports whether the given number of words is valid for the verb. It is false for unknown verbs.
 func (v AgentVerb) takesWords(words int) bool {
 	switch v {
 	case AgentStart:
@@ -114,11 +115,11 @@
 	return fields
 }
 
-// readCommandBody reads the body of a command, whose size the line gave, and the line end after it.
+// readCommandBody reads the body of a command and the CRLF after it. sizeText is the body size from the command line.
 func readCommandBody(reader io.Reader, sizeText string) (string, error) {
 	size, err := strconv.Atoi(sizeText)
 	if err != nil || size < 0 || size > maxCommandBody {
-		return "", fmt.Errorf("%w: body of %q bytes", ErrMalformedCommand, sizeText)
+		return "", fmt.Errorf("%w: invalid body size %q", ErrMalformedCommand, sizeText)
 	}
 	buffer := make([]byte, size+len(lineEnd))
 	if _, err := io.ReadFull(reader, buffer); err != nil {
@@ -134,24 +135,24 @@
 // AnswerStatus is the second word of an answer.
 type AnswerStatus string
 
-// The status words that the stand-ins answer with.
+// Status words that the stand-ins use.
 const (
 	AnswerOK    AnswerStatus = "OK"   // served, with a body
 	AnswerError AnswerStatus = "ERR"  // failed; the function may have run
-	AnswerBusy  AnswerStatus = "BUSY" // rejected: the queue is full, or the agent drains
-	AnswerUp    AnswerStatus = "UP"   // answers AgentPing and AgentStatus
-	AnswerDown  AnswerStatus = "DOWN" // answers these while the agent drains
+	AnswerBusy  AnswerStatus = "BUSY" // rejected: the queue is full or the agent is draining
+	AnswerUp    AnswerStatus = "UP"   // answer to AgentPing and AgentStatus
+	AnswerDown  AnswerStatus = "DOWN" // answer to AgentPing and AgentStatus while the agent is draining
 )
 
 // AgentAnswer is the answer of a node agent to a command.
 type AgentAnswer struct {
-	ID     string // of the command
+	ID     string // ID of the command
 	Status AnswerStatus
 	Fields string // of the form "name=value,name=value"; "" for none
 	Body   string
 }
 
-// String returns the answer as it goes over the connection.
+// String returns the wire format of the answer.
 func (a AgentAnswer) String() string {
 	fields := a.Fields
 	if fields == "" {
--- a/internal/testbed/standin/agentprotocol_test.go
+++ b/internal/testbed/standin/agentprotocol_test.go
@@ -11,7 +11,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// A connection's commands are read one after the other, each with its fields and body.
+// Guards against commands on one connection that are misread, or that lose fields or part of a body with line ends.
 func TestReadAgentCommand(t *testing.T) {
 	t.Parallel()
 	reader := bufio.NewReader(strings.NewReader("go 1 sort=consulta,asset=f,op=a=b 10\r\ntwo\r\nlines\r\nhalt 1\r\nstat p1\r\nping p2\r\n"))
@@ -34,7 +34,7 @@
 	}
 }
 
-// Bytes that are no command give ErrMalformedCommand, and a connection that ends too soon the error of reading.
+// Guards against malformed commands that are accepted, and against a truncated connection reported as a malformed command.
 func TestReadMalformedAgentCommand(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
--- a/internal/testbed/standin/doc.go
+++ b/internal/testbed/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin has stand-ins of what a scheduler speaks to, on loopback: a list service (ListService) and node agents that
-// run functions (Worker), with the faults that they may have. PollQueue and WorkerProfile are what they do without clock and
-// sockets, for simulations in virtual time. The formats of both protocols (AgentCommand, AgentAnswer, EndpointEvent,
-// EndpointFeed, PollRequest) are used by the scripted stand-ins of cmd/calicohill's tests too.
+// Package standin provides stand-ins for the services that a scheduler uses. ListService and Worker (a node agent) run on
+// loopback and can simulate faults. PollQueue and WorkerProfile implement their behavior without clock and sockets, for
+// simulations in virtual time. The scripted stand-ins in the tests of cmd/calicohill use the same protocol code:
+// AgentCommand, AgentAnswer, EndpointEvent, EndpointFeed and PollRequest.
 package standin
--- a/internal/testbed/standin/endpointlist.go
+++ b/internal/testbed/standin/endpointlist.go
@@ -11,22 +11,22 @@
 // EndpointState is the state of a worker in the endpoint list.
 type EndpointState string
 
-// The states that the testbed publishes.
+// Endpoint states that the testbed publishes.
 const (
 	EndpointServing  EndpointState = "SERVING"
 	EndpointDraining EndpointState = "DRAINING"
 	EndpointDeleted  EndpointState = "DELETED"
 )
 
-// Endpoint is a worker as an event of the endpoint list names it.
+// Endpoint is a worker's entry in an endpoint list event.
 type Endpoint struct {
 	ID            string
 	State         EndpointState
 	Address       string
-	StartedMillis int64 // Unix time in milliseconds; 0 for a worker that is warm
+	StartedMillis int64 // start time in Unix milliseconds; 0 for a warm worker
 }
 
-// EndpointEvent returns the JSON of an event of the endpoint list; with all set the endpoints are the whole list.
+// EndpointEvent returns an endpoint list event as JSON. If all is set, the endpoints replace the whole list.
 func EndpointEvent(number int, all bool, endpoints []Endpoint) string {
 	var targets []string
 	for _, endpoint := range endpoints {
@@ -36,18 +36,18 @@
 	return fmt.Sprintf(`{"no":%d,"roster":{"rev":1,"all":%v,"targets":[%s]}}`, number, all, strings.Join(targets, ","))
 }
 
-// EndpointFeed returns the body of a response of the list service: events in their order, and the number of the last.
+// EndpointFeed returns the body of a list service response: the events in order and the number of the last one.
 func EndpointFeed(last int, events []string) string {
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, last, strings.Join(events, ","))
 }
 
-// PollRequest is what a scheduler asks of the list service: the events after one, as soon as there are any.
+// PollRequest is a scheduler's long poll of the list service. It requests the events after a given one.
 type PollRequest struct {
 	After   int           // number of the last event that the scheduler has
-	Timeout time.Duration // after which it is answered without an update
+	Timeout time.Duration // the service responds without an update after this time
 }
 
-// ParsePollRequest returns the poll that an HTTP request makes. Parameters that can't be parsed count as 0.
+// ParsePollRequest parses the poll parameters of an HTTP request. Invalid parameters are treated as 0.
 func ParsePollRequest(request *http.Request) PollRequest {
 	query := request.URL.Query()
 	after, _ := strconv.Atoi(query.Get("after"))
--- a/internal/testbed/standin/listpolls.go
+++ b/internal/testbed/standin/listpolls.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Poll is a poll that a scheduler sent.
+// Poll records a poll from a scheduler.
 type Poll struct {
 	Scheduler  string
 	At         time.Time
-	AnsweredAt time.Time // zero if it never was
+	AnsweredAt time.Time // zero if the poll was not answered
 	After      int       // number of the last event that the scheduler had
 	LastEvent  int       // number of the last event in the response
-	Bytes      int       // of the response's body
+	Bytes      int       // size of the response body
 }
 
-// answer answers the polls that are due. The caller holds the lock.
+// answer answers the polls that are due and schedules the next call. The caller holds the lock.
 func (s *ListService) answer() {
 	now := time.Since(s.startedAt)
 	due, next := s.queue.Due(now)
@@ -52,7 +52,7 @@
 	}
 }
 
-// addPoll adds a poll to the queue.
+// addPoll records a poll, adds it to the queue, and answers the polls that are due.
 func (s *ListService) addPoll(scheduler string, conn net.Conn, poll PollRequest) *PendingPoll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,14 +68,14 @@
 	return pending
 }
 
-// respond answers a poll as the fault has it. The caller holds the lock.
+// respond answers a poll according to the service's fault. The caller holds the lock.
 func (s *ListService) respond(index int, conn net.Conn) {
 	poll := &s.polls[index]
 	poll.AnsweredAt = time.Now()
 	body := s.feedText(poll.Scheduler, poll.After, len(s.events))
 	poll.Bytes = len(body)
 	header := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
-	// A failed write is seen by the connection's reader.
+	// Write errors are ignored: the read loop of the connection detects them.
 	switch {
 	case s.queue.Fault == ListOverloaded:
 		header = "HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
--- a/internal/testbed/standin/listservice.go
+++ b/internal/testbed/standin/listservice.go
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// settledAfter is how long after the list service's last fault an event counts as delivered to all.
+// settledAfter is the time after the last fault of the list service after which an event counts as delivered to all
+// schedulers.
 const settledAfter = 2 * time.Second
 
-// ListService is the stand-in list service on loopback. Each scheduler has a listener of its own to it, an address that
-// no other scheduler is configured with, so that it is known which of them polls.
+// ListService is the stand-in list service on loopback. It has a separate listener for each scheduler, which identifies
+// the scheduler that sends a poll.
 type ListService struct {
-	host string // where it listens, with port 0
+	host string // listen address with port 0
 
 	mu          sync.Mutex
 	queue       PollQueue
-	startedAt   time.Time // before its start: times of the queue count from here
+	startedAt   time.Time // origin of the queue's times, an hour before the actual start
 	answerTimer *time.Timer
 	listeners   map[string]*schedulerListener // by scheduler
 	events      []func(scheduler string) string
 	publishedAt []time.Time // by event
 	polls       []Poll
 	acceptedAt  []time.Time
-	lastFaultAt time.Time // when its fault last changed, or its connections were broken
+	lastFaultAt time.Time // last change of the fault, or last call of BreakConnections
 	closed      bool
 }
 
-// schedulerListener is the address at which one scheduler polls.
+// schedulerListener is the listener for the polls of one scheduler.
 type schedulerListener struct {
 	scheduler   string
 	addr        string
-	listener    net.Listener // nil while the service refuses
+	listener    net.Listener // nil while the service refuses connections
 	connections map[net.Conn]bool
 }
 
-// listServices counts the list services of this process. Each has a host of its own, from which nothing connects and where
-// nobody else listens, so that a listener that was closed finds its port free when it opens again.
+// listServices counts the list services of this process. Each uses its own loopback host, which no other listener uses and
+// no client connects from. A closed listener therefore finds its port free when it listens again.
 var listServices atomic.Uint32
 
 // NewListService starts a list service without events.
@@ -59,7 +60,7 @@
 	return service
 }
 
-// Address returns the address at which a scheduler polls.
+// Address returns the address that a scheduler polls. It opens the listener on the first call.
 func (s *ListService) Address(scheduler string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +75,7 @@
 	return own.addr, nil
 }
 
-// listen opens a scheduler's listener, at the address that it had before if it had one.
+// listen opens a scheduler's listener. It reuses the address of an earlier listener.
 func (s *ListService) listen(own *schedulerListener) error {
 	listener, err := net.Listen("tcp", own.addr)
 	if err != nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// SetFault gives the service a fault, or none; AnswersPerSecond, if not 0, bounds it while ListRateLimited.
+// SetFault sets the service's fault. ListHealthy clears it. A nonzero answersPerSecond sets the rate for ListRateLimited.
 func (s *ListService) SetFault(fault ListFault, answersPerSecond float64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// BreakConnections breaks all connections.
+// BreakConnections closes all connections.
 func (s *ListService) BreakConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +135,7 @@
 	}
 }
 
-// refuse closes the listener and its connections, if they are open.
+// refuse closes the listener and its connections, if open.
 func (l *schedulerListener) refuse() {
 	if l.listener != nil {
 		l.listener.Close()
@@ -151,7 +152,7 @@
 	}
 }
 
-// Publish has the service publish one more event. event returns its JSON, by its number, as the scheduler receives it.
+// Publish publishes an event. The event function returns the JSON that a scheduler receives, given the event's number.
 func (s *ListService) Publish(event func(number int, scheduler string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +163,7 @@
 	s.answer()
 }
 
-// Feed returns the first events as the body of a response to a scheduler; all events if first is negative.
+// Feed returns the body of a response to a scheduler with the first events, or with all events if first is negative.
 func (s *ListService) Feed(scheduler string, first int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +173,7 @@
 	return s.feedText(scheduler, 0, first)
 }
 
-// feedText returns the events after the number after, up to last, as the body of a response. The caller holds the lock.
+// feedText returns the body of a response with the events after the given number, up to last. The caller holds the lock.
 func (s *ListService) feedText(scheduler string, after, last int) string {
 	var items []string
 	for _, event := range s.events[min(after, last):last] {
@@ -181,8 +182,8 @@
 	return EndpointFeed(last, items)
 }
 
-// EffectiveAt returns when an event that was published at a time counts as delivered to all: at once if the service was
-// healthy, settledAfter after the end of its fault if not; the zero time if the fault has not ended.
+// EffectiveAt returns the time at which an event counts as delivered to all schedulers. This is the publication time if
+// the service was healthy, and otherwise settledAfter after the end of the fault. It is zero if the fault has not ended.
 func (s *ListService) EffectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,35 +196,35 @@
 	return publishedAt
 }
 
-// AnswersPerSecond returns the last rate limit on responses; 0 if there never was one.
+// AnswersPerSecond returns the last rate limit on responses, or 0 if none was ever set.
 func (s *ListService) AnswersPerSecond() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.AnswersPerSecond
 }
 
-// Polls returns the polls so far.
+// Polls returns the polls received so far.
 func (s *ListService) Polls() []Poll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Poll(nil), s.polls...)
 }
 
-// AcceptedAt returns when each connection was accepted.
+// AcceptedAt returns the accept time of each connection.
 func (s *ListService) AcceptedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.acceptedAt...)
 }
 
-// PublishedAt returns when each event was published.
+// PublishedAt returns the publication time of each event.
 func (s *ListService) PublishedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.publishedAt...)
 }
 
-// Close ends the service.
+// Close stops listening and closes all connections.
 func (s *ListService) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/standin/listservice_test.go
+++ b/internal/testbed/standin/listservice_test.go
@@ -8,7 +8,8 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// A list service that refused connections opens its address again, whoever was given the port elsewhere meanwhile.
+// Guards against a list service that can't listen on its address again after it refused connections, because another
+// socket of this machine took the same port on another loopback address.
 func TestListServiceReopensAddress(t *testing.T) {
 	service := standin.NewListService()
 	defer service.Close()
@@ -29,7 +30,7 @@
 	for _, taken := range []string{host, "127.0.0.1"} {
 		listener, err := net.Listen("tcp", net.JoinHostPort(taken, port))
 		if err != nil {
-			continue // somebody has it there already, which is the same to this test
+			continue // the port is already in use there, which serves the test as well
 		}
 		defer listener.Close()
 	}
--- a/internal/testbed/standin/pollqueue.go
+++ b/internal/testbed/standin/pollqueue.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	// PollPeriod is the time in which each scheduler of a healthy fleet polls once, by the protocol.
+	// PollPeriod is the protocol's poll interval for each scheduler of a healthy fleet.
 	PollPeriod = 2 * time.Second
-	// MaxPollDuration is how long a poll may last by the protocol: a scheduler that waits polls once in this time.
+	// MaxPollDuration is the protocol's maximum duration of a long poll. A waiting scheduler polls once in this time.
 	MaxPollDuration = 7 * time.Second
 )
 
-// EvenPollsPer100ms returns how many polls come within 100 ms where those of all schedulers are spread out evenly.
+// EvenPollsPer100ms returns the number of polls per 100 ms if the polls of all schedulers are evenly distributed.
 func EvenPollsPer100ms(schedulers int) float64 {
 	const tenthsPerPoll = float64(PollPeriod / (100 * time.Millisecond))
 	return float64(schedulers) / tenthsPerPoll
 }
 
-// ListFault is what is wrong with the stand-in list service.
+// ListFault is a fault of the stand-in list service.
 type ListFault int
 
-// The faults of the list service.
+// List service faults.
 const (
-	ListHealthy      ListFault = iota // none
-	ListRefusing                      // refuses new connections, and closes those that are open
-	ListUnresponsive                  // accepts connections and polls, and answers none
-	ListOverloaded                    // answers 503 with a Retry-After of 2 s
-	ListTruncating                    // closes in the middle of each response that has an update
-	ListRateLimited                   // answers PollQueue.AnswersPerSecond polls a second, in the order of their arrival
+	ListHealthy      ListFault = iota // no fault
+	ListRefusing                      // refuses new connections and closes the open ones
+	ListUnresponsive                  // accepts connections and polls and answers none
+	ListOverloaded                    // responds 503 with a Retry-After of 2 s
+	ListTruncating                    // closes the connection halfway through each response with an update
+	ListRateLimited                   // responds to PollQueue.AnswersPerSecond polls per second, in order of arrival
 )
 
-// PollQueue is the stand-in list service without clock and sockets: which polls are pending and when each is to be
-// answered. ListService uses it on loopback, PollSimulation in virtual time. It is not safe for concurrent use.
+// PollQueue is the core of the stand-in list service, without clock and sockets. It tracks pending polls and decides when
+// each is answered. ListService uses it on loopback, PollSimulation in virtual time. It is not safe for concurrent use.
 type PollQueue struct {
 	Fault            ListFault
-	AnswersPerSecond float64 // while ListRateLimited
-	LastEvent        int     // number of the last event published
+	AnswersPerSecond float64 // rate limit of ListRateLimited
+	LastEvent        int     // number of the last published event
 
-	added      int // polls so far
+	added      int // number of polls added so far
 	pending    map[*PendingPoll]bool
-	nextAnswer time.Duration // when the next response may go while ListRateLimited
+	nextAnswer time.Duration // earliest time of the next response under ListRateLimited
 }
 
-// PendingPoll is a poll that is not answered yet.
+// PendingPoll is a poll that has not been answered yet.
 type PendingPoll struct {
 	After    int           // number of the last event that the scheduler has
-	Deadline time.Duration // until when it may wait for an update
-	Answer   func()        // called by whoever took it from Due
+	Deadline time.Duration // time at which the poll is answered even without an update
+	Answer   func()        // the caller of Due calls it to answer the poll
 
-	sequence int
+	sequence int // order of arrival
 }
 
 // Add adds a poll.
@@ -62,17 +62,17 @@
 	q.pending[poll] = true
 }
 
-// Remove forgets a poll whose connection is gone.
+// Remove removes a poll whose connection is closed.
 func (q *PollQueue) Remove(poll *PendingPoll) { delete(q.pending, poll) }
 
-// RemoveAll forgets every poll.
+// RemoveAll removes all polls.
 func (q *PollQueue) RemoveAll() { clear(q.pending) }
 
-// Len returns how many polls are pending.
+// Len returns the number of pending polls.
 func (q *PollQueue) Len() int { return len(q.pending) }
 
-// Due removes and returns the polls to be answered by now, in the order of their arrival, and when to call it again; 0 if
-// no time is known.
+// Due removes and returns the polls to answer now, in order of arrival. next is the time of the next call, or 0 if none is
+// scheduled.
 func (q *PollQueue) Due(now time.Duration) (due []*PendingPoll, next time.Duration) {
 	if q.Fault == ListUnresponsive {
 		return nil, 0
--- a/internal/testbed/standin/store.go
+++ b/internal/testbed/standin/store.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// storeConcurrency is how many functions the store serves at a time.
+// storeConcurrency is the number of functions that the store serves at a time.
 const storeConcurrency = 12
 
-// Store is the store that all workers load functions from: a few at a time, and none while it is jammed.
+// Store simulates the store from which all workers load functions. It serves storeConcurrency functions at a time, and none
+// while it is stalled.
 type Store struct {
 	mu          sync.Mutex
 	jammedUntil time.Time
@@ -18,14 +19,14 @@
 // NewStore returns a healthy store.
 func NewStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
 
-// Jam makes the store serve nothing for a while.
+// Jam stalls the store for the given duration.
 func (s *Store) Jam(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.jammedUntil = time.Now().Add(duration)
 }
 
-// fetch waits until it is a function's turn, and then as long as it takes to load.
+// fetch waits for a free slot and for the end of a stall, and then for the load time.
 func (s *Store) fetch(loadTime time.Duration) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
--- a/internal/testbed/standin/worker.go
+++ b/internal/testbed/standin/worker.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// WorkerFault is what is wrong with a stand-in worker.
+// WorkerFault is a fault of a stand-in worker.
 type WorkerFault int
 
-// The faults of workers.
+// Worker faults.
 const (
-	WorkerHealthy      WorkerFault = iota // none
+	WorkerHealthy      WorkerFault = iota // no fault
 	WorkerUnresponsive                    // accepts requests and answers none
-	WorkerSlow                            // answers half a second late
-	WorkerFailing                         // answers errors
-	WorkerRefusing                        // closes every connection at once
+	WorkerSlow                            // adds slowWorkerDelay to each answer
+	WorkerFailing                         // answers every request with an error
+	WorkerRefusing                        // closes each new connection immediately
 )
 
-// slowWorkerDelay is by how much a WorkerSlow answers later.
+// slowWorkerDelay is the additional latency of a WorkerSlow.
 const slowWorkerDelay = 500 * time.Millisecond
 
-// Worker is a stand-in node agent. It loads functions, runs a few requests at a time and has faults.
+// Worker is a stand-in node agent. It loads functions, runs a limited number of requests at a time, and simulates faults.
 type Worker struct {
 	ID       string
 	Addr     string
 	profile  WorkerProfile
 	store    *Store
 	listener net.Listener
-	slots    chan struct{} // one for each request at a time
+	slots    chan struct{} // semaphore for concurrent requests
 
 	mu                 sync.Mutex
 	fault              WorkerFault
-	startedAt          time.Time                // zero for one that is warm
-	crashedAt          time.Time                // overloaded while it was warming up; zero if it was not
-	peakLoadFraction   float64                  // the most that it was sent while warming up, as a fraction of what it survives
-	refusedConnections int                      // over MaxConnections
-	loaded             map[string]chan struct{} // closed once the function is loaded
+	startedAt          time.Time                // zero for a warm worker
+	crashedAt          time.Time                // time of a crash by overload while warming up; zero without a crash
+	peakLoadFraction   float64                  // peak load while warming up, as a fraction of MaxRequests
+	refusedConnections int                      // connections refused because of MaxConnections
+	loaded             map[string]chan struct{} // by function; closed once the function is loaded
 	arrivals           []Arrival
 	acceptedAt         []time.Time
 	connections        map[net.Conn]bool
-	draining           bool // rejects requests, and says so when it is asked for its health
+	draining           bool // rejects requests and reports DOWN to health checks
 }
 
-// Arrival is a request as it came to a worker.
+// Arrival is a request that a worker received.
 type Arrival struct {
 	At       time.Time
-	From     string      // the scheduler, as the body names it
-	Fault    WorkerFault // of the worker then
+	From     string      // name of the scheduler, from the request body
+	Fault    WorkerFault // the worker's fault at the time
 	ID       string
 	Class    string
 	Function string
-	Load     bool          // it made the worker load the function
-	Timeout  time.Duration // how long the scheduler would wait, as it said
-	Rejected bool          // the worker drained: the request did not run
+	Load     bool          // the request made the worker load the function
+	Timeout  time.Duration // the scheduler's timeout, from the command
+	Rejected bool          // rejected because the worker was draining
 }
 
-// NewWorker starts a worker on loopback, one that is warming up if startedAt is not zero.
+// NewWorker starts a worker on loopback. A worker with a zero startedAt is warm; otherwise it warms up from that time on.
 func NewWorker(id string, profile WorkerProfile, store *Store, startedAt time.Time) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,12 +92,12 @@
 		go func() {
 			defer w.closeConnection(conn)
 			w.handshake()
-			_ = w.serve(conn) // the scheduler closes connections as it likes
+			_ = w.serve(conn) // fails when the scheduler closes the connection
 		}()
 	}
 }
 
-// admit notes a connection, and reports whether the worker takes it.
+// admit records a connection and reports whether the worker accepts it.
 func (w *Worker) admit(conn net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +111,7 @@
 	return admitted
 }
 
-// handshake occupies a slot for as long as a handshake takes.
+// handshake occupies a slot for HandshakeTime.
 func (w *Worker) handshake() {
 	if w.profile.HandshakeTime > 0 {
 		w.slots <- struct{}{}
@@ -120,7 +120,7 @@
 	}
 }
 
-// closeConnection closes and forgets a connection.
+// closeConnection closes and unregisters a connection.
 func (w *Worker) closeConnection(conn net.Conn) {
 	w.mu.Lock()
 	delete(w.connections, conn)
@@ -135,7 +135,7 @@
 	}
 }
 
-// Close ends the worker.
+// Close stops listening and closes all connections.
 func (w *Worker) Close() {
 	w.listener.Close()
 	w.mu.Lock()
@@ -143,64 +143,64 @@
 	w.closeConnections()
 }
 
-// Set gives the worker a fault, or none.
+// Set sets the worker's fault. WorkerHealthy clears it.
 func (w *Worker) Set(fault WorkerFault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = fault
 }
 
-// Drain has the worker reject requests from now on.
+// Drain makes the worker reject requests from now on.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.draining = true
 }
 
-// isDraining reports whether the worker rejects requests.
+// isDraining reports whether the worker is draining.
 func (w *Worker) isDraining() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.draining
 }
 
-// Fault returns the fault now.
+// Fault returns the current fault.
 func (w *Worker) Fault() WorkerFault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault
 }
 
-// AcceptedAt returns when each connection was accepted.
+// AcceptedAt returns the accept time of each connection.
 func (w *Worker) AcceptedAt() []time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]time.Time(nil), w.acceptedAt...)
 }
 
-// Arrivals returns the requests so far.
+// Arrivals returns the requests received so far.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-// CrashedAt returns when the worker was overloaded while it was warming up; zero if it was not.
+// CrashedAt returns the time at which overload crashed the worker while it was warming up, or zero without a crash.
 func (w *Worker) CrashedAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.crashedAt
 }
 
-// Overload returns how many connections the worker refused, and the most that it was sent while warming up, as a fraction
-// of what it survives.
+// Overload returns the number of refused connections and the peak load while warming up, as a fraction of
+// WorkerProfile.MaxRequests.
 func (w *Worker) Overload() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refusedConnections, w.peakLoadFraction
 }
 
-// Restart restarts the worker: without functions loaded, warming up, its connections closed.
+// Restart simulates a restart: it closes all connections, unloads all functions and restarts the warm-up.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,18 +210,18 @@
 	w.closeConnections()
 }
 
-// StartedMillis returns when the worker started, in Unix milliseconds; 0 for one that is warm.
+// StartedMillis returns the worker's start time in Unix milliseconds, or 0 for a warm worker.
 func (w *Worker) StartedMillis() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return max(w.startedAt.UnixMilli(), 0)
 }
 
-// age returns how long ago the worker started; long ago for one that is warm. The caller holds the lock.
+// age returns the time since the worker started. It exceeds WarmUpTime for a warm worker. The caller holds the lock.
 func (w *Worker) age(now time.Time) time.Duration { return now.Sub(w.startedAt) }
 
-// crashIfOverloaded has the worker crash if it was sent more since its start than it survives while warming up. The
-// caller holds the lock.
+// crashIfOverloaded crashes the worker if the requests since its start within CrashWindow exceed
+// WorkerProfile.MaxRequests. The caller holds the lock.
 func (w *Worker) crashIfOverloaded(now time.Time) {
 	if !w.crashedAt.IsZero() {
 		return
--- a/internal/testbed/standin/workerprofile.go
+++ b/internal/testbed/standin/workerprofile.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// WorkerProfile is what a stand-in worker can do.
+// WorkerProfile describes the capacity of a stand-in worker.
 type WorkerProfile struct {
-	Concurrency    int           // requests at a time
-	ServiceTime    time.Duration // of one request
-	LoadTime       time.Duration // of loading a function where the store is healthy
-	MaxConnections int           // it resets more; 0 means any number
-	HandshakeTime  time.Duration // for which a new connection occupies a slot
+	Concurrency    int           // maximum number of concurrent requests
+	ServiceTime    time.Duration // execution time of a request on a warm worker
+	LoadTime       time.Duration // time to load a function from a healthy store
+	MaxConnections int           // further connections are closed at once; 0 means unlimited
+	HandshakeTime  time.Duration // time for which a new connection occupies a slot
 }
 
-// The names of the profiles.
+// Names of the profiles.
 const (
 	ProfileRoomy = "roomy"
-	ProfileSmall = "small" // few requests at a time, and scarce connections
+	ProfileSmall = "small" // low concurrency and few connections
 )
 
-// WorkerProfiles has the profiles by name.
+// WorkerProfiles maps names to profiles.
 var WorkerProfiles = map[string]WorkerProfile{
 	ProfileRoomy: {
 		Concurrency: 8,
@@ -36,21 +36,22 @@
 	},
 }
 
-// What a worker that is warming up can take, as the settings of the testbed say it.
+// Warm-up model of a worker. The values match the testbed's settings.
 const (
 	WarmUpTime              = 17 * time.Second
-	initialCapacityFraction = 0.25 // of its capacity, when it starts
+	initialCapacityFraction = 0.25 // fraction of the full capacity at start
 	CrashWindow             = 2 * time.Second
-	crashMultiple           = 3 // times what it can serve within CrashWindow make it crash
+	crashMultiple           = 3 // a worker crashes at this multiple of its capacity within CrashWindow
 )
 
-// CapacityFraction returns the fraction of its capacity that a worker of this age has. It grows linearly.
+// CapacityFraction returns the fraction of the full capacity that a worker of the given age has. It grows linearly during
+// the warm-up.
 func CapacityFraction(age time.Duration) float64 {
 	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/WarmUpTime.Seconds())
 }
 
-// MaxRequests returns how many requests within CrashWindow a worker of this age survives: N + 2 sqrt(N) + 2, where N is
-// crashMultiple times what it can serve. One that is warm survives any number.
+// MaxRequests returns the number of requests within CrashWindow that a worker of the given age survives. It is
+// N + 2 sqrt(N) + 2, where N is crashMultiple times the worker's capacity. A warm worker survives any number.
 func (p WorkerProfile) MaxRequests(age time.Duration) float64 {
 	if age >= WarmUpTime {
 		return math.Inf(1)
--- a/internal/testbed/standin/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -12,7 +12,7 @@
 	"calicohill/internal/testbed/wait"
 )
 
-// workerLoadReport is the load report of every worker, as a field of an answer.
+// workerLoadReport is the load report in the answers of every worker, in the form of an answer field.
 const workerLoadReport = "l=util:0.10"
 
 // workerConnection is a scheduler's connection to a worker.
@@ -22,7 +22,7 @@
 	conn    net.Conn
 }
 
-// write writes an answer; a failed write is seen by the reader.
+// write writes an answer. Write errors are ignored: the read loop detects them.
 func (c *workerConnection) write(answer AgentAnswer) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// execute carries out one command. A canceled request is run and answered all the same, as if the command came too late.
+// execute executes a command. A cancellation is ignored, as if it arrived too late: the request runs and is answered.
 func (c *workerConnection) execute(ctx context.Context, command AgentCommand) {
 	switch command.Verb {
 	case AgentStart:
@@ -57,7 +57,7 @@
 	}
 }
 
-// handle runs a request and answers it, as the worker's fault has it.
+// handle runs a request and answers it according to the worker's fault.
 func (c *workerConnection) handle(ctx context.Context, command AgentCommand) {
 	admitted := c.worker.receive(command)
 	if admitted.rejected {
@@ -72,7 +72,7 @@
 		return
 	case WorkerSlow:
 		wait.Sleep(ctx, slowWorkerDelay)
-	case WorkerHealthy, WorkerRefusing: // the latter concerns new connections alone
+	case WorkerHealthy, WorkerRefusing: // WorkerRefusing affects only new connections
 	}
 	if !c.worker.runFunction(ctx, admitted) {
 		return
@@ -82,20 +82,20 @@
 	}
 }
 
-// admittedRequest is what a worker does with a request.
+// admittedRequest is the admission decision for a request, with the parameters for running it.
 type admittedRequest struct {
-	rejected    bool            // the worker drains
-	fault       WorkerFault     // of the worker when the request came
+	rejected    bool            // the worker is draining
+	fault       WorkerFault     // the worker's fault when the request arrived
 	loaded      <-chan struct{} // closed once the function is loaded
 	serviceTime time.Duration
 }
 
-// receive records a request, begins to load its function unless that has begun, and makes the worker crash if it is
+// receive records a request, starts to load its function unless that has started before, and crashes the worker if it is
 // overloaded.
 func (w *Worker) receive(command AgentCommand) admittedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	scheduler, _, _ := strings.Cut(command.Body, " ") // as the load writes it
+	scheduler, _, _ := strings.Cut(command.Body, " ") // the testbed's requests start with the scheduler's name
 	function := command.Function()
 	loaded, known := w.loaded[function]
 	known = known || w.draining
@@ -128,7 +128,7 @@
 	}
 }
 
-// health is the answer to a health check.
+// health returns the answer to a health check.
 func (w *Worker) health() AnswerStatus {
 	if w.isDraining() {
 		return AnswerDown
@@ -136,7 +136,8 @@
 	return AnswerUp
 }
 
-// runFunction waits for the function and a slot and runs the request; false if the connection was closed meanwhile.
+// runFunction waits until the function is loaded and a slot is free, and then runs the request. It returns false if the
+// connection was closed meanwhile.
 func (w *Worker) runFunction(ctx context.Context, request admittedRequest) bool {
 	select {
 	case <-request.loaded:
