--- a/internal/testbed/process/address.go
+++ b/internal/testbed/process/address.go
@@ -8,18 +8,18 @@
 	"sync/atomic"
 )
 
-// fleetCount counts the fleets of this process.
+// fleetCount is the number of fleets created by this process.
 var fleetCount atomic.Uint32
 
-// freeAddress returns a loopback address that nobody listens on. Each fleet has a host of its own: schedulers share their
-// port with the process of a restart, so that two fleets with the same address would serve each other's clients.
+// freeAddress returns an unused loopback address. Each fleet uses its own loopback host: schedulers listen with port
+// sharing to hand over to the next process, so two fleets with the same address would serve each other's clients.
 func (f *Fleet) freeAddress(network string) (string, error) {
 	if f.host == "" {
 		f.host = fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+fleetCount.Add(1)%250)
 	}
 	for {
 		addr, err := unusedAddress(network, f.host)
-		// The system may return a port again that was released a moment ago.
+		// The kernel may reuse a port that was just released.
 		taken := func(in *Instance) bool { return in.Addr == addr || in.Gossip == addr }
 		if err != nil || !slices.ContainsFunc(f.Instances, taken) {
 			return addr, err
@@ -27,7 +27,7 @@
 	}
 }
 
-// unusedAddress returns an address of a host that nobody listens on.
+// unusedAddress returns an address of the given host on which nothing listens.
 func unusedAddress(network, host string) (string, error) {
 	if network == "udp" {
 		socket, err := net.ListenPacket("udp", host)
--- a/internal/testbed/process/files.go
+++ b/internal/testbed/process/files.go
@@ -13,10 +13,10 @@
 	"calicohill/internal/testbed/platform"
 )
 
-// Configure writes the files of an instance: the platform's, its key and the operator's.
+// Configure writes the platform's file, the key file and the operator's file of an instance.
 func (in *Instance) Configure() error {
 	fleet := in.fleet
-	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
+	rank, _ := strconv.Atoi(in.Name[1:]) // names have the form n0, n1, ...
 	listAddress, err := fleet.List.Address(in.Name)
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 	return in.Rewrite(in.Operator(""))
 }
 
-// NewKey gives an instance a key of an authority.
+// NewKey writes a new key file for an instance, with a certificate from the given authority.
 func (in *Instance) NewKey(authority *pki.Authority) error {
 	member, err := authority.Issue(in.Name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
 }
 
-// Operator returns the text of an instance's operator's file, with more lines at the end of its section gossip.
+// Operator returns the text of an operator's file for an instance. more is appended to its gossip section.
 func (in *Instance) Operator(more string) string {
 	text := "log\n  format json\n"
 	if in.fleet.KeepState {
@@ -78,12 +78,12 @@
 	return text + more
 }
 
-// Rewrite replaces the operator's file.
+// Rewrite replaces the contents of the operator's file.
 func (in *Instance) Rewrite(text string) error {
 	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
 }
 
-// Duplicate returns another instance with the name and the files of this one. It does not run yet.
+// Duplicate returns a second instance with the same name and files. It is not started.
 func (in *Instance) Duplicate() *Instance {
 	return &Instance{
 		Name:         in.Name,
@@ -97,7 +97,7 @@
 	}
 }
 
-// Move gives an instance new addresses and files of its own, under the name and the key that it has.
+// Move assigns new addresses to an instance and writes new configuration files. The instance keeps its name and key.
 func (in *Instance) Move() error {
 	var err error
 	if in.Addr, err = in.fleet.freeAddress("tcp"); err != nil {
--- a/internal/testbed/process/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -1,6 +1,6 @@
-// Package process runs fleets of schedulers as real processes on loopback: a Fleet starts Instances, the workers that they
-// share and the list service that names these, and offers load as the web server in front of each scheduler does. Log is what
-// a scheduler wrote.
+// Package process runs fleets of schedulers as real processes on loopback. A Fleet starts the schedulers (Instance), their
+// shared workers and the list service, and sends load as the web server in front of each scheduler does. Log collects a
+// scheduler's log output.
 package process
 
 import (
@@ -20,67 +20,67 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// Fleet runs schedulers as real processes, the workers that they share, and the list service that names these workers.
+// Fleet runs schedulers as real processes, their shared workers, and the list service that lists these workers.
 type Fleet struct {
-	Program           string   // the scheduler
-	Env               []string // environment variables besides the testbed's own
-	Dir               string   // for files; the caller's to remove
+	Program           string   // path of the scheduler's executable
+	Env               []string // environment variables in addition to the testbed's own
+	Dir               string   // directory for files; the caller removes it
 	Instances         []*Instance
 	Workers           []*standin.Worker
 	Authority         *pki.Authority
 	Sharing           bool // schedulers gossip
-	GossipThroughHub  bool // over links that scenarios change
-	LinkedWorkers     bool // each scheduler has a link of its own to each worker
-	KeepState         bool // schedulers keep their list and what they learned over a restart
-	KillAtDeadline    bool // a planned restart is followed by the kill, and fronts use open connections until then
-	ClaimedSchedulers int  // how many schedulers there are by their settings; 0 for as many as there are
+	GossipThroughHub  bool // gossip passes through a hub, whose links scenarios change
+	LinkedWorkers     bool // each scheduler has a separate link to each worker
+	KeepState         bool // schedulers restore a snapshot of the endpoint list and learned state after a restart
+	KillAtDeadline    bool // a planned restart kills the process at its deadline; open connections stay in use until then
+	ClaimedSchedulers int  // minimum fleet size in the schedulers' settings; 0 for the actual size
 
 	List        *standin.ListService
 	KnownEvents KnownEvents
 
-	Profile string // of its workers, by name; "" for roomy
+	Profile string // name of the worker profile; "" for roomy
 	Store   *standin.Store
 
-	host string     // of all its schedulers
-	hub  *fault.Hub // nil where schedulers reach one another without one
+	host string     // loopback host of all schedulers
+	hub  *fault.Hub // nil unless GossipThroughHub
 
-	wakeDelay atomic.Int64 // nanoseconds by which this machine woke goroutines late at the worst so far, where measured
+	wakeDelay atomic.Int64 // maximum wake-up delay of goroutines so far, in nanoseconds; 0 if not measured
 
-	// departures has the workers that drain or were deleted. Prepare and the scenario write it; the checks read it after
-	// the scenario's end.
+	// departures contains the workers published as draining or deleted. Prepare and the scenario write it. The checks read
+	// it after the scenario.
 	departures map[*standin.Worker]Departure
 
 	mu                 sync.Mutex
-	stopErrors         []error // of planned restarts
+	stopErrors         []error // errors of planned restarts
 	links              map[linkKey]*fault.Link
-	partitionCondition fault.LinkCondition // between the schedulers of partitioned and the others
-	partitioned        map[string]bool     // gossip addresses
+	partitionCondition fault.LinkCondition // from partitioned schedulers to the others
+	partitioned        map[string]bool     // gossip addresses of the partitioned schedulers
 }
 
-// KnownEvents says which events of the list service schedulers are configured with.
+// KnownEvents selects the list service events in the schedulers' initial configuration.
 type KnownEvents int
 
-// The events that schedulers may be configured with.
+// Selections of events.
 const (
 	KnownAll   KnownEvents = iota
-	KnownFirst             // the first event alone
+	KnownFirst             // only the first event
 	KnownNone
 )
 
-// Departure is when a worker was published as draining or deleted, and by which event.
+// Departure records the event that first published a worker as draining or deleted.
 type Departure struct {
 	At    time.Time
-	Event int
+	Event int // number of the event
 }
 
-// Departure returns when a worker was published as draining or deleted; false if it was not.
+// Departure returns the departure of a worker, and false if the worker has not departed.
 func (f *Fleet) Departure(worker *standin.Worker) (Departure, bool) {
 	departure, ok := f.departures[worker]
 	return departure, ok
 }
 
-// Prepare starts workers and their list service and writes the files of schedulers, which do not run yet. Where it fails,
-// nothing is left running.
+// Prepare starts the workers and the list service and writes the schedulers' files, without starting the schedulers. If it
+// fails, it stops everything that it started.
 func (f *Fleet) Prepare(instances, workers int) error {
 	if err := f.prepare(instances, workers); err != nil {
 		f.Close()
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// prepare does what Prepare does, but leaves running what it started where it fails.
+// prepare implements Prepare without the cleanup after a failure.
 func (f *Fleet) prepare(instances, workers int) error {
 	f.List = standin.NewListService()
 	f.Store = standin.NewStore()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// createAuthority makes the fleet's certificate authority and writes its certificate.
+// createAuthority creates the fleet's certificate authority and writes its certificate file.
 func (f *Fleet) createAuthority() error {
 	authority, err := pki.NewAuthority("lab", time.Now().Add(-time.Hour), 24*time.Hour)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return os.WriteFile(filepath.Join(f.Dir, "fleet.crt"), pki.EncodeCertificate(authority.Cert), 0o600)
 }
 
-// addInstance adds a scheduler with addresses of its own.
+// addInstance adds a scheduler with new addresses.
 func (f *Fleet) addInstance(name string) error {
 	instance := &Instance{Name: name, fleet: f, Log: &Log{}}
 	var err error
@@ -146,16 +146,16 @@
 	return nil
 }
 
-// StartWorker starts a worker, one that is warming up if startedAt is not zero.
+// StartWorker starts a worker. It is warm if startedAt is zero and otherwise warms up from that time on.
 func (f *Fleet) StartWorker(id string, startedAt time.Time) (*standin.Worker, error) {
 	profile, ok := standin.WorkerProfiles[cmp.Or(f.Profile, standin.ProfileRoomy)]
 	if !ok {
-		return nil, fmt.Errorf("no worker profile %q", f.Profile)
+		return nil, fmt.Errorf("unknown worker profile %q", f.Profile)
 	}
 	return standin.NewWorker(id, profile, f.Store, startedAt)
 }
 
-// NewByzantineMember has a byzantine member join the fleet under a name.
+// NewByzantineMember starts a byzantine member with the given name, which joins the fleet.
 func (f *Fleet) NewByzantineMember(name string) (*fault.ByzantineMember, error) {
 	var seeds []netip.AddrPort
 	for _, instance := range f.Instances[:min(maxSeeds, len(f.Instances))] {
@@ -164,14 +164,15 @@
 	return fault.NewByzantineMember(name, f.Authority, seeds)
 }
 
-// Publish publishes an event with the state of some workers; with all set they are the whole list.
+// Publish publishes an endpoint list event with the given state for the given workers. If all is set, they replace the
+// whole list. Workers that are published as draining or deleted start to drain.
 func (f *Fleet) Publish(all bool, workers []*standin.Worker, state standin.EndpointState) {
 	for _, worker := range workers {
 		if _, leaves := f.departures[worker]; state != standin.EndpointServing && !leaves {
 			f.departures[worker] = Departure{At: time.Now(), Event: len(f.List.PublishedAt()) + 1}
 		}
 	}
-	if state != standin.EndpointServing { // a worker that is deleted takes nothing either
+	if state != standin.EndpointServing { // a deleted worker rejects requests too
 		for _, worker := range workers {
 			worker.Drain()
 		}
@@ -190,7 +191,7 @@
 	})
 }
 
-// knownEvents returns the events that a scheduler is configured with.
+// knownEvents returns the events in a scheduler's initial configuration, as the body of a list service response.
 func (f *Fleet) knownEvents(scheduler string) string {
 	switch f.KnownEvents {
 	case KnownFirst:
@@ -202,7 +203,7 @@
 	}
 }
 
-// ProcessStart returns when the process of a scheduler that ran at a time was started.
+// ProcessStart returns the start time of the scheduler process that was running at the given time.
 func (f *Fleet) ProcessStart(scheduler string, at time.Time) time.Time {
 	for _, instance := range f.Instances {
 		if instance.Name == scheduler {
@@ -212,21 +213,21 @@
 	return time.Time{}
 }
 
-// StopErrors returns what went wrong when instances were stopped as a planned restart does.
+// StopErrors returns the errors of planned restarts so far.
 func (f *Fleet) StopErrors() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.stopErrors)
 }
 
-// noteStopError notes what went wrong when an instance was stopped.
+// noteStopError records an error of a planned restart.
 func (f *Fleet) noteStopError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopErrors = append(f.stopErrors, err)
 }
 
-// Stop ends all schedulers as a planned restart does.
+// Stop shuts down all schedulers gracefully, as a planned restart does.
 func (f *Fleet) Stop() error {
 	errs := make([]error, len(f.Instances))
 	var wg sync.WaitGroup
@@ -237,7 +238,7 @@
 	return errors.Join(errs...)
 }
 
-// Close ends all processes and stand-ins.
+// Close kills all schedulers and stops all stand-ins.
 func (f *Fleet) Close() {
 	for _, instance := range f.Instances {
 		instance.Kill()
@@ -256,8 +257,8 @@
 	}
 }
 
-// CloseAndRemove ends the fleet and removes its directory.
+// CloseAndRemove closes the fleet and removes its directory.
 func (f *Fleet) CloseAndRemove() {
 	f.Close()
-	_ = os.RemoveAll(f.Dir) // what can't be removed is left for the system to clean
+	_ = os.RemoveAll(f.Dir) // best effort
 }
--- a/internal/testbed/process/fleet_internal_test.go
+++ b/internal/testbed/process/fleet_internal_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Each scheduler of a fleet has ports of its own, also where the system hands out a released one again.
+// Guards against two schedulers of a fleet with the same address, which happens when the kernel reuses a released port.
 func TestFreePorts(t *testing.T) {
 	fleet := &Fleet{}
 	seen := map[string]bool{}
@@ -14,7 +14,7 @@
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Fatalf("%s twice", addr)
+			t.Fatalf("address %s was returned twice", addr)
 		}
 		seen[addr] = true
 		fleet.Instances = append(fleet.Instances, &Instance{Gossip: addr})
--- a/internal/testbed/process/front.go
+++ b/internal/testbed/process/front.go
@@ -13,63 +13,62 @@
 )
 
 const (
-	// closeRaceWindow is how long after it was sent a failed request may have met the close of its idle connection. It
-	// grows with the machine's wake delay, and is also the tolerance for counting a request as interrupted.
+	// closeRaceWindow is the maximum time between sending a request and its failure for which the failure may be a race
+	// with the close of the idle connection. The machine's wake-up delay extends it. It is also the tolerance for counting
+	// a request as interrupted.
 	closeRaceWindow = 50 * time.Millisecond
-	// answerTimeout is how long after the request's own time has run out a response is waited for, before the request
-	// counts as lost.
+	// answerTimeout is the time after the request's deadline after which a request without a response counts as lost.
 	answerTimeout = 8 * time.Second
-	// disruptionWindow is how long after a disruption a request that fails on a used connection is not sent again.
+	// disruptionWindow is the time after a disruption in which a failed request on a reused connection is not resent.
 	disruptionWindow = time.Second
-	// healthCheckInterval is the pause between two health checks of a scheduler that does not serve yet.
+	// healthCheckInterval is the interval between health checks of a scheduler that is not serving yet.
 	healthCheckInterval = 20 * time.Millisecond
 )
 
-// front sends requests to one instance as the web server in front of it does, over as many connections as it needs.
+// front sends requests to one instance as the web server in front of it does. It opens connections as needed.
 type front struct {
 	fleet    *Fleet
 	instance *Instance
-	ended    func(reply fastcgi.Reply, err error, took time.Duration) // called once a request, on any goroutine
+	ended    func(reply fastcgi.Reply, err error, took time.Duration) // called once per request, from any goroutine
 
-	wg          sync.WaitGroup // of requests in flight
+	wg          sync.WaitGroup // requests in flight
 	mu          sync.Mutex
 	idle        []*fastcgi.Client
-	incarnation int32 // of the process that the idle connections lead to
+	incarnation int32 // instance incarnation to which the idle connections belong
 }
 
-// newFront returns the front of an instance. ended is called at the end of each request.
+// newFront returns a front for an instance. It calls ended at the end of each request.
 func newFront(fleet *Fleet, instance *Instance, ended func(fastcgi.Reply, error, time.Duration)) *front {
 	return &front{fleet: fleet, instance: instance, ended: ended}
 }
 
-// send sends a request, and returns at once.
+// send starts a request and returns immediately.
 func (f *front) send(ctx context.Context, request fastcgi.Request) {
 	if f.instance.outOfRotation.Load() {
 		f.ended(fastcgi.Reply{}, workload.ErrNotAccepted, 0)
 		return
 	}
 	f.wg.Go(func() {
-		// Requests that are in flight when the load ends are still answered.
+		// The end of the load must not cancel requests in flight.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), request.Budget+answerTimeout)
 		defer cancel()
 		f.exchange(ctx, request)
 	})
 }
 
-// close waits for the requests in flight and closes the connections.
+// close waits for the requests in flight and closes all connections.
 func (f *front) close() {
 	f.wg.Wait()
 	closeAll(f.idle)
 }
 
-// closeAll closes connections.
 func closeAll(clients []*fastcgi.Client) {
 	for _, client := range clients {
-		_ = client.Close() // nothing is left to do about an error
+		_ = client.Close() // best effort
 	}
 }
 
-// takeIdle returns an idle connection to the process that runs now, or nil.
+// takeIdle returns an idle connection to the running process, or nil. It closes those to earlier processes.
 func (f *front) takeIdle() *fastcgi.Client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,14 +86,15 @@
 	return client
 }
 
-// putIdle keeps a connection for the next request.
+// putIdle returns a connection to the idle list.
 func (f *front) putIdle(client *fastcgi.Client) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.idle = append(f.idle, client)
 }
 
-// exchange sends a request and waits for the response.
+// exchange sends a request and waits for the response. It resends the request once, on a new connection, if the failure
+// may be a race with the close of an idle connection.
 func (f *front) exchange(ctx context.Context, request fastcgi.Request) {
 	client := f.takeIdle()
 	reused := client != nil
@@ -108,7 +108,7 @@
 	sentAt := time.Now()
 	reply, err := client.Do(ctx, request)
 	if err != nil && reused && f.closedMeanwhile(sentAt) {
-		_ = client.Close() // the scheduler closed it at that moment: the request is sent again, once, on a new connection
+		_ = client.Close() // best effort
 		if client, err = f.dial(ctx); err != nil {
 			f.ended(fastcgi.Reply{}, err, 0)
 			return
@@ -117,13 +117,13 @@
 	}
 	f.ended(reply, err, time.Since(sentAt))
 	if err != nil {
-		_ = client.Close() // it failed already
+		_ = client.Close() // the connection has already failed
 		return
 	}
 	f.putIdle(client)
 }
 
-// dial opens a connection to the instance. An error is ErrNotAccepted.
+// dial opens a connection to the instance. Its errors wrap ErrNotAccepted.
 func (f *front) dial(ctx context.Context) (*fastcgi.Client, error) {
 	if f.instance.connectionsClosed.Load() {
 		return nil, workload.ErrNotAccepted
@@ -135,26 +135,26 @@
 	return client, nil
 }
 
-// closedMeanwhile reports whether a request on a reused connection failed so soon that the scheduler may have closed the
-// idle connection at that moment, which says nothing of the request.
+// closedMeanwhile reports whether the failure of a request on a reused connection may be a race with the scheduler closing
+// the idle connection. Such a failure is not a failure of the request.
 func (f *front) closedMeanwhile(sentAt time.Time) bool {
 	window := closeRaceWindow + 2*time.Duration(f.fleet.wakeDelay.Load())
 	return time.Since(sentAt) < window && !f.instance.disruptedSince(sentAt.Add(-disruptionWindow))
 }
 
-// Wait waits until all instances serve.
+// Wait waits until all instances are healthy.
 func (f *Fleet) Wait(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for _, instance := range f.Instances {
 		if err := instance.waitHealthy(ctx); err != nil {
-			return fmt.Errorf("scheduler %s does not come up: %w\n%s", instance.Name, err, instance.Log)
+			return fmt.Errorf("scheduler %s did not become healthy: %w\n%s", instance.Name, err, instance.Log)
 		}
 	}
 	return nil
 }
 
-// waitHealthy waits until an instance answers the health check that a front makes before it takes it into rotation.
+// waitHealthy waits until an instance passes a health check, which a web server requires before it sends requests.
 func (in *Instance) waitHealthy(ctx context.Context) error {
 	for {
 		err := in.checkHealth(ctx)
@@ -167,16 +167,16 @@
 	}
 }
 
-// errUnhealthy is the error of a health check that was answered, but not with success.
+// errUnhealthy is returned for a health check with an unsuccessful response.
 var errUnhealthy = errors.New("unhealthy")
 
-// checkHealth makes one health check.
+// checkHealth performs a single health check.
 func (in *Instance) checkHealth(ctx context.Context) error {
 	client, err := fastcgi.Dial(ctx, in.Addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = client.Close() }() // nothing is left to do about an error
+	defer func() { _ = client.Close() }() // best effort
 	reply, err := client.Do(ctx, fastcgi.Request{Path: "/health", Budget: time.Second})
 	if err != nil {
 		return err
--- a/internal/testbed/process/instance.go
+++ b/internal/testbed/process/instance.go
@@ -13,62 +13,64 @@
 )
 
 const (
-	// frontDrainDelay is how long after SIGTERM the front still sends.
+	// frontDrainDelay is the time after SIGTERM for which the web server continues to send requests.
 	frontDrainDelay = 200 * time.Millisecond
-	// killDelay is how long after SIGTERM the platform kills a scheduler at the soonest: its longest deadline, counted as
-	// 3 s at most, and 0.7 s.
+	// killDelay is the minimum time between SIGTERM and the platform's SIGKILL: the scheduler's longest deadline, capped at
+	// 3 s, plus 0.7 s.
 	killDelay = 3700 * time.Millisecond
-	// stopTimeout is how long a scheduler may take for a graceful shutdown.
+	// stopTimeout is the maximum duration of a graceful shutdown.
 	stopTimeout = 20 * time.Second
-	// maxSeeds is how many instances are seeds, through which the others join.
+	// maxSeeds is the maximum number of instances that serve as seeds.
 	maxSeeds = 3
 )
 
-// Instance is one scheduler of a Fleet: its files, and a process while it runs.
+// Instance is a scheduler of a Fleet. It has configuration files and, while it runs, a process.
 type Instance struct {
 	Name   string
-	Addr   string // for the front
-	Gossip string // for the other schedulers
-	Key    string // file with its key and certificate
+	Addr   string // address for requests
+	Gossip string // address for gossip
+	Key    string // path of the file with its key and certificate
 	Log    *Log   // empty before the first start
 
 	fleet        *Fleet
-	configPath   string // the platform's file
-	operatorPath string // the operator's file
+	configPath   string // platform's file
+	operatorPath string // operator's file
 
-	outOfRotation atomic.Bool // the front sends it nothing
-	// connectionsClosed has the front open no connection to it, and use those that are open.
+	outOfRotation atomic.Bool // the front sends no requests
+	// connectionsClosed makes the front open no new connections. It still uses the open ones.
 	connectionsClosed atomic.Bool
-	disruptedAt       atomic.Int64 // Unix nanoseconds of when it was last killed or continued; the maximum while it is stopped
-	incarnation       atomic.Int32 // counts its starts
+	// disruptedAt is the time of the last SIGKILL or SIGCONT in Unix nanoseconds. It is MaxInt64 while the process is
+	// suspended by SIGSTOP.
+	disruptedAt atomic.Int64
+	incarnation atomic.Int32 // number of starts
 
 	mu        sync.Mutex
 	latest    *process    // nil before the first start
-	running   bool        // the latest process was started, and neither Stop nor Kill has seen its end
-	startedAt []time.Time // of each process
+	running   bool        // the latest process was started, and neither Stop nor Kill has observed its exit
+	startedAt []time.Time // start time of each process
 }
 
-// process is a process of a scheduler.
+// process is an operating system process of a scheduler.
 type process struct {
 	cmd    *exec.Cmd
-	exited chan struct{} // closed once the process has ended
-	err    error         // how it ended; set before exited is closed
+	exited chan struct{} // closed when the process has exited
+	err    error         // result of Wait; set before exited is closed
 }
 
-// wait waits until the process has ended.
+// wait waits until the process has exited.
 func (p *process) wait() {
 	p.err = p.cmd.Wait()
 	close(p.exited)
 }
 
-// Start starts the scheduler's process, which serves once waitHealthy says so.
+// Start starts the scheduler's process. It does not wait until the scheduler is healthy.
 func (in *Instance) Start() error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.start()
 }
 
-// StartIfStopped starts the scheduler unless it runs.
+// StartIfStopped starts the scheduler unless it is running.
 func (in *Instance) StartIfStopped() error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -78,10 +80,10 @@
 	return in.start()
 }
 
-// start is Start for a caller that holds the lock.
+// start implements Start. The caller holds the lock.
 func (in *Instance) start() error {
 	if in.fleet.KillAtDeadline {
-		// The platform writes the configuration at each start, with the events so far.
+		// Like the platform, write the configuration with the current events before each start.
 		if err := in.Configure(); err != nil {
 			return err
 		}
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// runningProcess returns the process that runs, or nil.
+// runningProcess returns the running process, or nil.
 func (in *Instance) runningProcess() *process {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -118,14 +120,14 @@
 	return in.latest
 }
 
-// latestProcess returns the process that was started last; nil before the first start.
+// latestProcess returns the most recently started process, or nil before the first start.
 func (in *Instance) latestProcess() *process {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.latest
 }
 
-// noteEnd notes that a process has ended.
+// noteEnd records the exit of a process.
 func (in *Instance) noteEnd(ended *process) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// lastStartBefore returns when the process that ran at a time had been started; the zero time if none ran before.
+// lastStartBefore returns the time of the last start before the given time, or zero if there was none.
 func (in *Instance) lastStartBefore(at time.Time) time.Time {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -147,22 +149,22 @@
 	return last
 }
 
-// Signal sends a signal to a scheduler that has been started.
+// Signal sends a signal to the latest process. The scheduler must have been started.
 func (in *Instance) Signal(signal syscall.Signal) error {
 	switch signal {
 	case syscall.SIGSTOP:
 		in.disruptedAt.Store(math.MaxInt64)
 	case syscall.SIGCONT:
 		in.disruptedAt.Store(time.Now().UnixNano())
-	default: // Stop and Kill note what their signals do
+	default: // Stop and Kill record the disruption by their signals themselves
 	}
 	return in.latestProcess().cmd.Process.Signal(signal)
 }
 
-// Serves reports whether the scheduler runs and has served since its start.
+// Serves reports whether the scheduler is running and the front sends it requests.
 func (in *Instance) Serves() bool { return in.runningProcess() != nil && !in.outOfRotation.Load() }
 
-// EndedByItself reports whether the scheduler ended though nobody had it end.
+// EndedByItself reports whether the process exited without a call of Stop or Kill.
 func (in *Instance) EndedByItself() bool {
 	running := in.runningProcess()
 	if running == nil {
@@ -176,13 +178,13 @@
 	}
 }
 
-// disruptedSince reports whether the process was killed or stopped after a time.
+// disruptedSince reports whether the process was killed or suspended at or after the given time.
 func (in *Instance) disruptedSince(at time.Time) bool { return in.disruptedAt.Load() >= at.UnixNano() }
 
-// Pid returns the ID of the latest process of a scheduler that has been started.
+// Pid returns the ID of the latest process. The scheduler must have been started.
 func (in *Instance) Pid() int { return in.latestProcess().cmd.Process.Pid }
 
-// Kill ends a scheduler with SIGKILL.
+// Kill kills the running process with SIGKILL and waits for its exit.
 func (in *Instance) Kill() {
 	running := in.runningProcess()
 	if running == nil {
@@ -190,13 +192,13 @@
 	}
 	in.outOfRotation.Store(true)
 	in.disruptedAt.Store(time.Now().UnixNano())
-	_ = running.cmd.Process.Kill() // it may have ended
+	_ = running.cmd.Process.Kill() // may already have exited
 	<-running.exited
 	in.noteEnd(running)
 }
 
-// Stop ends a scheduler as a planned restart does. An error says that it did not end, or not with success; the fleet notes
-// it, unless the process was stopped by SIGSTOP meanwhile.
+// Stop shuts down a scheduler gracefully, as a planned restart does. It returns an error if the process does not exit in
+// time or exits with a failure. The fleet records the error unless the process was disrupted meanwhile.
 func (in *Instance) Stop() error {
 	running := in.runningProcess()
 	if running == nil {
@@ -210,7 +212,7 @@
 	return err
 }
 
-// stop ends the running process as a planned restart does.
+// stop shuts down the running process gracefully and kills it after a timeout.
 func (in *Instance) stop(running *process) error {
 	if err := in.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("scheduler %s: %w", in.Name, err)
@@ -226,7 +228,8 @@
 		}
 		in.outOfRotation.Store(true)
 		if time.Duration(in.fleet.wakeDelay.Load()) > frontDrainDelay {
-			in.disruptedAt.Store(time.Now().UnixNano()) // what the front sent in time may have come after the end
+			// Requests that the front sent in time may have arrived after the exit.
+			in.disruptedAt.Store(time.Now().UnixNano())
 		}
 	})
 	select {
@@ -234,13 +237,14 @@
 		in.outOfRotation.Store(true)
 		in.noteEnd(running)
 		if running.err != nil {
-			return fmt.Errorf("scheduler %s ended with %w", in.Name, running.err)
+			return fmt.Errorf("scheduler %s failed: %w", in.Name, running.err)
 		}
 		return nil
 	case <-time.After(timeout):
+		// The kill after a timeout does not count as a disruption.
 		disrupted := in.disruptedAt.Load()
 		in.Kill()
 		in.disruptedAt.Store(max(disrupted, 0))
-		return fmt.Errorf("scheduler %s does not end", in.Name)
+		return fmt.Errorf("scheduler %s did not exit after SIGTERM", in.Name)
 	}
 }
--- a/internal/testbed/process/instance_internal_test.go
+++ b/internal/testbed/process/instance_internal_test.go
@@ -12,7 +12,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// newStandInScheduler returns an instance whose program is a shell script. It does not run yet.
+// newStandInScheduler returns an instance whose program is the given shell script. It is not started.
 func newStandInScheduler(t *testing.T, script string) *Instance {
 	t.Helper()
 	fleet := &Fleet{Program: filepath.Join(t.TempDir(), "scheduler")}
@@ -25,8 +25,8 @@
 	return fleet.Instances[0]
 }
 
-// A scheduler that is killed while it shuts down ends for both callers, and can be started again. Guards against a fault:
-// one of the callers took the process's exit from the other, which waited for it.
+// Guards against a deadlock when Kill is called during Stop. If one caller consumes the exit of the process, the other
+// waits forever. Both must return, and the scheduler must be able to start again.
 func TestKillDuringStop(t *testing.T) {
 	t.Parallel()
 	const ready, terminating = "handles SIGTERM", "got SIGTERM"
@@ -47,10 +47,10 @@
 		pid := instance.Pid()
 		ended := make(chan string, 2)
 		go func() {
-			_ = instance.Stop() // an error if it was killed first
+			_ = instance.Stop() // fails if Kill is first
 			ended <- "Stop"
 		}()
-		waitForLog(terminating, round+1) // Stop waits now
+		waitForLog(terminating, round+1) // Stop is now waiting
 		go func() {
 			instance.Kill()
 			ended <- "Kill"
@@ -59,19 +59,20 @@
 			select {
 			case <-ended:
 			case <-time.After(stopTimeout / 2):
-				t.Fatal("Stop and Kill do not both return")
+				t.Fatal("Stop or Kill did not return")
 			}
 		}
 		if err := syscall.Kill(pid, 0); err == nil {
-			t.Errorf("process %d runs after Kill", pid)
+			t.Errorf("process %d still runs after Kill", pid)
 		}
 		if started := instance.lastStartBefore(time.Now()); started.IsZero() {
-			t.Error("no start is known after one")
+			t.Error("no start time recorded")
 		}
 	}
 }
 
-// The endpoint list names a worker's latest start, also while the worker restarts.
+// Guards against a stale start time in the endpoint list after a worker restarts, and against a data race between the
+// restart and the list.
 func TestListNamesLatestStart(t *testing.T) {
 	t.Parallel()
 	worker, err := standin.NewWorker("w00", standin.WorkerProfiles[standin.ProfileRoomy], standin.NewStore(), time.Time{})
@@ -93,18 +94,18 @@
 	}
 	<-restarted
 	if listed := fleet.List.Feed("n0", -1); listed == warm {
-		t.Errorf("after the restart the list is still %s", listed)
+		t.Errorf("endpoint list unchanged after the restart: %s", listed)
 	}
 }
 
-// An instance that was never started has an empty log. Guards against a fault: on a machine so busy that a scenario ended
-// before it had started its schedulers, counting their log lines panicked, and the processes of other scenarios ran on.
+// Guards against a panic when log lines of an instance are counted before its first start. This happened on a busy machine
+// when a scenario ended before its schedulers were started, and left processes of other scenarios running.
 func TestLogBeforeStart(t *testing.T) {
 	t.Parallel()
 	instance := newStandInScheduler(t, "exit 0")
 	for _, one := range []*Instance{instance, instance.Duplicate()} {
 		if got := one.Count(LogSchedulerStarted); got != 0 || one.Log.String() != "" {
-			t.Errorf("%d starts in the log %q, want none", got, one.Log.String())
+			t.Errorf("%d start messages in log %q, want an empty log", got, one.Log.String())
 		}
 	}
 }
--- a/internal/testbed/process/links.go
+++ b/internal/testbed/process/links.go
@@ -7,13 +7,13 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// linkKey names a link from a scheduler to a worker.
+// linkKey identifies a link from a scheduler to a worker.
 type linkKey struct {
 	scheduler string
 	worker    string
 }
 
-// openHub opens the hub, if the fleet has one.
+// openHub opens the hub if GossipThroughHub is set.
 func (f *Fleet) openHub() error {
 	if !f.GossipThroughHub {
 		return nil
@@ -27,7 +27,7 @@
 	return err
 }
 
-// gossipCondition returns the condition of the link from one scheduler to another, by their gossip addresses.
+// gossipCondition returns the condition of the link between two schedulers, given their gossip addresses.
 func (f *Fleet) gossipCondition(from, to string) fault.LinkCondition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,13 +35,14 @@
 		return fault.LinkCondition{}
 	}
 	condition := f.partitionCondition
-	if f.partitioned[to] { // the condition is that from partitioned schedulers to the others
+	if f.partitioned[to] { // partitionCondition applies from partitioned schedulers to the others
 		condition.CutForward, condition.CutBackward = condition.CutBackward, condition.CutForward
 	}
 	return condition
 }
 
-// workerAddress returns the address at which a scheduler reaches a worker: that of a link of its own if the fleet has links.
+// workerAddress returns the address of a worker for a scheduler. If LinkedWorkers is set, it is the address of the
+// scheduler's link to the worker, which is opened if necessary.
 func (f *Fleet) workerAddress(scheduler string, worker *standin.Worker) string {
 	if !f.LinkedWorkers {
 		return worker.Addr
@@ -54,13 +55,13 @@
 	}
 	link, err := fault.NewLink(worker.Addr)
 	if err != nil {
-		return worker.Addr // out of descriptors; a scenario that changes the link fails
+		return worker.Addr // out of file descriptors; OpenLink reports the missing link
 	}
 	f.links[key] = link
 	return link.Addr
 }
 
-// OpenLink returns the link of a scheduler to a worker, which it opens unless it is open.
+// OpenLink returns the link from a scheduler to a worker. It opens the link if necessary.
 func (f *Fleet) OpenLink(scheduler string, worker *standin.Worker) (*fault.Link, error) {
 	f.workerAddress(scheduler, worker)
 	link := f.LinkTo(scheduler, worker.ID)
@@ -70,8 +71,8 @@
 	return link, nil
 }
 
-// Partition gives the links between these schedulers and the others a condition, in place of an earlier partition. It reports
-// whether the fleet has a hub, without which there are no such links.
+// Partition applies a condition to the links between the given schedulers and the others. It replaces an earlier partition.
+// It returns false if the fleet has no hub.
 func (f *Fleet) Partition(instances []*Instance, condition fault.LinkCondition) bool {
 	if f.hub == nil {
 		return false
@@ -86,7 +87,7 @@
 	return true
 }
 
-// LinkTo returns the link of a scheduler to a worker; nil without.
+// LinkTo returns the link from a scheduler to a worker, or nil if it is not open.
 func (f *Fleet) LinkTo(scheduler, worker string) *fault.Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Log collects what the processes of a scheduler write, one after the other.
+// Log collects the output of a scheduler's successive processes.
 type Log struct {
 	mu          sync.Mutex
 	text        bytes.Buffer
-	latestStart int           // where the latest process began to write, in bytes
-	written     chan struct{} // closed at the next write; nil while nobody waits
+	latestStart int           // byte offset of the latest process's output
+	written     chan struct{} // closed at the next write; nil without waiters
 }
 
 // Write implements io.Writer.
@@ -28,7 +28,7 @@
 	return l.text.Write(text)
 }
 
-// WaitFor waits until the text so far fulfills a condition. The error is that of the context, if it ends first.
+// WaitFor waits until the text so far satisfies a condition. It returns the context's error if the context ends first.
 func (l *Log) WaitFor(ctx context.Context, fulfilled func(text string) bool) error {
 	for {
 		text, written := l.snapshot()
@@ -43,7 +43,7 @@
 	}
 }
 
-// snapshot returns the text so far, and a channel that is closed at the next write.
+// snapshot returns the text so far and a channel that is closed at the next write.
 func (l *Log) snapshot() (text string, written <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,27 +60,27 @@
 	return l.text.String()
 }
 
-// startProcess notes that another process writes from now on.
+// startProcess marks the start of a new process's output.
 func (l *Log) startProcess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latestStart = l.text.Len()
 }
 
-// Line is a line of a scheduler's log, by its fields.
+// Line is a line of a scheduler's log. It maps field names to values.
 type Line map[string]any
 
-// Lines returns the lines so far that are JSON.
+// Lines returns the JSON lines so far.
 func (l *Log) Lines() []Line { return parseLog(l.String()) }
 
-// Latest returns those lines that the latest process wrote.
+// Latest returns the JSON lines of the latest process.
 func (l *Log) Latest() []Line {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return parseLog(l.text.String()[l.latestStart:])
 }
 
-// parseLog parses lines of JSON.
+// parseLog parses the JSON lines of a log and skips other lines.
 func parseLog(log string) []Line {
 	var lines []Line
 	for text := range strings.SplitSeq(log, "\n") {
@@ -92,19 +92,19 @@
 	return lines
 }
 
-// Text returns a field as text; empty without it.
+// Text returns a string field, or "" if it is missing.
 func (l Line) Text(name string) string {
 	text, _ := l[name].(string)
 	return text
 }
 
-// Number returns a field as a number; 0 without it.
+// Number returns a numeric field, or 0 if it is missing.
 func (l Line) Number(name string) float64 {
 	number, _ := l[name].(float64)
 	return number
 }
 
-// Time returns when the line was written; the zero time where it doesn't say.
+// Time returns the line's timestamp, or the zero time if it is missing.
 func (l Line) Time() time.Time {
 	at, _ := time.Parse("2006-01-02T15:04:05.000Z07:00", l.Text("time"))
 	return at
--- a/internal/testbed/process/members.go
+++ b/internal/testbed/process/members.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Messages of a scheduler's log that the testbed looks for.
+// Log messages of the scheduler that the testbed evaluates.
 const (
 	LogSchedulerStarted = "scheduler started"
 	LogPeerAlive        = "peer alive"
@@ -21,15 +21,15 @@
 )
 
 const (
-	// StartTimeout is how long the schedulers of a fleet may take until all serve.
+	// StartTimeout is the maximum time until all schedulers of a fleet are healthy.
 	StartTimeout = 20 * time.Second
-	// JoinTimeout is how long they may take until all know one another.
+	// JoinTimeout is the maximum time until all schedulers of a fleet have discovered each other.
 	JoinTimeout = 30 * time.Second
 
 	joinCheckInterval = 50 * time.Millisecond
 )
 
-// Peers returns the members that the latest process of an instance holds alive or suspect, by its log.
+// Peers returns the members that are alive or suspect according to the log of the instance's latest process.
 func (in *Instance) Peers() map[string]bool {
 	peers := map[string]bool{}
 	for _, line := range in.Log.Latest() {
@@ -43,7 +43,7 @@
 	return peers
 }
 
-// Count counts the lines of a message in the log of an instance.
+// Count returns the number of lines with the given message in the instance's log.
 func (in *Instance) Count(message string) int {
 	count := 0
 	for _, line := range in.Log.Lines() {
@@ -54,20 +54,20 @@
 	return count
 }
 
-// Joined waits until each instance holds members-1 others alive or suspect.
+// Joined waits until each instance lists members-1 others as alive or suspect.
 func (f *Fleet) Joined(ctx context.Context, members int, within time.Duration) error {
 	for end := time.Now().Add(within); ; {
 		missing := ""
 		for _, instance := range f.Instances {
 			if known := len(instance.Peers()); known < members-1 {
-				missing = fmt.Sprintf("%s knows %d of %d others", instance.Name, known, members-1)
+				missing = fmt.Sprintf("%s has %d of %d peers", instance.Name, known, members-1)
 			}
 		}
 		if missing == "" {
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("the members do not find one another: %s\n%s", missing, f.Instances[0].Log)
+			return fmt.Errorf("fleet did not converge: %s\n%s", missing, f.Instances[0].Log)
 		}
 		time.Sleep(joinCheckInterval)
 	}
--- a/internal/testbed/process/offer.go
+++ b/internal/testbed/process/offer.go
@@ -12,7 +12,7 @@
 	"calicohill/internal/testbed/workload"
 )
 
-// Offer offers load to the instances until the context ends, and counts what became of it.
+// Offer sends load to the instances until the context ends and returns the counts of the results.
 func (f *Fleet) Offer(ctx context.Context, load workload.Load) workload.Result {
 	total := 0.0
 	for i := range f.Instances {
@@ -40,12 +40,12 @@
 	return result
 }
 
-// instanceClients is the clients that send their requests to one instance.
+// instanceClients simulates the clients of one instance.
 type instanceClients struct {
 	load     workload.Load
 	instance *Instance
-	index    int     // the instance's
-	rate     float64 // requests a second
+	index    int     // index of the instance
+	rate     float64 // requests per second
 }
 
 // run sends requests until the context ends.
@@ -53,7 +53,7 @@
 	rng := rand.New(rand.NewPCG(c.load.Seed, uint64(c.index)))
 	zipf := workload.NewFunctionDistribution(rng, c.load.Functions)
 	start := time.Now()
-	due := 0.0 // seconds from the start
+	due := 0.0 // time of the next request, in seconds since the start
 	for {
 		due += rng.ExpFloat64() / c.rate
 		if !wait.Sleep(ctx, time.Until(start.Add(time.Duration(due*float64(time.Second))))) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// request draws a request.
+// request generates a random request.
 func (c instanceClients) request(rng *rand.Rand, zipf *rand.Zipf) fastcgi.Request {
 	const idBits = 48
 	class := workload.Classes[workload.PickClass(rng.Float64())].Name
--- a/internal/testbed/process/program.go
+++ b/internal/testbed/process/program.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 )
 
-// SchedulerBeside returns the path of the scheduler beside the running program.
+// SchedulerBeside returns the path of the scheduler's executable in the directory of the running program.
 func SchedulerBeside() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/testbed/process/usage.go
+++ b/internal/testbed/process/usage.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// clockTick is the unit of processor times in /proc.
+// clockTick is the unit of CPU times in /proc.
 const clockTick = 10 * time.Millisecond
 
-// CPU returns the processor time that a scheduler has used; 0 where the system doesn't say.
+// CPU returns the CPU time used by a scheduler, or 0 if it can't be read.
 func (in *Instance) CPU() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", in.Pid()))
 	if err != nil {
 		return 0
 	}
 	const (
-		userTime   = 11 // fields of proc(5), counted after the program's name
+		userTime   = 11 // field indexes after the program name; see proc(5)
 		systemTime = 12
 	)
 	_, afterName, _ := strings.Cut(string(text), ") ")
@@ -31,7 +31,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Memory returns the resident memory of a scheduler in kB; 0 where the system doesn't say.
+// Memory returns the resident set size of a scheduler in kB, or 0 if it can't be read.
 func (in *Instance) Memory() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", in.Pid()))
 	if err != nil {
--- a/internal/testbed/process/wakedelay.go
+++ b/internal/testbed/process/wakedelay.go
@@ -7,8 +7,8 @@
 	"calicohill/internal/testbed/wait"
 )
 
-// MeasureWakeDelay measures by how much this machine wakes sleeping goroutines late, until the context ends. Schedulers are
-// woken as late.
+// MeasureWakeDelay measures the maximum wake-up delay of sleeping goroutines on this machine until the context ends.
+// Schedulers experience similar delays.
 func (f *Fleet) MeasureWakeDelay(ctx context.Context) <-chan time.Duration {
 	const interval = 5 * time.Millisecond
 	measured := make(chan time.Duration, 1)
