--- a/internal/testbed/fault/byzantine.go
+++ b/internal/testbed/fault/byzantine.go
@@ -21,8 +21,8 @@
 	accusationInterval = 300 * time.Millisecond // minimum time between two statements with accusations
 )
 
-// ByzantineMember is a fleet member that reports faults of healthy workers. It has a valid key and answers probes like an
-// honest member. Its gossip core runs on one goroutine, which Close stops.
+// ByzantineMember is a fleet member that reports faults of healthy workers. It has a valid key and answers probes like
+// an honest member. Its gossip core runs on one goroutine, which Close stops.
 type ByzantineMember struct {
 	socket    *net.UDPConn
 	guard     *gossip.Guard
@@ -37,8 +37,8 @@
 	sequence  uint64                   // sequence number of the last statement; owned by the run goroutine
 }
 
-// NewByzantineMember starts a byzantine member with the given name. The authority issues its certificate, and it joins the
-// fleet through the given seeds.
+// NewByzantineMember starts a byzantine member with the given name. The authority issues its certificate, and it joins
+// the fleet through the given seeds.
 func NewByzantineMember(name string, authority *pki.Authority, seeds []netip.AddrPort) (*ByzantineMember, error) {
 	identity, err := authority.Issue(name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
@@ -112,7 +112,7 @@
 			}
 			events = m.open(datagram)
 		case <-tick.C:
-			events = m.lie()
+			events = m.broadcastAccusations()
 		case <-m.quit:
 			return
 		}
@@ -153,18 +153,19 @@
 	}}
 }
 
-// lie broadcasts a statement with false accusations if accusationInterval has passed since the last one.
-func (m *ByzantineMember) lie() []gossip.Event {
+// broadcastAccusations broadcasts a statement with false accusations if accusationInterval has passed since the last
+// one.
+func (m *ByzantineMember) broadcastAccusations() []gossip.Event {
 	accused := m.accused.Load()
 	if accused == nil || time.Since(m.accusedAt) <= accusationInterval {
 		return nil
 	}
 	m.accusedAt = time.Now()
-	var lies []faultreport.Report
+	var reports []faultreport.Report
 	for _, worker := range (*accused)[:min(len(*accused), faultreport.MaxReports)] {
-		lies = append(lies, faultreport.Report{Worker: worker, Fault: routing.Unresponsive, FirstSeenAgo: 3000, Attempts: 5})
+		reports = append(reports, faultreport.Report{Worker: worker, Fault: routing.Unresponsive, FirstSeenAgo: 3000, Attempts: 5})
 	}
-	body, err := faultreport.Encode(lies)
+	body, err := faultreport.Encode(reports)
 	if err != nil {
 		return nil
 	}
--- a/internal/testbed/fault/condition.go
+++ b/internal/testbed/fault/condition.go
@@ -17,11 +17,11 @@
 	Hang           bool          // accepts new connections and forwards no data
 }
 
-// stopsForward reports whether traffic to the target is stopped.
-func (c LinkCondition) stopsForward() bool { return c.CutForward || c.Hang }
+// blocksForward reports whether traffic to the target is stopped.
+func (c LinkCondition) blocksForward() bool { return c.CutForward || c.Hang }
 
-// stopsBackward reports whether traffic from the target is stopped.
-func (c LinkCondition) stopsBackward() bool { return c.CutBackward || c.Hang }
+// blocksBackward reports whether traffic from the target is stopped.
+func (c LinkCondition) blocksBackward() bool { return c.CutBackward || c.Hang }
 
 // delay returns the transit time of the given number of bytes.
 func (c LinkCondition) delay(bytes int) time.Duration {
--- a/internal/testbed/fault/hub.go
+++ b/internal/testbed/fault/hub.go
@@ -15,7 +15,8 @@
 	condition func(from, to string) LinkCondition
 }
 
-// NewHub opens a hub for members at the given addresses. condition returns the condition of the link between two members.
+// NewHub opens a hub for members at the given addresses. condition returns the condition of the link between two
+// members.
 func NewHub(members []string, condition func(from, to string) LinkCondition) (*Hub, error) {
 	hub := &Hub{sockets: map[string]*net.UDPConn{}, condition: condition}
 	for _, member := range members {
--- a/internal/testbed/fault/link.go
+++ b/internal/testbed/fault/link.go
@@ -18,9 +18,9 @@
 var linkListenAddress = net.TCPAddrFromAddrPort(netip.MustParseAddrPort("127.0.1.1:0"))
 
 const (
-	linkBacklog       = 1024 // listen backlog while the link is not cut
-	maxBacklogFillers = 8    // maximum connections to fill the backlog of 0 while the link is cut
-	backlogFullAfter  = 200 * time.Millisecond
+	linkBacklog        = 1024 // listen backlog while the link is not cut
+	maxBacklogFillers  = 8    // maximum connections to fill the backlog of 0 while the link is cut
+	backlogDialTimeout = 200 * time.Millisecond
 )
 
 // Link is a TCP proxy on loopback that applies a LinkCondition to the connections it forwards.
@@ -76,8 +76,8 @@
 	defer l.mu.Unlock()
 	earliest := arrivedAt
 	for _, segment := range l.delayed {
-		since := arrivedAt.Sub(segment.arrivedAt)
-		if since >= 0 && since < 5*minRecordedDelay && segment.sentAt.Before(earliest) {
+		elapsed := arrivedAt.Sub(segment.arrivedAt)
+		if elapsed >= 0 && elapsed < 5*minRecordedDelay && segment.sentAt.Before(earliest) {
 			earliest = segment.sentAt
 		}
 	}
@@ -121,7 +121,7 @@
 
 // addBacklogFiller adds a connection to the listen backlog and reports whether there was space for it.
 func (l *Link) addBacklogFiller() bool {
-	conn, err := net.DialTimeout("tcp", l.Addr, backlogFullAfter)
+	conn, err := net.DialTimeout("tcp", l.Addr, backlogDialTimeout)
 	if err != nil {
 		return false
 	}
@@ -207,11 +207,11 @@
 	const directions = 2
 	ended := make(chan bool, directions)
 	go func() {
-		l.forward(conn, target, LinkCondition.stopsForward)
+		l.forward(conn, target, LinkCondition.blocksForward)
 		ended <- true
 	}()
 	go func() {
-		l.forward(target, conn, LinkCondition.stopsBackward)
+		l.forward(target, conn, LinkCondition.blocksBackward)
 		ended <- true
 	}()
 	<-ended
@@ -238,7 +238,7 @@
 }
 
 // forward copies data in order, subject to the link's condition, until either end closes.
-func (l *Link) forward(from, target net.Conn, stopped func(LinkCondition) bool) {
+func (l *Link) forward(from, target net.Conn, blocked func(LinkCondition) bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		size, err := from.Read(buffer)
@@ -247,7 +247,7 @@
 		}
 		readAt := time.Now()
 		condition, changed := l.current()
-		for stopped(condition) {
+		for blocked(condition) {
 			<-changed
 			condition, changed = l.current()
 		}
--- a/internal/testbed/fault/link_test.go
+++ b/internal/testbed/fault/link_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Guards against a hub that ignores its conditions, or that forwards datagrams from another address than the sender's hub
-// address.
+// Guards against a hub that ignores its conditions, or that forwards datagrams from another address than the sender's
+// hub address.
 func TestHub(t *testing.T) {
 	sender := listenUDP(t)
 	receiver := listenUDP(t)
--- a/internal/testbed/gossipsim/gossip_test.go
+++ b/internal/testbed/gossipsim/gossip_test.go
@@ -29,7 +29,8 @@
 	return net
 }
 
-// firstDisagreement describes the first running node that has a wrong state for another node. It returns "" if all agree.
+// firstDisagreement describes the first running node that has a wrong state for another node. It returns "" if all
+// agree.
 func firstDisagreement(net *gossipsim.Network) string {
 	for _, observer := range net.Nodes {
 		if observer.Core == nil {
@@ -50,8 +51,8 @@
 	return ""
 }
 
-// isCorrect reports whether an observer has the right state for a node. A running node must be alive. A stopped node must
-// be unknown or out of the fleet.
+// isCorrect reports whether an observer has the right state for a node. A running node must be alive. A stopped node
+// must be unknown or out of the fleet.
 func isCorrect(subject *gossipsim.Node, state gossip.State, known bool) bool {
 	if subject.Core != nil {
 		return known && state == gossip.Alive
--- a/internal/testbed/gossipsim/network.go
+++ b/internal/testbed/gossipsim/network.go
@@ -37,9 +37,9 @@
 	// PeakMessageRate is the largest number of messages sent in any second.
 	PeakMessageRate int
 
-	sendRate gossip.RateMeter // since the last start
-	pending  []gossip.Event   // messages received while the node is paused
-	wakeAt   time.Duration    // time of the last requested step
+	sendRate   gossip.RateMeter // since the last start
+	pending    []gossip.Event   // messages received while the node is paused
+	nextStepAt time.Duration    // time of the last requested step
 }
 
 // Network is a simulated network in virtual time. Its exported settings may be changed between calls to Run.
@@ -48,8 +48,8 @@
 	Nodes []*Node
 	Loss  float64       // probability that a message is lost
 	Delay time.Duration // mean delay; the delay of a message is uniform in [0.5, 1.5) times the mean
-	// OnStatement, if not nil, is called for each statement that a node receives. OnMemberChanged, if not nil, is called
-	// for each member change that a node observes.
+	// OnStatement, if not nil, is called for each statement that a node receives. OnMemberChanged, if not nil, is
+	// called for each member change that a node observes.
 	OnStatement     func(receiver *Node, statement gossip.Statement)
 	OnMemberChanged func(observer *Node, member gossip.Member)
 	// Intercept, if not nil, may modify a message that a node sends, or drop it by returning false.
@@ -62,8 +62,8 @@
 	coreConfig gossip.Config
 }
 
-// New returns a network of nodes that are all down. Each Core uses the given config, with its name, address, epoch, seeds
-// and random seed filled in at start.
+// New returns a network of nodes that are all down. Each Core uses the given config, with its name, address, epoch,
+// seeds and random seed filled in at start.
 func New(nodes int, seed uint64, config gossip.Config) *Network {
 	network := &Network{
 		Now:        time.Second,
@@ -103,13 +103,13 @@
 func (n *Network) ConnectAll() {
 	for _, node := range n.Nodes {
 		if node.Core != nil {
-			node.Core.AddKnownMembers(n.Now, n.othersUp(node))
+			node.Core.AddKnownMembers(n.Now, n.runningPeers(node))
 		}
 	}
 }
 
-// othersUp returns the records of all running nodes except the given one.
-func (n *Network) othersUp(node *Node) []gossip.Record {
+// runningPeers returns the records of all running nodes except the given one.
+func (n *Network) runningPeers(node *Node) []gossip.Record {
 	var records []gossip.Record
 	for _, other := range n.Nodes {
 		if other == node || other.Core == nil {
@@ -161,7 +161,7 @@
 	switch {
 	case node.Core == nil:
 	case next.message == nil:
-		current := next.epoch == node.Epoch && next.at == node.wakeAt
+		current := next.epoch == node.Epoch && next.at == node.nextStepAt
 		if current && !node.Paused {
 			n.step(node, nil)
 		}
@@ -184,8 +184,8 @@
 	if next == math.MaxInt64 {
 		return // the Core has stopped
 	}
-	node.wakeAt = max(next, n.Now+minStepInterval)
-	n.push(&event{at: node.wakeAt, node: node, epoch: node.Epoch})
+	node.nextStepAt = max(next, n.Now+minStepInterval)
+	n.push(&event{at: node.nextStepAt, node: node, epoch: node.Epoch})
 }
 
 func (n *Network) perform(node *Node, action gossip.Action) {
--- a/internal/testbed/process/files.go
+++ b/internal/testbed/process/files.go
@@ -58,7 +58,7 @@
 }
 
 // Operator returns the text of an operator's file for an instance. more is appended to its gossip section.
-func (in *Instance) Operator(more string) string {
+func (in *Instance) Operator(extraLines string) string {
 	text := "log\n  format json\n"
 	if in.fleet.KeepState {
 		text += "state\n  snapshot " + in.operatorPath + ".list\n  fleet lab\n"
@@ -67,15 +67,15 @@
 		return text
 	}
 	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.Gossip, in.Key)
-	reachedAt := func(gossip string) string { return gossip }
+	gossipAddr := func(gossip string) string { return gossip }
 	if hub := in.fleet.hub; hub != nil {
-		reachedAt = hub.Addr
+		gossipAddr = hub.Addr
 		text += "  advertise " + hub.Addr(in.Gossip) + "\n"
 	}
 	for _, seed := range in.fleet.Instances[:min(maxSeeds, len(in.fleet.Instances))] {
-		text += "  seed " + reachedAt(seed.Gossip) + "\n"
+		text += "  seed " + gossipAddr(seed.Gossip) + "\n"
 	}
-	return text + more
+	return text + extraLines
 }
 
 // Rewrite replaces the contents of the operator's file.
--- a/internal/testbed/process/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -1,6 +1,6 @@
-// Package process runs fleets of schedulers as real processes on loopback. A Fleet starts the schedulers (Instance), their
-// shared workers and the list service, and sends load as the web server in front of each scheduler does. Log collects a
-// scheduler's log output.
+// Package process runs fleets of schedulers as real processes on loopback. A Fleet starts the schedulers (Instance),
+// their shared workers and the list service, and sends load as the web server in front of each scheduler does. Log
+// collects a scheduler's log output.
 package process
 
 import (
@@ -32,7 +32,7 @@
 	GossipThroughHub  bool // gossip passes through a hub, whose links scenarios change
 	LinkedWorkers     bool // each scheduler has a separate link to each worker
 	KeepState         bool // schedulers restore a snapshot of the endpoint list and learned state after a restart
-	KillAtDeadline    bool // a planned restart kills the process at its deadline; open connections stay in use until then
+	KillAtDeadline    bool // planned restarts kill the process at a deadline; open connections are used until then
 	ClaimedSchedulers int  // minimum fleet size in the schedulers' settings; 0 for the actual size
 
 	List        *standin.ListService
@@ -46,8 +46,8 @@
 
 	wakeDelay atomic.Int64 // maximum wake-up delay of goroutines so far, in nanoseconds; 0 if not measured
 
-	// departures contains the workers published as draining or deleted. Prepare and the scenario write it. The checks read
-	// it after the scenario.
+	// departures contains the workers published as draining or deleted. Prepare and the scenario write it. The checks
+	// read it after the scenario.
 	departures map[*standin.Worker]Departure
 
 	mu                 sync.Mutex
@@ -79,8 +79,8 @@
 	return departure, ok
 }
 
-// Prepare starts the workers and the list service and writes the schedulers' files, without starting the schedulers. If it
-// fails, it stops everything that it started.
+// Prepare starts the workers and the list service and writes the schedulers' files, without starting the schedulers. If
+// it fails, it stops everything that it started.
 func (f *Fleet) Prepare(instances, workers int) error {
 	if err := f.prepare(instances, workers); err != nil {
 		f.Close()
@@ -168,7 +168,7 @@
 // whole list. Workers that are published as draining or deleted start to drain.
 func (f *Fleet) Publish(all bool, workers []*standin.Worker, state standin.EndpointState) {
 	for _, worker := range workers {
-		if _, leaves := f.departures[worker]; state != standin.EndpointServing && !leaves {
+		if _, departed := f.departures[worker]; state != standin.EndpointServing && !departed {
 			f.departures[worker] = Departure{At: time.Now(), Event: len(f.List.PublishedAt()) + 1}
 		}
 	}
@@ -220,8 +220,8 @@
 	return slices.Clone(f.stopErrors)
 }
 
-// noteStopError records an error of a planned restart.
-func (f *Fleet) noteStopError(err error) {
+// recordStopError records an error of a planned restart.
+func (f *Fleet) recordStopError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopErrors = append(f.stopErrors, err)
--- a/internal/testbed/process/instance.go
+++ b/internal/testbed/process/instance.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// frontDrainDelay is the time after SIGTERM for which the web server continues to send requests.
-	frontDrainDelay = 200 * time.Millisecond
-	// killDelay is the minimum time between SIGTERM and the platform's SIGKILL: the scheduler's longest deadline, capped at
-	// 3 s, plus 0.7 s.
+	// drainDelay is the time after SIGTERM for which the web server continues to send requests.
+	drainDelay = 200 * time.Millisecond
+	// killDelay is the minimum time between SIGTERM and the platform's SIGKILL: the scheduler's longest deadline,
+	// capped at 3 s, plus 0.7 s.
 	killDelay = 3700 * time.Millisecond
 	// stopTimeout is the maximum duration of a graceful shutdown.
 	stopTimeout = 20 * time.Second
@@ -36,9 +36,9 @@
 	configPath   string // platform's file
 	operatorPath string // operator's file
 
-	outOfRotation atomic.Bool // the front sends no requests
-	// connectionsClosed makes the front open no new connections. It still uses the open ones.
-	connectionsClosed atomic.Bool
+	outOfRotation atomic.Bool // the web server sends no requests
+	// noNewConnections makes the web server open no new connections. It still uses the open ones.
+	noNewConnections atomic.Bool
 	// disruptedAt is the time of the last SIGKILL or SIGCONT in Unix nanoseconds. It is MaxInt64 while the process is
 	// suspended by SIGSTOP.
 	disruptedAt atomic.Int64
@@ -100,7 +100,7 @@
 	in.incarnation.Add(1)
 	go func() {
 		if in.waitHealthy(context.Background()) == nil {
-			in.connectionsClosed.Store(false)
+			in.noNewConnections.Store(false)
 			in.outOfRotation.Store(false)
 		}
 	}()
@@ -127,11 +127,11 @@
 	return in.latest
 }
 
-// noteEnd records the exit of a process.
-func (in *Instance) noteEnd(ended *process) {
+// recordExit records the exit of a process.
+func (in *Instance) recordExit(exited *process) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.latest == ended {
+	if in.latest == exited {
 		in.running = false
 	}
 }
@@ -161,7 +161,7 @@
 	return in.latestProcess().cmd.Process.Signal(signal)
 }
 
-// Serves reports whether the scheduler is running and the front sends it requests.
+// Serves reports whether the scheduler is running and receives requests.
 func (in *Instance) Serves() bool { return in.runningProcess() != nil && !in.outOfRotation.Load() }
 
 // EndedByItself reports whether the process exited without a call of Stop or Kill.
@@ -194,20 +194,20 @@
 	in.disruptedAt.Store(time.Now().UnixNano())
 	_ = running.cmd.Process.Kill() // may already have exited
 	<-running.exited
-	in.noteEnd(running)
+	in.recordExit(running)
 }
 
-// Stop shuts down a scheduler gracefully, as a planned restart does. It returns an error if the process does not exit in
-// time or exits with a failure. The fleet records the error unless the process was disrupted meanwhile.
+// Stop shuts down a scheduler gracefully, as a planned restart does. It returns an error if the process does not exit
+// in time or exits with a failure. The fleet records the error unless the process was disrupted meanwhile.
 func (in *Instance) Stop() error {
 	running := in.runningProcess()
 	if running == nil {
 		return nil
 	}
-	began := time.Now()
+	stopStart := time.Now()
 	err := in.stop(running)
-	if err != nil && !in.disruptedSince(began) {
-		in.fleet.noteStopError(err)
+	if err != nil && !in.disruptedSince(stopStart) {
+		in.fleet.recordStopError(err)
 	}
 	return err
 }
@@ -221,21 +221,21 @@
 	if in.fleet.KillAtDeadline {
 		timeout = killDelay + 2*time.Duration(in.fleet.wakeDelay.Load())
 	}
-	time.AfterFunc(frontDrainDelay, func() {
+	time.AfterFunc(drainDelay, func() {
 		if in.fleet.KillAtDeadline {
-			in.connectionsClosed.Store(true)
+			in.noNewConnections.Store(true)
 			return
 		}
 		in.outOfRotation.Store(true)
-		if time.Duration(in.fleet.wakeDelay.Load()) > frontDrainDelay {
-			// Requests that the front sent in time may have arrived after the exit.
+		if time.Duration(in.fleet.wakeDelay.Load()) > drainDelay {
+			// Requests that the web server sent in time may have arrived after the exit.
 			in.disruptedAt.Store(time.Now().UnixNano())
 		}
 	})
 	select {
 	case <-running.exited:
 		in.outOfRotation.Store(true)
-		in.noteEnd(running)
+		in.recordExit(running)
 		if running.err != nil {
 			return fmt.Errorf("scheduler %s failed: %w", in.Name, running.err)
 		}
--- a/internal/testbed/process/instance_internal_test.go
+++ b/internal/testbed/process/instance_internal_test.go
@@ -98,14 +98,14 @@
 	}
 }
 
-// Guards against a panic when log lines of an instance are counted before its first start. This happened on a busy machine
-// when a scenario ended before its schedulers were started, and left processes of other scenarios running.
+// Guards against a panic when log lines of an instance are counted before its first start. This happened on a busy
+// machine when a scenario ended before its schedulers were started, and left processes of other scenarios running.
 func TestLogBeforeStart(t *testing.T) {
 	t.Parallel()
 	instance := newStandInScheduler(t, "exit 0")
-	for _, one := range []*Instance{instance, instance.Duplicate()} {
-		if got := one.Count(LogSchedulerStarted); got != 0 || one.Log.String() != "" {
-			t.Errorf("%d start messages in log %q, want an empty log", got, one.Log.String())
+	for _, in := range []*Instance{instance, instance.Duplicate()} {
+		if got := in.Count(LogSchedulerStarted); got != 0 || in.Log.String() != "" {
+			t.Errorf("%d start messages in log %q, want an empty log", got, in.Log.String())
 		}
 	}
 }
--- a/internal/testbed/process/links.go
+++ b/internal/testbed/process/links.go
@@ -71,8 +71,8 @@
 	return link, nil
 }
 
-// Partition applies a condition to the links between the given schedulers and the others. It replaces an earlier partition.
-// It returns false if the fleet has no hub.
+// Partition applies a condition to the links between the given schedulers and the others. It replaces an earlier
+// partition. It returns false if the fleet has no hub.
 func (f *Fleet) Partition(instances []*Instance, condition fault.LinkCondition) bool {
 	if f.hub == nil {
 		return false
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -11,32 +11,32 @@
 
 // Log collects the output of a scheduler's successive processes.
 type Log struct {
-	mu          sync.Mutex
-	text        bytes.Buffer
-	latestStart int           // byte offset of the latest process's output
-	written     chan struct{} // closed at the next write; nil without waiters
+	mu           sync.Mutex
+	text         bytes.Buffer
+	latestOffset int           // byte offset of the latest process's output
+	nextWrite    chan struct{} // closed at the next write; nil without waiters
 }
 
 // Write implements io.Writer.
 func (l *Log) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written != nil {
-		close(l.written)
-		l.written = nil
+	if l.nextWrite != nil {
+		close(l.nextWrite)
+		l.nextWrite = nil
 	}
 	return l.text.Write(text)
 }
 
 // WaitFor waits until the text so far satisfies a condition. It returns the context's error if the context ends first.
-func (l *Log) WaitFor(ctx context.Context, fulfilled func(text string) bool) error {
+func (l *Log) WaitFor(ctx context.Context, satisfied func(text string) bool) error {
 	for {
-		text, written := l.snapshot()
-		if fulfilled(text) {
+		text, nextWrite := l.snapshot()
+		if satisfied(text) {
 			return nil
 		}
 		select {
-		case <-written:
+		case <-nextWrite:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -44,13 +44,13 @@
 }
 
 // snapshot returns the text so far and a channel that is closed at the next write.
-func (l *Log) snapshot() (text string, written <-chan struct{}) {
+func (l *Log) snapshot() (text string, nextWrite <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written == nil {
-		l.written = make(chan struct{})
+	if l.nextWrite == nil {
+		l.nextWrite = make(chan struct{})
 	}
-	return l.text.String(), l.written
+	return l.text.String(), l.nextWrite
 }
 
 // String returns the text so far.
@@ -64,7 +64,7 @@
 func (l *Log) startProcess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.latestStart = l.text.Len()
+	l.latestOffset = l.text.Len()
 }
 
 // Line is a line of a scheduler's log. It maps field names to values.
@@ -77,7 +77,7 @@
 func (l *Log) Latest() []Line {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return parseLog(l.text.String()[l.latestStart:])
+	return parseLog(l.text.String()[l.latestOffset:])
 }
 
 // parseLog parses the JSON lines of a log and skips other lines.
--- a/internal/testbed/process/offer.go
+++ b/internal/testbed/process/offer.go
@@ -22,7 +22,7 @@
 	var result workload.Result
 	var clientsRunning sync.WaitGroup
 	for i, instance := range f.Instances {
-		front := newFront(f, instance, func(reply fastcgi.Reply, err error, took time.Duration) {
+		server := newWebServer(f, instance, func(reply fastcgi.Reply, err error, took time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			result.Count(reply, err, took, instance.disruptedSince(time.Now().Add(-took-closeRaceWindow)))
@@ -32,8 +32,8 @@
 			if instance.waitHealthy(ctx) != nil {
 				return
 			}
-			defer front.close()
-			clients.run(ctx, front)
+			defer server.close()
+			clients.run(ctx, server)
 		})
 	}
 	clientsRunning.Wait()
@@ -49,9 +49,9 @@
 }
 
 // run sends requests until the context ends.
-func (c instanceClients) run(ctx context.Context, front *front) {
+func (c instanceClients) run(ctx context.Context, server *webServer) {
 	rng := rand.New(rand.NewPCG(c.load.Seed, uint64(c.index)))
-	zipf := workload.NewFunctionDistribution(rng, c.load.Functions)
+	functions := workload.NewFunctionDistribution(rng, c.load.Functions)
 	start := time.Now()
 	due := 0.0 // time of the next request, in seconds since the start
 	for {
@@ -59,18 +59,18 @@
 		if !wait.Sleep(ctx, time.Until(start.Add(time.Duration(due*float64(time.Second))))) {
 			return
 		}
-		front.send(ctx, c.request(rng, zipf))
+		server.send(ctx, c.request(rng, functions))
 	}
 }
 
 // request generates a random request.
-func (c instanceClients) request(rng *rand.Rand, zipf *rand.Zipf) fastcgi.Request {
+func (c instanceClients) request(rng *rand.Rand, functions *rand.Zipf) fastcgi.Request {
 	const idBits = 48
 	class := workload.Classes[workload.PickClass(rng.Float64())].Name
 	request := fastcgi.Request{
 		Path:           "/rpc/" + class,
 		ID:             fmt.Sprintf("%04x%012x", c.index, rng.Uint64()&(1<<idBits-1)),
-		Function:       workload.FunctionName(zipf),
+		Function:       workload.FunctionName(functions),
 		IdempotencyKey: fmt.Sprintf("%04x%016x", c.index, rng.Uint64()),
 		Budget:         workload.RequestTimeout,
 		Spec:           "memory_mb:512;lanes:4",
--- a/internal/testbed/process/wakedelay.go
+++ b/internal/testbed/process/wakedelay.go
@@ -11,14 +11,14 @@
 // Schedulers experience similar delays.
 func (f *Fleet) MeasureWakeDelay(ctx context.Context) <-chan time.Duration {
 	const interval = 5 * time.Millisecond
-	measured := make(chan time.Duration, 1)
+	result := make(chan time.Duration, 1)
 	go func() {
-		worst := time.Duration(0)
-		for at := time.Now(); wait.Sleep(ctx, interval); at = time.Now() {
-			worst = max(worst, time.Since(at)-interval)
-			f.wakeDelay.Store(int64(worst))
+		maxDelay := time.Duration(0)
+		for sleepStart := time.Now(); wait.Sleep(ctx, interval); sleepStart = time.Now() {
+			maxDelay = max(maxDelay, time.Since(sleepStart)-interval)
+			f.wakeDelay.Store(int64(maxDelay))
 		}
-		measured <- worst
+		result <- maxDelay
 	}()
-	return measured
+	return result
 }
--- a/internal/testbed/process/front.go
+++ b/internal/testbed/process/webserver.go
@@ -14,8 +14,8 @@
 
 const (
 	// closeRaceWindow is the maximum time between sending a request and its failure for which the failure may be a race
-	// with the close of the idle connection. The machine's wake-up delay extends it. It is also the tolerance for counting
-	// a request as interrupted.
+	// with the close of the idle connection. The machine's wake-up delay extends it. It is also the tolerance for
+	// counting a request as interrupted.
 	closeRaceWindow = 50 * time.Millisecond
 	// answerTimeout is the time after the request's deadline after which a request without a response counts as lost.
 	answerTimeout = 8 * time.Second
@@ -25,11 +25,11 @@
 	healthCheckInterval = 20 * time.Millisecond
 )
 
-// front sends requests to one instance as the web server in front of it does. It opens connections as needed.
-type front struct {
+// webServer simulates the web server in front of one instance. It sends requests and opens connections as needed.
+type webServer struct {
 	fleet    *Fleet
 	instance *Instance
-	ended    func(reply fastcgi.Reply, err error, took time.Duration) // called once per request, from any goroutine
+	onDone   func(reply fastcgi.Reply, err error, took time.Duration) // called once per request, from any goroutine
 
 	wg          sync.WaitGroup // requests in flight
 	mu          sync.Mutex
@@ -37,29 +37,29 @@
 	incarnation int32 // instance incarnation to which the idle connections belong
 }
 
-// newFront returns a front for an instance. It calls ended at the end of each request.
-func newFront(fleet *Fleet, instance *Instance, ended func(fastcgi.Reply, error, time.Duration)) *front {
-	return &front{fleet: fleet, instance: instance, ended: ended}
+// newWebServer returns the web server for an instance. It calls onDone at the end of each request.
+func newWebServer(fleet *Fleet, instance *Instance, onDone func(fastcgi.Reply, error, time.Duration)) *webServer {
+	return &webServer{fleet: fleet, instance: instance, onDone: onDone}
 }
 
 // send starts a request and returns immediately.
-func (f *front) send(ctx context.Context, request fastcgi.Request) {
-	if f.instance.outOfRotation.Load() {
-		f.ended(fastcgi.Reply{}, workload.ErrNotAccepted, 0)
+func (w *webServer) send(ctx context.Context, request fastcgi.Request) {
+	if w.instance.outOfRotation.Load() {
+		w.onDone(fastcgi.Reply{}, workload.ErrNotAccepted, 0)
 		return
 	}
-	f.wg.Go(func() {
+	w.wg.Go(func() {
 		// The end of the load must not cancel requests in flight.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), request.Budget+answerTimeout)
 		defer cancel()
-		f.exchange(ctx, request)
+		w.roundTrip(ctx, request)
 	})
 }
 
 // close waits for the requests in flight and closes all connections.
-func (f *front) close() {
-	f.wg.Wait()
-	closeAll(f.idle)
+func (w *webServer) close() {
+	w.wg.Wait()
+	closeAll(w.idle)
 }
 
 func closeAll(clients []*fastcgi.Client) {
@@ -69,77 +69,77 @@
 }
 
 // takeIdle returns an idle connection to the running process, or nil. It closes those to earlier processes.
-func (f *front) takeIdle() *fastcgi.Client {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if running := f.instance.incarnation.Load(); running != f.incarnation {
-		closeAll(f.idle)
-		f.idle = nil
-		f.incarnation = running
+func (w *webServer) takeIdle() *fastcgi.Client {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if running := w.instance.incarnation.Load(); running != w.incarnation {
+		closeAll(w.idle)
+		w.idle = nil
+		w.incarnation = running
 	}
-	last := len(f.idle) - 1
+	last := len(w.idle) - 1
 	if last < 0 {
 		return nil
 	}
-	client := f.idle[last]
-	f.idle = f.idle[:last]
+	client := w.idle[last]
+	w.idle = w.idle[:last]
 	return client
 }
 
 // putIdle returns a connection to the idle list.
-func (f *front) putIdle(client *fastcgi.Client) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.idle = append(f.idle, client)
+func (w *webServer) putIdle(client *fastcgi.Client) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.idle = append(w.idle, client)
 }
 
-// exchange sends a request and waits for the response. It resends the request once, on a new connection, if the failure
-// may be a race with the close of an idle connection.
-func (f *front) exchange(ctx context.Context, request fastcgi.Request) {
-	client := f.takeIdle()
+// roundTrip sends a request and waits for the response. It resends the request once, on a new connection, if the
+// failure may be a race with the close of an idle connection.
+func (w *webServer) roundTrip(ctx context.Context, request fastcgi.Request) {
+	client := w.takeIdle()
 	reused := client != nil
 	if !reused {
 		var err error
-		if client, err = f.dial(ctx); err != nil {
-			f.ended(fastcgi.Reply{}, err, 0)
+		if client, err = w.dial(ctx); err != nil {
+			w.onDone(fastcgi.Reply{}, err, 0)
 			return
 		}
 	}
 	sentAt := time.Now()
 	reply, err := client.Do(ctx, request)
-	if err != nil && reused && f.closedMeanwhile(sentAt) {
+	if err != nil && reused && w.mayBeCloseRace(sentAt) {
 		_ = client.Close() // best effort
-		if client, err = f.dial(ctx); err != nil {
-			f.ended(fastcgi.Reply{}, err, 0)
+		if client, err = w.dial(ctx); err != nil {
+			w.onDone(fastcgi.Reply{}, err, 0)
 			return
 		}
 		reply, err = client.Do(ctx, request)
 	}
-	f.ended(reply, err, time.Since(sentAt))
+	w.onDone(reply, err, time.Since(sentAt))
 	if err != nil {
 		_ = client.Close() // the connection has already failed
 		return
 	}
-	f.putIdle(client)
+	w.putIdle(client)
 }
 
 // dial opens a connection to the instance. Its errors wrap ErrNotAccepted.
-func (f *front) dial(ctx context.Context) (*fastcgi.Client, error) {
-	if f.instance.connectionsClosed.Load() {
+func (w *webServer) dial(ctx context.Context) (*fastcgi.Client, error) {
+	if w.instance.noNewConnections.Load() {
 		return nil, workload.ErrNotAccepted
 	}
-	client, err := fastcgi.Dial(ctx, f.instance.Addr)
+	client, err := fastcgi.Dial(ctx, w.instance.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", workload.ErrNotAccepted, err)
 	}
 	return client, nil
 }
 
-// closedMeanwhile reports whether the failure of a request on a reused connection may be a race with the scheduler closing
-// the idle connection. Such a failure is not a failure of the request.
-func (f *front) closedMeanwhile(sentAt time.Time) bool {
-	window := closeRaceWindow + 2*time.Duration(f.fleet.wakeDelay.Load())
-	return time.Since(sentAt) < window && !f.instance.disruptedSince(sentAt.Add(-disruptionWindow))
+// mayBeCloseRace reports whether the failure of a request on a reused connection may be a race with the scheduler
+// closing the idle connection. Such a failure is not a failure of the request.
+func (w *webServer) mayBeCloseRace(sentAt time.Time) bool {
+	window := closeRaceWindow + 2*time.Duration(w.fleet.wakeDelay.Load())
+	return time.Since(sentAt) < window && !w.instance.disruptedSince(sentAt.Add(-disruptionWindow))
 }
 
 // Wait waits until all instances are healthy.
--- a/internal/testbed/standin/agentprotocol.go
+++ b/internal/testbed/standin/agentprotocol.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// This file implements the agent's side of the node agent protocol: an agent reads commands (ReadAgentCommand) and writes
-// answers (AgentAnswer). Lines and bodies end with CRLF. Worker and the scripted agents in the tests of cmd/calicohill
-// share this code.
+// This file implements the agent's side of the node agent protocol: an agent reads commands (ReadAgentCommand) and
+// writes answers (AgentAnswer). Lines and bodies end with CRLF. Worker and the scripted agents in the tests of
+// cmd/calicohill share this code.
 
 // maxCommandBody is the maximum size of a command's body in bytes.
 const maxCommandBody = 16 << 10
@@ -69,8 +69,8 @@
 // ErrMalformedCommand is returned by ReadAgentCommand for input that violates the protocol.
 var ErrMalformedCommand = errors.New("malformed node agent command")
 
-// ReadAgentCommand reads the next command of a connection, including its body. It returns ErrMalformedCommand for invalid
-// input, and read errors unchanged.
+// ReadAgentCommand reads the next command of a connection, including its body. It returns ErrMalformedCommand for
+// invalid input, and read errors unchanged.
 func ReadAgentCommand(reader *bufio.Reader) (AgentCommand, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	words := strings.Split(text, " ")
 	verb := AgentVerb(words[0])
-	if !verb.takesWords(len(words)) {
+	if !verb.allowsWordCount(len(words)) {
 		return AgentCommand{}, fmt.Errorf("%w: %q", ErrMalformedCommand, line)
 	}
 	command := AgentCommand{Verb: verb, ID: words[1]}
@@ -93,8 +93,8 @@
 	return command, err
 }
 
-// takesWords reports whether the given number of words is valid for the verb. It is false for unknown verbs.
-func (v AgentVerb) takesWords(words int) bool {
+// allowsWordCount reports whether the given number of words is valid for the verb. It is false for unknown verbs.
+func (v AgentVerb) allowsWordCount(words int) bool {
 	switch v {
 	case AgentStart:
 		return words == startWords
--- a/internal/testbed/standin/agentprotocol_test.go
+++ b/internal/testbed/standin/agentprotocol_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// Guards against malformed commands that are accepted, and against a truncated connection reported as a malformed command.
+// Guards against malformed commands that are accepted, and against a truncated connection reported as a malformed
+// command.
 func TestReadMalformedAgentCommand(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
--- a/internal/testbed/standin/listpolls.go
+++ b/internal/testbed/standin/listpolls.go
@@ -32,13 +32,13 @@
 }
 
 // serve reads polls from a connection until it is closed.
-func (s *ListService) serve(own *schedulerListener, conn net.Conn) {
+func (s *ListService) serve(pollListener *schedulerListener, conn net.Conn) {
 	var pending *PendingPoll
 	defer func() {
 		conn.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(own.connections, conn)
+		delete(pollListener.connections, conn)
 		if pending != nil {
 			s.queue.Remove(pending)
 		}
@@ -48,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		pending = s.addPoll(own.scheduler, conn, ParsePollRequest(request))
+		pending = s.addPoll(pollListener.scheduler, conn, ParsePollRequest(request))
 	}
 }
 
@@ -72,7 +72,7 @@
 func (s *ListService) respond(index int, conn net.Conn) {
 	poll := &s.polls[index]
 	poll.AnsweredAt = time.Now()
-	body := s.feedText(poll.Scheduler, poll.After, len(s.events))
+	body := s.feedBody(poll.Scheduler, poll.After, len(s.events))
 	poll.Bytes = len(body)
 	header := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 	// Write errors are ignored: the read loop of the connection detects them.
--- a/internal/testbed/standin/listservice.go
+++ b/internal/testbed/standin/listservice.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// settledAfter is the time after the last fault of the list service after which an event counts as delivered to all
+// settleTime is the time after the last fault of the list service after which an event counts as delivered to all
 // schedulers.
-const settledAfter = 2 * time.Second
+const settleTime = 2 * time.Second
 
 // ListService is the stand-in list service on loopback. It has a separate listener for each scheduler, which identifies
 // the scheduler that sends a poll.
@@ -39,14 +39,15 @@
 	connections map[net.Conn]bool
 }
 
-// listServices counts the list services of this process. Each uses its own loopback host, which no other listener uses and
-// no client connects from. A closed listener therefore finds its port free when it listens again.
-var listServices atomic.Uint32
+// listServiceCount is the number of list services created by this process. Each uses its own loopback host, which no
+// other listener uses and no client connects from. A closed listener therefore finds its port free when it listens
+// again.
+var listServiceCount atomic.Uint32
 
 // NewListService starts a list service without events.
 func NewListService() *ListService {
 	service := &ListService{
-		host:        fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+listServices.Add(1)%250),
+		host:        fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+listServiceCount.Add(1)%250),
 		queue:       PollQueue{Fault: ListHealthy},
 		startedAt:   time.Now().Add(-time.Hour),
 		listeners:   map[string]*schedulerListener{},
@@ -64,45 +65,46 @@
 func (s *ListService) Address(scheduler string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if own := s.listeners[scheduler]; own != nil {
-		return own.addr, nil
+	if pollListener := s.listeners[scheduler]; pollListener != nil {
+		return pollListener.addr, nil
 	}
-	own := &schedulerListener{scheduler: scheduler, addr: s.host, connections: map[net.Conn]bool{}}
-	if err := s.listen(own); err != nil {
+	pollListener := &schedulerListener{scheduler: scheduler, addr: s.host, connections: map[net.Conn]bool{}}
+	if err := s.listen(pollListener); err != nil {
 		return "", err
 	}
-	s.listeners[scheduler] = own
-	return own.addr, nil
+	s.listeners[scheduler] = pollListener
+	return pollListener.addr, nil
 }
 
 // listen opens a scheduler's listener. It reuses the address of an earlier listener.
-func (s *ListService) listen(own *schedulerListener) error {
-	listener, err := net.Listen("tcp", own.addr)
+func (s *ListService) listen(pollListener *schedulerListener) error {
+	listener, err := net.Listen("tcp", pollListener.addr)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	own.listener = listener
-	own.addr = listener.Addr().String()
-	go s.accept(own, listener)
+	pollListener.listener = listener
+	pollListener.addr = listener.Addr().String()
+	go s.accept(pollListener, listener)
 	return nil
 }
 
 // accept accepts connections until the listener is closed.
-func (s *ListService) accept(own *schedulerListener, listener net.Listener) {
+func (s *ListService) accept(pollListener *schedulerListener, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		own.connections[conn] = true
+		pollListener.connections[conn] = true
 		s.acceptedAt = append(s.acceptedAt, time.Now())
 		s.mu.Unlock()
-		go s.serve(own, conn)
+		go s.serve(pollListener, conn)
 	}
 }
 
-// SetFault sets the service's fault. ListHealthy clears it. A nonzero answersPerSecond sets the rate for ListRateLimited.
+// SetFault sets the service's fault. ListHealthy clears it. A nonzero answersPerSecond sets the rate for
+// ListRateLimited.
 func (s *ListService) SetFault(fault ListFault, answersPerSecond float64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,12 +113,12 @@
 	if answersPerSecond > 0 {
 		s.queue.AnswersPerSecond = answersPerSecond
 	}
-	for _, own := range s.listeners {
+	for _, pollListener := range s.listeners {
 		switch {
 		case fault == ListRefusing:
-			own.refuse()
-		case own.listener == nil:
-			if err := s.listen(own); err != nil {
+			pollListener.refuse()
+		case pollListener.listener == nil:
+			if err := s.listen(pollListener); err != nil {
 				return err
 			}
 		}
@@ -130,8 +132,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastFaultAt = time.Now()
-	for _, own := range s.listeners {
-		own.closeConnections()
+	for _, pollListener := range s.listeners {
+		pollListener.closeConnections()
 	}
 }
 
@@ -170,11 +172,12 @@
 	if first < 0 {
 		first = len(s.events)
 	}
-	return s.feedText(scheduler, 0, first)
+	return s.feedBody(scheduler, 0, first)
 }
 
-// feedText returns the body of a response with the events after the given number, up to last. The caller holds the lock.
-func (s *ListService) feedText(scheduler string, after, last int) string {
+// feedBody returns the body of a response with the events after the given number, up to last. The caller holds the
+// lock.
+func (s *ListService) feedBody(scheduler string, after, last int) string {
 	var items []string
 	for _, event := range s.events[min(after, last):last] {
 		items = append(items, event(scheduler))
@@ -183,15 +186,16 @@
 }
 
 // EffectiveAt returns the time at which an event counts as delivered to all schedulers. This is the publication time if
-// the service was healthy, and otherwise settledAfter after the end of the fault. It is zero if the fault has not ended.
+// the service was healthy, and otherwise settledAfter after the end of the fault. It is zero if the fault has not
+// ended.
 func (s *ListService) EffectiveAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.queue.Fault != ListHealthy {
 		return time.Time{}
 	}
-	if publishedAt.Sub(s.lastFaultAt) < settledAfter {
-		return s.lastFaultAt.Add(settledAfter)
+	if publishedAt.Sub(s.lastFaultAt) < settleTime {
+		return s.lastFaultAt.Add(settleTime)
 	}
 	return publishedAt
 }
@@ -230,10 +234,10 @@
 	defer s.mu.Unlock()
 	s.closed = true
 	s.answerTimer.Stop()
-	for _, own := range s.listeners {
-		if own.listener != nil {
-			own.listener.Close()
+	for _, pollListener := range s.listeners {
+		if pollListener.listener != nil {
+			pollListener.listener.Close()
 		}
-		own.closeConnections()
+		pollListener.closeConnections()
 	}
 }
--- a/internal/testbed/standin/pollqueue.go
+++ b/internal/testbed/standin/pollqueue.go
@@ -31,14 +31,15 @@
 	ListRateLimited                   // responds to PollQueue.AnswersPerSecond polls per second, in order of arrival
 )
 
-// PollQueue is the core of the stand-in list service, without clock and sockets. It tracks pending polls and decides when
-// each is answered. ListService uses it on loopback, PollSimulation in virtual time. It is not safe for concurrent use.
+// PollQueue is the core of the stand-in list service, without clock and sockets. It tracks pending polls and decides
+// when each is answered. ListService uses it on loopback, PollSimulation in virtual time. It is not safe for concurrent
+// use.
 type PollQueue struct {
 	Fault            ListFault
 	AnswersPerSecond float64 // rate limit of ListRateLimited
 	LastEvent        int     // number of the last published event
 
-	added      int // number of polls added so far
+	arrived    int // number of polls that have arrived so far
 	pending    map[*PendingPoll]bool
 	nextAnswer time.Duration // earliest time of the next response under ListRateLimited
 }
@@ -57,8 +58,8 @@
 	if q.pending == nil {
 		q.pending = map[*PendingPoll]bool{}
 	}
-	q.added++
-	poll.sequence = q.added
+	q.arrived++
+	poll.sequence = q.arrived
 	q.pending[poll] = true
 }
 
@@ -71,8 +72,8 @@
 // Len returns the number of pending polls.
 func (q *PollQueue) Len() int { return len(q.pending) }
 
-// Due removes and returns the polls to answer now, in order of arrival. next is the time of the next call, or 0 if none is
-// scheduled.
+// Due removes and returns the polls to answer now, in order of arrival. next is the time of the next call, or 0 if none
+// is scheduled.
 func (q *PollQueue) Due(now time.Duration) (due []*PendingPoll, next time.Duration) {
 	if q.Fault == ListUnresponsive {
 		return nil, 0
--- a/internal/testbed/standin/store.go
+++ b/internal/testbed/standin/store.go
@@ -8,12 +8,12 @@
 // storeConcurrency is the number of functions that the store serves at a time.
 const storeConcurrency = 12
 
-// Store simulates the store from which all workers load functions. It serves storeConcurrency functions at a time, and none
-// while it is stalled.
+// Store simulates the store from which all workers load functions. It serves storeConcurrency functions at a time, and
+// none while it is stalled.
 type Store struct {
-	mu          sync.Mutex
-	jammedUntil time.Time
-	slots       chan struct{}
+	mu           sync.Mutex
+	stalledUntil time.Time
+	slots        chan struct{}
 }
 
 // NewStore returns a healthy store.
@@ -23,7 +23,7 @@
 func (s *Store) Jam(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.jammedUntil = time.Now().Add(duration)
+	s.stalledUntil = time.Now().Add(duration)
 }
 
 // fetch waits for a free slot and for the end of a stall, and then for the load time.
@@ -31,7 +31,7 @@
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	s.mu.Lock()
-	jammedFor := time.Until(s.jammedUntil)
+	stallLeft := time.Until(s.stalledUntil)
 	s.mu.Unlock()
-	time.Sleep(max(jammedFor, 0) + loadTime)
+	time.Sleep(max(stallLeft, 0) + loadTime)
 }
--- a/internal/testbed/standin/worker.go
+++ b/internal/testbed/standin/worker.go
@@ -22,7 +22,8 @@
 // slowWorkerDelay is the additional latency of a WorkerSlow.
 const slowWorkerDelay = 500 * time.Millisecond
 
-// Worker is a stand-in node agent. It loads functions, runs a limited number of requests at a time, and simulates faults.
+// Worker is a stand-in node agent. It loads functions, runs a limited number of requests at a time, and simulates
+// faults.
 type Worker struct {
 	ID       string
 	Addr     string
@@ -57,7 +58,8 @@
 	Rejected bool          // rejected because the worker was draining
 }
 
-// NewWorker starts a worker on loopback. A worker with a zero startedAt is warm; otherwise it warms up from that time on.
+// NewWorker starts a worker on loopback. A worker with a zero startedAt is warm; otherwise it warms up from that time
+// on.
 func NewWorker(id string, profile WorkerProfile, store *Store, startedAt time.Time) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/standin/workerprofile.go
+++ b/internal/testbed/standin/workerprofile.go
@@ -44,8 +44,8 @@
 	crashMultiple           = 3 // a worker crashes at this multiple of its capacity within CrashWindow
 )
 
-// CapacityFraction returns the fraction of the full capacity that a worker of the given age has. It grows linearly during
-// the warm-up.
+// CapacityFraction returns the fraction of the full capacity that a worker of the given age has. It grows linearly
+// during the warm-up.
 func CapacityFraction(age time.Duration) float64 {
 	return min(1, initialCapacityFraction+(1-initialCapacityFraction)*age.Seconds()/WarmUpTime.Seconds())
 }
--- a/internal/testbed/standin/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -59,12 +59,12 @@
 
 // handle runs a request and answers it according to the worker's fault.
 func (c *workerConnection) handle(ctx context.Context, command AgentCommand) {
-	admitted := c.worker.receive(command)
-	if admitted.rejected {
+	decision := c.worker.receive(command)
+	if decision.rejected {
 		c.write(AgentAnswer{ID: command.ID, Status: AnswerBusy})
 		return
 	}
-	switch admitted.fault {
+	switch decision.fault {
 	case WorkerUnresponsive:
 		return
 	case WorkerFailing:
@@ -74,7 +74,7 @@
 		wait.Sleep(ctx, slowWorkerDelay)
 	case WorkerHealthy, WorkerRefusing: // WorkerRefusing affects only new connections
 	}
-	if !c.worker.runFunction(ctx, admitted) {
+	if !c.worker.runFunction(ctx, decision) {
 		return
 	}
 	if c.worker.Fault() != WorkerUnresponsive {
@@ -82,23 +82,23 @@
 	}
 }
 
-// admittedRequest is the admission decision for a request, with the parameters for running it.
-type admittedRequest struct {
+// admission is the admission decision for a request, with the parameters for running it.
+type admission struct {
 	rejected    bool            // the worker is draining
 	fault       WorkerFault     // the worker's fault when the request arrived
 	loaded      <-chan struct{} // closed once the function is loaded
 	serviceTime time.Duration
 }
 
-// receive records a request, starts to load its function unless that has started before, and crashes the worker if it is
-// overloaded.
-func (w *Worker) receive(command AgentCommand) admittedRequest {
+// receive records a request, starts to load its function unless that has started before, and crashes the worker if it
+// is overloaded.
+func (w *Worker) receive(command AgentCommand) admission {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	scheduler, _, _ := strings.Cut(command.Body, " ") // the testbed's requests start with the scheduler's name
 	function := command.Function()
-	loaded, known := w.loaded[function]
-	known = known || w.draining
+	loaded, skipLoad := w.loaded[function]
+	skipLoad = skipLoad || w.draining
 	w.arrivals = append(w.arrivals, Arrival{
 		At:       time.Now(),
 		From:     scheduler,
@@ -106,11 +106,11 @@
 		ID:       command.ID,
 		Class:    command.Class(),
 		Function: function,
-		Load:     !known,
+		Load:     !skipLoad,
 		Timeout:  command.Timeout(),
 		Rejected: w.draining,
 	})
-	if !known {
+	if !skipLoad {
 		loaded = make(chan struct{})
 		w.loaded[function] = loaded
 		go func() {
@@ -120,7 +120,7 @@
 	}
 	now := time.Now()
 	w.crashIfOverloaded(now)
-	return admittedRequest{
+	return admission{
 		rejected:    w.draining,
 		fault:       w.fault,
 		loaded:      loaded,
@@ -138,7 +138,7 @@
 
 // runFunction waits until the function is loaded and a slot is free, and then runs the request. It returns false if the
 // connection was closed meanwhile.
-func (w *Worker) runFunction(ctx context.Context, request admittedRequest) bool {
+func (w *Worker) runFunction(ctx context.Context, request admission) bool {
 	select {
 	case <-request.loaded:
 	case <-ctx.Done():
