--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -15,7 +15,7 @@
 // reloadGossip writes more lines into the gossip section of an instance's operator's file and has it read again.
 func reloadGossip(t *testing.T, instance *process.Instance, more string) {
 	t.Helper()
-	if err := instance.Rewrite(instance.Operator(more)); err != nil {
+	if err := instance.WriteOperatorFile(instance.OperatorFile(more)); err != nil {
 		t.Fatal(err)
 	}
 	if err := instance.Signal(syscall.SIGHUP); err != nil {
@@ -36,12 +36,12 @@
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	waitForAll(t, trusting, "the new authority is applied", func(instance *process.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
+	waitForAll(t, trusting, "the new authority is applied", func(instance *process.Instance) bool { return instance.CountMessages("gossip settings reloaded") == 2 })
 	fleet.Instances[3].Kill()
-	if err := fleet.Instances[3].NewKey(next); err != nil {
+	if err := fleet.Instances[3].WriteNewKey(next); err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.Instances[3].Rewrite(fleet.Instances[3].Operator("  authority next.crt\n")); err != nil {
+	if err := fleet.Instances[3].WriteOperatorFile(fleet.Instances[3].OperatorFile("  authority next.crt\n")); err != nil {
 		t.Fatal(err)
 	}
 	if err := fleet.Instances[3].Start(); err != nil {
@@ -63,7 +63,7 @@
 	}
 	t.Cleanup(duplicate.Kill)
 	waitForAll(t, &process.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two schedulers with one name stops its gossip", func(instance *process.Instance) bool {
-		return instance.Count("name conflict: another scheduler with this name started later, gossip stopped") == 1
+		return instance.CountMessages("name conflict: another scheduler with this name started later, gossip stopped") == 1
 	})
 }
 
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	list := filepath.Join(fleet.Dir, "fleet.revoked")
-	if out, exit := runCommandLine(t, "key", "revoke", fleet.Instances[3].Key, "--authority", authority, "--list", list); exit != 0 {
+	if out, exit := runCommandLine(t, "key", "revoke", fleet.Instances[3].KeyPath, "--authority", authority, "--list", list); exit != 0 {
 		t.Fatalf("revoke: %s", out)
 	}
 	for _, instance := range fleet.Instances[:3] {
@@ -91,7 +91,7 @@
 	expectNewAuthorityApplied(t, fleet, trusting)
 
 	// A key file that others may read is refused.
-	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
+	if err := os.Chmod(fleet.Instances[0].KeyPath, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	reloadGossip(t, fleet.Instances[0], "  revoked fleet.revoked\n")
--- a/cmd/calicohill/peers_test.go
+++ b/cmd/calicohill/peers_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet := &process.Fleet{Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), Sharing: true}
+	fleet := &process.Fleet{Program: self, Env: []string{asProgramVariable + "=1"}, Dir: t.TempDir(), GossipEnabled: true}
 	if err := fleet.Prepare(instances, workers); err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := fleet.Wait(t.Context(), waitTimeout); err != nil {
+	if err := fleet.WaitHealthy(t.Context(), waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	waitUntilJoined(t, fleet, instances)
@@ -52,7 +52,7 @@
 // waitUntilJoined waits until each scheduler knows a number of members.
 func waitUntilJoined(t *testing.T, fleet *process.Fleet, members int) {
 	t.Helper()
-	if err := fleet.Joined(t.Context(), members, 2*waitTimeout); err != nil {
+	if err := fleet.WaitJoined(t.Context(), members, 2*waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -199,7 +199,7 @@
 		return hasLogLine(instance, lineReportsIgnored, "peer", byzantineName)
 	})
 	for _, instance := range fleet.Instances {
-		if instance.Count(lineConfirmedFaulty) > 0 {
+		if instance.CountMessages(lineConfirmedFaulty) > 0 {
 			t.Errorf("%s ejects a worker on the reports of a byzantine member", instance.Name)
 		}
 	}
@@ -224,7 +224,7 @@
 	waitUntil(t, "half of the schedulers have sent requests to the worker", func() bool {
 		from := map[string]bool{}
 		for _, a := range fleet.Workers[5].Arrivals() {
-			from[a.From] = true
+			from[a.Scheduler] = true
 		}
 		return len(from) >= fleetSize/2
 	})
@@ -242,8 +242,8 @@
 	}
 	fleet.Workers[5].Set(standin.WorkerHealthy)
 	waitForAll(t, fleet, "the worker is readmitted", func(instance *process.Instance) bool {
-		n := instance.Count(lineConfirmedFaulty)
-		return n == 0 || instance.Count("worker no longer confirmed faulty by peers") == n
+		n := instance.CountMessages(lineConfirmedFaulty)
+		return n == 0 || instance.CountMessages("worker no longer confirmed faulty by peers") == n
 	})
 	stop()
 }
@@ -252,9 +252,9 @@
 func expectServedDuringFlood(t *testing.T, fleet *process.Fleet, client *fastcgi.Client) {
 	t.Helper()
 	stopFlood, flooded := make(chan struct{}), make(chan error, 1)
-	go func() { flooded <- fault.Flood(fleet.Instances[0].Gossip, 5000, stopFlood) }()
+	go func() { flooded <- fault.Flood(fleet.Instances[0].GossipAddr, 5000, stopFlood) }()
 	waitForAll(t, &process.Fleet{Instances: fleet.Instances[:1]}, "datagrams are dropped",
-		func(instance *process.Instance) bool { return instance.Count("gossip datagram dropped") >= 3 })
+		func(instance *process.Instance) bool { return instance.CountMessages("gossip datagram dropped") >= 3 })
 	if got := fleetCall(t, client, fleet.Instances[0], "consulta", 1); got != fastcgi.OutcomeServed {
 		t.Errorf("a call is %s during a flood", got)
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	var err error
-	*program, err = process.SchedulerBeside()
+	*program, err = process.SchedulerPath()
 	return err
 }
 
--- a/internal/testbed/experiment/coldstart.go
+++ b/internal/testbed/experiment/coldstart.go
@@ -61,15 +61,15 @@
 	}
 	gossips := e.Scenario.ChangesGossip()
 	fleet := &process.Fleet{
-		Program:           e.Program,
-		Env:               e.Env,
-		Dir:               dir,
-		ClaimedSchedulers: e.ClaimedSchedulers,
-		LinkedWorkers:     e.Scenario.ChangesLinks(),
-		Sharing:           gossips,
-		GossipThroughHub:  gossips,
-		Profile:           e.Profile,
-		KeepState:         e.Keep,
+		Program:              e.Program,
+		Env:                  e.Env,
+		Dir:                  dir,
+		ConfiguredSchedulers: e.ClaimedSchedulers,
+		WorkerLinks:          e.Scenario.ChangesLinks(),
+		GossipEnabled:        gossips,
+		GossipThroughHub:     gossips,
+		Profile:              e.Profile,
+		SnapshotsEnabled:     e.Keep,
 	}
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		fleet.CloseAndRemove()
--- a/internal/testbed/experiment/coldstartmetrics.go
+++ b/internal/testbed/experiment/coldstartmetrics.go
@@ -88,13 +88,13 @@
 		if !worker.CrashedAt().IsZero() {
 			metrics.Crashed++
 		}
-		refused, peakLoad := worker.Overload()
+		refused, peakLoad := worker.OverloadStats()
 		metrics.RefusedConnections += refused
 		metrics.PeakWarmUpLoadFraction = max(metrics.PeakWarmUpLoadFraction, peakLoad)
 		schedulers := map[string]bool{}
 		for _, arrival := range worker.Arrivals() {
-			schedulers[arrival.From] = true
-			if arrival.Load {
+			schedulers[arrival.Scheduler] = true
+			if arrival.ColdStart {
 				metrics.Loads++
 			}
 		}
@@ -102,7 +102,7 @@
 	}
 	starts := 0
 	for _, instance := range fleet.Instances {
-		starts += instance.Count(process.LogSchedulerStarted)
+		starts += instance.CountMessages(process.LogSchedulerStarted)
 	}
 	schedulers := float64(len(fleet.Instances))
 	metrics.Handshakes = float64(handshakes) / float64(max(starts, 1))
@@ -132,7 +132,7 @@
 	pairs := map[pair]bool{}
 	for _, worker := range workers {
 		for _, arrival := range worker.Arrivals() {
-			pairs[pair{scheduler: arrival.From, worker: preferred[arrival.Function]}] = true
+			pairs[pair{scheduler: arrival.Scheduler, worker: preferred[arrival.Function]}] = true
 		}
 	}
 	return len(pairs)
--- a/internal/testbed/experiment/gossip.go
+++ b/internal/testbed/experiment/gossip.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir, Sharing: sharing}
+	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir, GossipEnabled: sharing}
 	if err := e.start(ctx, fleet); err != nil {
 		fleet.CloseAndRemove()
 		return nil, err
@@ -143,13 +143,13 @@
 			return err
 		}
 	}
-	if err := fleet.Wait(ctx, process.StartTimeout); err != nil {
+	if err := fleet.WaitHealthy(ctx, process.StartTimeout); err != nil {
 		return err
 	}
-	if !fleet.Sharing {
+	if !fleet.GossipEnabled {
 		return nil
 	}
-	return fleet.Joined(ctx, e.Instances, process.JoinTimeout)
+	return fleet.WaitJoined(ctx, e.Instances, process.JoinTimeout)
 }
 
 // runOnce runs the experiment with one fleet.
@@ -210,19 +210,19 @@
 	target := fleet.Instances[0]
 	duration := time.Duration(max(e.Seconds*floodFraction, minFloodSeconds) * float64(time.Second))
 	measureCPU := func() float64 {
-		before := target.CPU()
+		before := target.CPUTime()
 		began := time.Now()
 		wait.Sleep(ctx, duration)
-		return (target.CPU() - before).Seconds() / time.Since(began).Seconds()
+		return (target.CPUTime() - before).Seconds() / time.Since(began).Seconds()
 	}
 	idle := measureCPU()
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
-	go func() { ended <- fault.Flood(target.Gossip, floodRate, stop) }()
+	go func() { ended <- fault.Flood(target.GossipAddr, floodRate, stop) }()
 	flooded := measureCPU()
-	memory := target.Memory()
+	memory := target.MemoryKB()
 	flooded = (flooded + measureCPU()) / 2
-	metrics := floodMetrics{idleCPU: idle, floodCPU: flooded - idle, grownKB: target.Memory() - memory}
+	metrics := floodMetrics{idleCPU: idle, floodCPU: flooded - idle, grownKB: target.MemoryKB() - memory}
 	close(stop)
 	if err := <-ended; err != nil {
 		return metrics, err
--- a/internal/testbed/experiment/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -128,7 +128,7 @@
 }
 
 // readLog fills in what one scheduler's log says, which ended at a time.
-func (m *gossipMetrics) readLog(run *gossipRun, lines []process.Line, end time.Time) {
+func (m *gossipMetrics) readLog(run *gossipRun, lines []process.LogLine, end time.Time) {
 	ejectedAt := map[string]time.Time{}
 	for _, line := range lines {
 		worker := line.Text("worker")
--- a/internal/testbed/experiment/invariants.go
+++ b/internal/testbed/experiment/invariants.go
@@ -101,7 +101,7 @@
 	notifiedAt := c.notifiedAt(departure, arrival)
 	sentAt := sentToWorkerAt(c.fleet, worker, arrival)
 	if late := sentAt.Sub(notifiedAt.Add(drainGrace + c.slack)); late > 0 {
-		c.addViolation("%s sent %s to %s %v too late after its drain", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
+		c.addViolation("%s sent %s to %s %v too late after its drain", arrival.Scheduler, arrival.ID, worker.ID, late.Round(time.Millisecond))
 	}
 }
 
@@ -111,14 +111,14 @@
 func (c *ruleChecker) notifiedAt(departure process.Departure, arrival standin.Arrival) time.Time {
 	notified := departure.At.Add(publicationBound)
 	for _, earlier := range []time.Time{
-		c.fleet.List.EffectiveAt(departure.At),
-		receivedAt(c.polls[arrival.From], departure.Event),
+		c.fleet.List.DeliveredAt(departure.At),
+		receivedAt(c.polls[arrival.Scheduler], departure.Event),
 	} {
 		if !earlier.IsZero() && earlier.Before(notified) {
 			notified = earlier
 		}
 	}
-	if start := c.fleet.ProcessStart(arrival.From, arrival.At); start.After(notified) {
+	if start := c.fleet.ProcessStart(arrival.Scheduler, arrival.At); start.After(notified) {
 		notified = start
 	}
 	return notified
--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -187,12 +187,12 @@
 	}
 	offerFor(matchWarmUp)
 	scheduler := fleet.Instances[0]
-	cpuBefore := scheduler.CPU()
+	cpuBefore := scheduler.CPUTime()
 	result := offerFor(time.Duration(e.Seconds * float64(time.Second)))
 	measured := loadMeasurement{
 		servedFraction: result.ServedFraction(),
-		memoryKB:       scheduler.Memory(),
-		cpuMicros:      float64((scheduler.CPU() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
+		memoryKB:       scheduler.MemoryKB(),
+		cpuMicros:      float64((scheduler.CPUTime() - cpuBefore).Microseconds()) / float64(max(result.Offered, 1)),
 	}
 	slices.Sort(result.ResponseTimes)
 	if count := len(result.ResponseTimes); count > 0 {
@@ -223,13 +223,13 @@
 		return err
 	}
 	scheduler := fleet.Instances[0]
-	if err := scheduler.Rewrite(operatorFile); err != nil {
+	if err := scheduler.WriteOperatorFile(operatorFile); err != nil {
 		return err
 	}
 	if err := scheduler.Start(); err != nil {
 		return err
 	}
-	return fleet.Wait(ctx, process.StartTimeout)
+	return fleet.WaitHealthy(ctx, process.StartTimeout)
 }
 
 // load returns a load whose requests carry the parameter that the rules look at.
--- a/internal/testbed/experiment/soak.go
+++ b/internal/testbed/experiment/soak.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return result, err
 	}
-	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir, LinkedWorkers: true, KillAtDeadline: true}
+	fleet := &process.Fleet{Program: e.Program, Env: e.Env, Dir: dir, WorkerLinks: true, KillAtDeadline: true}
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		fleet.CloseAndRemove()
 		return result, err
@@ -121,7 +121,7 @@
 		violations = append(violations, err.Error())
 	}
 	for _, instance := range fleet.Instances {
-		if instance.EndedByItself() {
+		if instance.ExitedUnexpectedly() {
 			violations = append(violations, instance.Name+" ended by itself")
 		}
 	}
@@ -144,7 +144,7 @@
 
 // sentToWorkerAt returns when a request was sent that came to a worker, perhaps over a slow link.
 func sentToWorkerAt(fleet *process.Fleet, worker *standin.Worker, arrival standin.Arrival) time.Time {
-	if link := fleet.LinkTo(arrival.From, worker.ID); link != nil {
+	if link := fleet.LinkTo(arrival.Scheduler, worker.ID); link != nil {
 		return link.SentAt(arrival.At)
 	}
 	return arrival.At
--- a/internal/testbed/process/address.go
+++ b/internal/testbed/process/address.go
@@ -20,7 +20,7 @@
 	for {
 		addr, err := unusedAddress(network, f.host)
 		// The kernel may reuse a port that was just released.
-		taken := func(in *Instance) bool { return in.Addr == addr || in.Gossip == addr }
+		taken := func(in *Instance) bool { return in.Addr == addr || in.GossipAddr == addr }
 		if err != nil || !slices.ContainsFunc(f.Instances, taken) {
 			return addr, err
 		}
--- a/internal/testbed/process/files.go
+++ b/internal/testbed/process/files.go
@@ -23,12 +23,12 @@
 	}
 	text, err := json.Marshal(platform.Config{
 		ListService: listAddress,
-		Known:       json.RawMessage(fleet.knownEvents(in.Name)),
+		Known:       json.RawMessage(fleet.initialEvents(in.Name)),
 		Limits:      platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Listen:      in.Addr,
 		Name:        in.Name,
 		Seed:        fmt.Sprintf("%016x", rank+1),
-		Settings:    platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
+		Settings:    platform.FleetSettings(max(fleet.ConfiguredSchedulers, len(fleet.Instances)), rank).JSON(),
 	})
 	if err != nil {
 		return err
@@ -38,48 +38,48 @@
 	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
 		return err
 	}
-	if err := in.NewKey(fleet.Authority); err != nil {
+	if err := in.WriteNewKey(fleet.Authority); err != nil {
 		return err
 	}
-	return in.Rewrite(in.Operator(""))
+	return in.WriteOperatorFile(in.OperatorFile(""))
 }
 
-// NewKey writes a new key file for an instance, with a certificate from the given authority.
-func (in *Instance) NewKey(authority *pki.Authority) error {
+// WriteNewKey writes a new key file for an instance, with a certificate from the given authority.
+func (in *Instance) WriteNewKey(authority *pki.Authority) error {
 	member, err := authority.Issue(in.Name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
 		return err
 	}
-	in.Key = filepath.Join(in.fleet.Dir, in.Name+".key")
-	if err := os.Remove(in.Key); err != nil && !errors.Is(err, os.ErrNotExist) {
+	in.KeyPath = filepath.Join(in.fleet.Dir, in.Name+".key")
+	if err := os.Remove(in.KeyPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
+	return pki.WriteKeyFile(in.KeyPath, member.Key, member.Cert)
 }
 
-// Operator returns the text of an operator's file for an instance. more is appended to its gossip section.
-func (in *Instance) Operator(extraLines string) string {
+// OperatorFile returns the text of an operator's file for an instance. extraLines are appended to its gossip section.
+func (in *Instance) OperatorFile(extraLines string) string {
 	text := "log\n  format json\n"
-	if in.fleet.KeepState {
+	if in.fleet.SnapshotsEnabled {
 		text += "state\n  snapshot " + in.operatorPath + ".list\n  fleet lab\n"
 	}
-	if !in.fleet.Sharing {
+	if !in.fleet.GossipEnabled {
 		return text
 	}
-	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.Gossip, in.Key)
+	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.GossipAddr, in.KeyPath)
 	gossipAddr := func(gossip string) string { return gossip }
 	if hub := in.fleet.hub; hub != nil {
 		gossipAddr = hub.Addr
-		text += "  advertise " + hub.Addr(in.Gossip) + "\n"
+		text += "  advertise " + hub.Addr(in.GossipAddr) + "\n"
 	}
 	for _, seed := range in.fleet.Instances[:min(maxSeeds, len(in.fleet.Instances))] {
-		text += "  seed " + gossipAddr(seed.Gossip) + "\n"
+		text += "  seed " + gossipAddr(seed.GossipAddr) + "\n"
 	}
 	return text + extraLines
 }
 
-// Rewrite replaces the contents of the operator's file.
-func (in *Instance) Rewrite(text string) error {
+// WriteOperatorFile replaces the contents of the operator's file.
+func (in *Instance) WriteOperatorFile(text string) error {
 	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
 }
 
@@ -88,8 +88,8 @@
 	return &Instance{
 		Name:         in.Name,
 		Addr:         in.Addr,
-		Gossip:       in.Gossip,
-		Key:          in.Key,
+		GossipAddr:   in.GossipAddr,
+		KeyPath:      in.KeyPath,
 		Log:          &Log{},
 		fleet:        in.fleet,
 		configPath:   in.configPath,
@@ -103,7 +103,7 @@
 	if in.Addr, err = in.fleet.freeAddress("tcp"); err != nil {
 		return err
 	}
-	if in.Gossip, err = in.fleet.freeAddress("udp"); err != nil {
+	if in.GossipAddr, err = in.fleet.freeAddress("udp"); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(in.configPath)
@@ -123,5 +123,5 @@
 	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
 		return err
 	}
-	return in.Rewrite(in.Operator(""))
+	return in.WriteOperatorFile(in.OperatorFile(""))
 }
--- a/internal/testbed/process/fleet.go
+++ b/internal/testbed/process/fleet.go
@@ -22,21 +22,21 @@
 
 // Fleet runs schedulers as real processes, their shared workers, and the list service that lists these workers.
 type Fleet struct {
-	Program           string   // path of the scheduler's executable
-	Env               []string // environment variables in addition to the testbed's own
-	Dir               string   // directory for files; the caller removes it
-	Instances         []*Instance
-	Workers           []*standin.Worker
-	Authority         *pki.Authority
-	Sharing           bool // schedulers gossip
-	GossipThroughHub  bool // gossip passes through a hub, whose links scenarios change
-	LinkedWorkers     bool // each scheduler has a separate link to each worker
-	KeepState         bool // schedulers restore a snapshot of the endpoint list and learned state after a restart
-	KillAtDeadline    bool // planned restarts kill the process at a deadline; open connections are used until then
-	ClaimedSchedulers int  // minimum fleet size in the schedulers' settings; 0 for the actual size
+	Program              string   // path of the scheduler's executable
+	Env                  []string // environment variables in addition to the testbed's own
+	Dir                  string   // directory for files; the caller removes it
+	Instances            []*Instance
+	Workers              []*standin.Worker
+	Authority            *pki.Authority
+	GossipEnabled        bool
+	GossipThroughHub     bool // gossip passes through a hub, whose links scenarios change
+	WorkerLinks          bool // each scheduler has a separate link to each worker
+	SnapshotsEnabled     bool // schedulers restore a snapshot of the endpoint list and learned state after a restart
+	KillAtDeadline       bool // planned restarts kill the process at a deadline; open connections are used until then
+	ConfiguredSchedulers int  // minimum fleet size in the schedulers' settings; 0 for the actual size
 
-	List        *standin.ListService
-	KnownEvents KnownEvents
+	List          *standin.ListService
+	InitialEvents InitialEvents
 
 	Profile string // name of the worker profile; "" for roomy
 	Store   *standin.Store
@@ -57,14 +57,14 @@
 	partitioned        map[string]bool     // gossip addresses of the partitioned schedulers
 }
 
-// KnownEvents selects the list service events in the schedulers' initial configuration.
-type KnownEvents int
+// InitialEvents selects the list service events in the schedulers' initial configuration.
+type InitialEvents int
 
 // Selections of events.
 const (
-	KnownAll   KnownEvents = iota
-	KnownFirst             // only the first event
-	KnownNone
+	InitialEventsAll   InitialEvents = iota
+	InitialEventsFirst               // only the first event
+	InitialEventsNone
 )
 
 // Departure records the event that first published a worker as draining or deleted.
@@ -139,7 +139,7 @@
 	if instance.Addr, err = f.freeAddress("tcp"); err != nil {
 		return err
 	}
-	if instance.Gossip, err = f.freeAddress("udp"); err != nil {
+	if instance.GossipAddr, err = f.freeAddress("udp"); err != nil {
 		return err
 	}
 	f.Instances = append(f.Instances, instance)
@@ -159,7 +159,7 @@
 func (f *Fleet) NewByzantineMember(name string) (*fault.ByzantineMember, error) {
 	var seeds []netip.AddrPort
 	for _, instance := range f.Instances[:min(maxSeeds, len(f.Instances))] {
-		seeds = append(seeds, netip.MustParseAddrPort(instance.Gossip))
+		seeds = append(seeds, netip.MustParseAddrPort(instance.GossipAddr))
 	}
 	return fault.NewByzantineMember(name, f.Authority, seeds)
 }
@@ -191,12 +191,12 @@
 	})
 }
 
-// knownEvents returns the events in a scheduler's initial configuration, as the body of a list service response.
-func (f *Fleet) knownEvents(scheduler string) string {
-	switch f.KnownEvents {
-	case KnownFirst:
+// initialEvents returns the events in a scheduler's initial configuration, as the body of a list service response.
+func (f *Fleet) initialEvents(scheduler string) string {
+	switch f.InitialEvents {
+	case InitialEventsFirst:
 		return f.List.Feed(scheduler, 1)
-	case KnownNone:
+	case InitialEventsNone:
 		return f.List.Feed(scheduler, 0)
 	default:
 		return f.List.Feed(scheduler, -1)
--- a/internal/testbed/process/fleet_internal_test.go
+++ b/internal/testbed/process/fleet_internal_test.go
@@ -17,6 +17,6 @@
 			t.Fatalf("address %s was returned twice", addr)
 		}
 		seen[addr] = true
-		fleet.Instances = append(fleet.Instances, &Instance{Gossip: addr})
+		fleet.Instances = append(fleet.Instances, &Instance{GossipAddr: addr})
 	}
 }
--- a/internal/testbed/process/instance.go
+++ b/internal/testbed/process/instance.go
@@ -26,11 +26,11 @@
 
 // Instance is a scheduler of a Fleet. It has configuration files and, while it runs, a process.
 type Instance struct {
-	Name   string
-	Addr   string // address for requests
-	Gossip string // address for gossip
-	Key    string // path of the file with its key and certificate
-	Log    *Log   // empty before the first start
+	Name       string
+	Addr       string // address for requests
+	GossipAddr string // address for gossip
+	KeyPath    string // path of the file with its key and certificate
+	Log        *Log   // empty before the first start
 
 	fleet        *Fleet
 	configPath   string // platform's file
@@ -161,11 +161,11 @@
 	return in.latestProcess().cmd.Process.Signal(signal)
 }
 
-// Serves reports whether the scheduler is running and receives requests.
-func (in *Instance) Serves() bool { return in.runningProcess() != nil && !in.outOfRotation.Load() }
+// IsServing reports whether the scheduler is running and receives requests.
+func (in *Instance) IsServing() bool { return in.runningProcess() != nil && !in.outOfRotation.Load() }
 
-// EndedByItself reports whether the process exited without a call of Stop or Kill.
-func (in *Instance) EndedByItself() bool {
+// ExitedUnexpectedly reports whether the process exited without a call of Stop or Kill.
+func (in *Instance) ExitedUnexpectedly() bool {
 	running := in.runningProcess()
 	if running == nil {
 		return false
--- a/internal/testbed/process/instance_internal_test.go
+++ b/internal/testbed/process/instance_internal_test.go
@@ -104,7 +104,7 @@
 	t.Parallel()
 	instance := newStandInScheduler(t, "exit 0")
 	for _, in := range []*Instance{instance, instance.Duplicate()} {
-		if got := in.Count(LogSchedulerStarted); got != 0 || in.Log.String() != "" {
+		if got := in.CountMessages(LogSchedulerStarted); got != 0 || in.Log.String() != "" {
 			t.Errorf("%d start messages in log %q, want an empty log", got, in.Log.String())
 		}
 	}
--- a/internal/testbed/process/links.go
+++ b/internal/testbed/process/links.go
@@ -20,7 +20,7 @@
 	}
 	var members []string
 	for _, instance := range f.Instances {
-		members = append(members, instance.Gossip)
+		members = append(members, instance.GossipAddr)
 	}
 	var err error
 	f.hub, err = fault.NewHub(members, f.gossipCondition)
@@ -44,7 +44,7 @@
 // workerAddress returns the address of a worker for a scheduler. If LinkedWorkers is set, it is the address of the
 // scheduler's link to the worker, which is opened if necessary.
 func (f *Fleet) workerAddress(scheduler string, worker *standin.Worker) string {
-	if !f.LinkedWorkers {
+	if !f.WorkerLinks {
 		return worker.Addr
 	}
 	f.mu.Lock()
@@ -82,7 +82,7 @@
 	f.partitionCondition = condition
 	f.partitioned = map[string]bool{}
 	for _, instance := range instances {
-		f.partitioned[instance.Gossip] = true
+		f.partitioned[instance.GossipAddr] = true
 	}
 	return true
 }
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -67,24 +67,24 @@
 	l.latestOffset = l.text.Len()
 }
 
-// Line is a line of a scheduler's log. It maps field names to values.
-type Line map[string]any
+// LogLine is a line of a scheduler's log. It maps field names to values.
+type LogLine map[string]any
 
 // Lines returns the JSON lines so far.
-func (l *Log) Lines() []Line { return parseLog(l.String()) }
+func (l *Log) Lines() []LogLine { return parseLog(l.String()) }
 
-// Latest returns the JSON lines of the latest process.
-func (l *Log) Latest() []Line {
+// LatestLines returns the JSON lines of the latest process.
+func (l *Log) LatestLines() []LogLine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return parseLog(l.text.String()[l.latestOffset:])
 }
 
 // parseLog parses the JSON lines of a log and skips other lines.
-func parseLog(log string) []Line {
-	var lines []Line
+func parseLog(log string) []LogLine {
+	var lines []LogLine
 	for text := range strings.SplitSeq(log, "\n") {
-		var line Line
+		var line LogLine
 		if json.Unmarshal([]byte(text), &line) == nil {
 			lines = append(lines, line)
 		}
@@ -93,19 +93,19 @@
 }
 
 // Text returns a string field, or "" if it is missing.
-func (l Line) Text(name string) string {
+func (l LogLine) Text(name string) string {
 	text, _ := l[name].(string)
 	return text
 }
 
 // Number returns a numeric field, or 0 if it is missing.
-func (l Line) Number(name string) float64 {
+func (l LogLine) Number(name string) float64 {
 	number, _ := l[name].(float64)
 	return number
 }
 
 // Time returns the line's timestamp, or the zero time if it is missing.
-func (l Line) Time() time.Time {
+func (l LogLine) Time() time.Time {
 	at, _ := time.Parse("2006-01-02T15:04:05.000Z07:00", l.Text("time"))
 	return at
 }
--- a/internal/testbed/process/members.go
+++ b/internal/testbed/process/members.go
@@ -32,7 +32,7 @@
 // Peers returns the members that are alive or suspect according to the log of the instance's latest process.
 func (in *Instance) Peers() map[string]bool {
 	peers := map[string]bool{}
-	for _, line := range in.Log.Latest() {
+	for _, line := range in.Log.LatestLines() {
 		switch line.Text("msg") {
 		case LogPeerAlive, LogPeerSuspect:
 			peers[line.Text("peer")] = true
@@ -43,8 +43,8 @@
 	return peers
 }
 
-// Count returns the number of lines with the given message in the instance's log.
-func (in *Instance) Count(message string) int {
+// CountMessages returns the number of lines with the given message in the instance's log.
+func (in *Instance) CountMessages(message string) int {
 	count := 0
 	for _, line := range in.Log.Lines() {
 		if line.Text("msg") == message {
@@ -54,8 +54,8 @@
 	return count
 }
 
-// Joined waits until each instance lists members-1 others as alive or suspect.
-func (f *Fleet) Joined(ctx context.Context, members int, within time.Duration) error {
+// WaitJoined waits until each instance lists members-1 others as alive or suspect.
+func (f *Fleet) WaitJoined(ctx context.Context, members int, within time.Duration) error {
 	for end := time.Now().Add(within); ; {
 		missing := ""
 		for _, instance := range f.Instances {
--- a/internal/testbed/process/program.go
+++ b/internal/testbed/process/program.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 )
 
-// SchedulerBeside returns the path of the scheduler's executable in the directory of the running program.
-func SchedulerBeside() (string, error) {
+// SchedulerPath returns the path of the scheduler's executable in the directory of the running program.
+func SchedulerPath() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
--- a/internal/testbed/process/usage.go
+++ b/internal/testbed/process/usage.go
@@ -11,8 +11,8 @@
 // clockTick is the unit of CPU times in /proc.
 const clockTick = 10 * time.Millisecond
 
-// CPU returns the CPU time used by a scheduler, or 0 if it can't be read.
-func (in *Instance) CPU() time.Duration {
+// CPUTime returns the CPU time used by a scheduler, or 0 if it can't be read.
+func (in *Instance) CPUTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", in.Pid()))
 	if err != nil {
 		return 0
@@ -31,8 +31,8 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Memory returns the resident set size of a scheduler in kB, or 0 if it can't be read.
-func (in *Instance) Memory() int {
+// MemoryKB returns the resident set size of a scheduler in kB, or 0 if it can't be read.
+func (in *Instance) MemoryKB() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", in.Pid()))
 	if err != nil {
 		return 0
--- a/internal/testbed/process/webserver.go
+++ b/internal/testbed/process/webserver.go
@@ -142,8 +142,8 @@
 	return time.Since(sentAt) < window && !w.instance.disruptedSince(sentAt.Add(-disruptionWindow))
 }
 
-// Wait waits until all instances are healthy.
-func (f *Fleet) Wait(ctx context.Context, within time.Duration) error {
+// WaitHealthy waits until all instances are healthy.
+func (f *Fleet) WaitHealthy(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for _, instance := range f.Instances {
--- a/internal/testbed/scenario/linksteps.go
+++ b/internal/testbed/scenario/linksteps.go
@@ -29,7 +29,7 @@
 		return errors.Join(err, r.invalid())
 	}
 	condition, ok := linkConditions[r.Args[0]]
-	if !ok && r.Args[0] != connectionReset || !r.fleet.LinkedWorkers {
+	if !ok && r.Args[0] != connectionReset || !r.fleet.WorkerLinks {
 		return r.invalid()
 	}
 	var errs error
--- a/internal/testbed/scenario/schedulersteps.go
+++ b/internal/testbed/scenario/schedulersteps.go
@@ -29,7 +29,7 @@
 // signalRunning sends a signal that has a scheduler do something, if it runs and serves: until then it would end it.
 func (r stepRun) signalRunning(signal syscall.Signal) error {
 	return r.forEachInstance(func(in *process.Instance) error {
-		if in.Serves() {
+		if in.IsServing() {
 			_ = in.Signal(signal) // it may have ended
 		}
 		return nil
@@ -79,7 +79,7 @@
 	if !ok {
 		return r.invalid()
 	}
-	r.fleet.KnownEvents = known
+	r.fleet.InitialEvents = known
 	for _, instance := range r.fleet.Instances {
 		if err := instance.Configure(); err != nil {
 			return err
--- a/internal/testbed/scenario/steps_internal_test.go
+++ b/internal/testbed/scenario/steps_internal_test.go
@@ -33,7 +33,7 @@
 	t.Parallel()
 	service := standin.NewListService()
 	defer service.Close()
-	fleet := &process.Fleet{List: service, KnownEvents: process.KnownNone}
+	fleet := &process.Fleet{List: service, InitialEvents: process.InitialEventsNone}
 	for _, step := range []Step{
 		{Verb: "list", Args: []string{"asleep"}},
 		{Verb: "list", Args: []string{"asleep", "0.1"}},
@@ -45,7 +45,7 @@
 			t.Errorf("%v: %v, want %v", step, err, errInvalidStep)
 		}
 	}
-	if fleet.KnownEvents != process.KnownNone {
-		t.Errorf("known events are %d, want the %d of before", fleet.KnownEvents, process.KnownNone)
+	if fleet.InitialEvents != process.InitialEventsNone {
+		t.Errorf("known events are %d, want the %d of before", fleet.InitialEvents, process.InitialEventsNone)
 	}
 }
--- a/internal/testbed/scenario/words.go
+++ b/internal/testbed/scenario/words.go
@@ -21,10 +21,10 @@
 }
 
 // knownEvents is the events that schedulers may be configured with by their names in scenarios.
-var knownEvents = map[string]process.KnownEvents{
-	"full":  process.KnownAll,
-	"stale": process.KnownFirst,
-	"empty": process.KnownNone,
+var knownEvents = map[string]process.InitialEvents{
+	"full":  process.InitialEventsAll,
+	"stale": process.InitialEventsFirst,
+	"empty": process.InitialEventsNone,
 }
 
 // workerFaults is the faults of workers by their names in scenarios.
--- a/internal/testbed/scenario/workersteps.go
+++ b/internal/testbed/scenario/workersteps.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet.Store.Jam(duration)
+	r.fleet.Store.Stall(duration)
 	return nil
 }
 
--- a/internal/testbed/standin/listservice.go
+++ b/internal/testbed/standin/listservice.go
@@ -185,10 +185,10 @@
 	return EndpointFeed(last, items)
 }
 
-// EffectiveAt returns the time at which an event counts as delivered to all schedulers. This is the publication time if
+// DeliveredAt returns the time at which an event counts as delivered to all schedulers. This is the publication time if
 // the service was healthy, and otherwise settledAfter after the end of the fault. It is zero if the fault has not
 // ended.
-func (s *ListService) EffectiveAt(publishedAt time.Time) time.Time {
+func (s *ListService) DeliveredAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.queue.Fault != ListHealthy {
--- a/internal/testbed/standin/store.go
+++ b/internal/testbed/standin/store.go
@@ -19,8 +19,8 @@
 // NewStore returns a healthy store.
 func NewStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
 
-// Jam stalls the store for the given duration.
-func (s *Store) Jam(duration time.Duration) {
+// Stall stalls the store for the given duration.
+func (s *Store) Stall(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stalledUntil = time.Now().Add(duration)
--- a/internal/testbed/standin/worker.go
+++ b/internal/testbed/standin/worker.go
@@ -47,15 +47,15 @@
 
 // Arrival is a request that a worker received.
 type Arrival struct {
-	At       time.Time
-	From     string      // name of the scheduler, from the request body
-	Fault    WorkerFault // the worker's fault at the time
-	ID       string
-	Class    string
-	Function string
-	Load     bool          // the request made the worker load the function
-	Timeout  time.Duration // the scheduler's timeout, from the command
-	Rejected bool          // rejected because the worker was draining
+	At        time.Time
+	Scheduler string      // name of the scheduler, from the request body
+	Fault     WorkerFault // the worker's fault at the time
+	ID        string
+	Class     string
+	Function  string
+	ColdStart bool          // the request made the worker load the function
+	Timeout   time.Duration // the scheduler's timeout, from the command
+	Rejected  bool          // rejected because the worker was draining
 }
 
 // NewWorker starts a worker on loopback. A worker with a zero startedAt is warm; otherwise it warms up from that time
@@ -194,9 +194,9 @@
 	return w.crashedAt
 }
 
-// Overload returns the number of refused connections and the peak load while warming up, as a fraction of
+// OverloadStats returns the number of refused connections and the peak load while warming up, as a fraction of
 // WorkerProfile.MaxRequests.
-func (w *Worker) Overload() (refusedConnections int, peakLoadFraction float64) {
+func (w *Worker) OverloadStats() (refusedConnections int, peakLoadFraction float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refusedConnections, w.peakLoadFraction
--- a/internal/testbed/standin/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -100,15 +100,15 @@
 	loaded, skipLoad := w.loaded[function]
 	skipLoad = skipLoad || w.draining
 	w.arrivals = append(w.arrivals, Arrival{
-		At:       time.Now(),
-		From:     scheduler,
-		Fault:    w.fault,
-		ID:       command.ID,
-		Class:    command.Class(),
-		Function: function,
-		Load:     !skipLoad,
-		Timeout:  command.Timeout(),
-		Rejected: w.draining,
+		At:        time.Now(),
+		Scheduler: scheduler,
+		Fault:     w.fault,
+		ID:        command.ID,
+		Class:     command.Class(),
+		Function:  function,
+		ColdStart: !skipLoad,
+		Timeout:   command.Timeout(),
+		Rejected:  w.draining,
 	})
 	if !skipLoad {
 		loaded = make(chan struct{})
