--- a/cmd/calicohill/peer_keys_test.go
+++ b/cmd/calicohill/peer_keys_test.go
@@ -15,7 +15,7 @@
 // reloadGossip adds lines to the gossip section of an instance's operator's file and makes the instance reload it.
 func reloadGossip(t *testing.T, instance *process.Instance, lines string) {
 	t.Helper()
-	if err := instance.Rewrite(instance.Operator(lines)); err != nil {
+	if err := instance.WriteOperatorFile(instance.OperatorFile(lines)); err != nil {
 		t.Fatal(err)
 	}
 	if err := instance.Signal(syscall.SIGHUP); err != nil {
@@ -37,12 +37,12 @@
 	for _, instance := range fleet.Instances[:3] {
 		reloadGossip(t, instance, "  revoked fleet.revoked\n  authority next.crt\n")
 	}
-	waitForAll(t, unrevoked, "the new authority is applied", func(instance *process.Instance) bool { return instance.Count("gossip settings reloaded") == 2 })
+	waitForAll(t, unrevoked, "the new authority is applied", func(instance *process.Instance) bool { return instance.CountMessages("gossip settings reloaded") == 2 })
 	fleet.Instances[3].Kill()
-	if err := fleet.Instances[3].NewKey(newAuthority); err != nil {
+	if err := fleet.Instances[3].WriteNewKey(newAuthority); err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.Instances[3].Rewrite(fleet.Instances[3].Operator("  authority next.crt\n")); err != nil {
+	if err := fleet.Instances[3].WriteOperatorFile(fleet.Instances[3].OperatorFile("  authority next.crt\n")); err != nil {
 		t.Fatal(err)
 	}
 	if err := fleet.Instances[3].Start(); err != nil {
@@ -64,7 +64,7 @@
 	}
 	t.Cleanup(duplicate.Kill)
 	waitForAll(t, &process.Fleet{Instances: fleet.Instances[1:2]}, "the earlier of two schedulers with one name stops its gossip", func(instance *process.Instance) bool {
-		return instance.Count("name conflict: another scheduler with this name started later, gossip stopped") == 1
+		return instance.CountMessages("name conflict: another scheduler with this name started later, gossip stopped") == 1
 	})
 }
 
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	revocationList := filepath.Join(fleet.Dir, "fleet.revoked")
-	if out, exitCode := runCommandLine(t, "key", "revoke", fleet.Instances[3].Key, "--authority", authorityKey, "--list", revocationList); exitCode != 0 {
+	if out, exitCode := runCommandLine(t, "key", "revoke", fleet.Instances[3].KeyPath, "--authority", authorityKey, "--list", revocationList); exitCode != 0 {
 		t.Fatalf("revoke: %s", out)
 	}
 	for _, instance := range fleet.Instances[:3] {
@@ -93,7 +93,7 @@
 	expectNewAuthorityApplied(t, fleet, unrevoked)
 
 	// A key file that is readable by other users is rejected.
-	if err := os.Chmod(fleet.Instances[0].Key, 0o644); err != nil {
+	if err := os.Chmod(fleet.Instances[0].KeyPath, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	reloadGossip(t, fleet.Instances[0], "  revoked fleet.revoked\n")
--- a/internal/testbed/process/files.go
+++ b/internal/testbed/process/files.go
@@ -13,22 +13,22 @@
 	"calicohill/internal/testbed/platform"
 )
 
-// Configure writes the files of an instance: the platform's, its key and the operator's.
+// Configure writes the platform's file, the key file and the operator's file of an instance.
 func (in *Instance) Configure() error {
 	fleet := in.fleet
-	rank, _ := strconv.Atoi(in.Name[1:]) // the fleet made the name
+	rank, _ := strconv.Atoi(in.Name[1:]) // names have the form n0, n1, ...
 	listAddress, err := fleet.List.Address(in.Name)
 	if err != nil {
 		return err
 	}
 	text, err := json.Marshal(platform.Config{
 		ListService: listAddress,
-		Known:       json.RawMessage(fleet.knownEvents(in.Name)),
+		Known:       json.RawMessage(fleet.initialEvents(in.Name)),
 		Limits:      platform.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Listen:      in.Addr,
 		Name:        in.Name,
 		Seed:        fmt.Sprintf("%016x", rank+1),
-		Settings:    platform.FleetSettings(max(fleet.ClaimedSchedulers, len(fleet.Instances)), rank).JSON(),
+		Settings:    platform.FleetSettings(max(fleet.ConfiguredSchedulers, len(fleet.Instances)), rank).JSON(),
 	})
 	if err != nil {
 		return err
@@ -38,58 +38,58 @@
 	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
 		return err
 	}
-	if err := in.NewKey(fleet.Authority); err != nil {
+	if err := in.WriteNewKey(fleet.Authority); err != nil {
 		return err
 	}
-	return in.Rewrite(in.Operator(""))
+	return in.WriteOperatorFile(in.OperatorFile(""))
 }
 
-// NewKey gives an instance a key of an authority.
-func (in *Instance) NewKey(authority *pki.Authority) error {
+// WriteNewKey writes a new key file for an instance, with a certificate from the given authority.
+func (in *Instance) WriteNewKey(authority *pki.Authority) error {
 	member, err := authority.Issue(in.Name, time.Now().Add(-time.Hour), 12*time.Hour)
 	if err != nil {
 		return err
 	}
-	in.Key = filepath.Join(in.fleet.Dir, in.Name+".key")
-	if err := os.Remove(in.Key); err != nil && !errors.Is(err, os.ErrNotExist) {
+	in.KeyPath = filepath.Join(in.fleet.Dir, in.Name+".key")
+	if err := os.Remove(in.KeyPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	return pki.WriteKeyFile(in.Key, member.Key, member.Cert)
+	return pki.WriteKeyFile(in.KeyPath, member.Key, member.Cert)
 }
 
-// Operator returns the text of an instance's operator's file, with more lines at the end of its section gossip.
-func (in *Instance) Operator(more string) string {
+// OperatorFile returns the text of an operator's file for an instance. extraLines are appended to its gossip section.
+func (in *Instance) OperatorFile(extraLines string) string {
 	text := "log\n  format json\n"
-	if in.fleet.KeepState {
+	if in.fleet.SnapshotsEnabled {
 		text += "state\n  snapshot " + in.operatorPath + ".list\n  fleet lab\n"
 	}
-	if !in.fleet.Sharing {
+	if !in.fleet.GossipEnabled {
 		return text
 	}
-	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.Gossip, in.Key)
-	reachedAt := func(gossip string) string { return gossip }
+	text += fmt.Sprintf("gossip\n  listen %s\n  fleet lab\n  key %s\n  authority fleet.crt\n", in.GossipAddr, in.KeyPath)
+	gossipAddr := func(gossip string) string { return gossip }
 	if hub := in.fleet.hub; hub != nil {
-		reachedAt = hub.Addr
-		text += "  advertise " + hub.Addr(in.Gossip) + "\n"
+		gossipAddr = hub.Addr
+		text += "  advertise " + hub.Addr(in.GossipAddr) + "\n"
 	}
 	for _, seed := range in.fleet.Instances[:min(maxSeeds, len(in.fleet.Instances))] {
-		text += "  seed " + reachedAt(seed.Gossip) + "\n"
+		text += "  seed " + gossipAddr(seed.GossipAddr) + "\n"
 	}
-	return text + more
+	return text + extraLines
 }
 
-// Rewrite replaces the operator's file.
-func (in *Instance) Rewrite(text string) error {
+// WriteOperatorFile replaces the contents of the operator's file.
+func (in *Instance) WriteOperatorFile(text string) error {
 	return os.WriteFile(in.operatorPath, []byte(text), 0o600)
 }
 
-// Duplicate returns another instance with the name and the files of this one. It does not run yet.
+// Duplicate returns a second instance with the same name and files. It is not started.
 func (in *Instance) Duplicate() *Instance {
 	return &Instance{
 		Name:         in.Name,
 		Addr:         in.Addr,
-		Gossip:       in.Gossip,
-		Key:          in.Key,
+		GossipAddr:   in.GossipAddr,
+		KeyPath:      in.KeyPath,
 		Log:          &Log{},
 		fleet:        in.fleet,
 		configPath:   in.configPath,
@@ -97,13 +97,13 @@
 	}
 }
 
-// Move gives an instance new addresses and files of its own, under the name and the key that it has.
+// Move assigns new addresses to an instance and writes new configuration files. The instance keeps its name and key.
 func (in *Instance) Move() error {
 	var err error
 	if in.Addr, err = in.fleet.freeAddress("tcp"); err != nil {
 		return err
 	}
-	if in.Gossip, err = in.fleet.freeAddress("udp"); err != nil {
+	if in.GossipAddr, err = in.fleet.freeAddress("udp"); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(in.configPath)
@@ -123,5 +123,5 @@
 	if err := os.WriteFile(in.configPath, text, 0o600); err != nil {
 		return err
 	}
-	return in.Rewrite(in.Operator(""))
+	return in.WriteOperatorFile(in.OperatorFile(""))
 }
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// Log collects what the processes of a scheduler write, one after the other.
+// Log collects the output of a scheduler's successive processes.
 type Log struct {
-	mu          sync.Mutex
-	text        bytes.Buffer
-	latestStart int           // where the latest process began to write, in bytes
-	written     chan struct{} // closed at the next write; nil while nobody waits
+	mu           sync.Mutex
+	text         bytes.Buffer
+	latestOffset int           // byte offset of the latest process's output
+	nextWrite    chan struct{} // closed at the next write; nil without waiters
 }
 
 // Write implements io.Writer.
 func (l *Log) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written != nil {
-		close(l.written)
-		l.written = nil
+	if l.nextWrite != nil {
+		close(l.nextWrite)
+		l.nextWrite = nil
 	}
 	return l.text.Write(text)
 }
 
-// WaitFor waits until the text so far fulfills a condition. The error is that of the context, if it ends first.
-func (l *Log) WaitFor(ctx context.Context, fulfilled func(text string) bool) error {
+// WaitFor waits until the text so far satisfies a condition. It returns the context's error if the context ends first.
+func (l *Log) WaitFor(ctx context.Context, satisfied func(text string) bool) error {
 	for {
-		text, written := l.snapshot()
-		if fulfilled(text) {
+		text, nextWrite := l.snapshot()
+		if satisfied(text) {
 			return nil
 		}
 		select {
-		case <-written:
+		case <-nextWrite:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// snapshot returns the text so far, and a channel that is closed at the next write.
-func (l *Log) snapshot() (text string, written <-chan struct{}) {
+// snapshot returns the text so far and a channel that is closed at the next write.
+func (l *Log) snapshot() (text string, nextWrite <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written == nil {
-		l.written = make(chan struct{})
+	if l.nextWrite == nil {
+		l.nextWrite = make(chan struct{})
 	}
-	return l.text.String(), l.written
+	return l.text.String(), l.nextWrite
 }
 
 // String returns the text so far.
@@ -60,31 +60,31 @@
 	return l.text.String()
 }
 
-// startProcess notes that another process writes from now on.
+// startProcess marks the start of a new process's output.
 func (l *Log) startProcess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.latestStart = l.text.Len()
+	l.latestOffset = l.text.Len()
 }
 
-// Line is a line of a scheduler's log, by its fields.
-type Line map[string]any
+// LogLine is a line of a scheduler's log. It maps field names to values.
+type LogLine map[string]any
 
-// Lines returns the lines so far that are JSON.
-func (l *Log) Lines() []Line { return parseLog(l.String()) }
+// Lines returns the JSON lines so far.
+func (l *Log) Lines() []LogLine { return parseLog(l.String()) }
 
-// Latest returns those lines that the latest process wrote.
-func (l *Log) Latest() []Line {
+// LatestLines returns the JSON lines of the latest process.
+func (l *Log) LatestLines() []LogLine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return parseLog(l.text.String()[l.latestStart:])
+	return parseLog(l.text.String()[l.latestOffset:])
 }
 
-// parseLog parses lines of JSON.
-func parseLog(log string) []Line {
-	var lines []Line
+// parseLog parses the JSON lines of a log and skips other lines.
+func parseLog(log string) []LogLine {
+	var lines []LogLine
 	for text := range strings.SplitSeq(log, "\n") {
-		var line Line
+		var line LogLine
 		if json.Unmarshal([]byte(text), &line) == nil {
 			lines = append(lines, line)
 		}
@@ -92,20 +92,20 @@
 	return lines
 }
 
-// Text returns a field as text; empty without it.
-func (l Line) Text(name string) string {
+// Text returns a string field, or "" if it is missing.
+func (l LogLine) Text(name string) string {
 	text, _ := l[name].(string)
 	return text
 }
 
-// Number returns a field as a number; 0 without it.
-func (l Line) Number(name string) float64 {
+// Number returns a numeric field, or 0 if it is missing.
+func (l LogLine) Number(name string) float64 {
 	number, _ := l[name].(float64)
 	return number
 }
 
-// Time returns when the line was written; the zero time where it doesn't say.
-func (l Line) Time() time.Time {
+// Time returns the line's timestamp, or the zero time if it is missing.
+func (l LogLine) Time() time.Time {
 	at, _ := time.Parse("2006-01-02T15:04:05.000Z07:00", l.Text("time"))
 	return at
 }
--- a/internal/testbed/process/wakedelay.go
+++ b/internal/testbed/process/wakedelay.go
@@ -7,18 +7,18 @@
 	"calicohill/internal/testbed/wait"
 )
 
-// MeasureWakeDelay measures by how much this machine wakes sleeping goroutines late, until the context ends. Schedulers are
-// woken as late.
+// MeasureWakeDelay measures the maximum wake-up delay of sleeping goroutines on this machine until the context ends.
+// Schedulers experience similar delays.
 func (f *Fleet) MeasureWakeDelay(ctx context.Context) <-chan time.Duration {
 	const interval = 5 * time.Millisecond
-	measured := make(chan time.Duration, 1)
+	result := make(chan time.Duration, 1)
 	go func() {
-		worst := time.Duration(0)
-		for at := time.Now(); wait.Sleep(ctx, interval); at = time.Now() {
-			worst = max(worst, time.Since(at)-interval)
-			f.wakeDelay.Store(int64(worst))
+		maxDelay := time.Duration(0)
+		for sleepStart := time.Now(); wait.Sleep(ctx, interval); sleepStart = time.Now() {
+			maxDelay = max(maxDelay, time.Since(sleepStart)-interval)
+			f.wakeDelay.Store(int64(maxDelay))
 		}
-		measured <- worst
+		result <- maxDelay
 	}()
-	return measured
+	return result
 }
--- a/internal/testbed/standin/listservice.go
+++ b/internal/testbed/standin/listservice.go
@@ -9,43 +9,45 @@
 	"time"
 )
 
-// settledAfter is how long after the list service's last fault an event counts as delivered to all.
-const settledAfter = 2 * time.Second
+// settleTime is the time after the last fault of the list service after which an event counts as delivered to all
+// schedulers.
+const settleTime = 2 * time.Second
 
-// ListService is the stand-in list service on loopback. Each scheduler has a listener of its own to it, an address that
-// no other scheduler is configured with, so that it is known which of them polls.
+// ListService is the stand-in list service on loopback. It has a separate listener for each scheduler, which identifies
+// the scheduler that sends a poll.
 type ListService struct {
-	host string // where it listens, with port 0
+	host string // listen address with port 0
 
 	mu          sync.Mutex
 	queue       PollQueue
-	startedAt   time.Time // before its start: times of the queue count from here
+	startedAt   time.Time // origin of the queue's times, an hour before the actual start
 	answerTimer *time.Timer
 	listeners   map[string]*schedulerListener // by scheduler
 	events      []func(scheduler string) string
 	publishedAt []time.Time // by event
 	polls       []Poll
 	acceptedAt  []time.Time
-	lastFaultAt time.Time // when its fault last changed, or its connections were broken
+	lastFaultAt time.Time // last change of the fault, or last call of BreakConnections
 	closed      bool
 }
 
-// schedulerListener is the address at which one scheduler polls.
+// schedulerListener is the listener for the polls of one scheduler.
 type schedulerListener struct {
 	scheduler   string
 	addr        string
-	listener    net.Listener // nil while the service refuses
+	listener    net.Listener // nil while the service refuses connections
 	connections map[net.Conn]bool
 }
 
-// listServices counts the list services of this process. Each has a host of its own, from which nothing connects and where
-// nobody else listens, so that a listener that was closed finds its port free when it opens again.
-var listServices atomic.Uint32
+// listServiceCount is the number of list services created by this process. Each uses its own loopback host, which no
+// other listener uses and no client connects from. A closed listener therefore finds its port free when it listens
+// again.
+var listServiceCount atomic.Uint32
 
 // NewListService starts a list service without events.
 func NewListService() *ListService {
 	service := &ListService{
-		host:        fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+listServices.Add(1)%250),
+		host:        fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()%250, 1+listServiceCount.Add(1)%250),
 		queue:       PollQueue{Fault: ListHealthy},
 		startedAt:   time.Now().Add(-time.Hour),
 		listeners:   map[string]*schedulerListener{},
@@ -59,49 +61,50 @@
 	return service
 }
 
-// Address returns the address at which a scheduler polls.
+// Address returns the address that a scheduler polls. It opens the listener on the first call.
 func (s *ListService) Address(scheduler string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if own := s.listeners[scheduler]; own != nil {
-		return own.addr, nil
+	if pollListener := s.listeners[scheduler]; pollListener != nil {
+		return pollListener.addr, nil
 	}
-	own := &schedulerListener{scheduler: scheduler, addr: s.host, connections: map[net.Conn]bool{}}
-	if err := s.listen(own); err != nil {
+	pollListener := &schedulerListener{scheduler: scheduler, addr: s.host, connections: map[net.Conn]bool{}}
+	if err := s.listen(pollListener); err != nil {
 		return "", err
 	}
-	s.listeners[scheduler] = own
-	return own.addr, nil
+	s.listeners[scheduler] = pollListener
+	return pollListener.addr, nil
 }
 
-// listen opens a scheduler's listener, at the address that it had before if it had one.
-func (s *ListService) listen(own *schedulerListener) error {
-	listener, err := net.Listen("tcp", own.addr)
+// listen opens a scheduler's listener. It reuses the address of an earlier listener.
+func (s *ListService) listen(pollListener *schedulerListener) error {
+	listener, err := net.Listen("tcp", pollListener.addr)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	own.listener = listener
-	own.addr = listener.Addr().String()
-	go s.accept(own, listener)
+	pollListener.listener = listener
+	pollListener.addr = listener.Addr().String()
+	go s.accept(pollListener, listener)
 	return nil
 }
 
 // accept accepts connections until the listener is closed.
-func (s *ListService) accept(own *schedulerListener, listener net.Listener) {
+func (s *ListService) accept(pollListener *schedulerListener, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		own.connections[conn] = true
+		pollListener.connections[conn] = true
 		s.acceptedAt = append(s.acceptedAt, time.Now())
 		s.mu.Unlock()
-		go s.serve(own, conn)
+		go s.serve(pollListener, conn)
 	}
 }
 
-// SetFault gives the service a fault, or none; AnswersPerSecond, if not 0, bounds it while ListRateLimited.
+// SetFault sets the service's fault. ListHealthy clears it. A nonzero answersPerSecond sets the rate for
+// ListRateLimited.
 func (s *ListService) SetFault(fault ListFault, answersPerSecond float64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,12 +113,12 @@
 	if answersPerSecond > 0 {
 		s.queue.AnswersPerSecond = answersPerSecond
 	}
-	for _, own := range s.listeners {
+	for _, pollListener := range s.listeners {
 		switch {
 		case fault == ListRefusing:
-			own.refuse()
-		case own.listener == nil:
-			if err := s.listen(own); err != nil {
+			pollListener.refuse()
+		case pollListener.listener == nil:
+			if err := s.listen(pollListener); err != nil {
 				return err
 			}
 		}
@@ -124,17 +127,17 @@
 	return nil
 }
 
-// BreakConnections breaks all connections.
+// BreakConnections closes all connections.
 func (s *ListService) BreakConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastFaultAt = time.Now()
-	for _, own := range s.listeners {
-		own.closeConnections()
+	for _, pollListener := range s.listeners {
+		pollListener.closeConnections()
 	}
 }
 
-// refuse closes the listener and its connections, if they are open.
+// refuse closes the listener and its connections, if open.
 func (l *schedulerListener) refuse() {
 	if l.listener != nil {
 		l.listener.Close()
@@ -151,7 +154,7 @@
 	}
 }
 
-// Publish has the service publish one more event. event returns its JSON, by its number, as the scheduler receives it.
+// Publish publishes an event. The event function returns the JSON that a scheduler receives, given the event's number.
 func (s *ListService) Publish(event func(number int, scheduler string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,18 +165,19 @@
 	s.answer()
 }
 
-// Feed returns the first events as the body of a response to a scheduler; all events if first is negative.
+// Feed returns the body of a response to a scheduler with the first events, or with all events if first is negative.
 func (s *ListService) Feed(scheduler string, first int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if first < 0 {
 		first = len(s.events)
 	}
-	return s.feedText(scheduler, 0, first)
+	return s.feedBody(scheduler, 0, first)
 }
 
-// feedText returns the events after the number after, up to last, as the body of a response. The caller holds the lock.
-func (s *ListService) feedText(scheduler string, after, last int) string {
+// feedBody returns the body of a response with the events after the given number, up to last. The caller holds the
+// lock.
+func (s *ListService) feedBody(scheduler string, after, last int) string {
 	var items []string
 	for _, event := range s.events[min(after, last):last] {
 		items = append(items, event(scheduler))
@@ -181,58 +185,59 @@
 	return EndpointFeed(last, items)
 }
 
-// EffectiveAt returns when an event that was published at a time counts as delivered to all: at once if the service was
-// healthy, settledAfter after the end of its fault if not; the zero time if the fault has not ended.
-func (s *ListService) EffectiveAt(publishedAt time.Time) time.Time {
+// DeliveredAt returns the time at which an event counts as delivered to all schedulers. This is the publication time if
+// the service was healthy, and otherwise settledAfter after the end of the fault. It is zero if the fault has not
+// ended.
+func (s *ListService) DeliveredAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.queue.Fault != ListHealthy {
 		return time.Time{}
 	}
-	if publishedAt.Sub(s.lastFaultAt) < settledAfter {
-		return s.lastFaultAt.Add(settledAfter)
+	if publishedAt.Sub(s.lastFaultAt) < settleTime {
+		return s.lastFaultAt.Add(settleTime)
 	}
 	return publishedAt
 }
 
-// AnswersPerSecond returns the last rate limit on responses; 0 if there never was one.
+// AnswersPerSecond returns the last rate limit on responses, or 0 if none was ever set.
 func (s *ListService) AnswersPerSecond() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.AnswersPerSecond
 }
 
-// Polls returns the polls so far.
+// Polls returns the polls received so far.
 func (s *ListService) Polls() []Poll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Poll(nil), s.polls...)
 }
 
-// AcceptedAt returns when each connection was accepted.
+// AcceptedAt returns the accept time of each connection.
 func (s *ListService) AcceptedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.acceptedAt...)
 }
 
-// PublishedAt returns when each event was published.
+// PublishedAt returns the publication time of each event.
 func (s *ListService) PublishedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.publishedAt...)
 }
 
-// Close ends the service.
+// Close stops listening and closes all connections.
 func (s *ListService) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	s.answerTimer.Stop()
-	for _, own := range s.listeners {
-		if own.listener != nil {
-			own.listener.Close()
+	for _, pollListener := range s.listeners {
+		if pollListener.listener != nil {
+			pollListener.listener.Close()
 		}
-		own.closeConnections()
+		pollListener.closeConnections()
 	}
 }
--- a/internal/testbed/standin/store.go
+++ b/internal/testbed/standin/store.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// storeConcurrency is how many functions the store serves at a time.
+// storeConcurrency is the number of functions that the store serves at a time.
 const storeConcurrency = 12
 
-// Store is the store that all workers load functions from: a few at a time, and none while it is jammed.
+// Store simulates the store from which all workers load functions. It serves storeConcurrency functions at a time, and
+// none while it is stalled.
 type Store struct {
-	mu          sync.Mutex
-	jammedUntil time.Time
-	slots       chan struct{}
+	mu           sync.Mutex
+	stalledUntil time.Time
+	slots        chan struct{}
 }
 
 // NewStore returns a healthy store.
 func NewStore() *Store { return &Store{slots: make(chan struct{}, storeConcurrency)} }
 
-// Jam makes the store serve nothing for a while.
-func (s *Store) Jam(duration time.Duration) {
+// Stall stalls the store for the given duration.
+func (s *Store) Stall(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.jammedUntil = time.Now().Add(duration)
+	s.stalledUntil = time.Now().Add(duration)
 }
 
-// fetch waits until it is a function's turn, and then as long as it takes to load.
+// fetch waits for a free slot and for the end of a stall, and then for the load time.
 func (s *Store) fetch(loadTime time.Duration) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	s.mu.Lock()
-	jammedFor := time.Until(s.jammedUntil)
+	stallLeft := time.Until(s.stalledUntil)
 	s.mu.Unlock()
-	time.Sleep(max(jammedFor, 0) + loadTime)
+	time.Sleep(max(stallLeft, 0) + loadTime)
 }
--- a/internal/testbed/standin/workerprotocol.go
+++ b/internal/testbed/standin/workerprotocol.go
@@ -12,7 +12,7 @@
 	"calicohill/internal/testbed/wait"
 )
 
-// workerLoadReport is the load report of every worker, as a field of an answer.
+// workerLoadReport is the load report in the answers of every worker, in the form of an answer field.
 const workerLoadReport = "l=util:0.10"
 
 // workerConnection is a scheduler's connection to a worker.
@@ -22,7 +22,7 @@
 	conn    net.Conn
 }
 
-// write writes an answer; a failed write is seen by the reader.
+// write writes an answer. Write errors are ignored: the read loop detects them.
 func (c *workerConnection) write(answer AgentAnswer) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// execute carries out one command. A canceled request is run and answered all the same, as if the command came too late.
+// execute executes a command. A cancellation is ignored, as if it arrived too late: the request runs and is answered.
 func (c *workerConnection) execute(ctx context.Context, command AgentCommand) {
 	switch command.Verb {
 	case AgentStart:
@@ -57,14 +57,14 @@
 	}
 }
 
-// handle runs a request and answers it, as the worker's fault has it.
+// handle runs a request and answers it according to the worker's fault.
 func (c *workerConnection) handle(ctx context.Context, command AgentCommand) {
-	admitted := c.worker.receive(command)
-	if admitted.rejected {
+	decision := c.worker.receive(command)
+	if decision.rejected {
 		c.write(AgentAnswer{ID: command.ID, Status: AnswerBusy})
 		return
 	}
-	switch admitted.fault {
+	switch decision.fault {
 	case WorkerUnresponsive:
 		return
 	case WorkerFailing:
@@ -72,9 +72,9 @@
 		return
 	case WorkerSlow:
 		wait.Sleep(ctx, slowWorkerDelay)
-	case WorkerHealthy, WorkerRefusing: // the latter concerns new connections alone
+	case WorkerHealthy, WorkerRefusing: // WorkerRefusing affects only new connections
 	}
-	if !c.worker.runFunction(ctx, admitted) {
+	if !c.worker.runFunction(ctx, decision) {
 		return
 	}
 	if c.worker.Fault() != WorkerUnresponsive {
@@ -82,35 +82,35 @@
 	}
 }
 
-// admittedRequest is what a worker does with a request.
-type admittedRequest struct {
-	rejected    bool            // the worker drains
-	fault       WorkerFault     // of the worker when the request came
+// admission is the admission decision for a request, with the parameters for running it.
+type admission struct {
+	rejected    bool            // the worker is draining
+	fault       WorkerFault     // the worker's fault when the request arrived
 	loaded      <-chan struct{} // closed once the function is loaded
 	serviceTime time.Duration
 }
 
-// receive records a request, begins to load its function unless that has begun, and makes the worker crash if it is
-// overloaded.
-func (w *Worker) receive(command AgentCommand) admittedRequest {
+// receive records a request, starts to load its function unless that has started before, and crashes the worker if it
+// is overloaded.
+func (w *Worker) receive(command AgentCommand) admission {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	scheduler, _, _ := strings.Cut(command.Body, " ") // as the load writes it
+	scheduler, _, _ := strings.Cut(command.Body, " ") // the testbed's requests start with the scheduler's name
 	function := command.Function()
-	loaded, known := w.loaded[function]
-	known = known || w.draining
+	loaded, skipLoad := w.loaded[function]
+	skipLoad = skipLoad || w.draining
 	w.arrivals = append(w.arrivals, Arrival{
-		At:       time.Now(),
-		From:     scheduler,
-		Fault:    w.fault,
-		ID:       command.ID,
-		Class:    command.Class(),
-		Function: function,
-		Load:     !known,
-		Timeout:  command.Timeout(),
-		Rejected: w.draining,
+		At:        time.Now(),
+		Scheduler: scheduler,
+		Fault:     w.fault,
+		ID:        command.ID,
+		Class:     command.Class(),
+		Function:  function,
+		ColdStart: !skipLoad,
+		Timeout:   command.Timeout(),
+		Rejected:  w.draining,
 	})
-	if !known {
+	if !skipLoad {
 		loaded = make(chan struct{})
 		w.loaded[function] = loaded
 		go func() {
@@ -120,7 +120,7 @@
 	}
 	now := time.Now()
 	w.crashIfOverloaded(now)
-	return admittedRequest{
+	return admission{
 		rejected:    w.draining,
 		fault:       w.fault,
 		loaded:      loaded,
@@ -128,7 +128,7 @@
 	}
 }
 
-// health is the answer to a health check.
+// health returns the answer to a health check.
 func (w *Worker) health() AnswerStatus {
 	if w.isDraining() {
 		return AnswerDown
@@ -136,8 +136,9 @@
 	return AnswerUp
 }
 
-// runFunction waits for the function and a slot and runs the request; false if the connection was closed meanwhile.
-func (w *Worker) runFunction(ctx context.Context, request admittedRequest) bool {
+// runFunction waits until the function is loaded and a slot is free, and then runs the request. It returns false if the
+// connection was closed meanwhile.
+func (w *Worker) runFunction(ctx context.Context, request admission) bool {
 	select {
 	case <-request.loaded:
 	case <-ctx.Done():
