--- a/internal/testbed/experiment/coldstart.go
+++ b/internal/testbed/experiment/coldstart.go
@@ -14,29 +14,29 @@
 	"calicohill/internal/testbed/workload"
 )
 
-// defaultSkew is how uneven the schedulers' fractions of the load are if no skew is given.
+// defaultSkew is the load skew between schedulers if none is configured. See workload.Load.Skew.
 const defaultSkew = 0.1
 
-// ColdStart measures a fleet's cold start, or another fault that makes all its schedulers poll at once.
+// ColdStart measures the cold start of a fleet, or another fault that makes all its schedulers poll at the same time.
 type ColdStart struct {
 	Program           string
-	Baseline          string // an earlier build that plays the same first; "" for none
+	Baseline          string // path of an earlier build to run the same scenario with first; "" for none
 	Env               []string
-	Dir               string // in which a directory for files is created; the system's for temporary files if not set
+	Dir               string // parent of the working directory; the system's temporary directory if empty
 	Instances         int
-	ClaimedSchedulers int // how many schedulers there are by their settings; 0 for as many as there are
+	ClaimedSchedulers int // number of schedulers in their settings; 0 means Instances
 	Workers           int
 	Scenario          scenario.Scenario
 	Seconds           float64
-	Profile           string  // the workers' profile, by name
-	Keep              bool    // schedulers keep their list and what they learned over a restart
-	Skew              float64 // of the load; see Load
-	Rate              float64 // requests a second, of all
+	Profile           string  // name of the workers' profile
+	Keep              bool    // schedulers keep their endpoint list and learned state across a restart
+	Skew              float64 // load skew between schedulers; see workload.Load
+	Rate              float64 // requests per second to all schedulers together
 	Seed              uint64
 	Progress          func(string) // called with a summary of each run
 }
 
-// Run runs the experiment with the program, before that with the baseline if there is one.
+// Run runs the experiment with the baseline, if there is one, and then with the program.
 func (e ColdStart) Run(ctx context.Context) (report.ColdStartResult, error) {
 	var result report.ColdStartResult
 	if e.Baseline != "" {
@@ -53,7 +53,7 @@
 	return result, err
 }
 
-// fleet prepares a fleet that is not started yet.
+// fleet prepares a fleet without starting it.
 func (e ColdStart) fleet() (*process.Fleet, error) {
 	dir, err := os.MkdirTemp(e.Dir, "calicohill-testbed-")
 	if err != nil {
@@ -78,9 +78,9 @@
 	return fleet, nil
 }
 
-// scenarioEnd is how a scenario ended.
+// scenarioEnd is the outcome of a played scenario.
 type scenarioEnd struct {
-	lastStep time.Time // when its last step had been executed
+	lastStep time.Time // completion time of the last step
 	err      error
 }
 
@@ -120,17 +120,17 @@
 	return metrics, nil
 }
 
-// allViolations returns every violation of a rule by a fleet. worstDelay is by how much the machine woke goroutines late at the worst;
-// time limits are longer by it.
+// allViolations returns all rule violations of a fleet. worstDelay is the largest wake-up delay of a goroutine on this
+// machine. It extends the time limits.
 func allViolations(fleet *process.Fleet, load workload.Result, worstDelay time.Duration) []string {
 	violations := ruleViolations(fleet, load, ruleSlack+machineSlack+2*worstDelay)
 	if load.MaxOverrun > maxAnswerDelay+2*worstDelay {
-		violations = append(violations, fmt.Sprintf("an answer came %v after its time", load.MaxOverrun.Round(time.Millisecond)))
+		violations = append(violations, fmt.Sprintf("a response came %v after the client's timeout", load.MaxOverrun.Round(time.Millisecond)))
 	}
 	for _, instance := range fleet.Instances {
 		text := instance.Log.String()
 		if strings.Contains(text, "panic:") || strings.Contains(text, "DATA RACE") {
-			violations = append(violations, instance.Name+" raced or panicked")
+			violations = append(violations, instance.Name+" reported a data race or a panic")
 		}
 	}
 	return violations
--- a/internal/testbed/experiment/coldstartmetrics.go
+++ b/internal/testbed/experiment/coldstartmetrics.go
@@ -9,14 +9,14 @@
 	"calicohill/internal/testbed/workload"
 )
 
-// setLoad fills in what became of the load.
+// setLoad sets the metrics of the client load.
 func setLoad(metrics *report.ColdStartMetrics, load workload.Result) {
 	metrics.Served = load.ServedFraction()
 	metrics.Requests = load.Offered
 	metrics.Lost = load.Lost
 }
 
-// collectMetrics fills in what reached the list service and the workers.
+// collectMetrics sets the metrics of the list service and the workers.
 func collectMetrics(metrics *report.ColdStartMetrics, fleet *process.Fleet, began, lastStep time.Time) {
 	collectPolls(metrics, fleet, began, lastStep)
 	connects := offsets(fleet.List.AcceptedAt(), began)
@@ -25,7 +25,7 @@
 	collectWorkers(metrics, fleet, began)
 }
 
-// collectPolls fills in what reached the list service, and when each scheduler had the last event.
+// collectPolls sets the metrics of polls, and of the time until each scheduler had the last event.
 func collectPolls(metrics *report.ColdStartMetrics, fleet *process.Fleet, began, lastStep time.Time) {
 	schedulers := len(fleet.Instances)
 	polls := fleet.List.Polls()
@@ -54,8 +54,8 @@
 	}
 }
 
-// listedTimes returns when each scheduler first had the last event after the last step of the scenario, by a response or by
-// a poll that shows that it has it.
+// listedTimes returns when each scheduler first had the last event after the last step of the scenario. A response that
+// delivers the event counts, and so does a poll that acknowledges it.
 func listedTimes(polls []standin.Poll, lastEvent int, lastStep time.Time) map[string]time.Time {
 	listedAt := map[string]time.Time{}
 	for _, poll := range polls {
@@ -63,7 +63,7 @@
 		switch {
 		case poll.After == lastEvent && (at.IsZero() || at.After(lastStep)):
 			at = poll.At
-			if at.Before(lastStep) { // the poll was pending already
+			if at.Before(lastStep) { // the poll was already pending at the last step
 				at = lastStep
 			}
 		case poll.LastEvent != lastEvent:
@@ -77,10 +77,10 @@
 	return listedAt
 }
 
-// collectWorkers fills in what reached the workers.
+// collectWorkers sets the metrics of the workers.
 func collectWorkers(metrics *report.ColdStartMetrics, fleet *process.Fleet, began time.Time) {
 	handshakes := 0
-	pairs := 0 // of a scheduler and a worker that it sent anything
+	pairs := 0 // of a scheduler and a worker that received requests from it
 	for _, worker := range fleet.Workers {
 		connects := offsets(worker.AcceptedAt(), began)
 		metrics.RecordAgentConnects(connects)
@@ -110,8 +110,9 @@
 	metrics.Workers = float64(pairs) / schedulers
 }
 
-// countPreferredPairs counts the pairs of a scheduler and a worker that follow from the preferred workers which all
-// schedulers share: the scheduler received a call of a function most of whose calls went to the worker.
+// countPreferredPairs counts the pairs of a scheduler and a worker that schedulers need if they all share the same
+// preferred worker of each function. A pair counts if the scheduler received a call of a function whose calls went mostly
+// to the worker.
 func countPreferredPairs(workers []*standin.Worker) int {
 	calls := map[string]map[string]int{}
 	preferred := map[string]string{}
@@ -138,7 +139,7 @@
 	return len(pairs)
 }
 
-// offsets returns how long each of these times is after from.
+// offsets converts times to durations since from.
 func offsets(times []time.Time, from time.Time) []time.Duration {
 	var list []time.Duration
 	for _, at := range times {
--- a/internal/testbed/experiment/doc.go
+++ b/internal/testbed/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment measures fleets of real schedulers under faults: ColdStart, Gossip and Match. It plays a scenario or a
-// fault, offers load, checks what the fleet did against the rules, and returns a report.
+// Package experiment measures fleets of real schedulers under faults: ColdStart, Gossip, Match and Soak. An experiment
+// injects faults, offers load, checks the fleet against its invariants, and returns a report.
 package experiment
--- a/internal/testbed/experiment/gossip.go
+++ b/internal/testbed/experiment/gossip.go
@@ -18,37 +18,36 @@
 )
 
 const (
-	// reportLifetime is how long after a worker's recovery peers' reports of its fault may last.
+	// reportLifetime is how long fault reports about a worker may stay valid after it recovered.
 	reportLifetime = 10 * time.Second
-	// gossipSkew is how uneven the schedulers' fractions of the load are, so that some learn of a fault late by themselves.
+	// gossipSkew is the load skew between schedulers. Schedulers with little load detect a fault late by themselves.
 	gossipSkew = 0.3
-	// floodRate is the forged datagrams a second of a flood.
+	// floodRate is the number of forged datagrams per second in a flood.
 	floodRate = 5000
-	// floodFraction is the fraction of the experiment's duration that each of the three measurements of a flood takes.
+	// floodFraction is the duration of each of the three flood measurements, as a fraction of the experiment's duration.
 	floodFraction = 0.25
-	// minFloodSeconds is the shortest such measurement.
+	// minFloodSeconds is the minimum duration of a flood measurement.
 	minFloodSeconds = 2
-	// workersPerUnresponsive is how many workers there are for each that becomes unresponsive, unless the experiment says.
+	// workersPerUnresponsive sets the default number of unresponsive workers: one in this many.
 	workersPerUnresponsive = 12
 )
 
-// Gossip has some workers become unresponsive, and compares a fleet that gossips its fault reports with one that
-// does not.
+// Gossip makes some workers unresponsive, and compares a fleet that gossips its fault reports with one that does not.
 type Gossip struct {
 	Program      string
 	Env          []string
 	Instances    int
-	Hostile      int // further members that lie: they accuse all workers, and later a few that are healthy
+	Hostile      int // additional byzantine members: they accuse all workers, and later a few healthy ones
 	Workers      int
-	Silent       int // workers that become unresponsive together; 0 means one in twelve, at least 1
+	Silent       int // workers that become unresponsive at the same time; 0 means one in twelve, but at least 1
 	Seconds      float64
-	Rate         float64 // requests a second, of all
+	Rate         float64 // requests per second to all schedulers together
 	Seed         uint64
-	MeasureFlood bool // measure a flood of forged datagrams too
+	MeasureFlood bool // also measure a flood of forged datagrams
 	Progress     func(string)
 }
 
-// Run runs the experiment: alone, with gossip, with gossip and byzantine members, and under a flood.
+// Run runs the experiment without gossip, with gossip, with gossip and byzantine members, and under a flood.
 func (e Gossip) Run(ctx context.Context) (report.GossipResult, error) {
 	result := report.GossipResult{
 		Instances: e.Instances,
@@ -73,7 +72,7 @@
 			return result, fmt.Errorf("%s: %w", run.name, err)
 		}
 		run.keep(&result, metrics)
-		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to silent workers, last noticed after %.0f ms, %.1f messages a second",
+		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to unresponsive workers, fault detected after %.0f ms, %.1f messages per second",
 			run.name, metrics.load.ServedFraction(), metrics.load.Offered, metrics.lost, metrics.detectionMillis, metrics.messages))
 	}
 	if e.MeasureFlood {
@@ -88,21 +87,21 @@
 	return result, nil
 }
 
-// setAlone keeps what the fleet without gossip gave.
+// setAlone records the results of the fleet without gossip.
 func setAlone(result *report.GossipResult, metrics gossipMetrics) {
 	result.ServedAlone = metrics.load.ServedFraction()
 	result.LostAlone = metrics.lost
 	result.NoticeAlone = metrics.detectionMillis
 }
 
-// setHonest keeps what the fleet with gossip and without byzantine members gave.
+// setHonest records the results of the fleet with gossip and without byzantine members.
 func setHonest(result *report.GossipResult, metrics gossipMetrics) {
 	result.ServedHonest = metrics.load.ServedFraction()
 	result.LostHonest = metrics.lost
 	setTraffic(result, metrics)
 }
 
-// setByzantine keeps what the fleet with byzantine members gave.
+// setByzantine records the results of the fleet with byzantine members.
 func setByzantine(result *report.GossipResult, metrics gossipMetrics) {
 	result.Served = metrics.load.ServedFraction()
 	result.Lost = metrics.lost
@@ -111,7 +110,7 @@
 	setTraffic(result, metrics)
 }
 
-// setTraffic keeps the worst traffic of all runs with gossip, and how soon the last of them noticed the fault.
+// setTraffic records the highest traffic of all runs with gossip, and the detection time of the latest run.
 func setTraffic(result *report.GossipResult, metrics gossipMetrics) {
 	result.Messages = max(result.Messages, metrics.messages)
 	result.Bytes = max(result.Bytes, metrics.bytes)
@@ -133,7 +132,7 @@
 	return fleet, nil
 }
 
-// start prepares and starts a fleet, and waits until it serves and its members know one another.
+// start prepares and starts a fleet, and waits until it serves and all members have joined.
 func (e Gossip) start(ctx context.Context, fleet *process.Fleet) error {
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		return err
@@ -184,7 +183,7 @@
 	return metrics, nil
 }
 
-// unresponsive returns the workers that become unresponsive, chosen by the seed.
+// unresponsive selects the workers that become unresponsive, by the seed.
 func (e Gossip) unresponsive(fleet *process.Fleet) []*standin.Worker {
 	var chosen []*standin.Worker
 	for i := range e.Silent {
@@ -193,14 +192,14 @@
 	return chosen
 }
 
-// floodMetrics is what a flood of forged datagrams cost one instance.
+// floodMetrics is the cost of a flood of forged datagrams for one instance.
 type floodMetrics struct {
-	idleCPU  float64 // fraction of a core without the flood
-	floodCPU float64 // additional fraction of a core with it
-	grownKB  int     // memory, during the second half of the flood
+	idleCPU  float64 // CPU usage without the flood, as a fraction of a core
+	floodCPU float64 // additional CPU usage during the flood, as a fraction of a core
+	grownKB  int     // memory growth in the second half of the flood
 }
 
-// measureFlood measures what a flood costs one of the instances, beside the same time without it.
+// measureFlood measures the cost of a flood for one instance, compared with an idle period of the same duration.
 func (e Gossip) measureFlood(ctx context.Context) (floodMetrics, error) {
 	fleet, err := e.fleet(ctx, true)
 	if err != nil {
@@ -227,16 +226,16 @@
 	if err := <-ended; err != nil {
 		return metrics, err
 	}
-	e.Progress(fmt.Sprintf("%-20s %.3f of a core, %.3f without it; %d kB more", "flood of 5,000/s", flooded, idle, metrics.grownKB))
+	e.Progress(fmt.Sprintf("%-20s CPU %.3f of a core, %.3f without the flood; memory grew by %d kB", "flood of 5,000/s", flooded, idle, metrics.grownKB))
 	return metrics, nobodyDead(fleet)
 }
 
-// nobodyDead returns an error if an instance of a fleet declared another dead.
+// nobodyDead returns an error if an instance of the fleet declared another one dead.
 func nobodyDead(fleet *process.Fleet) error {
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
 			if line.Text("msg") == process.LogPeerDead {
-				return fmt.Errorf("%s took %s for dead during the flood", instance.Name, line.Text("peer"))
+				return fmt.Errorf("%s declared %s dead during the flood", instance.Name, line.Text("peer"))
 			}
 		}
 	}
@@ -252,7 +251,7 @@
 	return ids
 }
 
-// without returns the workers that are not among others.
+// without returns the workers that are not in others.
 func without(workers, others []*standin.Worker) []*standin.Worker {
 	return slices.DeleteFunc(slices.Clone(workers), func(worker *standin.Worker) bool { return slices.Contains(others, worker) })
 }
--- a/internal/testbed/experiment/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -13,20 +13,20 @@
 	"calicohill/internal/testbed/workload"
 )
 
-// The course of a gossipRun, by what its duration is divided by.
+// Phases of a gossipRun. A phase lasts the duration of the run divided by its constant.
 const (
-	untilFault         = 5 // from the beginning to the fault
-	untilRecovery      = 2 // from the fault to its end
-	untilFewAreAccused = 4 // from the beginning, while byzantine members accuse all workers
-	workersPerAccused  = 8 // how many workers there are for each that is accused afterwards
+	untilFault         = 5 // from the start of the run to the start of the fault
+	untilRecovery      = 2 // from the start of the fault to its end
+	untilFewAreAccused = 4 // from the start of the run; byzantine members accuse all workers during this phase
+	workersPerAccused  = 8 // one worker in this many is accused afterwards
 	minAccused         = 2
 )
 
-// gossipRun is a run of Gossip with one fleet.
+// gossipRun is one run of Gossip with one fleet.
 type gossipRun struct {
 	fleet        *process.Fleet
-	unresponsive []*standin.Worker // for a while
-	healthy      []string          // IDs of the others
+	unresponsive []*standin.Worker // between faultFrom and faultUntil
+	healthy      []string          // IDs of the other workers
 	faultFrom    time.Time
 	faultUntil   time.Time
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// playFault makes the run's workers unresponsive from a fifth of its duration on, for half of it.
+// playFault makes workers unresponsive after a fifth of the duration, for half of the duration.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
 	if !wait.Sleep(ctx, duration/untilFault) {
 		return
@@ -54,16 +54,16 @@
 	r.setFault(standin.WorkerHealthy)
 }
 
-// setFault gives the workers of the run a fault, or none.
+// setFault sets or clears the fault of the unresponsive workers.
 func (r *gossipRun) setFault(fault standin.WorkerFault) {
 	for _, worker := range r.unresponsive {
 		worker.Set(fault)
 	}
 }
 
-// addByzantineMembers has byzantine members join. For the first quarter of the run they accuse all workers, then a few
-// healthy ones, the same for all members, so that they collude. closeMembers ends those that have joined, also where there
-// is an error.
+// addByzantineMembers joins byzantine members to the fleet. They accuse all workers during the first quarter of the run.
+// Afterwards they collude: all accuse the same few healthy workers. closeMembers closes the members that have joined, and
+// is valid even if an error is returned.
 func (r *gossipRun) addByzantineMembers(ctx context.Context, count int, duration time.Duration) (closeMembers func(), err error) {
 	var members []*fault.ByzantineMember
 	closeMembers = func() {
@@ -91,19 +91,19 @@
 	return closeMembers, nil
 }
 
-// gossipMetrics is what a run measured.
+// gossipMetrics is the measurements of one run.
 type gossipMetrics struct {
 	load            workload.Result
-	lost            int     // requests to unresponsive workers
-	detectionMillis float64 // until the last request to an unresponsive worker, the median over these workers
-	messages        float64 // a second, sent by the worst instance
-	bytes           float64 // a second, sent by the worst instance
-	peak            float64 // messages, the most of any second and instance
-	wronglyEjected  float64 // worker-seconds, by instances
-	ignoredPeers    int     // times that an instance began to ignore a peer's reports
+	lost            int     // requests sent to unresponsive workers
+	detectionMillis float64 // from the fault to the last request sent to an unresponsive worker; median over these workers
+	messages        float64 // per second, sent by the busiest instance
+	bytes           float64 // per second, sent by the busiest instance
+	peak            float64 // highest number of messages in any second of any instance
+	wronglyEjected  float64 // worker-seconds, summed over instances
+	ignoredPeers    int     // how often an instance began to ignore the reports of a peer
 }
 
-// countArrivals counts the requests that went to unresponsive workers.
+// countArrivals counts the requests that reached unresponsive workers.
 func (m *gossipMetrics) countArrivals(run *gossipRun) {
 	var detections []float64
 	for _, worker := range run.unresponsive {
@@ -120,14 +120,14 @@
 	m.detectionMillis = detections[len(detections)/2]
 }
 
-// readLogs fills in what the schedulers' logs say.
+// readLogs collects metrics from the schedulers' logs.
 func (m *gossipMetrics) readLogs(run *gossipRun) {
 	for _, instance := range run.fleet.Instances {
 		m.readLog(run, instance.Log.Lines(), time.Now())
 	}
 }
 
-// readLog fills in what one scheduler's log says, which ended at a time.
+// readLog collects metrics from the log of one scheduler. end is the end of the log.
 func (m *gossipMetrics) readLog(run *gossipRun, lines []process.Line, end time.Time) {
 	ejectedAt := map[string]time.Time{}
 	for _, line := range lines {
@@ -152,8 +152,9 @@
 	}
 }
 
-// wrongSeconds returns how many seconds of an ejection were wrong: all of them for a worker without a fault; for another
-// those before its fault, and those after reports of it may have lasted.
+// wrongSeconds returns for how many seconds an ejection was wrong. The ejection of a healthy worker is wrong for its whole
+// duration. The ejection of a faulty worker is wrong before the fault, and after the last report of the fault must have
+// expired.
 func (r *gossipRun) wrongSeconds(worker string, from, until time.Time) float64 {
 	if slices.Contains(r.healthy, worker) {
 		return until.Sub(from).Seconds()
--- a/internal/testbed/experiment/invariants.go
+++ b/internal/testbed/experiment/invariants.go
@@ -11,38 +11,42 @@
 )
 
 const (
-	// ruleSlack extends the rules' time limits by what sockets may delay.
+	// ruleSlack extends the time limits of the rules by the delay of sockets.
 	ruleSlack = 50 * time.Millisecond
-	// machineSlack extends them further, as one machine runs the processes of a whole fleet.
+	// machineSlack extends the time limits further, because one machine runs the processes of a whole fleet.
 	machineSlack = 150 * time.Millisecond
-	// maxAnswerDelay is by how much a response may come after its client's time, as in docs: later it counts as lost.
+	// maxAnswerDelay is how late after the client's timeout a response may arrive. A later response counts as lost, as
+	// defined in docs.
 	maxAnswerDelay = 500 * time.Millisecond
-	// publicationBound is how long after its publication an event counts as delivered at the latest, whatever becomes of the
-	// list service.
+	// publicationBound is the time after its publication at which an event counts as delivered, even if the list service
+	// fails.
 	publicationBound = 7 * time.Second
-	// maxTimeoutExcess is by how much the time that a scheduler tells a worker may exceed what is left of the client's.
+	// maxTimeoutExcess is how much the timeout that a scheduler sends to a worker may exceed the client's remaining time.
 	maxTimeoutExcess = 150 * time.Millisecond
-	// drainGrace is how long a scheduler that was notified of a drain may still send new requests to the worker.
+	// drainGrace is how long a scheduler may keep sending new requests to a worker after it was notified of the drain.
 	drainGrace = time.Second
-	// maxAttempts is how many attempts a request may have.
+	// maxAttempts is the maximum number of attempts per request.
 	maxAttempts = 4
-	// nonIdempotentClass is the class whose requests may reach one worker at most.
+	// nonIdempotentClass is the class whose requests may run on at most one worker.
 	nonIdempotentClass = "certificado"
 )
 
-// ruleChecker checks what a fleet did against the rules.
+// ruleChecker checks the recorded activity of a fleet against the rules.
 type ruleChecker struct {
 	fleet      *process.Fleet
-	slack      time.Duration // beyond each time limit
+	slack      time.Duration // added to each time limit
 	polls      map[string][]standin.Poll
-	attempts   map[string]int // by request
-	executions map[string]int // of requests of nonIdempotentClass
+	attempts   map[string]int // by request ID
+	executions map[string]int // by request ID, for nonIdempotentClass only
 	violations []string
 }
 
-// ruleViolations checks what a fleet did against the rules: nothing new to a worker later than 1 s after its scheduler
-// was notified that it leaves, at most 4 attempts, certificado never run twice, no worker overloaded while it is warming
-// up, a response to each request.
+// ruleViolations checks a fleet against these rules:
+//   - a scheduler sends a worker no new requests later than 1 s after it was notified of the worker's departure;
+//   - a request has at most 4 attempts;
+//   - a certificado request never runs twice;
+//   - no worker is overloaded while it is warming up;
+//   - each request gets a response.
 func ruleViolations(fleet *process.Fleet, load workload.Result, slack time.Duration) []string {
 	checker := &ruleChecker{
 		fleet:      fleet,
@@ -52,7 +56,7 @@
 		executions: map[string]int{},
 	}
 	if load.Lost > 0 {
-		checker.addViolation("%d requests without an answer", load.Lost)
+		checker.addViolation("%d requests without a response", load.Lost)
 	}
 	for _, poll := range fleet.List.Polls() {
 		checker.polls[poll.Scheduler] = append(checker.polls[poll.Scheduler], poll)
@@ -62,24 +66,24 @@
 	}
 	for id, count := range checker.attempts {
 		if count > maxAttempts {
-			checker.addViolation("%d attempts of %s", count, id)
+			checker.addViolation("%d attempts of request %s", count, id)
 		}
 	}
 	for id, count := range checker.executions {
 		if count > 1 {
-			checker.addViolation("certificado %s ran on workers %d times", id, count)
+			checker.addViolation("certificado request %s ran %d times", id, count)
 		}
 	}
 	sort.Strings(checker.violations)
 	return checker.violations
 }
 
-// addViolation notes that a rule was broken.
+// addViolation records a rule violation.
 func (c *ruleChecker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// checkWorker checks what reached a worker.
+// checkWorker checks the requests that reached a worker.
 func (c *ruleChecker) checkWorker(worker *standin.Worker) {
 	if !worker.CrashedAt().IsZero() {
 		c.addViolation("%s was overloaded while it was warming up and crashed", worker.ID)
@@ -96,18 +100,18 @@
 	}
 }
 
-// checkDrain checks that a request for a worker that leaves was sent in time.
+// checkDrain checks that a request to a departing worker was not sent after the grace period.
 func (c *ruleChecker) checkDrain(worker *standin.Worker, departure process.Departure, arrival standin.Arrival) {
 	notifiedAt := c.notifiedAt(departure, arrival)
 	sentAt := sentToWorkerAt(c.fleet, worker, arrival)
 	if late := sentAt.Sub(notifiedAt.Add(drainGrace + c.slack)); late > 0 {
-		c.addViolation("%s sent %s to %s %v too late after its drain", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
+		c.addViolation("%s sent request %s to departing worker %s %v after the grace period", arrival.From, arrival.ID, worker.ID, late.Round(time.Millisecond))
 	}
 }
 
-// notifiedAt returns when the scheduler of a request counts as notified of a departure: when it received the event, when a
-// healthy list service should have delivered it, or publicationBound after its publication, whichever is earliest. A process
-// that was started later counts as notified at its start.
+// notifiedAt returns when the scheduler of a request counts as notified of a departure. This is the earliest of three
+// times: when it received the event, when a healthy list service should have delivered it, and publicationBound after its
+// publication. A process that started later counts as notified at its start.
 func (c *ruleChecker) notifiedAt(departure process.Departure, arrival standin.Arrival) time.Time {
 	notified := departure.At.Add(publicationBound)
 	for _, earlier := range []time.Time{
@@ -124,15 +128,15 @@
 	return notified
 }
 
-// receivedAt returns when a scheduler received an event: with the last response that had it before the first poll that shows
-// it known. An earlier response may have gone to a connection that the scheduler had just closed. The zero time if no poll
-// shows it known.
+// receivedAt returns when a scheduler received an event, or the zero time if no poll acknowledges it. The event counts as
+// received with the last response that contains it before the first poll that acknowledges it: an earlier response may have
+// been sent on a connection that the scheduler had just closed.
 func receivedAt(polls []standin.Poll, event int) time.Time {
 	var at time.Time
 	for _, poll := range polls {
 		if poll.After >= event {
 			if at.IsZero() {
-				at = poll.At // the scheduler was configured with it
+				at = poll.At // the event was in the scheduler's configuration
 			}
 			return at
 		}
--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -21,29 +21,29 @@
 	matchWorkers        = 14
 	matchFunctions      = 14
 	matchWarmUp         = 2 * time.Second
-	maxValuePadding     = 252 // bytes after "zona" in the longest legal value
+	maxValuePadding     = 252 // bytes after the prefix "zona" in a value of the maximum length
 	maxPathPadding      = 251
 	maxMethodBytes      = 16
-	rulesOfAll          = 2  // rules that are evaluated for every request
-	hostileParameters   = 40 // near misses of a parameter's name
+	rulesOfAll          = 2  // rules that apply to every request
+	hostileParameters   = 40 // parameters whose names differ from matchParameter in the last byte
 	matchParameter      = "HTTP_X_CENTRE"
 	matchParameterValue = "zona4"
 )
 
-// Match measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
+// Match measures the cost of rules: of an isolated evaluation, and of requests through a scheduler with and without rules.
 type Match struct {
 	Program  string
 	Env      []string
 	Rules    int
-	Rate     float64 // requests a second
-	Hostile  bool    // requests carry the longest legal texts, many parameters and near misses of prefixes
+	Rate     float64 // requests per second
+	Hostile  bool    // requests have texts of the maximum length, many parameters, and near misses of names and prefixes
 	Seconds  float64
 	Seed     uint64
 	Progress func(string)
 }
 
-// operatorFileWithRules returns an operator's file with rules that match the requests of one function each, and two that are
-// evaluated for every request.
+// operatorFileWithRules returns an operator's file with rules that match one function each, and two that apply to every
+// request.
 func operatorFileWithRules(rules int) string {
 	var file strings.Builder
 	file.WriteString(plainOperatorFile)
@@ -58,7 +58,7 @@
 	return file.String()
 }
 
-// generateRules returns the rules of operatorFileWithRules in the form that match.Load takes.
+// generateRules returns the rules of operatorFileWithRules as input for match.Load.
 func generateRules(count int) []match.Rule {
 	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
@@ -81,10 +81,10 @@
 	return rules
 }
 
-// timeEvaluations returns how long an evaluation takes in nanoseconds: the median and the 99th percentile.
+// timeEvaluations returns the median and the 99th percentile of the evaluation time in nanoseconds.
 func timeEvaluations(table *match.Table, request *match.Request) (p50, p99 float64) {
 	const (
-		batchSize = 50 // timed as one: a clock is slower than an evaluation
+		batchSize = 50 // evaluations per timing: reading the clock takes longer than one evaluation
 		batches   = 400
 	)
 	times := make([]float64, batches)
@@ -134,12 +134,12 @@
 	return result, nil
 }
 
-// millis returns a duration in milliseconds, to the microsecond.
+// millis returns a duration in milliseconds with microsecond resolution.
 func millis(duration time.Duration) float64 {
 	return float64(duration.Microseconds()) / float64(time.Millisecond/time.Microsecond)
 }
 
-// measureEvaluations measures evaluations by themselves.
+// measureEvaluations measures isolated evaluations of a table with the given number of rules.
 func measureEvaluations(rules int) (report.MatchSize, error) {
 	classes := []match.Class{{Name: "consulta", Idempotency: routing.Idempotent}}
 	began := time.Now()
@@ -161,18 +161,18 @@
 	return size, nil
 }
 
-// longestParameterValue returns the longest legal value that the rules' prefix matches.
+// longestParameterValue returns a value of the maximum length that has the prefix in the rules.
 func longestParameterValue() string { return "zona" + strings.Repeat("z", maxValuePadding) }
 
-// loadMeasurement is what became of a load.
+// loadMeasurement is the result of offering a load to a scheduler.
 type loadMeasurement struct {
 	servedFraction float64
 	p99Millis      float64
-	cpuMicros      float64 // of processor time a request
+	cpuMicros      float64 // CPU time per request
 	memoryKB       int
 }
 
-// measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
+// measureLoad measures a scheduler with an operator's file under load.
 func (e Match) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
 	fleet, err := e.fleet(ctx, operatorFile)
 	if err != nil {
@@ -198,7 +198,7 @@
 	if count := len(result.ResponseTimes); count > 0 {
 		measured.p99Millis = millis(result.ResponseTimes[count*99/100])
 	}
-	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
+	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of CPU per request, %d kB", len(operatorFile),
 		measured.servedFraction, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
 	return measured, scheduler.Stop()
 }
@@ -232,7 +232,7 @@
 	return fleet.Wait(ctx, process.StartTimeout)
 }
 
-// load returns a load whose requests carry the parameter that the rules look at.
+// load returns a load whose requests have the parameter that the rules match on.
 func (e Match) load() workload.Load {
 	value := matchParameterValue
 	nearMisses := 0
--- a/internal/testbed/experiment/soak.go
+++ b/internal/testbed/experiment/soak.go
@@ -18,45 +18,46 @@
 )
 
 const (
-	// soakStream is the second half of the seed of what a soak draws beside its scenario.
+	// soakStream is the second half of the random seed of a soak's load. It makes the draws independent of the scenario's.
 	soakStream = 13
-	// crowdEvery and shortEvery say which seeds have a crowd of clients, and clients with short deadlines.
+	// Every crowdEvery-th seed has a load surge, and every shortEvery-th one has clients with short deadlines.
 	crowdEvery = 5
 	shortEvery = 3
-	// crowdFactor is how many times the rate a crowd offers.
+	// crowdFactor multiplies the request rate in a load surge.
 	crowdFactor = 6
-	// minShortTimeout and maxShortTimeout bound the time that clients with short deadlines give a request.
+	// minShortTimeout and maxShortTimeout bound the request timeout of clients with short deadlines.
 	minShortTimeout = 150 * time.Millisecond
 	maxShortTimeout = 900 * time.Millisecond
 )
 
-// Soak plays faults that overlap, drawn from a seed, on a small fleet of real processes and checks that no rule is broken.
-// Planned restarts are followed by the platform's kill, and clients go on over open connections until then.
+// Soak plays overlapping random faults on a small fleet of real processes and checks that no rule is broken. In a planned
+// restart the platform kills a process that is still running at its deadline. Until then clients continue to use open
+// connections.
 type Soak struct {
 	Program   string
 	Env       []string
-	Dir       string // in which a directory for files is created; the system's for temporary files if not set
+	Dir       string // parent of the working directory; the system's temporary directory if empty
 	Instances int
 	Workers   int
 	Seconds   float64
-	Rate      float64 // requests a second, of all
+	Rate      float64 // requests per second to all schedulers together
 	Seed      uint64
 }
 
-// sentRequests notes when clients sent requests, and how long they wait.
+// sentRequests records the deadlines of the requests that clients sent.
 type sentRequests struct {
 	mu     sync.Mutex
-	giveUp map[string]time.Time // by ID: when the client no longer waits
+	giveUp map[string]time.Time // by request ID: when the client's timeout expires
 }
 
-// note notes a request that is sent now.
+// note records a request that is sent now.
 func (s *sentRequests) note(request *fastcgi.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.giveUp[request.ID] = time.Now().Add(request.Budget)
 }
 
-// Run plays the seed.
+// Run plays the scenario of the seed.
 func (e Soak) Run(ctx context.Context) (report.SoakResult, error) {
 	script := scenario.Random(e.Seed, time.Duration(e.Seconds*float64(time.Second)))
 	result := report.SoakResult{Seed: e.Seed, Script: script.String()}
@@ -91,7 +92,7 @@
 	return result, nil
 }
 
-// load is what clients send: a crowd with some seeds, and requests with short deadlines with others.
+// load returns the client load. Some seeds have a load surge, others requests with short deadlines.
 func (e Soak) load(sent *sentRequests) workload.Load {
 	rng := rand.New(rand.NewPCG(e.Seed, soakStream))
 	load := workload.Load{
@@ -114,15 +115,15 @@
 	return load
 }
 
-// soakViolations returns the violations of rules that only a soak checks: schedulers that ended by themselves, or not in
-// time, and times told to workers that are longer than the client waits.
+// soakViolations returns the violations of rules that only a soak checks: schedulers that exited unexpectedly or not in
+// time, and requests sent to workers with a timeout that exceeds the client's.
 func soakViolations(fleet *process.Fleet, sent *sentRequests, worst time.Duration) (violations []string) {
 	for _, err := range fleet.StopErrors() {
 		violations = append(violations, err.Error())
 	}
 	for _, instance := range fleet.Instances {
 		if instance.EndedByItself() {
-			violations = append(violations, instance.Name+" ended by itself")
+			violations = append(violations, instance.Name+" exited unexpectedly")
 		}
 	}
 	slack := maxTimeoutExcess + machineSlack + 2*worst
@@ -130,11 +131,11 @@
 		for _, arrival := range worker.Arrivals() {
 			giveUp, known := sent.giveUp[arrival.ID]
 			if !known {
-				violations = append(violations, fmt.Sprintf("%s was sent %s, which no client sent", worker.ID, arrival.ID))
+				violations = append(violations, fmt.Sprintf("%s received request %s, which no client sent", worker.ID, arrival.ID))
 				continue
 			}
 			if excess := arrival.Timeout - giveUp.Sub(sentToWorkerAt(fleet, worker, arrival)); excess > slack {
-				violations = append(violations, fmt.Sprintf("%s was told to work on %s for %v longer than its client waits",
+				violations = append(violations, fmt.Sprintf("%s received request %s with a timeout %v longer than its client's",
 					worker.ID, arrival.ID, excess.Round(time.Millisecond)))
 			}
 		}
@@ -142,7 +143,7 @@
 	return violations
 }
 
-// sentToWorkerAt returns when a request was sent that came to a worker, perhaps over a slow link.
+// sentToWorkerAt returns when the request of an arrival was sent, which is earlier than its arrival over a slow link.
 func sentToWorkerAt(fleet *process.Fleet, worker *standin.Worker, arrival standin.Arrival) time.Time {
 	if link := fleet.LinkTo(arrival.From, worker.ID); link != nil {
 		return link.SentAt(arrival.At)
