--- a/internal/testbed/report/peak.go
+++ b/internal/testbed/report/peak.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// PeakPer100ms returns the largest number of these times within any 100 ms that begin no earlier than from.
+// PeakPer100ms returns the highest number of times in any window of 100 ms that begins at or after from.
 func PeakPer100ms(times []time.Duration, from time.Duration) int {
 	times = slices.Sorted(slices.Values(times))
 	peak := 0
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -11,29 +11,28 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The sizes of plots.
+// Dimensions of plots.
 const (
 	plotHeight    = 11 * vg.Centimeter
-	bySizeWidth   = 16 * vg.Centimeter // against the size of a fleet
-	overTimeWidth = 20 * vg.Centimeter
+	bySizeWidth   = 16 * vg.Centimeter // of plots over the fleet size
+	overTimeWidth = 20 * vg.Centimeter // of plots over time
 )
 
-// millisPerSecond is what a time in milliseconds is divided by for seconds.
 const millisPerSecond = float64(time.Second / time.Millisecond)
 
-// histogramBin is the resolution of plots over time.
+// histogramBin is the bin width of plots over time.
 const (
 	histogramBin  = 100 * time.Millisecond
 	binsPerSecond = float64(time.Second / histogramBin)
 )
 
-// PlotVirtualGossip draws cost and speed against the size of a fleet. The extension of the path, .svg or .png, decides
-// the format.
+// PlotVirtualGossip plots message rate and propagation time over the fleet size. The extension of the path, .svg or .png,
+// selects the format.
 func PlotVirtualGossip(result VirtualGossipResult, path string) error {
 	chart := plot.New()
 	chart.Title.Text = "Gossip in virtual time"
 	chart.X.Label.Text = "instances"
-	chart.Y.Label.Text = "messages a second an instance; seconds until 99% know"
+	chart.Y.Label.Text = "messages per second and instance; seconds until 99% are informed"
 	chart.X.Scale = plot.LogScale{}
 	chart.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	chart.Y.Min = 0
@@ -44,9 +43,9 @@
 		name  string
 		value func(VirtualGossipSize) float64
 	}{
-		{"messages a second", func(size VirtualGossipSize) float64 { return size.Messages }},
-		{"seconds to know a death", func(size VirtualGossipSize) float64 { return size.Death / millisPerSecond }},
-		{"seconds to know a statement", func(size VirtualGossipSize) float64 { return size.Statement / millisPerSecond }},
+		{"messages per second", func(size VirtualGossipSize) float64 { return size.Messages }},
+		{"seconds to detect a death", func(size VirtualGossipSize) float64 { return size.Death / millisPerSecond }},
+		{"seconds to deliver a statement", func(size VirtualGossipSize) float64 { return size.Statement / millisPerSecond }},
 	} {
 		var points plotter.XYs
 		for _, size := range result.Sizes {
@@ -60,13 +59,13 @@
 	return chart.Save(bySizeWidth, plotHeight, path)
 }
 
-// Plot draws polls at the list service and connections at the workers over time, of both builds. The extension of the
-// path, .svg or .png, decides the format.
+// Plot plots polls at the list service and connections to workers over time, for both builds. The extension of the path,
+// .svg or .png, selects the format.
 func (r ColdStartResult) Plot(path string) error {
 	chart := plot.New()
 	chart.Title.Text = "Polls and connections"
 	chart.X.Label.Text = "seconds"
-	chart.Y.Label.Text = "in 100 ms"
+	chart.Y.Label.Text = "count per 100 ms"
 	chart.Legend.Top = true
 	var lines []any
 	add := func(build string, metrics ColdStartMetrics) {
@@ -84,7 +83,7 @@
 	return chart.Save(overTimeWidth, plotHeight, path)
 }
 
-// histogram counts times by histogramBin, against seconds.
+// histogram counts times per histogramBin. The X values are in seconds.
 func histogram(times []time.Duration) plotter.XYs {
 	if len(times) == 0 {
 		return plotter.XYs{{}}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -10,7 +10,7 @@
 	"calicohill/internal/testbed/report"
 )
 
-// Keys of reports are in snake_case, and a unit is their last part, or one before "per".
+// Guards against keys of reports that are not in snake_case, or have a unit that is neither last nor followed by "per".
 func TestReportKeys(t *testing.T) {
 	t.Parallel()
 	snakeCase := regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
@@ -36,7 +36,7 @@
 			parts := strings.Split(key, "_")
 			for i, part := range parts[:len(parts)-1] {
 				if slices.Contains(units, part) && parts[i+1] != "per" {
-					t.Errorf("%s.%s: key %q goes on after the unit %s", typ.Name(), field.Name, key, part)
+					t.Errorf("%s.%s: key %q continues after the unit %s", typ.Name(), field.Name, key, part)
 				}
 			}
 			check(field.Type)
--- a/internal/testbed/report/soak.go
+++ b/internal/testbed/report/soak.go
@@ -7,21 +7,21 @@
 	"calicohill/internal/testbed/workload"
 )
 
-// SoakResult is what became of one seed of a soak.
+// SoakResult is the result of one seed of a soak.
 type SoakResult struct {
 	Seed        uint64   `json:"seed"`
 	Offered     int      `json:"offered"`
 	Served      int      `json:"served"`
 	Rejected    int      `json:"rejected"`
 	Failed      int      `json:"failed"`
-	Interrupted int      `json:"interrupted"`  // without a response, of a process that was killed or stopped meanwhile
+	Interrupted int      `json:"interrupted"`  // no response, because the process was killed or stopped
 	NotAccepted int      `json:"not_accepted"` // no connection was established
-	Late        float64  `json:"late_ms"`      // by which the machine woke goroutines late at the worst
+	Late        float64  `json:"late_ms"`      // longest wake-up delay of a goroutine on this machine
 	RulesBroken []string `json:"rules_broken"`
 	Script      string   `json:"script"`
 }
 
-// Count takes over what became of the load, and by how much the machine was late at the worst.
+// Count sets the outcome of the load and the longest wake-up delay.
 func (r *SoakResult) Count(load workload.Result, worst time.Duration) {
 	r.Offered = load.Offered
 	r.Served = load.Served
@@ -32,7 +32,7 @@
 	r.Late = float64(worst.Milliseconds())
 }
 
-// Summary is the result in one line.
+// Summary returns a one-line summary of the result.
 func (r *SoakResult) Summary() string {
 	return fmt.Sprintf("seed %d: %d offered, %d served, %d rejected, %d failed, %d interrupted, %d not accepted, %d rules broken",
 		r.Seed, r.Offered, r.Served, r.Rejected, r.Failed, r.Interrupted, r.NotAccepted, len(r.RulesBroken))
--- a/internal/testbed/scenario/linksteps.go
+++ b/internal/testbed/scenario/linksteps.go
@@ -4,7 +4,7 @@
 	"errors"
 )
 
-// setPartition changes the links between some schedulers and the others.
+// setPartition sets the condition of the links between the selected schedulers and the others.
 func (r stepRun) setPartition() error {
 	instances, err := r.selectedInstances(1)
 	if err != nil {
@@ -17,9 +17,9 @@
 	return nil
 }
 
-// setLinks changes the links between some schedulers and some workers, or resets their connections.
+// setLinks sets the condition of the links between the selected schedulers and workers, or resets their connections.
 func (r stepRun) setLinks() error {
-	const schedulerFraction, workerFraction = 1, 2 // which arguments they are
+	const schedulerFraction, workerFraction = 1, 2 // argument indexes
 	instances, err := r.selectedInstances(schedulerFraction)
 	if err != nil {
 		return err
--- a/internal/testbed/scenario/liststeps.go
+++ b/internal/testbed/scenario/liststeps.go
@@ -6,7 +6,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// setListFault gives the list service a fault, or none.
+// setListFault sets or clears the fault of the list service.
 func (r stepRun) setListFault() error {
 	name, err := r.argument(0)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// repeatEvent publishes an event that repeats what the list has of the first worker that does not leave.
+// repeatEvent publishes an event with the unchanged state of the first worker that is not departing.
 func (r stepRun) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.Departure(worker); !leaves {
--- a/internal/testbed/scenario/names.go
+++ b/internal/testbed/scenario/names.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// coldStartScripts has the scripts of cold starts by name.
+// coldStartScripts maps names to the scripts of cold starts.
 var coldStartScripts = map[string]string{
 	"healthy":               "0s known full\n0s start 1\n8s publish",
 	"empty_list":            "0s known empty\n0s start 1\n8s publish",
@@ -30,7 +30,7 @@
 	"slow_workers_and_list": "0s known full\n0s start 1\n5s workers slow 0.3\n5s list rate_limited 0.2\n6s drain 0.1\n12s workers healthy 0.3",
 }
 
-// nameAliases has earlier names of scripts. They are accepted, but ColdStartNames leaves them out.
+// nameAliases maps deprecated names of scripts to the current ones. ColdStartNames omits them.
 var nameAliases = map[string]string{
 	"well":    "healthy",
 	"empty":   "empty_list",
@@ -57,7 +57,7 @@
 // ColdStartNames returns the names of the scripts of cold starts in alphabetical order.
 func ColdStartNames() []string { return slices.Sorted(maps.Keys(coldStartScripts)) }
 
-// ColdStartScript returns the script of a cold start by its name, or by an earlier name; false if there is none.
+// ColdStartScript returns the script with the given current or deprecated name, and whether it exists.
 func ColdStartScript(name string) (script string, ok bool) {
 	script, ok = coldStartScripts[cmp.Or(nameAliases[name], name)]
 	return script, ok
--- a/internal/testbed/scenario/random.go
+++ b/internal/testbed/scenario/random.go
@@ -10,23 +10,26 @@
 )
 
 const (
-	// randomStream is the second half of the seed of random scenarios, which sets their draws apart from others.
+	// randomStream is the second half of the random seed. It makes the draws independent of those for other purposes.
 	randomStream = 11
-	// faultsFrom is when the first fault of a random scenario begins: schedulers have started by then.
+	// faultsFrom is the time of the first fault, by which the schedulers have started.
 	faultsFrom = 2 * time.Second
-	// RecoveryTime is the end of a random scenario, in which all is healthy and schedulers end as in a planned restart.
+	// RecoveryTime is the final phase of a random scenario, without faults. The schedulers shut down in it as in a planned
+	// restart.
 	RecoveryTime = 8 * time.Second
-	// terminateBefore is how long before its end schedulers are told to end.
+	// terminateBefore is the time from SIGTERM to the schedulers until the end of the scenario.
 	terminateBefore = 4 * time.Second
-	// meanFaultInterval is the mean time between the beginnings of two faults.
+	// meanFaultInterval is the mean time between the starts of successive faults.
 	meanFaultInterval = 1500 * time.Millisecond
-	// maxOutage is the longest outage of the list service: longer than anything that is known of workers may be used.
+	// maxOutage is the maximum outage of the list service. It exceeds the time for which schedulers may use old information
+	// about workers.
 	maxOutage = 16 * time.Second
-	// maxSignalPause is the longest pause between two signals of a series, which has minSignals and up to moreSignals - 1 more.
+	// maxSignalPause is the maximum pause between two signals in a series. A series has minSignals to
+	// minSignals + moreSignals - 1 signals.
 	maxSignalPause = 250 * time.Millisecond
 	minSignals     = 2
 	moreSignals    = 6
-	// The largest shares of workers and schedulers that one fault concerns, and the least.
+	// The minimum and maximum shares of workers and schedulers that a fault affects.
 	leastShare     = 0.1
 	mostFewWorkers = 0.2
 	mostWorkers    = 0.3
@@ -34,20 +37,21 @@
 	halfSchedulers = 0.5
 	mostSchedulers = 0.7
 	leastRolled    = 0.25 // one scheduler of four
-	// restartOdds is one in how many outages sees workers restart.
+	// restartOdds is the reciprocal of the probability that workers restart during an outage.
 	restartOdds = 3
-	// maxFault is how long other faults last.
+	// maxFault is the maximum duration of other faults.
 	maxFault = 4 * time.Second
 )
 
-// randomScenario draws a scenario.
+// randomScenario generates a random scenario.
 type randomScenario struct {
 	rng   *rand.Rand
-	end   time.Duration // of the faults
+	end   time.Duration // time at which all faults have ended
 	steps Scenario
 }
 
-// Random returns a scenario of faults that overlap, drawn from a seed. In the last RecoveryTime all is healthy again.
+// Random returns a scenario of overlapping faults that is determined by the seed. No fault is active in the last
+// RecoveryTime.
 func Random(seed uint64, duration time.Duration) Scenario {
 	drawn := &randomScenario{rng: rand.New(rand.NewPCG(seed, randomStream)), end: max(duration-RecoveryTime, faultsFrom)}
 	drawn.add(0, "known full")
@@ -82,25 +86,25 @@
 	r.steps = append(r.steps, Step{At: at.Round(time.Millisecond), Verb: fields[0], Args: fields[1:]})
 }
 
-// upTo draws a time from 0 to longest.
+// upTo returns a random duration from 0 to longest.
 func (r *randomScenario) upTo(longest time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(longest)))
 }
 
-// until draws the end of a fault that begins at a time.
+// until returns a random end time of a fault that starts at the given time and lasts at most longest.
 func (r *randomScenario) until(at, longest time.Duration) time.Duration {
 	return min(at+r.upTo(longest), r.end)
 }
 
-// share draws a share between a tenth and most.
+// share returns a random share between leastShare and most.
 func (r *randomScenario) share(most float64) float64 {
 	return leastShare + r.rng.Float64()*(most-leastShare)
 }
 
-// pick draws one of some words.
+// pick returns a random element of words.
 func (r *randomScenario) pick(words ...string) string { return words[r.rng.IntN(len(words))] }
 
-// listOutage has nothing heard of the list service, and workers drain, or restart, just after that began.
+// listOutage makes the list service unavailable. Soon after its start workers drain, and in some outages workers restart.
 func (r *randomScenario) listOutage(at time.Duration) {
 	r.add(at, "list %s", r.pick("refusing", "unresponsive", "overloaded"))
 	r.add(at+r.upTo(time.Second), "drain %.2f", r.share(mostWorkers))
@@ -110,7 +114,7 @@
 	r.add(r.until(at, maxOutage), "list healthy")
 }
 
-// listFault gives the list service a fault by which polls are late, or get lost.
+// listFault makes the list service delay or lose responses to polls.
 func (r *randomScenario) listFault(at time.Duration) {
 	r.add(at, "%s", r.pick("list truncating", "list rate_limited 0.1", "disconnect", "publish"))
 	r.add(r.until(at, maxFault), "list healthy")
@@ -136,7 +140,7 @@
 	r.add(r.until(at, maxFault), "cont 1")
 }
 
-// signals sends signals in series.
+// signals sends a series of signals.
 func (r *randomScenario) signals(at time.Duration) {
 	for range minSignals + r.rng.IntN(moreSignals) {
 		at = r.until(at, maxSignalPause)
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario has scripts of what happens to a fleet of processes, and plays them.
+// Package scenario parses, generates and plays fault scripts for fleets of processes.
 package scenario
 
 import (
@@ -14,45 +14,46 @@
 	"calicohill/internal/testbed/wait"
 )
 
-// Scenario is a script of what happens to a fleet: lines "TIME VERB ARGUMENTS" in the order of their times, each
-// beginning when its time has come. A share is of all schedulers, or workers, the same ones for the same seed.
+// Scenario is a fault script for a fleet. Its lines have the form "TIME VERB ARGUMENTS" and are ordered by time, which
+// counts from the start of the run. A SHARE is a fraction of all schedulers or workers; the seed determines which ones.
 //
-//	0s known full|stale|empty      the events that schedulers are configured with; before any start
-//	0s start SHARE                 starts those of the first SHARE that do not run
-//	4s list FAULT [SHARE]          fault of the list service: healthy (none), refusing, unresponsive, overloaded, truncating or
-//	                               rate_limited, which answers SHARE of what the fleet polls
+//	0s known full|stale|empty      sets the events in the schedulers' configuration; before any start
+//	0s start SHARE                 starts those of the schedulers that are not running
+//	4s list FAULT [SHARE]          sets the fault of the list service: healthy (none), refusing, unresponsive, overloaded,
+//	                               truncating or rate_limited, which answers SHARE of the fleet's polls
 //	4s disconnect                  closes all connections of the list service
-//	4s publish                     publishes an event that repeats what the list has
+//	4s publish                     publishes an event that changes nothing in the list
 //	4s drain SHARE                 drains workers
-//	4s replace SHARE [warming_up]  deletes workers and lists new ones, which are warm unless it says that they are warming up
+//	4s replace SHARE [warming_up]  deletes workers and lists new ones, which are warm by default
 //	4s kill|stop|cont|term SHARE   sends schedulers SIGKILL, SIGSTOP, SIGCONT or SIGTERM
 //	4s hup|usr1 SHARE              sends schedulers SIGHUP or SIGUSR1
-//	4s rolling_restart SHARE PAUSE a rolling restart of all schedulers, a share at a time
-//	4s link CONDITION SHARE SHARE  changes the links between schedulers and workers: healthy, partitioned, partitioned_forward,
-//	                               partitioned_backward, hang, throttled (4,000 bytes a second), high_latency (100 to 200 ms
-//	                               each way) or connection_reset
-//	4s restart_workers SHARE       restarts workers at their address, without functions loaded and warming up; those that drain
-//	                               or were deleted go on
-//	4s stall_store PAUSE           the store that all workers load from serves nothing for that long
-//	4s gossip CONDITION SHARE      changes the links between schedulers and the others, who gossip: healthy, partitioned,
-//	                               partitioned_forward, partitioned_backward, high_latency or lossy (one datagram in three lost,
-//	                               one in ten twice, out of order)
-//	4s workers FAULT SHARE         gives workers a fault: healthy (none), unresponsive, slow, failing or refusing
+//	4s rolling_restart SHARE PAUSE restarts all schedulers in batches of SHARE, with a PAUSE after each batch
+//	4s link CONDITION SHARE SHARE  sets the condition of links between schedulers and workers: healthy, partitioned,
+//	                               partitioned_forward, partitioned_backward, hang, throttled (4,000 bytes per second),
+//	                               high_latency (100 to 200 ms each way) or connection_reset
+//	4s restart_workers SHARE       restarts workers at the same address, warming up and without loaded functions, except
+//	                               draining and deleted ones
+//	4s stall_store PAUSE           stalls the store from which all workers load functions
+//	4s gossip CONDITION SHARE      sets the condition of gossip links between SHARE of the schedulers and the others: healthy,
+//	                               partitioned, partitioned_forward, partitioned_backward, high_latency or lossy (33% loss,
+//	                               10% duplicates, reordering)
+//	4s workers FAULT SHARE         sets the fault of workers: healthy (none), unresponsive, slow, failing or refusing
 //
-// Earlier words for the same are accepted too: see verbAliases and argumentAliases.
+// Deprecated verbs and arguments are also accepted, see verbAliases and argumentAliases.
 type Scenario []Step
 
-// Step is a line of a Scenario.
+// Step is one line of a Scenario.
 type Step struct {
 	At   time.Duration
 	Verb string
 	Args []string
 }
 
-// errInvalidStep is the error of a line that is no step of a scenario, or whose arguments are invalid.
-var errInvalidStep = errors.New("not a step of a scenario")
+// errInvalidStep means that a line can't be parsed, or that its verb or arguments are invalid.
+var errInvalidStep = errors.New("invalid scenario step")
 
-// Parse parses a script, and replaces earlier words by the present ones. Verbs and arguments are checked when the step is executed.
+// Parse parses a script, and replaces deprecated words with the current ones. Verbs and arguments are checked only when the
+// step is executed.
 func Parse(text string) (Scenario, error) {
 	var scenario Scenario
 	for line := range strings.Lines(text) {
@@ -76,7 +77,7 @@
 // ChangesGossip reports whether the scenario changes links between schedulers.
 func (s Scenario) ChangesGossip() bool { return s.has("gossip") }
 
-// has reports whether a step of the scenario has a verb.
+// has reports whether any step has the verb.
 func (s Scenario) has(verb string) bool {
 	for _, step := range s {
 		if step.Verb == verb {
@@ -89,7 +90,7 @@
 // invalid returns the error of a step whose arguments are invalid.
 func (s Step) invalid() error { return fmt.Errorf("%w: %v", errInvalidStep, s) }
 
-// argument returns the argument at an index; an error if there are fewer.
+// argument returns the argument at an index, or an error if it is missing.
 func (s Step) argument(index int) (string, error) {
 	if index >= len(s.Args) {
 		return "", s.invalid()
@@ -97,7 +98,7 @@
 	return s.Args[index], nil
 }
 
-// count returns how many of a total the share at an index means.
+// count converts the share at an argument index to a number of elements out of total.
 func (s Step) count(index, total int) (int, error) {
 	text, err := s.argument(index)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return int(math.Round(fraction * float64(total))), nil
 }
 
-// duration returns the duration at an index of the arguments.
+// duration parses the duration at an argument index.
 func (s Step) duration(index int) (time.Duration, error) {
 	text, err := s.argument(index)
 	if err != nil {
@@ -119,8 +120,8 @@
 	return time.ParseDuration(text)
 }
 
-// Play executes the steps on a fleet, each when its time after the beginning has come, until the context ends. It returns when the
-// last step that was executed ended.
+// Play executes the steps on a fleet at their times relative to began, until the context is done. lastStep is the completion
+// time of the last executed step.
 func Play(ctx context.Context, fleet *process.Fleet, scenario Scenario, began time.Time, seed uint64) (lastStep time.Time, err error) {
 	lastStep = began
 	for _, step := range scenario {
--- a/internal/testbed/scenario/schedulersteps.go
+++ b/internal/testbed/scenario/schedulersteps.go
@@ -26,25 +26,26 @@
 	})
 }
 
-// signalRunning sends a signal that has a scheduler do something, if it runs and serves: until then it would end it.
+// signalRunning sends a signal to schedulers that are serving. Before a scheduler serves it handles no signals, and the
+// signal would terminate it.
 func (r stepRun) signalRunning(signal syscall.Signal) error {
 	return r.forEachInstance(func(in *process.Instance) error {
 		if in.Serves() {
-			_ = in.Signal(signal) // it may have ended
+			_ = in.Signal(signal) // the process may have exited
 		}
 		return nil
 	})
 }
 
-// terminate has instances shut down, and does not wait for it.
+// terminate starts the shutdown of instances without waiting for its end.
 func (r stepRun) terminate() error {
 	return r.forEachInstance(func(in *process.Instance) error {
-		go func() { _ = in.Stop() }() // the checks detect one that does not end in order
+		go func() { _ = in.Stop() }() // the rule checks detect a failed shutdown
 		return nil
 	})
 }
 
-// rollingRestart restarts all instances, a share of them at a time.
+// rollingRestart restarts all instances in batches.
 func (r stepRun) rollingRestart() error {
 	batch, err := r.count(0, len(r.fleet.Instances))
 	if err != nil || len(r.Args) < 2 || batch == 0 {
@@ -60,7 +61,7 @@
 			instance := r.fleet.Instances[i]
 			restarts.Go(func() {
 				if err := instance.Stop(); err == nil {
-					_ = instance.Start() // the checks detect one that does not start
+					_ = instance.Start() // the rule checks detect a failed start
 				}
 			})
 		}
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// setKnownEvents rewrites the schedulers' files with other events.
+// setKnownEvents rewrites the schedulers' configuration files with different events.
 func (r stepRun) setKnownEvents() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
--- a/internal/testbed/scenario/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -8,18 +8,18 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
+// scenarioStream is the second half of the random seed. It makes these draws independent of those of the load.
 const scenarioStream = 7
 
-// stepRun is a step that is executed on a fleet.
+// stepRun is the execution of a step on a fleet.
 type stepRun struct {
 	Step
 	fleet      *process.Fleet
-	schedulers []int // all instances in the order in which shares take them
-	workers    []int // the same for the workers
+	schedulers []int // indexes of all instances in random order; a share selects the first ones
+	workers    []int // the same for workers
 }
 
-// stepVerbs has the function that carries out each verb.
+// stepVerbs maps verbs to the functions that execute them.
 var stepVerbs = map[string]func(stepRun) error{
 	"start":           func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
 	"kill":            stepRun.kill,
@@ -42,7 +42,7 @@
 	"known":           stepRun.setKnownEvents,
 }
 
-// execute carries out a step on a fleet.
+// execute executes a step on a fleet. The seed determines which schedulers and workers it affects.
 func execute(fleet *process.Fleet, step Step, seed uint64) error {
 	do, ok := stepVerbs[step.canonical().Verb]
 	if !ok {
@@ -55,7 +55,7 @@
 	return do(run)
 }
 
-// selectedInstances returns the instances that the share at an argument means.
+// selectedInstances returns the instances that the share at an argument index selects.
 func (r stepRun) selectedInstances(argument int) ([]*process.Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
@@ -68,7 +68,7 @@
 	return instances, nil
 }
 
-// selectedWorkers returns the workers that the share at an argument means.
+// selectedWorkers returns the workers that the share at an argument index selects.
 func (r stepRun) selectedWorkers(argument int) ([]*standin.Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
@@ -81,7 +81,7 @@
 	return workers, nil
 }
 
-// forEachInstance does something to the instances of the first argument, until it fails.
+// forEachInstance calls do for each instance that the first argument selects, and stops at the first error.
 func (r stepRun) forEachInstance(do func(*process.Instance) error) error {
 	instances, err := r.selectedInstances(0)
 	if err != nil {
--- a/internal/testbed/scenario/steps_internal_test.go
+++ b/internal/testbed/scenario/steps_internal_test.go
@@ -8,7 +8,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// A step that names a fault of workers which does not exist is an error, and leaves them as they are.
+// Guards against an unknown worker fault that is accepted, or that changes the workers' current fault.
 func TestUnknownWorkerFault(t *testing.T) {
 	t.Parallel()
 	fleet := &process.Fleet{Workers: []*standin.Worker{{ID: "w00"}, {ID: "w01"}}}
@@ -22,13 +22,12 @@
 	}
 	for _, worker := range fleet.Workers {
 		if fault := worker.Fault(); fault != standin.WorkerUnresponsive {
-			t.Errorf("%s has fault %d, want the %d of the valid step", worker.ID, fault, standin.WorkerUnresponsive)
+			t.Errorf("%s has fault %d, want %d from the valid step", worker.ID, fault, standin.WorkerUnresponsive)
 		}
 	}
 }
 
-// A step that names a fault of the list service or known events which do not exist is an error. Guards against a fault: an
-// unknown word counted as a healthy service, or as the full list.
+// Guards against an unknown list fault that is treated as healthy, and unknown events that are treated as the full list.
 func TestUnknownListFaultAndKnownEvents(t *testing.T) {
 	t.Parallel()
 	service := standin.NewListService()
@@ -46,6 +45,6 @@
 		}
 	}
 	if fleet.KnownEvents != process.KnownNone {
-		t.Errorf("known events are %d, want the %d of before", fleet.KnownEvents, process.KnownNone)
+		t.Errorf("known events are %d, want unchanged %d", fleet.KnownEvents, process.KnownNone)
 	}
 }
--- a/internal/testbed/scenario/words.go
+++ b/internal/testbed/scenario/words.go
@@ -10,7 +10,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// listFaults is the faults of the list service by their names in scenarios.
+// listFaults maps names in scenarios to faults of the list service.
 var listFaults = map[string]standin.ListFault{
 	"healthy":      standin.ListHealthy,
 	"refusing":     standin.ListRefusing,
@@ -20,14 +20,14 @@
 	"rate_limited": standin.ListRateLimited,
 }
 
-// knownEvents is the events that schedulers may be configured with by their names in scenarios.
+// knownEvents maps names in scenarios to the events in the schedulers' configuration.
 var knownEvents = map[string]process.KnownEvents{
 	"full":  process.KnownAll,
 	"stale": process.KnownFirst,
 	"empty": process.KnownNone,
 }
 
-// workerFaults is the faults of workers by their names in scenarios.
+// workerFaults maps names in scenarios to faults of workers.
 var workerFaults = map[string]standin.WorkerFault{
 	"healthy":      standin.WorkerHealthy,
 	"unresponsive": standin.WorkerUnresponsive,
@@ -36,7 +36,7 @@
 	"refusing":     standin.WorkerRefusing,
 }
 
-// linkConditions is the conditions of links by their names in scenarios.
+// linkConditions maps names in scenarios to conditions of links.
 var linkConditions = map[string]fault.LinkCondition{
 	"healthy":              {},
 	"partitioned":          {CutForward: true, CutBackward: true},
@@ -49,13 +49,13 @@
 }
 
 const (
-	// connectionReset is the condition that resets a link's connections once.
+	// connectionReset is the condition that resets the open connections of a link.
 	connectionReset = "connection_reset"
-	// warmingUp is the argument of replace for new workers that are warming up.
+	// warmingUp is the argument of replace that makes the new workers start warming up.
 	warmingUp = "warming_up"
 )
 
-// verbAliases has earlier names of verbs, which are still accepted.
+// verbAliases maps deprecated verbs to the current ones.
 var verbAliases = map[string]string{
 	"roll":  "rolling_restart",
 	"break": "disconnect",
@@ -65,7 +65,7 @@
 	"talk":  "gossip",
 }
 
-// linkAliases has earlier names of the conditions of links.
+// linkAliases maps deprecated names of link conditions to the current ones.
 var linkAliases = map[string]string{
 	"whole":     "healthy",
 	"cut":       "partitioned",
@@ -76,7 +76,7 @@
 	"reset":     connectionReset,
 }
 
-// argumentAliases has earlier names of the arguments of verbs, which are still accepted.
+// argumentAliases maps deprecated arguments of each verb to the current ones.
 var argumentAliases = map[string]map[string]string{
 	"list": {
 		"well":    "healthy",
@@ -99,7 +99,7 @@
 	"gossip":  linkAliases,
 }
 
-// canonical returns the step with the present name in place of each earlier one.
+// canonical returns the step with deprecated words replaced by the current ones.
 func (s Step) canonical() Step {
 	s.Verb = cmp.Or(verbAliases[s.Verb], s.Verb)
 	s.Args = slices.Clone(s.Args)
--- a/internal/testbed/scenario/words_test.go
+++ b/internal/testbed/scenario/words_test.go
@@ -8,7 +8,7 @@
 	"calicohill/internal/testbed/scenario"
 )
 
-// Earlier words of a script mean the same as the present ones.
+// Guards against deprecated words of scripts that are rejected or change their meaning.
 func TestEarlierWords(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct{ earlier, present string }{
@@ -40,12 +40,13 @@
 		{"1s replace 0.2 cold", "1s replace 0.2 warming_up"},
 	} {
 		if earlier, present := parse(t, tt.earlier), parse(t, tt.present); !reflect.DeepEqual(earlier, present) {
-			t.Errorf("%q gives %v, and %q %v", tt.earlier, earlier, tt.present, present)
+			t.Errorf("%q is parsed as %v, but %q as %v", tt.earlier, earlier, tt.present, present)
 		}
 	}
 }
 
-// Both names of each script give the steps that the earlier one had in earlier words, and only the present one is listed.
+// Guards against a script whose steps differ from its original version in deprecated words, a deprecated name that selects
+// another script, and deprecated names in the list of names.
 func TestColdStartScripts(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct{ earlier, present, script string }{
@@ -87,7 +88,7 @@
 	}
 }
 
-// parse parses a script that is right.
+// parse parses a valid script.
 func parse(t *testing.T, script string) scenario.Scenario {
 	t.Helper()
 	steps, err := scenario.Parse(script)
--- a/internal/testbed/scenario/workersteps.go
+++ b/internal/testbed/scenario/workersteps.go
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// replace deletes workers from the list and lists as many new ones.
+// replace deletes workers from the endpoint list and adds the same number of new ones.
 func (r stepRun) replace() error {
 	gone, err := r.selectedWorkers(0)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// restartWorkers restarts workers at their address, but for those that drain or were deleted.
+// restartWorkers restarts workers at the same address, except draining and deleted ones.
 func (r stepRun) restartWorkers() error {
 	workers, err := r.selectedWorkers(0)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// stallStore has the store serve nothing for a while.
+// stallStore stalls the store for a duration.
 func (r stepRun) stallStore() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// setWorkerFault gives workers a fault, or none.
+// setWorkerFault sets or clears the fault of workers.
 func (r stepRun) setWorkerFault() error {
 	workers, err := r.selectedWorkers(1)
 	if err != nil {
