--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden reads, compares and records the golden files of a package's tests. It is for tests only: it adds the
-// flag -record to the program that imports it.
+// Package golden reads, compares and records the golden files of a package's tests. Only tests may import it, because it
+// registers the flag -record.
 //
-// A golden file lies in the directory testdata/golden of the package under test. The files of the wire and file formats
-// were recorded once, by an earlier version, and show that a later version reads and writes the same bytes. They are
-// never recorded again to get a pass: a file that exists is not overwritten.
+// Golden files are in the directory testdata/golden of the package under test. Those of the wire and file formats were
+// recorded once, by an earlier version, and prove that later versions read and write the same bytes. They must not be
+// recorded again to make a test pass, so existing files are never overwritten.
 package golden
 
 import (
@@ -22,13 +22,13 @@
 
 var record = flag.Bool("record", false, "write the golden files that are missing")
 
-// Recording reports whether the tests run with -record, and write golden files instead of comparing with them.
+// Recording reports whether -record is set: tests then write golden files instead of comparing with them.
 func Recording() bool { return *record }
 
 // Path returns the path of a golden file, relative to the directory of the package under test.
 func Path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Read returns the content of a golden file, and ends the test if there is none.
+// Read returns the content of a golden file. A missing file ends the test.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(Path(name))
@@ -38,7 +38,7 @@
 	return content
 }
 
-// Compare fails the test if got is not the content of a golden file. Under -record it writes the file, as Record does.
+// Compare fails the test if got differs from the content of a golden file. With -record it writes the file, like Record.
 func Compare(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if Recording() {
@@ -46,11 +46,11 @@
 		return
 	}
 	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%q\nwant\n%q", name, got, want)
+		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// Record writes a golden file, and ends the test if the file exists.
+// Record writes a golden file. An existing file ends the test.
 func Record(t *testing.T, name string, content []byte) {
 	t.Helper()
 	if err := create(Path(name), content); err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// create writes a new file and its directory. The error of a file that exists is os.ErrExist.
+// create writes a new file and creates its directory if needed. It returns os.ErrExist if the file exists.
 func create(path string, content []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
 		return err
--- a/internal/testbed/platform/config.go
+++ b/internal/testbed/platform/config.go
@@ -1,4 +1,4 @@
-// Package platform has the files that the platform writes for a scheduler: its configuration and the settings in it.
+// Package platform generates the platform's file for a scheduler: its configuration, including its settings.
 package platform
 
 import (
@@ -11,30 +11,30 @@
 	ListService string          `json:"bulletin"` // address of the list service
 	Known       json.RawMessage `json:"known"`    // endpoint list at the start, as standin.EndpointFeed returns it
 	Limits      Limits          `json:"limits"`
-	Listen      string          `json:"listen"` // address for the front
+	Listen      string          `json:"listen"` // address on which it accepts connections from the front
 	Name        string          `json:"name"`
 	Seed        string          `json:"seed"`     // 16 hexadecimal digits
 	Settings    json.RawMessage `json:"settings"` // as Settings.JSON returns it
 }
 
-// Limits is what the platform lets a scheduler use.
+// Limits is the resource limits of a scheduler.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Settings is the platform's settings of a scheduler, as far as they differ between the schedulers of the testbed
-// and of the program's tests.
+// Settings is the platform's settings of a scheduler that differ between the testbed and the program's tests. All other
+// settings are constant.
 type Settings struct {
 	Schedulers         int  // number of schedulers
-	Rank               int  // of this scheduler among them
+	Rank               int  // rank of this scheduler
 	IdleCloseMillis    int  // idle time after which a connection to a worker is closed
 	InstanceIdleMillis int  // idle time after which a worker unloads an instance of a function
-	HealthChecks       bool // schedulers may ask workers for their health
+	HealthChecks       bool // schedulers may send health checks to workers
 }
 
-// settingsFormat is the text of Settings, with a verb for each of its fields in their order.
+// settingsFormat is the format string of Settings.JSON.
 const settingsFormat = `{"balancers":%d,"rank":%d,"az":0,"tickMs":4,"dcs":["here"],"shapes":["std"],
  "ceilings":{"attemptsCap":4,"cancel":true,"probes":%t,"secondCopies":true,"retryAfter":true,"maxRetryAfterMs":500,
   "multiplex":100,"idleCloseMs":%d,"connectTimeoutMs":250},
@@ -48,12 +48,12 @@
  "safety":{"answerSlackMs":16,"coldMs":17000,"coldShare":0.25,"overloadForMs":2000,"stopSendingWithinMs":1000,
   "tipMultiple":3}}`
 
-// JSON returns the settings as the settings object of a Config.
+// JSON returns the value of Config.Settings.
 func (s Settings) JSON() []byte {
 	return fmt.Appendf(nil, settingsFormat, s.Schedulers, s.Rank, s.HealthChecks, s.IdleCloseMillis, s.InstanceIdleMillis)
 }
 
-// MaxGossipMessagesPerSecond is how many messages a member sends at most, by the default of the operator's file.
+// MaxGossipMessagesPerSecond is the limit on the messages that a member sends, as the operator's file sets it by default.
 const MaxGossipMessagesPerSecond = 20
 
 // FleetSettings returns the platform's settings of a scheduler of a fleet, real or virtual.
--- a/internal/testbed/virtual/experiment.go
+++ b/internal/testbed/virtual/experiment.go
@@ -1,5 +1,5 @@
-// Package virtual plays fleets of schedulers in virtual time: their Routers in front of workers (Experiment), their poll
-// planners in front of a list service (PollSimulation) and their membership (SimulateGossip).
+// Package virtual simulates fleets of schedulers in virtual time: their Routers with workers (Experiment), their poll
+// planners with a list service (PollSimulation) and their gossip membership (SimulateGossip).
 package virtual
 
 import (
@@ -18,21 +18,21 @@
 	"calicohill/routing"
 )
 
-// Experiment is schedulers in front of workers in virtual time: the Routers, and nothing else of a scheduler.
+// Experiment simulates schedulers and workers in virtual time. A scheduler consists only of its Router.
 type Experiment struct {
 	Schedulers        int
 	Workers           int
-	Profile           string  // of the workers, by name
-	WarmingWorkers    bool    // they start with the experiment, without functions loaded and warming up
-	KilledFraction    float64 // of the schedulers, which lose what they learned at half time
-	RestartedFraction float64 // of the workers, which restart then, without functions loaded and warming up
-	Rate              float64 // as a Load's
-	Skew              float64 // as a Load's
+	Profile           string  // name of the workers' profile
+	WarmingWorkers    bool    // workers are warming up at the start, without loaded functions
+	KilledFraction    float64 // fraction of the schedulers that lose their learned state at half time
+	RestartedFraction float64 // fraction of the workers that restart at half time, warming up and without loaded functions
+	Rate              float64 // see workload.Load
+	Skew              float64 // see workload.Load
 	Seconds           int
 	Seed              uint64
 }
 
-// fleet is the state of an Experiment that runs.
+// fleet is the state of a running Experiment.
 type fleet struct {
 	Experiment
 
@@ -46,12 +46,12 @@
 	schedulers []*scheduler
 
 	metrics report.VirtualMetrics
-	offered []int // requests by second of their arrival
-	served  []int // of these
-	failed  error // of schedulers that did not restart
+	offered []int // requests by second of arrival
+	served  []int // served requests by second of arrival
+	failed  error // errors of scheduler restarts
 }
 
-// Run runs the experiment. An error is one of the settings.
+// Run runs the experiment. It returns an error if the settings of a scheduler are invalid.
 func (e Experiment) Run() (report.VirtualMetrics, error) {
 	fleet := &fleet{
 		Experiment: e,
@@ -74,7 +74,7 @@
 	return fleet.metrics, fleet.failed
 }
 
-// duration returns how long the experiment lasts.
+// duration returns the duration of the experiment.
 func (f *fleet) duration() time.Duration { return time.Duration(f.Seconds) * time.Second }
 
 // addWorkers starts the workers.
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// restartWorkers restarts some workers, and notifies the schedulers.
+// restartWorkers restarts RestartedFraction of the workers, and notifies the schedulers.
 func (f *fleet) restartWorkers() {
 	restarted := int(f.RestartedFraction * float64(f.Workers))
 	for i := range f.list.Workers[:restarted] {
@@ -147,7 +147,7 @@
 	}
 }
 
-// collect sums up what was measured.
+// collect computes the metrics of the run.
 func (f *fleet) collect() {
 	offered, served := 0, 0
 	for second := range f.Seconds {
@@ -173,17 +173,18 @@
 	f.timers.Set(&deadline.Timer{Fire: call}, f.now+delay)
 }
 
-// secondOf returns the second of the experiment that a time is in.
+// secondOf returns the index of the second of the experiment that contains a time.
 func (f *fleet) secondOf(at time.Duration) int {
 	return min(int((at-f.startedAt)/time.Second), len(f.offered)-1)
 }
 
-// SimulateWorkers plays starts of fleets in virtual time: workers that are warm, and that are warming up, with schedulers
-// that learned nothing yet, and with seven in ten of them killed at half time. Workers grow in number with the load.
+// SimulateWorkers simulates starts of fleets in virtual time and returns the metrics by experiment name. The schedulers
+// start without learned state, and the workers warm or warming up. In some experiments 70% of the schedulers or 60% of the
+// workers restart at half time. The load is proportional to the number of workers.
 func SimulateWorkers(schedulers, workers int, seed uint64) (map[string]report.VirtualMetrics, error) {
 	const (
 		seconds       = 16
-		ratePerWorker = 8 // requests a second: a third of what a worker can do
+		ratePerWorker = 8 // requests per second: a third of a worker's capacity
 	)
 	experiments := map[string]Experiment{
 		"warm":        {},
--- a/internal/testbed/virtual/gossip.go
+++ b/internal/testbed/virtual/gossip.go
@@ -13,18 +13,18 @@
 	"calicohill/internal/testbed/report"
 )
 
-// The course of a gossip simulation.
+// Parameters of a gossip simulation.
 const (
 	maxVirtualMembers = 8192
-	deathCount        = 5 // several deaths at once: when one is detected depends on the order of the probes
+	deathCount        = 5 // several simultaneous deaths, because the detection time of one depends on the order of the probes
 	idleDuration      = 30 * time.Second
 	deathDuration     = 15 * time.Second
 	statementDuration = 5 * time.Second
 	bytesPerKB        = 1024
-	knownFraction     = 0.99 // of the members that have to know of something
+	knownFraction     = 0.99 // fraction of the members that must be informed
 )
 
-// SimulateGossip plays fleets of these sizes: half a minute of nothing, then some deaths, then a statement.
+// SimulateGossip simulates fleets of the given sizes: an idle phase, then simultaneous deaths, then a statement.
 func SimulateGossip(sizes []int, seed uint64) report.VirtualGossipResult {
 	began := time.Now()
 	var result report.VirtualGossipResult
@@ -38,7 +38,7 @@
 	return result
 }
 
-// simulateGossip plays a fleet of one size.
+// simulateGossip simulates a fleet of one size.
 func simulateGossip(instances int, seed uint64) report.VirtualGossipSize {
 	size := report.VirtualGossipSize{Instances: instances}
 	before := heapBytes()
@@ -73,18 +73,18 @@
 	return stats.HeapAlloc
 }
 
-// firstKnown is when each node first knew of something, by its name.
+// firstKnown maps node names to the times at which the nodes were first informed.
 type firstKnown map[string]time.Duration
 
-// note records that a node knows of it now.
+// note records that a node is informed at the current time.
 func (k firstKnown) note(net *gossipsim.Network, node *gossipsim.Node) {
 	if _, ok := k[node.Name]; !ok {
 		k[node.Name] = net.Now
 	}
 }
 
-// millisUntilKnown returns how long after a time knownFraction of this many nodes knew, in milliseconds; infinite if they
-// did not.
+// millisUntilKnown returns the milliseconds from since until knownFraction of the nodes were informed, or +Inf if they never
+// were.
 func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
 	needed := int(math.Ceil(knownFraction * float64(nodes)))
 	if len(k) < needed {
@@ -98,7 +98,7 @@
 	return float64(times[needed-1].Milliseconds())
 }
 
-// measureDeaths kills some nodes and returns the median time until the others suspect one, in milliseconds.
+// measureDeaths kills deathCount nodes and returns the median of their detection times in milliseconds.
 func measureDeaths(net *gossipsim.Network) float64 {
 	survivors := len(net.Nodes) - deathCount
 	knownByDead := map[string]firstKnown{}
@@ -123,7 +123,7 @@
 	return millis[deathCount/2]
 }
 
-// measureStatement has a node make a statement and returns the time until the others have it, in milliseconds.
+// measureStatement broadcasts a statement and returns the milliseconds until the other nodes have it.
 func measureStatement(net *gossipsim.Network) float64 {
 	const bodyBytes, certificateBytes = 100, 340
 	known := firstKnown{}
--- a/internal/testbed/virtual/pollexperiment.go
+++ b/internal/testbed/virtual/pollexperiment.go
@@ -7,16 +7,16 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// The course of the poll simulations.
+// Phases of the poll simulations.
 const (
 	simulatedWarmUp     = 10 * time.Second // before the fault
 	simulatedFault      = 8 * time.Second
 	simulatedRecovery   = 20 * time.Second // after it
 	rateLimitedDuration = 40 * time.Second
-	rateLimitedPeriod   = 20 * time.Second // in which a ListRateLimited answers one poll of each scheduler
+	rateLimitedPeriod   = 20 * time.Second // time in which the rate-limited service answers one poll of each scheduler
 )
 
-// SimulatePolls plays the faults of a list service with fleets of these sizes.
+// SimulatePolls simulates faults of the list service with fleets of the given sizes.
 func SimulatePolls(sizes []int, seed uint64) []report.VirtualPollResult {
 	withFault := func(fault standin.ListFault) func(*PollSimulation) {
 		return func(sim *PollSimulation) {
@@ -51,8 +51,8 @@
 	return results
 }
 
-// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a PollPeriod, and
-// has an update for all.
+// simulateRateLimited simulates a start with a list service that has an update for all schedulers, but answers only a tenth
+// of the fleet's polls in a PollPeriod.
 func simulateRateLimited(size int, seed uint64) report.VirtualPollResult {
 	result := report.VirtualPollResult{
 		Schedulers:  size,
@@ -63,7 +63,7 @@
 	sim := NewPollSimulation(size, time.Second, seed, true)
 	sim.SetFault(standin.ListRateLimited)
 	sim.Queue.AnswersPerSecond = float64(size) / rateLimitedPeriod.Seconds()
-	const update = 2 // number of the event that all have to receive
+	const update = 2 // number of the event that all schedulers must receive
 	sim.Queue.LastEvent = update
 	began := sim.Now
 	sim.Run(rateLimitedDuration)
--- a/internal/testbed/virtual/pollsim.go
+++ b/internal/testbed/virtual/pollsim.go
@@ -9,20 +9,20 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// networkDelay is how long a message takes in virtual time.
+// networkDelay is the latency of a message in virtual time.
 const networkDelay = time.Millisecond
 
-// overloadRetryAfter is the Retry-After of a list service that is overloaded.
+// overloadRetryAfter is the Retry-After of an overloaded list service.
 const overloadRetryAfter = 2 * time.Second
 
-// PollSimulation is a fleet of schedulers in front of a list service, in virtual time: the planners that decide when to poll,
-// and nothing else of a scheduler.
+// PollSimulation simulates schedulers that poll a list service in virtual time. A scheduler consists only of its poll
+// planner.
 type PollSimulation struct {
 	Now        time.Duration
 	Queue      standin.PollQueue
 	Schedulers []*Poller
-	Dials      []time.Duration // when connections were established
-	Polls      []time.Duration // when polls reached the service
+	Dials      []time.Duration // times at which connections were established
+	Polls      []time.Duration // times at which polls reached the service
 
 	timers      deadline.Queue
 	answerTimer deadline.Timer
@@ -30,18 +30,18 @@
 
 // Poller is one scheduler of a PollSimulation.
 type Poller struct {
-	LastEvent int             // number of its last event
-	UpdatedAt time.Duration   // when it had that
-	Polls     []time.Duration // when it sent its polls
+	LastEvent int             // number of the last event received
+	UpdatedAt time.Duration   // time at which it received LastEvent
+	Polls     []time.Duration // times at which it sent polls
 
 	planner     *pollplan.Planner
 	simulation  *PollSimulation
 	timer       deadline.Timer
-	connections map[int]*standin.PendingPoll // by the planner's number; nil where no poll is in flight
+	connections map[int]*standin.PendingPoll // by the planner's connection number; nil if no poll is in flight
 }
 
-// NewPollSimulation returns a fleet that starts at the virtual time of one hour, and has to obey drains within drainGrace.
-// With listed set each scheduler has the first event.
+// NewPollSimulation returns a fleet that starts at the virtual time of one hour. drainGrace is the time within which
+// schedulers must stop sending to draining workers. With listed set, schedulers start with the first event.
 func NewPollSimulation(schedulers int, drainGrace time.Duration, seed uint64, listed bool) *PollSimulation {
 	sim := &PollSimulation{Now: time.Hour, Queue: standin.PollQueue{Fault: standin.ListHealthy, LastEvent: 1}}
 	sim.answerTimer.Fire = sim.answer
@@ -66,7 +66,7 @@
 	s.timers.Set(&deadline.Timer{Fire: call}, s.Now+delay)
 }
 
-// Run lets time pass.
+// Run advances virtual time by a duration and fires the timers that are due.
 func (s *PollSimulation) Run(duration time.Duration) {
 	for end := s.Now + duration; ; {
 		at, ok := s.timers.Next()
@@ -79,7 +79,7 @@
 	}
 }
 
-// SetFault gives the list service a fault, or none.
+// SetFault sets or clears the fault of the list service.
 func (s *PollSimulation) SetFault(fault standin.ListFault) {
 	s.Queue.Fault = fault
 	if fault == standin.ListRefusing {
@@ -88,7 +88,7 @@
 	s.answer()
 }
 
-// BreakConnections breaks all connections.
+// BreakConnections closes all connections to the list service.
 func (s *PollSimulation) BreakConnections() {
 	s.Queue.RemoveAll()
 	for _, scheduler := range s.Schedulers {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Publish has the service publish one more event.
+// Publish publishes the next event.
 func (s *PollSimulation) Publish() {
 	s.Queue.LastEvent++
 	s.answer()
@@ -116,7 +116,7 @@
 	}
 }
 
-// receive delivers a response with the events up to lastEvent, as the service's fault has it.
+// receive delivers a response with the events up to lastEvent, or a failure if the service has a fault.
 func (p *Poller) receive(conn, lastEvent int) {
 	fault := p.simulation.Queue.Fault
 	p.simulation.After(networkDelay, func() {
@@ -141,7 +141,7 @@
 	})
 }
 
-// step passes events to the planner, carries out its actions and sets the timer for the next.
+// step passes events to the planner, executes its actions and sets the timer for its next step.
 func (p *Poller) step(events ...pollplan.Event) {
 	sim := p.simulation
 	for _, action := range slices.Clone(p.planner.Step(sim.Now, events...)) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// connect establishes a connection, or has it fail.
+// connect establishes a connection, or fails it if the service refuses connections.
 func (p *Poller) connect(dial pollplan.Dial) {
 	sim := p.simulation
 	if sim.Queue.Fault == standin.ListRefusing {
--- a/internal/testbed/virtual/scheduler.go
+++ b/internal/testbed/virtual/scheduler.go
@@ -9,23 +9,23 @@
 	"calicohill/routing"
 )
 
-// scheduler is a scheduler in virtual time.
+// scheduler is a simulated scheduler.
 type scheduler struct {
 	*fleet
 	index       int
-	incarnation int // counts its starts
+	incarnation int // number of starts
 	router      *routing.Router
 	inFlight    map[string]*request // by the request's ID
 }
 
-// request is a request that is not answered yet.
+// request is a request without a response yet.
 type request struct {
 	function        string
 	arrivedAt       time.Duration
-	attemptInFlight []bool // by the attempt's number
+	attemptInFlight []bool // by attempt number
 }
 
-// start starts the scheduler, or restarts it without what it learned.
+// start starts the scheduler, or restarts it without its learned state.
 func (s *scheduler) start() error {
 	seed := s.Seed<<20 + uint64(s.index)<<1 + uint64(s.incarnation)
 	router, err := routing.New(s.settings, seed)
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// offerLoad has clients send requests to the scheduler for as long as the experiment lasts.
+// offerLoad sends client requests to the scheduler until the experiment ends.
 func (s *scheduler) offerLoad(rng *rand.Rand, rate float64, functions int) {
 	zipf := workload.NewFunctionDistribution(rng, functions)
 	pause := func() time.Duration { return time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) }
@@ -58,19 +58,19 @@
 	s.schedule(pause(), next)
 }
 
-// step passes events to the Router and carries out its actions.
+// step passes events to the Router and executes its actions.
 func (s *scheduler) step(events ...routing.Event) {
 	for _, action := range s.router.Step(s.now, events) {
 		s.perform(action)
 	}
 }
 
-// perform carries out an action of the Router.
+// perform executes an action of the Router.
 func (s *scheduler) perform(action routing.Action) {
 	switch action := action.(type) {
 	case routing.SetTimer:
 		wait := action.After
-		if len(s.inFlight) == 0 { // the timer would find nothing to do
+		if len(s.inFlight) == 0 { // an idle Router needs no frequent timer
 			wait *= 10
 		}
 		s.whileRunning(wait, func() { s.step(routing.TimerFired{Token: action.Token}) })
@@ -88,7 +88,7 @@
 	}
 }
 
-// whileRunning calls a function after a delay, unless the scheduler was restarted meanwhile.
+// whileRunning calls a function after a delay, unless the scheduler has restarted in the meantime.
 func (s *scheduler) whileRunning(delay time.Duration, call func()) {
 	incarnation := s.incarnation
 	s.schedule(delay, func() {
@@ -131,7 +131,7 @@
 	})
 }
 
-// attemptEnded notifies the Router of an attempt's result, once.
+// attemptEnded passes the result of an attempt to the Router. Later results of the same attempt are ignored.
 func (s *scheduler) attemptEnded(id string, attempt int, result routing.AttemptEnded) {
 	request := s.inFlight[id]
 	if request == nil || !request.attemptInFlight[attempt] {
--- a/internal/testbed/virtual/worker.go
+++ b/internal/testbed/virtual/worker.go
@@ -8,22 +8,22 @@
 	"calicohill/routing"
 )
 
-// idleConnectionLifetime is how long a scheduler keeps an idle connection, with the settings of the testbed.
+// idleConnectionLifetime is how long a scheduler keeps an idle connection with the testbed's settings.
 const idleConnectionLifetime = 12750 * time.Millisecond
 
-// worker is a worker in virtual time.
+// worker is a simulated worker.
 type worker struct {
-	startedAt   time.Duration // 0 for one that is warm
+	startedAt   time.Duration // 0 if the worker is warm
 	crashed     bool
-	loadedAt    map[string]time.Duration   // when each function is loaded
-	slotFreeAt  []time.Duration            // when each slot, of as many requests at a time, is free
-	doneAt      map[string][]time.Duration // by function, when its requests are done
-	received    []time.Duration            // requests of the last CrashWindow
+	loadedAt    map[string]time.Duration   // by function, when its loading completes
+	slotFreeAt  []time.Duration            // by slot, when it becomes free; a slot runs one request at a time
+	doneAt      map[string][]time.Duration // by function, when its requests complete
+	received    []time.Duration            // arrival times of requests in the last CrashWindow
 	lastUsed    map[int]time.Duration      // by scheduler, when its connection was last used
 	connectedAt []time.Duration
 }
 
-// newWorker returns a warm worker without functions loaded.
+// newWorker returns a warm worker without loaded functions.
 func newWorker(profile standin.WorkerProfile) *worker {
 	return &worker{
 		loadedAt:   map[string]time.Duration{},
@@ -33,7 +33,7 @@
 	}
 }
 
-// report returns the load report, with the fraction of the slots that are busy.
+// report returns a load report whose utilization is the fraction of busy slots.
 func (w *worker) report(now time.Duration) *routing.LoadReport {
 	busy := 0.0
 	for _, freeAt := range w.slotFreeAt {
@@ -50,8 +50,8 @@
 	}
 }
 
-// serve runs a function for a scheduler. It returns how long the response takes and how many requests for the function
-// were in flight before; false if the worker has crashed.
+// serve runs a function for a scheduler. It returns the response time and the number of other requests in flight for the
+// function. ok is false if the worker has crashed.
 func (w *worker) serve(scheduler *scheduler, function string) (latency time.Duration, inFlight int, ok bool) {
 	now := scheduler.now
 	w.connect(scheduler.index, now)
@@ -76,7 +76,7 @@
 	return done - now + 2*networkDelay, len(unfinished), !w.crashed
 }
 
-// connect records that a scheduler uses its connection, or a new one if the last was idle for too long.
+// connect records the use of a scheduler's connection, and opens a new one if the last was idle for too long.
 func (w *worker) connect(scheduler int, now time.Duration) {
 	last, ok := w.lastUsed[scheduler]
 	if !ok || now-last > idleConnectionLifetime {
@@ -85,7 +85,7 @@
 	w.lastUsed[scheduler] = now
 }
 
-// age returns how long ago the worker started; the full warm-up time for one that is warm.
+// age returns the time since the worker's start, or the full warm-up time if it is warm.
 func (w *worker) age(now time.Duration) time.Duration {
 	if w.startedAt == 0 {
 		return standin.WarmUpTime
@@ -93,7 +93,7 @@
 	return now - w.startedAt
 }
 
-// nextSlot returns the index of the slot that is free first.
+// nextSlot returns the index of the slot that becomes free first.
 func (w *worker) nextSlot() int {
 	first := 0
 	for i, freeAt := range w.slotFreeAt {
--- a/internal/testbed/wait/wait.go
+++ b/internal/testbed/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has the pauses of the testbed.
+// Package wait provides a sleep that ends with a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits, and reports whether the context still lives.
+// Sleep waits until the duration has elapsed or the context is done. It reports false if the context is done.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/testbed/workload/load.go
+++ b/internal/testbed/workload/load.go
@@ -1,5 +1,5 @@
-// Package workload says what clients send to a fleet (Load, Classes, functions by Zipf's law) and counts what became of it
-// (Result).
+// Package workload defines the client load on a fleet (Load, Classes and the distribution of functions) and counts its
+// outcomes (Result).
 package workload
 
 import (
@@ -11,33 +11,33 @@
 	"calicohill/internal/frontend/fastcgi"
 )
 
-// RequestTimeout is the time that a client gives a request.
+// RequestTimeout is the client's timeout of a request.
 const RequestTimeout = 2 * time.Second
 
-// Load is what a front offers to the schedulers.
+// Load is the load that a front offers to the schedulers.
 type Load struct {
-	Rate      float64 // requests a second, of all instances together
-	Functions int     // how many are called
-	Skew      float64 // how uneven the instances' fractions are: instance i has a weight of 1 / (1 + Skew x i); 0 means equal ones
+	Rate      float64 // requests per second to all instances together
+	Functions int     // number of distinct functions
+	Skew      float64 // load skew: instance i has a weight of 1 / (1 + Skew x i); 0 distributes the load evenly
 	Seed      uint64
 	Modify    func(*fastcgi.Request) // changes each request before it is sent; may be nil
 }
 
-// Result counts what became of requests.
+// Result counts the outcomes of requests.
 type Result struct {
 	Offered       int
 	Served        int
 	Rejected      int
 	Failed        int
-	Lost          int             // without any response
-	NotAccepted   int             // no connection was established, or the instance was out of rotation; not Offered
-	Interrupted   int             // without a response, of a process that was killed or stopped meanwhile
-	ResponseTimes []time.Duration // of those that were answered
-	MaxOverrun    time.Duration   // the most by which a response came after RequestTimeout
+	Lost          int             // no response, although the process kept running
+	NotAccepted   int             // no connection, or the instance was out of rotation; not included in Offered
+	Interrupted   int             // no response, because the process was killed or stopped
+	ResponseTimes []time.Duration // of requests with a response
+	MaxOverrun    time.Duration   // longest delay of a response beyond RequestTimeout
 }
 
-// ErrNotAccepted is the error of a request that no scheduler accepted: no connection was established, or the instance was
-// out of rotation.
+// ErrNotAccepted means that no scheduler accepted the request: no connection was established, or the instance was out of
+// rotation.
 var ErrNotAccepted = errors.New("not accepted")
 
 // ServedFraction returns the fraction of the requests that were served.
@@ -48,7 +48,7 @@
 	return float64(r.Served) / float64(r.Offered)
 }
 
-// Count counts the end of a request. interrupted reports that the process was killed or stopped meanwhile.
+// Count counts the outcome of a request. interrupted means that the process was killed or stopped during the request.
 func (r *Result) Count(reply fastcgi.Reply, err error, took time.Duration, interrupted bool) {
 	if errors.Is(err, ErrNotAccepted) {
 		r.NotAccepted++
@@ -81,14 +81,14 @@
 	Fraction float64
 }
 
-// Classes are the request classes, as in docs: two in five read, as many file hours, the rest certify.
+// Classes are the request classes with their fractions of the load, as in docs.
 var Classes = []Class{
 	{"consulta", 0.39},
 	{"registro-horas", 0.35},
 	{"certificado", 0.26},
 }
 
-// PickClass returns the number of the class that a draw from 0 to 1 falls on.
+// PickClass returns the index in Classes for a random number from 0 to 1.
 func PickClass(draw float64) int {
 	for i, class := range Classes {
 		if draw < class.Fraction {
@@ -99,7 +99,7 @@
 	return len(Classes) - 1
 }
 
-// NewFunctionDistribution draws functions by Zipf's law: few of them are called often.
+// NewFunctionDistribution returns a Zipf distribution of functions, in which few functions get most calls.
 func NewFunctionDistribution(rng *rand.Rand, functions int) *rand.Zipf {
 	const (
 		exponent = 1.3
@@ -108,11 +108,11 @@
 	return rand.NewZipf(rng, exponent, offset, uint64(functions-1))
 }
 
-// FunctionName draws the name of a function.
+// FunctionName draws a function from the distribution and returns its name.
 func FunctionName(zipf *rand.Zipf) string { return fmt.Sprintf("%016x", zipf.Uint64()+1) }
 
-// FunctionsFor returns how many functions the clients of so many workers call.
+// FunctionsFor returns the number of distinct functions that clients call in a fleet with the given number of workers.
 func FunctionsFor(workers int) int { return 3 * workers / 2 }
 
-// Weight returns how much of the load an instance gets, relative to the first one's 1.
+// Weight returns the load of an instance relative to the load of instance 0.
 func (l Load) Weight(instance int) float64 { return 1 / (1 + l.Skew*float64(instance)) }
