--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -14,23 +14,23 @@
 	"github.com/spf13/cobra"
 )
 
-// coldstartOptions is the flags of coldstart.
+// coldstartOptions holds the flags of the coldstart command.
 type coldstartOptions struct {
 	experiment experiment.ColdStart
-	scenario   string // a name, or a file
+	scenario   string // name of a scenario, or path of a script
 	virtual    bool
 	asJSON     bool
 	plotPath   string
 }
 
-// coldstartCommand is the command coldstart.
+// coldstartCommand returns the coldstart command.
 func coldstartCommand() *cobra.Command {
 	options := &coldstartOptions{}
 	names := scenario.ColdStartNames()
 	cmd := &cobra.Command{
-		Use: "coldstart", Short: "Many schedulers at once before a list service and workers with faults",
-		Long: "Many schedulers at once before a list service and workers with faults.\n\n" +
-			"A scenario is one of " + strings.Join(names, ", ") + ", or a file with a script of the same form.",
+		Use: "coldstart", Short: "Measure a simultaneous start of many schedulers with faults of the list service and workers",
+		Long: "Measure a simultaneous start of many schedulers with faults of the list service and workers.\n\n" +
+			"A scenario is one of " + strings.Join(names, ", ") + ", or the path of a script in the same format.",
 		Example: "  bin/testbed coldstart --instances 300 --workers 60 --scenario rate_limited --baseline ../earlier/bin/calicohill --json\n" +
 			"  bin/testbed coldstart --virtual --instances 5000 --json",
 		Args: cobra.NoArgs,
@@ -57,27 +57,27 @@
 		seconds: &experiment.Seconds, rate: &experiment.Rate, seed: &experiment.Seed,
 	}.addTo(cmd)
 	flags := cmd.Flags()
-	flags.StringVar(&experiment.Baseline, "baseline", "", "an earlier build that plays the same first")
-	flags.IntVar(&experiment.Instances, "instances", 24, "schedulers")
-	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "schedulers by the settings; as many as run if not set")
-	flags.StringVar(&o.scenario, "scenario", "healthy", "a name, or a `FILE`")
-	flags.StringVar(&experiment.Profile, "body", "roomy", "the workers: roomy, or small (few requests at a time, scarce connections)")
-	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their list and what they learned over a restart")
-	flags.Float64Var(&experiment.Skew, "skew", 0.1, "how uneven the schedulers' fractions of the load are: scheduler i has one in 1 + skew x i")
-	flags.BoolVar(&o.virtual, "virtual", false, "the poll planners and the Routers alone, in virtual time")
-	flags.StringVar(&o.plotPath, "plot", "", "`FILE`, .svg or .png, for a plot of polls and connections over time")
+	flags.StringVar(&experiment.Baseline, "baseline", "", "path of an earlier build to measure first with the same scenario")
+	flags.IntVar(&experiment.Instances, "instances", 24, "number of schedulers")
+	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "number of schedulers in their settings; 0 means the value of --instances")
+	flags.StringVar(&o.scenario, "scenario", "healthy", "name of a scenario, or `FILE` with a script")
+	flags.StringVar(&experiment.Profile, "body", "roomy", "worker profile: roomy, or small (low limits of concurrency and connections)")
+	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their endpoint list and learned state across a restart")
+	flags.Float64Var(&experiment.Skew, "skew", 0.1, "load skew: scheduler i has a weight of 1 / (1 + skew x i)")
+	flags.BoolVar(&o.virtual, "virtual", false, "simulate only the poll planners and the Routers, in virtual time")
+	flags.StringVar(&o.plotPath, "plot", "", "write a plot of polls and connections over time to `FILE`, .svg or .png")
 }
 
-// validate returns an error where the experiment makes no sense.
+// validate returns an error if a flag is out of range.
 func (o *coldstartOptions) validate() error {
 	experiment := o.experiment
 	if experiment.Instances < 1 || experiment.Workers < 1 || experiment.Seconds < 1 || experiment.Rate <= 0 {
-		return errors.New("at least 1 instance, 1 worker, 1 second and a rate are needed")
+		return errors.New("coldstart needs at least 1 instance, 1 worker, 1 second and a positive rate")
 	}
 	return nil
 }
 
-// parseScenario returns the scenario of that name, or that of a file.
+// parseScenario returns the scenario with the given name, or parses the script at the given path.
 func parseScenario(nameOrPath string) (scenario.Scenario, error) {
 	text, ok := scenario.ColdStartScript(nameOrPath)
 	if !ok {
@@ -112,7 +112,7 @@
 	return printReport(cmd.OutOrStdout(), o.asJSON, result)
 }
 
-// runVirtual runs the simulations of the planners and the Routers.
+// runVirtual simulates the poll planners and the Routers in virtual time.
 func (o *coldstartOptions) runVirtual(cmd *cobra.Command) error {
 	workers, err := virtual.SimulateWorkers(o.experiment.Instances, o.experiment.Workers, o.experiment.Seed)
 	if err != nil {
--- a/cmd/testbed/flags.go
+++ b/cmd/testbed/flags.go
@@ -2,14 +2,14 @@
 
 import "github.com/spf13/cobra"
 
-// addCommonFlags adds the flags that every command has.
+// addCommonFlags adds the flags of all commands.
 func addCommonFlags(cmd *cobra.Command, program *string, asJSON *bool) {
 	flags := cmd.Flags()
-	flags.StringVar(program, "program", "", "the scheduler; the one beside this program if not set")
-	flags.BoolVar(asJSON, "json", false, "print one JSON object in a line")
+	flags.StringVar(program, "program", "", "path of the scheduler; by default the one in the directory of this program")
+	flags.BoolVar(asJSON, "json", false, "print the report as one line of JSON")
 }
 
-// fleetFlags is where the flags go that experiments with fleets of schedulers share.
+// fleetFlags holds the destinations of the flags that experiments with fleets have in common.
 type fleetFlags struct {
 	workers        *int
 	defaultWorkers int
@@ -21,8 +21,8 @@
 // addTo adds the flags to a command.
 func (f fleetFlags) addTo(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.IntVar(f.workers, "workers", f.defaultWorkers, "stand-in workers")
-	flags.Float64Var(f.seconds, "seconds", 20, "how long each run lasts")
-	flags.Float64Var(f.rate, "rate", 240, "requests a second, of all instances")
-	flags.Uint64Var(f.seed, "seed", 1, "of load and faults")
+	flags.IntVar(f.workers, "workers", f.defaultWorkers, "number of stand-in workers")
+	flags.Float64Var(f.seconds, "seconds", 20, "duration of each run in seconds")
+	flags.Float64Var(f.rate, "rate", 240, "requests per second to all instances together")
+	flags.Uint64Var(f.seed, "seed", 1, "random seed of load and faults")
 }
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// gossipOptions is the flags of gossip.
+// gossipOptions holds the flags of the gossip command.
 type gossipOptions struct {
 	experiment experiment.Gossip
 	virtual    bool
@@ -18,11 +18,11 @@
 	plotPath   string
 }
 
-// gossipCommand is the command gossip.
+// gossipCommand returns the gossip command.
 func gossipCommand() *cobra.Command {
 	options := &gossipOptions{}
 	cmd := &cobra.Command{
-		Use: "gossip", Short: "Shared fault reports: some workers become unresponsive, with and without byzantine members, with gossip and without",
+		Use: "gossip", Short: "Measure shared fault reports about unresponsive workers, with and without gossip and byzantine members",
 		Example: "  bin/testbed gossip --instances 12 --hostile 1 --workers 40 --seconds 20 --json\n" +
 			"  bin/testbed gossip --virtual --instances 1000 --plot gossip.svg --json",
 		Args: cobra.NoArgs,
@@ -49,19 +49,19 @@
 		seconds: &experiment.Seconds, rate: &experiment.Rate, seed: &experiment.Seed,
 	}.addTo(cmd)
 	flags := cmd.Flags()
-	flags.IntVar(&experiment.Instances, "instances", 12, "schedulers; with --virtual the most of them")
-	flags.IntVar(&experiment.Hostile, "hostile", 1, "further members that are byzantine")
-	flags.IntVar(&experiment.Silent, "silent", 0, "workers that become unresponsive; one in twelve if not set")
-	flags.BoolVar(&experiment.MeasureFlood, "flood", true, "measure a flood of forged datagrams too")
-	flags.BoolVar(&o.virtual, "virtual", false, "only the membership, in virtual time, from 12 instances up")
-	flags.StringVar(&o.plotPath, "plot", "", "with --virtual: `FILE`, .svg or .png, for a plot")
+	flags.IntVar(&experiment.Instances, "instances", 12, "number of schedulers; with --virtual the largest fleet")
+	flags.IntVar(&experiment.Hostile, "hostile", 1, "number of additional byzantine members")
+	flags.IntVar(&experiment.Silent, "silent", 0, "number of workers that become unresponsive; 0 means one in twelve")
+	flags.BoolVar(&experiment.MeasureFlood, "flood", true, "also measure a flood of forged datagrams")
+	flags.BoolVar(&o.virtual, "virtual", false, "simulate only the membership, in virtual time, with fleets from 12 instances up")
+	flags.StringVar(&o.plotPath, "plot", "", "with --virtual: write a plot to `FILE`, .svg or .png")
 }
 
-// validate returns an error where the experiment makes no sense.
+// validate returns an error if a flag is out of range.
 func (o *gossipOptions) validate() error {
 	experiment := o.experiment
 	if experiment.Instances < 2 || experiment.Workers < 4 || experiment.Seconds < 1 || experiment.Hostile < 0 || experiment.Rate <= 0 {
-		return errors.New("at least 2 instances, 4 workers, 1 second and a rate are needed")
+		return errors.New("gossip needs at least 2 instances, 4 workers, 1 second, a positive rate and no negative number of byzantine members")
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 	return printReport(cmd.OutOrStdout(), o.asJSON, result)
 }
 
-// runVirtual runs fleets of growing size in virtual time.
+// runVirtual simulates fleets of growing size in virtual time.
 func (o *gossipOptions) runVirtual(cmd *cobra.Command) error {
 	sizes := []int{}
 	for _, size := range []int{12, 40, 120, 400, 1000, 4000} {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed runs fleets of real schedulers against stand-ins on loopback, or their cores in virtual time, injects
-// faults, and prints what was measured.
+// Command testbed runs fleets of real schedulers against stand-ins on loopback, or simulates their cores in virtual time. It
+// injects faults and prints a report of the measurements.
 package main
 
 import (
@@ -19,7 +19,7 @@
 
 func main() { os.Exit(run()) }
 
-// run runs the command and returns the exit code.
+// run executes the command line and returns the exit code.
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// setDefaultProgram sets the path of the scheduler to the one beside this program, unless it is set.
+// setDefaultProgram sets an empty path of the scheduler to the one in the directory of this program.
 func setDefaultProgram(program *string) error {
 	if *program != "" {
 		return nil
@@ -42,12 +42,12 @@
 	return err
 }
 
-// progressWriter returns a function that writes lines to where a command's errors go.
+// progressWriter returns a function that writes lines to the command's standard error.
 func progressWriter(cmd *cobra.Command) func(line string) {
 	return func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 }
 
-// printReport prints a report, as one line or indented.
+// printReport writes a report as JSON, on one line or indented.
 func printReport(out io.Writer, oneLine bool, result report.Report) error {
 	encoder := json.NewEncoder(out)
 	if !oneLine {
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// soakOptions is the flags of soak.
+// soakOptions holds the flags of the soak command.
 type soakOptions struct {
 	experiment experiment.Soak
 	seeds      int
@@ -19,30 +19,30 @@
 	asJSON     bool
 }
 
-// errRulesBroken is the error of a soak in which some rule was broken.
+// errRulesBroken means that some seed broke a rule.
 var errRulesBroken = errors.New("soak: rules were broken")
 
-// soakCommand is the command soak.
+// soakCommand returns the soak command.
 func soakCommand() *cobra.Command {
 	options := &soakOptions{}
 	cmd := &cobra.Command{
-		Use: "soak", Short: "Faults that overlap, drawn from a seed, and a check that no rule is broken",
-		Long: "Faults that overlap, drawn from a seed, and a check that no rule is broken.\n\n" +
-			"Every fifth seed has a crowd of clients, every third one clients with short deadlines. A seed that breaks a rule is\n" +
-			"printed with its script, which `coldstart --scenario FILE` takes too.",
+		Use: "soak", Short: "Play overlapping random faults and check that no rule is broken",
+		Long: "Play overlapping random faults and check that no rule is broken.\n\n" +
+			"Every fifth seed has a load surge, every third one clients with short deadlines. A seed that breaks a rule is printed\n" +
+			"with its script, which `coldstart --scenario FILE` accepts too.",
 		Example: "  bin/testbed soak --seed 1 --seeds 50 --json",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	addCommonFlags(cmd, &options.experiment.Program, &options.asJSON)
 	flags := cmd.Flags()
-	flags.Uint64Var(&options.experiment.Seed, "seed", 1, "the first seed")
-	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds are played, one after the other's number")
-	flags.IntVar(&options.parallel, "parallel", 1, "how many are played at a time")
-	flags.IntVar(&options.experiment.Instances, "schedulers", 4, "schedulers")
-	flags.IntVar(&options.experiment.Workers, "workers", 8, "stand-in workers")
-	flags.Float64Var(&options.experiment.Seconds, "seconds", 30, "how long each seed is played")
-	flags.Float64Var(&options.experiment.Rate, "rate", 60, "requests a second, of all schedulers")
+	flags.Uint64Var(&options.experiment.Seed, "seed", 1, "first seed")
+	flags.IntVar(&options.seeds, "seeds", 1, "number of consecutive seeds to play")
+	flags.IntVar(&options.parallel, "parallel", 1, "number of seeds to play in parallel")
+	flags.IntVar(&options.experiment.Instances, "schedulers", 4, "number of schedulers")
+	flags.IntVar(&options.experiment.Workers, "workers", 8, "number of stand-in workers")
+	flags.Float64Var(&options.experiment.Seconds, "seconds", 30, "duration of each seed in seconds")
+	flags.Float64Var(&options.experiment.Rate, "rate", 60, "requests per second to all schedulers together")
 	return cmd
 }
 
@@ -50,7 +50,7 @@
 func (o *soakOptions) run(cmd *cobra.Command) error {
 	soak := o.experiment
 	if o.seeds < 1 || o.parallel < 1 || soak.Instances < 1 || soak.Workers < 1 || soak.Seconds < 1 || soak.Rate <= 0 {
-		return errors.New("at least 1 seed, 1 at a time, 1 scheduler, 1 worker, 1 second and a rate are needed")
+		return errors.New("soak needs at least 1 seed, 1 in parallel, 1 scheduler, 1 worker, 1 second and a positive rate")
 	}
 	if err := setDefaultProgram(&o.experiment.Program); err != nil {
 		return err
@@ -74,7 +74,8 @@
 	return errors.Join(append(errs, o.print(cmd, results))...)
 }
 
-// print prints the results as JSON, or those that broke a rule with their scripts. The error says that there are some.
+// print prints all results as JSON, or only the scripts and violations of seeds that broke a rule. It returns errRulesBroken
+// if any seed broke a rule.
 func (o *soakOptions) print(cmd *cobra.Command, results []report.SoakResult) error {
 	var err error
 	for _, result := range results {
@@ -89,7 +90,7 @@
 		case len(result.RulesBroken) > 0:
 			fmt.Fprintf(cmd.OutOrStdout(), "seed %d:\n%s", result.Seed, result.Script)
 			for _, broken := range result.RulesBroken {
-				fmt.Fprintln(cmd.OutOrStdout(), "  broken:", broken)
+				fmt.Fprintln(cmd.OutOrStdout(), "  broken rule:", broken)
 			}
 		}
 	}
