--- a/cmd/testbed/coldstart.go
+++ b/cmd/testbed/coldstart.go
@@ -62,7 +62,7 @@
 	flags.IntVar(&experiment.ClaimedSchedulers, "of", 0, "number of schedulers in their settings; 0 means the value of --instances")
 	flags.StringVar(&o.scenario, "scenario", "healthy", "name of a scenario, or `FILE` with a script")
 	flags.StringVar(&experiment.Profile, "body", "roomy", "worker profile: roomy, or small (low limits of concurrency and connections)")
-	flags.BoolVar(&experiment.Keep, "keep", false, "schedulers keep their endpoint list and learned state across a restart")
+	flags.BoolVar(&experiment.KeepState, "keep", false, "schedulers keep their endpoint list and learned state across a restart")
 	flags.Float64Var(&experiment.Skew, "skew", 0.1, "load skew: scheduler i has a weight of 1 / (1 + skew x i)")
 	flags.BoolVar(&o.virtual, "virtual", false, "simulate only the poll planners and the Routers, in virtual time")
 	flags.StringVar(&o.plotPath, "plot", "", "write a plot of polls and connections over time to `FILE`, .svg or .png")
--- a/cmd/testbed/gossip.go
+++ b/cmd/testbed/gossip.go
@@ -50,8 +50,8 @@
 	}.addTo(cmd)
 	flags := cmd.Flags()
 	flags.IntVar(&experiment.Instances, "instances", 12, "number of schedulers; with --virtual the largest fleet")
-	flags.IntVar(&experiment.Hostile, "hostile", 1, "number of additional byzantine members")
-	flags.IntVar(&experiment.Silent, "silent", 0, "number of workers that become unresponsive; 0 means one in twelve")
+	flags.IntVar(&experiment.Byzantine, "hostile", 1, "number of additional byzantine members")
+	flags.IntVar(&experiment.Unresponsive, "silent", 0, "number of workers that become unresponsive; 0 means one in twelve")
 	flags.BoolVar(&experiment.MeasureFlood, "flood", true, "also measure a flood of forged datagrams")
 	flags.BoolVar(&o.virtual, "virtual", false, "simulate only the membership, in virtual time, with fleets from 12 instances up")
 	flags.StringVar(&o.plotPath, "plot", "", "with --virtual: write a plot to `FILE`, .svg or .png")
@@ -60,7 +60,7 @@
 // validate returns an error if a flag is out of range.
 func (o *gossipOptions) validate() error {
 	experiment := o.experiment
-	if experiment.Instances < 2 || experiment.Workers < 4 || experiment.Seconds < 1 || experiment.Hostile < 0 || experiment.Rate <= 0 {
+	if experiment.Instances < 2 || experiment.Workers < 4 || experiment.Seconds < 1 || experiment.Byzantine < 0 || experiment.Rate <= 0 {
 		return errors.New("gossip needs at least 2 instances, 4 workers, 1 second, a positive rate and no negative number of byzantine members")
 	}
 	return nil
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -57,20 +57,20 @@
 	}
 	results := make([]report.SoakResult, o.seeds)
 	errs := make([]error, o.seeds)
-	running := make(chan struct{}, o.parallel)
-	var players sync.WaitGroup
+	semaphore := make(chan struct{}, o.parallel)
+	var plays sync.WaitGroup
 	progress := progressWriter(cmd)
 	for i := range o.seeds {
-		seed := o.experiment
-		seed.Seed += uint64(i)
-		running <- struct{}{}
-		players.Go(func() {
-			defer func() { <-running }()
-			results[i], errs[i] = seed.Run(cmd.Context())
+		seedRun := o.experiment
+		seedRun.Seed += uint64(i)
+		semaphore <- struct{}{}
+		plays.Go(func() {
+			defer func() { <-semaphore }()
+			results[i], errs[i] = seedRun.Run(cmd.Context())
 			progress(results[i].Summary())
 		})
 	}
-	players.Wait()
+	plays.Wait()
 	return errors.Join(append(errs, o.print(cmd, results))...)
 }
 
--- a/internal/testbed/experiment/coldstart.go
+++ b/internal/testbed/experiment/coldstart.go
@@ -29,7 +29,7 @@
 	Scenario          scenario.Scenario
 	Seconds           float64
 	Profile           string  // name of the workers' profile
-	Keep              bool    // schedulers keep their endpoint list and learned state across a restart
+	KeepState         bool    // schedulers keep their endpoint list and learned state across a restart
 	Skew              float64 // load skew between schedulers; see workload.Load
 	Rate              float64 // requests per second to all schedulers together
 	Seed              uint64
@@ -69,7 +69,7 @@
 		Sharing:           gossips,
 		GossipThroughHub:  gossips,
 		Profile:           e.Profile,
-		KeepState:         e.Keep,
+		KeepState:         e.KeepState,
 	}
 	if err := fleet.Prepare(e.Instances, e.Workers); err != nil {
 		fleet.CloseAndRemove()
--- a/internal/testbed/experiment/gossip.go
+++ b/internal/testbed/experiment/gossip.go
@@ -37,9 +37,9 @@
 	Program      string
 	Env          []string
 	Instances    int
-	Hostile      int // additional byzantine members: they accuse all workers, and later a few healthy ones
+	Byzantine    int // additional byzantine members: they accuse all workers, and later a few healthy ones
 	Workers      int
-	Silent       int // workers that become unresponsive at the same time; 0 means one in twelve, but at least 1
+	Unresponsive int // workers that become unresponsive at the same time; 0 means one in twelve, but at least 1
 	Seconds      float64
 	Rate         float64 // requests per second to all schedulers together
 	Seed         uint64
@@ -50,28 +50,28 @@
 // Run runs the experiment without gossip, with gossip, with gossip and byzantine members, and under a flood.
 func (e Gossip) Run(ctx context.Context) (report.GossipResult, error) {
 	result := report.GossipResult{
-		Instances: e.Instances,
-		Workers:   e.Workers,
-		Hostile:   e.Hostile,
-		Seconds:   e.Seconds,
-		Limit:     platform.MaxGossipMessagesPerSecond,
+		Instances:     e.Instances,
+		Workers:       e.Workers,
+		Byzantine:     e.Byzantine,
+		Seconds:       e.Seconds,
+		MessagesLimit: platform.MaxGossipMessagesPerSecond,
 	}
-	e.Silent = cmp.Or(e.Silent, max(1, e.Workers/workersPerUnresponsive))
+	e.Unresponsive = cmp.Or(e.Unresponsive, max(1, e.Workers/workersPerUnresponsive))
 	for _, run := range []struct {
 		name      string
 		sharing   bool
 		byzantine int
-		keep      func(*report.GossipResult, gossipMetrics)
+		record    func(*report.GossipResult, gossipMetrics)
 	}{
 		{"alone", false, 0, setAlone},
-		{"shared", true, 0, setHonest},
-		{"shared, with liars", true, e.Hostile, setByzantine},
+		{"shared", true, 0, setWithoutByzantine},
+		{"shared, byzantine", true, e.Byzantine, setWithByzantine},
 	} {
 		metrics, err := e.runOnce(ctx, run.sharing, run.byzantine)
 		if err != nil {
 			return result, fmt.Errorf("%s: %w", run.name, err)
 		}
-		run.keep(&result, metrics)
+		run.record(&result, metrics)
 		e.Progress(fmt.Sprintf("%-20s served %.4f of %d, %d requests lost to unresponsive workers, fault detected after %.0f ms, %.1f messages per second",
 			run.name, metrics.load.ServedFraction(), metrics.load.Offered, metrics.lost, metrics.detectionMillis, metrics.messages))
 	}
@@ -91,18 +91,18 @@
 func setAlone(result *report.GossipResult, metrics gossipMetrics) {
 	result.ServedAlone = metrics.load.ServedFraction()
 	result.LostAlone = metrics.lost
-	result.NoticeAlone = metrics.detectionMillis
+	result.DetectionMillisAlone = metrics.detectionMillis
 }
 
-// setHonest records the results of the fleet with gossip and without byzantine members.
-func setHonest(result *report.GossipResult, metrics gossipMetrics) {
-	result.ServedHonest = metrics.load.ServedFraction()
-	result.LostHonest = metrics.lost
+// setWithoutByzantine records the results of the fleet with gossip and without byzantine members.
+func setWithoutByzantine(result *report.GossipResult, metrics gossipMetrics) {
+	result.ServedWithoutByzantine = metrics.load.ServedFraction()
+	result.LostWithoutByzantine = metrics.lost
 	setTraffic(result, metrics)
 }
 
-// setByzantine records the results of the fleet with byzantine members.
-func setByzantine(result *report.GossipResult, metrics gossipMetrics) {
+// setWithByzantine records the results of the fleet with byzantine members.
+func setWithByzantine(result *report.GossipResult, metrics gossipMetrics) {
 	result.Served = metrics.load.ServedFraction()
 	result.Lost = metrics.lost
 	result.WronglyEjected = metrics.wronglyEjected
@@ -114,8 +114,8 @@
 func setTraffic(result *report.GossipResult, metrics gossipMetrics) {
 	result.Messages = max(result.Messages, metrics.messages)
 	result.Bytes = max(result.Bytes, metrics.bytes)
-	result.Peak = max(result.Peak, metrics.peak)
-	result.Notice = metrics.detectionMillis
+	result.MessagesPeak = max(result.MessagesPeak, metrics.peak)
+	result.DetectionMillis = metrics.detectionMillis
 }
 
 // fleet prepares and starts the schedulers of a run. The caller ends it with CloseAndRemove.
@@ -186,7 +186,7 @@
 // unresponsive selects the workers that become unresponsive, by the seed.
 func (e Gossip) unresponsive(fleet *process.Fleet) []*standin.Worker {
 	var chosen []*standin.Worker
-	for i := range e.Silent {
+	for i := range e.Unresponsive {
 		chosen = append(chosen, fleet.Workers[(int(e.Seed)*7+i*5)%len(fleet.Workers)])
 	}
 	return chosen
@@ -227,11 +227,11 @@
 		return metrics, err
 	}
 	e.Progress(fmt.Sprintf("%-20s CPU %.3f of a core, %.3f without the flood; memory grew by %d kB", "flood of 5,000/s", flooded, idle, metrics.grownKB))
-	return metrics, nobodyDead(fleet)
+	return metrics, checkNoPeerDead(fleet)
 }
 
-// nobodyDead returns an error if an instance of the fleet declared another one dead.
-func nobodyDead(fleet *process.Fleet) error {
+// checkNoPeerDead returns an error if an instance of the fleet declared another one dead.
+func checkNoPeerDead(fleet *process.Fleet) error {
 	for _, instance := range fleet.Instances {
 		for _, line := range instance.Log.Lines() {
 			if line.Text("msg") == process.LogPeerDead {
@@ -251,7 +251,7 @@
 	return ids
 }
 
-// without returns the workers that are not in others.
-func without(workers, others []*standin.Worker) []*standin.Worker {
+// excludeWorkers returns the workers that are not in others.
+func excludeWorkers(workers, others []*standin.Worker) []*standin.Worker {
 	return slices.DeleteFunc(slices.Clone(workers), func(worker *standin.Worker) bool { return slices.Contains(others, worker) })
 }
--- a/internal/testbed/experiment/gossiprun.go
+++ b/internal/testbed/experiment/gossiprun.go
@@ -15,11 +15,11 @@
 
 // Phases of a gossipRun. A phase lasts the duration of the run divided by its constant.
 const (
-	untilFault         = 5 // from the start of the run to the start of the fault
-	untilRecovery      = 2 // from the start of the fault to its end
-	untilFewAreAccused = 4 // from the start of the run; byzantine members accuse all workers during this phase
-	workersPerAccused  = 8 // one worker in this many is accused afterwards
-	minAccused         = 2
+	faultStartDivisor    = 5 // from the start of the run to the start of the fault
+	faultDurationDivisor = 2 // from the start of the fault to its end
+	accuseAllDivisor     = 4 // from the start of the run; byzantine members accuse all workers during this phase
+	workersPerAccused    = 8 // one worker in this many is accused afterwards
+	minAccused           = 2
 )
 
 // gossipRun is one run of Gossip with one fleet.
@@ -36,18 +36,18 @@
 	return &gossipRun{
 		fleet:        fleet,
 		unresponsive: unresponsive,
-		healthy:      workerIDs(without(fleet.Workers, unresponsive)),
+		healthy:      workerIDs(excludeWorkers(fleet.Workers, unresponsive)),
 	}
 }
 
 // playFault makes workers unresponsive after a fifth of the duration, for half of the duration.
 func (r *gossipRun) playFault(ctx context.Context, duration time.Duration) {
-	if !wait.Sleep(ctx, duration/untilFault) {
+	if !wait.Sleep(ctx, duration/faultStartDivisor) {
 		return
 	}
 	r.faultFrom = time.Now()
 	r.setFault(standin.WorkerUnresponsive)
-	if !wait.Sleep(ctx, duration/untilRecovery) {
+	if !wait.Sleep(ctx, duration/faultDurationDivisor) {
 		return
 	}
 	r.faultUntil = time.Now()
@@ -83,7 +83,7 @@
 	for _, member := range members {
 		member.Accuse(all)
 		go func() {
-			if wait.Sleep(ctx, duration/untilFewAreAccused) {
+			if wait.Sleep(ctx, duration/accuseAllDivisor) {
 				member.Accuse(few)
 			}
 		}()
@@ -136,7 +136,7 @@
 		case process.LogWorkerEjected:
 			ejectedAt[worker] = line.Time()
 		case process.LogWorkerReadmitted:
-			m.wronglyEjected += run.wrongSeconds(worker, ejectedAt[worker], line.Time())
+			m.wronglyEjected += run.wrongEjectionSeconds(worker, ejectedAt[worker], line.Time())
 			delete(ejectedAt, worker)
 		case process.LogPeerIgnored:
 			m.ignoredPeers++
@@ -148,14 +148,14 @@
 		}
 	}
 	for worker, at := range ejectedAt {
-		m.wronglyEjected += run.wrongSeconds(worker, at, end)
+		m.wronglyEjected += run.wrongEjectionSeconds(worker, at, end)
 	}
 }
 
-// wrongSeconds returns for how many seconds an ejection was wrong. The ejection of a healthy worker is wrong for its whole
-// duration. The ejection of a faulty worker is wrong before the fault, and after the last report of the fault must have
-// expired.
-func (r *gossipRun) wrongSeconds(worker string, from, until time.Time) float64 {
+// wrongEjectionSeconds returns for how many seconds an ejection was wrong. The ejection of a healthy worker is wrong for its
+// whole duration. The ejection of a faulty worker is wrong before the fault, and after the last report of the fault must
+// have expired.
+func (r *gossipRun) wrongEjectionSeconds(worker string, from, until time.Time) float64 {
 	if slices.Contains(r.healthy, worker) {
 		return until.Sub(from).Seconds()
 	}
--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -24,8 +24,8 @@
 	maxValuePadding     = 252 // bytes after the prefix "zona" in a value of the maximum length
 	maxPathPadding      = 251
 	maxMethodBytes      = 16
-	rulesOfAll          = 2  // rules that apply to every request
-	hostileParameters   = 40 // parameters whose names differ from matchParameter in the last byte
+	universalRules      = 2  // rules that apply to every request
+	nearMissParameters  = 40 // parameters whose names differ from matchParameter in the last byte
 	matchParameter      = "HTTP_X_CENTRE"
 	matchParameterValue = "zona4"
 )
@@ -47,7 +47,7 @@
 func operatorFileWithRules(rules int) string {
 	var file strings.Builder
 	file.WriteString(plainOperatorFile)
-	for i := range max(rules-rulesOfAll, 0) {
+	for i := range max(rules-universalRules, 0) {
 		fmt.Fprintf(&file, "match f%d\n  when handler == \"%016x\" && param[\"HTTP_X_CENTRE\"].startsWith(\"zona\")\n"+
 			"  key handler + \":\" + param[\"HTTP_X_CENTRE\"]\n  route lane\n", i, i+1)
 	}
@@ -62,7 +62,7 @@
 func generateRules(count int) []match.Rule {
 	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
-	for i := range max(count-rulesOfAll, 0) {
+	for i := range max(count-universalRules, 0) {
 		rules = append(rules, match.Rule{
 			Name:  fmt.Sprint(i),
 			Route: text("lane"),
@@ -120,17 +120,17 @@
 		return result, fmt.Errorf("with rules: %w", err)
 	}
 	result.Served = with.servedFraction
-	result.P99 = with.p99Millis
-	result.CPU = with.cpuMicros
-	result.Memory = with.memoryKB
+	result.P99Millis = with.p99Millis
+	result.CPUMicros = with.cpuMicros
+	result.MemoryKB = with.memoryKB
 	plain, err := e.measureLoad(ctx, plainOperatorFile)
 	if err != nil {
 		return result, fmt.Errorf("without rules: %w", err)
 	}
 	result.ServedPlain = plain.servedFraction
-	result.P99Plain = plain.p99Millis
-	result.CPUPlain = plain.cpuMicros
-	result.MemoryPlain = plain.memoryKB
+	result.P99MillisPlain = plain.p99Millis
+	result.CPUMicrosPlain = plain.cpuMicros
+	result.MemoryKBPlain = plain.memoryKB
 	return result, nil
 }
 
@@ -147,7 +147,7 @@
 	if table == nil {
 		return report.MatchSize{}, fmt.Errorf("rules: %v", faults)
 	}
-	size := report.MatchSize{Rules: rules, Load: millis(time.Since(began))}
+	size := report.MatchSize{Rules: rules, LoadMillis: millis(time.Since(began))}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
 		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: []match.Param{match.PresentParam(matchParameterValue)},
@@ -238,7 +238,7 @@
 	nearMisses := 0
 	if e.Hostile {
 		value = longestParameterValue()
-		nearMisses = hostileParameters
+		nearMisses = nearMissParameters
 	}
 	addParameters := func(request *fastcgi.Request) {
 		request.Params = append(request.Params, fastcgi.Param{Name: matchParameter, Value: value})
--- a/internal/testbed/experiment/soak.go
+++ b/internal/testbed/experiment/soak.go
@@ -20,11 +20,12 @@
 const (
 	// soakStream is the second half of the random seed of a soak's load. It makes the draws independent of the scenario's.
 	soakStream = 13
-	// Every crowdEvery-th seed has a load surge, and every shortEvery-th one has clients with short deadlines.
-	crowdEvery = 5
-	shortEvery = 3
-	// crowdFactor multiplies the request rate in a load surge.
-	crowdFactor = 6
+	// Every surgeSeedInterval-th seed has a load surge, and every shortDeadlineSeedInterval-th one has clients with short
+	// deadlines.
+	surgeSeedInterval         = 5
+	shortDeadlineSeedInterval = 3
+	// surgeFactor multiplies the request rate in a load surge.
+	surgeFactor = 6
 	// minShortTimeout and maxShortTimeout bound the request timeout of clients with short deadlines.
 	minShortTimeout = 150 * time.Millisecond
 	maxShortTimeout = 900 * time.Millisecond
@@ -44,17 +45,17 @@
 	Seed      uint64
 }
 
-// sentRequests records the deadlines of the requests that clients sent.
-type sentRequests struct {
-	mu     sync.Mutex
-	giveUp map[string]time.Time // by request ID: when the client's timeout expires
+// requestDeadlines records the deadlines of the requests that clients sent.
+type requestDeadlines struct {
+	mu        sync.Mutex
+	byRequest map[string]time.Time // by request ID
 }
 
-// note records a request that is sent now.
-func (s *sentRequests) note(request *fastcgi.Request) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.giveUp[request.ID] = time.Now().Add(request.Budget)
+// record stores the deadline of a request that is sent now.
+func (d *requestDeadlines) record(request *fastcgi.Request) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.byRequest[request.ID] = time.Now().Add(request.Budget)
 }
 
 // Run plays the scenario of the seed.
@@ -80,20 +81,20 @@
 		played <- err
 	}()
 	wakeDelay := fleet.MeasureWakeDelay(ctx)
-	sent := &sentRequests{giveUp: map[string]time.Time{}}
+	sent := &requestDeadlines{byRequest: map[string]time.Time{}}
 	load := fleet.Offer(ctx, e.load(sent))
 	if err := <-played; err != nil {
 		return result, err
 	}
-	worst := <-wakeDelay
-	result.Count(load, worst)
-	result.RulesBroken = append(allViolations(fleet, load, worst), soakViolations(fleet, sent, worst)...)
+	worstDelay := <-wakeDelay
+	result.Count(load, worstDelay)
+	result.RulesBroken = append(allViolations(fleet, load, worstDelay), soakViolations(fleet, sent, worstDelay)...)
 	sort.Strings(result.RulesBroken)
 	return result, nil
 }
 
 // load returns the client load. Some seeds have a load surge, others requests with short deadlines.
-func (e Soak) load(sent *sentRequests) workload.Load {
+func (e Soak) load(sent *requestDeadlines) workload.Load {
 	rng := rand.New(rand.NewPCG(e.Seed, soakStream))
 	load := workload.Load{
 		Rate:      e.Rate,
@@ -101,23 +102,23 @@
 		Skew:      defaultSkew,
 		Seed:      e.Seed,
 	}
-	if e.Seed%crowdEvery == 0 {
-		load.Rate *= crowdFactor
+	if e.Seed%surgeSeedInterval == 0 {
+		load.Rate *= surgeFactor
 	}
-	short := e.Seed%shortEvery == 0
+	short := e.Seed%shortDeadlineSeedInterval == 0
 	timeout := minShortTimeout + time.Duration(rng.Int64N(int64(maxShortTimeout-minShortTimeout)))
 	load.Modify = func(request *fastcgi.Request) {
 		if short {
 			request.Budget = timeout
 		}
-		sent.note(request)
+		sent.record(request)
 	}
 	return load
 }
 
 // soakViolations returns the violations of rules that only a soak checks: schedulers that exited unexpectedly or not in
 // time, and requests sent to workers with a timeout that exceeds the client's.
-func soakViolations(fleet *process.Fleet, sent *sentRequests, worst time.Duration) (violations []string) {
+func soakViolations(fleet *process.Fleet, sent *requestDeadlines, worstDelay time.Duration) (violations []string) {
 	for _, err := range fleet.StopErrors() {
 		violations = append(violations, err.Error())
 	}
@@ -126,15 +127,15 @@
 			violations = append(violations, instance.Name+" exited unexpectedly")
 		}
 	}
-	slack := maxTimeoutExcess + machineSlack + 2*worst
+	slack := maxTimeoutExcess + machineSlack + 2*worstDelay
 	for _, worker := range fleet.Workers {
 		for _, arrival := range worker.Arrivals() {
-			giveUp, known := sent.giveUp[arrival.ID]
+			deadline, known := sent.byRequest[arrival.ID]
 			if !known {
 				violations = append(violations, fmt.Sprintf("%s received request %s, which no client sent", worker.ID, arrival.ID))
 				continue
 			}
-			if excess := arrival.Timeout - giveUp.Sub(sentToWorkerAt(fleet, worker, arrival)); excess > slack {
+			if excess := arrival.Timeout - deadline.Sub(sentToWorkerAt(fleet, worker, arrival)); excess > slack {
 				violations = append(violations, fmt.Sprintf("%s received request %s with a timeout %v longer than its client's",
 					worker.ID, arrival.ID, excess.Round(time.Millisecond)))
 			}
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -44,8 +44,8 @@
 		value func(VirtualGossipSize) float64
 	}{
 		{"messages per second", func(size VirtualGossipSize) float64 { return size.Messages }},
-		{"seconds to detect a death", func(size VirtualGossipSize) float64 { return size.Death / millisPerSecond }},
-		{"seconds to deliver a statement", func(size VirtualGossipSize) float64 { return size.Statement / millisPerSecond }},
+		{"seconds to detect a death", func(size VirtualGossipSize) float64 { return size.DeathKnownMillis / millisPerSecond }},
+		{"seconds to deliver a statement", func(size VirtualGossipSize) float64 { return size.StatementKnownMillis / millisPerSecond }},
 	} {
 		var points plotter.XYs
 		for _, size := range result.Sizes {
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -24,45 +24,45 @@
 
 // GossipResult is the result of experiment.Gossip. Times are in milliseconds, shares are fractions of 1.
 type GossipResult struct {
-	Instances      int     `json:"instances"`
-	Workers        int     `json:"workers"`
-	Hostile        int     `json:"hostile"`
-	Seconds        float64 `json:"seconds"`
-	Messages       float64 `json:"messages_per_second"`            // sent by the busiest instance, averaged over the run
-	Peak           float64 `json:"messages_peak_per_second"`       // highest number in any second of any instance
-	Limit          int     `json:"messages_limit_per_second"`      // configured maximum in any second
-	Bytes          float64 `json:"bytes_per_second"`               // sent by the busiest instance
-	WronglyEjected float64 `json:"wrongly_ejected_worker_seconds"` // ejection time of healthy workers, summed over instances
-	Served         float64 `json:"served_share"`                   // with byzantine members
-	ServedHonest   float64 `json:"served_without_liar_share"`
-	ServedAlone    float64 `json:"served_alone_share"`
-	Lost           int     `json:"lost_to_silent"`
-	LostHonest     int     `json:"lost_to_silent_without_liar"`
-	LostAlone      int     `json:"lost_to_silent_alone"`
-	Notice         float64 `json:"notice_ms"`
-	NoticeAlone    float64 `json:"notice_alone_ms"`
-	CPUFlooded     float64 `json:"cpu_flooded_share"`   // additional fraction of a core during the flood
-	MemoryFlooded  int     `json:"memory_flooded_kb"`   // growth in the second half of the flood
-	CPU            float64 `json:"cpu_unflooded_share"` // fraction of a core, of the same instance without load
-	PeersIgnored   int     `json:"peers_ignored"`       // how often an instance began to ignore a peer, in the run with byzantine members
+	Instances              int     `json:"instances"`
+	Workers                int     `json:"workers"`
+	Byzantine              int     `json:"hostile"`
+	Seconds                float64 `json:"seconds"`
+	Messages               float64 `json:"messages_per_second"`            // sent by the busiest instance, averaged over the run
+	MessagesPeak           float64 `json:"messages_peak_per_second"`       // highest number in any second of any instance
+	MessagesLimit          int     `json:"messages_limit_per_second"`      // configured maximum in any second
+	Bytes                  float64 `json:"bytes_per_second"`               // sent by the busiest instance
+	WronglyEjected         float64 `json:"wrongly_ejected_worker_seconds"` // ejection time of healthy workers, summed over instances
+	Served                 float64 `json:"served_share"`                   // with byzantine members
+	ServedWithoutByzantine float64 `json:"served_without_liar_share"`
+	ServedAlone            float64 `json:"served_alone_share"`
+	Lost                   int     `json:"lost_to_silent"`
+	LostWithoutByzantine   int     `json:"lost_to_silent_without_liar"`
+	LostAlone              int     `json:"lost_to_silent_alone"`
+	DetectionMillis        float64 `json:"notice_ms"`
+	DetectionMillisAlone   float64 `json:"notice_alone_ms"`
+	CPUFlooded             float64 `json:"cpu_flooded_share"`   // additional fraction of a core during the flood
+	MemoryFlooded          int     `json:"memory_flooded_kb"`   // growth in the second half of the flood
+	CPU                    float64 `json:"cpu_unflooded_share"` // fraction of a core, of the same instance without load
+	PeersIgnored           int     `json:"peers_ignored"`       // how often an instance began to ignore a peer, in the run with byzantine members
 }
 
 // VirtualGossipResult is the cost of gossip in fleets of growing size in virtual time.
 type VirtualGossipResult struct {
 	Sizes          []VirtualGossipSize `json:"sizes"`
 	MessagesGrowth float64             `json:"messages_largest_over_smallest"` // ratio of messages per second and instance, largest to smallest fleet
-	Wall           float64             `json:"wall_seconds"`
+	WallSeconds    float64             `json:"wall_seconds"`
 }
 
 // VirtualGossipSize is the cost of gossip in a fleet of one size.
 type VirtualGossipSize struct {
-	Instances int     `json:"instances"`
-	Messages  float64 `json:"messages_per_second"`      // sent per instance, mean over the instances
-	Worst     int     `json:"messages_peak_per_second"` // highest number in any second of any instance
-	Bytes     float64 `json:"bytes_per_second"`
-	Death     float64 `json:"death_known_ms"`     // until 99% of the other members suspect a dead one; median of five deaths
-	Statement float64 `json:"statement_known_ms"` // from a broadcast until 99% of the members have the statement
-	HeapKB    float64 `json:"heap_kb_per_instance"`
+	Instances            int     `json:"instances"`
+	Messages             float64 `json:"messages_per_second"`      // sent per instance, mean over the instances
+	MessagesPeak         int     `json:"messages_peak_per_second"` // highest number in any second of any instance
+	Bytes                float64 `json:"bytes_per_second"`
+	DeathKnownMillis     float64 `json:"death_known_ms"`     // until 99% of the other members suspect a dead one; median of five deaths
+	StatementKnownMillis float64 `json:"statement_known_ms"` // from a broadcast until 99% of the members have the statement
+	HeapKB               float64 `json:"heap_kb_per_instance"`
 }
 
 // ColdStartResult is the result of experiment.ColdStart.
@@ -151,20 +151,20 @@
 
 // MatchResult is the result of experiment.Match.
 type MatchResult struct {
-	Rules        int         `json:"rules"`
-	Rate         float64     `json:"rate"`
-	Hostile      bool        `json:"hostile"`
-	Sizes        []MatchSize `json:"sizes"`
-	RulesRatio   float64     `json:"plain_p50_1000_over_10_rules"` // ratio of medians
-	HostileRatio float64     `json:"hostile_p99_over_plain_p50"`   // at the largest measured size up to Rules
-	Served       float64     `json:"served_share"`
-	ServedPlain  float64     `json:"served_without_rules_share"`
-	P99          float64     `json:"p99_ms"`
-	P99Plain     float64     `json:"p99_without_rules_ms"`
-	CPU          float64     `json:"cpu_us_per_request"`
-	CPUPlain     float64     `json:"cpu_without_rules_us_per_request"`
-	Memory       int         `json:"memory_kb"`
-	MemoryPlain  int         `json:"memory_without_rules_kb"`
+	Rules          int         `json:"rules"`
+	Rate           float64     `json:"rate"`
+	Hostile        bool        `json:"hostile"`
+	Sizes          []MatchSize `json:"sizes"`
+	RulesRatio     float64     `json:"plain_p50_1000_over_10_rules"` // ratio of medians
+	HostileRatio   float64     `json:"hostile_p99_over_plain_p50"`   // at the largest measured size up to Rules
+	Served         float64     `json:"served_share"`
+	ServedPlain    float64     `json:"served_without_rules_share"`
+	P99Millis      float64     `json:"p99_ms"`
+	P99MillisPlain float64     `json:"p99_without_rules_ms"`
+	CPUMicros      float64     `json:"cpu_us_per_request"`
+	CPUMicrosPlain float64     `json:"cpu_without_rules_us_per_request"`
+	MemoryKB       int         `json:"memory_kb"`
+	MemoryKBPlain  int         `json:"memory_without_rules_kb"`
 }
 
 // MatchSize is the evaluation time with a given number of rules, in nanoseconds.
@@ -174,5 +174,5 @@
 	PlainP99   float64 `json:"plain_p99_ns"`
 	Hostile    float64 `json:"hostile_p50_ns"`
 	HostileP99 float64 `json:"hostile_p99_ns"`
-	Load       float64 `json:"load_ms"`
+	LoadMillis float64 `json:"load_ms"`
 }
--- a/internal/testbed/report/soak.go
+++ b/internal/testbed/report/soak.go
@@ -22,14 +22,14 @@
 }
 
 // Count sets the outcome of the load and the longest wake-up delay.
-func (r *SoakResult) Count(load workload.Result, worst time.Duration) {
+func (r *SoakResult) Count(load workload.Result, worstDelay time.Duration) {
 	r.Offered = load.Offered
 	r.Served = load.Served
 	r.Rejected = load.Rejected
 	r.Failed = load.Failed
 	r.Interrupted = load.Interrupted
 	r.NotAccepted = load.NotAccepted
-	r.Late = float64(worst.Milliseconds())
+	r.Late = float64(worstDelay.Milliseconds())
 }
 
 // Summary returns a one-line summary of the result.
--- a/internal/testbed/scenario/linksteps.go
+++ b/internal/testbed/scenario/linksteps.go
@@ -5,7 +5,7 @@
 )
 
 // setPartition sets the condition of the links between the selected schedulers and the others.
-func (r stepRun) setPartition() error {
+func (r stepExecution) setPartition() error {
 	instances, err := r.selectedInstances(1)
 	if err != nil {
 		return errors.Join(err, r.invalid())
@@ -18,7 +18,7 @@
 }
 
 // setLinks sets the condition of the links between the selected schedulers and workers, or resets their connections.
-func (r stepRun) setLinks() error {
+func (r stepExecution) setLinks() error {
 	const schedulerFraction, workerFraction = 1, 2 // argument indexes
 	instances, err := r.selectedInstances(schedulerFraction)
 	if err != nil {
--- a/internal/testbed/scenario/liststeps.go
+++ b/internal/testbed/scenario/liststeps.go
@@ -7,7 +7,7 @@
 )
 
 // setListFault sets or clears the fault of the list service.
-func (r stepRun) setListFault() error {
+func (r stepExecution) setListFault() error {
 	name, err := r.argument(0)
 	if err != nil {
 		return err
@@ -27,13 +27,13 @@
 	return r.fleet.List.SetFault(fault, answersPerSecond)
 }
 
-func (r stepRun) disconnectList() error {
+func (r stepExecution) disconnectList() error {
 	r.fleet.List.BreakConnections()
 	return nil
 }
 
 // repeatEvent publishes an event with the unchanged state of the first worker that is not departing.
-func (r stepRun) repeatEvent() error {
+func (r stepExecution) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.Departure(worker); !leaves {
 			r.fleet.Publish(false, []*standin.Worker{worker}, standin.EndpointServing)
--- a/internal/testbed/scenario/schedulersteps.go
+++ b/internal/testbed/scenario/schedulersteps.go
@@ -10,14 +10,14 @@
 	"calicohill/internal/testbed/process"
 )
 
-func (r stepRun) kill() error {
+func (r stepExecution) kill() error {
 	return r.forEachInstance(func(in *process.Instance) error {
 		in.Kill()
 		return nil
 	})
 }
 
-func (r stepRun) signal(signal syscall.Signal) error {
+func (r stepExecution) signal(signal syscall.Signal) error {
 	return r.forEachInstance(func(in *process.Instance) error {
 		if err := in.Signal(signal); !errors.Is(err, os.ErrProcessDone) {
 			return err
@@ -28,7 +28,7 @@
 
 // signalRunning sends a signal to schedulers that are serving. Before a scheduler serves it handles no signals, and the
 // signal would terminate it.
-func (r stepRun) signalRunning(signal syscall.Signal) error {
+func (r stepExecution) signalRunning(signal syscall.Signal) error {
 	return r.forEachInstance(func(in *process.Instance) error {
 		if in.Serves() {
 			_ = in.Signal(signal) // the process may have exited
@@ -38,7 +38,7 @@
 }
 
 // terminate starts the shutdown of instances without waiting for its end.
-func (r stepRun) terminate() error {
+func (r stepExecution) terminate() error {
 	return r.forEachInstance(func(in *process.Instance) error {
 		go func() { _ = in.Stop() }() // the rule checks detect a failed shutdown
 		return nil
@@ -46,7 +46,7 @@
 }
 
 // rollingRestart restarts all instances in batches.
-func (r stepRun) rollingRestart() error {
+func (r stepExecution) rollingRestart() error {
 	batch, err := r.count(0, len(r.fleet.Instances))
 	if err != nil || len(r.Args) < 2 || batch == 0 {
 		return r.invalid()
@@ -72,7 +72,7 @@
 }
 
 // setKnownEvents rewrites the schedulers' configuration files with different events.
-func (r stepRun) setKnownEvents() error {
+func (r stepExecution) setKnownEvents() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
--- a/internal/testbed/scenario/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -11,8 +11,8 @@
 // scenarioStream is the second half of the random seed. It makes these draws independent of those of the load.
 const scenarioStream = 7
 
-// stepRun is the execution of a step on a fleet.
-type stepRun struct {
+// stepExecution is the execution of a step on a fleet.
+type stepExecution struct {
 	Step
 	fleet      *process.Fleet
 	schedulers []int // indexes of all instances in random order; a share selects the first ones
@@ -20,26 +20,26 @@
 }
 
 // stepVerbs maps verbs to the functions that execute them.
-var stepVerbs = map[string]func(stepRun) error{
-	"start":           func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
-	"kill":            stepRun.kill,
-	"stop":            func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
-	"cont":            func(r stepRun) error { return r.signal(syscall.SIGCONT) },
-	"hup":             func(r stepRun) error { return r.signalRunning(syscall.SIGHUP) },
-	"usr1":            func(r stepRun) error { return r.signalRunning(syscall.SIGUSR1) },
-	"term":            stepRun.terminate,
-	"rolling_restart": stepRun.rollingRestart,
-	"list":            stepRun.setListFault,
-	"disconnect":      stepRun.disconnectList,
-	"publish":         stepRun.repeatEvent,
-	"drain":           stepRun.drain,
-	"replace":         stepRun.replace,
-	"restart_workers": stepRun.restartWorkers,
-	"stall_store":     stepRun.stallStore,
-	"workers":         stepRun.setWorkerFault,
-	"link":            stepRun.setLinks,
-	"gossip":          stepRun.setPartition,
-	"known":           stepRun.setKnownEvents,
+var stepVerbs = map[string]func(stepExecution) error{
+	"start":           func(r stepExecution) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
+	"kill":            stepExecution.kill,
+	"stop":            func(r stepExecution) error { return r.signal(syscall.SIGSTOP) },
+	"cont":            func(r stepExecution) error { return r.signal(syscall.SIGCONT) },
+	"hup":             func(r stepExecution) error { return r.signalRunning(syscall.SIGHUP) },
+	"usr1":            func(r stepExecution) error { return r.signalRunning(syscall.SIGUSR1) },
+	"term":            stepExecution.terminate,
+	"rolling_restart": stepExecution.rollingRestart,
+	"list":            stepExecution.setListFault,
+	"disconnect":      stepExecution.disconnectList,
+	"publish":         stepExecution.repeatEvent,
+	"drain":           stepExecution.drain,
+	"replace":         stepExecution.replace,
+	"restart_workers": stepExecution.restartWorkers,
+	"stall_store":     stepExecution.stallStore,
+	"workers":         stepExecution.setWorkerFault,
+	"link":            stepExecution.setLinks,
+	"gossip":          stepExecution.setPartition,
+	"known":           stepExecution.setKnownEvents,
 }
 
 // execute executes a step on a fleet. The seed determines which schedulers and workers it affects.
@@ -49,14 +49,14 @@
 		return step.invalid()
 	}
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
-	run := stepRun{Step: step.canonical(), fleet: fleet}
+	run := stepExecution{Step: step.canonical(), fleet: fleet}
 	run.schedulers = rng.Perm(len(fleet.Instances))
 	run.workers = rng.Perm(len(fleet.Workers))
 	return do(run)
 }
 
 // selectedInstances returns the instances that the share at an argument index selects.
-func (r stepRun) selectedInstances(argument int) ([]*process.Instance, error) {
+func (r stepExecution) selectedInstances(argument int) ([]*process.Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 }
 
 // selectedWorkers returns the workers that the share at an argument index selects.
-func (r stepRun) selectedWorkers(argument int) ([]*standin.Worker, error) {
+func (r stepExecution) selectedWorkers(argument int) ([]*standin.Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 }
 
 // forEachInstance calls do for each instance that the first argument selects, and stops at the first error.
-func (r stepRun) forEachInstance(do func(*process.Instance) error) error {
+func (r stepExecution) forEachInstance(do func(*process.Instance) error) error {
 	instances, err := r.selectedInstances(0)
 	if err != nil {
 		return err
--- a/internal/testbed/scenario/words_test.go
+++ b/internal/testbed/scenario/words_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against deprecated words of scripts that are rejected or change their meaning.
-func TestEarlierWords(t *testing.T) {
+func TestDeprecatedWords(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct{ earlier, present string }{
 		{"1s list well", "1s list healthy"},
--- a/internal/testbed/scenario/workersteps.go
+++ b/internal/testbed/scenario/workersteps.go
@@ -7,7 +7,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-func (r stepRun) drain() error {
+func (r stepExecution) drain() error {
 	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
@@ -17,8 +17,8 @@
 }
 
 // replace deletes workers from the endpoint list and adds the same number of new ones.
-func (r stepRun) replace() error {
-	gone, err := r.selectedWorkers(0)
+func (r stepExecution) replace() error {
+	replaced, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
@@ -26,9 +26,9 @@
 	if len(r.Args) > 1 && r.Args[1] == warmingUp {
 		startedAt = time.Now()
 	}
-	r.fleet.Publish(false, gone, standin.EndpointDeleted)
+	r.fleet.Publish(false, replaced, standin.EndpointDeleted)
 	var added []*standin.Worker
-	for _, worker := range gone {
+	for _, worker := range replaced {
 		replacement, err := r.fleet.StartWorker(worker.ID+"x", startedAt)
 		if err != nil {
 			return err
@@ -41,7 +41,7 @@
 }
 
 // restartWorkers restarts workers at the same address, except draining and deleted ones.
-func (r stepRun) restartWorkers() error {
+func (r stepExecution) restartWorkers() error {
 	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 }
 
 // stallStore stalls the store for a duration.
-func (r stepRun) stallStore() error {
+func (r stepExecution) stallStore() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
@@ -71,7 +71,7 @@
 }
 
 // setWorkerFault sets or clears the fault of workers.
-func (r stepRun) setWorkerFault() error {
+func (r stepExecution) setWorkerFault() error {
 	workers, err := r.selectedWorkers(1)
 	if err != nil {
 		return err
--- a/internal/testbed/virtual/experiment.go
+++ b/internal/testbed/virtual/experiment.go
@@ -193,7 +193,7 @@
 		"cold_uneven": {WarmingWorkers: true, Skew: 3},
 		"reborn":      {RestartedFraction: 0.6},
 	}
-	var guard sync.Mutex // guards all and failed
+	var mu sync.Mutex // guards all and failed
 	all := map[string]report.VirtualMetrics{}
 	var failed error
 	var running sync.WaitGroup
@@ -206,8 +206,8 @@
 		experiment.Rate = ratePerWorker * float64(workers)
 		running.Go(func() {
 			metrics, err := experiment.Run()
-			guard.Lock()
-			defer guard.Unlock()
+			mu.Lock()
+			defer mu.Unlock()
 			if err != nil {
 				failed = errors.Join(failed, fmt.Errorf("%s: %w", name, err))
 			}
--- a/internal/testbed/virtual/gossip.go
+++ b/internal/testbed/virtual/gossip.go
@@ -21,7 +21,7 @@
 	deathDuration     = 15 * time.Second
 	statementDuration = 5 * time.Second
 	bytesPerKB        = 1024
-	knownFraction     = 0.99 // fraction of the members that must be informed
+	informedFraction  = 0.99 // fraction of the members that must be informed
 )
 
 // SimulateGossip simulates fleets of the given sizes: an idle phase, then simultaneous deaths, then a statement.
@@ -34,7 +34,7 @@
 	if last := len(result.Sizes) - 1; last > 0 {
 		result.MessagesGrowth = result.Sizes[last].Messages / result.Sizes[0].Messages
 	}
-	result.Wall = time.Since(began).Seconds()
+	result.WallSeconds = time.Since(began).Seconds()
 	return result
 }
 
@@ -58,10 +58,10 @@
 	for _, node := range net.Nodes {
 		size.Messages += float64(node.Sent) / float64(instances) / idleDuration.Seconds()
 		size.Bytes += float64(node.Bytes) / float64(instances) / idleDuration.Seconds()
-		size.Worst = max(size.Worst, node.PeakMessageRate)
+		size.MessagesPeak = max(size.MessagesPeak, node.PeakMessageRate)
 	}
-	size.Death = measureDeaths(net)
-	size.Statement = measureStatement(net)
+	size.DeathKnownMillis = measureDeaths(net)
+	size.StatementKnownMillis = measureStatement(net)
 	return size
 }
 
@@ -73,25 +73,25 @@
 	return stats.HeapAlloc
 }
 
-// firstKnown maps node names to the times at which the nodes were first informed.
-type firstKnown map[string]time.Duration
+// informedTimes maps node names to the times at which the nodes were first informed.
+type informedTimes map[string]time.Duration
 
-// note records that a node is informed at the current time.
-func (k firstKnown) note(net *gossipsim.Network, node *gossipsim.Node) {
-	if _, ok := k[node.Name]; !ok {
-		k[node.Name] = net.Now
+// record marks a node as informed at the current time.
+func (t informedTimes) record(net *gossipsim.Network, node *gossipsim.Node) {
+	if _, ok := t[node.Name]; !ok {
+		t[node.Name] = net.Now
 	}
 }
 
-// millisUntilKnown returns the milliseconds from since until knownFraction of the nodes were informed, or +Inf if they never
-// were.
-func (k firstKnown) millisUntilKnown(nodes int, since time.Duration) float64 {
-	needed := int(math.Ceil(knownFraction * float64(nodes)))
-	if len(k) < needed {
+// millisUntilInformed returns the milliseconds from since until informedFraction of the nodes were informed, or +Inf if they
+// never were.
+func (t informedTimes) millisUntilInformed(nodes int, since time.Duration) float64 {
+	needed := int(math.Ceil(informedFraction * float64(nodes)))
+	if len(t) < needed {
 		return math.Inf(1)
 	}
 	var times []time.Duration
-	for _, at := range k {
+	for _, at := range t {
 		times = append(times, at-since)
 	}
 	slices.Sort(times)
@@ -101,15 +101,15 @@
 // measureDeaths kills deathCount nodes and returns the median of their detection times in milliseconds.
 func measureDeaths(net *gossipsim.Network) float64 {
 	survivors := len(net.Nodes) - deathCount
-	knownByDead := map[string]firstKnown{}
+	knownByDead := map[string]informedTimes{}
 	for _, node := range net.Nodes[survivors:] {
-		knownByDead[node.Name] = firstKnown{}
+		knownByDead[node.Name] = informedTimes{}
 		net.Kill(node)
 	}
 	net.OnMemberChanged = func(node *gossipsim.Node, member gossip.Member) {
 		known := knownByDead[member.Name]
 		if known != nil && member.State != gossip.Alive {
-			known.note(net, node)
+			known.record(net, node)
 		}
 	}
 	killedAt := net.Now
@@ -117,7 +117,7 @@
 	net.OnMemberChanged = nil
 	var millis []float64
 	for _, known := range knownByDead {
-		millis = append(millis, known.millisUntilKnown(survivors, killedAt))
+		millis = append(millis, known.millisUntilInformed(survivors, killedAt))
 	}
 	slices.Sort(millis)
 	return millis[deathCount/2]
@@ -126,15 +126,15 @@
 // measureStatement broadcasts a statement and returns the milliseconds until the other nodes have it.
 func measureStatement(net *gossipsim.Network) float64 {
 	const bodyBytes, certificateBytes = 100, 340
-	known := firstKnown{}
-	net.OnStatement = func(node *gossipsim.Node, _ gossip.Statement) { known.note(net, node) }
-	speaker := net.Nodes[0]
-	net.Deliver(speaker, gossip.Broadcast{Statement: gossip.Statement{
-		Name: speaker.Name, Epoch: 1, Seq: 1,
+	known := informedTimes{}
+	net.OnStatement = func(node *gossipsim.Node, _ gossip.Statement) { known.record(net, node) }
+	sender := net.Nodes[0]
+	net.Deliver(sender, gossip.Broadcast{Statement: gossip.Statement{
+		Name: sender.Name, Epoch: 1, Seq: 1,
 		Body: make([]byte, bodyBytes), Cert: make([]byte, certificateBytes), Sig: make([]byte, ed25519.SignatureSize),
 	}})
 	broadcastAt := net.Now
 	net.Run(statementDuration)
-	listeners := len(net.Nodes) - deathCount - 1
-	return known.millisUntilKnown(listeners, broadcastAt)
+	receivers := len(net.Nodes) - deathCount - 1
+	return known.millisUntilInformed(receivers, broadcastAt)
 }
--- a/internal/testbed/virtual/pollexperiment.go
+++ b/internal/testbed/virtual/pollexperiment.go
@@ -25,7 +25,7 @@
 			sim.SetFault(standin.ListHealthy)
 		}
 	}
-	disturbances := map[string]func(*PollSimulation){
+	faults := map[string]func(*PollSimulation){
 		"refused_8s":    withFault(standin.ListRefusing),
 		"overloaded_8s": withFault(standin.ListOverloaded),
 		"silent_8s":     withFault(standin.ListUnresponsive),
@@ -38,11 +38,11 @@
 		start := NewPollSimulation(size, time.Second, seed, true)
 		start.Run(simulatedWarmUp)
 		result.Peaks["start"] = report.PeakPer100ms(start.Polls, 0)
-		for name, disturb := range disturbances {
+		for name, inject := range faults {
 			sim := NewPollSimulation(size, time.Second, seed, true)
 			sim.Run(simulatedWarmUp)
 			from := sim.Now
-			disturb(sim)
+			inject(sim)
 			sim.Run(simulatedRecovery)
 			result.Peaks[name] = report.PeakPer100ms(sim.Polls, from)
 		}
--- a/internal/testbed/virtual/scheduler.go
+++ b/internal/testbed/virtual/scheduler.go
@@ -61,12 +61,12 @@
 // step passes events to the Router and executes its actions.
 func (s *scheduler) step(events ...routing.Event) {
 	for _, action := range s.router.Step(s.now, events) {
-		s.perform(action)
+		s.execute(action)
 	}
 }
 
-// perform executes an action of the Router.
-func (s *scheduler) perform(action routing.Action) {
+// execute executes an action of the Router.
+func (s *scheduler) execute(action routing.Action) {
 	switch action := action.(type) {
 	case routing.SetTimer:
 		wait := action.After
