--- a/internal/testbed/experiment/match.go
+++ b/internal/testbed/experiment/match.go
@@ -21,33 +21,33 @@
 	matchWorkers        = 14
 	matchFunctions      = 14
 	matchWarmUp         = 2 * time.Second
-	maxValuePadding     = 252 // bytes after "zona" in the longest legal value
+	maxValuePadding     = 252 // bytes after the prefix "zona" in a value of the maximum length
 	maxPathPadding      = 251
 	maxMethodBytes      = 16
-	rulesOfAll          = 2  // rules that are evaluated for every request
-	hostileParameters   = 40 // near misses of a parameter's name
+	universalRules      = 2  // rules that apply to every request
+	nearMissParameters  = 40 // parameters whose names differ from matchParameter in the last byte
 	matchParameter      = "HTTP_X_CENTRE"
 	matchParameterValue = "zona4"
 )
 
-// Match measures what rules cost: an evaluation by itself, and requests through a scheduler with and without.
+// Match measures the cost of rules: of an isolated evaluation, and of requests through a scheduler with and without rules.
 type Match struct {
 	Program  string
 	Env      []string
 	Rules    int
-	Rate     float64 // requests a second
-	Hostile  bool    // requests carry the longest legal texts, many parameters and near misses of prefixes
+	Rate     float64 // requests per second
+	Hostile  bool    // requests have texts of the maximum length, many parameters, and near misses of names and prefixes
 	Seconds  float64
 	Seed     uint64
 	Progress func(string)
 }
 
-// operatorFileWithRules returns an operator's file with rules that match the requests of one function each, and two that are
-// evaluated for every request.
+// operatorFileWithRules returns an operator's file with rules that match one function each, and two that apply to every
+// request.
 func operatorFileWithRules(rules int) string {
 	var file strings.Builder
 	file.WriteString(plainOperatorFile)
-	for i := range max(rules-rulesOfAll, 0) {
+	for i := range max(rules-universalRules, 0) {
 		fmt.Fprintf(&file, "match f%d\n  when handler == \"%016x\" && param[\"HTTP_X_CENTRE\"].startsWith(\"zona\")\n"+
 			"  key handler + \":\" + param[\"HTTP_X_CENTRE\"]\n  route lane\n", i, i+1)
 	}
@@ -58,11 +58,11 @@
 	return file.String()
 }
 
-// generateRules returns the rules of operatorFileWithRules in the form that match.Load takes.
+// generateRules returns the rules of operatorFileWithRules as input for match.Load.
 func generateRules(count int) []match.Rule {
 	text := func(source string) match.Expression { return match.Expression{Source: source} }
 	var rules []match.Rule
-	for i := range max(count-rulesOfAll, 0) {
+	for i := range max(count-universalRules, 0) {
 		rules = append(rules, match.Rule{
 			Name:  fmt.Sprint(i),
 			Route: text("lane"),
@@ -81,10 +81,10 @@
 	return rules
 }
 
-// timeEvaluations returns how long an evaluation takes in nanoseconds: the median and the 99th percentile.
+// timeEvaluations returns the median and the 99th percentile of the evaluation time in nanoseconds.
 func timeEvaluations(table *match.Table, request *match.Request) (p50, p99 float64) {
 	const (
-		batchSize = 50 // timed as one: a clock is slower than an evaluation
+		batchSize = 50 // evaluations per timing: reading the clock takes longer than one evaluation
 		batches   = 400
 	)
 	times := make([]float64, batches)
@@ -120,26 +120,26 @@
 		return result, fmt.Errorf("with rules: %w", err)
 	}
 	result.Served = with.servedFraction
-	result.P99 = with.p99Millis
-	result.CPU = with.cpuMicros
-	result.Memory = with.memoryKB
+	result.P99Millis = with.p99Millis
+	result.CPUMicros = with.cpuMicros
+	result.MemoryKB = with.memoryKB
 	plain, err := e.measureLoad(ctx, plainOperatorFile)
 	if err != nil {
 		return result, fmt.Errorf("without rules: %w", err)
 	}
 	result.ServedPlain = plain.servedFraction
-	result.P99Plain = plain.p99Millis
-	result.CPUPlain = plain.cpuMicros
-	result.MemoryPlain = plain.memoryKB
+	result.P99MillisPlain = plain.p99Millis
+	result.CPUMicrosPlain = plain.cpuMicros
+	result.MemoryKBPlain = plain.memoryKB
 	return result, nil
 }
 
-// millis returns a duration in milliseconds, to the microsecond.
+// millis returns a duration in milliseconds with microsecond resolution.
 func millis(duration time.Duration) float64 {
 	return float64(duration.Microseconds()) / float64(time.Millisecond/time.Microsecond)
 }
 
-// measureEvaluations measures evaluations by themselves.
+// measureEvaluations measures isolated evaluations of a table with the given number of rules.
 func measureEvaluations(rules int) (report.MatchSize, error) {
 	classes := []match.Class{{Name: "consulta", Idempotency: routing.Idempotent}}
 	began := time.Now()
@@ -147,7 +147,7 @@
 	if table == nil {
 		return report.MatchSize{}, fmt.Errorf("rules: %v", faults)
 	}
-	size := report.MatchSize{Rules: rules, Load: millis(time.Since(began))}
+	size := report.MatchSize{Rules: rules, LoadMillis: millis(time.Since(began))}
 	plain := &match.Request{
 		Class: "consulta", Path: "/rpc/consulta", Method: "POST", Handler: fmt.Sprintf("%016x", rules/2+1),
 		IdempotencyKey: "k", TimeLeft: time.Second, Concurrency: 2, LocalTime: time.Now(), Params: []match.Param{match.PresentParam(matchParameterValue)},
@@ -161,18 +161,18 @@
 	return size, nil
 }
 
-// longestParameterValue returns the longest legal value that the rules' prefix matches.
+// longestParameterValue returns a value of the maximum length that has the prefix in the rules.
 func longestParameterValue() string { return "zona" + strings.Repeat("z", maxValuePadding) }
 
-// loadMeasurement is what became of a load.
+// loadMeasurement is the result of offering a load to a scheduler.
 type loadMeasurement struct {
 	servedFraction float64
 	p99Millis      float64
-	cpuMicros      float64 // of processor time a request
+	cpuMicros      float64 // CPU time per request
 	memoryKB       int
 }
 
-// measureLoad offers a scheduler with an operator's file a load, and measures what became of it.
+// measureLoad measures a scheduler with an operator's file under load.
 func (e Match) measureLoad(ctx context.Context, operatorFile string) (loadMeasurement, error) {
 	fleet, err := e.fleet(ctx, operatorFile)
 	if err != nil {
@@ -198,7 +198,7 @@
 	if count := len(result.ResponseTimes); count > 0 {
 		measured.p99Millis = millis(result.ResponseTimes[count*99/100])
 	}
-	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of processor a request, %d kB", len(operatorFile),
+	e.Progress(fmt.Sprintf("%d bytes of rules: served %.4f of %d, p99 %.1f ms, %.0f us of CPU per request, %d kB", len(operatorFile),
 		measured.servedFraction, result.Offered, measured.p99Millis, measured.cpuMicros, measured.memoryKB))
 	return measured, scheduler.Stop()
 }
@@ -232,13 +232,13 @@
 	return fleet.WaitHealthy(ctx, process.StartTimeout)
 }
 
-// load returns a load whose requests carry the parameter that the rules look at.
+// load returns a load whose requests have the parameter that the rules match on.
 func (e Match) load() workload.Load {
 	value := matchParameterValue
 	nearMisses := 0
 	if e.Hostile {
 		value = longestParameterValue()
-		nearMisses = hostileParameters
+		nearMisses = nearMissParameters
 	}
 	addParameters := func(request *fastcgi.Request) {
 		request.Params = append(request.Params, fastcgi.Param{Name: matchParameter, Value: value})
--- a/internal/testbed/scenario/liststeps.go
+++ b/internal/testbed/scenario/liststeps.go
@@ -6,8 +6,8 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// setListFault gives the list service a fault, or none.
-func (r stepRun) setListFault() error {
+// setListFault sets or clears the fault of the list service.
+func (r stepExecution) setListFault() error {
 	name, err := r.argument(0)
 	if err != nil {
 		return err
@@ -27,13 +27,13 @@
 	return r.fleet.List.SetFault(fault, answersPerSecond)
 }
 
-func (r stepRun) disconnectList() error {
+func (r stepExecution) disconnectList() error {
 	r.fleet.List.BreakConnections()
 	return nil
 }
 
-// repeatEvent publishes an event that repeats what the list has of the first worker that does not leave.
-func (r stepRun) repeatEvent() error {
+// repeatEvent publishes an event with the unchanged state of the first worker that is not departing.
+func (r stepExecution) repeatEvent() error {
 	for _, worker := range r.fleet.Workers {
 		if _, leaves := r.fleet.Departure(worker); !leaves {
 			r.fleet.Publish(false, []*standin.Worker{worker}, standin.EndpointServing)
--- a/internal/testbed/scenario/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -8,55 +8,55 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// scenarioStream is the second half of the random generator's seed: it sets these draws apart from those of the load.
+// scenarioStream is the second half of the random seed. It makes these draws independent of those of the load.
 const scenarioStream = 7
 
-// stepRun is a step that is executed on a fleet.
-type stepRun struct {
+// stepExecution is the execution of a step on a fleet.
+type stepExecution struct {
 	Step
 	fleet      *process.Fleet
-	schedulers []int // all instances in the order in which shares take them
-	workers    []int // the same for the workers
+	schedulers []int // indexes of all instances in random order; a share selects the first ones
+	workers    []int // the same for workers
 }
 
-// stepVerbs has the function that carries out each verb.
-var stepVerbs = map[string]func(stepRun) error{
-	"start":           func(r stepRun) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
-	"kill":            stepRun.kill,
-	"stop":            func(r stepRun) error { return r.signal(syscall.SIGSTOP) },
-	"cont":            func(r stepRun) error { return r.signal(syscall.SIGCONT) },
-	"hup":             func(r stepRun) error { return r.signalRunning(syscall.SIGHUP) },
-	"usr1":            func(r stepRun) error { return r.signalRunning(syscall.SIGUSR1) },
-	"term":            stepRun.terminate,
-	"rolling_restart": stepRun.rollingRestart,
-	"list":            stepRun.setListFault,
-	"disconnect":      stepRun.disconnectList,
-	"publish":         stepRun.repeatEvent,
-	"drain":           stepRun.drain,
-	"replace":         stepRun.replace,
-	"restart_workers": stepRun.restartWorkers,
-	"stall_store":     stepRun.stallStore,
-	"workers":         stepRun.setWorkerFault,
-	"link":            stepRun.setLinks,
-	"gossip":          stepRun.setPartition,
-	"known":           stepRun.setKnownEvents,
+// stepVerbs maps verbs to the functions that execute them.
+var stepVerbs = map[string]func(stepExecution) error{
+	"start":           func(r stepExecution) error { return r.forEachInstance((*process.Instance).StartIfStopped) },
+	"kill":            stepExecution.kill,
+	"stop":            func(r stepExecution) error { return r.signal(syscall.SIGSTOP) },
+	"cont":            func(r stepExecution) error { return r.signal(syscall.SIGCONT) },
+	"hup":             func(r stepExecution) error { return r.signalRunning(syscall.SIGHUP) },
+	"usr1":            func(r stepExecution) error { return r.signalRunning(syscall.SIGUSR1) },
+	"term":            stepExecution.terminate,
+	"rolling_restart": stepExecution.rollingRestart,
+	"list":            stepExecution.setListFault,
+	"disconnect":      stepExecution.disconnectList,
+	"publish":         stepExecution.repeatEvent,
+	"drain":           stepExecution.drain,
+	"replace":         stepExecution.replace,
+	"restart_workers": stepExecution.restartWorkers,
+	"stall_store":     stepExecution.stallStore,
+	"workers":         stepExecution.setWorkerFault,
+	"link":            stepExecution.setLinks,
+	"gossip":          stepExecution.setPartition,
+	"known":           stepExecution.setKnownEvents,
 }
 
-// execute carries out a step on a fleet.
+// execute executes a step on a fleet. The seed determines which schedulers and workers it affects.
 func execute(fleet *process.Fleet, step Step, seed uint64) error {
 	do, ok := stepVerbs[step.canonical().Verb]
 	if !ok {
 		return step.invalid()
 	}
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
-	run := stepRun{Step: step.canonical(), fleet: fleet}
+	run := stepExecution{Step: step.canonical(), fleet: fleet}
 	run.schedulers = rng.Perm(len(fleet.Instances))
 	run.workers = rng.Perm(len(fleet.Workers))
 	return do(run)
 }
 
-// selectedInstances returns the instances that the share at an argument means.
-func (r stepRun) selectedInstances(argument int) ([]*process.Instance, error) {
+// selectedInstances returns the instances that the share at an argument index selects.
+func (r stepExecution) selectedInstances(argument int) ([]*process.Instance, error) {
 	count, err := r.count(argument, len(r.fleet.Instances))
 	if err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 	return instances, nil
 }
 
-// selectedWorkers returns the workers that the share at an argument means.
-func (r stepRun) selectedWorkers(argument int) ([]*standin.Worker, error) {
+// selectedWorkers returns the workers that the share at an argument index selects.
+func (r stepExecution) selectedWorkers(argument int) ([]*standin.Worker, error) {
 	count, err := r.count(argument, len(r.fleet.Workers))
 	if err != nil {
 		return nil, err
@@ -81,8 +81,8 @@
 	return workers, nil
 }
 
-// forEachInstance does something to the instances of the first argument, until it fails.
-func (r stepRun) forEachInstance(do func(*process.Instance) error) error {
+// forEachInstance calls do for each instance that the first argument selects, and stops at the first error.
+func (r stepExecution) forEachInstance(do func(*process.Instance) error) error {
 	instances, err := r.selectedInstances(0)
 	if err != nil {
 		return err
--- a/internal/testbed/scenario/workersteps.go
+++ b/internal/testbed/scenario/workersteps.go
@@ -7,7 +7,7 @@
 	"calicohill/internal/testbed/standin"
 )
 
-func (r stepRun) drain() error {
+func (r stepExecution) drain() error {
 	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
@@ -16,9 +16,9 @@
 	return nil
 }
 
-// replace deletes workers from the list and lists as many new ones.
-func (r stepRun) replace() error {
-	gone, err := r.selectedWorkers(0)
+// replace deletes workers from the endpoint list and adds the same number of new ones.
+func (r stepExecution) replace() error {
+	replaced, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
 	}
@@ -26,9 +26,9 @@
 	if len(r.Args) > 1 && r.Args[1] == warmingUp {
 		startedAt = time.Now()
 	}
-	r.fleet.Publish(false, gone, standin.EndpointDeleted)
+	r.fleet.Publish(false, replaced, standin.EndpointDeleted)
 	var added []*standin.Worker
-	for _, worker := range gone {
+	for _, worker := range replaced {
 		replacement, err := r.fleet.StartWorker(worker.ID+"x", startedAt)
 		if err != nil {
 			return err
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// restartWorkers restarts workers at their address, but for those that drain or were deleted.
-func (r stepRun) restartWorkers() error {
+// restartWorkers restarts workers at the same address, except draining and deleted ones.
+func (r stepExecution) restartWorkers() error {
 	workers, err := r.selectedWorkers(0)
 	if err != nil {
 		return err
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// stallStore has the store serve nothing for a while.
-func (r stepRun) stallStore() error {
+// stallStore stalls the store for a duration.
+func (r stepExecution) stallStore() error {
 	if len(r.Args) != 1 {
 		return r.invalid()
 	}
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// setWorkerFault gives workers a fault, or none.
-func (r stepRun) setWorkerFault() error {
+// setWorkerFault sets or clears the fault of workers.
+func (r stepExecution) setWorkerFault() error {
 	workers, err := r.selectedWorkers(1)
 	if err != nil {
 		return err
--- a/internal/testbed/virtual/pollexperiment.go
+++ b/internal/testbed/virtual/pollexperiment.go
@@ -7,16 +7,16 @@
 	"calicohill/internal/testbed/standin"
 )
 
-// The course of the poll simulations.
+// Phases of the poll simulations.
 const (
 	simulatedWarmUp     = 10 * time.Second // before the fault
 	simulatedFault      = 8 * time.Second
 	simulatedRecovery   = 20 * time.Second // after it
 	rateLimitedDuration = 40 * time.Second
-	rateLimitedPeriod   = 20 * time.Second // in which a ListRateLimited answers one poll of each scheduler
+	rateLimitedPeriod   = 20 * time.Second // time in which the rate-limited service answers one poll of each scheduler
 )
 
-// SimulatePolls plays the faults of a list service with fleets of these sizes.
+// SimulatePolls simulates faults of the list service with fleets of the given sizes.
 func SimulatePolls(sizes []int, seed uint64) []report.VirtualPollResult {
 	withFault := func(fault standin.ListFault) func(*PollSimulation) {
 		return func(sim *PollSimulation) {
@@ -25,7 +25,7 @@
 			sim.SetFault(standin.ListHealthy)
 		}
 	}
-	disturbances := map[string]func(*PollSimulation){
+	faults := map[string]func(*PollSimulation){
 		"refused_8s":    withFault(standin.ListRefusing),
 		"overloaded_8s": withFault(standin.ListOverloaded),
 		"silent_8s":     withFault(standin.ListUnresponsive),
@@ -38,11 +38,11 @@
 		start := NewPollSimulation(size, time.Second, seed, true)
 		start.Run(simulatedWarmUp)
 		result.Peaks["start"] = report.PeakPer100ms(start.Polls, 0)
-		for name, disturb := range disturbances {
+		for name, inject := range faults {
 			sim := NewPollSimulation(size, time.Second, seed, true)
 			sim.Run(simulatedWarmUp)
 			from := sim.Now
-			disturb(sim)
+			inject(sim)
 			sim.Run(simulatedRecovery)
 			result.Peaks[name] = report.PeakPer100ms(sim.Polls, from)
 		}
@@ -51,8 +51,8 @@
 	return results
 }
 
-// simulateRateLimited plays a start in front of a service that answers a tenth of what the fleet polls in a PollPeriod, and
-// has an update for all.
+// simulateRateLimited simulates a start with a list service that has an update for all schedulers, but answers only a tenth
+// of the fleet's polls in a PollPeriod.
 func simulateRateLimited(size int, seed uint64) report.VirtualPollResult {
 	result := report.VirtualPollResult{
 		Schedulers:  size,
@@ -63,7 +63,7 @@
 	sim := NewPollSimulation(size, time.Second, seed, true)
 	sim.SetFault(standin.ListRateLimited)
 	sim.Queue.AnswersPerSecond = float64(size) / rateLimitedPeriod.Seconds()
-	const update = 2 // number of the event that all have to receive
+	const update = 2 // number of the event that all schedulers must receive
 	sim.Queue.LastEvent = update
 	began := sim.Now
 	sim.Run(rateLimitedDuration)
