--- a/internal/testbed/process/links.go
+++ b/internal/testbed/process/links.go
@@ -41,7 +41,7 @@
 	return condition
 }
 
-// workerAddress returns the address of a worker for a scheduler. If LinkedWorkers is set, it is the address of the
+// workerAddress returns the address of a worker for a scheduler. If WorkerLinks is set, it is the address of the
 // scheduler's link to the worker, which is opened if necessary.
 func (f *Fleet) workerAddress(scheduler string, worker *standin.Worker) string {
 	if !f.WorkerLinks {
--- a/internal/testbed/standin/listservice.go
+++ b/internal/testbed/standin/listservice.go
@@ -186,7 +186,7 @@
 }
 
 // DeliveredAt returns the time at which an event counts as delivered to all schedulers. This is the publication time if
-// the service was healthy, and otherwise settledAfter after the end of the fault. It is zero if the fault has not
+// the service was healthy, and otherwise settleTime after the end of the fault. It is zero if the fault has not
 // ended.
 func (s *ListService) DeliveredAt(publishedAt time.Time) time.Time {
 	s.mu.Lock()
